--- /dev/null
+++ b/internal/config/golden_test.go
@@ -0,0 +1,25 @@
+package config
+
+import (
+	"os"
+	"strings"
+	"testing"
+
+	"raventrestle"
+)
+
+// The terms of a class stand in couriers' journals: this is the form in which the build 73ca247 wrote them.
+func TestTermsKeepTheirStoredForm(t *testing.T) {
+	text, err := os.ReadFile("testdata/golden/terms.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	stored := strings.TrimSuffix(string(text), "\n")
+	want := raventrestle.Class{Name: "c", Aim: 1, Stretch: 2.5, Deadline: 3, Credit: 4.5, Late: 0.75, Effect: raventrestle.Unsafe, Group: raventrestle.GroupZone, Window: 6}
+	if got := Terms(want); got != stored {
+		t.Errorf("terms: got %q, want %q", got, stored)
+	}
+	if got, err := OfTerms("c", stored); got != want || err != nil {
+		t.Errorf("class of the stored terms: got %+v, %v, want %+v", got, err, want)
+	}
+}
--- /dev/null
+++ b/internal/deadletter/golden_test.go
@@ -0,0 +1,197 @@
+package deadletter
+
+// The stored form of dead letters, as the build 73ca247 wrote it. The files in testdata/golden are never written anew:
+// a courier that is upgraded or put back to an earlier build finds the store of the other.
+
+import (
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"go.etcd.io/bbolt"
+
+	"raventrestle"
+	"raventrestle/internal/deadletter/rule"
+)
+
+const (
+	goldenFile   = "testdata/golden/letters.db"
+	goldenText   = "testdata/golden/letters.txt"  // what stands in goldenFile: bucket, key and value, the last two in hex
+	goldenLetter = "testdata/golden/letter.json"  // goldenLetters' first, as operators' commands show it
+	goldenStates = "testdata/golden/states.txt"   // numbers and words of the states
+	goldenNumber = "testdata/golden/effects.json" // numbers of effects and groups
+)
+
+// goldenLetters are the dead letters of goldenFile: in the first each field is set, and each to another value.
+func goldenLetters() []*Letter {
+	full := &Letter{ID: "id-1", Key: "key-2", Class: "class-3", Tenant: "tenant-4", Dest: 5, Taken: 6_000_000_000, Until: 7_000_000_000,
+		Failed: 8_000_000_000, Why: "why-9", Effect: raventrestle.Unsafe, Group: raventrestle.GroupZone, Window: 12, Deadline: 13,
+		Worth:     14.5,
+		Tries:     []Try{{Peer: "peer-15", Floor: "floor-16", At: 17, Outcome: "outcome-18"}, {Peer: "peer-19", Floor: "floor-20", At: 21}},
+		Ran:       &Try{Peer: "peer-22", Floor: "floor-23", At: 24, Outcome: "outcome-25"},
+		State:     rule.Void,
+		Resends:   []Resend{{Began: 26, Ended: 27, Result: "result-28", Tries: []Try{{Peer: "peer-29", Floor: "floor-30", At: 31, Outcome: "outcome-32"}}}},
+		NotBefore: 33, Asked: true, Settled: 34, Body: []byte("body 35")}
+	letters := []*Letter{full}
+	for i, state := range []rule.State{rule.Held, rule.Out, rule.Delivered, rule.Void, rule.Discarded} {
+		l := &Letter{ID: fmt.Sprint("state-", state), Class: "c", Dest: int64(40 + i), Failed: int64(50 + i), Effect: raventrestle.Keyed,
+			Group: raventrestle.GroupTarget, State: state, Body: []byte{byte(60 + i)}}
+		if state == rule.Out {
+			l.Resends = []Resend{{Began: 70}}
+		}
+		letters = append(letters, l)
+	}
+	for _, l := range letters {
+		l.BodySize = len(l.Body)
+	}
+	return letters
+}
+
+// contents lists what stands in the store's file, in the order of its buckets and keys.
+func contents(t *testing.T, path string) []string {
+	t.Helper()
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: time.Second})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer db.Close()
+	var lines []string
+	err = db.View(func(tx *bbolt.Tx) error {
+		return tx.ForEach(func(name []byte, b *bbolt.Bucket) error {
+			lines = append(lines, fmt.Sprintf("%s\tsequence\t%d", name, b.Sequence()))
+			return b.ForEach(func(k, v []byte) error {
+				lines = append(lines, fmt.Sprintf("%s\t%s\t%s", name, hex.EncodeToString(k), hex.EncodeToString(v)))
+				return nil
+			})
+		})
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return lines
+}
+
+func goldenLines(t *testing.T, path string) []string {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
+}
+
+// goldenFolder returns a folder that holds a copy of the stored file.
+func goldenFolder(t *testing.T) string {
+	t.Helper()
+	text, err := os.ReadFile(goldenFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	dir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, "letters.db"), text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
+
+func TestStoredLettersAreReadAndContinued(t *testing.T) {
+	dir := goldenFolder(t)
+	s := open(t, dir, large)
+	if s.Spoilt != 0 || s.Letters != len(goldenLetters()) {
+		t.Errorf("got %d letters and %d spoilt, want %d and 0", s.Letters, s.Spoilt, len(goldenLetters()))
+	}
+	for _, want := range goldenLetters() {
+		got, err := s.Get(want.ID)
+		if err != nil {
+			t.Fatalf("%s: %v", want.ID, err)
+		}
+		if diff := cmp.Diff(want, got); diff != "" {
+			t.Errorf("%s (-want +got):\n%s", want.ID, diff)
+		}
+	}
+	if err := s.Change([]string{"id-1"}, func(l *Letter) error { l.Why = "changed"; return nil }); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.Delete("state-discarded"); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := s.Put(letter("another", 80, 81, 82)); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+
+	s = open(t, dir, large)
+	var got []string
+	if err := s.Each(func(l *Letter) bool { got = append(got, l.ID+" "+l.Why); return true }); err != nil {
+		t.Fatal(err)
+	}
+	want := []string{"id-1 changed", "state-held ", "state-out ", "state-delivered ", "state-void ", "another "}
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Errorf("letters of the life after (-want +got):\n%s", diff)
+	}
+}
+
+func TestLettersAreWrittenAsStored(t *testing.T) {
+	want := goldenLines(t, goldenText)
+	if diff := cmp.Diff(want, contents(t, goldenFile)); diff != "" {
+		t.Fatalf("%s and %s differ (-text +file):\n%s", goldenText, goldenFile, diff)
+	}
+	dir := t.TempDir()
+	s := open(t, dir, large)
+	if _, err := s.Put(goldenLetters()...); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(want, contents(t, filepath.Join(dir, "letters.db"))); diff != "" {
+		t.Errorf("contents (-stored +written):\n%s", diff)
+	}
+}
+
+func TestOperatorsSeeALetterAsBefore(t *testing.T) {
+	l := goldenLetters()[0]
+	got, err := json.MarshalIndent(Item{Letter: l, StateWord: "status-36", Reason: "reason-37", Sentence: "explanation-38", Never: true, Content: l.Body}, "", "\t")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(goldenLines(t, goldenLetter), strings.Split(string(got), "\n")); diff != "" {
+		t.Errorf("item (-stored +written):\n%s", diff)
+	}
+}
+
+func TestNumbersOfStoredStatesStay(t *testing.T) {
+	var got []string
+	for _, s := range []rule.State{rule.Held, rule.Out, rule.Delivered, rule.Void, rule.Discarded} {
+		got = append(got, fmt.Sprint(uint8(s), " ", s))
+	}
+	if diff := cmp.Diff(goldenLines(t, goldenStates), got); diff != "" {
+		t.Errorf("states (-stored +got):\n%s", diff)
+	}
+	text, err := os.ReadFile(goldenNumber)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var want map[string]uint8
+	if err := json.Unmarshal(text, &want); err != nil {
+		t.Fatal(err)
+	}
+	numbers := map[string]uint8{"repeatable": uint8(raventrestle.Safe), "guarded": uint8(raventrestle.Keyed), "single_shot": uint8(raventrestle.Unsafe),
+		"group all": uint8(raventrestle.GroupAll), "group zone": uint8(raventrestle.GroupZone), "group target": uint8(raventrestle.GroupTarget)}
+	if diff := cmp.Diff(slices.Sorted(maps.Keys(want)), slices.Sorted(maps.Keys(numbers))); diff != "" {
+		t.Fatalf("names (-stored +got):\n%s", diff)
+	}
+	if diff := cmp.Diff(want, numbers); diff != "" {
+		t.Errorf("numbers (-stored +got):\n%s", diff)
+	}
+}
--- /dev/null
+++ b/internal/learned/golden_test.go
@@ -0,0 +1,105 @@
+package learned
+
+// The stored form of what a courier has learned, as the build 73ca247 wrote it: the file, and the JSON in it, which a
+// courier that hands over also leaves in its journal. The files in testdata/golden are never written anew.
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"raventrestle"
+	"raventrestle/internal/net/nettest"
+)
+
+const (
+	goldenFile = "testdata/golden/beliefs"
+	goldenJSON = "testdata/golden/learned.json" // the JSON of goldenFile, indented
+)
+
+// golden sets each field, each to another value.
+func golden() Saved {
+	route := func(n int) *raventrestle.LearnedRoute {
+		f, d := float64(n)+0.5, time.Duration(n)
+		return &raventrestle.LearnedRoute{Size: f, Rate: f + 1, Tokens: f + 2, Threshold: f + 3, SentRate: f + 4, SentRateAt: d + 5, Told: n%2 == 0, Shut: n%2 == 1,
+			FilledAt: d + 6, CutAt: d + 7, Until: d + 8, DownAt: d + 9, LastOK: d + 10, NextAt: d + 11, Mean: d + 12, Dev: d + 13, Fails: n + 14, N: n + 15}
+	}
+	target := raventrestle.LearnedTarget{Target: "target-1", Health: 2, Fails: 3, Mean: 4, Usual: 5.5, Bad: 6.5, All: 7.5, OddsAt: 8, Since: 9, RampAt: 10,
+		LastOK: 11, LastSent: 12, Every: 13, Route: route(100)}
+	return Saved{At: 1_800_000_000 * time.Second, Learned: raventrestle.Learned{CallSec: 14.5, Mean: 15, Dev: 16, N: 17, IdleLife: 18, Told: true,
+		Dests: []raventrestle.LearnedDest{
+			{Dest: 19, CallSec: 20.5, Shut: 21, Left: 22.5, ConnLimited: true, Route: route(201), Targets: []raventrestle.LearnedTarget{target}},
+			{Dest: 23, Targets: []raventrestle.LearnedTarget{{Target: "target-24"}}},
+		}}}
+}
+
+// goldenFolder returns a folder that holds a copy of the stored file.
+func goldenFolder(t *testing.T) string {
+	t.Helper()
+	text, err := os.ReadFile(goldenFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	dir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, "beliefs"), text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
+
+func TestStoredFileIsReadAndReplaced(t *testing.T) {
+	dir := goldenFolder(t)
+	got, err := Load(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(golden(), got); diff != "" {
+		t.Errorf("loaded (-want +got):\n%s", diff)
+	}
+	got.At, got.N = got.At+time.Second, 25
+	k := Keep(dir, nettest.Log)
+	k.Save(got)
+	k.Close()
+	again, err := Load(dir)
+	if diff := cmp.Diff(got, again); err != nil || diff != "" {
+		t.Errorf("saved over it: %v\n(-want +got):\n%s", err, diff)
+	}
+}
+
+func TestWhatWasLearnedIsWrittenAsStored(t *testing.T) {
+	want, err := os.ReadFile(goldenFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	dir := t.TempDir()
+	k := Keep(dir, nettest.Log)
+	k.Save(golden())
+	k.Close()
+	got, err := os.ReadFile(filepath.Join(dir, "beliefs"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Errorf("file (-stored +written):\n%s", diff)
+	}
+}
+
+// The same in words, so that a changed key is named.
+func TestKeysOfTheStoredJSONStay(t *testing.T) {
+	want, err := os.ReadFile(goldenJSON)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := json.MarshalIndent(golden().Learned, "", "\t")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(strings.Split(strings.TrimSuffix(string(want), "\n"), "\n"), strings.Split(string(got), "\n")); diff != "" {
+		t.Errorf("JSON (-stored +written):\n%s", diff)
+	}
+}
--- /dev/null
+++ b/internal/net/upgrade/golden_test.go
@@ -0,0 +1,144 @@
+package upgrade
+
+// The folder that lasts, as a life of the build 73ca247 left it while it handed over: the names in it and the journal
+// of that life. The files in testdata/golden are never written anew; the lock file is made here, as it is empty.
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/gofrs/flock"
+	"github.com/google/go-cmp/cmp"
+
+	"raventrestle/internal/journal"
+	"raventrestle/internal/net/nettest"
+)
+
+const goldenState = "testdata/golden/state"
+
+// follower is a courier that notes what it is told of the life before.
+type follower struct {
+	Kept     []journal.Kept
+	Waits    map[string]int64
+	Left     string
+	Busy     []string
+	Calls    int
+	Complete bool
+}
+
+func (f *follower) Adopt(kept []journal.Kept) (int, error) {
+	f.Kept = append(f.Kept, kept...)
+	return len(kept), nil
+}
+func (f *follower) Settled()                          { f.Complete = true }
+func (f *follower) Heed(waits map[string]int64)       { f.Waits = waits }
+func (f *follower) Inherit(left []byte)               { f.Left = string(left) }
+func (f *follower) Elsewhere(ids []string, calls int) { f.Busy, f.Calls = ids, calls }
+
+func goldenMessage(id string) *journal.Message {
+	return &journal.Message{ID: id, Key: "key-1", Class: "class-2", Tenant: "tenant-3", Dest: 4, Until: 1<<62 + 5, Body: []byte("body of " + id),
+		Since: 6, Terms: "terms-7"}
+}
+
+func TestStateFolderOfTheLifeBeforeIsTakenOver(t *testing.T) {
+	state := t.TempDir()
+	if err := os.CopyFS(state, os.DirFS(goldenState)); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(filepath.Join(state, "life-000041", "owner"), nil, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	l, err := Claim(state, nettest.Log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Release()
+	if got, want := l.Folder, filepath.Join(state, "life-000042"); got != want {
+		t.Errorf("folder of the next life: got %s, want %s", got, want)
+	}
+	if _, err := os.Stat(filepath.Join(l.Folder, "owner")); err != nil {
+		t.Errorf("lock of the next life: %v", err)
+	}
+	out := journal.Try{Peer: "peer-8", Zone: "zone-9", At: 10}
+	handed := journal.Kept{Message: goldenMessage("handed"), Progress: journal.Progress{Tries: 1, Handed: true}}
+	busy := journal.Kept{Message: goldenMessage("busy"), Progress: journal.Progress{Tries: 1, Out: &out}}
+	var f follower
+	if begin, err := l.look(&f); !begin || err != nil {
+		t.Fatalf("look: got %v, %v, want true and no error", begin, err)
+	}
+	want := follower{Kept: []journal.Kept{handed, busy}, Waits: map[string]int64{"peer-11": 1<<62 + 12}, Left: `{"CallSec":13}`, Complete: true}
+	if diff := cmp.Diff(want, f); diff != "" {
+		t.Errorf("told of the life before (-want +got):\n%s", diff)
+	}
+	names, err := lives(state)
+	if diff := cmp.Diff([]string{"life-000042"}, names); err != nil || diff != "" {
+		t.Errorf("%v: folders left (-want +got):\n%s", err, diff)
+	}
+}
+
+func TestStateFolderOfARunningLifeIsFollowed(t *testing.T) {
+	state := t.TempDir()
+	if err := os.CopyFS(state, os.DirFS(goldenState)); err != nil {
+		t.Fatal(err)
+	}
+	before := &Life{Folder: filepath.Join(state, "life-000041"), state: state, log: nettest.Log}
+	before.lock = flock.New(filepath.Join(before.Folder, "owner"))
+	if ok, err := before.lock.TryLock(); !ok || err != nil {
+		t.Fatalf("lock: got %v, %v, want true and no error", ok, err)
+	}
+	defer before.Release()
+	l, err := Claim(state, nettest.Log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Release()
+	if !before.Followed() {
+		t.Error("followed: got false, want true")
+	}
+	var f follower
+	if begin, err := l.look(&f); !begin || err != nil {
+		t.Fatalf("look: got %v, %v, want true and no error", begin, err)
+	}
+	want := follower{Kept: []journal.Kept{{Message: goldenMessage("handed"), Progress: journal.Progress{Tries: 1, Handed: true}}},
+		Waits: map[string]int64{"peer-11": 1<<62 + 12}, Left: `{"CallSec":13}`, Busy: []string{"busy"}, Calls: 1}
+	if diff := cmp.Diff(want, f); diff != "" {
+		t.Errorf("told of the life before (-want +got):\n%s", diff)
+	}
+}
+
+// Bytes of the hand-over, as the courier writes them.
+func TestHandOverIsWrittenAsStored(t *testing.T) {
+	want, err := os.ReadFile(filepath.Join(goldenState, "life-000041", "journal"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	state := t.TempDir()
+	writeHandOver(t, state)
+	got, err := os.ReadFile(filepath.Join(state, "journal"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Errorf("journal (-stored +written):\n%s", diff)
+	}
+}
+
+// writeHandOver writes what stands in the stored journal.
+func writeHandOver(t *testing.T, folder string) {
+	t.Helper()
+	s, _, err := journal.Open(folder, journal.Options{Limit: 1 << 20, Shared: true}, nettest.Log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	out := journal.Try{Peer: "peer-8", Zone: "zone-9", At: 10}
+	records := []journal.Record{journal.Taken(goldenMessage("handed")), journal.Taken(goldenMessage("busy")), journal.Begun("handed", out),
+		journal.NeverRan("handed", "full"), journal.Begun("busy", out), journal.Wait("peer-11", 1<<62+12), journal.Handed("handed"),
+		journal.Closing([]byte(`{"CallSec":13}`))}
+	if err := s.Append(records, nil); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
