--- a/internal/net/courier/deadletters.go
+++ b/internal/net/courier/deadletters.go
@@ -145,8 +145,10 @@
 	if !a.MayRun {
 		return e
 	}
-	return raventrestle.Restored{Arrival: e, MayRun: true, RanOn: raventrestle.TargetID(a.Ran.Peer),
-		RanZone: c.zone(a.Ran.Zone), RanAt: time.Duration(a.Ran.At)}
+	return raventrestle.Restored{
+		Arrival: e, MayRun: true, RanOn: raventrestle.TargetID(a.Ran.Peer),
+		RanZone: c.zone(a.Ran.Zone), RanAt: time.Duration(a.Ran.At),
+	}
 }
 
 func (c *Courier) zone(name string) int {
@@ -202,8 +204,10 @@
 }
 
 func (c *Courier) load() rule.Load {
-	return rule.Load{Slots: c.conf.Settings.CallSlots, Out: c.out, MostHeld: c.conf.Settings.MostHeld,
-		Held: len(c.msgs), Resends: c.again}
+	return rule.Load{
+		Slots: c.conf.Settings.CallSlots, Out: c.out, MostHeld: c.conf.Settings.MostHeld,
+		Held: len(c.msgs), Resends: c.again,
+	}
 }
 
 // waiting counts the fresh messages that are held and not out, by destination.
--- a/internal/net/courier/deadletters_test.go
+++ b/internal/net/courier/deadletters_test.go
@@ -66,8 +66,10 @@
 	zones   map[string]bool
 }
 
-var resendLimits = rule.Limits{Automatic: true, MaxResends: 8, LastDate: time.Hour, FirstRate: 1000, MaxRate: 1000, Growth: 1,
-	Backoff: 5 * time.Millisecond, MaxBackoff: 20 * time.Millisecond, SlotsShare: 0.5, HeldShare: 0.5, Lag: lag}
+var resendLimits = rule.Limits{
+	Automatic: true, MaxResends: 8, LastDate: time.Hour, FirstRate: 1000, MaxRate: 1000, Growth: 1,
+	Backoff: 5 * time.Millisecond, MaxBackoff: 20 * time.Millisecond, SlotsShare: 0.5, HeldShare: 0.5, Lag: lag,
+}
 
 var siteClasses = []raventrestle.Class{
 	{Name: "free", Aim: time.Second, Deadline: 5 * time.Second, Credit: 2},
@@ -94,8 +96,10 @@
 	now := time.Now()
 	for _, id := range []string{"f-ok", "f-500", "f-reset", "f-ran", "g-ok", "g-reset", "g-ran", "g-old", "s-ok", "s-reset", "s-busy", "s-ran"} {
 		class := siteClasses[strings.IndexByte("fgs", id[0])]
-		l := &deadletter.Letter{ID: id, Key: "k-" + id, Class: class.Name, Dest: 7, Failed: now.UnixNano(), Effect: class.Effect,
-			Group: class.Group, Window: int64(class.Window), Deadline: int64(class.Deadline), Body: []byte(id)}
+		l := &deadletter.Letter{
+			ID: id, Key: "k-" + id, Class: class.Name, Dest: 7, Failed: now.UnixNano(), Effect: class.Effect,
+			Group: class.Group, Window: int64(class.Window), Deadline: int64(class.Deadline), Body: []byte(id),
+		}
 		if strings.HasSuffix(id, "ran") || strings.HasSuffix(id, "old") {
 			l.Ran = &deadletter.Try{Peer: "s-0", Floor: "a", At: now.Add(-time.Second).UnixNano(), Outcome: "reset"}
 			l.Tries = []deadletter.Try{*l.Ran}
@@ -142,14 +146,20 @@
 // life runs a courier until it has settled all dead letters or meets its last write, and says which.
 func (s *site) life(w *stopper) (done bool) {
 	t := s.t
-	conf := &config.Config{Discovery: s.notices.Addr(), Known: []byte(fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[`+
-		`{"name":"s-0","address":%q,"zone":"a","type":"k","group":7,"status":"SERVING"},`+
-		`{"name":"s-1","address":%q,"zone":"b","type":"k","group":7,"status":"SERVING"}]}`, s.peers[0].Addr(), s.peers[1].Addr())),
-		Names: &config.Names{Classes: map[string]int{"free": 0, "guarded": 1, "single": 2}, Kinds: map[string]int{"k": 0},
-			Zones: map[string]int{"a": 0, "b": 1}, Tenants: map[string]int{}},
-		Settings: raventrestle.Settings{Forwarders: 1, CallSlots: 12, MostHeld: 60, Kinds: []raventrestle.Kind{{BundleMax: 1}},
+	conf := &config.Config{
+		Discovery: s.notices.Addr(), Known: []byte(fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[`+
+			`{"name":"s-0","address":%q,"zone":"a","type":"k","group":7,"status":"SERVING"},`+
+			`{"name":"s-1","address":%q,"zone":"b","type":"k","group":7,"status":"SERVING"}]}`, s.peers[0].Addr(), s.peers[1].Addr())),
+		Names: &config.Names{
+			Classes: map[string]int{"free": 0, "guarded": 1, "single": 2}, Kinds: map[string]int{"k": 0},
+			Zones: map[string]int{"a": 0, "b": 1}, Tenants: map[string]int{},
+		},
+		Settings: raventrestle.Settings{
+			Forwarders: 1, CallSlots: 12, MostHeld: 60, Kinds: []raventrestle.Kind{{BundleMax: 1}},
 			Zones: []raventrestle.Zone{{Name: "a"}, {Name: "b"}}, Classes: siteClasses, ConnectWithin: time.Second,
-			IdleClose: 5 * time.Second, Tick: time.Millisecond, SendCap: 8}}
+			IdleClose: 5 * time.Second, Tick: time.Millisecond, SendCap: 8,
+		},
+	}
 	state := filepath.Join(s.dir, "state")
 	if err := os.MkdirAll(state, 0o700); err != nil {
 		t.Fatal(err)
@@ -159,10 +169,12 @@
 		return false // it ended at its start
 	}
 	var c *Courier
-	k, live, stale, err := deadletter.Start(deadletter.Config{Folder: filepath.Join(s.dir, "letters"), Limits: resendLimits,
+	k, live, stale, err := deadletter.Start(deadletter.Config{
+		Folder: filepath.Join(s.dir, "letters"), Limits: resendLimits,
 		Options: deadletter.Options{MaxBytes: 1 << 20, MaxLetters: 100, Before: w.before}, MaxAge: time.Hour, Settled: time.Hour,
 		Log: nettest.Log, Seed: 1, Append: store.Append, Begin: func(a deadletter.Again) bool { return c.Again(a) },
-		Class: func(name string) (raventrestle.Class, bool) { return siteClasses[conf.Names.Classes[name]], true }},
+		Class: func(name string) (raventrestle.Class, bool) { return siteClasses[conf.Names.Classes[name]], true },
+	},
 		kept, store.Sound())
 	if err != nil {
 		store.Close()
@@ -316,18 +328,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	conf := &config.Config{Discovery: s.notices.Addr(), Known: []byte(fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[`+
-		`{"name":"s-0","address":%q,"zone":"a","type":"k","group":7,"status":"SERVING"}]}`, s.peers[0].Addr())),
+	conf := &config.Config{
+		Discovery: s.notices.Addr(), Known: []byte(fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[`+
+			`{"name":"s-0","address":%q,"zone":"a","type":"k","group":7,"status":"SERVING"}]}`, s.peers[0].Addr())),
 		Names: &config.Names{Classes: map[string]int{"single": 0}, Kinds: map[string]int{"k": 0}, Zones: map[string]int{"a": 0}},
-		Settings: raventrestle.Settings{Forwarders: 1, CallSlots: 4, MostHeld: 60, Kinds: []raventrestle.Kind{{BundleMax: 1}},
+		Settings: raventrestle.Settings{
+			Forwarders: 1, CallSlots: 4, MostHeld: 60, Kinds: []raventrestle.Kind{{BundleMax: 1}},
 			Zones: []raventrestle.Zone{{Name: "a"}}, Classes: siteClasses[2:], ConnectWithin: time.Second, IdleClose: 5 * time.Second,
-			Tick: time.Millisecond}}
+			Tick: time.Millisecond,
+		},
+	}
 	var c *Courier
 	order := make(chan string, 8)
-	k, _, _, err := deadletter.Start(deadletter.Config{Folder: t.TempDir(), Options: deadletter.Options{MaxBytes: 1 << 20, MaxLetters: 9,
-		Before: func() error { order <- "letter"; return nil }}, MaxAge: time.Hour, Settled: time.Hour, Log: nettest.Log, Limits: resendLimits,
+	k, _, _, err := deadletter.Start(deadletter.Config{
+		Folder: t.TempDir(), Options: deadletter.Options{
+			MaxBytes: 1 << 20, MaxLetters: 9,
+			Before: func() error { order <- "letter"; return nil },
+		}, MaxAge: time.Hour, Settled: time.Hour, Log: nettest.Log, Limits: resendLimits,
 		Append: store.Append, Begin: func(a deadletter.Again) bool { return c.Again(a) },
-		Class: func(string) (raventrestle.Class, bool) { return siteClasses[2], true }}, nil, true)
+		Class: func(string) (raventrestle.Class, bool) { return siteClasses[2], true },
+	}, nil, true)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -340,8 +360,10 @@
 	t.Cleanup(func() { stop(); k.Wait() })
 	go k.Run(ctx)
 	go c.Run(ctx)
-	m := &journal.Message{ID: "s-reset", Key: "k", Class: "single", Dest: 7, Since: 1, Until: time.Now().Add(4 * time.Second).UnixNano(),
-		Body: []byte("pay")}
+	m := &journal.Message{
+		ID: "s-reset", Key: "k", Class: "single", Dest: 7, Since: 1, Until: time.Now().Add(4 * time.Second).UnixNano(),
+		Body: []byte("pay"),
+	}
 	if err := c.Take(m); err != nil {
 		t.Fatal(err)
 	}
@@ -390,17 +412,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	conf := &config.Config{Discovery: discovery.Addr(), Known: []byte(fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[`+
-		`{"name":"s-0","address":%q,"zone":"a","type":"k","group":7,"status":"SERVING"}]}`, end.Addr())),
+	conf := &config.Config{
+		Discovery: discovery.Addr(), Known: []byte(fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[`+
+			`{"name":"s-0","address":%q,"zone":"a","type":"k","group":7,"status":"SERVING"}]}`, end.Addr())),
 		Names: &config.Names{Classes: map[string]int{"free": 0}, Kinds: map[string]int{"k": 0}, Zones: map[string]int{"a": 0}},
-		Settings: raventrestle.Settings{Forwarders: 1, CallSlots: 8, MostHeld: 60, Kinds: []raventrestle.Kind{{BundleMax: 1}},
+		Settings: raventrestle.Settings{
+			Forwarders: 1, CallSlots: 8, MostHeld: 60, Kinds: []raventrestle.Kind{{BundleMax: 1}},
 			Zones: []raventrestle.Zone{{Name: "a"}}, Classes: siteClasses[:1], ConnectWithin: time.Second, IdleClose: 5 * time.Second,
-			Tick: time.Millisecond}}
+			Tick: time.Millisecond,
+		},
+	}
 	var c *Courier
-	k, _, _, err := deadletter.Start(deadletter.Config{Folder: t.TempDir(), Options: deadletter.Options{MaxBytes: 1 << 20, MaxLetters: 9},
+	k, _, _, err := deadletter.Start(deadletter.Config{
+		Folder: t.TempDir(), Options: deadletter.Options{MaxBytes: 1 << 20, MaxLetters: 9},
 		MaxAge: time.Hour, Settled: time.Hour, Log: nettest.Log, Limits: resendLimits, Append: store.Append,
 		Begin: func(a deadletter.Again) bool { return c.Again(a) },
-		Class: func(string) (raventrestle.Class, bool) { return siteClasses[0], true }}, nil, true)
+		Class: func(string) (raventrestle.Class, bool) { return siteClasses[0], true },
+	}, nil, true)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/net/courier/fleet.go
+++ b/internal/net/courier/fleet.go
@@ -35,8 +35,10 @@
 
 // Share makes the courier tell and hear what the fleet shares. Call it before Run.
 func (c *Courier) Share(f Fleet) {
-	c.sharing = sharing{fleet: f, chance: rand.New(rand.NewPCG(c.conf.Seed, uint64(now()))),
-		named: map[raventrestle.TargetID]bool{}, outages: map[raventrestle.TargetID]time.Duration{}}
+	c.sharing = sharing{
+		fleet: f, chance: rand.New(rand.NewPCG(c.conf.Seed, uint64(now()))),
+		named: map[raventrestle.TargetID]bool{}, outages: map[raventrestle.TargetID]time.Duration{},
+	}
 }
 
 // looks is the channel of the next look at what is shared, nil without a fleet.
--- a/internal/net/courier/history.go
+++ b/internal/net/courier/history.go
@@ -119,8 +119,10 @@
 		return
 	}
 	if c.taken[key] = e; c.news(key) {
-		c.history.Write(history.Record{Kind: history.FactTaken, ID: learning(e), What: k.String(), Subject: about(s), Peer: e.Origin, PeerEpoch: e.Epoch,
-			Age: int64(e.Age)})
+		c.history.Write(history.Record{
+			Kind: history.FactTaken, ID: learning(e), What: k.String(), Subject: about(s), Peer: e.Origin, PeerEpoch: e.Epoch,
+			Age: int64(e.Age),
+		})
 	}
 }
 
--- a/internal/net/courier/outcome.go
+++ b/internal/net/courier/outcome.go
@@ -10,9 +10,11 @@
 )
 
 // statuses are the words for how a try ended, in records, dead letters and counters.
-var statuses = [...]string{raventrestle.OK: "ok", raventrestle.Error: "error", raventrestle.Full: "full",
+var statuses = [...]string{
+	raventrestle.OK: "ok", raventrestle.Error: "error", raventrestle.Full: "full",
 	raventrestle.TimedOut: "timed_out", raventrestle.ConnectFailed: "connect_failed", raventrestle.Reset: "reset",
-	raventrestle.Cancelled: "cancelled", raventrestle.Moot: "moot"}
+	raventrestle.Cancelled: "cancelled", raventrestle.Moot: "moot",
+}
 
 // outcome notes how a try ended.
 func (c *Courier) outcome(o raventrestle.Outcome) []journal.Record {
--- a/internal/net/courier/step.go
+++ b/internal/net/courier/step.go
@@ -120,9 +120,11 @@
 }
 
 func (c *Courier) arrived(a arrival, t time.Duration) raventrestle.Arrival {
-	return raventrestle.Arrival{ID: raventrestle.MessageID(a.ID), Class: c.class(a.Message),
+	return raventrestle.Arrival{
+		ID: raventrestle.MessageID(a.ID), Class: c.class(a.Message),
 		Tenant: config.Index(c.conf.Names.Tenants, a.Tenant), Dest: raventrestle.DestID(a.Dest),
-		Budget: time.Duration(a.Until) - t, Again: a.again, Orphan: a.orphan}
+		Budget: time.Duration(a.Until) - t, Again: a.again, Orphan: a.orphan,
+	}
 }
 
 // class is the index of the class that the message was taken with, -1 if it is not known any more.
--- a/internal/net/front/front.go
+++ b/internal/net/front/front.go
@@ -68,8 +68,10 @@
 func New(c Courier, names *config.Names, book *figures.Book, log *slog.Logger) *Front {
 	f := &Front{courier: c, log: log, figures: book}
 	f.Serve(names)
-	f.proxy = &httputil.ReverseProxy{Transport: f, Rewrite: func(*httputil.ProxyRequest) {},
-		ErrorHandler: f.failed, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn)}
+	f.proxy = &httputil.ReverseProxy{
+		Transport: f, Rewrite: func(*httputil.ProxyRequest) {},
+		ErrorHandler: f.failed, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn),
+	}
 	return f
 }
 
@@ -201,8 +203,10 @@
 	if code != http.StatusAccepted {
 		f.Counts.Refused.Add(1)
 	}
-	return &http.Response{StatusCode: code, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		Header: http.Header{"Content-Length": {"0"}}, Body: http.NoBody, Request: r}
+	return &http.Response{
+		StatusCode: code, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
+		Header: http.Header{"Content-Length": {"0"}}, Body: http.NoBody, Request: r,
+	}
 }
 
 // failed answers for what could not be taken on.
@@ -238,8 +242,10 @@
 		return nil, &formError{http.StatusRequestEntityTooLarge, "a body holds 64 KiB at most"}
 	}
 	class, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	m := &journal.Message{ID: r.Header.Get("X-Txn"), Key: r.Header.Get("Idempotency-Key"), Class: class,
-		Tenant: r.Header.Get("X-Org"), Since: in.began.UnixNano()}
+	m := &journal.Message{
+		ID: r.Header.Get("X-Txn"), Key: r.Header.Get("Idempotency-Key"), Class: class,
+		Tenant: r.Header.Get("X-Org"), Since: in.began.UnixNano(),
+	}
 	names := f.names.Load()
 	if _, ok := names.Classes[class]; !ok {
 		return bad("no such class")
--- a/internal/net/front/front_test.go
+++ b/internal/net/front/front_test.go
@@ -41,8 +41,10 @@
 
 func unstarted(t *testing.T, take func(*journal.Message) error) (*scripted, *Front, *httptest.Server) {
 	c := &scripted{take, make(chan *journal.Message, 16), make(chan *journal.Message, 16)}
-	f := New(c, &config.Names{Classes: map[string]int{"notice": 0, "free": 1}, Tenants: map[string]int{"acme": 0},
-		Keyed: map[string]bool{"notice": true}}, &figures.Book{}, nettest.Log)
+	f := New(c, &config.Names{
+		Classes: map[string]int{"notice": 0, "free": 1}, Tenants: map[string]int{"acme": 0},
+		Keyed: map[string]bool{"notice": true},
+	}, &figures.Book{}, nettest.Log)
 	s := httptest.NewUnstartedServer(f)
 	s.Config.ErrorLog, s.Config.ConnContext = f.proxy.ErrorLog, gate.ConnContext
 	g := gate.New(s.Listener, 4, Room)
@@ -132,8 +134,10 @@
 				t.Errorf("%v left", left)
 			}
 			m.Until, m.Since = 0, 0
-			if diff := cmp.Diff(&journal.Message{ID: "9b1f", Key: "5c0f", Class: "notice", Tenant: "acme", Dest: 7,
-				Body: []byte(body)}, m, cmpopts.EquateEmpty()); diff != "" {
+			if diff := cmp.Diff(&journal.Message{
+				ID: "9b1f", Key: "5c0f", Class: "notice", Tenant: "acme", Dest: 7,
+				Body: []byte(body),
+			}, m, cmpopts.EquateEmpty()); diff != "" {
 				t.Fatal(diff)
 			}
 		})
--- a/internal/net/monitor/monitor.go
+++ b/internal/net/monitor/monitor.go
@@ -35,8 +35,10 @@
 		return nil, err
 	}
 	callers := gate.New(l, MostCallers, room)
-	s := &http.Server{Handler: handler(life, book), ReadHeaderTimeout: within, ReadTimeout: within, WriteTimeout: within,
-		MaxHeaderBytes: head, ConnContext: gate.ConnContext, ConnState: callers.SetState, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
+	s := &http.Server{
+		Handler: handler(life, book), ReadHeaderTimeout: within, ReadTimeout: within, WriteTimeout: within,
+		MaxHeaderBytes: head, ConnContext: gate.ConnContext, ConnState: callers.SetState, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
+	}
 	s.SetKeepAlivesEnabled(false) // one call for each connection
 	go func() {
 		if err := s.Serve(callers); !errors.Is(err, http.ErrServerClosed) {
--- a/internal/net/monitor/monitor_test.go
+++ b/internal/net/monitor/monitor_test.go
@@ -62,8 +62,14 @@
 		method, path string
 		code         int
 		says         string
-	}{{"GET", "/ready", 200, "ready"}, {"GET", "/metrics", 200, "app.downstream_requests.c.completed=812\n"}, {"GET", "/", 404, ""},
-		{"GET", "/metrics/x", 404, ""}, {"POST", "/ready", 405, ""}, {"DELETE", "/metrics", 405, ""}} {
+	}{
+		{"GET", "/ready", 200, "ready"},
+		{"GET", "/metrics", 200, "app.downstream_requests.c.completed=812\n"},
+		{"GET", "/", 404, ""},
+		{"GET", "/metrics/x", 404, ""},
+		{"POST", "/ready", 405, ""},
+		{"DELETE", "/metrics", 405, ""},
+	} {
 		if code, text, _ := ask(t, addr, c.method, c.path); code != c.code || !strings.Contains(text, c.says) {
 			t.Errorf("%s %s: %d %q", c.method, c.path, code, text)
 		}
--- a/internal/net/notice/notice.go
+++ b/internal/net/notice/notice.go
@@ -38,9 +38,13 @@
 
 // New returns a sender; heard is told which notices the platform has taken, or will never take.
 func New(discovery string, mailbox int, log *slog.Logger, heard func(ids []string)) *Sender {
-	return &Sender{url: place(discovery), log: log, heard: heard,
-		mail: make(chan Item, mailbox), moved: make(chan string, 1), client: &http.Client{Timeout: patience,
-			Transport: &http.Transport{MaxConnsPerHost: 2, MaxIdleConns: 1, IdleConnTimeout: 20 * time.Second}}}
+	return &Sender{
+		url: place(discovery), log: log, heard: heard,
+		mail: make(chan Item, mailbox), moved: make(chan string, 1), client: &http.Client{
+			Timeout:   patience,
+			Transport: &http.Transport{MaxConnsPerHost: 2, MaxIdleConns: 1, IdleConnTimeout: 20 * time.Second},
+		},
+	}
 }
 
 // Add takes on a notice without blocking; it says whether the mailbox took it.
--- a/internal/net/peer/peer.go
+++ b/internal/net/peer/peer.go
@@ -421,8 +421,10 @@
 		if try.Until.Before(end) {
 			timer := time.AfterFunc(time.Until(try.Until), func() {
 				if ctx.Err() == nil {
-					t.one(raventrestle.Outcome{ID: raventrestle.MessageID(try.ID), Try: try.N,
-						Status: raventrestle.TimedOut})
+					t.one(raventrestle.Outcome{
+						ID: raventrestle.MessageID(try.ID), Try: try.N,
+						Status: raventrestle.TimedOut,
+					})
 				}
 			})
 			context.AfterFunc(ctx, func() { timer.Stop() })
--- a/internal/net/peer/peer_test.go
+++ b/internal/net/peer/peer_test.go
@@ -17,8 +17,10 @@
 
 func start(t *testing.T, addr string) (*Peer, chan raventrestle.Outcome) {
 	out := make(chan raventrestle.Outcome, 64)
-	p := New(t.Context(), Config{Name: "p", Addr: addr, ConnectWithin: time.Second, IdleClose: 5 * time.Second,
-		Mailbox: 64, Log: nettest.Log, Counts: &Counts{}, Tell: func(e raventrestle.Event) { out <- e.(raventrestle.Outcome) }})
+	p := New(t.Context(), Config{
+		Name: "p", Addr: addr, ConnectWithin: time.Second, IdleClose: 5 * time.Second,
+		Mailbox: 64, Log: nettest.Log, Counts: &Counts{}, Tell: func(e raventrestle.Event) { out <- e.(raventrestle.Outcome) },
+	})
 	return p, out
 }
 
@@ -39,11 +41,15 @@
 		wait   time.Duration
 		want   raventrestle.Outcome
 	}{
-		"delivered": {nettest.Answer(nettest.Plain(200, "X-Pressure: {\"x9\":[1],\"x0\":0.4,\"x1\":25}\r\n", "any")), long,
-			raventrestle.Outcome{Status: raventrestle.OK, Closed: true, Report: raventrestle.Report{Left: 0.4, Limit: 25}}},
+		"delivered": {
+			nettest.Answer(nettest.Plain(200, "X-Pressure: {\"x9\":[1],\"x0\":0.4,\"x1\":25}\r\n", "any")), long,
+			raventrestle.Outcome{Status: raventrestle.OK, Closed: true, Report: raventrestle.Report{Left: 0.4, Limit: 25}},
+		},
 		"error": {nettest.Answer(nettest.Plain(500, "", "")), long, raventrestle.Outcome{Status: raventrestle.Error}},
-		"told to wait": {nettest.Answer(nettest.Plain(429, "X-Come-Back-Ms: 340\r\n", "")), long,
-			raventrestle.Outcome{Status: raventrestle.Full, Wait: 340 * time.Millisecond}},
+		"told to wait": {
+			nettest.Answer(nettest.Plain(429, "X-Come-Back-Ms: 340\r\n", "")), long,
+			raventrestle.Outcome{Status: raventrestle.Full, Wait: 340 * time.Millisecond},
+		},
 		"turned away":               {nettest.Answer(nettest.Plain(503, "", "")), long, raventrestle.Outcome{Status: raventrestle.Full}},
 		"no slot":                   {nettest.Answer(nettest.Plain(503, "X-Line-Busy: 1\r\n", "")), long, raventrestle.Outcome{Status: raventrestle.Moot}},
 		"used up":                   {nettest.Answer(nettest.Plain(504, "", "")), long, raventrestle.Outcome{Status: raventrestle.Moot}},
@@ -221,8 +227,10 @@
 		want   []raventrestle.Status
 		closed string
 	}{
-		"each its own": {nettest.Plain(200, "X-Come-Back-Ms: 70\r\n", "a done\r\nc failed\r\nb busy\r\nd void\r\ne used_up\r\n"),
-			status(ok, full, er, moot, moot, rst), "ad"},
+		"each its own": {
+			nettest.Plain(200, "X-Come-Back-Ms: 70\r\n", "a done\r\nc failed\r\nb busy\r\nd void\r\ne used_up\r\n"),
+			status(ok, full, er, moot, moot, rst), "ad",
+		},
 		"cut off":    {"HTTP/1.1 200 OK\r\nContent-Length: 60\r\n\r\na done\r\nb do", status(er, er, er, er, er, er), ""},
 		"all error":  {nettest.Plain(500, "", ""), status(er, er, er, er, er, er), ""},
 		"too many":   {nettest.Plain(413, "", ""), status(moot, moot, moot, moot, moot, moot), ""},
@@ -314,12 +322,14 @@
 func TestCallIsNotWrittenOnceAMateIsOver(t *testing.T) {
 	end := nettest.NewPeer(t, nettest.Answer(nettest.Plain(500, "", "")))
 	out, up := make(chan raventrestle.Outcome, 64), make(chan struct{})
-	p := New(t.Context(), Config{Name: "p", Addr: end.Addr(), IdleClose: 5 * time.Second, Mailbox: 64, Log: nettest.Log,
+	p := New(t.Context(), Config{
+		Name: "p", Addr: end.Addr(), IdleClose: 5 * time.Second, Mailbox: 64, Log: nettest.Log,
 		Counts: &Counts{}, Tell: func(e raventrestle.Event) { out <- e.(raventrestle.Outcome) },
 		Dial: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			<-up
 			return (&net.Dialer{}).DialContext(ctx, network, addr)
-		}})
+		},
+	})
 	late, mate := try("late", nettest.Patience), try("mate", nettest.Patience)
 	late.Until = time.Now().Add(20 * time.Millisecond)
 	p.Call([]Try{mate, late})
@@ -393,8 +403,10 @@
 func TestSharedCallIsCalledOff(t *testing.T) {
 	end := nettest.NewPeer(t, func(net.Conn, nettest.Call) bool { return true })
 	out := make(chan raventrestle.Outcome, 4)
-	p := New(t.Context(), Config{Name: "p", Addr: end.Addr(), ConnectWithin: time.Second, IdleClose: 5 * time.Second, Mailbox: 64, Log: nettest.Log,
-		Counts: &Counts{}, Tell: func(e raventrestle.Event) { out <- e.(raventrestle.Outcome) }})
+	p := New(t.Context(), Config{
+		Name: "p", Addr: end.Addr(), ConnectWithin: time.Second, IdleClose: 5 * time.Second, Mailbox: 64, Log: nettest.Log,
+		Counts: &Counts{}, Tell: func(e raventrestle.Event) { out <- e.(raventrestle.Outcome) },
+	})
 	until := time.Now().Add(nettest.Patience)
 	p.Call([]Try{{ID: "a", Wait: nettest.Patience, Until: until}, {ID: "b", Wait: nettest.Patience, Until: until}})
 	nettest.Wait(t, "call", end.Calls)
--- a/internal/net/upgrade/golden_test.go
+++ b/internal/net/upgrade/golden_test.go
@@ -37,8 +37,10 @@
 func (f *follower) Elsewhere(ids []string, calls int) { f.Busy, f.Calls = ids, calls }
 
 func goldenMessage(id string) *journal.Message {
-	return &journal.Message{ID: id, Key: "key-1", Class: "class-2", Tenant: "tenant-3", Dest: 4, Until: 1<<62 + 5, Body: []byte("body of " + id),
-		Since: 6, Terms: "terms-7"}
+	return &journal.Message{
+		ID: id, Key: "key-1", Class: "class-2", Tenant: "tenant-3", Dest: 4, Until: 1<<62 + 5, Body: []byte("body of " + id),
+		Since: 6, Terms: "terms-7",
+	}
 }
 
 func TestStateFolderOfTheLifeBeforeIsTakenOver(t *testing.T) {
@@ -100,8 +102,10 @@
 	if begin, err := l.look(&f); !begin || err != nil {
 		t.Fatalf("look: got %v, %v, want true and no error", begin, err)
 	}
-	want := follower{Kept: []journal.Kept{{Message: goldenMessage("handed"), Progress: journal.Progress{Tries: 1, Handed: true}}},
-		Waits: map[string]int64{"peer-11": 1<<62 + 12}, Left: `{"CallSec":13}`, Busy: []string{"busy"}, Calls: 1}
+	want := follower{
+		Kept:  []journal.Kept{{Message: goldenMessage("handed"), Progress: journal.Progress{Tries: 1, Handed: true}}},
+		Waits: map[string]int64{"peer-11": 1<<62 + 12}, Left: `{"CallSec":13}`, Busy: []string{"busy"}, Calls: 1,
+	}
 	if diff := cmp.Diff(want, f); diff != "" {
 		t.Errorf("told of the life before (-want +got):\n%s", diff)
 	}
@@ -132,9 +136,11 @@
 		t.Fatal(err)
 	}
 	out := journal.Try{Peer: "peer-8", Zone: "zone-9", At: 10}
-	records := []journal.Record{journal.Taken(goldenMessage("handed")), journal.Taken(goldenMessage("busy")), journal.Begun("handed", out),
+	records := []journal.Record{
+		journal.Taken(goldenMessage("handed")), journal.Taken(goldenMessage("busy")), journal.Begun("handed", out),
 		journal.NeverRan("handed", "full"), journal.Begun("busy", out), journal.Wait("peer-11", 1<<62+12), journal.Handed("handed"),
-		journal.Closing([]byte(`{"CallSec":13}`))}
+		journal.Closing([]byte(`{"CallSec":13}`)),
+	}
 	if err := s.Append(records, nil); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/net/upgrade/life_test.go
+++ b/internal/net/upgrade/life_test.go
@@ -31,6 +31,7 @@
 	}
 	return len(kept), nil
 }
+
 func (h *heir) Settled()                    { h.settled = true; h.Append([]journal.Record{journal.Settled()}, nil) }
 func (h *heir) Heed(map[string]int64)       {}
 func (h *heir) Inherit([]byte)              {}
--- a/internal/net/upgrade/socket_test.go
+++ b/internal/net/upgrade/socket_test.go
@@ -63,8 +63,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, text := range map[string]string{"a word": "four", "negative": "-1", "closed": "1000000", "a file": inherited(t, file),
-		"a datagram socket": inherited(t, udp), "a listening Unix socket": inherited(t, unix)} {
+	for name, text := range map[string]string{
+		"a word": "four", "negative": "-1", "closed": "1000000", "a file": inherited(t, file),
+		"a datagram socket": inherited(t, udp), "a listening Unix socket": inherited(t, unix),
+	} {
 		if l, err := Inherited(env(text)); err == nil || l != nil {
 			t.Errorf("%s: taken", name)
 		} else if name[0] == 'a' && name != "a word" && !errors.Is(err, errNotListening) {
--- a/internal/net/upstream/upstream.go
+++ b/internal/net/upstream/upstream.go
@@ -59,10 +59,14 @@
 // New returns a group that starts from what the courier knew, which it tells at once. What can't be read
 // of that is set aside: the courier starts without, and asks for the whole list.
 func New(discovery string, known []byte, set *raventrestle.Settings, names *config.Names, log *slog.Logger, tell func(Update)) *Group {
-	g := &Group{url: place(discovery), log: log, tell: tell,
+	g := &Group{
+		url: place(discovery), log: log, tell: tell,
 		asked: make(chan struct{}, 1), moved: make(chan string, 1),
-		client: &http.Client{Transport: &http.Transport{MaxConnsPerHost: 2, MaxIdleConns: 1, IdleConnTimeout: time.Minute,
-			DialContext: (&net.Dialer{Timeout: polling.Connect}).DialContext}}}
+		client: &http.Client{Transport: &http.Transport{
+			MaxConnsPerHost: 2, MaxIdleConns: 1, IdleConnTimeout: time.Minute,
+			DialContext: (&net.Dialer{Timeout: polling.Connect}).DialContext,
+		}},
+	}
 	g.Serve(set, names)
 	u, err := Update{}, error(nil)
 	if len(known) > 0 {
@@ -253,7 +257,8 @@
 		u.Entries = append(u.Entries, Entry{Addr: e.Address, Entry: raventrestle.Entry{
 			Target: raventrestle.TargetID(e.Name), Dest: raventrestle.DestID(e.Group), State: state,
 			Kind: config.Index(names.Kinds, e.Type), Zone: config.Index(names.Zones, e.Zone),
-			Size: e.Weight, Joined: time.Duration(e.SinceMS * float64(time.Millisecond))}})
+			Size: e.Weight, Joined: time.Duration(e.SinceMS * float64(time.Millisecond)),
+		}})
 	}
 	return u, nil
 }
--- a/internal/net/upstream/upstream_test.go
+++ b/internal/net/upstream/upstream_test.go
@@ -44,11 +44,14 @@
 	drains := entry("s-1", raventrestle.Draining)
 	drains.Addr, drains.Dest = "127.0.0.1:1", 3
 	want := []Update{
-		{raventrestle.ListStored, []Entry{{Addr: "127.0.0.1:1", Entry: raventrestle.Entry{Target: "s-1", Dest: 3,
-			Kind: 1, Zone: 1, Size: 1.5, Joined: 1500 * time.Millisecond}}}, 41},
+		{raventrestle.ListStored, []Entry{{Addr: "127.0.0.1:1", Entry: raventrestle.Entry{
+			Target: "s-1", Dest: 3,
+			Kind: 1, Zone: 1, Size: 1.5, Joined: 1500 * time.Millisecond,
+		}}}, 41},
 		{raventrestle.ListChanges, []Entry{drains, entry("s-2", raventrestle.Gone), entry("s-3", raventrestle.Draining)}, 43},
 		{raventrestle.ListWhole, nil, 44},
-		{How: raventrestle.ListFailed}, {How: raventrestle.ListFailed},
+		{How: raventrestle.ListFailed},
+		{How: raventrestle.ListFailed},
 		{raventrestle.ListChanges, nil, 45},
 	}
 	for i, w := range want {
--- a/internal/router/dispatch/admission.go
+++ b/internal/router/dispatch/admission.go
@@ -263,8 +263,10 @@
 	}
 	d.remember(h, r)
 	d.timers.add(d.now+r.silence(), r)
-	d.out = append(d.out, Send{ID: r.ID, Endpoint: e.id, Address: e.address, Priority: r.header(),
-		MaxConnections: d.connections(e.service)})
+	d.out = append(d.out, Send{
+		ID: r.ID, Endpoint: e.id, Address: e.address, Priority: r.header(),
+		MaxConnections: d.connections(e.service),
+	})
 }
 
 func (d *Decider) countSend(r *request) {
--- a/internal/router/dispatch/closing_test.go
+++ b/internal/router/dispatch/closing_test.go
@@ -148,8 +148,10 @@
 		"a short stream":                   {at: late, model: "m", make: func(_ *script, r *Request) { r.OutputTokens = 10 }, taken: true},
 		"a short stream, near the end":     {at: late + 4000, model: "m", make: func(_ *script, r *Request) { r.OutputTokens = 10 }},
 		"a stream that may not be resumed": {at: late, model: "m", make: func(_ *script, r *Request) { r.Repeatable = false }},
-		"a stream with a near deadline": {at: late, model: "m", taken: true,
-			make: func(s *script, r *Request) { r.Deadline = s.time(late + 4000) }},
+		"a stream with a near deadline": {
+			at: late, model: "m", taken: true,
+			make: func(s *script, r *Request) { r.Deadline = s.time(late + 4000) },
+		},
 		"a stream of an unknown kind": {at: late, taken: false, make: func(s *script, r *Request) {
 			r.Streaming, r.Deadline = true, s.time(late+15000)
 		}},
@@ -201,8 +203,10 @@
 	if out := s.step(late-100, Arrived{r}); len(refusals(out))+len(sends(out)) > 0 {
 		t.Fatalf("not held for its quota: %v", out)
 	}
-	out := s.step(late, ViewChanged{Quotas: []protocol.QuotaGrant{{Tenant: "t", RatePerS: 9000, Burst: 9000, Credit: 99999,
-		For: time.Minute}}})
+	out := s.step(late, ViewChanged{Quotas: []protocol.QuotaGrant{{
+		Tenant: "t", RatePerS: 9000, Burst: 9000, Credit: 99999,
+		For: time.Minute,
+	}}})
 	if no := s.oneRefusal(out); no.Reason != Leaving {
 		t.Errorf("%+v", no)
 	}
--- a/internal/router/dispatch/day_test.go
+++ b/internal/router/dispatch/day_test.go
@@ -22,15 +22,23 @@
 		w.addPlain(6)
 	}
 	w.kinds = []*kind{
-		{name: "brief", model: "m", perSecond: 13 * x, objective: 500 * time.Millisecond, within: 15 * time.Second,
-			prompt: 1460, output: 172, repeatable: true, tries: 1, tenant: "", rank: 1},
-		{name: "reply", model: "m", adapter: "a1", perSecond: 8 * x,
+		{
+			name: "brief", model: "m", perSecond: 13 * x, objective: 500 * time.Millisecond, within: 15 * time.Second,
+			prompt: 1460, output: 172, repeatable: true, tries: 1, tenant: "", rank: 1,
+		},
+		{
+			name: "reply", model: "m", adapter: "a1", perSecond: 8 * x,
 			objective: 400 * time.Millisecond, within: 10 * time.Second,
-			prompt: 650, output: 70, repeatable: true, tries: 1, rank: 2},
-		{name: "rewrite", model: "rare", perSecond: 1.2 * x, objective: 8 * time.Second, within: 30 * time.Second,
-			prompt: 1460, output: 172, tries: 1, rank: 0},
-		{name: "push", perSecond: 11 * x, objective: 100 * time.Millisecond, within: 600 * time.Millisecond,
-			tries: 1, rank: 2},
+			prompt: 650, output: 70, repeatable: true, tries: 1, rank: 2,
+		},
+		{
+			name: "rewrite", model: "rare", perSecond: 1.2 * x, objective: 8 * time.Second, within: 30 * time.Second,
+			prompt: 1460, output: 172, tries: 1, rank: 0,
+		},
+		{
+			name: "push", perSecond: 11 * x, objective: 100 * time.Millisecond, within: 600 * time.Millisecond,
+			tries: 1, rank: 2,
+		},
 	}
 	w.start()
 }
@@ -258,19 +266,27 @@
 	for range 3 {
 		w.addPlain(6)
 	}
-	brief := kind{name: "brief", model: "m", perSecond: 15, objective: 500 * time.Millisecond, within: 15 * time.Second,
-		prompt: 1460, output: 172, repeatable: true, tries: 1, rank: 1}
-	reply := kind{name: "reply", model: "m", adapter: "a1", perSecond: 9, objective: 400 * time.Millisecond,
-		within: 10 * time.Second, prompt: 646, output: 70, repeatable: true, tries: 1, rank: 2}
+	brief := kind{
+		name: "brief", model: "m", perSecond: 15, objective: 500 * time.Millisecond, within: 15 * time.Second,
+		prompt: 1460, output: 172, repeatable: true, tries: 1, rank: 1,
+	}
+	reply := kind{
+		name: "reply", model: "m", adapter: "a1", perSecond: 9, objective: 400 * time.Millisecond,
+		within: 10 * time.Second, prompt: 646, output: 70, repeatable: true, tries: 1, rank: 2,
+	}
 	briefN, replyN := brief, reply
 	briefN.model, briefN.perSecond = "n", 8
 	replyN.model, replyN.adapter, replyN.perSecond = "n", "", 5
-	push := kind{name: "push", perSecond: 11, objective: 100 * time.Millisecond, within: 600 * time.Millisecond,
-		tries: 1, rank: 2}
+	push := kind{
+		name: "push", perSecond: 11, objective: 100 * time.Millisecond, within: 600 * time.Millisecond,
+		tries: 1, rank: 2,
+	}
 	w.kinds = []*kind{&brief, &reply, &briefN, &replyN, &push}
 	for _, i := range []int{0, 1, 2, 4, 5, 6, 8, 9, 10} {
-		w.kinds = append(w.kinds, &kind{name: "rewrite", model: fmt.Sprint("rare", i), perSecond: 0.28,
-			objective: 8 * time.Second, within: 30 * time.Second, prompt: 1460, output: 172, tries: 1})
+		w.kinds = append(w.kinds, &kind{
+			name: "rewrite", model: fmt.Sprint("rare", i), perSecond: 0.28,
+			objective: 8 * time.Second, within: 30 * time.Second, prompt: 1460, output: 172, tries: 1,
+		})
 	}
 	w.start()
 }
--- a/internal/router/dispatch/decisions_test.go
+++ b/internal/router/dispatch/decisions_test.go
@@ -121,8 +121,10 @@
 	}
 	late := modelEndpoint("a", 9, "m")
 	s.step(5, ViewChanged{Endpoints: []protocol.Endpoint{late}})
-	s.step(6, Finished{ID: 2, Endpoint: "b"}, ViewChanged{Endpoints: []protocol.Endpoint{{ID: "b", Service: "lm",
-		State: protocol.Gone, Sequence: 3}}})
+	s.step(6, Finished{ID: 2, Endpoint: "b"}, ViewChanged{Endpoints: []protocol.Endpoint{{
+		ID: "b", Service: "lm",
+		State: protocol.Gone, Sequence: 3,
+	}}})
 	if out := s.step(7, Arrived{s.request("m")}); len(sends(out)) > 0 {
 		t.Errorf("sent %v to what drains", sends(out))
 	}
--- a/internal/router/dispatch/demand.go
+++ b/internal/router/dispatch/demand.go
@@ -118,8 +118,10 @@
 func (d *Decider) summary() protocol.Report {
 	x := &d.demand
 	x.sequence++
-	report := protocol.Report{Node: d.options.Node, Incarnation: d.options.Incarnation, Sequence: x.sequence,
-		Over: d.now - x.lastAt}
+	report := protocol.Report{
+		Node: d.options.Node, Incarnation: d.options.Incarnation, Sequence: x.sequence,
+		Over: d.now - x.lastAt,
+	}
 	kept := x.active[:0]
 	for _, t := range x.active {
 		t.entry.Waiting, t.entry.Running = t.waiting, t.running
--- a/internal/router/dispatch/placing_test.go
+++ b/internal/router/dispatch/placing_test.go
@@ -110,8 +110,10 @@
 	w.loading = map[string]bool{}
 	w.usual(1)
 	for i := range 20 {
-		k := &kind{name: fmt.Sprint("adapter", i), model: "m", adapter: fmt.Sprint("x", i), objective: 400 * time.Millisecond,
-			within: 10 * time.Second, prompt: 600, output: 70, repeatable: true, tries: 1}
+		k := &kind{
+			name: fmt.Sprint("adapter", i), model: "m", adapter: fmt.Sprint("x", i), objective: 400 * time.Millisecond,
+			within: 10 * time.Second, prompt: 600, output: 70, repeatable: true, tries: 1,
+		}
 		w.kinds = append(w.kinds, k)
 		w.at(time.Duration(1000+400*i)*time.Millisecond, func(w *world) { w.ask(k, 1, nil); w.ask(k, 1, nil) })
 		w.at(time.Duration(1200+400*i)*time.Millisecond, func(w *world) { w.ask(k, 1, nil) })
@@ -159,8 +161,10 @@
 		if i%2 == 0 {
 			aim = 8 * time.Second
 		}
-		w.kinds = append(w.kinds, &kind{name: model, model: model, objective: aim, within: 15 * time.Second, prompt: 1000,
-			output: 100, repeatable: true, tries: 1})
+		w.kinds = append(w.kinds, &kind{
+			name: model, model: model, objective: aim, within: 15 * time.Second, prompt: 1000,
+			output: 100, repeatable: true, tries: 1,
+		})
 	}
 	w.config.Services[0].Engine = &engine
 	w.at(2*time.Second, func(w *world) {
--- a/internal/router/dispatch/script_test.go
+++ b/internal/router/dispatch/script_test.go
@@ -22,9 +22,11 @@
 	return &configuration.Configuration{
 		Generation: 1,
 		Services: []configuration.Service{
-			{Name: "lm", MaxConnections: 360, Engine: &configuration.Engine{Slots: 64, KVTokens: 130000, Stride: 2,
+			{Name: "lm", MaxConnections: 360, Engine: &configuration.Engine{
+				Slots: 64, KVTokens: 130000, Stride: 2,
 				Models:    []configuration.Model{{Name: "m", LoadTimeS: 4, Adapters: 3}, {Name: "rare", LoadTimeS: 5}},
-				WeightsMB: 100, AdapterSlots: 8}},
+				WeightsMB: 100, AdapterSlots: 8,
+			}},
 			{Name: "app", MaxConnections: 108},
 		},
 		Tenants: []configuration.Tenant{{Name: "t", Unit: configuration.TokenCount, RatePerS: 9000, Burst: 9000}},
@@ -44,8 +46,10 @@
 }
 
 func newScript(t *testing.T, endpoints ...protocol.Endpoint) *script {
-	s := &script{t: t, zero: time.Now(), d: New(Options{Seed: 1, Zone: "z", Routers: 9, BudgetRatio: 0.2, BudgetSlack: 56,
-		QuotaOver: 0.1, QuotaSlack: 11000})}
+	s := &script{t: t, zero: time.Now(), d: New(Options{
+		Seed: 1, Zone: "z", Routers: 9, BudgetRatio: 0.2, BudgetSlack: 56,
+		QuotaOver: 0.1, QuotaSlack: 11000,
+	})}
 	s.step(0, ViewChanged{Configuration: testConfiguration(), Full: true, Endpoints: endpoints, Routers: 9})
 	return s
 }
@@ -61,9 +65,11 @@
 // request makes one for the model, or for the service without models.
 func (s *script) request(model string) Request {
 	s.id++
-	r := Request{ID: s.id, Service: "lm", Model: model, PromptTokens: 1000, OutputTokens: 100, Repeatable: true,
+	r := Request{
+		ID: s.id, Service: "lm", Model: model, PromptTokens: 1000, OutputTokens: 100, Repeatable: true,
 		Streaming: true, Tenant: "free", MaxEndpoints: 2, Arrived: s.time(s.at), Objective: s.time(s.at + 500),
-		Deadline: s.time(s.at + 15000)}
+		Deadline: s.time(s.at + 15000),
+	}
 	if model == "" {
 		r.Service, r.Repeatable, r.Streaming, r.MaxEndpoints = "app", false, false, 1
 		r.Objective, r.Deadline = s.time(s.at+100), s.time(s.at+600)
--- a/internal/router/dispatch/size_test.go
+++ b/internal/router/dispatch/size_test.go
@@ -16,8 +16,10 @@
 func large() (*Decider, time.Time, []string) {
 	const endpoints, models = 2900, 1100
 	engine := &configuration.Engine{Slots: 64, KVTokens: 130000}
-	config := &configuration.Configuration{Generation: 1,
-		Services: []configuration.Service{{Name: "lm", MaxConnections: 370, Engine: engine}}}
+	config := &configuration.Configuration{
+		Generation: 1,
+		Services:   []configuration.Service{{Name: "lm", MaxConnections: 370, Engine: engine}},
+	}
 	names := make([]string, models)
 	for i := range names {
 		names[i] = fmt.Sprint("m", i)
@@ -48,9 +50,11 @@
 	for i := range b.N {
 		now = now.Add(50 * time.Millisecond)
 		model := names[min(rng.IntN(len(names)), rng.IntN(len(names)), rng.IntN(len(names)))]
-		r := Request{ID: RequestID(i + 1), Service: "lm", Model: model, PromptTokens: 1000, OutputTokens: 100,
+		r := Request{
+			ID: RequestID(i + 1), Service: "lm", Model: model, PromptTokens: 1000, OutputTokens: 100,
 			Repeatable: true, MaxEndpoints: 2, Objective: now.Add(500 * time.Millisecond), Deadline: now.Add(15 * time.Second),
-			Parts: []Part{{Hash: uint64(rng.IntN(3)), Tokens: 200}, {Hash: uint64(rng.IntN(100)), Tokens: 100}}}
+			Parts: []Part{{Hash: uint64(rng.IntN(3)), Tokens: 200}, {Hash: uint64(rng.IntN(100)), Tokens: 100}},
+		}
 		for _, o := range d.Step(now, []Input{Arrived{r}}) {
 			if o, ok := o.(Send); ok {
 				out = append(out, call{o.ID, o.Endpoint})
@@ -94,8 +98,10 @@
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		d := New(Options{Seed: 1, Zone: "zone01", Routers: sizetest.Routers, BudgetRatio: 0.2, BudgetSlack: 56})
-		d.Step(time.Now(), []Input{ViewChanged{Configuration: sizetest.Configuration(), Full: true,
-			Endpoints: sizetest.Table(), Routers: sizetest.Routers}})
+		d.Step(time.Now(), []Input{ViewChanged{
+			Configuration: sizetest.Configuration(), Full: true,
+			Endpoints: sizetest.Table(), Routers: sizetest.Routers,
+		}})
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		runtime.KeepAlive(d)
--- a/internal/router/dispatch/world_test.go
+++ b/internal/router/dispatch/world_test.go
@@ -110,12 +110,16 @@
 }
 
 func newWorld(t testing.TB, seed uint64, routers int) *world {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 7)), zero: time.Now(), config: testConfiguration(),
+	w := &world{
+		t: t, rng: rand.New(rand.NewPCG(seed, 7)), zero: time.Now(), config: testConfiguration(),
 		further: map[string][]time.Duration{}, asks: map[string][]time.Duration{}, spent: map[string][]spending{},
-		lag: 5 * time.Millisecond}
+		lag: 5 * time.Millisecond,
+	}
 	for i := range routers {
-		w.routers = append(w.routers, New(Options{Node: fmt.Sprint("r", i), Seed: seed + uint64(i), Zone: "z",
-			Routers: routers, BudgetRatio: 0.2, BudgetSlack: 56, QuotaOver: 0.1, QuotaSlack: 11000}))
+		w.routers = append(w.routers, New(Options{
+			Node: fmt.Sprint("r", i), Seed: seed + uint64(i), Zone: "z",
+			Routers: routers, BudgetRatio: 0.2, BudgetSlack: 56, QuotaOver: 0.1, QuotaSlack: 11000,
+		}))
 		w.clients = append(w.clients, map[RequestID]*client{})
 	}
 	w.inputs = make([][]Input, routers)
@@ -155,8 +159,10 @@
 		rows = append(rows, s.row)
 	}
 	for i := range w.routers {
-		w.inputs[i] = append(w.inputs[i], ViewChanged{Configuration: w.config, Full: true, Endpoints: rows,
-			Routers: len(w.routers)})
+		w.inputs[i] = append(w.inputs[i], ViewChanged{
+			Configuration: w.config, Full: true, Endpoints: rows,
+			Routers: len(w.routers),
+		})
 	}
 }
 
@@ -276,16 +282,20 @@
 	c := &client{kind: k, router: w.rng.IntN(len(w.routers)), runs: map[string]bool{}}
 	spread := math.Exp(w.rng.NormFloat64()*0.7 - 0.245)
 	prompt := int(float64(k.prompt) * min(spread, 3))
-	r := Request{ID: w.nextID, Service: "lm", Model: k.model, Adapter: k.adapter, PromptTokens: prompt,
+	r := Request{
+		ID: w.nextID, Service: "lm", Model: k.model, Adapter: k.adapter, PromptTokens: prompt,
 		OutputTokens: int(float64(k.output) * (0.2 + 1.6*w.rng.Float64())), Tenant: k.tenant, RoutePriority: k.rank,
 		Streaming: k.model != "", Repeatable: k.repeatable, MaxEndpoints: 2, Arrived: w.clock(), Objective: w.clock().Add(k.objective),
-		Deadline: w.clock().Add(k.within)}
+		Deadline: w.clock().Add(k.within),
+	}
 	if k.model == "" {
 		r.Service, r.PromptTokens, r.MaxEndpoints = "app", 0, 1
 	} else {
 		r.OutputTokens = max(r.OutputTokens, 1)
-		r.Parts = []Part{{Hash: uint64(1 + w.rng.IntN(3)), Tokens: min(210, prompt/4)},
-			{Hash: uint64(10 + w.rng.IntN(100)), Tokens: min(140, prompt/4)}}
+		r.Parts = []Part{
+			{Hash: uint64(1 + w.rng.IntN(3)), Tokens: min(210, prompt/4)},
+			{Hash: uint64(10 + w.rng.IntN(100)), Tokens: min(140, prompt/4)},
+		}
 	}
 	r.Charge = float64(r.PromptTokens + r.OutputTokens)
 	if k.model == "" {
--- a/internal/router/dispatch/worldhost_test.go
+++ b/internal/router/dispatch/worldhost_test.go
@@ -41,8 +41,10 @@
 func (w *world) finishCall(c *client, result Result, more bool) {
 	call := c.call
 	c.call = nil
-	w.tellRouter(c, Finished{ID: c.request.ID, Endpoint: call.server.row.ID, Result: result, More: more,
-		Load: call.server.load()})
+	w.tellRouter(c, Finished{
+		ID: c.request.ID, Endpoint: call.server.row.ID, Result: result, More: more,
+		Load: call.server.load(),
+	})
 }
 
 // earns is what the try's end is worth, as a part of the request's worth.
--- a/internal/router/node/ending_test.go
+++ b/internal/router/node/ending_test.go
@@ -36,8 +36,10 @@
 	defer close(release)
 	e := model(t, func(c net.Conn, r *http.Request) { reached <- struct{}{}; <-release })
 	e.Service = "silent"
-	ctl := newControl(t, protocol.Update{Sequence: 1, Generation: 1, Document: []byte(endingDocument), Full: true,
-		Confirmed: true, Routers: 1, Endpoints: []protocol.Endpoint{e}})
+	ctl := newControl(t, protocol.Update{
+		Sequence: 1, Generation: 1, Document: []byte(endingDocument), Full: true,
+		Confirmed: true, Routers: 1, Endpoints: []protocol.Endpoint{e},
+	})
 	r := newRouter(t, ctl)
 	r.settings.Bounds.Grace = grace
 	<-ctl.confirmed
@@ -79,8 +81,10 @@
 		}
 		answers(c, r)
 	})
-	ctl := newControl(t, protocol.Update{Sequence: 1, Generation: 1, Document: document(1), Full: true, Confirmed: true,
-		Routers: 1, Endpoints: []protocol.Endpoint{e}})
+	ctl := newControl(t, protocol.Update{
+		Sequence: 1, Generation: 1, Document: document(1), Full: true, Confirmed: true,
+		Routers: 1, Endpoints: []protocol.Endpoint{e},
+	})
 	r := newRouter(t, ctl)
 	<-ctl.confirmed
 	idle, slow := r.dial(), r.dial()
@@ -114,8 +118,10 @@
 	const grace = 1600 * time.Millisecond
 	e := model(t, func(c net.Conn, r *http.Request) { t.Errorf("%s reached the endpoint", r.URL.Path) })
 	e.Service = "silent"
-	ctl := newControl(t, protocol.Update{Sequence: 1, Generation: 1, Document: []byte(endingDocument), Full: true,
-		Confirmed: true, Routers: 1, Endpoints: []protocol.Endpoint{e}})
+	ctl := newControl(t, protocol.Update{
+		Sequence: 1, Generation: 1, Document: []byte(endingDocument), Full: true,
+		Confirmed: true, Routers: 1, Endpoints: []protocol.Endpoint{e},
+	})
 	r := newRouter(t, ctl)
 	r.settings.Bounds.Grace = grace
 	<-ctl.confirmed
--- a/internal/router/subscription/property_test.go
+++ b/internal/router/subscription/property_test.go
@@ -60,8 +60,10 @@
 func disturb(t *rapid.T, n *network, acknowledge func()) {
 	p := n.peers[rapid.SampledFrom(three).Draw(t, "peer")]
 	held := func() time.Duration { return time.Duration(rapid.IntRange(0, 3000).Draw(t, "held")) * time.Millisecond }
-	switch kind := rapid.SampledFrom([]string{"cut", "heal", "stop", "start", "hang up", "held up", "held down",
-		"prompt", "mute", "frozen router", "commit", "epoch", "slow", "gone"}).Draw(t, "kind"); kind {
+	switch kind := rapid.SampledFrom([]string{
+		"cut", "heal", "stop", "start", "hang up", "held up", "held down",
+		"prompt", "mute", "frozen router", "commit", "epoch", "slow", "gone",
+	}).Draw(t, "kind"); kind {
 	case "cut":
 		n.touch(p)
 		p.cut = true
--- a/internal/settings/schema/schema_test.go
+++ b/internal/settings/schema/schema_test.go
@@ -23,8 +23,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &settings.Fleet{Bind: "127.0.0.1:7946", Seeds: []string{}, Site: "a", MaxMembers: 512, MaxFacts: 8192,
-		MaxBytes: 2 << 20, GossipInterval: 0.5, ProbeInterval: 1, SeedsInterval: 15, MaxDatagram: 1400}
+	want := &settings.Fleet{
+		Bind: "127.0.0.1:7946", Seeds: []string{}, Site: "a", MaxMembers: 512, MaxFacts: 8192,
+		MaxBytes: 2 << 20, GossipInterval: 0.5, ProbeInterval: 1, SeedsInterval: 15, MaxDatagram: 1400,
+	}
 	if diff := cmp.Diff(want, got.Fleet); diff != "" {
 		t.Fatal(diff)
 	}
@@ -96,8 +98,11 @@
 	}
 	want := &settings.Settings{Log: settings.Log{Format: "text"}, Undeliverable: settings.Undeliverable{
 		MaxBytes: 64 << 20, MaxLetters: 100000, MaxAge: 259200, SettledAge: 3600, Sync: true,
-		Resend: settings.Resend{Automatic: true, MaxResends: 5, LastDate: 86400, FirstRate: 1, MaxRate: 20,
-			Growth: 0.25, Backoff: 2, MaxBackoff: 300, Jitter: 0.2, SlotsShare: 0.25, HeldShare: 0.1}}}
+		Resend: settings.Resend{
+			Automatic: true, MaxResends: 5, LastDate: 86400, FirstRate: 1, MaxRate: 20,
+			Growth: 0.25, Backoff: 2, MaxBackoff: 300, Jitter: 0.2, SlotsShare: 0.25, HeldShare: 0.1,
+		},
+	}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Fatal(diff)
 	}
--- a/internal/sizetest/sizetest.go
+++ b/internal/sizetest/sizetest.go
@@ -45,8 +45,10 @@
 func Configuration() *configuration.Configuration {
 	c := &configuration.Configuration{
 		Generation: 1,
-		Limits: configuration.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 4 << 20, HeaderTimeoutMS: 3000,
-			IdleTimeoutMS: 15000},
+		Limits: configuration.Limits{
+			MaxHeaderBytes: 16384, MaxBodyBytes: 4 << 20, HeaderTimeoutMS: 3000,
+			IdleTimeoutMS: 15000,
+		},
 	}
 	for i := range Services {
 		c.Services = append(c.Services, service(i))
@@ -69,8 +71,10 @@
 }
 
 func service(number int) configuration.Service {
-	engine := &configuration.Engine{Slots: 64, KVTokens: 130518, KVBytes: 163840, LinkMbps: 130000, Stride: 2,
-		WeightsMB: 180000, AdapterSlots: 8, LoadsPerS: 2.8}
+	engine := &configuration.Engine{
+		Slots: 64, KVTokens: 130518, KVBytes: 163840, LinkMbps: 130000, Stride: 2,
+		WeightsMB: 180000, AdapterSlots: 8, LoadsPerS: 2.8,
+	}
 	for i := number; i < Models; i += Services {
 		model := configuration.Model{Name: ModelName(i), WeightsMB: 58000, LoadTimeS: 4.5, AdapterMB: 66}
 		if i < Adapters/adaptersOfUsed {
@@ -78,8 +82,10 @@
 		}
 		engine.Models = append(engine.Models, model)
 	}
-	return configuration.Service{Name: ServiceName(number), HealthCheck: "/healthz", MaxConnections: 370, Protocol: "h1",
-		Engine: engine}
+	return configuration.Service{
+		Name: ServiceName(number), HealthCheck: "/healthz", MaxConnections: 370, Protocol: "h1",
+		Engine: engine,
+	}
 }
 
 // ServiceName names a service.
@@ -139,8 +145,10 @@
 
 // Report is what one router says twice a second.
 func Report(random *rand.Rand, router int, sequence uint64) protocol.Report {
-	report := protocol.Report{Node: RouterName(router), Incarnation: uint64(router) + 1, Sequence: sequence,
-		Over: time.Second / ReportsPerS}
+	report := protocol.Report{
+		Node: RouterName(router), Incarnation: uint64(router) + 1, Sequence: sequence,
+		Over: time.Second / ReportsPerS,
+	}
 	seen := map[int]bool{}
 	for len(seen) < RowsPerReport {
 		model := Popular(random)
@@ -148,12 +156,16 @@
 			continue
 		}
 		seen[model] = true
-		report.Models = append(report.Models, protocol.ModelDemand{Service: ServiceName(model % Services),
-			Model: ModelName(model), Asked: 1, Running: 2, Tokens: 1400, Worth: 9})
+		report.Models = append(report.Models, protocol.ModelDemand{
+			Service: ServiceName(model % Services),
+			Model:   ModelName(model), Asked: 1, Running: 2, Tokens: 1400, Worth: 9,
+		})
 	}
 	for i := range TenantsOfReport {
-		report.Tenants = append(report.Tenants, protocol.TenantDemand{Tenant: TenantName((router + i) % Tenants),
-			Asked: 2800, Granted: 2800})
+		report.Tenants = append(report.Tenants, protocol.TenantDemand{
+			Tenant: TenantName((router + i) % Tenants),
+			Asked:  2800, Granted: 2800,
+		})
 	}
 	return report
 }
--- a/internal/systemsim/believer.go
+++ b/internal/systemsim/believer.go
@@ -78,8 +78,10 @@
 func (b *believer) take(input subscription.Input) {
 	switch in := input.(type) {
 	case subscription.Opened:
-		b.send(in.Connection, protocol.Subscribe{Node: b.router.address, Zone: zoneName(b.router.zone),
-			Incarnation: uint64(b.router.life), Generation: b.generation, Ready: b.generation > 0})
+		b.send(in.Connection, protocol.Subscribe{
+			Node: b.router.address, Zone: zoneName(b.router.zone),
+			Incarnation: uint64(b.router.life), Generation: b.generation, Ready: b.generation > 0,
+		})
 	case subscription.Ended:
 		if in.Connection == b.connection {
 			b.leave()
--- a/internal/systemsim/callers.go
+++ b/internal/systemsim/callers.go
@@ -204,8 +204,10 @@
 	}
 	w := e.world
 	e.sequence++
-	told := protocol.Endpoint{ID: e.id, Service: "s", Address: e.address, Zone: zoneName(e.zone), State: e.state,
-		Sequence: e.sequence, Slots: 4}
+	told := protocol.Endpoint{
+		ID: e.id, Service: "s", Address: e.address, Zone: zoneName(e.zone), State: e.state,
+		Sequence: e.sequence, Slots: 4,
+	}
 	to := e.target(e.tries)
 	e.tries++
 	ask := func(answer func(any)) { to.heartbeat(told, answer) }
--- a/internal/systemsim/truth.go
+++ b/internal/systemsim/truth.go
@@ -62,8 +62,10 @@
 }
 
 func newTruth() truth {
-	return truth{byBase: make(map[int64]*order), byNumber: make(map[int64]*order),
-		drained: make(map[string]time.Duration), major: never}
+	return truth{
+		byBase: make(map[int64]*order), byNumber: make(map[int64]*order),
+		drained: make(map[string]time.Duration), major: never,
+	}
 }
 
 // newestBefore is the highest version whose acknowledgement left an instance before a time.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -107,8 +107,10 @@
 	list := make([]rawEntry, 0, len(items))
 	for _, it := range items {
 		e := row{vals: it}
-		x := rawEntry{target: e.text(0), dest: e.integer(1), kind: e.text(3), zone: e.text(4), size: e.number(5),
-			joined: e.integer(6)}
+		x := rawEntry{
+			target: e.text(0), dest: e.integer(1), kind: e.text(3), zone: e.text(4), size: e.number(5),
+			joined: e.integer(6),
+		}
 		state, ok := states[e.text(2)]
 		if e.err == nil && !ok {
 			e.err = fmt.Errorf("unknown readiness %q", e.text(2))
@@ -152,9 +154,11 @@
 		if !ok && r.err == nil {
 			r.err = fmt.Errorf("unknown class %q", r.text(3))
 		}
-		a := raventrestle.Arrival{ID: raventrestle.MessageID(r.text(2)), Class: class,
+		a := raventrestle.Arrival{
+			ID: raventrestle.MessageID(r.text(2)), Class: class,
 			Budget: us(r.integer(6)), Dest: raventrestle.DestID(r.integer(8)), Tenant: r.tenant(4, nm.Tenants),
-			Again: r.integer(9)&2 != 0, Orphan: r.integer(9)&16 != 0}
+			Again: r.integer(9)&2 != 0, Orphan: r.integer(9)&16 != 0,
+		}
 		if r.integer(9)&1 != 0 {
 			a.Estimate = us(r.integer(7))
 		}
@@ -164,8 +168,10 @@
 		if !ok && r.err == nil {
 			r.err = fmt.Errorf("unknown status %d", r.integer(5))
 		}
-		o := raventrestle.Outcome{ID: raventrestle.MessageID(r.text(2)), Target: raventrestle.TargetID(r.text(4)),
-			Try: int(r.integer(3)), Status: status, Took: us(r.integer(6)), Closed: r.flag(7)}
+		o := raventrestle.Outcome{
+			ID: raventrestle.MessageID(r.text(2)), Target: raventrestle.TargetID(r.text(4)),
+			Try: int(r.integer(3)), Status: status, Took: us(r.integer(6)), Closed: r.flag(7),
+		}
 		if status == raventrestle.Full {
 			o.Wait = time.Duration(r.integer(8)) * time.Millisecond
 		}
@@ -176,8 +182,10 @@
 		if !ok && r.err == nil {
 			r.err = fmt.Errorf("unknown status %d", r.integer(2))
 		}
-		it.Event = raventrestle.Probed{Target: raventrestle.TargetID(r.text(4)), Status: status, Took: us(r.integer(3)),
-			Report: r.report(5)}
+		it.Event = raventrestle.Probed{
+			Target: raventrestle.TargetID(r.text(4)), Status: status, Took: us(r.integer(3)),
+			Report: r.report(5),
+		}
 	case "from_peer":
 		n := raventrestle.Note{From: int(r.integer(2))}
 		r.into(3, &n.Data)
@@ -194,9 +202,11 @@
 				r.err = fmt.Errorf("unknown table %d", r.integer(4))
 			}
 			for _, e := range list {
-				l.Entries = append(l.Entries, raventrestle.Entry{Target: raventrestle.TargetID(e.target),
-					Dest: raventrestle.DestID(e.dest), State: e.state, Kind: config.Index(nm.Kinds, e.kind),
-					Zone: config.Index(nm.Zones, e.zone), Size: e.size, Joined: us(e.joined)})
+				l.Entries = append(l.Entries, raventrestle.Entry{
+					Target: raventrestle.TargetID(e.target),
+					Dest:   raventrestle.DestID(e.dest), State: e.state, Kind: config.Index(nm.Kinds, e.kind),
+					Zone: config.Index(nm.Zones, e.zone), Size: e.size, Joined: us(e.joined),
+				})
 			}
 		}
 		it.Event = l
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -42,8 +42,10 @@
 	}
 	if s.Position != 1 || len(s.Tenants) != 2 || s.Tenants[1] != (raventrestle.Tenant{Name: "q", Share: 0.3, Quota: 30}) ||
 		s.OverShare != 0.1 || s.Mix != (raventrestle.Mix{Whole: 0.7, WorstWindow: 0.1, WorstClass: 0.05, WorstTenant: 0.15}) ||
-		s.Charges != (raventrestle.Charges{CrossZone: 0.01, Handshake: 0.04, Waste: 0.05, LateFail: 0.02, Refused: 0.07,
-			Probe: 0.03, Note: 0.06}) || s.Loss != raventrestle.LossHalving || s.Classes[0].Late != 0.5 ||
+		s.Charges != (raventrestle.Charges{
+			CrossZone: 0.01, Handshake: 0.04, Waste: 0.05, LateFail: 0.02, Refused: 0.07,
+			Probe: 0.03, Note: 0.06,
+		}) || s.Loss != raventrestle.LossHalving || s.Classes[0].Late != 0.5 ||
 		!s.MarksRetry || s.Streams != 8 || !s.Probes || !s.Notes || !s.Cancels || !s.SecondCopies ||
 		s.DrainGrace != 250*time.Millisecond || s.Slack != 20*time.Millisecond {
 		t.Fatalf("settings: %+v", s)
@@ -59,19 +61,30 @@
 	want := []raventrestle.Event{
 		raventrestle.Listing{How: raventrestle.ListStored, Entries: []raventrestle.Entry{
 			{Target: "10.0.0.1:1", Dest: 57, State: raventrestle.Draining, Kind: 1, Zone: 0, Size: 1.5},
-			{Target: "10.0.0.2:1", Dest: 57, State: raventrestle.Ready, Kind: -1, Zone: -1, Joined: time.Microsecond}}},
-		raventrestle.Arrival{ID: "8069a7405d3a91c4", Dest: 57,
-			Budget: 240 * time.Millisecond, Estimate: 12 * time.Millisecond, Tenant: 1, Again: true, Orphan: true},
-		raventrestle.Outcome{ID: "8069a7405d3a91c4", Target: "10.0.0.1:1", Status: raventrestle.Full,
+			{Target: "10.0.0.2:1", Dest: 57, State: raventrestle.Ready, Kind: -1, Zone: -1, Joined: time.Microsecond},
+		}},
+		raventrestle.Arrival{
+			ID: "8069a7405d3a91c4", Dest: 57,
+			Budget: 240 * time.Millisecond, Estimate: 12 * time.Millisecond, Tenant: 1, Again: true, Orphan: true,
+		},
+		raventrestle.Outcome{
+			ID: "8069a7405d3a91c4", Target: "10.0.0.1:1", Status: raventrestle.Full,
 			Took: 18500 * time.Microsecond, Wait: 250 * time.Millisecond,
-			Report: raventrestle.Report{Left: 0.5, Limit: 7}},
-		raventrestle.Outcome{ID: "8069a7405d3a91c4", Target: "10.0.0.1:1", Status: raventrestle.Moot, Try: 1,
-			Took: 5 * time.Microsecond, Closed: true},
-		raventrestle.Wake{}, raventrestle.Withdrawn{ID: "48a935400e6f2b19"},
-		raventrestle.Probed{Target: "10.0.0.1:1", Status: raventrestle.ConnectFailed, Took: time.Microsecond,
-			Report: raventrestle.Report{Left: 0.5, Limit: 7}},
+			Report: raventrestle.Report{Left: 0.5, Limit: 7},
+		},
+		raventrestle.Outcome{
+			ID: "8069a7405d3a91c4", Target: "10.0.0.1:1", Status: raventrestle.Moot, Try: 1,
+			Took: 5 * time.Microsecond, Closed: true,
+		},
+		raventrestle.Wake{},
+		raventrestle.Withdrawn{ID: "48a935400e6f2b19"},
+		raventrestle.Probed{
+			Target: "10.0.0.1:1", Status: raventrestle.ConnectFailed, Took: time.Microsecond,
+			Report: raventrestle.Report{Left: 0.5, Limit: 7},
+		},
 		raventrestle.Arrival{ID: "9069a7405d3a91c4", Dest: 57, Budget: 240 * time.Millisecond, Tenant: -1},
-		raventrestle.Note{From: 2, Data: []byte("hi 7")}, nil, nil,
+		raventrestle.Note{From: 2, Data: []byte("hi 7")},
+		nil, nil,
 	}
 	for i, w := range want {
 		if !reflect.DeepEqual(b.Items[i].Event, w) {
--- a/learned.go
+++ b/learned.go
@@ -55,9 +55,11 @@
 }
 
 func (r *route) learned() *LearnedRoute {
-	return &LearnedRoute{Size: r.size, Threshold: r.threshold, Rate: r.rate, Tokens: r.tokens, SentRate: r.sentRate, Told: r.told, Shut: r.shut, FilledAt: r.filledAt,
+	return &LearnedRoute{
+		Size: r.size, Threshold: r.threshold, Rate: r.rate, Tokens: r.tokens, SentRate: r.sentRate, Told: r.told, Shut: r.shut, FilledAt: r.filledAt,
 		SentRateAt: r.sentRateAt, CutAt: r.cutAt, Until: r.until, DownAt: r.downAt, LastOK: r.lastOK, NextAt: r.nextAt, Mean: r.times.mean, Dev: r.times.dev,
-		Fails: r.fails, N: r.times.n}
+		Fails: r.fails, N: r.times.n,
+	}
 }
 
 func (r *route) inherit(b *LearnedRoute) {
@@ -80,8 +82,10 @@
 		}
 		for _, t := range d.targets {
 			all := t.odds[len(p.set.Classes)]
-			y := LearnedTarget{Target: t.id, Health: uint8(t.health), Fails: t.fails, Mean: t.mean, Usual: t.usual, Bad: all.bad, All: all.all,
-				OddsAt: all.at, Since: t.since, RampAt: t.rampAt, LastOK: t.lastOK, LastSent: t.lastSent, Every: t.gap}
+			y := LearnedTarget{
+				Target: t.id, Health: uint8(t.health), Fails: t.fails, Mean: t.mean, Usual: t.usual, Bad: all.bad, All: all.all,
+				OddsAt: all.at, Since: t.since, RampAt: t.rampAt, LastOK: t.lastOK, LastSent: t.lastSent, Every: t.gap,
+			}
 			if d.kind.Apart {
 				y.Route = t.r.learned()
 			}
--- a/policy.go
+++ b/policy.go
@@ -104,8 +104,10 @@
 	c := &p.set.Classes[a.Class]
 	end := p.now + a.Budget
 	aim := min(c.Aim+time.Duration(c.Stretch*float64(a.Estimate)), c.Deadline)
-	m := &msg{id: a.ID, class: c, ci: a.Class, d: p.dest(a.Dest), aim: end - c.Deadline + aim, end: end,
-		worth: c.Credit * p.inShare(a.Tenant)}
+	m := &msg{
+		id: a.ID, class: c, ci: a.Class, d: p.dest(a.Dest), aim: end - c.Deadline + aim, end: end,
+		worth: c.Credit * p.inShare(a.Tenant),
+	}
 	p.msgs[a.ID] = m
 	p.hold(m)
 	return m
--- a/policy_test.go
+++ b/policy_test.go
@@ -23,8 +23,10 @@
 		Forwarders: 2, Zone: 0, Tick: 5 * ms,
 		Classes: []Class{
 			{Name: "a", Aim: 2 * sec, Deadline: 20 * sec, Credit: 1, Effect: Safe},
-			{Name: "b", Aim: 2 * sec, Deadline: 20 * sec, Credit: 1, Effect: Keyed,
-				Group: GroupZone, Window: 6 * sec},
+			{
+				Name: "b", Aim: 2 * sec, Deadline: 20 * sec, Credit: 1, Effect: Keyed,
+				Group: GroupZone, Window: 6 * sec,
+			},
 			{Name: "c", Aim: 2 * sec, Deadline: 20 * sec, Credit: 3, Effect: Unsafe},
 		},
 		Kinds:     []Kind{{BundleMax: 1}, {BundleMax: 1, Apart: true}, {BundleMax: 10}},
@@ -87,8 +89,10 @@
 	var evs []Event
 	for range n {
 		h.next++
-		evs = append(evs, Arrival{ID: MessageID(fmt.Sprintf("m%d", h.next)), Class: class,
-			Dest: DestID(dest), Budget: settings().Classes[class].Deadline})
+		evs = append(evs, Arrival{
+			ID: MessageID(fmt.Sprintf("m%d", h.next)), Class: class,
+			Dest: DestID(dest), Budget: settings().Classes[class].Deadline,
+		})
 	}
 	return h.step(evs...)
 }
@@ -97,8 +101,10 @@
 func (h *host) end(n int, status Status) []Action {
 	var evs []Event
 	for _, s := range h.out[:n] {
-		evs = append(evs, Outcome{ID: s.ID, Target: s.Target, Status: status, Took: 100 * ms,
-			Closed: status == OK})
+		evs = append(evs, Outcome{
+			ID: s.ID, Target: s.Target, Status: status, Took: 100 * ms,
+			Closed: status == OK,
+		})
 	}
 	h.out = append([]Send(nil), h.out[n:]...)
 	return h.step(evs...)
@@ -714,8 +720,10 @@
 		for range 20 {
 			n += len(sends(h.pass(100 * ms)))
 			for i := range h.out {
-				h.step(Outcome{ID: h.out[i].ID, Target: "t1", Status: OK, Took: 50 * ms, Closed: true,
-					Report: Report{Left: 0.5, Limit: e.Size}})
+				h.step(Outcome{
+					ID: h.out[i].ID, Target: "t1", Status: OK, Took: 50 * ms, Closed: true,
+					Report: Report{Left: 0.5, Limit: e.Size},
+				})
 			}
 			h.out = nil
 		}
@@ -728,8 +736,10 @@
 	}
 	e.Size = 0.8
 	h.arrive(0, 1, 1)
-	h.step(Outcome{ID: h.out[0].ID, Target: "t1", Status: OK, Took: 50 * ms, Closed: true,
-		Report: Report{Limit: e.Size}})
+	h.step(Outcome{
+		ID: h.out[0].ID, Target: "t1", Status: OK, Took: 50 * ms, Closed: true,
+		Report: Report{Limit: e.Size},
+	})
 	h.out = nil
 	if n := count(); n > 3 {
 		t.Fatalf("%d sent in 2 s after the limit fell to a fifth", n)
@@ -960,8 +970,10 @@
 				}
 				s := h.out[0]
 				h.out = nil
-				for _, a := range h.p.Step(h.now, []Event{Outcome{ID: s.ID, Target: s.Target, Status: Full,
-					Report: Report{Left: left, Limit: 40}}}) {
+				for _, a := range h.p.Step(h.now, []Event{Outcome{
+					ID: s.ID, Target: s.Target, Status: Full,
+					Report: Report{Left: left, Limit: 40},
+				}}) {
 					if l, ok := a.(Log); ok && strings.Contains(l.Text, "held off") {
 						off[i]++
 					}
@@ -1242,8 +1254,10 @@
 		h.now = 40 * sec
 		var evs []Event
 		for i := range 30 {
-			evs = append(evs, Restored{Arrival: Arrival{ID: MessageID(fmt.Sprint("r", i)), Dest: 1, Budget: 15 * sec},
-				Sends: 1, MayRun: c.ago > 0, RanOn: "t1", RanAt: h.now - c.ago, Failed: c.failed})
+			evs = append(evs, Restored{
+				Arrival: Arrival{ID: MessageID(fmt.Sprint("r", i)), Dest: 1, Budget: 15 * sec},
+				Sends:   1, MayRun: c.ago > 0, RanOn: "t1", RanAt: h.now - c.ago, Failed: c.failed,
+			})
 		}
 		h.step(evs...)
 		if len(h.out) != c.first {
--- a/retune_test.go
+++ b/retune_test.go
@@ -12,8 +12,10 @@
 // beyond a lower cap is not made.
 func TestRetune(t *testing.T) {
 	free := Class{Name: "free", Aim: time.Second, Deadline: 10 * time.Second, Credit: 1}
-	set := Settings{Forwarders: 1, CallSlots: 4, MostHeld: 50, SendCap: 3, Classes: []Class{free}, Kinds: []Kind{{BundleMax: 1}},
-		ConnectWithin: time.Second, IdleClose: 5 * time.Second}
+	set := Settings{
+		Forwarders: 1, CallSlots: 4, MostHeld: 50, SendCap: 3, Classes: []Class{free}, Kinds: []Kind{{BundleMax: 1}},
+		ConnectWithin: time.Second, IdleClose: 5 * time.Second,
+	}
 	p, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
--- a/rules_test.go
+++ b/rules_test.go
@@ -156,11 +156,15 @@
 			for range 1 + h.rng.IntN(3) {
 				next++
 				class := h.rng.IntN(3)
-				m := &message{id: MessageID(fmt.Sprint(next)), class: class,
-					end: h.now + h.set.Classes[class].Deadline/time.Duration(1+h.rng.IntN(4))}
+				m := &message{
+					id: MessageID(fmt.Sprint(next)), class: class,
+					end: h.now + h.set.Classes[class].Deadline/time.Duration(1+h.rng.IntN(4)),
+				}
 				h.msgs[m.id] = m
-				evs = append(evs, Arrival{ID: m.id, Class: class, Dest: DestID(1 + h.rng.IntN(4)),
-					Budget: m.end - h.now})
+				evs = append(evs, Arrival{
+					ID: m.id, Class: class, Dest: DestID(1 + h.rng.IntN(4)),
+					Budget: m.end - h.now,
+				})
 			}
 		}
 		if h.rng.IntN(400) == 0 {
@@ -214,9 +218,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			h := &history{t: t, set: settings(), rng: rand.New(rand.NewPCG(seed, 7)), p: p,
+			h := &history{
+				t: t, set: settings(), rng: rand.New(rand.NewPCG(seed, 7)), p: p,
 				msgs: map[MessageID]*message{},
-				gone: map[TargetID]bool{}, until: map[string]time.Duration{}}
+				gone: map[TargetID]bool{}, until: map[string]time.Duration{},
+			}
 			h.step(Listing{How: ListStored, Entries: fleet})
 			h.play(40 * sec)
 			traces[i] = h.trace
--- a/settings.go
+++ b/settings.go
@@ -15,9 +15,11 @@
 	if min(set.CallSlots, set.MostHeld, set.Forwarders, len(set.Classes)) < 1 {
 		return nil, errors.New("raventrestle: CallSlots, MostHeld, Forwarders and Classes must be at least one")
 	}
-	p := &Policy{set: set, rng: rand.New(rand.NewPCG(seed, 0)), dests: map[DestID]*dest{},
+	p := &Policy{
+		set: set, rng: rand.New(rand.NewPCG(seed, 0)), dests: map[DestID]*dest{},
 		targets: map[TargetID]*target{}, msgs: map[MessageID]*msg{}, askAt: -1,
-		flows: asfq.Scheduler[*dest]{Slots: set.CallSlots, Period: time.Hour, Tolerance: 2}}
+		flows: asfq.Scheduler[*dest]{Slots: set.CallSlots, Period: time.Hour, Tolerance: 2},
+	}
 	for _, c := range set.Classes {
 		if c.Aim <= 0 || c.Deadline < c.Aim {
 			return nil, fmt.Errorf("raventrestle: class %q needs 0 < Aim <= Deadline", c.Name)
--- a/state.go
+++ b/state.go
@@ -161,8 +161,10 @@
 	if e.Kind >= 0 && e.Kind < len(p.set.Kinds) {
 		d.ki, d.kind = e.Kind, p.set.Kinds[e.Kind]
 	}
-	t := &target{id: e.Target, d: d, zone: e.Zone, r: d.shared, since: p.now, lastOK: -1 << 60,
-		lastSent: -1 << 60, taste: 1 + p.rng.Float64()/4, odds: make([]odds, len(p.set.Classes)+1)}
+	t := &target{
+		id: e.Target, d: d, zone: e.Zone, r: d.shared, since: p.now, lastOK: -1 << 60,
+		lastSent: -1 << 60, taste: 1 + p.rng.Float64()/4, odds: make([]odds, len(p.set.Classes)+1),
+	}
 	if d.kind.Apart {
 		t.r = &route{filledAt: p.now, until: d.shared.until}
 	}
--- a/view.go
+++ b/view.go
@@ -45,11 +45,15 @@
 func (p *Policy) View() []DestView {
 	all := make([]DestView, 0, len(p.dests))
 	for _, d := range p.dests {
-		v := DestView{Dest: d.id, Held: len(d.held), Out: len(d.out), Sick: d.Trouble, Setback: d.Delta(), Wait: max(d.shared.until-p.now, 0),
-			Targets: []TargetView{}}
+		v := DestView{
+			Dest: d.id, Held: len(d.held), Out: len(d.out), Sick: d.Trouble, Setback: d.Delta(), Wait: max(d.shared.until-p.now, 0),
+			Targets: []TargetView{},
+		}
 		for _, t := range d.targets {
-			v.Targets = append(v.Targets, TargetView{Target: t.id, Ready: t.ready, Health: healths[t.health], Out: t.inFlight, Fails: t.fails,
-				Pace: t.r.rate, Wait: max(t.r.until-p.now, 0), Mean: t.mean})
+			v.Targets = append(v.Targets, TargetView{
+				Target: t.id, Ready: t.ready, Health: healths[t.health], Out: t.inFlight, Fails: t.fails,
+				Pace: t.r.rate, Wait: max(t.r.until-p.now, 0), Mean: t.mean,
+			})
 		}
 		all = append(all, v)
 	}
