--- a/cmd/raventrestle-control/golden_test.go
+++ b/cmd/raventrestle-control/golden_test.go
@@ -23,7 +23,7 @@
 		},
 		{
 			groupView{Members: []memberView{{Live: true}, {Voter: true}}},
-			`{"self":"","epoch":0,"committed":0,"generation":0,"leader":false,"as_of_ms":null,"members":[` +
+			`{"self":"","epoch":0,"committed":0,"generation":0,"leader":false,"members":[` +
 				`{"identity":"","address":"","control":"","zone":"","live":true,"voter":false},` +
 				`{"identity":"","address":"","control":"","zone":"","live":false,"voter":true}]}`,
 		},
