--- a/check.sh
+++ b/check.sh
@@ -60,7 +60,7 @@
 	need_c_library target/raventrestle-router
 	need_c_library target/raventrestle-control
 	bin/raventrestle-control check -deploy deploy/system.toml
-	bin/ravenlab system --once
+	bin/raventrestle-lab system --once
 	deploy/clean-build-check
 fi
 
--- a/cmd/ravenlab/experiment.go
+++ b/cmd/raventrestle-lab/experiment.go
@@ -123,7 +123,7 @@
 			if err := os.WriteFile(out, text, 0o644); err != nil {
 				return &failure{err}
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%s: %q is broken by %d of %d messages; play it with: ravenlab replay %s\n", out, small.Rule, len(small.Day.Plan()), d.Asked, out)
+			fmt.Fprintf(c.OutOrStdout(), "%s: %q is broken by %d of %d messages; play it with: raventrestle-lab replay %s\n", out, small.Rule, len(small.Day.Plan()), d.Asked, out)
 			return nil
 		},
 	}
--- a/cmd/ravenlab/main.go
+++ b/cmd/raventrestle-lab/main.go
@@ -1,4 +1,4 @@
-// Command ravenlab plays scenarios on this project's own emulator, with real courier processes on
+// Command raventrestle-lab plays scenarios on this project's own emulator, with real courier processes on
 // loopback addresses.
 package main
 
@@ -24,7 +24,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if err := root().ExecuteContext(ctx); err != nil {
-		fmt.Fprintln(os.Stderr, "ravenlab:", err)
+		fmt.Fprintln(os.Stderr, "raventrestle-lab:", err)
 		var failed *failure
 		if errors.As(err, &failed) {
 			os.Exit(1)
@@ -38,7 +38,7 @@
 
 func root() *cobra.Command {
 	c := &cobra.Command{
-		Use: "ravenlab", Short: "Play scenarios against real couriers on an emulated world",
+		Use: "raventrestle-lab", Short: "Play scenarios against real couriers on an emulated world",
 		SilenceErrors: true, SilenceUsage: true,
 	}
 	c.AddCommand(run(), scenarioCommands(), reportCommand(), compareCommand(), experimentCommand(), shrinkCommand(), replayCommand(),
--- a/internal/deadletter/store_test.go
+++ b/internal/deadletter/store_test.go
@@ -423,7 +423,7 @@
 	}
 }
 
-// What dead letters at rest take in memory: under 200 bytes each. `ravenlab cost` measures 100,000 in a courier.
+// What dead letters at rest take in memory: under 200 bytes each. `raventrestle-lab cost` measures 100,000 in a courier.
 func TestMemoryAtRest(t *testing.T) {
 	if testing.Short() {
 		t.Skip("writes 20,000 letters")
--- a/internal/lab/experiment/schema.cue
+++ b/internal/lab/experiment/schema.cue
@@ -21,7 +21,7 @@
 #Variant: {
 	// Against the decision module alone, in virtual time; else with real processes.
 	virtual: bool | *false
-	// The couriers' program, seen from this file; the one beside ravenlab where left out.
+	// The couriers' program, seen from this file; the one beside raventrestle-lab where left out.
 	courier?: string
 	// Operators' settings instead of the scenario's.
 	settings?: {...}
