--- a/internal/control/api/answers_test.go
+++ b/internal/control/api/answers_test.go
@@ -35,9 +35,9 @@
 func (s *stand) Read(context.Context) (int64, []byte, error) {
 	return 7, []byte(`{"generation":7}`), s.err
 }
-func (s *stand) History() []VersionView              { return []VersionView{{Generation: 7}} }
-func (s *stand) ConfirmedAt() time.Time              { return s.confirmedAt }
-func (s *stand) Leave(context.Context, string) error { return s.err }
+func (s *stand) History() []VersionView                   { return []VersionView{{Generation: 7}} }
+func (s *stand) ConfirmedAt() time.Time                   { return s.confirmedAt }
+func (s *stand) Deregister(context.Context, string) error { return s.err }
 
 func (s *stand) Heartbeat(_ context.Context, endpoint protocol.Endpoint) error {
 	s.beats = append(s.beats, endpoint)
--- a/internal/control/api/golden_test.go
+++ b/internal/control/api/golden_test.go
@@ -58,7 +58,7 @@
 	return g.err
 }
 
-func (g *goldenInstances) Leave(_ context.Context, id string) error {
+func (g *goldenInstances) Deregister(_ context.Context, id string) error {
 	g.deregisters = append(g.deregisters, id)
 	return g.err
 }
--- a/internal/control/api/instances.go
+++ b/internal/control/api/instances.go
@@ -31,7 +31,7 @@
 )
 
 // ErrField names the part of a call that is malformed.
-var ErrField = errors.New("malformed")
+var ErrMalformed = errors.New("malformed")
 
 func (a *API) putInstance(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maximumHeartbeatBytes))
@@ -56,7 +56,7 @@
 }
 
 func (a *API) deleteInstance(w http.ResponseWriter, r *http.Request) {
-	if err := a.instances.Leave(r.Context(), r.PathValue("id")); err != nil {
+	if err := a.instances.Deregister(r.Context(), r.PathValue("id")); err != nil {
 		fail(w, http.StatusServiceUnavailable, err.Error())
 		return
 	}
@@ -67,7 +67,7 @@
 func readHeartbeat(id string, body []byte) (protocol.Endpoint, error) {
 	var told heartbeat
 	if err := json.Unmarshal(body, &told); err != nil {
-		return protocol.Endpoint{}, fmt.Errorf("heartbeat of %s: %w: %w", id, ErrField, err)
+		return protocol.Endpoint{}, fmt.Errorf("heartbeat of %s: %w: %w", id, ErrMalformed, err)
 	}
 	if err := told.check(); err != nil {
 		return protocol.Endpoint{}, fmt.Errorf("heartbeat of %s: %w", id, err)
@@ -93,15 +93,15 @@
 func (h *heartbeat) check() error {
 	switch {
 	case h.Backend == "":
-		return fmt.Errorf("backend: %w: empty", ErrField)
+		return fmt.Errorf("backend: %w: empty", ErrMalformed)
 	case !validAddress(h.Address):
-		return fmt.Errorf("address: %w: %q is not host:port", ErrField, h.Address)
+		return fmt.Errorf("address: %w: %q is not host:port", ErrMalformed, h.Address)
 	case h.State != stateReady && h.State != stateDraining:
-		return fmt.Errorf("state: %w: %q is neither %s nor %s", ErrField, h.State, stateReady, stateDraining)
+		return fmt.Errorf("state: %w: %q is neither %s nor %s", ErrMalformed, h.State, stateReady, stateDraining)
 	case h.Slots < 0:
-		return fmt.Errorf("slots: %w: %d is below 0", ErrField, h.Slots)
+		return fmt.Errorf("slots: %w: %d is below 0", ErrMalformed, h.Slots)
 	case h.ColdRemainingMS < 0 || h.ColdRemainingMS > float64(time.Hour/time.Millisecond):
-		return fmt.Errorf("cold_remaining_ms: %w: %v is not between 0 and an hour", ErrField, h.ColdRemainingMS)
+		return fmt.Errorf("cold_remaining_ms: %w: %v is not between 0 and an hour", ErrMalformed, h.ColdRemainingMS)
 	}
 	return nil
 }
--- a/internal/control/api/server.go
+++ b/internal/control/api/server.go
@@ -29,7 +29,7 @@
 // Instances is the registry as endpoints reach it.
 type Instances interface {
 	Heartbeat(ctx context.Context, endpoint protocol.Endpoint) error
-	Leave(ctx context.Context, id string) error
+	Deregister(ctx context.Context, id string) error
 	View(ctx context.Context) (host.View, error)
 	// ConfirmedAt returns the newest moment of which this instance knows all that was acknowledged anywhere before;
 	// zero: it knows of none.
--- a/internal/control/api/views.go
+++ b/internal/control/api/views.go
@@ -11,37 +11,37 @@
 
 // EndpointView is an endpoint as people see it.
 type EndpointView struct {
-	ID            string               `json:"id"`
-	Service       string               `json:"backend"`
-	Address       string               `json:"address"`
-	Zone          string               `json:"zone"`
-	Generation    string               `json:"generation"`
-	Slots         int                  `json:"slots"`
-	State         string               `json:"state"`
-	Sequence      uint64               `json:"seq"`
-	ColdRemaining int64                `json:"cold_remaining_ms,omitempty"`
-	Models        []protocol.HeldModel `json:"models"`
-	Loading       []LoadView           `json:"loading,omitempty"`
+	ID                string               `json:"id"`
+	Service           string               `json:"backend"`
+	Address           string               `json:"address"`
+	Zone              string               `json:"zone"`
+	Generation        string               `json:"generation"`
+	Slots             int                  `json:"slots"`
+	State             string               `json:"state"`
+	Sequence          uint64               `json:"seq"`
+	WarmUpRemainingMS int64                `json:"cold_remaining_ms,omitempty"`
+	Models            []protocol.HeldModel `json:"models"`
+	Loading           []LoadView           `json:"loading,omitempty"`
 }
 
 // LoadView is an order under way.
 type LoadView struct {
-	Model    string `json:"model"`
-	Adapter  string `json:"adapter,omitempty"`
-	Unload   bool   `json:"unload,omitempty"`
-	WithinMS int64  `json:"within_ms"`
+	Model       string `json:"model"`
+	Adapter     string `json:"adapter,omitempty"`
+	Unload      bool   `json:"unload,omitempty"`
+	RemainingMS int64  `json:"within_ms"`
 }
 
 // ModelView says where a model is held.
 type ModelView struct {
-	Service   string       `json:"backend"`
-	Model     string       `json:"model"`
-	Endpoints []HolderView `json:"endpoints"`
-	Loading   []string     `json:"loading,omitempty"` // IDs of endpoints that were ordered to load it
+	Service   string              `json:"backend"`
+	Model     string              `json:"model"`
+	Endpoints []ModelEndpointView `json:"endpoints"`
+	Loading   []string            `json:"loading,omitempty"` // IDs of endpoints that were ordered to load it
 }
 
-// HolderView is one endpoint that holds a model.
-type HolderView struct {
+// ModelEndpointView is one endpoint that holds a model.
+type ModelEndpointView struct {
 	ID         string   `json:"id"`
 	Generation int64    `json:"generation"`
 	Adapters   []string `json:"adapters"`
@@ -127,14 +127,14 @@
 	view := EndpointView{
 		ID: e.ID, Service: e.Service, Address: e.Address, Zone: e.Zone, Generation: e.Generation,
 		Slots: e.Slots, State: stateName(e.State), Sequence: e.Sequence,
-		ColdRemaining: e.ColdFor.Milliseconds(), Models: e.Models,
+		WarmUpRemainingMS: e.ColdFor.Milliseconds(), Models: e.Models,
 	}
 	if view.Models == nil {
 		view.Models = []protocol.HeldModel{}
 	}
 	for _, load := range e.Loading {
 		view.Loading = append(view.Loading, LoadView{
-			Model: load.Model, Adapter: load.Adapter, Unload: load.Unload, WithinMS: load.Within.Milliseconds(),
+			Model: load.Model, Adapter: load.Adapter, Unload: load.Unload, RemainingMS: load.Within.Milliseconds(),
 		})
 	}
 	return view
@@ -155,7 +155,7 @@
 	of := func(service, model string) *ModelView {
 		at := key{service, model}
 		if found[at] == nil {
-			found[at] = &ModelView{Service: service, Model: model, Endpoints: []HolderView{}}
+			found[at] = &ModelView{Service: service, Model: model, Endpoints: []ModelEndpointView{}}
 		}
 		return found[at]
 	}
@@ -163,7 +163,7 @@
 		for _, held := range e.Models {
 			view := of(e.Service, held.Name)
 			view.Endpoints = append(view.Endpoints,
-				HolderView{ID: e.ID, Generation: held.Generation, Adapters: held.Adapters})
+				ModelEndpointView{ID: e.ID, Generation: held.Generation, Adapters: held.Adapters})
 		}
 		for _, load := range e.Loading {
 			if !load.Unload && load.Adapter == "" {
--- a/internal/control/changes/api_test.go
+++ b/internal/control/changes/api_test.go
@@ -37,7 +37,7 @@
 	return i.refuse
 }
 
-func (i *instances) Leave(_ context.Context, id string) error {
+func (i *instances) Deregister(_ context.Context, id string) error {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	i.left = append(i.left, id)
--- a/internal/control/host/check_test.go
+++ b/internal/control/host/check_test.go
@@ -8,16 +8,16 @@
 	"raventrestle/internal/protocol"
 )
 
-func (w *world) acknowledged(n int, answer registry.Acknowledge) {
-	call := w.asked[answer.Ticket]
-	delete(w.asked, answer.Ticket)
+func (w *world) acknowledged(n int, answer registry.Reply) {
+	call := w.asked[answer.RequestID]
+	delete(w.asked, answer.RequestID)
 	if call.state == protocol.Ready {
 		return
 	}
-	if took := w.now.Sub(call.at); took > registry.ContactWithin+worldStep {
+	if took := w.now.Sub(call.at); took > registry.QuorumConfirmTimeout+worldStep {
 		w.fault("%s answered at %d after %v", call.endpoint.id, n, took)
 	}
-	if answer.Refused {
+	if answer.Rejected {
 		w.refused++
 		call.endpoint.beatAt = w.now // it asks another
 		if call.state == protocol.Gone {
@@ -28,7 +28,7 @@
 	if w.instances[n].contact.Before(call.at) {
 		w.fault("%s acknowledged at %d, without contact with a majority since it called", call.endpoint.id, n)
 	}
-	if !answer.Settled {
+	if !answer.InForce {
 		w.unsettled++
 		return
 	}
--- a/internal/control/host/commands.go
+++ b/internal/control/host/commands.go
@@ -32,11 +32,11 @@
 	}
 	heartbeat struct {
 		endpoint protocol.Endpoint
-		answer   chan registry.Acknowledge
+		answer   chan registry.Reply
 	}
 	leave struct {
 		id     string
-		answer chan registry.Acknowledge
+		answer chan registry.Reply
 	}
 	ownLoading struct{ table protocol.LoadingTable }
 	ownGrants  struct {
@@ -61,23 +61,23 @@
 
 // Heartbeat takes in an endpoint's call and returns once it may be answered.
 func (h *Host) Heartbeat(ctx context.Context, endpoint protocol.Endpoint) error {
-	answer := make(chan registry.Acknowledge, 1)
+	answer := make(chan registry.Reply, 1)
 	return h.wait(ctx, heartbeat{endpoint: endpoint, answer: answer}, answer)
 }
 
-// Leave takes in an endpoint's end and returns once it may be answered.
-func (h *Host) Leave(ctx context.Context, id string) error {
-	answer := make(chan registry.Acknowledge, 1)
+// Deregister takes in an endpoint's end and returns once it may be answered.
+func (h *Host) Deregister(ctx context.Context, id string) error {
+	answer := make(chan registry.Reply, 1)
 	return h.wait(ctx, leave{id: id, answer: answer}, answer)
 }
 
-func (h *Host) wait(ctx context.Context, command any, answer chan registry.Acknowledge) error {
+func (h *Host) wait(ctx context.Context, command any, answer chan registry.Reply) error {
 	if !h.post(ctx, command) {
 		return ErrStopped
 	}
 	select {
 	case result := <-answer:
-		if result.Refused {
+		if result.Rejected {
 			return ErrIsolated
 		}
 		return nil
@@ -135,11 +135,11 @@
 		h.endBarrier(command)
 	case heartbeat:
 		h.news.Registry = append(h.news.Registry,
-			registry.Heartbeat{Ticket: h.ticket(command.answer), Endpoint: command.endpoint})
+			registry.Heartbeat{RequestID: h.ticket(command.answer), Endpoint: command.endpoint})
 	case leave:
-		h.news.Registry = append(h.news.Registry, registry.Leave{Ticket: h.ticket(command.answer), ID: command.id})
+		h.news.Registry = append(h.news.Registry, registry.Deregister{RequestID: h.ticket(command.answer), ID: command.id})
 	case ownLoading:
-		h.news.Registry = append(h.news.Registry, registry.OwnLoading{Table: command.table})
+		h.news.Registry = append(h.news.Registry, registry.LocalLoading{Table: command.table})
 	case ownGrants:
 		h.spreadGrants(command.batches)
 	case lookup:
@@ -147,7 +147,7 @@
 	}
 }
 
-func (h *Host) ticket(answer chan registry.Acknowledge) uint64 {
+func (h *Host) ticket(answer chan registry.Reply) uint64 {
 	h.nextTicket++
 	h.tickets[h.nextTicket] = answer
 	return h.nextTicket
@@ -179,7 +179,7 @@
 			h.grantHere(message.Routers)
 		}
 	default:
-		h.news.Registry = append(h.news.Registry, registry.Message{Content: in.message})
+		h.news.Registry = append(h.news.Registry, registry.PeerMessage{Content: in.message})
 	}
 }
 
--- a/internal/control/host/cost_test.go
+++ b/internal/control/host/cost_test.go
@@ -14,7 +14,7 @@
 func BenchmarkHeartbeat(b *testing.B) {
 	const endpoints, routers = 2900, 55
 	now := time.Unix(1000, 0)
-	desk := NewDesk(registry.Settings{
+	desk := NewDesk(registry.Config{
 		Origin:    protocol.Origin{Address: "self", Incarnation: 1},
 		Heartbeat: time.Second,
 	}, now)
@@ -34,7 +34,7 @@
 	}
 	beat := func(n int) {
 		table[n%endpoints].Sequence++
-		desk.Step(now, News{Registry: []registry.Input{registry.Heartbeat{Ticket: 1, Endpoint: table[n%endpoints]}}})
+		desk.Step(now, News{Registry: []registry.Input{registry.Heartbeat{RequestID: 1, Endpoint: table[n%endpoints]}}})
 	}
 	for n := range endpoints {
 		beat(n)
--- a/internal/control/host/desk.go
+++ b/internal/control/host/desk.go
@@ -18,7 +18,7 @@
 }
 
 // NewDesk returns a desk that knows nothing yet.
-func NewDesk(settings registry.Settings, now time.Time) *Desk {
+func NewDesk(settings registry.Config, now time.Time) *Desk {
 	return &Desk{registry: registry.New(settings, now), hub: distribution.New(now)}
 }
 
@@ -35,7 +35,7 @@
 	Peers       []registry.Send
 	Close       []distribution.Closing
 	Joined      []protocol.Subscribe
-	Acknowledge []registry.Acknowledge
+	Acknowledge []registry.Reply
 	Granted     []protocol.GrantConfirmed // for the holder of the quota allocator's role
 	Barrier     uint64                    // begin a barrier now; 0: none is needed
 	WakeAt      time.Time
@@ -45,7 +45,7 @@
 func (d *Desk) Step(now time.Time, news News) Orders {
 	table := func(withGone bool) []protocol.Endpoint {
 		if withGone {
-			return d.registry.EndpointsAndGone(now)
+			return d.registry.EndpointsAndTombstones(now)
 		}
 		return d.registry.Endpoints(now)
 	}
@@ -62,7 +62,7 @@
 		Joined:      first.Joined,
 		Granted:     first.Granted,
 		Peers:       changes.Send,
-		Acknowledge: changes.Acknowledge,
+		Acknowledge: changes.Replies,
 		Barrier:     first.Barrier,
 		WakeAt:      first.WakeAt,
 	}
@@ -72,7 +72,7 @@
 			Revision: changes.Revision,
 			Urgent:   changes.Urgent,
 			Routers:  changes.RouterCount,
-			Whole:    changes.Whole,
+			Whole:    changes.Complete,
 		})
 		orders.Routers = append(orders.Routers, second.Send...)
 		orders.Close = append(orders.Close, second.Close...)
@@ -84,7 +84,7 @@
 }
 
 func (d *Desk) isNews(out registry.Output) bool {
-	now := distribution.Endpoints{Routers: out.RouterCount, Whole: out.Whole}
+	now := distribution.Endpoints{Routers: out.RouterCount, Whole: out.Complete}
 	isNews := len(out.Changed) > 0 || now.Routers != d.told.Routers || now.Whole != d.told.Whole
 	d.told = now
 	return isNews
@@ -104,7 +104,7 @@
 	switch {
 	case hub.IsZero():
 		return out.WakeAt
-	case out.Relaxed && out.WakeAt.Before(hub) && hub.Sub(out.WakeAt) <= distribution.BeaconEvery:
+	case out.WakeDeferrable && out.WakeAt.Before(hub) && hub.Sub(out.WakeAt) <= distribution.BeaconEvery:
 		return hub
 	case out.WakeAt.Before(hub):
 		return out.WakeAt
--- a/internal/control/host/host.go
+++ b/internal/control/host/host.go
@@ -16,11 +16,11 @@
 const (
 	queueCommands  = 1024
 	batchCommands  = 256
-	statusEvery    = 100 * time.Millisecond // the replica's status is read no more often
-	reportsEvery   = 200 * time.Millisecond // routers' reports go on together
-	lacksEvery     = 4 * time.Millisecond   // the same, while requests wait for quota
-	staleGrant     = 300 * time.Millisecond // one that was held up longer may be somebody else's by now
-	isolatedAfter  = registry.IsolatedAfter // without contact with a majority
+	statusEvery    = 100 * time.Millisecond    // the replica's status is read no more often
+	reportsEvery   = 200 * time.Millisecond    // routers' reports go on together
+	lacksEvery     = 4 * time.Millisecond      // the same, while requests wait for quota
+	staleGrant     = 300 * time.Millisecond    // one that was held up longer may be somebody else's by now
+	isolatedAfter  = registry.QuorumContactTTL // without contact with a majority
 	barrierWithin  = 1500 * time.Millisecond
 	barrierPause   = 200 * time.Millisecond // after one that failed
 	maximumReports = 4096                   // kept while no holder of the placer's role is known
@@ -82,7 +82,7 @@
 	connections map[*transport.Connection]distribution.ConnectionID
 	byID        map[distribution.ConnectionID]*transport.Connection
 	nextID      distribution.ConnectionID
-	tickets     map[uint64]chan registry.Acknowledge
+	tickets     map[uint64]chan registry.Reply
 	nextTicket  uint64
 	barrier     bool // one is under way
 	status      statusView
@@ -104,13 +104,13 @@
 		parts:       parts,
 		queue:       make(chan any, queueCommands),
 		ended:       make(chan struct{}),
-		desk:        NewDesk(registry.Settings{Origin: settings.Origin, Heartbeat: settings.Heartbeat}, now),
+		desk:        NewDesk(registry.Config{Origin: settings.Origin, Heartbeat: settings.Heartbeat}, now),
 		started:     now,
 		delays:      newDelays(),
 		frames:      frames{codec: settings.Codec},
 		connections: make(map[*transport.Connection]distribution.ConnectionID),
 		byID:        make(map[distribution.ConnectionID]*transport.Connection),
-		tickets:     make(map[uint64]chan registry.Acknowledge),
+		tickets:     make(map[uint64]chan registry.Reply),
 	}
 }
 
@@ -202,9 +202,9 @@
 	}
 	h.granted = append(h.granted, orders.Granted...)
 	for _, answer := range orders.Acknowledge {
-		if waiting, known := h.tickets[answer.Ticket]; known {
+		if waiting, known := h.tickets[answer.RequestID]; known {
 			waiting <- answer
-			delete(h.tickets, answer.Ticket)
+			delete(h.tickets, answer.RequestID)
 		}
 	}
 	if orders.Barrier != 0 && !h.barrier {
--- a/internal/control/host/status.go
+++ b/internal/control/host/status.go
@@ -49,7 +49,7 @@
 		h.status.contact = contact
 		h.confirmedAt.Store(&contact.ConfirmedAt)
 		h.news.Hub = append(h.news.Hub, contact)
-		h.news.Registry = append(h.news.Registry, registry.Contact{ConfirmedAt: contact.ConfirmedAt})
+		h.news.Registry = append(h.news.Registry, registry.QuorumContact{ConfirmedAt: contact.ConfirmedAt})
 	}
 	h.news.Hub = append(h.news.Hub, later.Hub...)
 	h.news.Registry = append(h.news.Registry, later.Registry...)
--- a/internal/control/host/world_test.go
+++ b/internal/control/host/world_test.go
@@ -116,7 +116,7 @@
 func (w *world) restart(n int) {
 	i := w.instances[n]
 	w.next++
-	i.desk = NewDesk(registry.Settings{
+	i.desk = NewDesk(registry.Config{
 		Origin:    protocol.Origin{Address: i.address, Incarnation: w.next},
 		Heartbeat: worldHeartbeat,
 	}, w.now)
@@ -223,7 +223,7 @@
 	desk := i.desk
 	contact := w.confirm(n)
 	news.Hub = append([]distribution.Input{distribution.Contact{Epoch: 1, ConfirmedAt: contact}}, news.Hub...)
-	news.Registry = append([]registry.Input{registry.Contact{ConfirmedAt: contact}}, news.Registry...)
+	news.Registry = append([]registry.Input{registry.QuorumContact{ConfirmedAt: contact}}, news.Registry...)
 	orders := desk.Step(w.now, news)
 	i.wakeAt = orders.WakeAt
 	for _, closing := range orders.Close {
@@ -262,7 +262,7 @@
 		}
 		w.later(time.Millisecond, 12*time.Millisecond, func() {
 			if w.connected(from, n) {
-				w.step(n, News{Registry: []registry.Input{registry.Message{Content: message.Message}}})
+				w.step(n, News{Registry: []registry.Input{registry.PeerMessage{Content: message.Message}}})
 			}
 		})
 	}
@@ -363,7 +363,7 @@
 		w.tickets++
 		n := w.random.IntN(len(w.instances))
 		w.asked[w.tickets] = asked{at: w.now, endpoint: e, instance: n, state: told.State}
-		w.step(n, News{Registry: []registry.Input{registry.Heartbeat{Ticket: w.tickets, Endpoint: told}}})
+		w.step(n, News{Registry: []registry.Input{registry.Heartbeat{RequestID: w.tickets, Endpoint: told}}})
 	})
 }
 
@@ -387,5 +387,5 @@
 	w.tickets++
 	n := w.random.IntN(len(w.instances))
 	w.asked[w.tickets] = asked{at: w.now, endpoint: e, instance: n, state: protocol.Gone}
-	w.step(n, News{Registry: []registry.Input{registry.Leave{Ticket: w.tickets, ID: e.id}}})
+	w.step(n, News{Registry: []registry.Input{registry.Deregister{RequestID: w.tickets, ID: e.id}}})
 }
--- a/internal/control/registry/beats.go
+++ b/internal/control/registry/beats.go
@@ -22,10 +22,10 @@
 	}
 	leaves := e.left || e.endpoint.State == protocol.Draining
 	if told.State == protocol.Draining && leaves {
-		r.await(now, in.Ticket, e)
+		r.await(now, in.RequestID, e)
 		return
 	}
-	r.acknowledge(in.Ticket, Acknowledge{Settled: true, Refused: r.isolated(now)})
+	r.acknowledge(in.RequestID, Reply{InForce: true, Rejected: r.isolated(now)})
 }
 
 // late says that something newer of the endpoint is known. The same sequence again is a repeated call, unless the
@@ -45,7 +45,7 @@
 }
 
 // leave takes in an endpoint's end.
-func (r *Registry) leave(now time.Time, in Leave) {
+func (r *Registry) leave(now time.Time, in Deregister) {
 	e := r.entries[in.ID]
 	if e == nil {
 		e = r.insert(in.ID)
@@ -54,7 +54,7 @@
 		r.markLeft(now, e)
 		r.tellPeers(now, e, urgentChange)
 	}
-	r.await(now, in.Ticket, e)
+	r.await(now, in.RequestID, e)
 }
 
 // markLeft is final: the endpoint's ID never comes back.
@@ -80,8 +80,8 @@
 	}
 }
 
-func (r *Registry) acknowledge(ticket uint64, answer Acknowledge) {
-	answer.Ticket = ticket
-	answer.Settled = answer.Settled && !answer.Refused
-	r.out.Acknowledge = append(r.out.Acknowledge, answer)
+func (r *Registry) acknowledge(ticket uint64, answer Reply) {
+	answer.RequestID = ticket
+	answer.InForce = answer.InForce && !answer.Rejected
+	r.out.Replies = append(r.out.Replies, answer)
 }
--- a/internal/control/registry/farewell_test.go
+++ b/internal/control/registry/farewell_test.go
@@ -18,7 +18,7 @@
 func (x *table) untilAnswered(most time.Duration) time.Duration {
 	x.t.Helper()
 	start := x.now
-	for len(x.out.Acknowledge) == 0 {
+	for len(x.out.Replies) == 0 {
 		if x.now.Sub(start) > most {
 			x.t.Fatalf("not answered after %v", most)
 		}
@@ -34,10 +34,10 @@
 		x.beat(beat("e", 1, protocol.Ready))
 		x.parted = x.now.Add(-time.Nanosecond)
 		asked := x.now
-		if out := say(x, 2); len(out.Acknowledge) != 0 {
+		if out := say(x, 2); len(out.Replies) != 0 {
 			t.Fatalf("%s: acknowledged with a contact from before the call", name)
 		}
-		if wait := x.out.WakeAt.Sub(x.now); wait > contactEvery || x.out.Relaxed {
+		if wait := x.out.WakeAt.Sub(x.now); wait > contactEvery || x.out.WakeDeferrable {
 			t.Errorf("%s: the contact is looked for after %v", name, wait)
 		}
 		x.wait(200 * time.Millisecond)
@@ -60,11 +60,11 @@
 		x.parted = x.now.Add(-time.Millisecond)
 		say(x, 2)
 		took := x.untilAnswered(2 * time.Second)
-		if !x.out.Acknowledge[0].Refused || x.out.Acknowledge[0].Settled || took != ContactWithin {
-			t.Errorf("%s: %+v after %v", name, x.out.Acknowledge[0], took)
+		if !x.out.Replies[0].Rejected || x.out.Replies[0].InForce || took != QuorumConfirmTimeout {
+			t.Errorf("%s: %+v after %v", name, x.out.Replies[0], took)
 		}
 		x.parted = time.Time{}
-		if x.step(); len(x.out.Acknowledge) != 0 {
+		if x.step(); len(x.out.Replies) != 0 {
 			t.Errorf("%s: answered twice", name)
 		}
 	}
@@ -76,8 +76,8 @@
 	x.step(Peers{Reachable: []string{"mute"}})
 	x.parted = x.now.Add(-time.Millisecond)
 	x.leave("e")
-	if took := x.untilAnswered(2 * time.Second); took != ContactWithin || !x.out.Acknowledge[0].Refused {
-		t.Errorf("%+v after %v", x.out.Acknowledge, took)
+	if took := x.untilAnswered(2 * time.Second); took != QuorumConfirmTimeout || !x.out.Replies[0].Rejected {
+		t.Errorf("%+v after %v", x.out.Replies, took)
 	}
 }
 
@@ -89,27 +89,27 @@
 	x.leave("e")
 	x.wait(100 * time.Millisecond)
 	x.parted = time.Time{}
-	if took := x.untilAnswered(time.Second); took < SettleWithin-100*time.Millisecond || x.out.Acknowledge[0].Settled {
-		t.Errorf("%+v after %v", x.out.Acknowledge, took)
+	if took := x.untilAnswered(time.Second); took < DrainAckTimeout-100*time.Millisecond || x.out.Replies[0].InForce {
+		t.Errorf("%+v after %v", x.out.Replies, took)
 	}
 }
 
 func TestInstanceWithoutContactRefusesAtOnceAndNotes(t *testing.T) {
 	x := newTable(t)
-	x.parted = x.now.Add(-IsolatedAfter - time.Nanosecond)
+	x.parted = x.now.Add(-QuorumContactTTL - time.Nanosecond)
 	for _, out := range []Output{x.beat(beat("e", 1, protocol.Ready)), x.beat(beat("e", 2, protocol.Draining))} {
-		if len(out.Acknowledge) != 1 || !out.Acknowledge[0].Refused || out.Acknowledge[0].Settled {
+		if len(out.Replies) != 1 || !out.Replies[0].Rejected || out.Replies[0].InForce {
 			t.Errorf("%+v", out)
 		}
 	}
 	x.want("e", protocol.Draining)
-	x.parted = x.now.Add(-IsolatedAfter)
+	x.parted = x.now.Add(-QuorumContactTTL)
 	if out := x.beat(beat("f", 1, protocol.Ready)); !acknowledged(out) {
 		t.Errorf("with a contact of late: %+v", out)
 	}
 	never := New(x.settings, begin)
-	out := never.Step(begin.Add(time.Minute), Heartbeat{Ticket: 1, Endpoint: beat("e", 1, protocol.Ready)})
-	if !out.Acknowledge[0].Refused {
+	out := never.Step(begin.Add(time.Minute), Heartbeat{RequestID: 1, Endpoint: beat("e", 1, protocol.Ready)})
+	if !out.Replies[0].Rejected {
 		t.Errorf("without any contact ever: %+v", out)
 	}
 }
@@ -117,10 +117,10 @@
 // TestWaitEndsWithTheContact: an instance that becomes isolated while a call waits lets it ask elsewhere.
 func TestWaitEndsWithTheContact(t *testing.T) {
 	x := newTable(t)
-	x.parted = x.now.Add(-IsolatedAfter + 100*time.Millisecond)
+	x.parted = x.now.Add(-QuorumContactTTL + 100*time.Millisecond)
 	x.leave("e")
-	if took := x.untilAnswered(2 * time.Second); took > 150*time.Millisecond || !x.out.Acknowledge[0].Refused {
-		t.Errorf("%+v after %v", x.out.Acknowledge, took)
+	if took := x.untilAnswered(2 * time.Second); took > 150*time.Millisecond || !x.out.Replies[0].Rejected {
+		t.Errorf("%+v after %v", x.out.Replies, took)
 	}
 }
 
@@ -129,7 +129,7 @@
 	x := newTable(t)
 	x.step(Peers{Reachable: []string{"other"}}, RoutersConfirmed{Revision: x.Revision()})
 	out := x.leave("stranger")
-	if len(out.Acknowledge) != 0 {
+	if len(out.Replies) != 0 {
 		t.Fatal("acknowledged before routers have it")
 	}
 	if len(out.Changed) != 1 || out.Changed[0].ID != "stranger" || out.Changed[0].State != protocol.Gone || !out.Urgent {
@@ -146,7 +146,7 @@
 	other := newTable(t)
 	other.beat(beat("stranger", 1, protocol.Ready)) // it called there
 	delta.Origin = protocol.Origin{Address: "self of the first", Incarnation: 9}
-	there := other.step(Message{Content: delta})
+	there := other.step(PeerMessage{Content: delta})
 	if len(there.Changed) != 1 || there.Changed[0].State != protocol.Gone {
 		t.Errorf("routers of the other instance are told %+v", there.Changed)
 	}
@@ -188,13 +188,13 @@
 	x.step(RoutersConfirmed{Revision: x.Revision()})
 	x.leave("e")
 	for _, out := range []Output{x.leave("e"), x.beat(beat("e", 2, protocol.Draining))} {
-		if len(out.Acknowledge) != 0 {
+		if len(out.Replies) != 0 {
 			t.Fatalf("acknowledged before routers have it: %+v", out)
 		}
 	}
 	out := x.step(RoutersConfirmed{Revision: x.Revision()})
-	if len(out.Acknowledge) != 3 || !out.Acknowledge[2].Settled {
-		t.Errorf("%+v", out.Acknowledge)
+	if len(out.Replies) != 3 || !out.Replies[2].InForce {
+		t.Errorf("%+v", out.Replies)
 	}
 	x.want("e", protocol.Gone)
 }
@@ -207,7 +207,7 @@
 			t.Fatalf("%s: %+v", name, x.out)
 		}
 		x.parted = x.now.Add(-time.Millisecond)
-		if out := say(x, 3); len(out.Acknowledge) != 0 {
+		if out := say(x, 3); len(out.Replies) != 0 {
 			t.Errorf("%s again, without contact: %+v", name, out)
 		}
 	}
--- a/internal/control/registry/golden_test.go
+++ b/internal/control/registry/golden_test.go
@@ -80,7 +80,7 @@
 
 func (h *goldenHistory) start(i int) {
 	origin := protocol.Origin{Address: goldenAddress(i), Incarnation: h.incarnations[i]}
-	h.registries[i] = New(Settings{Origin: origin, Heartbeat: heartbeatEvery}, h.now)
+	h.registries[i] = New(Config{Origin: origin, Heartbeat: heartbeatEvery}, h.now)
 }
 
 func (h *goldenHistory) hashValue(value any) {
@@ -101,28 +101,28 @@
 	if h.routersLag[i] {
 		confirmed /= 2
 	}
-	inputs = append([]Input{Contact{ConfirmedAt: h.contacts[i]}}, inputs...)
+	inputs = append([]Input{QuorumContact{ConfirmedAt: h.contacts[i]}}, inputs...)
 	inputs = append(inputs, RoutersConfirmed{Revision: confirmed})
 	out := h.registries[i].Step(h.now, inputs...)
 	h.steps++
 	h.revisions[i] = out.Revision
 	h.changed += len(out.Changed)
-	h.hashText(fmt.Sprint(i, h.now.UnixNano(), out.Urgent, out.Revision, out.RouterCount, out.Whole,
-		out.WakeAt.UnixNano(), out.Relaxed))
+	h.hashText(fmt.Sprint(i, h.now.UnixNano(), out.Urgent, out.Revision, out.RouterCount, out.Complete,
+		out.WakeAt.UnixNano(), out.WakeDeferrable))
 	h.hashValue(out.Changed)
-	for _, reply := range out.Acknowledge {
+	for _, reply := range out.Replies {
 		h.replies++
-		if reply.Refused {
+		if reply.Rejected {
 			h.rejected++
 		}
-		h.hashText(fmt.Sprint(reply.Ticket, reply.Settled, reply.Refused))
+		h.hashText(fmt.Sprint(reply.RequestID, reply.InForce, reply.Rejected))
 	}
 	for _, send := range out.Send {
 		h.deliver(i, send)
 	}
 	if h.one(50) {
 		h.hashValue(h.registries[i].Endpoints(h.now))
-		h.hashValue(h.registries[i].EndpointsAndGone(h.now))
+		h.hashValue(h.registries[i].EndpointsAndTombstones(h.now))
 	}
 }
 
@@ -194,7 +194,7 @@
 	due := slices.DeleteFunc(slices.Clone(h.inFlight), func(m goldenMessage) bool { return !arrived(m) })
 	h.inFlight = slices.DeleteFunc(h.inFlight, arrived)
 	for _, message := range due {
-		h.step(message.to, Message{Content: message.content})
+		h.step(message.to, PeerMessage{Content: message.content})
 	}
 }
 
@@ -239,10 +239,10 @@
 	switch kind := h.random.IntN(40); {
 	case kind < 22:
 		h.requests++
-		h.step(i, Heartbeat{Ticket: h.requests, Endpoint: h.heartbeatOf(id)})
+		h.step(i, Heartbeat{RequestID: h.requests, Endpoint: h.heartbeatOf(id)})
 	case kind < 24:
 		h.requests++
-		h.step(i, Leave{Ticket: h.requests, ID: id})
+		h.step(i, Deregister{RequestID: h.requests, ID: id})
 	case kind < 27:
 		h.step(i, RouterReport{Unreachable: []string{id}, Reached: []string{h.endpointID()}})
 	case kind < 29:
@@ -251,7 +251,7 @@
 		routers := []uint32{uint32(h.random.IntN(4)), uint32(4 + h.random.IntN(4))}
 		h.step(i, Routers{Connected: routers[:h.random.IntN(3)]})
 	case kind < 33:
-		h.step(i, OwnLoading{Table: h.loadingOf(id)})
+		h.step(i, LocalLoading{Table: h.loadingOf(id)})
 	case kind == 33 && h.one(12):
 		h.incarnations[i] += 10
 		h.start(i)
--- a/internal/control/registry/registry.go
+++ b/internal/control/registry/registry.go
@@ -23,11 +23,11 @@
 const (
 	// SettleWithin bounds the wait of a draining endpoint for its acknowledgement: it asks another instance
 	// after a second.
-	SettleWithin = 600 * time.Millisecond
+	DrainAckTimeout = 600 * time.Millisecond
 	// ContactWithin bounds its wait for contact with a majority: without one, it is to ask another instance.
-	ContactWithin = 800 * time.Millisecond
+	QuorumConfirmTimeout = 800 * time.Millisecond
 	// IsolatedAfter is how long an instance believes in its newest contact with a majority.
-	IsolatedAfter = time.Second
+	QuorumContactTTL = time.Second
 
 	wholeBeats       = 2                      // every living endpoint has called somewhere by then
 	loadingEvery     = 5 * time.Second        // the orders under way are told again
@@ -54,15 +54,15 @@
 	exchangeInterval = 2 * time.Second      // between full exchanges with one instance
 )
 
-// Settings are fixed at the start of the process.
-type Settings struct {
+// Config are fixed at the start of the process.
+type Config struct {
 	Origin    protocol.Origin // of this instance
 	Heartbeat time.Duration   // between an endpoint's heartbeats
 }
 
 // Registry is the table of one instance. It is not safe for concurrent use.
 type Registry struct {
-	settings Settings
+	settings Config
 	started  time.Time
 	lastTick time.Time
 	nextTick time.Time
@@ -100,7 +100,7 @@
 }
 
 // New returns an empty registry.
-func New(settings Settings, now time.Time) *Registry {
+func New(settings Config, now time.Time) *Registry {
 	return &Registry{
 		settings:  settings,
 		started:   now,
@@ -128,18 +128,18 @@
 
 // Heartbeat: an endpoint called here. The ticket names the call in Acknowledge.
 type Heartbeat struct {
-	Ticket   uint64
-	Endpoint protocol.Endpoint
+	RequestID uint64
+	Endpoint  protocol.Endpoint
 }
 
 // Leave: an endpoint said here that it ends.
-type Leave struct {
-	Ticket uint64
-	ID     string
+type Deregister struct {
+	RequestID uint64
+	ID        string
 }
 
 // Message: another instance sent a registry message, as a pointer.
-type Message struct{ Content any }
+type PeerMessage struct{ Content any }
 
 // Peers: the other instances that can be reached now, by the addresses of their transports.
 type Peers struct{ Reachable []string }
@@ -147,7 +147,7 @@
 // Contact: the newest moment at which this instance had contact with a majority of the voters; zero: there was none.
 // An instance without one of late notes what endpoints say, but does not acknowledge it, so that they ask where it
 // takes effect.
-type Contact struct{ ConfirmedAt time.Time }
+type QuorumContact struct{ ConfirmedAt time.Time }
 
 // Routers: the routers connected here, by NameHash, sorted.
 type Routers struct{ Connected []uint32 }
@@ -159,23 +159,23 @@
 type RouterReport struct{ Unreachable, Reached []string }
 
 // OwnLoading: the placer of this instance has a new table of orders under way.
-type OwnLoading struct{ Table protocol.LoadingTable }
+type LocalLoading struct{ Table protocol.LoadingTable }
 
 func (Heartbeat) input()        {}
-func (Leave) input()            {}
-func (Message) input()          {}
+func (Deregister) input()       {}
+func (PeerMessage) input()      {}
 func (Peers) input()            {}
-func (Contact) input()          {}
+func (QuorumContact) input()    {}
 func (Routers) input()          {}
 func (RoutersConfirmed) input() {}
 func (RouterReport) input()     {}
-func (OwnLoading) input()       {}
+func (LocalLoading) input()     {}
 
-// Acknowledge answers a heartbeat or leave.
-type Acknowledge struct {
-	Ticket  uint64
-	Settled bool // in force at every connected router; false: the time was up
-	Refused bool // this instance has no contact with a majority: the endpoint is to ask another
+// Reply answers a heartbeat or leave.
+type Reply struct {
+	RequestID uint64
+	InForce   bool // in force at every connected router; false: the time was up
+	Rejected  bool // this instance has no contact with a majority: the endpoint is to ask another
 }
 
 // Send is a message for another instance.
@@ -186,15 +186,15 @@
 
 // Output is what the host carries out.
 type Output struct {
-	Acknowledge []Acknowledge
-	Send        []Send
-	Changed     []protocol.Endpoint // for the routers: added, changed, or Gone
-	Urgent      bool                // Changed must not wait for others
-	Revision    uint64              // of Changed; routers' confirmations come back with it
-	RouterCount int                 // routers of all instances; 0 while unknown
-	Whole       bool                // the table lacks nothing that the others know
-	WakeAt      time.Time           // Step again then at the latest
-	Relaxed     bool                // WakeAt may be late by a quarter of a second: nobody waits for it
+	Replies        []Reply
+	Send           []Send
+	Changed        []protocol.Endpoint // for the routers: added, changed, or Gone
+	Urgent         bool                // Changed must not wait for others
+	Revision       uint64              // of Changed; routers' confirmations come back with it
+	RouterCount    int                 // routers of all instances; 0 while unknown
+	Complete       bool                // the table lacks nothing that the others know
+	WakeAt         time.Time           // Step again then at the latest
+	WakeDeferrable bool                // WakeAt may be late by a quarter of a second: nobody waits for it
 }
 
 // Step takes in what happened.
@@ -215,10 +215,10 @@
 		r.flush(now)
 	}
 	r.out.Revision = r.revision
-	r.out.Whole = r.whole
+	r.out.Complete = r.whole
 	r.out.RouterCount = r.routerCount()
 	r.out.WakeAt = r.wakeAt()
-	r.out.Relaxed = r.out.WakeAt.Equal(r.nextTick)
+	r.out.WakeDeferrable = r.out.WakeAt.Equal(r.nextTick)
 	r.lastStep = now
 	return r.out
 }
@@ -227,13 +227,13 @@
 	switch in := in.(type) {
 	case Heartbeat:
 		r.heartbeat(now, in)
-	case Leave:
+	case Deregister:
 		r.leave(now, in)
-	case Message:
+	case PeerMessage:
 		r.message(now, in.Content)
 	case Peers:
 		r.setPeers(now, in)
-	case Contact:
+	case QuorumContact:
 		r.takeContact(now, in)
 	case Routers:
 		r.routers.own = in.Connected
@@ -245,7 +245,7 @@
 		r.floor = in.Revision
 	case RouterReport:
 		r.routerReport(now, in)
-	case OwnLoading:
+	case LocalLoading:
 		r.ownLoading(now, in.Table)
 	}
 }
@@ -291,8 +291,8 @@
 	return r.cached
 }
 
-// EndpointsAndGone returns the same with those that are gone and not forgotten yet.
-func (r *Registry) EndpointsAndGone(now time.Time) []protocol.Endpoint {
+// EndpointsAndTombstones returns the same with those that are gone and not forgotten yet.
+func (r *Registry) EndpointsAndTombstones(now time.Time) []protocol.Endpoint {
 	return r.views(now, func(*entry) bool { return true })
 }
 
--- a/internal/control/registry/registry_test.go
+++ b/internal/control/registry/registry_test.go
@@ -25,7 +25,7 @@
 // newTable returns a registry that is old enough to judge, without other instances or routers.
 func newTable(t *testing.T) *table {
 	t.Helper()
-	settings := Settings{Origin: protocol.Origin{Address: "self", Incarnation: 1}, Heartbeat: heartbeatEvery}
+	settings := Config{Origin: protocol.Origin{Address: "self", Incarnation: 1}, Heartbeat: heartbeatEvery}
 	made := &table{t: t, Registry: New(settings, begin), now: begin}
 	made.wait(5 * time.Second)
 	return made
@@ -44,7 +44,7 @@
 }
 
 func (x *table) step(inputs ...Input) Output {
-	x.out = x.Step(x.now, append([]Input{Contact{ConfirmedAt: x.contactAt()}}, inputs...)...)
+	x.out = x.Step(x.now, append([]Input{QuorumContact{ConfirmedAt: x.contactAt()}}, inputs...)...)
 	return x.out
 }
 
@@ -62,12 +62,12 @@
 
 func (x *table) beat(endpoint protocol.Endpoint) Output {
 	x.ticket++
-	return x.step(Heartbeat{Ticket: x.ticket, Endpoint: endpoint})
+	return x.step(Heartbeat{RequestID: x.ticket, Endpoint: endpoint})
 }
 
 func (x *table) leave(id string) Output {
 	x.ticket++
-	return x.step(Leave{Ticket: x.ticket, ID: id})
+	return x.step(Deregister{RequestID: x.ticket, ID: id})
 }
 
 func (x *table) want(id string, state protocol.EndpointState) {
@@ -85,7 +85,7 @@
 	}
 }
 
-func acknowledged(out Output) bool { return len(out.Acknowledge) == 1 && out.Acknowledge[0].Settled }
+func acknowledged(out Output) bool { return len(out.Replies) == 1 && out.Replies[0].InForce }
 
 func TestLateHeartbeatChangesNothing(t *testing.T) {
 	x := newTable(t)
@@ -180,7 +180,7 @@
 	x.beat(beat("e", 1, protocol.Ready))
 	x.step(Peers{Reachable: []string{"other"}}, RoutersConfirmed{Revision: x.Revision()})
 	out := x.beat(beat("e", 2, protocol.Draining))
-	if len(out.Acknowledge) != 0 {
+	if len(out.Replies) != 0 {
 		t.Fatal("acknowledged at once")
 	}
 	var delta *protocol.RegistryDelta
@@ -192,14 +192,14 @@
 	if delta == nil || !delta.Settle || len(delta.Records) != 1 {
 		t.Fatalf("sent %+v", out.Send)
 	}
-	if out = x.step(RoutersConfirmed{Revision: out.Revision}); len(out.Acknowledge) != 0 {
+	if out = x.step(RoutersConfirmed{Revision: out.Revision}); len(out.Replies) != 0 {
 		t.Fatal("acknowledged without the other instance")
 	}
 	confirm := &protocol.RegistryConfirm{
 		Origin: protocol.Origin{Address: "other", Incarnation: 2}, For: 1,
 		InForce: []uint64{delta.Sequence},
 	}
-	if out = x.step(Message{Content: confirm}); !acknowledged(out) {
+	if out = x.step(PeerMessage{Content: confirm}); !acknowledged(out) {
 		t.Fatalf("%+v", out)
 	}
 	if out = x.beat(beat("e", 3, protocol.Draining)); !acknowledged(out) {
@@ -212,15 +212,15 @@
 	x.step(Peers{Reachable: []string{"slow"}})
 	start := x.now
 	x.beat(beat("e", 1, protocol.Draining))
-	x.step(Message{Content: &protocol.RegistryConfirm{ // it has the record, its routers don't
+	x.step(PeerMessage{Content: &protocol.RegistryConfirm{ // it has the record, its routers don't
 		Origin: protocol.Origin{Address: "slow", Incarnation: 2}, For: 1, Received: []uint64{x.peers["slow"].sequence}}})
-	for len(x.out.Acknowledge) == 0 {
+	for len(x.out.Replies) == 0 {
 		x.wait(10 * time.Millisecond)
 	}
-	if took := x.now.Sub(start); took < SettleWithin || took > SettleWithin+20*time.Millisecond {
+	if took := x.now.Sub(start); took < DrainAckTimeout || took > DrainAckTimeout+20*time.Millisecond {
 		t.Errorf("acknowledged after %v", took)
 	}
-	if x.out.Acknowledge[0].Settled {
+	if x.out.Replies[0].InForce {
 		t.Error("settled without the other instance")
 	}
 }
@@ -232,20 +232,20 @@
 		x.step(Peers{Reachable: []string{"other", "third"}})
 		say(x, 1)
 		took := x.untilAnswered(2 * time.Second)
-		if took != ContactWithin || !x.out.Acknowledge[0].Refused {
-			t.Errorf("%s: %+v after %v", name, x.out.Acknowledge, took)
+		if took != QuorumConfirmTimeout || !x.out.Replies[0].Rejected {
+			t.Errorf("%s: %+v after %v", name, x.out.Replies, took)
 		}
 	}
 }
 
 func TestIsolatedOrYoungInstanceRefusesFarewells(t *testing.T) {
 	x := newTable(t)
-	x.parted = x.now.Add(-IsolatedAfter - time.Millisecond)
+	x.parted = x.now.Add(-QuorumContactTTL - time.Millisecond)
 	for _, out := range []Output{
 		x.beat(beat("e", 1, protocol.Ready)), x.beat(beat("e", 2, protocol.Draining)),
 		x.leave("e"),
 	} {
-		if len(out.Acknowledge) != 1 || !out.Acknowledge[0].Refused {
+		if len(out.Replies) != 1 || !out.Replies[0].Rejected {
 			t.Errorf("%+v", out)
 		}
 	}
@@ -254,7 +254,7 @@
 	if out := young.beat(beat("e", 1, protocol.Ready)); !acknowledged(out) {
 		t.Errorf("ready at a young instance: %+v", out)
 	}
-	if out := young.beat(beat("e", 2, protocol.Draining)); !out.Acknowledge[0].Refused {
+	if out := young.beat(beat("e", 2, protocol.Draining)); !out.Replies[0].Rejected {
 		t.Errorf("draining at a young instance: %+v", out)
 	}
 }
@@ -312,17 +312,17 @@
 		}
 		return made
 	}
-	x.step(Message{Content: table(3, 1, "m")})
+	x.step(PeerMessage{Content: table(3, 1, "m")})
 	x.now = x.now.Add(2 * time.Second)
 	shown := x.Endpoints(x.now)[0].Loading
 	if len(shown) != 1 || shown[0].Model != "m" || shown[0].Within != 3*time.Second {
 		t.Errorf("%+v", shown)
 	}
-	x.step(Message{Content: table(2, 9, "old")})
+	x.step(PeerMessage{Content: table(2, 9, "old")})
 	if shown := x.Endpoints(x.now)[0].Loading; shown[0].Model != "m" {
 		t.Errorf("an earlier holder's: %+v", shown)
 	}
-	if out := x.step(Message{Content: table(3, 2)}); len(out.Changed) != 1 || len(out.Changed[0].Loading) != 0 {
+	if out := x.step(PeerMessage{Content: table(3, 2)}); len(out.Changed) != 1 || len(out.Changed[0].Loading) != 0 {
 		t.Errorf("when it is done: %+v", out.Changed)
 	}
 }
@@ -337,7 +337,7 @@
 	if len(out.Changed) != 1 || out.Changed[0].State != protocol.Gone || out.Changed[0].Sequence <= heardElsewhere {
 		t.Errorf("routers are told %+v", out.Changed)
 	}
-	for _, shown := range x.EndpointsAndGone(x.now) {
+	for _, shown := range x.EndpointsAndTombstones(x.now) {
 		if shown.ID == "e" && shown.Sequence <= heardElsewhere {
 			t.Errorf("a router that subscribes is told %+v", shown)
 		}
@@ -349,7 +349,7 @@
 func TestEndpointThatIsUnknownHereAndSilentThereStaysAway(t *testing.T) {
 	x := newTable(t)
 	tell := func(id string, age time.Duration) {
-		x.step(Message{Content: &protocol.RegistryDelta{
+		x.step(PeerMessage{Content: &protocol.RegistryDelta{
 			Origin:  protocol.Origin{Address: "other", Incarnation: 1},
 			Records: []protocol.Record{{Endpoint: beat(id, 1, protocol.Ready), Age: age}},
 		}})
--- a/internal/control/registry/rejoin.go
+++ b/internal/control/registry/rejoin.go
@@ -10,13 +10,13 @@
 
 // takeContact notes the newest contact with a majority. There is none yet in a new epoch: what was proved in one before
 // holds on.
-func (r *Registry) takeContact(now time.Time, in Contact) {
+func (r *Registry) takeContact(now time.Time, in QuorumContact) {
 	former := later(r.contact, r.started)
 	wasIsolated := r.isolated(now)
 	if !in.ConfirmedAt.IsZero() {
 		r.contact = in.ConfirmedAt
 	}
-	if now.Sub(former) <= IsolatedAfter || !wasIsolated || r.isolated(now) {
+	if now.Sub(former) <= QuorumContactTTL || !wasIsolated || r.isolated(now) {
 		return
 	}
 	r.rejoinedAt = now
--- a/internal/control/registry/rejoin_test.go
+++ b/internal/control/registry/rejoin_test.go
@@ -20,14 +20,14 @@
 }
 
 func (x *table) shows(id string) bool {
-	return slices.ContainsFunc(x.EndpointsAndGone(x.now), func(e protocol.Endpoint) bool {
+	return slices.ContainsFunc(x.EndpointsAndTombstones(x.now), func(e protocol.Endpoint) bool {
 		return e.ID == id && e.State != protocol.Gone
 	})
 }
 
 // tells says whether another instance that knows nothing would be told of an endpoint.
 func (x *table) tells(id string) bool {
-	out := x.step(Message{Content: &protocol.RegistrySummary{
+	out := x.step(PeerMessage{Content: &protocol.RegistrySummary{
 		Origin: protocol.Origin{Address: "other", Incarnation: 1}, Answer: true,
 	}})
 	for _, sent := range out.Send {
@@ -75,7 +75,7 @@
 	x.beat(beat("e", 1, protocol.Ready))
 	x.apart(6 * time.Second)
 	x.parted = time.Time{}
-	x.step(Message{Content: &protocol.RegistryDigest{
+	x.step(PeerMessage{Content: &protocol.RegistryDigest{
 		Origin: protocol.Origin{Address: "other", Incarnation: 1}, Alive: []uint32{NameHash("e")},
 	}})
 	if !x.shows("e") {
@@ -99,7 +99,7 @@
 // TestNewEpochIsNoLossOfContact: there is no proof in it yet.
 func TestNewEpochIsNoLossOfContact(t *testing.T) {
 	x := newTable(t)
-	out := x.Step(x.now, Contact{}, Heartbeat{Ticket: 77, Endpoint: beat("e", 1, protocol.Ready)})
+	out := x.Step(x.now, QuorumContact{}, Heartbeat{RequestID: 77, Endpoint: beat("e", 1, protocol.Ready)})
 	if !acknowledged(out) {
 		t.Errorf("%+v", out)
 	}
@@ -107,7 +107,7 @@
 
 // TestTableIsWholeInTime: routers wait for it, so it does not wait for the next tick.
 func TestTableIsWholeInTime(t *testing.T) {
-	settings := Settings{Origin: protocol.Origin{Address: "self", Incarnation: 1}, Heartbeat: heartbeatEvery}
+	settings := Config{Origin: protocol.Origin{Address: "self", Incarnation: 1}, Heartbeat: heartbeatEvery}
 	x := &table{t: t, Registry: New(settings, begin), now: begin}
 	x.step()
 	for !x.whole {
@@ -181,7 +181,7 @@
 }
 
 func (x *table) tellsWhole() bool {
-	out := x.step(Message{Content: &protocol.RegistrySummary{Origin: protocol.Origin{Address: "other", Incarnation: 1}}})
+	out := x.step(PeerMessage{Content: &protocol.RegistrySummary{Origin: protocol.Origin{Address: "other", Incarnation: 1}}})
 	return slices.ContainsFunc(out.Send, func(sent Send) bool {
 		delta, isDelta := sent.Message.(*protocol.RegistryDelta)
 		return isDelta && delta.Whole
@@ -209,10 +209,10 @@
 
 // TestFirstContactThatComesLateLeavesAStaleTableToo: a process may start while it is cut off, and hear endpoints.
 func TestFirstContactThatComesLateLeavesAStaleTableToo(t *testing.T) {
-	settings := Settings{Origin: protocol.Origin{Address: "self", Incarnation: 1}, Heartbeat: heartbeatEvery}
+	settings := Config{Origin: protocol.Origin{Address: "self", Incarnation: 1}, Heartbeat: heartbeatEvery}
 	x := &table{t: t, Registry: New(settings, begin), now: begin}
-	step := func(inputs ...Input) { x.Step(x.now, append([]Input{Contact{}}, inputs...)...) }
-	step(Heartbeat{Ticket: 1, Endpoint: beat("e", 1, protocol.Ready)})
+	step := func(inputs ...Input) { x.Step(x.now, append([]Input{QuorumContact{}}, inputs...)...) }
+	step(Heartbeat{RequestID: 1, Endpoint: beat("e", 1, protocol.Ready)})
 	for range 6 {
 		x.now = x.now.Add(time.Second)
 		step()
--- a/internal/control/registry/settle.go
+++ b/internal/control/registry/settle.go
@@ -19,7 +19,7 @@
 }
 
 // until is when the wait for routers and other instances ends.
-func (p *pending) until() time.Time { return p.asked.Add(SettleWithin) }
+func (p *pending) until() time.Time { return p.asked.Add(DrainAckTimeout) }
 
 // owed is a delta whose sender waits until it is in force at the routers connected here.
 type owed struct {
@@ -32,7 +32,7 @@
 // await keeps the call until the endpoint's state is in force everywhere, or the time is up.
 func (r *Registry) await(now time.Time, ticket uint64, e *entry) {
 	if r.unfit(now) {
-		r.acknowledge(ticket, Acknowledge{Refused: true})
+		r.acknowledge(ticket, Reply{Rejected: true})
 		return
 	}
 	p := &pending{
@@ -56,7 +56,7 @@
 
 // isolated says whether this instance has had no contact with a majority of the voters for some time, or never.
 func (r *Registry) isolated(now time.Time) bool {
-	return r.contact.IsZero() || now.Sub(r.contact) > IsolatedAfter
+	return r.contact.IsZero() || now.Sub(r.contact) > QuorumContactTTL
 }
 
 // unfit says that this instance can't know who has to be told of an endpoint's end: it has no contact with a
@@ -70,23 +70,23 @@
 		settled := r.inForce(p)
 		switch {
 		case r.isolated(now):
-			r.answer(p, Acknowledge{Refused: true})
+			r.answer(p, Reply{Rejected: true})
 		case !settled && now.Before(p.until()):
 			r.askOnceMore(now, p)
 		case !r.contact.Before(p.asked) && (settled || r.receivedByMost(p)):
-			r.answer(p, Acknowledge{Settled: settled})
-		case now.Before(p.asked.Add(ContactWithin)):
-			p.wakeAt = earlier(now.Add(contactEvery), p.asked.Add(ContactWithin))
+			r.answer(p, Reply{InForce: settled})
+		case now.Before(p.asked.Add(QuorumConfirmTimeout)):
+			p.wakeAt = earlier(now.Add(contactEvery), p.asked.Add(QuorumConfirmTimeout))
 		default:
-			r.answer(p, Acknowledge{Refused: true})
+			r.answer(p, Reply{Rejected: true})
 		}
 	}
 }
 
 // answer ends the wait of a call.
-func (r *Registry) answer(p *pending, answer Acknowledge) {
+func (r *Registry) answer(p *pending, answer Reply) {
 	delete(r.pending, p.ticket)
-	if e := r.entries[p.id]; e != nil && answer.Settled {
+	if e := r.entries[p.id]; e != nil && answer.InForce {
 		e.settled = true
 	}
 	r.acknowledge(p.ticket, answer)
@@ -161,7 +161,7 @@
 // owe notes that the sender of a delta waits for this instance's routers.
 func (r *Registry) owe(now time.Time, to string, sequence uint64) {
 	// Changes of this step get the next revision; those without a change are in force by an earlier one.
-	r.owed = append(r.owed, owed{to: to, sequence: sequence, revision: r.revision + 1, until: now.Add(SettleWithin)})
+	r.owed = append(r.owed, owed{to: to, sequence: sequence, revision: r.revision + 1, until: now.Add(DrainAckTimeout)})
 }
 
 // payOwed confirms the deltas that are in force at all routers connected here.
--- a/internal/control/registry/size_test.go
+++ b/internal/control/registry/size_test.go
@@ -15,20 +15,20 @@
 // atSize is the table of one of 15 instances with 2,900 endpoints, of which it hears its part.
 func atSize() (*Registry, time.Time, []protocol.Endpoint) {
 	now := time.Unix(0, 0)
-	r := New(Settings{Origin: origin(0), Heartbeat: sizetest.Heartbeat}, now)
+	r := New(Config{Origin: origin(0), Heartbeat: sizetest.Heartbeat}, now)
 	var others []string
 	for i := 1; i < sizetest.Instances; i++ {
 		others = append(others, instanceAddress(i))
-		r.Step(now, Message{Content: &protocol.RegistryDigest{Origin: origin(i)}})
+		r.Step(now, PeerMessage{Content: &protocol.RegistryDigest{Origin: origin(i)}})
 	}
 	r.Step(now, Peers{Reachable: others})
 	table := sizetest.Table()
 	for i := range table {
 		if i < perInstance {
-			r.Step(now, Heartbeat{Ticket: uint64(i), Endpoint: table[i]})
+			r.Step(now, Heartbeat{RequestID: uint64(i), Endpoint: table[i]})
 			continue
 		}
-		r.Step(now, Message{Content: &protocol.RegistryDelta{
+		r.Step(now, PeerMessage{Content: &protocol.RegistryDelta{
 			Origin:  origin(1 + i%(sizetest.Instances-1)),
 			Records: []protocol.Record{{Endpoint: table[i]}},
 		}})
@@ -46,7 +46,7 @@
 		}
 		for i := 1; i < sizetest.Instances; i++ {
 			if send.To == instanceAddress(i) {
-				r.Step(now, Message{Content: &protocol.RegistryConfirm{
+				r.Step(now, PeerMessage{Content: &protocol.RegistryConfirm{
 					Origin: origin(i),
 					For:    r.settings.Origin.Incarnation, Received: []uint64{delta.Sequence},
 				}})
@@ -91,11 +91,11 @@
 			now = now.Add(time.Second / time.Duration(beats))
 			e := table[beat%perInstance]
 			e.Sequence = uint64(beat)
-			count(r.Step(now, Heartbeat{Ticket: uint64(beat), Endpoint: e}))
+			count(r.Step(now, Heartbeat{RequestID: uint64(beat), Endpoint: e}))
 		}
 		for i := 1; i < sizetest.Instances; i++ {
 			digest := &protocol.RegistryDigest{Origin: origin(i), Alive: alive[i], Table: r.tableHash()}
-			count(r.Step(now, Message{Content: digest}))
+			count(r.Step(now, PeerMessage{Content: digest}))
 		}
 	}
 	b.ReportMetric(float64(bytes)/float64(b.N), "B-sent/s")
@@ -112,7 +112,7 @@
 		e := table[sequence%perInstance]
 		e.Sequence = sequence
 		e.Models = []protocol.HeldModel{{Name: sizetest.ModelName(int(sequence % sizetest.Models)), Generation: 1}}
-		r.Step(now, Heartbeat{Ticket: sequence, Endpoint: e})
+		r.Step(now, Heartbeat{RequestID: sequence, Endpoint: e})
 		confirmDeltas(r, r.Step(now.Add(ordinaryChange)), now)
 	}
 }
--- a/internal/systemsim/desk.go
+++ b/internal/systemsim/desk.go
@@ -27,7 +27,7 @@
 	connections map[*stream]distribution.ConnectionID
 	byID        map[distribution.ConnectionID]*stream
 	nextID      distribution.ConnectionID
-	tickets     map[uint64]func(registry.Acknowledge)
+	tickets     map[uint64]func(registry.Reply)
 	nextTicket  uint64
 	barrier     bool
 	due         time.Duration
@@ -43,10 +43,10 @@
 func newDesk(i *instance) desk {
 	return desk{
 		owner:       i,
-		desk:        host.NewDesk(registry.Settings{Origin: i.origin(), Heartbeat: heartbeatEvery}, i.clock()),
+		desk:        host.NewDesk(registry.Config{Origin: i.origin(), Heartbeat: heartbeatEvery}, i.clock()),
 		connections: make(map[*stream]distribution.ConnectionID),
 		byID:        make(map[distribution.ConnectionID]*stream),
-		tickets:     make(map[uint64]func(registry.Acknowledge)),
+		tickets:     make(map[uint64]func(registry.Reply)),
 	}
 }
 
@@ -101,8 +101,8 @@
 		s.endOf(&d.owner.process).close()
 	}
 	for _, answer := range orders.Acknowledge {
-		if waiting := d.tickets[answer.Ticket]; waiting != nil {
-			delete(d.tickets, answer.Ticket)
+		if waiting := d.tickets[answer.RequestID]; waiting != nil {
+			delete(d.tickets, answer.RequestID)
 			waiting(answer)
 		}
 	}
@@ -148,7 +148,7 @@
 	case *protocol.Report:
 		return
 	default:
-		d.news.Registry = append(d.news.Registry, registry.Message{Content: message})
+		d.news.Registry = append(d.news.Registry, registry.PeerMessage{Content: message})
 	}
 	d.soon()
 }
@@ -185,18 +185,18 @@
 
 // heartbeat and leave are endpoints' calls.
 func (d *desk) heartbeat(told protocol.Endpoint, answer func(bool)) {
-	d.news.Registry = append(d.news.Registry, registry.Heartbeat{Ticket: d.ticket(answer), Endpoint: told})
+	d.news.Registry = append(d.news.Registry, registry.Heartbeat{RequestID: d.ticket(answer), Endpoint: told})
 	d.soon()
 }
 
 func (d *desk) leave(id string, answer func(bool)) {
-	d.news.Registry = append(d.news.Registry, registry.Leave{Ticket: d.ticket(answer), ID: id})
+	d.news.Registry = append(d.news.Registry, registry.Deregister{RequestID: d.ticket(answer), ID: id})
 	d.soon()
 }
 
 func (d *desk) ticket(answer func(bool)) uint64 {
 	d.nextTicket++
-	d.tickets[d.nextTicket] = func(a registry.Acknowledge) { answer(!a.Refused) }
+	d.tickets[d.nextTicket] = func(a registry.Reply) { answer(!a.Rejected) }
 	return d.nextTicket
 }
 
@@ -222,7 +222,7 @@
 	if d.owner.world.Mutant == StampFresh {
 		contact.ConfirmedAt = d.owner.clock()
 	}
-	forDrains := registry.Contact{ConfirmedAt: contact.ConfirmedAt}
+	forDrains := registry.QuorumContact{ConfirmedAt: contact.ConfirmedAt}
 	if d.owner.world.Mutant == DrainWithoutContact {
 		forDrains.ConfirmedAt = d.owner.clock()
 	}
