--- a/coordination/chain/change.go
+++ b/coordination/chain/change.go
@@ -25,7 +25,7 @@
 // runChange drives the decision of the next view: the head when something about the members should change, any
 // other voter when the head is silent or an attempt was left unfinished.
 func (n *Node) runChange(now time.Duration) {
-	if n.view.Epoch == 0 || n.refusing || !n.view.Votes(n.self.Identity) {
+	if n.view.Epoch == 0 || n.refusing || !n.view.IsVoter(n.self.Identity) {
 		return
 	}
 	if n.change.proposer != nil {
@@ -42,13 +42,13 @@
 // runAttempt begins the second phase when enough voters have promised, or gives the attempt up.
 func (n *Node) runAttempt(now time.Duration) {
 	c := &n.change
-	if now-c.startedAt > n.timing.Attempt {
+	if now-c.startedAt > n.timing.ProposalTimeout {
 		c.proposer = nil
-		c.notBefore = now + n.jitter(n.timing.Retry)
+		c.notBefore = now + n.jitter(n.timing.RetryInterval)
 		n.wakeBy(c.notBefore)
 		return
 	}
-	n.wakeBy(c.startedAt + n.timing.Attempt + time.Millisecond)
+	n.wakeBy(c.startedAt + n.timing.ProposalTimeout + time.Millisecond)
 	if c.proposer.Value.Epoch > 0 || !c.proposer.Prepared() {
 		return
 	}
@@ -63,15 +63,15 @@
 // gathered tells whether no more promises are worth waiting for.
 func (n *Node) gathered(now time.Duration) bool {
 	c := &n.change
-	if c.proposer.Promises() == len(n.view.Voters) {
+	if c.proposer.PromiseCount() == len(n.view.Voters) {
 		return true
 	}
-	patience := n.timing.Gather
+	patience := n.timing.PromiseWindow
 	if n.isHead() {
 		patience = gatherLive
 		waits := slices.ContainsFunc(n.view.Voters, func(voter view.Member) bool {
 			p := n.find(voter.Identity)
-			return p != nil && n.live(now, p) && !p.pong.Refusing && !c.proposer.HasPromise(voter.Identity)
+			return p != nil && n.live(now, p) && !p.pong.DiskFailing && !c.proposer.HasPromiseFrom(voter.Identity)
 		})
 		if !waits {
 			return true
@@ -98,22 +98,22 @@
 	c := &n.change
 	if !n.wedged() && !n.headSuspected(now) {
 		c.troubleSince = 0
-		n.wakeBy(n.watch.headHeard + n.timing.Suspect + time.Millisecond)
-		n.wakeBy(n.watch.echoAt + n.timing.Suspect + 2*n.timing.Ping + time.Millisecond)
+		n.wakeBy(n.watch.headHeard + n.timing.SuspectTimeout + time.Millisecond)
+		n.wakeBy(n.watch.echoAt + n.timing.SuspectTimeout + 2*n.timing.HeartbeatInterval + time.Millisecond)
 		return
 	}
 	if c.troubleSince == 0 {
 		c.troubleSince = now
 		c.notBefore = now + n.turn()
 		if n.wedged() {
-			c.notBefore += n.timing.Retry
+			c.notBefore += n.timing.RetryInterval
 		}
 	}
 	if now < c.notBefore {
 		n.wakeBy(c.notBefore)
 		return
 	}
-	c.notBefore = now + n.timing.Retry + n.turn()
+	c.notBefore = now + n.timing.RetryInterval + n.turn()
 	n.wakeBy(c.notBefore)
 	n.startPoll(now)
 }
@@ -132,7 +132,7 @@
 	case !n.inChain():
 		turn = len(n.view.Chain)
 	}
-	return time.Duration(turn)*n.timing.Rank + n.jitter(n.timing.Rank/2)
+	return time.Duration(turn)*n.timing.RankBackoff + n.jitter(n.timing.RankBackoff/2)
 }
 
 func (n *Node) jitter(bound time.Duration) time.Duration {
@@ -144,14 +144,14 @@
 	c.poll = n.random.Uint64() | 1
 	c.supporters = []string{n.self.Identity}
 	for _, voter := range n.view.Voters {
-		n.send(n.best(voter), Message{Poll: &Poll{Number: c.poll}})
+		n.send(n.best(voter), Message{PreVote: &PreVote{RequestID: c.poll}})
 	}
 	n.countSupport(now)
 }
 
 // onPoll supports an attempt when this voter misses the head too, or an attempt was left unfinished.
-func (n *Node) onPoll(now time.Duration, address, from string, poll Poll) {
-	if !n.view.Votes(n.self.Identity) || n.refusing {
+func (n *Node) onPoll(now time.Duration, address, from string, poll PreVote) {
+	if !n.view.IsVoter(n.self.Identity) || n.refusing {
 		return
 	}
 	support := n.wedged() || from == n.view.Head().Identity
@@ -159,16 +159,16 @@
 	case n.isHead():
 		support = support || !n.majorityLive(now)
 	default:
-		support = support || n.headSilent(now, n.timing.Agree)
+		support = support || n.headSilent(now, n.timing.PreVoteTimeout)
 	}
 	if support {
-		n.sendTo(address, Message{To: from, PollReply: &PollReply{Number: poll.Number}})
+		n.sendTo(address, Message{To: from, PreVoteReply: &PreVoteReply{RequestID: poll.RequestID}})
 	}
 }
 
-func (n *Node) onPollReply(now time.Duration, from string, reply PollReply) {
+func (n *Node) onPollReply(now time.Duration, from string, reply PreVoteReply) {
 	c := &n.change
-	if reply.Number != c.poll || c.proposer != nil || slices.Contains(c.supporters, from) || !n.view.Votes(from) {
+	if reply.RequestID != c.poll || c.proposer != nil || slices.Contains(c.supporters, from) || !n.view.IsVoter(from) {
 		return
 	}
 	c.supporters = append(c.supporters, from)
@@ -191,32 +191,32 @@
 		c.round = max(c.round, n.acceptor.Promised.Round)
 	}
 	c.round++
-	ballot := view.Ballot{Round: c.round, Identity: n.self.Identity}
-	c.proposer = &view.Proposer{Current: n.view, Ballot: ballot}
+	ballot := view.ProposalNumber{Round: c.round, Proposer: n.self.Identity}
+	c.proposer = &view.Proposer{Current: n.view, Number: ballot}
 	c.startedAt, c.preparedAt = now, 0
-	n.wakeBy(now + n.timing.Attempt + time.Millisecond)
+	n.wakeBy(now + n.timing.ProposalTimeout + time.Millisecond)
 	if promise, ok := n.promise(ballot); ok {
-		c.proposer.Promised(promise)
+		c.proposer.AddPromise(promise)
 	}
 	for _, voter := range n.view.Voters {
-		n.send(n.best(voter), Message{Prepare: &Prepare{View: n.view, Ballot: ballot}})
+		n.send(n.best(voter), Message{Prepare: &Prepare{View: n.view, Number: ballot}})
 	}
 	n.runAttempt(now)
 }
 
 // promise has the own acceptor answer a ballot for the next epoch.
-func (n *Node) promise(ballot view.Ballot) (view.Promise, bool) {
+func (n *Node) promise(ballot view.ProposalNumber) (view.Promise, bool) {
 	next := n.view.Epoch + 1
 	before := n.acceptor
 	if !n.acceptor.Prepare(next, ballot) {
-		return view.Promise{Ballot: ballot, Promised: before.Promised}, false
+		return view.Promise{Number: ballot, Promised: before.Promised}, false
 	}
 	acceptor := n.acceptor
 	n.persist(record{Acceptor: &acceptor})
 	return view.Promise{
-		Ballot: ballot, Given: true, Accepted: acceptor.Accepted, Value: acceptor.Value,
+		Number: ballot, Granted: true, Accepted: acceptor.Accepted, Value: acceptor.Value,
 		Report: view.Report{
-			Member: n.self, Active: n.active, Last: n.log.last(), LastEpoch: n.log.lastEpoch(), Leaving: n.leaving,
+			Member: n.self, CompleteEpoch: n.active, LastIndex: n.log.last(), LastEpoch: n.log.lastEpoch(), Leaving: n.leaving,
 		},
 	}, true
 }
@@ -233,13 +233,13 @@
 		}
 		n.enter(now, m.View, false)
 	}
-	if !n.view.Votes(n.self.Identity) || n.refusing {
+	if !n.view.IsVoter(n.self.Identity) || n.refusing {
 		return
 	}
-	promise, ok := n.promise(m.Ballot)
-	if ok && n.change.proposer != nil && n.change.proposer.Ballot.Before(m.Ballot) {
+	promise, ok := n.promise(m.Number)
+	if ok && n.change.proposer != nil && n.change.proposer.Number.Before(m.Number) {
 		n.change.proposer = nil
-		n.change.notBefore = now + n.timing.Attempt/2 + n.jitter(n.timing.Retry)
+		n.change.notBefore = now + n.timing.ProposalTimeout/2 + n.jitter(n.timing.RetryInterval)
 	}
 	n.sendTo(address, Message{To: from, Promise: &promise})
 }
@@ -247,41 +247,41 @@
 // onPromise counts a voter's promise, or learns of a ballot that is ahead.
 func (n *Node) onPromise(now time.Duration, promise view.Promise) {
 	c := &n.change
-	if c.proposer == nil || promise.Ballot != c.proposer.Ballot {
+	if c.proposer == nil || promise.Number != c.proposer.Number {
 		return
 	}
-	if !promise.Given {
+	if !promise.Granted {
 		c.round = max(c.round, promise.Promised.Round)
 		c.proposer = nil
-		c.notBefore = now + n.jitter(n.timing.Retry)
+		c.notBefore = now + n.jitter(n.timing.RetryInterval)
 		return
 	}
 	if c.proposer.Value.Epoch == 0 {
-		c.proposer.Promised(promise)
+		c.proposer.AddPromise(promise)
 	}
 }
 
 // propose sends the value: one that may be decided already, else the plan.
 func (n *Node) propose(now time.Duration) {
 	c := &n.change
-	value, bound := c.proposer.Bound()
+	value, bound := c.proposer.RequiredValue()
 	if !bound {
 		value = n.filled(view.Plan(n.view, c.proposer.Reports(), n.wish(now)))
-		if n.config.Mutation.AnyHead {
+		if n.config.Mutation.HeadIgnoresLog {
 			slices.Reverse(value.Chain)
 		}
 	}
 	c.proposer.Value = value
-	ballot := c.proposer.Ballot
+	ballot := c.proposer.Number
 	for _, voter := range n.view.Voters {
-		n.send(n.best(voter), Message{Accept: &Accept{Ballot: ballot, Value: value}})
+		n.send(n.best(voter), Message{Accept: &Accept{Number: ballot, Value: value}})
 	}
 	if n.accept(ballot, value) {
-		n.onAccepted(now, n.self.Identity, Accepted{Ballot: ballot})
+		n.onAccepted(now, n.self.Identity, Accepted{Number: ballot})
 	}
 }
 
-func (n *Node) accept(ballot view.Ballot, value view.View) bool {
+func (n *Node) accept(ballot view.ProposalNumber, value view.View) bool {
 	if value.Epoch != n.view.Epoch+1 || !n.acceptor.Accept(ballot, value, n.config.Mutation) {
 		return false
 	}
@@ -291,36 +291,36 @@
 }
 
 func (n *Node) onAccept(now time.Duration, address, from string, m Accept) {
-	if !n.view.Votes(n.self.Identity) || n.refusing || !n.accept(m.Ballot, m.Value) {
+	if !n.view.IsVoter(n.self.Identity) || n.refusing || !n.accept(m.Number, m.Value) {
 		return
 	}
-	if n.change.proposer != nil && n.change.proposer.Ballot.Before(m.Ballot) {
+	if n.change.proposer != nil && n.change.proposer.Number.Before(m.Number) {
 		n.change.proposer = nil
 	}
-	n.sendTo(address, Message{To: from, Accepted: &Accepted{Ballot: m.Ballot}})
+	n.sendTo(address, Message{To: from, Accepted: &Accepted{Number: m.Number}})
 }
 
 // onAccepted decides the view once a majority holds it, enters it and tells everybody.
 func (n *Node) onAccepted(now time.Duration, from string, m Accepted) {
 	c := &n.change
-	if c.proposer == nil || c.proposer.Ballot != m.Ballot || c.proposer.Value.Epoch == 0 || !c.proposer.Accepted(from) {
+	if c.proposer == nil || c.proposer.Number != m.Number || c.proposer.Value.Epoch == 0 || !c.proposer.AddAcceptance(from) {
 		return
 	}
-	decided := Decided{View: c.proposer.Value, Clean: n.clean(now)}
+	decided := ViewDecision{View: c.proposer.Value, PriorLeasesExpired: n.clean(now)}
 	proposer := c.proposer
-	n.enter(now, decided.View, decided.Clean)
+	n.enter(now, decided.View, decided.PriorLeasesExpired)
 	for _, voter := range proposer.Current.Voters { // who did not promise counts as silent until it is heard
-		if p := n.find(voter.Identity); p != nil && !proposer.HasPromise(voter.Identity) {
-			p.heardAt = min(p.heardAt, now-n.timing.Suspect-time.Millisecond)
+		if p := n.find(voter.Identity); p != nil && !proposer.HasPromiseFrom(voter.Identity) {
+			p.heardAt = min(p.heardAt, now-n.timing.SuspectTimeout-time.Millisecond)
 		}
 	}
 	for _, p := range n.peers {
-		n.send(p.member, Message{Decided: &decided})
+		n.send(p.member, Message{ViewDecision: &decided})
 	}
 }
 
 // clean tells whether no leader of an earlier epoch can still believe in its lease: the head of the epoch that
 // ends has promised, and so has dropped its own.
 func (n *Node) clean(now time.Duration) bool {
-	return n.change.proposer.HasPromise(n.view.Head().Identity) && now >= n.watch.previousMayAct
+	return n.change.proposer.HasPromiseFrom(n.view.Head().Identity) && now >= n.watch.previousMayAct
 }
--- a/coordination/chain/contact.go
+++ b/coordination/chain/contact.go
@@ -53,7 +53,7 @@
 
 // beginContact forgets all proofs, in a new epoch or life or after the node has fallen back to its disk.
 func (n *Node) beginContact() {
-	if n.config.Mutation.ProofKept {
+	if n.config.Mutation.ProofOutlivesEpoch {
 		n.contact = contact{waiting: n.contact.waiting, held: n.contact.held}
 	} else {
 		n.contact = contact{}
@@ -72,7 +72,7 @@
 func (n *Node) runContact(now time.Duration) {
 	if n.proves() && n.view.Majority() == 1 { // nobody has to answer
 		n.mark(now)
-		n.wakeBy(now + n.timing.Ping)
+		n.wakeBy(now + n.timing.HeartbeatInterval)
 	}
 	before := n.contact.held
 	n.contact.hold(n.proved(now))
@@ -116,31 +116,31 @@
 }
 
 // onProof takes in what a ping tells of the head's proof, and notes the ping's receipt.
-func (n *Node) onProof(now time.Duration, ping Ping) {
+func (n *Node) onProof(now time.Duration, ping Heartbeat) {
 	c := &n.contact
-	if ping.Life != c.headLife {
-		c.headLife = ping.Life
+	if ping.Incarnation != c.headLife {
+		c.headLife = ping.Incarnation
 		n.renumberContact()
 	}
-	at, known := c.moment(ping, n.timing.Suspect)
+	at, known := c.moment(ping, n.timing.SuspectTimeout)
 	if n.config.Mutation.ProofAtReceipt {
-		at, known = now-(ping.Sent-ping.Proof), ping.Proof > 0
+		at, known = now-(ping.SentAt-ping.ProofAt), ping.ProofAt > 0
 	}
 	if known {
 		c.await(proof{at: at, index: ping.ProofIndex})
 	}
-	c.receive(receipt{sent: ping.Sent, at: now})
+	c.receive(receipt{sent: ping.SentAt, at: now})
 }
 
 // moment returns a time on the own clock that isn't after the moment of the head's proof. An echo places no proof that
 // is younger than it by more than the patience.
-func (c *contact) moment(ping Ping, patience time.Duration) (time.Duration, bool) {
-	if ping.Proof == 0 || ping.EchoNumber != c.number || ping.Proof-ping.EchoAt > patience {
+func (c *contact) moment(ping Heartbeat, patience time.Duration) (time.Duration, bool) {
+	if ping.ProofAt == 0 || ping.EchoGeneration != c.number || ping.ProofAt-ping.EchoReceivedAt > patience {
 		return 0, false
 	}
 	for _, r := range c.receipts {
 		if r.sent == ping.Echo {
-			since := ping.EchoAt - ping.Proof
+			since := ping.EchoReceivedAt - ping.ProofAt
 			at := r.at - since - max(since, -since)/driftShare
 			return at, at > 0
 		}
--- a/coordination/chain/contact_test.go
+++ b/coordination/chain/contact_test.go
@@ -27,17 +27,17 @@
 }
 
 // ping delivers a ping at a time of the head's clock and returns the answer.
-func (f *follower) ping(at time.Duration, ping Ping) Pong {
-	ping.Life = testLife
-	out := f.Receive(at+testShift, f.head.Address, Message{From: f.head.Identity, Epoch: f.view.Epoch, Ping: &ping})
+func (f *follower) ping(at time.Duration, ping Heartbeat) HeartbeatReply {
+	ping.Incarnation = testLife
+	out := f.Receive(at+testShift, f.head.Address, Message{From: f.head.Identity, Epoch: f.view.Epoch, Heartbeat: &ping})
 	f.Persisted()
 	f.TakeCommitted()
 	for _, envelope := range out.Messages {
-		if envelope.Message.Pong != nil {
-			return *envelope.Message.Pong
+		if envelope.Message.HeartbeatReply != nil {
+			return *envelope.Message.HeartbeatReply
 		}
 	}
-	return Pong{}
+	return HeartbeatReply{}
 }
 
 // confirmedAt is the follower's proof on the head's clock.
@@ -54,11 +54,11 @@
 	for _, late := range []time.Duration{0, time.Second, 20 * time.Second} {
 		f := newFollower(t)
 		sent := time.Minute
-		pong := f.ping(sent+testHop, Ping{Sent: sent})
+		pong := f.ping(sent+testHop, Heartbeat{SentAt: sent})
 		if got := f.confirmedAt(sent + testHop); got != 0 {
 			t.Errorf("%v is proved before the first proof", got)
 		}
-		told := Ping{Sent: sent + time.Second, Echo: sent, EchoAt: sent + 2*testHop, EchoNumber: pong.Contact, Proof: sent}
+		told := Heartbeat{SentAt: sent + time.Second, Echo: sent, EchoReceivedAt: sent + 2*testHop, EchoGeneration: pong.ReceiptGeneration, ProofAt: sent}
 		f.ping(sent+time.Second+testHop+late, told)
 		got := f.confirmedAt(sent + time.Second + testHop + late)
 		if got > sent || got < sent-2*testHop {
@@ -71,8 +71,8 @@
 // nothing: its second receipt lies behind the answer to the first.
 func TestPingThatComesTwicePlacesNothing(t *testing.T) {
 	sent := time.Minute
-	first := Ping{Sent: sent}
-	told := Ping{Sent: sent + 150*time.Millisecond, Echo: sent, EchoAt: sent + 2*testHop, Proof: sent}
+	first := Heartbeat{SentAt: sent}
+	told := Heartbeat{SentAt: sent + 150*time.Millisecond, Echo: sent, EchoReceivedAt: sent + 2*testHop, ProofAt: sent}
 	for name, disturb := range map[string]func(f *follower) *follower{
 		"nothing": func(f *follower) *follower { return f },
 		"restart": func(*follower) *follower {
@@ -82,24 +82,24 @@
 			return next
 		},
 		"disk": func(f *follower) *follower {
-			f.Refused(sent + testShift)
-			f.Restored(sent + testShift)
+			f.PersistFailed(sent + testShift)
+			f.DiskRecovered(sent + testShift)
 			f.matched = true
 			return f
 		},
 		"life of head": func(f *follower) *follower {
-			f.onProof(sent+testShift, Ping{Life: testLife + 1})
+			f.onProof(sent+testShift, Heartbeat{Incarnation: testLife + 1})
 			return f
 		},
 		"newer receipts": func(f *follower) *follower {
 			for i := range time.Duration(2 * contactRoom) {
-				f.ping(sent+2*testHop+i, Ping{Sent: sent + 1 + i})
+				f.ping(sent+2*testHop+i, Heartbeat{SentAt: sent + 1 + i})
 			}
 			return f
 		},
 	} {
 		f := newFollower(t)
-		told.EchoNumber = f.ping(sent+testHop, first).Contact
+		told.EchoGeneration = f.ping(sent+testHop, first).ReceiptGeneration
 		f = disturb(f)
 		f.ping(sent+10*time.Second, first)
 		f.ping(sent+20*time.Second, told)
@@ -114,8 +114,8 @@
 	const old = 100 * time.Second
 	f := newFollower(t)
 	sent := time.Hour
-	number := f.ping(sent, Ping{Sent: sent}).Contact
-	told := Ping{Sent: sent + time.Second, Echo: sent, EchoAt: sent, EchoNumber: number, Proof: sent - old}
+	number := f.ping(sent, Heartbeat{SentAt: sent}).ReceiptGeneration
+	told := Heartbeat{SentAt: sent + time.Second, Echo: sent, EchoReceivedAt: sent, EchoGeneration: number, ProofAt: sent - old}
 	f.ping(sent+time.Second, told)
 	if got, least := f.confirmedAt(sent+time.Second), old/driftShare; got == 0 || got > sent-old-least {
 		t.Errorf("%v is proved by a proof of %v", got, sent-old)
@@ -126,8 +126,8 @@
 func TestProofLongAfterTheEchoIsNotPlaced(t *testing.T) {
 	f := newFollower(t)
 	sent := time.Minute
-	number := f.ping(sent+testHop, Ping{Sent: sent}).Contact
-	told := Ping{Sent: sent + 3*time.Second, Echo: sent, EchoAt: sent + 2*testHop, EchoNumber: number, Proof: sent + 2*time.Second}
+	number := f.ping(sent+testHop, Heartbeat{SentAt: sent}).ReceiptGeneration
+	told := Heartbeat{SentAt: sent + 3*time.Second, Echo: sent, EchoReceivedAt: sent + 2*testHop, EchoGeneration: number, ProofAt: sent + 2*time.Second}
 	f.ping(sent+3*time.Second, told)
 	if got := f.confirmedAt(sent + 3*time.Second); got != 0 {
 		t.Errorf("%v is proved by an echo of %v", got, sent)
@@ -140,11 +140,11 @@
 	f.matched = false
 	now := time.Minute
 	for range 40 {
-		f.ping(now, Ping{Sent: now, Echo: time.Second})
-		now += f.timing.Ping
+		f.ping(now, Heartbeat{SentAt: now, Echo: time.Second})
+		now += f.timing.HeartbeatInterval
 	}
 	before := f.feed.number
-	f.ping(now, Ping{Sent: now, Echo: now - time.Millisecond})
+	f.ping(now, Heartbeat{SentAt: now, Echo: now - time.Millisecond})
 	if f.feed.number != before+1 {
 		t.Errorf("%d questions when it is heard again", f.feed.number-before)
 	}
@@ -154,15 +154,15 @@
 func TestProofWaitsForItsIndex(t *testing.T) {
 	f := newFollower(t)
 	sent := time.Minute
-	number := f.ping(sent+testHop, Ping{Sent: sent}).Contact
-	f.ping(sent+time.Second, Ping{
-		Sent: sent + time.Second, Echo: sent, EchoAt: sent + 2*testHop, EchoNumber: number, Proof: sent, ProofIndex: 1,
+	number := f.ping(sent+testHop, Heartbeat{SentAt: sent}).ReceiptGeneration
+	f.ping(sent+time.Second, Heartbeat{
+		SentAt: sent + time.Second, Echo: sent, EchoReceivedAt: sent + 2*testHop, EchoGeneration: number, ProofAt: sent, ProofIndex: 1,
 	})
 	if got := f.confirmedAt(sent + time.Second); got != 0 {
 		t.Errorf("%v is proved without entry 1", got)
 	}
 	f.Receive(sent+testShift, f.head.Address, Message{From: f.head.Identity, Epoch: 1, Append: &Append{
-		Entries: []Entry{{Index: 1, Epoch: 1}}, Committed: 1,
+		Entries: []Entry{{Index: 1, Epoch: 1}}, CommitIndex: 1,
 	}})
 	f.Persisted()
 	f.TakeCommitted()
@@ -183,8 +183,8 @@
 
 func (h testHead) answer(now, sent time.Duration, promised uint64) {
 	from := h.View().Chain[1]
-	pong := Pong{Life: h.life, Sent: sent, Active: 1, Contact: 5, Promised: promised}
-	h.Receive(now, from.Address, Message{From: from.Identity, Epoch: 1, Pong: &pong})
+	pong := HeartbeatReply{Incarnation: h.life, HeartbeatSentAt: sent, CompleteEpoch: 1, ReceiptGeneration: 5, PromisedEpoch: promised}
+	h.Receive(now, from.Address, Message{From: from.Identity, Epoch: 1, HeartbeatReply: &pong})
 	h.Persisted()
 	h.TakeCommitted()
 }
--- a/coordination/chain/feed.go
+++ b/coordination/chain/feed.go
@@ -47,7 +47,7 @@
 // gets in its way.
 func (n *Node) fetchAgain() time.Duration {
 	const doublings = 3
-	return n.timing.Retry << min(max(n.feed.tries-1, 0), doublings)
+	return n.timing.RetryInterval << min(max(n.feed.tries-1, 0), doublings)
 }
 
 // mayTake tells whether the node can take entries in: a member of the chain only with a disk that writes.
@@ -69,7 +69,7 @@
 	if n.feed.lagging == 0 {
 		n.feed.lagging = now
 	}
-	return !n.inChain() || now-n.feed.lagging > n.timing.Ping
+	return !n.inChain() || now-n.feed.lagging > n.timing.HeartbeatInterval
 }
 
 func (n *Node) fetch(now time.Duration) {
@@ -77,9 +77,9 @@
 	n.feed.tries++
 	n.feed.askedAt = now
 	n.send(n.best(n.upstream()), Message{Fetch: &Fetch{
-		Number:    n.feed.number,
-		Committed: n.committed,
-		Ends:      n.log.ends(n.committed),
+		RequestID:   n.feed.number,
+		CommitIndex: n.committed,
+		EpochEnds:   n.log.ends(n.committed),
 	}})
 }
 
@@ -100,7 +100,7 @@
 // feeds tells whether the node is upstream of the identity. A member whose disk refuses passes nothing down the
 // chain: it may not hold what it has read.
 func (n *Node) feeds(identity string) bool {
-	if n.view.Place(identity) >= 0 {
+	if n.view.ChainIndex(identity) >= 0 {
 		return !n.refusing && n.successor().Identity == identity
 	}
 	return n.isHead()
@@ -109,8 +109,8 @@
 // answer sends what follows the newest entry that both logs hold, or the snapshot and what follows it. What may still be
 // on its way is not sent again: a second one would only get in its way.
 func (n *Node) answer(p *peer, f Fetch) {
-	common := n.log.common(f.Committed, f.Ends)
-	if n.underWay(p, common, f.Number) {
+	common := n.log.common(f.CommitIndex, f.EpochEnds)
+	if n.underWay(p, common, f.RequestID) {
 		return
 	}
 	asked, snapshot, bytes := common, common < n.log.base, 0
@@ -118,7 +118,7 @@
 		common, bytes = n.snapshot.Index, n.snapshotBytes
 	}
 	p.next = common + 1
-	bytes += n.push(p, f.Number, snapshot)
+	bytes += n.push(p, f.RequestID, snapshot)
 	p.backlog.common, p.backlog.until = asked, n.lastStep+arrival(bytes)
 }
 
@@ -159,7 +159,7 @@
 
 // limit is the newest entry that the peer is sent: a standby gets only what is committed.
 func (n *Node) limit(p *peer) uint64 {
-	if n.view.Place(p.member.Identity) >= 0 {
+	if n.view.ChainIndex(p.member.Identity) >= 0 {
 		return n.log.last()
 	}
 	return n.committed
@@ -167,7 +167,7 @@
 
 // push sends the peer the next entries, and returns how many bytes of commands they have.
 func (n *Node) push(p *peer, answer uint64, snapshot bool) (bytes int) {
-	a := Append{Answer: answer, Previous: p.next - 1, Committed: n.committed, Start: n.start}
+	a := Append{InReplyTo: answer, PreviousIndex: p.next - 1, CommitIndex: n.committed, EpochStartIndex: n.start}
 	if snapshot {
 		a.More = n.limit(p) >= p.next // by itself it is large enough
 	} else if n.limit(p) >= p.next && p.next > n.log.base {
@@ -180,7 +180,7 @@
 			a.Entries = append(a.Entries, entry)
 		}
 	}
-	if bytes > shortAnswer && p.backlog.common == a.Previous { // it has asked for this before there was anything
+	if bytes > shortAnswer && p.backlog.common == a.PreviousIndex { // it has asked for this before there was anything
 		p.backlog.until = n.lastStep + arrival(bytes)
 	}
 	p.next += uint64(len(a.Entries))
@@ -218,9 +218,9 @@
 		}
 	}
 	// Any question of this epoch will do: until one is answered the log does not change.
-	asked := a.Answer > n.feed.settled && a.Answer <= n.feed.number
-	if n.config.Mutation.NewestAnswer {
-		asked = a.Answer != 0 && a.Answer == n.feed.number
+	asked := a.InReplyTo > n.feed.settled && a.InReplyTo <= n.feed.number
+	if n.config.Mutation.NewestFetchOnly {
+		asked = a.InReplyTo != 0 && a.InReplyTo == n.feed.number
 	}
 	switch {
 	case asked:
@@ -229,9 +229,9 @@
 		if !n.adopt(a) {
 			return
 		}
-	case a.Answer != 0 || !n.matched:
+	case a.InReplyTo != 0 || !n.matched:
 		return
-	case a.Previous > n.log.last():
+	case a.PreviousIndex > n.log.last():
 		if n.feed.askedAt == 0 {
 			n.fetch(now)
 		}
@@ -239,7 +239,7 @@
 	}
 	n.noteTaken(now, asked, n.take(a))
 	n.becomeWhole(a)
-	n.learnCommitted(a.Committed)
+	n.learnCommitted(a.CommitIndex)
 	if a.More && asked {
 		n.fetch(now)
 	}
@@ -253,7 +253,7 @@
 	case grown && !asked:
 		n.feed.askedAt, n.feed.tries, n.feed.pause = 0, 0, 0
 	case asked && !grown:
-		n.feed.pause = now + n.timing.Retry
+		n.feed.pause = now + n.timing.RetryInterval
 	case grown:
 		n.feed.pause = 0
 	}
@@ -268,13 +268,13 @@
 	if n.matched {
 		return true
 	}
-	if a.Previous > n.log.last() || a.Previous < n.log.base {
+	if a.PreviousIndex > n.log.last() || a.PreviousIndex < n.log.base {
 		return false
 	}
-	if a.Previous < n.log.last() {
-		n.log.cut(a.Previous)
+	if a.PreviousIndex < n.log.last() {
+		n.log.cut(a.PreviousIndex)
 		if !n.refusing {
-			n.persist(record{Cut: &a.Previous})
+			n.persist(record{Cut: &a.PreviousIndex})
 		}
 	}
 	n.matched = true
@@ -299,8 +299,8 @@
 
 // becomeWhole notes that the log has reached the beginning of the epoch.
 func (n *Node) becomeWhole(a Append) {
-	n.start = max(n.start, a.Start)
-	if !n.inChain() || n.whole() || !n.matched || n.log.last() < a.Start {
+	n.start = max(n.start, a.EpochStartIndex)
+	if !n.inChain() || n.whole() || !n.matched || n.log.last() < a.EpochStartIndex {
 		return
 	}
 	n.active = n.view.Epoch
@@ -322,7 +322,7 @@
 // install replaces log and machine by a snapshot, where that reaches further than the log.
 func (n *Node) install(a Append) bool {
 	snapshot, err := DecodeSnapshot(a.Snapshot)
-	if err != nil || snapshot.Point.Index != a.Previous || n.refusing {
+	if err != nil || snapshot.Point.Index != a.PreviousIndex || n.refusing {
 		return false
 	}
 	if snapshot.Point.Index <= n.committed || (n.matched && snapshot.Point.Index <= n.log.last()) {
@@ -333,8 +333,8 @@
 	n.snapshot = snapshot.Point
 	n.committed = snapshot.Point.Index
 	n.applied = snapshot.Point.Index
-	n.recent = newRecent(snapshot.Recent)
-	n.out.Install = &Install{Snapshot: a.Snapshot}
+	n.recent = newRecent(snapshot.RecentCommands)
+	n.out.InstallSnapshot = &SnapshotInstall{Snapshot: a.Snapshot}
 	n.requests.lostBehind(n.life, n.recent)
 	return true
 }
@@ -358,7 +358,7 @@
 
 // commitHere commits at the tail: every member of the chain has synced what the tail is about to sync.
 func (n *Node) commitHere() {
-	last := n.isTail() || n.config.Mutation.AckAtFaults && n.successor() == n.view.Tail()
+	last := n.isTail() || n.config.Mutation.CommitShortChain && n.successor() == n.view.Tail()
 	if !last || !n.whole() || n.wedged() || !n.mayCommit() || n.refusing || n.committed >= n.log.last() {
 		return
 	}
--- a/coordination/chain/feed_test.go
+++ b/coordination/chain/feed_test.go
@@ -20,7 +20,7 @@
 // answersIn counts the answers to questions that a step gives.
 func answersIn(out Output) (answers int) {
 	for _, envelope := range out.Messages {
-		if a := envelope.Message.Append; a != nil && a.Answer != 0 {
+		if a := envelope.Message.Append; a != nil && a.InReplyTo != 0 {
 			answers++
 		}
 	}
@@ -47,7 +47,7 @@
 func (u upstream) ask(at time.Duration, number uint64) int {
 	u.t.Helper()
 	out := u.head.Receive(at, u.asks.Address,
-		Message{From: u.asks.Identity, Epoch: 1, Fetch: &Fetch{Number: number}})
+		Message{From: u.asks.Identity, Epoch: 1, Fetch: &Fetch{RequestID: number}})
 	u.head.Persisted()
 	return answersIn(out)
 }
@@ -120,7 +120,7 @@
 // ping tells of entries that the member lacks, some time later.
 func (f *lagging) ping() []Fetch {
 	f.at += 50 * time.Millisecond
-	return f.receive(Message{Ping: &Ping{Life: 1, Sent: f.at, Last: 5}})
+	return f.receive(Message{Heartbeat: &Heartbeat{Incarnation: 1, SentAt: f.at, LastIndex: 5}})
 }
 
 // answer has the member ask, and answers that there is nothing. It returns what is asked for at once.
@@ -128,7 +128,7 @@
 	f.t.Helper()
 	for until := f.at + time.Second; f.at < until; {
 		if asked := f.ping(); len(asked) > 0 {
-			return f.receive(Message{Append: &Append{Answer: asked[0].Number}})
+			return f.receive(Message{Append: &Append{InReplyTo: asked[0].RequestID}})
 		}
 	}
 	f.t.Fatal("the member does not ask for what it lacks")
@@ -144,10 +144,10 @@
 		t.Errorf("asks again at once: %+v", again)
 	}
 	answered := f.at
-	if n.Wake() > answered+n.timing.Retry {
-		t.Errorf("answered at %v, wakes at %v", answered, n.Wake())
+	if n.NextTick() > answered+n.timing.RetryInterval {
+		t.Errorf("answered at %v, wakes at %v", answered, n.NextTick())
 	}
-	for f.at < answered+n.timing.Retry-50*time.Millisecond {
+	for f.at < answered+n.timing.RetryInterval-50*time.Millisecond {
 		if again := f.ping(); len(again) > 0 {
 			t.Errorf("asks again after %v: %+v", f.at-answered, again)
 		}
--- a/coordination/chain/found.go
+++ b/coordination/chain/found.go
@@ -9,9 +9,9 @@
 // founderPrefix makes the identity of a founder, so that all founders compute the same first view.
 const founderPrefix = "founder@"
 
-// Found returns the state of a founder: the seeds are the first view. It tells false when the address is not
+// Bootstrap returns the state of a founder: the seeds are the first view. It tells false when the address is not
 // among the seeds. Only the very first start of a whole group may found, on an empty disk.
-func Found(self view.Member, seeds []string) (State, bool) {
+func Bootstrap(self view.Member, seeds []string) (State, bool) {
 	if !slices.Contains(seeds, self.Address) {
 		return State{}, false
 	}
@@ -26,13 +26,13 @@
 	self.Identity = founderPrefix + self.Address
 	state := State{Self: self, View: first}
 	if first.Head().Identity == self.Identity {
-		state.Active = first.Epoch
+		state.CompleteEpoch = first.Epoch
 	}
 	return state, true
 }
 
-// Join returns the state of a member that asks to be taken in. The identity must be new.
-func Join(self view.Member, identity string) State {
+// JoinAsLearner returns the state of a member that asks to be taken in. The identity must be new.
+func JoinAsLearner(self view.Member, identity string) State {
 	self.Identity = identity
 	return State{Self: self}
 }
--- a/coordination/chain/golden_test.go
+++ b/coordination/chain/golden_test.go
@@ -147,49 +147,49 @@
 func goldenMessages() []goldenValue {
 	return []goldenValue{
 		{"10", goldenMessage(Message{Hello: &Hello{Member: goldenMember("h")}})},
-		{"11", goldenMessage(Message{Ask: &Ask{}})},
-		{"12", goldenMessage(Message{Decided: &Decided{View: goldenView(401), Clean: true}})},
-		{"13", goldenMessage(Message{Ping: &Ping{
-			Life: 501, Sent: 502 * time.Millisecond, Echo: 503 * time.Millisecond, Committed: 504, Last: 505, Yield: true,
-			Version: 506, Members: []view.Member{goldenMember("p"), goldenMember("q")}, Live: []bool{true, false},
-			Copies: 507, EchoAt: 508 * time.Millisecond, EchoNumber: 509, Proof: 510 * time.Millisecond, ProofIndex: 511,
+		{"11", goldenMessage(Message{ViewRequest: &ViewRequest{}})},
+		{"12", goldenMessage(Message{ViewDecision: &ViewDecision{View: goldenView(401), PriorLeasesExpired: true}})},
+		{"13", goldenMessage(Message{Heartbeat: &Heartbeat{
+			Incarnation: 501, SentAt: 502 * time.Millisecond, Echo: 503 * time.Millisecond, CommitIndex: 504, LastIndex: 505, StepDown: true,
+			MembershipVersion: 506, Members: []view.Member{goldenMember("p"), goldenMember("q")}, Live: []bool{true, false},
+			DurableReplicas: 507, EchoReceivedAt: 508 * time.Millisecond, EchoGeneration: 509, ProofAt: 510 * time.Millisecond, ProofIndex: 511,
 		}})},
-		{"14", goldenMessage(Message{Pong: &Pong{
-			Life: 601, Sent: 602 * time.Millisecond, Committed: 603, Last: 604, Active: 605, Matched: true, Promised: 606,
-			Refusing: true, Leaving: true, Version: 607, Contact: 608,
+		{"14", goldenMessage(Message{HeartbeatReply: &HeartbeatReply{
+			Incarnation: 601, HeartbeatSentAt: 602 * time.Millisecond, CommitIndex: 603, LastIndex: 604, CompleteEpoch: 605, Matched: true, PromisedEpoch: 606,
+			DiskFailing: true, Leaving: true, MembershipVersion: 607, ReceiptGeneration: 608,
 		}})},
 		{"15", goldenMessage(Message{Fetch: &Fetch{
-			Number: 701, Committed: 702, Ends: []EpochEnd{{Epoch: 703, Last: 704}, {Epoch: 705, Last: 706}},
+			RequestID: 701, CommitIndex: 702, EpochEnds: []EpochEnd{{Epoch: 703, LastIndex: 704}, {Epoch: 705, LastIndex: 706}},
 		}})},
 		{"16", goldenMessage(Message{Append: &Append{
-			Answer: 801, Previous: 802,
+			InReplyTo: 801, PreviousIndex: 802,
 			Entries: []Entry{
 				{Index: 803, Epoch: 804, ID: CommandID{Proposer: 805, Number: 806}, Command: []byte("first")},
 				{Index: 807, Epoch: 808, ID: CommandID{Proposer: 809, Number: 810}, Command: []byte("second")},
 			},
-			Committed: 811, Start: 812, More: true, Snapshot: []byte("snapshot"),
+			CommitIndex: 811, EpochStartIndex: 812, More: true, Snapshot: []byte("snapshot"),
 		}})},
 		{"17", goldenMessage(Message{Commit: &Commit{Index: 901}})},
 		{"18", goldenMessage(Message{Forward: &Forward{
 			ID: CommandID{Proposer: 1001, Number: 1002}, Command: []byte("command"),
 		}})},
-		{"19", goldenMessage(Message{Barrier: &Barrier{Number: 1101, Asker: "asker", Address: "address"}})},
-		{"20", goldenMessage(Message{BarrierReply: &BarrierReply{Number: 1201, Index: 1202}})},
-		{"21", goldenMessage(Message{Poll: &Poll{Number: 1301}})},
-		{"22", goldenMessage(Message{PollReply: &PollReply{Number: 1401}})},
+		{"19", goldenMessage(Message{Barrier: &Barrier{RequestID: 1101, Requester: "asker", RequesterAddress: "address"}})},
+		{"20", goldenMessage(Message{BarrierReply: &BarrierReply{RequestID: 1201, Index: 1202}})},
+		{"21", goldenMessage(Message{PreVote: &PreVote{RequestID: 1301}})},
+		{"22", goldenMessage(Message{PreVoteReply: &PreVoteReply{RequestID: 1401}})},
 		{"23", goldenMessage(Message{Prepare: &Prepare{
-			View: goldenView(1501), Ballot: view.Ballot{Round: 1502, Identity: "proposer"},
+			View: goldenView(1501), Number: view.ProposalNumber{Round: 1502, Proposer: "proposer"},
 		}})},
 		{"24", goldenMessage(Message{Promise: &view.Promise{
-			Ballot: view.Ballot{Round: 1601, Identity: "asked"}, Given: true,
-			Promised: view.Ballot{Round: 1602, Identity: "promised"},
-			Accepted: view.Ballot{Round: 1603, Identity: "accepted"}, Value: goldenView(1604),
-			Report: view.Report{Member: goldenMember("r"), Active: 1605, Last: 1606, LastEpoch: 1607, Leaving: true},
+			Number: view.ProposalNumber{Round: 1601, Proposer: "asked"}, Granted: true,
+			Promised: view.ProposalNumber{Round: 1602, Proposer: "promised"},
+			Accepted: view.ProposalNumber{Round: 1603, Proposer: "accepted"}, Value: goldenView(1604),
+			Report: view.Report{Member: goldenMember("r"), CompleteEpoch: 1605, LastIndex: 1606, LastEpoch: 1607, Leaving: true},
 		}})},
 		{"25", goldenMessage(Message{Accept: &Accept{
-			Ballot: view.Ballot{Round: 1701, Identity: "proposer"}, Value: goldenView(1702),
+			Number: view.ProposalNumber{Round: 1701, Proposer: "proposer"}, Value: goldenView(1702),
 		}})},
-		{"26", goldenMessage(Message{Accepted: &Accepted{Ballot: view.Ballot{Round: 1801, Identity: "proposer"}}})},
+		{"26", goldenMessage(Message{Accepted: &Accepted{Number: view.ProposalNumber{Round: 1801, Proposer: "proposer"}}})},
 	}
 }
 
@@ -198,19 +198,19 @@
 	return []goldenValue{
 		{"0", &Message{}},
 		{"10", &Message{Hello: &Hello{}}},
-		{"11", &Message{Ask: &Ask{}}},
-		{"12", &Message{Decided: &Decided{}}},
-		{"13", &Message{Ping: &Ping{}}},
-		{"14", &Message{Pong: &Pong{}}},
+		{"11", &Message{ViewRequest: &ViewRequest{}}},
+		{"12", &Message{ViewDecision: &ViewDecision{}}},
+		{"13", &Message{Heartbeat: &Heartbeat{}}},
+		{"14", &Message{HeartbeatReply: &HeartbeatReply{}}},
 		{"15", &Message{Fetch: &Fetch{}}},
-		{"15", &Message{Fetch: &Fetch{Ends: []EpochEnd{{}}}}},
+		{"15", &Message{Fetch: &Fetch{EpochEnds: []EpochEnd{{}}}}},
 		{"16", &Message{Append: &Append{}}},
 		{"17", &Message{Commit: &Commit{}}},
 		{"18", &Message{Forward: &Forward{}}},
 		{"19", &Message{Barrier: &Barrier{}}},
 		{"20", &Message{BarrierReply: &BarrierReply{}}},
-		{"21", &Message{Poll: &Poll{}}},
-		{"22", &Message{PollReply: &PollReply{}}},
+		{"21", &Message{PreVote: &PreVote{}}},
+		{"22", &Message{PreVoteReply: &PreVoteReply{}}},
 		{"23", &Message{Prepare: &Prepare{}}},
 		{"24", &Message{Promise: &view.Promise{}}},
 		{"25", &Message{Accept: &Accept{}}},
@@ -254,8 +254,8 @@
 func goldenRecords() []goldenValue {
 	self, cut, v := goldenMember("s"), uint64(101), goldenView(102)
 	acceptor := view.Acceptor{
-		Epoch: 103, Promised: view.Ballot{Round: 104, Identity: "promised"},
-		Accepted: view.Ballot{Round: 105, Identity: "accepted"}, Value: goldenView(106),
+		Epoch: 103, Promised: view.ProposalNumber{Round: 104, Proposer: "promised"},
+		Accepted: view.ProposalNumber{Round: 105, Proposer: "accepted"}, Value: goldenView(106),
 	}
 	entry := Entry{Index: 108, Epoch: 109, ID: CommandID{Proposer: 110, Number: 111}, Command: []byte("command")}
 	known := []view.Member{goldenMember("k"), goldenMember("l")}
@@ -304,9 +304,9 @@
 // goldenSnapshot is a snapshot with all fields set.
 func goldenSnapshot() Snapshot {
 	return Snapshot{
-		Point:   SnapshotPoint{Index: 201, Epoch: 202},
-		Recent:  []CommandID{{Proposer: 203, Number: 204}, {Proposer: 205, Number: 206}},
-		Machine: []byte("machine"),
+		Point:          SnapshotPoint{Index: 201, Epoch: 202},
+		RecentCommands: []CommandID{{Proposer: 203, Number: 204}, {Proposer: 205, Number: 206}},
+		Machine:        []byte("machine"),
 	}
 }
 
@@ -333,10 +333,10 @@
 // goldenLog is a log as a member writes it: a checkpoint, entries, entries that are cut off and replaced, a new view.
 func goldenLog() []goldenValue {
 	self, old, newer, cut := goldenMember("a"), goldenView(5), goldenView(6), uint64(13)
-	first := view.Acceptor{Epoch: 5, Promised: view.Ballot{Round: 2, Identity: "identity-b"}}
+	first := view.Acceptor{Epoch: 5, Promised: view.ProposalNumber{Round: 2, Proposer: "identity-b"}}
 	second := view.Acceptor{
-		Epoch: 6, Promised: view.Ballot{Round: 4, Identity: "identity-c"},
-		Accepted: view.Ballot{Round: 3, Identity: "identity-a"}, Value: goldenView(6),
+		Epoch: 6, Promised: view.ProposalNumber{Round: 4, Proposer: "identity-c"},
+		Accepted: view.ProposalNumber{Round: 3, Proposer: "identity-a"}, Value: goldenView(6),
 	}
 	entry := func(index, epoch uint64, command string) *Entry {
 		e := goldenEntry(index, epoch, command)
@@ -367,23 +367,23 @@
 	return State{
 		Self: goldenMember("a"), View: goldenView(6),
 		Acceptor: view.Acceptor{
-			Epoch: 6, Promised: view.Ballot{Round: 4, Identity: "identity-c"},
-			Accepted: view.Ballot{Round: 3, Identity: "identity-a"}, Value: goldenView(6),
+			Epoch: 6, Promised: view.ProposalNumber{Round: 4, Proposer: "identity-c"},
+			Accepted: view.ProposalNumber{Round: 3, Proposer: "identity-a"}, Value: goldenView(6),
 		},
-		Active: 6, Committed: 13, Base: 10, BaseEpoch: 3,
+		CompleteEpoch: 6, CommitIndex: 13, BaseIndex: 10, BaseEpoch: 3,
 		Entries: []Entry{
 			goldenEntry(11, 3, "eleven"), goldenEntry(12, 4, "twelve"),
 			goldenEntry(13, 6, "thirteen"), goldenEntry(14, 6, "fourteen"),
 		},
-		Snapshot: SnapshotPoint{Index: 12, Epoch: 4},
-		Known:    []view.Member{goldenMember("b"), goldenMember("c")},
+		Snapshot:     SnapshotPoint{Index: 12, Epoch: 4},
+		KnownMembers: []view.Member{goldenMember("b"), goldenMember("c")},
 	}
 }
 
 // A member starts from the log of build 73ca247 with the same state, and its checkpoint is the same.
 func TestGoldenState(t *testing.T) {
 	checkGolden(t, "log.hex", goldenLog())
-	got, err := Load(goldenBodies(t, "log.hex"))
+	got, err := Restore(goldenBodies(t, "log.hex"))
 	if err != nil {
 		t.Fatalf("loading the golden log: %v", err)
 	}
@@ -394,7 +394,7 @@
 	if records := got.Records(); !reflect.DeepEqual(records, checkpoint) {
 		t.Errorf("checkpoint\ngot  %x\nwant %x", records, checkpoint)
 	}
-	again, err := Load(checkpoint)
+	again, err := Restore(checkpoint)
 	if err != nil || !reflect.DeepEqual(again, got) {
 		t.Errorf("got  %+v, %v\nwant %+v", again, err, got)
 	}
@@ -402,12 +402,12 @@
 
 // A member that goes on from the golden log writes what build 73ca247 would: a command as head, a promise as voter.
 func TestGoldenLogIsContinued(t *testing.T) {
-	state, err := Load(goldenBodies(t, "log.hex"))
+	state, err := Restore(goldenBodies(t, "log.hex"))
 	if err != nil {
 		t.Fatalf("loading the golden log: %v", err)
 	}
-	state.Recent = []CommandID{{Proposer: 1, Number: 2}}
-	n := New(time.Second, state, Config{Faults: 1, Random: 1})
+	state.RecentCommands = []CommandID{{Proposer: 1, Number: 2}}
+	n := New(time.Second, state, Config{FaultTolerance: 1, RandomSeed: 1})
 	var got [][]byte
 	step := func(from string, message Message) {
 		message.From, message.Epoch = goldenMember(from).Identity, 6
@@ -416,10 +416,10 @@
 		got = append(got, out.Records...)
 	}
 	step("b", Message{Forward: &Forward{ID: CommandID{Proposer: 21, Number: 22}, Command: []byte("fifteen")}})
-	step("c", Message{Prepare: &Prepare{View: goldenView(6), Ballot: view.Ballot{Round: 7, Identity: "identity-c"}}})
+	step("c", Message{Prepare: &Prepare{View: goldenView(6), Number: view.ProposalNumber{Round: 7, Proposer: "identity-c"}}})
 	accepted := goldenView(7)
-	step("c", Message{Accept: &Accept{Ballot: view.Ballot{Round: 7, Identity: "identity-c"}, Value: accepted}})
-	step("c", Message{Decided: &Decided{View: accepted}})
+	step("c", Message{Accept: &Accept{Number: view.ProposalNumber{Round: 7, Proposer: "identity-c"}, Value: accepted}})
+	step("c", Message{ViewDecision: &ViewDecision{View: accepted}})
 	if want := goldenBodies(t, "continued.hex"); !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %x\nwant %x", got, want)
 	}
@@ -432,14 +432,14 @@
 // A founder's first checkpoint is the same, with the identities that all founders compute.
 func TestGoldenFounder(t *testing.T) {
 	self := view.Member{Address: "10.0.0.2:1", Zone: "zone", Tag: "tag"}
-	state, founder := Found(self, []string{"10.0.0.3:1", "10.0.0.1:1", "10.0.0.2:1", "10.0.0.1:1"})
+	state, founder := Bootstrap(self, []string{"10.0.0.3:1", "10.0.0.1:1", "10.0.0.2:1", "10.0.0.1:1"})
 	if !founder {
 		t.Fatal("the member is no founder, want one")
 	}
 	if got, want := state.Records(), goldenBodies(t, "founder.hex"); !reflect.DeepEqual(got, want) {
 		t.Errorf("founder\ngot  %x\nwant %x", got, want)
 	}
-	joining := Join(self, "drawn")
+	joining := JoinAsLearner(self, "drawn")
 	if got, want := joining.Records(), goldenBodies(t, "joining.hex"); !reflect.DeepEqual(got, want) {
 		t.Errorf("joining\ngot  %x\nwant %x", got, want)
 	}
--- a/coordination/chain/leave.go
+++ b/coordination/chain/leave.go
@@ -12,16 +12,16 @@
 	return n.finish(now)
 }
 
-// Left tells whether the member's disk may be lost for good at this moment, beside as many others as must be borne.
-func (n *Node) Left() bool { return n.Staying() == "" }
+// SafeToLeave tells whether the member's disk may be lost for good at this moment, beside as many others as must be borne.
+func (n *Node) SafeToLeave() bool { return n.LeaveBlocker() == "" }
 
-// Staying tells why the member can't go yet; it is empty once it can. It can go when it is outside the chain, so that
+// LeaveBlocker tells why the member can't go yet; it is empty once it can. It can go when it is outside the chain, so that
 // nothing more is acknowledged with its help, and the head of that view has told that more others than may be lost hold
 // everything that was acknowledged before. Others know the view then, even if nothing more leaves this member.
-func (n *Node) Staying() string {
-	needed := n.config.Faults + 1
+func (n *Node) LeaveBlocker() string {
+	needed := n.config.FaultTolerance + 1
 	switch {
-	case n.view.Epoch == 0 || n.config.Mutation.LeaveAtOnce:
+	case n.view.Epoch == 0 || n.config.Mutation.LeaveImmediately:
 		return "" // it holds nothing
 	case n.isHead():
 		return "no other member of the chain can be the head"
@@ -59,5 +59,5 @@
 	if n.config.Mutation.CountLearners {
 		return true
 	}
-	return p.pong.Matched && p.pong.Last >= n.start && !p.pong.Refusing && !p.pong.Leaving
+	return p.pong.Matched && p.pong.LastIndex >= n.start && !p.pong.DiskFailing && !p.pong.Leaving
 }
--- a/coordination/chain/log.go
+++ b/coordination/chain/log.go
@@ -56,10 +56,10 @@
 	var ends []EpochEnd
 	for _, entry := range l.after(max(above, l.base)) {
 		if len(ends) > 0 && ends[len(ends)-1].Epoch == entry.Epoch {
-			ends[len(ends)-1].Last = entry.Index
+			ends[len(ends)-1].LastIndex = entry.Index
 			continue
 		}
-		ends = append(ends, EpochEnd{Epoch: entry.Epoch, Last: entry.Index})
+		ends = append(ends, EpochEnd{Epoch: entry.Epoch, LastIndex: entry.Index})
 	}
 	return ends
 }
@@ -70,9 +70,9 @@
 	for i := len(ends) - 1; i >= 0; i-- {
 		first := committed + 1
 		if i > 0 {
-			first = ends[i-1].Last + 1
+			first = ends[i-1].LastIndex + 1
 		}
-		for index := min(ends[i].Last, l.last()); index >= first; index-- {
+		for index := min(ends[i].LastIndex, l.last()); index >= first; index-- {
 			epoch, known := l.epochAt(index)
 			if !known {
 				break
--- a/coordination/chain/log_test.go
+++ b/coordination/chain/log_test.go
@@ -52,14 +52,14 @@
 		})
 	}
 	return State{
-		Self:      member,
-		View:      view.View{Epoch: 5, Chain: []view.Member{member}, Voters: []view.Member{member}},
-		Acceptor:  view.Acceptor{Epoch: 6, Promised: view.Ballot{Round: 3, Identity: "a"}},
-		Active:    4,
-		Committed: rapid.Uint64Range(base, log.last()).Draw(t, "committed"),
-		Base:      base, BaseEpoch: base / 4, Entries: log.list,
-		Snapshot: SnapshotPoint{Index: base, Epoch: base / 4},
-		Known:    []view.Member{member},
+		Self:          member,
+		View:          view.View{Epoch: 5, Chain: []view.Member{member}, Voters: []view.Member{member}},
+		Acceptor:      view.Acceptor{Epoch: 6, Promised: view.ProposalNumber{Round: 3, Proposer: "a"}},
+		CompleteEpoch: 4,
+		CommitIndex:   rapid.Uint64Range(base, log.last()).Draw(t, "committed"),
+		BaseIndex:     base, BaseEpoch: base / 4, Entries: log.list,
+		Snapshot:     SnapshotPoint{Index: base, Epoch: base / 4},
+		KnownMembers: []view.Member{member},
 	}
 }
 
@@ -67,7 +67,7 @@
 func TestStateComesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := drawState(t)
-		loaded, err := Load(state.Records())
+		loaded, err := Restore(state.Records())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -82,17 +82,17 @@
 	entry := func(index, epoch uint64) []byte {
 		return encode(record{Entry: &Entry{Index: index, Epoch: epoch}})
 	}
-	state, err := Load([][]byte{entry(1, 1), entry(2, 1), entry(3, 1), entry(2, 2)})
+	state, err := Restore([][]byte{entry(1, 1), entry(2, 1), entry(3, 1), entry(2, 2)})
 	if err != nil || len(state.Entries) != 2 || state.Entries[1].Epoch != 2 {
 		t.Errorf("%+v, %v", state.Entries, err)
 	}
 	cut := uint64(1)
-	state, err = Load([][]byte{entry(1, 1), entry(2, 1), encode(record{Cut: &cut})})
+	state, err = Restore([][]byte{entry(1, 1), entry(2, 1), encode(record{Cut: &cut})})
 	if err != nil || len(state.Entries) != 1 {
 		t.Errorf("%+v, %v", state.Entries, err)
 	}
 	for _, bad := range [][][]byte{{entry(2, 1)}, {{0xff}}} {
-		if _, err := Load(bad); err == nil {
+		if _, err := Restore(bad); err == nil {
 			t.Errorf("%x is taken", bad)
 		}
 	}
--- a/coordination/chain/node.go
+++ b/coordination/chain/node.go
@@ -68,25 +68,25 @@
 	if config.Timing == (Timing{}) {
 		config.Timing = DefaultTiming()
 	}
-	random := rand.New(rand.NewPCG(config.Random, 0x9e3779b97f4a7c15))
+	random := rand.New(rand.NewPCG(config.RandomSeed, 0x9e3779b97f4a7c15))
 	n := &Node{config: config, timing: config.Timing, random: random, life: random.Uint64() | 1}
 	n.durable = durable{
 		self:      state.Self,
 		view:      state.View,
 		acceptor:  state.Acceptor,
-		active:    state.Active,
-		committed: state.Committed,
+		active:    state.CompleteEpoch,
+		committed: state.CommitIndex,
 		snapshot:  state.Snapshot,
-		log:       entries{base: state.Base, baseEpoch: state.BaseEpoch, list: state.Entries},
-		known:     state.Known,
+		log:       entries{base: state.BaseIndex, baseEpoch: state.BaseEpoch, list: state.Entries},
+		known:     state.KnownMembers,
 	}
 	n.kept = n.durable
 	n.applied = state.Snapshot.Index
-	n.recent = newRecent(state.Recent)
+	n.recent = newRecent(state.RecentCommands)
 	n.startedAt, n.lastStep = now, now
 	n.tableVersion = random.Uint64() >> 1
 	if state.View.Epoch > 1 {
-		n.watch.previousMayAct = now + n.timing.Lease + leaseMargin
+		n.watch.previousMayAct = now + n.timing.LeaseTTL + leaseMargin
 	}
 	n.requests.next = random.Uint64() >> 1
 	n.feed.number = random.Uint64() >> 1
@@ -100,8 +100,8 @@
 func (n *Node) State() State {
 	d := n.durable
 	return State{
-		Self: d.self, View: d.view, Acceptor: d.acceptor, Active: d.active, Committed: d.committed,
-		Base: d.log.base, BaseEpoch: d.log.baseEpoch, Entries: d.log.list, Snapshot: d.snapshot, Known: d.known,
+		Self: d.self, View: d.view, Acceptor: d.acceptor, CompleteEpoch: d.active, CommitIndex: d.committed,
+		BaseIndex: d.log.base, BaseEpoch: d.log.baseEpoch, Entries: d.log.list, Snapshot: d.snapshot, KnownMembers: d.known,
 	}
 }
 
@@ -122,7 +122,7 @@
 // must not act on a lease.
 func (n *Node) enterStep(now time.Duration) {
 	late := now - max(n.lastStep, n.watch.wake)
-	if n.lastStep > 0 && late > n.timing.Thaw {
+	if n.lastStep > 0 && late > n.timing.StallTimeout {
 		n.forgetLiveness(now)
 	}
 	n.lastStep = now
@@ -137,9 +137,9 @@
 	n.runFeed(now)
 	n.runRequests(now)
 	n.watch.wake = max(n.watch.wake, now+wakeGrain)
-	if n.out.Install != nil { // the whole state takes the place of the step's records
+	if n.out.InstallSnapshot != nil { // the whole state takes the place of the step's records
 		state := n.State()
-		n.out.Install.Records, n.out.Records = state.Records(), nil
+		n.out.InstallSnapshot.Records, n.out.Records = state.Records(), nil
 		n.unsaved = false
 	}
 	out := n.out
@@ -156,15 +156,15 @@
 // wakeBy sees that the next step comes by then.
 func (n *Node) wakeBy(at time.Duration) { n.watch.wake = min(n.watch.wake, at) }
 
-// Wake returns when Tick is due, on the same clock as now.
-func (n *Node) Wake() time.Duration { return n.watch.wake }
+// NextTick returns when Tick is due, on the same clock as now.
+func (n *Node) NextTick() time.Duration { return n.watch.wake }
 
 // Persisted tells that everything that the outputs so far asked for is on disk.
 func (n *Node) Persisted() { n.kept, n.replaced = n.durable, nil }
 
-// Refused tells that the disk did not take the records of the last outputs. The node falls back to what is on
+// PersistFailed tells that the disk did not take the records of the last outputs. The node falls back to what is on
 // disk and takes nothing more that must be synced until Restored.
-func (n *Node) Refused(now time.Duration) {
+func (n *Node) PersistFailed(now time.Duration) {
 	n.durable = n.kept
 	if n.replaced != nil {
 		n.applied, n.recent, n.replaced = n.replaced.applied, n.replaced.recent, nil
@@ -173,11 +173,11 @@
 	n.begin(now)
 }
 
-// Refusing tells whether the disk refuses writes.
-func (n *Node) Refusing() bool { return n.refusing }
+// DiskFailing tells whether the disk refuses writes.
+func (n *Node) DiskFailing() bool { return n.refusing }
 
-// Restored tells that the disk takes writes again and Checkpointed was called for all of the state.
-func (n *Node) Restored(now time.Duration) {
+// DiskRecovered tells that the disk takes writes again and Checkpointed was called for all of the state.
+func (n *Node) DiskRecovered(now time.Duration) {
 	n.refusing = false
 	n.giveGrace(now)
 	n.begin(now)
@@ -197,21 +197,21 @@
 	state := n.State()
 	trimmed := n.log
 	trimmed.trim(base)
-	state.Base, state.BaseEpoch, state.Entries = trimmed.base, trimmed.baseEpoch, trimmed.list
+	state.BaseIndex, state.BaseEpoch, state.Entries = trimmed.base, trimmed.baseEpoch, trimmed.list
 	state.Snapshot, _ = n.Applied()
 	return state
 }
 
 // Checkpointed tells that the state that Checkpoint returned is on disk, with the snapshot beside it.
 func (n *Node) Checkpointed(state State) {
-	n.log = entries{base: state.Base, baseEpoch: state.BaseEpoch, list: state.Entries}
+	n.log = entries{base: state.BaseIndex, baseEpoch: state.BaseEpoch, list: state.Entries}
 	n.snapshot = state.Snapshot
 	n.unsaved = false
 	n.kept = n.durable
 }
 
-// SnapshotOnDisk tells the size of the newest snapshot on disk.
-func (n *Node) SnapshotOnDisk(bytes int) { n.snapshotBytes = bytes }
+// SetSnapshotSize tells the size of the newest snapshot on disk.
+func (n *Node) SetSnapshotSize(bytes int) { n.snapshotBytes = bytes }
 
 // Applied returns how far the node has handed out entries, and the identities to put into a snapshot there.
 func (n *Node) Applied() (SnapshotPoint, []CommandID) {
@@ -231,7 +231,7 @@
 			n.recent.add(entry.ID)
 		}
 		n.requests.appliedCommand(entry.ID, n.life)
-		list = append(list, Applied{Entry: entry, Repeated: repeated})
+		list = append(list, Applied{Entry: entry, Duplicate: repeated})
 	}
 	n.applied = n.committed
 	return list
@@ -263,7 +263,7 @@
 
 // wedged tells whether the node has promised to decide a later epoch: it takes part in its own no more.
 func (n *Node) wedged() bool {
-	return n.acceptor.Epoch > n.view.Epoch && !n.acceptor.Promised.Zero() && !n.config.Mutation.NoEpochCheck
+	return n.acceptor.Epoch > n.view.Epoch && !n.acceptor.Promised.IsZero() && !n.config.Mutation.NoEpochCheck
 }
 
 // isHead tells whether the node is the head of its view.
@@ -277,7 +277,7 @@
 }
 
 // inChain tells whether the node is a member of the chain of its view.
-func (n *Node) inChain() bool { return n.view.Place(n.self.Identity) >= 0 }
+func (n *Node) inChain() bool { return n.view.ChainIndex(n.self.Identity) >= 0 }
 
 // whole tells whether the node's log was made whole in its epoch.
 func (n *Node) whole() bool { return n.view.Epoch > 0 && n.active == n.view.Epoch && n.inChain() }
@@ -286,11 +286,11 @@
 func (n *Node) mayCommit() bool { return len(n.view.Chain) >= n.minimum() }
 
 // minimum is the shortest chain that may commit.
-func (n *Node) minimum() int { return n.view.CommitMinimum(n.config.Faults) }
+func (n *Node) minimum() int { return n.view.MinChainLength(n.config.FaultTolerance) }
 
 // upstream is the member from which this one takes entries: its predecessor in the chain, else the head.
 func (n *Node) upstream() view.Member {
-	if place := n.view.Place(n.self.Identity); place > 0 {
+	if place := n.view.ChainIndex(n.self.Identity); place > 0 {
 		return n.view.Chain[place-1]
 	}
 	return n.view.Head()
@@ -298,26 +298,26 @@
 
 // successor is the next member down the chain; the zero Member at the tail and outside the chain.
 func (n *Node) successor() view.Member {
-	place := n.view.Place(n.self.Identity)
+	place := n.view.ChainIndex(n.self.Identity)
 	if place < 0 || place+1 >= len(n.view.Chain) {
 		return view.Member{}
 	}
 	return n.view.Chain[place+1]
 }
 
-// Holds tells whether the command is on this member's disk at the index, in its log or behind its snapshot.
-func (n *Node) Holds(index uint64, command string) bool {
+// HasDurable tells whether the command is on this member's disk at the index, in its log or behind its snapshot.
+func (n *Node) HasDurable(index uint64, command string) bool {
 	if index > n.kept.log.last() {
 		return false
 	}
 	return index <= n.kept.log.base || string(n.kept.log.after(index - 1)[0].Command) == command
 }
 
-// Whole tells whether the node is in the chain with a log that was made whole in its epoch.
-func (n *Node) Whole() bool { return n.whole() }
+// IsComplete tells whether the node is in the chain with a log that was made whole in its epoch.
+func (n *Node) IsComplete() bool { return n.whole() }
 
-// Active returns the newest epoch in whose chain the log was made whole, as it stands on disk.
-func (n *Node) Active() uint64 { return n.kept.active }
+// CompleteEpoch returns the newest epoch in whose chain the log was made whole, as it stands on disk.
+func (n *Node) CompleteEpoch() uint64 { return n.kept.active }
 
 // View returns the node's view.
 func (n *Node) View() view.View { return n.view }
@@ -325,9 +325,9 @@
 // Epoch returns the epoch of the node's view, as it stands on disk.
 func (n *Node) Epoch() uint64 { return n.kept.view.Epoch }
 
-// Promised returns the newest epoch that the node has promised to decide, as it stands on disk.
-func (n *Node) Promised() uint64 {
-	if n.kept.acceptor.Promised.Zero() {
+// PromisedEpoch returns the newest epoch that the node has promised to decide, as it stands on disk.
+func (n *Node) PromisedEpoch() uint64 {
+	if n.kept.acceptor.Promised.IsZero() {
 		return 0
 	}
 	return n.kept.acceptor.Epoch
--- a/coordination/chain/node_test.go
+++ b/coordination/chain/node_test.go
@@ -14,11 +14,11 @@
 // founder returns a founding node that has just started.
 func founder(t *testing.T, number int) *Node {
 	t.Helper()
-	state, ok := Found(view.Member{Address: testSeeds[number], Zone: fmt.Sprint("z", number)}, testSeeds)
+	state, ok := Bootstrap(view.Member{Address: testSeeds[number], Zone: fmt.Sprint("z", number)}, testSeeds)
 	if !ok {
 		t.Fatal("no founder")
 	}
-	return New(time.Second, state, Config{Faults: 1, Seeds: testSeeds, Random: uint64(number + 1)})
+	return New(time.Second, state, Config{FaultTolerance: 1, Seeds: testSeeds, RandomSeed: uint64(number + 1)})
 }
 
 // later returns the view that follows the founders' one, with another head.
@@ -30,17 +30,17 @@
 // epochMessages are the messages that belong to an epoch.
 func epochMessages(from view.Member) []Message {
 	return []Message{
-		{Ping: &Ping{Life: 1, Sent: 1}},
-		{Pong: &Pong{Life: 1}},
-		{Fetch: &Fetch{Number: 1}},
+		{Heartbeat: &Heartbeat{Incarnation: 1, SentAt: 1}},
+		{HeartbeatReply: &HeartbeatReply{Incarnation: 1}},
+		{Fetch: &Fetch{RequestID: 1}},
 		{Append: &Append{Entries: []Entry{{Index: 1, Epoch: 1}}}},
 		{Commit: &Commit{Index: 1}},
 		{Forward: &Forward{ID: CommandID{Proposer: 1}}},
-		{Barrier: &Barrier{Number: 1, Asker: "x", Address: "x"}},
-		{Poll: &Poll{Number: 1}},
-		{PollReply: &PollReply{Number: 1}},
-		{Promise: &view.Promise{Given: true}},
-		{Accept: &Accept{Ballot: view.Ballot{Round: 9}}},
+		{Barrier: &Barrier{RequestID: 1, Requester: "x", RequesterAddress: "x"}},
+		{PreVote: &PreVote{RequestID: 1}},
+		{PreVoteReply: &PreVoteReply{RequestID: 1}},
+		{Promise: &view.Promise{Granted: true}},
+		{Accept: &Accept{Number: view.ProposalNumber{Round: 9}}},
 		{Accepted: &Accepted{}},
 	}
 }
@@ -50,7 +50,7 @@
 	for _, message := range epochMessages(view.Member{}) {
 		n := founder(t, 1)
 		from := n.View().Chain[0]
-		n.Receive(time.Second, from.Address, Message{From: from.Identity, Decided: &Decided{View: later(n)}})
+		n.Receive(time.Second, from.Address, Message{From: from.Identity, ViewDecision: &ViewDecision{View: later(n)}})
 		n.Persisted()
 		before := n.durable
 		message.From, message.Epoch = from.Identity, 1
@@ -60,8 +60,8 @@
 		}
 		told := false
 		for _, envelope := range out.Messages {
-			told = told || envelope.Message.Decided != nil && envelope.Address == from.Address
-			if m := envelope.Message; m.Pong != nil || m.BarrierReply != nil || m.Barrier != nil {
+			told = told || envelope.Message.ViewDecision != nil && envelope.Address == from.Address
+			if m := envelope.Message; m.HeartbeatReply != nil || m.BarrierReply != nil || m.Barrier != nil {
 				t.Errorf("%+v is answered by %+v", message, m)
 			}
 		}
@@ -75,16 +75,16 @@
 func TestPromiseEndsTheEpoch(t *testing.T) {
 	n := founder(t, 1)
 	head, proposer := n.View().Chain[0], n.View().Chain[2]
-	ballot := view.Ballot{Round: 1, Identity: proposer.Identity}
+	ballot := view.ProposalNumber{Round: 1, Proposer: proposer.Identity}
 	out := n.Receive(time.Second, proposer.Address,
-		Message{From: proposer.Identity, Epoch: 1, Prepare: &Prepare{View: n.View(), Ballot: ballot}})
+		Message{From: proposer.Identity, Epoch: 1, Prepare: &Prepare{View: n.View(), Number: ballot}})
 	n.Persisted()
 	if len(out.Records) == 0 {
 		t.Fatal("the promise is not kept on disk")
 	}
 	for _, message := range []Message{
-		{Append: &Append{Answer: n.feed.number, Entries: []Entry{{Index: 1, Epoch: 1}}}},
-		{Barrier: &Barrier{Number: 1, Asker: "x", Address: "x"}},
+		{Append: &Append{InReplyTo: n.feed.number, Entries: []Entry{{Index: 1, Epoch: 1}}}},
+		{Barrier: &Barrier{RequestID: 1, Requester: "x", RequesterAddress: "x"}},
 	} {
 		message.From, message.Epoch = head.Identity, 1
 		n.Receive(time.Second, head.Address, message)
@@ -93,9 +93,9 @@
 		}
 	}
 	out = n.Receive(time.Second, head.Address,
-		Message{From: head.Identity, Epoch: 1, Ping: &Ping{Life: 1, Sent: time.Second}})
+		Message{From: head.Identity, Epoch: 1, Heartbeat: &Heartbeat{Incarnation: 1, SentAt: time.Second}})
 	for _, envelope := range out.Messages {
-		if pong := envelope.Message.Pong; pong != nil && pong.Promised != 2 {
+		if pong := envelope.Message.HeartbeatReply; pong != nil && pong.PromisedEpoch != 2 {
 			t.Errorf("the answer to a ping hides the promise: %+v", pong)
 		}
 	}
@@ -110,8 +110,8 @@
 	if len(out.Records) == 0 || n.log.last() != 1 {
 		t.Fatal("the head does not take the command")
 	}
-	n.Refused(time.Second)
-	if !reflect.DeepEqual(before.log, n.durable.log) || !n.Refusing() {
+	n.PersistFailed(time.Second)
+	if !reflect.DeepEqual(before.log, n.durable.log) || !n.DiskFailing() {
 		t.Errorf("log %+v after a refused write", n.log)
 	}
 	if _, out := n.Propose(time.Second, []byte("y")); len(out.Records) > 0 {
--- a/coordination/chain/peer.go
+++ b/coordination/chain/peer.go
@@ -20,7 +20,7 @@
 	echoed      time.Duration // sending time of the newest ping of this life that it has answered
 	echoedAt    time.Duration // that answer came
 	echoNumber  uint64        // Contact of that answer
-	pong        Pong
+	pong        HeartbeatReply
 	tableHeld   uint64 // version of the table that it holds
 	progressAt  time.Duration
 	flaps       int           // how often it fell silent while in the chain
@@ -100,7 +100,9 @@
 }
 
 // concerned tells whether the member is in the view.
-func concerned(v view.View, identity string) bool { return v.Place(identity) >= 0 || v.Votes(identity) }
+func concerned(v view.View, identity string) bool {
+	return v.ChainIndex(identity) >= 0 || v.IsVoter(identity)
+}
 
 // forgetPeers drops members outside the view that were not heard for long.
 func (n *Node) forgetPeers(now time.Duration) {
--- a/coordination/chain/receive.go
+++ b/coordination/chain/receive.go
@@ -18,14 +18,14 @@
 	switch {
 	case m.Hello != nil:
 		n.onHello(now, address, m)
-	case m.Ask != nil:
+	case m.ViewRequest != nil:
 		n.tellView(now, m.From, address)
-	case m.Decided != nil:
-		n.onDecided(now, *m.Decided)
+	case m.ViewDecision != nil:
+		n.onDecided(now, *m.ViewDecision)
 	case m.Prepare != nil:
 		n.onPrepare(now, address, m.From, *m.Prepare)
 	case m.BarrierReply != nil:
-		n.requests.barrierPassed(m.BarrierReply.Number, m.BarrierReply.Index)
+		n.requests.barrierPassed(m.BarrierReply.RequestID, m.BarrierReply.Index)
 	default:
 		if n.sameEpoch(now, address, m) {
 			n.receiveInEpoch(now, address, m)
@@ -60,10 +60,10 @@
 
 func (n *Node) receiveInEpoch(now time.Duration, address string, m Message) {
 	switch {
-	case m.Ping != nil:
+	case m.Heartbeat != nil:
 		n.onPing(now, address, m)
-	case m.Pong != nil:
-		n.onPong(now, m.From, *m.Pong)
+	case m.HeartbeatReply != nil:
+		n.onPong(now, m.From, *m.HeartbeatReply)
 	case m.Fetch != nil:
 		n.onFetch(now, address, m.From, *m.Fetch)
 	case m.Append != nil:
@@ -74,10 +74,10 @@
 		n.onForward(*m.Forward)
 	case m.Barrier != nil:
 		n.onBarrier(*m.Barrier)
-	case m.Poll != nil:
-		n.onPoll(now, address, m.From, *m.Poll)
-	case m.PollReply != nil:
-		n.onPollReply(now, m.From, *m.PollReply)
+	case m.PreVote != nil:
+		n.onPoll(now, address, m.From, *m.PreVote)
+	case m.PreVoteReply != nil:
+		n.onPollReply(now, m.From, *m.PreVoteReply)
 	case m.Promise != nil:
 		n.onPromise(now, *m.Promise)
 	case m.Accept != nil:
@@ -95,13 +95,13 @@
 	if n.view.Epoch == 0 || !n.mayTell(now, identity) {
 		return
 	}
-	n.sendTo(address, Message{To: identity, Decided: &Decided{View: n.filled(n.view), Clean: n.clear}})
+	n.sendTo(address, Message{To: identity, ViewDecision: &ViewDecision{View: n.filled(n.view), PriorLeasesExpired: n.clear}})
 }
 
 // askView asks a member that has shown a later epoch for its view.
 func (n *Node) askView(now time.Duration, identity, address string) {
 	if n.mayTell(now, identity) {
-		n.sendTo(address, Message{To: identity, Ask: &Ask{}})
+		n.sendTo(address, Message{To: identity, ViewRequest: &ViewRequest{}})
 	}
 }
 
@@ -142,7 +142,7 @@
 		if former.member.Address != member.Address || former.member.Identity == member.Identity {
 			continue
 		}
-		former.heardAt = min(former.heardAt, now-n.timing.Suspect-time.Millisecond)
+		former.heardAt = min(former.heardAt, now-n.timing.SuspectTimeout-time.Millisecond)
 		if former.member.Identity == n.view.Head().Identity {
 			n.watch.yielding = true
 		}
@@ -150,11 +150,11 @@
 }
 
 // onDecided enters a view that is later than the node's own.
-func (n *Node) onDecided(now time.Duration, d Decided) {
+func (n *Node) onDecided(now time.Duration, d ViewDecision) {
 	if d.View.Epoch <= n.view.Epoch || len(d.View.Chain) == 0 {
 		return
 	}
-	n.enter(now, d.View, d.Clean)
+	n.enter(now, d.View, d.PriorLeasesExpired)
 }
 
 // enter begins a view. What was promised towards it is done with.
@@ -163,7 +163,7 @@
 	n.view, n.clear = v, clean
 	n.learnView(now, v)
 	r := record{View: &v}
-	if n.isHead() || n.config.Mutation.EarlyWhole && n.inChain() {
+	if n.isHead() || n.config.Mutation.EarlyComplete && n.inChain() {
 		n.active = v.Epoch
 		r.Active = v.Epoch
 	}
@@ -172,7 +172,7 @@
 		n.persist(r)
 	}
 	if !clean {
-		n.watch.previousMayAct = now + n.timing.Lease + leaseMargin
+		n.watch.previousMayAct = now + n.timing.LeaseTTL + leaseMargin
 	}
 	if before != n.self.Identity {
 		n.giveGrace(now)
@@ -195,7 +195,7 @@
 	n.change = change{}
 	for _, p := range n.peers {
 		p.next, p.waiting, p.asked, p.backlog = 0, false, nil, backlog{}
-		p.confirmed, p.pong, p.answered = 0, Pong{}, false
+		p.confirmed, p.pong, p.answered = 0, HeartbeatReply{}, false
 		p.progressAt = now
 	}
 	n.learnView(now, n.view)
--- a/coordination/chain/record.go
+++ b/coordination/chain/record.go
@@ -10,7 +10,7 @@
 )
 
 // ErrRecord marks a record on disk that makes no sense at its place.
-var ErrRecord = errors.New("chain: bad record")
+var ErrInvalidRecord = errors.New("chain: bad record")
 
 // record is one change of the durable state. A set field replaces what was there before.
 type record struct {
@@ -40,22 +40,22 @@
 	return body
 }
 
-// Load rebuilds the state from its records, oldest first. Recent is not part of the records: the snapshot
+// Restore rebuilds the state from its records, oldest first. Recent is not part of the records: the snapshot
 // holds it.
-func Load(records [][]byte) (State, error) {
+func Restore(records [][]byte) (State, error) {
 	var state State
 	log := entries{}
 	for i, body := range records {
 		var r record
 		if err := cbor.Unmarshal(body, &r); err != nil {
-			return State{}, fmt.Errorf("%w %d: %w", ErrRecord, i, err)
+			return State{}, fmt.Errorf("%w %d: %w", ErrInvalidRecord, i, err)
 		}
 		if err := state.apply(&log, r); err != nil {
-			return State{}, fmt.Errorf("%w %d: %w", ErrRecord, i, err)
+			return State{}, fmt.Errorf("%w %d: %w", ErrInvalidRecord, i, err)
 		}
 	}
-	state.Base, state.BaseEpoch, state.Entries = log.base, log.baseEpoch, log.list
-	state.Committed = min(max(state.Committed, state.Snapshot.Index), log.last())
+	state.BaseIndex, state.BaseEpoch, state.Entries = log.base, log.baseEpoch, log.list
+	state.CommitIndex = min(max(state.CommitIndex, state.Snapshot.Index), log.last())
 	return state, nil
 }
 
@@ -72,10 +72,10 @@
 	if r.Acceptor != nil {
 		s.Acceptor = *r.Acceptor
 	}
-	s.Active = max(s.Active, r.Active)
-	s.Committed = max(s.Committed, r.Committed)
+	s.CompleteEpoch = max(s.CompleteEpoch, r.Active)
+	s.CommitIndex = max(s.CommitIndex, r.Committed)
 	if r.Known != nil {
-		s.Known = r.Known
+		s.KnownMembers = r.Known
 	}
 	if r.Cut != nil {
 		if *r.Cut < log.base {
@@ -97,13 +97,13 @@
 // Records returns the whole state as records, for a checkpoint.
 func (s *State) Records() [][]byte {
 	records := [][]byte{encode(record{
-		Base:      &base{Index: s.Base, Epoch: s.BaseEpoch, Snapshot: s.Snapshot},
+		Base:      &base{Index: s.BaseIndex, Epoch: s.BaseEpoch, Snapshot: s.Snapshot},
 		Self:      &s.Self,
 		View:      &s.View,
 		Acceptor:  &s.Acceptor,
-		Active:    s.Active,
-		Committed: s.Committed,
-		Known:     s.Known,
+		Active:    s.CompleteEpoch,
+		Committed: s.CommitIndex,
+		Known:     s.KnownMembers,
 	})}
 	for i := range s.Entries {
 		records = append(records, encode(record{Entry: &s.Entries[i]}))
--- a/coordination/chain/requests.go
+++ b/coordination/chain/requests.go
@@ -44,10 +44,10 @@
 	index  uint64
 }
 
-// Passed is a barrier that is answered: the member has applied everything up to Index.
-type Passed struct {
-	Number uint64
-	Index  uint64
+// BarrierResult is a barrier that is answered: the member has applied everything up to Index.
+type BarrierResult struct {
+	RequestID uint64
+	Index     uint64
 }
 
 // Propose has the command brought to the head until it is applied here. The number names it.
@@ -58,8 +58,8 @@
 	return n.requests.next, n.finish(now)
 }
 
-// Withdraw stops the care for a command. It tells whether the command may have left this member.
-func (n *Node) Withdraw(number uint64) (sent bool) {
+// CancelProposal stops the care for a command. It tells whether the command may have left this member.
+func (n *Node) CancelProposal(number uint64) (sent bool) {
 	n.requests.commands = slices.DeleteFunc(n.requests.commands, func(c *command) bool {
 		if c.number == number {
 			sent = c.sent
@@ -77,16 +77,16 @@
 	return n.requests.next, n.finish(now)
 }
 
-// WithdrawBarrier stops the care for a barrier.
-func (n *Node) WithdrawBarrier(number uint64) {
+// CancelBarrier stops the care for a barrier.
+func (n *Node) CancelBarrier(number uint64) {
 	n.requests.barriers = slices.DeleteFunc(n.requests.barriers, func(b *barrier) bool { return b.number == number })
 }
 
-// Own tells whether the command was proposed by this start of this member.
-func (n *Node) Own(id CommandID) bool { return id.Proposer == n.life }
+// IsOwnCommand tells whether the command was proposed by this start of this member.
+func (n *Node) IsOwnCommand(id CommandID) bool { return id.Proposer == n.life }
 
-// TakeLost returns the own commands whose fate is hidden in a snapshot.
-func (n *Node) TakeLost() []uint64 {
+// TakeUnknownOutcomes returns the own commands whose fate is hidden in a snapshot.
+func (n *Node) TakeUnknownOutcomes() []uint64 {
 	var lost []uint64
 	n.requests.commands = slices.DeleteFunc(n.requests.commands, func(c *command) bool {
 		if c.lost {
@@ -97,13 +97,13 @@
 	return lost
 }
 
-// TakePassed returns the barriers that are answered. Call it after TakeCommitted.
-func (n *Node) TakePassed() []Passed {
-	var passed []Passed
+// TakeBarrierResults returns the barriers that are answered. Call it after TakeCommitted.
+func (n *Node) TakeBarrierResults() []BarrierResult {
+	var passed []BarrierResult
 	n.requests.barriers = slices.DeleteFunc(n.requests.barriers, func(b *barrier) bool {
 		done := b.passed && b.index <= n.applied
 		if done {
-			passed = append(passed, Passed{Number: b.number, Index: b.index})
+			passed = append(passed, BarrierResult{RequestID: b.number, Index: b.index})
 		}
 		return done
 	})
@@ -157,10 +157,10 @@
 		if b.passed {
 			continue
 		}
-		due := b.sentAt + n.timing.Retry
+		due := b.sentAt + n.timing.RetryInterval
 		if b.sentAt == 0 || now >= due {
 			n.askBarrier(now, b)
-			due = now + n.timing.Retry
+			due = now + n.timing.RetryInterval
 		}
 		n.wakeBy(due)
 	}
@@ -217,7 +217,7 @@
 		return
 	}
 	b.sentAt = now
-	message := Barrier{Number: b.number, Asker: n.self.Identity, Address: n.self.Address}
+	message := Barrier{RequestID: b.number, Requester: n.self.Identity, RequesterAddress: n.self.Address}
 	if n.isHead() {
 		n.onBarrier(message)
 		return
@@ -236,9 +236,9 @@
 		n.send(n.best(n.successor()), Message{Barrier: &b})
 		return
 	}
-	if b.Asker == n.self.Identity {
-		n.requests.barrierPassed(b.Number, n.log.last())
+	if b.Requester == n.self.Identity {
+		n.requests.barrierPassed(b.RequestID, n.log.last())
 		return
 	}
-	n.sendTo(b.Address, Message{To: b.Asker, BarrierReply: &BarrierReply{Number: b.Number, Index: n.log.last()}})
+	n.sendTo(b.RequesterAddress, Message{To: b.Requester, BarrierReply: &BarrierReply{RequestID: b.RequestID, Index: n.log.last()}})
 }
--- a/coordination/chain/snapshot.go
+++ b/coordination/chain/snapshot.go
@@ -11,9 +11,9 @@
 
 // Snapshot is the applied state up to an index, as it lies on disk and travels to members that lack too much.
 type Snapshot struct {
-	Point   SnapshotPoint `cbor:"1,keyasint"`
-	Recent  []CommandID   `cbor:"2,keyasint"`
-	Machine []byte        `cbor:"3,keyasint"`
+	Point          SnapshotPoint `cbor:"1,keyasint"`
+	RecentCommands []CommandID   `cbor:"2,keyasint"`
+	Machine        []byte        `cbor:"3,keyasint"`
 }
 
 // Encode returns the snapshot's bytes.
--- a/coordination/chain/watch.go
+++ b/coordination/chain/watch.go
@@ -45,8 +45,8 @@
 // beginWatch gives the head of the epoch time to be heard.
 func (n *Node) beginWatch(now time.Duration) {
 	grace := now
-	if now-n.startedAt < n.timing.Grace {
-		grace = max(now, n.startedAt+n.timing.Grace-n.timing.Suspect)
+	if now-n.startedAt < n.timing.GraceWindow {
+		grace = max(now, n.startedAt+n.timing.GraceWindow-n.timing.SuspectTimeout)
 	}
 	n.watch.headHeard, n.watch.echo, n.watch.echoAt = grace, 0, grace
 	n.watch.enteredAt = now
@@ -82,15 +82,15 @@
 
 // headSuspected tells whether the head is taken for dead, or does not hear this node.
 func (n *Node) headSuspected(now time.Duration) bool {
-	return n.headSilent(now, n.timing.Suspect)
+	return n.headSilent(now, n.timing.SuspectTimeout)
 }
 
 func (n *Node) headSilent(now, patience time.Duration) bool {
-	return n.watch.yielding || now-n.watch.headHeard > patience || now-n.watch.echoAt > patience+2*n.timing.Ping
+	return n.watch.yielding || now-n.watch.headHeard > patience || now-n.watch.echoAt > patience+2*n.timing.HeartbeatInterval
 }
 
 // live tells whether the head has heard the peer lately.
-func (n *Node) live(now time.Duration, p *peer) bool { return now-p.heardAt <= n.timing.Suspect }
+func (n *Node) live(now time.Duration, p *peer) bool { return now-p.heardAt <= n.timing.SuspectTimeout }
 
 // runWatch sends what is due: pings by the head, calls for the head by the others.
 func (n *Node) runWatch(now time.Duration) {
@@ -101,8 +101,8 @@
 		if n.majorityLive(now) {
 			return
 		}
-	} else if n.watch.pinged && now-n.watch.headHeard <= n.timing.Suspect {
-		n.wakeBy(n.watch.headHeard + n.timing.Suspect)
+	} else if n.watch.pinged && now-n.watch.headHeard <= n.timing.SuspectTimeout {
+		n.wakeBy(n.watch.headHeard + n.timing.SuspectTimeout)
 		return
 	}
 	n.runHello(now)
@@ -137,14 +137,14 @@
 func (n *Node) runPings(now time.Duration) {
 	until := now
 	if slices.ContainsFunc(n.peers, func(p *peer) bool { return n.pingDue(now, p) <= now }) {
-		until += n.timing.Ping / 4
+		until += n.timing.HeartbeatInterval / 4
 	}
 	for _, p := range n.peers {
 		if n.pingDue(now, p) <= until {
 			n.ping(now, p)
 		}
 		n.wakeBy(n.pingDue(now, p))
-		n.wakeBy(p.heardAt + n.timing.Suspect + time.Millisecond)
+		n.wakeBy(p.heardAt + n.timing.SuspectTimeout + time.Millisecond)
 	}
 }
 
@@ -155,7 +155,7 @@
 	case p.pingedAt == 0:
 		return now
 	case concerned(n.view, p.member.Identity) || n.live(now, p):
-		return p.pingedAt + n.timing.Ping
+		return p.pingedAt + n.timing.HeartbeatInterval
 	}
 	return p.pingedAt + farPing
 }
@@ -164,10 +164,10 @@
 	p.pingedAt = now
 	n.mark(now)
 	proof := n.proved(now)
-	ping := Ping{
-		Life: n.life, Sent: now, Echo: p.echoed, Committed: n.committed, Last: n.log.last(),
-		Yield: n.refusing, Version: n.tableVersion, Copies: n.copiesBeside(now, p),
-		EchoAt: p.echoedAt, EchoNumber: p.echoNumber, Proof: proof.at, ProofIndex: proof.index,
+	ping := Heartbeat{
+		Incarnation: n.life, SentAt: now, Echo: p.echoed, CommitIndex: n.committed, LastIndex: n.log.last(),
+		StepDown: n.refusing, MembershipVersion: n.tableVersion, DurableReplicas: n.copiesBeside(now, p),
+		EchoReceivedAt: p.echoedAt, EchoGeneration: p.echoNumber, ProofAt: proof.at, ProofIndex: proof.index,
 	}
 	if p.tableHeld != n.tableVersion {
 		ping.Members = n.members()
@@ -176,7 +176,7 @@
 			ping.Live = append(ping.Live, n.live(now, other))
 		}
 	}
-	n.send(p.member, Message{Ping: &ping})
+	n.send(p.member, Message{Heartbeat: &ping})
 }
 
 // countLive notes a change among the live members, so that the others are told.
@@ -223,28 +223,28 @@
 
 // onPing takes in the head's word and answers it.
 func (n *Node) onPing(now time.Duration, address string, m Message) {
-	ping := *m.Ping
+	ping := *m.Heartbeat
 	if m.From != n.view.Head().Identity && !n.config.Mutation.NoEpochCheck {
 		return
 	}
 	n.hearHead(now, ping.Echo)
-	n.watch.yielding = ping.Yield
-	n.watch.headCommitted, n.watch.headLast = ping.Committed, ping.Last
-	n.watch.copies = ping.Copies
+	n.watch.yielding = ping.StepDown
+	n.watch.headCommitted, n.watch.headLast = ping.CommitIndex, ping.LastIndex
+	n.watch.copies = ping.DurableReplicas
 	if len(ping.Members) > 0 {
 		n.takeTable(now, ping)
 	}
-	n.learnCommitted(ping.Committed)
+	n.learnCommitted(ping.CommitIndex)
 	n.onProof(now, ping)
-	pong := Pong{
-		Life: ping.Life, Sent: ping.Sent, Committed: n.committed, Last: n.log.last(), Active: n.active,
-		Matched: n.matched, Refusing: n.refusing, Leaving: n.leaving, Version: n.table.version,
-		Contact: n.contact.number,
+	pong := HeartbeatReply{
+		Incarnation: ping.Incarnation, HeartbeatSentAt: ping.SentAt, CommitIndex: n.committed, LastIndex: n.log.last(), CompleteEpoch: n.active,
+		Matched: n.matched, DiskFailing: n.refusing, Leaving: n.leaving, MembershipVersion: n.table.version,
+		ReceiptGeneration: n.contact.number,
 	}
 	if n.wedged() {
-		pong.Promised = n.acceptor.Epoch
+		pong.PromisedEpoch = n.acceptor.Epoch
 	}
-	n.sendTo(address, Message{To: m.From, Pong: &pong})
+	n.sendTo(address, Message{To: m.From, HeartbeatReply: &pong})
 	if n.config.Mutation.NoEpochCheck {
 		n.out.Messages[len(n.out.Messages)-1].Message.Epoch = m.Epoch
 	}
@@ -253,9 +253,9 @@
 // hearHead notes that the head is heard and whether it hears this node. After a silence in either direction what was
 // asked for meanwhile is taken for lost.
 func (n *Node) hearHead(now, echo time.Duration) {
-	silent := now-n.watch.headHeard > n.timing.Suspect
+	silent := now-n.watch.headHeard > n.timing.SuspectTimeout
 	if echo != n.watch.echo {
-		silent = silent || now-n.watch.echoAt > n.timing.Suspect
+		silent = silent || now-n.watch.echoAt > n.timing.SuspectTimeout
 		n.watch.echo, n.watch.echoAt = echo, now
 	}
 	n.watch.headHeard, n.watch.pinged = now, true
@@ -264,8 +264,8 @@
 	}
 }
 
-func (n *Node) takeTable(now time.Duration, ping Ping) {
-	n.table = table{version: ping.Version, members: ping.Members, live: ping.Live}
+func (n *Node) takeTable(now time.Duration, ping Heartbeat) {
+	n.table = table{version: ping.MembershipVersion, members: ping.Members, live: ping.Live}
 	before := len(n.peers)
 	for _, member := range ping.Members {
 		n.learn(now, member)
@@ -276,37 +276,37 @@
 }
 
 // onPong takes in an answer. It renews the lease when the voter has promised no later epoch.
-func (n *Node) onPong(now time.Duration, from string, pong Pong) {
+func (n *Node) onPong(now time.Duration, from string, pong HeartbeatReply) {
 	p := n.find(from)
-	if p == nil || !n.isHead() || pong.Life != n.life || pong.Sent > now {
+	if p == nil || !n.isHead() || pong.Incarnation != n.life || pong.HeartbeatSentAt > now {
 		return
 	}
-	if pong.Last != p.pong.Last || pong.Active != p.pong.Active || !p.answered {
+	if pong.LastIndex != p.pong.LastIndex || pong.CompleteEpoch != p.pong.CompleteEpoch || !p.answered {
 		p.progressAt = now
 	}
 	p.heardAt, p.answered = max(p.heardAt, now), true
 	if p.steadySince == 0 {
 		p.steadySince = now
 	}
-	p.pong, p.tableHeld = pong, pong.Version
+	p.pong, p.tableHeld = pong, pong.MembershipVersion
 	n.takeEcho(now, p, pong)
-	if pong.Promised <= n.view.Epoch {
-		p.confirmed = max(p.confirmed, pong.Sent)
+	if pong.PromisedEpoch <= n.view.Epoch {
+		p.confirmed = max(p.confirmed, pong.HeartbeatSentAt)
 	}
-	if from == n.view.Tail().Identity && pong.Active == n.view.Epoch {
-		n.learnCommitted(pong.Committed)
+	if from == n.view.Tail().Identity && pong.CompleteEpoch == n.view.Epoch {
+		n.learnCommitted(pong.CommitIndex)
 	}
 }
 
 // takeEcho notes the newest answer, and has the first of a contact echoed at once.
-func (n *Node) takeEcho(now time.Duration, p *peer, pong Pong) {
-	if pong.Sent <= p.echoed {
+func (n *Node) takeEcho(now time.Duration, p *peer, pong HeartbeatReply) {
+	if pong.HeartbeatSentAt <= p.echoed {
 		return
 	}
-	if pong.Contact != p.echoNumber {
+	if pong.ReceiptGeneration != p.echoNumber {
 		p.pingedAt = 0
 	}
-	p.echoed, p.echoedAt, p.echoNumber = pong.Sent, now, pong.Contact
+	p.echoed, p.echoedAt, p.echoNumber = pong.HeartbeatSentAt, now, pong.ReceiptGeneration
 }
 
 // leaseUntil is the end of the lease that a majority of the voters has confirmed.
@@ -315,7 +315,7 @@
 	if since == 0 {
 		return 0
 	}
-	return since + n.timing.Lease
+	return since + n.timing.LeaseTTL
 }
 
 // confirmedSince is the newest moment at or after which a majority of the voters was asked for all their newest
@@ -360,19 +360,19 @@
 // Status returns what the node knows of itself.
 func (n *Node) Status(now time.Duration) Status {
 	status := Status{
-		Self: n.self, View: n.filled(n.view), Committed: n.committed, PreviousMayAct: n.watch.previousMayAct,
-		Live: n.liveMembers(now), ConfirmedAt: n.ConfirmedAt(now),
+		Self: n.self, View: n.filled(n.view), CommitIndex: n.committed, PreviousLeaseExpiry: n.watch.previousMayAct,
+		LiveMembers: n.liveMembers(now), ConfirmedAt: n.ConfirmedAt(now),
 	}
-	if n.Leads(now) {
-		status.Leader = true
-		status.LeaseUntil = n.leaseUntil(now)
+	if n.IsLeader(now) {
+		status.IsLeader = true
+		status.LeaseExpiry = n.leaseUntil(now)
 		status.LeaderSince = n.watch.leaderSince
 	}
 	return status
 }
 
-// Leads tells whether the node may act as leader now.
-func (n *Node) Leads(now time.Duration) bool {
+// IsLeader tells whether the node may act as leader now.
+func (n *Node) IsLeader(now time.Duration) bool {
 	return n.isHead() && n.watch.leaderSince > 0 && n.leaseUntil(now) > now
 }
 
@@ -386,7 +386,7 @@
 		}
 		return live
 	}
-	if n.view.Epoch == 0 || now-n.watch.headHeard > n.timing.Suspect {
+	if n.view.Epoch == 0 || now-n.watch.headHeard > n.timing.SuspectTimeout {
 		return live
 	}
 	for i, member := range n.table.members {
--- a/coordination/chain/wish.go
+++ b/coordination/chain/wish.go
@@ -34,7 +34,7 @@
 		return true
 	}
 	for _, p := range n.peers {
-		if n.live(now, p) && p.answered && p.pong.Promised > n.view.Epoch {
+		if n.live(now, p) && p.answered && p.pong.PromisedEpoch > n.view.Epoch {
 			return true
 		}
 	}
@@ -51,7 +51,7 @@
 		return true
 	}
 	if n.live(now, p) {
-		return p.answered && (p.pong.Refusing || p.pong.Leaving || n.stuck(now, p))
+		return p.answered && (p.pong.DiskFailing || p.pong.Leaving || n.stuck(now, p))
 	}
 	n.flap(now, p)
 	return true
@@ -71,7 +71,7 @@
 
 // stuck tells whether a member of the chain makes no progress although its predecessor is ahead.
 func (n *Node) stuck(now time.Duration, p *peer) bool {
-	place := n.view.Place(p.member.Identity)
+	place := n.view.ChainIndex(p.member.Identity)
 	if place <= 0 {
 		return false
 	}
@@ -81,14 +81,14 @@
 		if before == nil || !before.answered {
 			return false
 		}
-		last, active = before.pong.Last, before.pong.Active
+		last, active = before.pong.LastIndex, before.pong.CompleteEpoch
 	}
-	behind := p.pong.Last < last || (p.pong.Active < n.view.Epoch && active == n.view.Epoch)
+	behind := p.pong.LastIndex < last || (p.pong.CompleteEpoch < n.view.Epoch && active == n.view.Epoch)
 	if !behind {
 		p.progressAt = now
 		return false
 	}
-	if patience := n.timing.Stuck + arrival(n.bytesAfter(p.pong.Last)); now-p.progressAt < patience {
+	if patience := n.timing.ProgressTimeout + arrival(n.bytesAfter(p.pong.LastIndex)); now-p.progressAt < patience {
 		n.wakeBy(p.progressAt + patience)
 		return false
 	}
@@ -119,19 +119,19 @@
 func (n *Node) heirLive(now time.Duration) bool {
 	return slices.ContainsFunc(n.view.Chain, func(member view.Member) bool {
 		p := n.find(member.Identity)
-		return p != nil && n.live(now, p) && p.answered && p.pong.Active == n.view.Epoch && !p.pong.Leaving
+		return p != nil && n.live(now, p) && p.answered && p.pong.CompleteEpoch == n.view.Epoch && !p.pong.Leaving
 	})
 }
 
 // admissible tells whether a member outside the chain has answered steadily and holds what is committed.
 func (n *Node) admissible(now time.Duration, p *peer) bool {
-	if !p.answered || !n.live(now, p) || p.pong.Refusing || p.pong.Leaving || !p.pong.Matched {
+	if !p.answered || !n.live(now, p) || p.pong.DiskFailing || p.pong.Leaving || !p.pong.Matched {
 		return false
 	}
-	if p.pong.Last+nearEnough < n.committed || p.steadySince == 0 {
+	if p.pong.LastIndex+nearEnough < n.committed || p.steadySince == 0 {
 		return false
 	}
-	settle := n.timing.Settle
+	settle := n.timing.AdmissionWindow
 	if p.flaps > 1 && now-p.flappedAt < flapMemory {
 		settle <<= p.flaps - 1
 	}
@@ -147,7 +147,7 @@
 	var reserves []view.Member
 	for _, voter := range n.view.Voters {
 		p := n.find(voter.Identity)
-		if p != nil && n.view.Place(voter.Identity) < 0 && n.admissible(now, p) {
+		if p != nil && n.view.ChainIndex(voter.Identity) < 0 && n.admissible(now, p) {
 			reserves = append(reserves, voter)
 		}
 	}
@@ -156,7 +156,7 @@
 
 // wantedIn tells whether a voter should come into the chain, or a standby should take a vote.
 func (n *Node) wantedIn(now time.Duration) bool {
-	room := len(n.view.Chain) < view.TargetChain(len(n.view.Voters), n.config.Faults)
+	room := len(n.view.Chain) < view.TargetChainLength(len(n.view.Voters), n.config.FaultTolerance)
 	if room && len(n.voterReserves(now)) > 0 {
 		return true
 	}
@@ -170,7 +170,7 @@
 	if len(n.gone(now)) > 0 && n.holdersLive(now) >= n.minimum() {
 		return true
 	}
-	grown := view.CommitMinimum(voters+1, n.config.Faults)
+	grown := view.MinChainLength(voters+1, n.config.FaultTolerance)
 	return voters < n.targetVoters(now) && n.holdersLive(now) >= grown
 }
 
@@ -183,11 +183,11 @@
 	}
 	members := 1
 	for _, p := range n.peers {
-		if n.view.Votes(p.member.Identity) || n.live(now, p) && p.answered {
+		if n.view.IsVoter(p.member.Identity) || n.live(now, p) && p.answered {
 			members++
 		}
 	}
-	return view.TargetVoters(n.config.Faults, members)
+	return view.TargetVoterCount(n.config.FaultTolerance, members)
 }
 
 // holdersLive counts the members whose logs are whole in this epoch.
@@ -195,7 +195,7 @@
 	count := 0
 	for _, member := range n.view.Chain {
 		p := n.find(member.Identity)
-		if member.Identity == n.self.Identity || p != nil && n.live(now, p) && p.pong.Active == n.view.Epoch {
+		if member.Identity == n.self.Identity || p != nil && n.live(now, p) && p.pong.CompleteEpoch == n.view.Epoch {
 			count++
 		}
 	}
@@ -214,7 +214,7 @@
 	var first, second []view.Member
 	for _, p := range n.peers {
 		switch {
-		case n.view.Votes(p.member.Identity) || !n.admissible(now, p):
+		case n.view.IsVoter(p.member.Identity) || !n.admissible(now, p):
 		case slices.Contains(zones, p.member.Zone):
 			second = append(second, p.member)
 		default:
@@ -235,34 +235,34 @@
 		replaced := slices.ContainsFunc(n.peers, func(other *peer) bool {
 			return other != p && other.member.Address == p.member.Address && other.answered && n.live(now, other)
 		})
-		if replaced || now-p.heardAt > n.timing.Gone {
+		if replaced || now-p.heardAt > n.timing.VoterReplaceTimeout {
 			gone = append(gone, voter.Identity)
 			continue
 		}
-		n.wakeBy(p.heardAt + n.timing.Gone + time.Millisecond)
+		n.wakeBy(p.heardAt + n.timing.VoterReplaceTimeout + time.Millisecond)
 	}
 	return gone
 }
 
 // wish is what the next view should be, from what this node knows. Others than the head know only who promises.
-func (n *Node) wish(now time.Duration) view.Wish {
-	wish := view.Wish{Faults: n.config.Faults, Target: len(n.view.Voters), Planted: n.config.Mutation}
+func (n *Node) wish(now time.Duration) view.Reconfiguration {
+	wish := view.Reconfiguration{FaultTolerance: n.config.FaultTolerance, TargetVoters: len(n.view.Voters), Mutation: n.config.Mutation}
 	if !n.isHead() {
 		return wish
 	}
-	wish.Target = n.targetVoters(now)
+	wish.TargetVoters = n.targetVoters(now)
 	for _, member := range n.view.Chain {
 		if n.wantedOut(now, member.Identity) {
-			wish.Out = append(wish.Out, member.Identity)
+			wish.RemoveFromChain = append(wish.RemoveFromChain, member.Identity)
 		}
 	}
 	for _, voter := range n.view.Voters {
 		p := n.find(voter.Identity)
-		if n.view.Place(voter.Identity) < 0 && p != nil && !n.admissible(now, p) {
-			wish.Out = append(wish.Out, voter.Identity)
+		if n.view.ChainIndex(voter.Identity) < 0 && p != nil && !n.admissible(now, p) {
+			wish.RemoveFromChain = append(wish.RemoveFromChain, voter.Identity)
 		}
 	}
-	wish.Gone = n.gone(now)
-	wish.Standbys = n.standbys(now)
+	wish.ReplaceVoters = n.gone(now)
+	wish.Learners = n.standbys(now)
 	return wish
 }
--- a/coordination/engine/engine.go
+++ b/coordination/engine/engine.go
@@ -125,10 +125,10 @@
 	}
 	e.heldBase = min(log.Held(), options.CompactBytes/2)
 	e.node = chain.New(now, state, chain.Config{
-		Faults: options.Faults, Seeds: options.Seeds, Random: options.Random, Timing: options.Timing,
+		FaultTolerance: options.Faults, Seeds: options.Seeds, RandomSeed: options.Random, Timing: options.Timing,
 		Mutation: options.Mutation,
 	})
-	e.node.SnapshotOnDisk(int(e.snapshot))
+	e.node.SetSnapshotSize(int(e.snapshot))
 	if refused != nil {
 		e.refuse(now, refused)
 	}
@@ -141,7 +141,7 @@
 	if recovered.Empty {
 		return e.found(), nil
 	}
-	state, err := chain.Load(recovered.Records)
+	state, err := chain.Restore(recovered.Records)
 	if err != nil {
 		return chain.State{}, err
 	}
@@ -159,7 +159,7 @@
 		return chain.State{}, fmt.Errorf("%w: the snapshot reaches to %v, the log builds on %v",
 			wal.ErrCorrupt, snapshot.Point, state.Snapshot)
 	}
-	state.Recent = snapshot.Recent
+	state.RecentCommands = snapshot.RecentCommands
 	e.snapshot = int64(len(recovered.Snapshot))
 	if err := e.options.Machine.Restore(snapshot.Machine); err != nil {
 		return chain.State{}, fmt.Errorf("restoring the machine: %w", err)
@@ -168,18 +168,18 @@
 }
 
 func (e *Engine) found() chain.State {
-	state, founder := chain.Found(e.options.Self, e.options.Seeds)
+	state, founder := chain.Bootstrap(e.options.Self, e.options.Seeds)
 	if founder && (e.options.Bootstrap || e.options.Mutation.VoteAfterWipe) {
 		return state
 	}
-	return chain.Join(e.options.Self, fmt.Sprintf("%016x", e.options.Random))
+	return chain.JoinAsLearner(e.options.Self, fmt.Sprintf("%016x", e.options.Random))
 }
 
 // Step takes the inputs in order, syncs once for all of them, and returns what they have led to. Without inputs
 // it lets timers act.
 func (e *Engine) Step(now time.Duration, inputs []Input) Effects {
 	e.effects = Effects{}
-	if e.node.Refusing() && now >= e.retryAt {
+	if e.node.DiskFailing() && now >= e.retryAt {
 		e.retryDisk(now)
 	}
 	for _, input := range inputs {
@@ -193,7 +193,7 @@
 // Maintain makes a snapshot when the log since the last one has grown enough. The host calls it after it has
 // carried out the effects of a step, so that nothing waits for it.
 func (e *Engine) Maintain(now time.Duration) error {
-	if e.node.Refusing() || e.log.Held()-e.heldBase < max(e.options.CompactBytes, e.snapshot) {
+	if e.node.DiskFailing() || e.log.Held()-e.heldBase < max(e.options.CompactBytes, e.snapshot) {
 		return nil
 	}
 	err := e.checkpoint()
@@ -229,9 +229,9 @@
 	}
 	sent := false
 	if e.calls[number].barrier {
-		e.node.WithdrawBarrier(number)
+		e.node.CancelBarrier(number)
 	} else {
-		sent = e.node.Withdraw(number)
+		sent = e.node.CancelProposal(number)
 	}
 	delete(e.calls, number)
 	delete(e.numbers, token)
@@ -240,7 +240,7 @@
 
 // gather adds a step's output to what is synced next. A snapshot from a peer is written at once.
 func (e *Engine) gather(now time.Duration, out chain.Output) {
-	if out.Install != nil {
+	if out.InstallSnapshot != nil {
 		e.install(now, out)
 		return
 	}
@@ -253,14 +253,14 @@
 func (e *Engine) install(now time.Duration, out chain.Output) {
 	err := e.log.Append(e.records)
 	if err == nil {
-		err = e.log.Checkpoint(out.Install.Snapshot, out.Install.Records)
+		err = e.log.Checkpoint(out.InstallSnapshot.Snapshot, out.InstallSnapshot.Records)
 	}
 	if err != nil {
 		e.refuse(now, err)
 		return
 	}
-	e.keep(out.Install.Snapshot)
-	snapshot, err := chain.DecodeSnapshot(out.Install.Snapshot)
+	e.keep(out.InstallSnapshot.Snapshot)
+	snapshot, err := chain.DecodeSnapshot(out.InstallSnapshot.Snapshot)
 	if err == nil {
 		err = e.options.Machine.Restore(snapshot.Machine)
 	}
@@ -308,7 +308,7 @@
 // refuse falls back to what is on disk and drops what was to follow from the rest.
 func (e *Engine) refuse(now time.Duration, err error) {
 	e.records, e.messages = nil, nil
-	e.node.Refused(now)
+	e.node.PersistFailed(now)
 	e.retryAt = now + refusedRetry
 	e.effects.DiskError = err
 }
@@ -324,25 +324,25 @@
 		e.effects.DiskError = err
 		return
 	}
-	e.node.Restored(now)
+	e.node.DiskRecovered(now)
 }
 
 // apply applies what is committed and ends the calls that wait for it.
 func (e *Engine) apply() {
 	for _, entry := range e.node.TakeCommitted() {
 		var value []byte
-		if !entry.Repeated {
+		if !entry.Duplicate {
 			value = e.options.Machine.Apply(entry.Index, entry.Command)
 		}
-		if e.node.Own(entry.ID) && !entry.Repeated {
+		if e.node.IsOwnCommand(entry.ID) && !entry.Duplicate {
 			e.end(entry.ID.Number, Result{Value: value, Index: entry.Index})
 		}
 	}
-	for _, number := range e.node.TakeLost() {
+	for _, number := range e.node.TakeUnknownOutcomes() {
 		e.end(number, Result{Err: ErrUnclear})
 	}
-	for _, passed := range e.node.TakePassed() {
-		e.end(passed.Number, Result{Index: passed.Index})
+	for _, passed := range e.node.TakeBarrierResults() {
+		e.end(passed.RequestID, Result{Index: passed.Index})
 	}
 }
 
@@ -360,7 +360,7 @@
 func (e *Engine) checkpoint() error {
 	state := e.node.Checkpoint(e.options.KeepBytes)
 	_, applied := e.node.Applied()
-	snapshot := chain.Snapshot{Point: state.Snapshot, Recent: applied, Machine: e.options.Machine.Snapshot()}.Encode()
+	snapshot := chain.Snapshot{Point: state.Snapshot, RecentCommands: applied, Machine: e.options.Machine.Snapshot()}.Encode()
 	if err := e.log.Checkpoint(snapshot, state.Records()); err != nil {
 		return err
 	}
@@ -372,28 +372,28 @@
 // keep notes the sizes right after a checkpoint.
 func (e *Engine) keep(snapshot []byte) {
 	e.heldBase, e.snapshot = e.log.Held(), int64(len(snapshot))
-	e.node.SnapshotOnDisk(len(snapshot))
+	e.node.SetSnapshotSize(len(snapshot))
 }
 
 // Wake returns when the next Step is due.
 func (e *Engine) Wake() time.Duration {
-	if e.node.Refusing() {
-		return min(e.node.Wake(), e.retryAt)
+	if e.node.DiskFailing() {
+		return min(e.node.NextTick(), e.retryAt)
 	}
-	return e.node.Wake()
+	return e.node.NextTick()
 }
 
 // Status returns what the member knows of itself.
 func (e *Engine) Status(now time.Duration) chain.Status { return e.node.Status(now) }
 
 // Leads tells whether the member may act as leader now.
-func (e *Engine) Leads(now time.Duration) bool { return e.node.Leads(now) }
+func (e *Engine) Leads(now time.Duration) bool { return e.node.IsLeader(now) }
 
 // Left tells whether the member may go after Leave, even with its disk.
-func (e *Engine) Left() bool { return e.node.Left() }
+func (e *Engine) Left() bool { return e.node.SafeToLeave() }
 
 // Staying tells why the member can't go yet; it is empty once it can.
-func (e *Engine) Staying() string { return e.node.Staying() }
+func (e *Engine) Staying() string { return e.node.LeaveBlocker() }
 
 // Node returns the state machine, for checks that look inside.
 func (e *Engine) Node() *chain.Node { return e.node }
--- a/coordination/engine/golden_test.go
+++ b/coordination/engine/golden_test.go
@@ -224,7 +224,7 @@
 		t.Fatal(err)
 	}
 	defer log.Close()
-	state, err := chain.Load(recovered.Records)
+	state, err := chain.Restore(recovered.Records)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -236,11 +236,11 @@
 	fmt.Fprintf(&out, "self %s\n", describeMember(state.Self))
 	fmt.Fprintf(&out, "view %s\n", describeView(state.View))
 	fmt.Fprintf(&out, "acceptor of epoch %d: promised %d %s, accepted %d %s: %s\n", state.Acceptor.Epoch,
-		state.Acceptor.Promised.Round, state.Acceptor.Promised.Identity,
-		state.Acceptor.Accepted.Round, state.Acceptor.Accepted.Identity, describeView(state.Acceptor.Value))
-	fmt.Fprintf(&out, "active %d, committed %d, base %d of epoch %d, snapshot to %d of epoch %d\n", state.Active,
-		state.Committed, state.Base, state.BaseEpoch, state.Snapshot.Index, state.Snapshot.Epoch)
-	for _, member := range state.Known {
+		state.Acceptor.Promised.Round, state.Acceptor.Promised.Proposer,
+		state.Acceptor.Accepted.Round, state.Acceptor.Accepted.Proposer, describeView(state.Acceptor.Value))
+	fmt.Fprintf(&out, "active %d, committed %d, base %d of epoch %d, snapshot to %d of epoch %d\n", state.CompleteEpoch,
+		state.CommitIndex, state.BaseIndex, state.BaseEpoch, state.Snapshot.Index, state.Snapshot.Epoch)
+	for _, member := range state.KnownMembers {
 		fmt.Fprintf(&out, "known %s\n", describeMember(member))
 	}
 	for _, entry := range state.Entries {
@@ -248,7 +248,7 @@
 			entry.Index, entry.Epoch, entry.ID.Proposer, entry.ID.Number, entry.Command)
 	}
 	fmt.Fprintf(&out, "snapshot to %d of epoch %d: %q\n", snapshot.Point.Index, snapshot.Point.Epoch, snapshot.Machine)
-	for _, id := range snapshot.Recent {
+	for _, id := range snapshot.RecentCommands {
 		fmt.Fprintf(&out, "applied proposer %d, number %d\n", id.Proposer, id.Number)
 	}
 	return out.String()
--- a/coordination/replica/golden_group_test.go
+++ b/coordination/replica/golden_group_test.go
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	defer log.Close()
-	state, err := chain.Load(recovered.Records)
+	state, err := chain.Restore(recovered.Records)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,18 +56,18 @@
 	fmt.Fprintf(&out, "self %s\n", describeMember(state.Self))
 	fmt.Fprintf(&out, "view %s\n", describeView(state.View))
 	fmt.Fprintf(&out, "acceptor of epoch %d: promised %d %s, accepted %d %s: %s\n", state.Acceptor.Epoch,
-		state.Acceptor.Promised.Round, state.Acceptor.Promised.Identity,
-		state.Acceptor.Accepted.Round, state.Acceptor.Accepted.Identity, describeView(state.Acceptor.Value))
+		state.Acceptor.Promised.Round, state.Acceptor.Promised.Proposer,
+		state.Acceptor.Accepted.Round, state.Acceptor.Accepted.Proposer, describeView(state.Acceptor.Value))
 	fmt.Fprintf(&out, "active %d, committed %d, base %d of epoch %d\n",
-		state.Active, state.Committed, state.Base, state.BaseEpoch)
-	for _, member := range state.Known {
+		state.CompleteEpoch, state.CommitIndex, state.BaseIndex, state.BaseEpoch)
+	for _, member := range state.KnownMembers {
 		fmt.Fprintf(&out, "known %s\n", describeMember(member))
 	}
 	for _, entry := range state.Entries {
 		fmt.Fprintf(&out, "entry %d of epoch %d, number %d: %q\n", entry.Index, entry.Epoch, entry.ID.Number, entry.Command)
 	}
 	fmt.Fprintf(&out, "snapshot to %d of epoch %d, %d identities: %q\n",
-		snapshot.Point.Index, snapshot.Point.Epoch, len(snapshot.Recent), snapshot.Machine)
+		snapshot.Point.Index, snapshot.Point.Epoch, len(snapshot.RecentCommands), snapshot.Machine)
 	return out.String()
 }
 
--- a/coordination/replica/replica_test.go
+++ b/coordination/replica/replica_test.go
@@ -157,7 +157,7 @@
 	g.propose(0, "after")
 	g.expect(0, "before during after")
 	g.wait(g.member(0), "it is in the chain again", func(s replica.Status) bool {
-		return s.View.Place(s.Self.Identity) >= 0 && len(s.View.Chain) == 3
+		return s.View.ChainIndex(s.Self.Identity) >= 0 && len(s.View.Chain) == 3
 	})
 }
 
@@ -206,7 +206,7 @@
 	g.start(2, false)
 	g.expect(2, want)
 	g.wait(g.member(2), "it votes", func(s replica.Status) bool {
-		return s.View.Votes(s.Self.Identity) && !s.View.Votes(before) && s.Self.Identity != before
+		return s.View.IsVoter(s.Self.Identity) && !s.View.IsVoter(before) && s.Self.Identity != before
 	})
 }
 
--- a/coordination/replica/status.go
+++ b/coordination/replica/status.go
@@ -54,12 +54,12 @@
 	return Status{
 		Self:           s.Self,
 		View:           s.View,
-		Committed:      s.Committed,
-		Live:           s.Live,
-		Leader:         s.Leader,
-		LeaseUntil:     r.instant(s.LeaseUntil),
+		Committed:      s.CommitIndex,
+		Live:           s.LiveMembers,
+		Leader:         s.IsLeader,
+		LeaseUntil:     r.instant(s.LeaseExpiry),
 		LeaderSince:    r.instant(s.LeaderSince),
-		PreviousMayAct: r.instant(s.PreviousMayAct),
+		PreviousMayAct: r.instant(s.PreviousLeaseExpiry),
 		ConfirmedAt:    r.instant(s.ConfirmedAt),
 	}
 }
--- a/coordination/simnet/catchup_test.go
+++ b/coordination/simnet/catchup_test.go
@@ -271,7 +271,7 @@
 	if err := play(mutation.Set{}); err != nil {
 		t.Error(err)
 	}
-	if play(mutation.Set{NewestAnswer: true}) == nil {
+	if play(mutation.Set{NewestFetchOnly: true}) == nil {
 		t.Error("taking only the newest answer is not found")
 	}
 }
--- a/coordination/simnet/contact_test.go
+++ b/coordination/simnet/contact_test.go
@@ -60,7 +60,7 @@
 	"standby": func(w *World) *machine {
 		v := w.head().engine.Node().View()
 		for _, m := range w.machines {
-			if v.Place(m.last.Self().Identity) < 0 {
+			if v.ChainIndex(m.last.Self().Identity) < 0 {
 				return m
 			}
 		}
@@ -114,7 +114,7 @@
 	if c.back {
 		return 0
 	}
-	return chain.DefaultTiming().Suspect
+	return chain.DefaultTiming().SuspectTimeout
 }
 
 // play plays one cut and notes how long after it the member proves a contact from after it.
--- a/coordination/simnet/contacts.go
+++ b/coordination/simnet/contacts.go
@@ -50,7 +50,7 @@
 			c.voters[v.Epoch] = append(c.voters[v.Epoch], voter.Identity)
 		}
 	}
-	identity, promised := node.Self().Identity, node.Promised()
+	identity, promised := node.Self().Identity, node.PromisedEpoch()
 	if promised <= c.promised[identity] {
 		return
 	}
--- a/coordination/simnet/faults.go
+++ b/coordination/simnet/faults.go
@@ -173,7 +173,7 @@
 		}
 		up := m.engine != nil && !m.frozen && w.now-m.startedAt >= catchUp/2
 		good := !m.disk.Refuse && m.disk.Failing == 0 && m.disk.CutAt == 0 && m.stall == 0
-		if !up || !good || m.last.Refusing() {
+		if !up || !good || m.last.DiskFailing() {
 			return false
 		}
 	}
--- a/coordination/simnet/ledger.go
+++ b/coordination/simnet/ledger.go
@@ -56,7 +56,7 @@
 	}
 	for _, m := range w.machines {
 		for _, node := range append(m.former[:len(m.former):len(m.former)], m.last) {
-			if node != nil && node.Holds(index, command) {
+			if node != nil && node.HasDurable(index, command) {
 				held[node.Self().Identity] = true
 			}
 		}
@@ -105,7 +105,7 @@
 		}
 		node := m.engine.Node()
 		identity, epoch := node.Self().Identity, node.Epoch()
-		if node.Refusing() {
+		if node.DiskFailing() {
 			continue // what it enters now it may forget: it takes part in nothing that must survive
 		}
 		if epoch < w.ledger.epochs[identity] {
--- a/coordination/simnet/loss_test.go
+++ b/coordination/simnet/loss_test.go
@@ -57,7 +57,7 @@
 	}
 	v := w.head().engine.Node().View()
 	identity := m.last.Self().Identity
-	return v.Votes(identity) && v.Place(identity) >= 0 && m.engine.Node().Whole()
+	return v.IsVoter(identity) && v.ChainIndex(identity) >= 0 && m.engine.Node().IsComplete()
 }
 
 // rejoin measures how long a machine that starts on an empty disk takes to count again.
--- a/coordination/simnet/membership.go
+++ b/coordination/simnet/membership.go
@@ -18,7 +18,7 @@
 func (w *World) newestView() view.View {
 	var newest view.View
 	for _, m := range w.machines {
-		if m.last != nil && !m.last.Refusing() && m.last.View().Epoch > newest.Epoch {
+		if m.last != nil && !m.last.DiskFailing() && m.last.View().Epoch > newest.Epoch {
 			newest = m.last.View()
 		}
 	}
@@ -33,7 +33,7 @@
 		if m.last == nil || m.removed || m.wiped {
 			continue
 		}
-		if m.unsure || m.last.Refusing() {
+		if m.unsure || m.last.DiskFailing() {
 			return nil, false
 		}
 		there[m.last.Self().Identity] = m.last
@@ -43,7 +43,7 @@
 
 // holdsAll tells whether a disk has everything that was acknowledged.
 func (w *World) holdsAll(node *chain.Node) bool {
-	return node.Holds(w.ledger.newest, w.ledger.committed[w.ledger.newest])
+	return node.HasDurable(w.ledger.newest, w.ledger.committed[w.ledger.newest])
 }
 
 // checkMembership states after each step that no majority of the newest view's voters can decide a next view whose head
@@ -62,7 +62,7 @@
 	standings := make([]standing, 0, len(v.Voters))
 	for _, voter := range v.Voters {
 		if node := there[voter.Identity]; node != nil {
-			standings = append(standings, standing{active: node.Active(), holds: w.holdsAll(node)})
+			standings = append(standings, standing{active: node.CompleteEpoch(), holds: w.holdsAll(node)})
 		}
 	}
 	for _, lacking := range standings {
--- a/coordination/simnet/membership_test.go
+++ b/coordination/simnet/membership_test.go
@@ -240,11 +240,11 @@
 		size    size
 		play    func(seed uint64, s size, planted mutation.Set) error
 	}{
-		"leave at once":          {mutation.Set{LeaveAtOnce: true}, size{3, 1}, leave},
-		"whole before it is":     {mutation.Set{EarlyWhole: true}, size{3, 1}, repair},
-		"a chain of f":           {mutation.Set{AckAtFaults: true}, size{3, 1}, repair},
+		"leave at once":          {mutation.Set{LeaveImmediately: true}, size{3, 1}, leave},
+		"whole before it is":     {mutation.Set{EarlyComplete: true}, size{3, 1}, repair},
+		"a chain of f":           {mutation.Set{CommitShortChain: true}, size{3, 1}, repair},
 		"a vote after a wipe":    {mutation.Set{VoteAfterWipe: true}, size{3, 1}, repair},
-		"a head without the log": {mutation.Set{AnyHead: true}, size{3, 1}, repair},
+		"a head without the log": {mutation.Set{HeadIgnoresLog: true}, size{3, 1}, repair},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(1); seed <= mutantSeeds; seed++ {
--- a/coordination/simnet/mutants_test.go
+++ b/coordination/simnet/mutants_test.go
@@ -15,13 +15,13 @@
 func TestPlantedFaultsAreFound(t *testing.T) {
 	for name, planted := range map[string]mutation.Set{
 		"no sync":            {NoSync: true},
-		"commit at f copies": {AckAtFaults: true},
-		"any head":           {AnyHead: true},
+		"commit at f copies": {CommitShortChain: true},
+		"any head":           {HeadIgnoresLog: true},
 
 		"proof at receipt":    {ProofAtReceipt: true},
 		"proof without index": {ProofWithoutIndex: true},
 		"proof by clock":      {ProofByClock: true},
-		"proof kept":          {ProofKept: true},
+		"proof kept":          {ProofOutlivesEpoch: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(1); seed <= mutantSeeds; seed++ {
--- a/coordination/view/golden_test.go
+++ b/coordination/view/golden_test.go
@@ -29,18 +29,18 @@
 // goldenValues holds the stored and sent values, each with all fields set and with none, by their lines in the file.
 func goldenValues() []any {
 	member, v := goldenMember("m"), goldenView(101)
-	ballot := Ballot{Round: 102, Identity: "proposer"}
+	ballot := ProposalNumber{Round: 102, Proposer: "proposer"}
 	acceptor := Acceptor{
-		Epoch: 103, Promised: Ballot{Round: 104, Identity: "promised"}, Accepted: Ballot{Round: 105, Identity: "accepted"},
+		Epoch: 103, Promised: ProposalNumber{Round: 104, Proposer: "promised"}, Accepted: ProposalNumber{Round: 105, Proposer: "accepted"},
 		Value: goldenView(106),
 	}
-	report := Report{Member: goldenMember("r"), Active: 107, Last: 108, LastEpoch: 109, Leaving: true}
+	report := Report{Member: goldenMember("r"), CompleteEpoch: 107, LastIndex: 108, LastEpoch: 109, Leaving: true}
 	promise := Promise{
-		Ballot: Ballot{Round: 110, Identity: "asked"}, Given: true, Promised: Ballot{Round: 111, Identity: "promised"},
-		Accepted: Ballot{Round: 112, Identity: "accepted"}, Value: goldenView(113), Report: report,
+		Number: ProposalNumber{Round: 110, Proposer: "asked"}, Granted: true, Promised: ProposalNumber{Round: 111, Proposer: "promised"},
+		Accepted: ProposalNumber{Round: 112, Proposer: "accepted"}, Value: goldenView(113), Report: report,
 	}
 	return []any{
-		&member, &Member{}, &v, &View{}, &ballot, &Ballot{}, &acceptor, &Acceptor{}, &report, &Report{}, &promise, &Promise{},
+		&member, &Member{}, &v, &View{}, &ballot, &ProposalNumber{}, &acceptor, &Acceptor{}, &report, &Report{}, &promise, &Promise{},
 	}
 }
 
@@ -119,10 +119,10 @@
 	if err := cbor.Unmarshal(readGolden(t, "values.hex")[6], &acceptor); err != nil {
 		t.Fatalf("reading the golden acceptor: %v", err)
 	}
-	if acceptor.Prepare(103, Ballot{Round: 104, Identity: "prior"}) {
+	if acceptor.Prepare(103, ProposalNumber{Round: 104, Proposer: "prior"}) {
 		t.Error("a ballot below the promised one gets a promise, want none")
 	}
-	if acceptor.Accept(Ballot{Round: 103, Identity: "z"}, goldenView(103), mutation.Set{}) {
+	if acceptor.Accept(ProposalNumber{Round: 103, Proposer: "z"}, goldenView(103), mutation.Set{}) {
 		t.Error("a value of a ballot below the promised one is accepted, want not")
 	}
 	var got [][]byte
@@ -133,15 +133,15 @@
 		}
 		got = append(got, body)
 	}
-	if !acceptor.Prepare(103, Ballot{Round: 114, Identity: "later"}) {
+	if !acceptor.Prepare(103, ProposalNumber{Round: 114, Proposer: "later"}) {
 		t.Error("a ballot above the promised one gets no promise, want one")
 	}
 	store()
-	if !acceptor.Accept(Ballot{Round: 114, Identity: "later"}, goldenView(103), mutation.Set{}) {
+	if !acceptor.Accept(ProposalNumber{Round: 114, Proposer: "later"}, goldenView(103), mutation.Set{}) {
 		t.Error("the value of the promised ballot is not accepted, want accepted")
 	}
 	store()
-	if !acceptor.Prepare(104, Ballot{Round: 1, Identity: "next"}) {
+	if !acceptor.Prepare(104, ProposalNumber{Round: 1, Proposer: "next"}) {
 		t.Error("the first ballot of the next epoch gets no promise, want one")
 	}
 	store()
--- a/coordination/view/types.go
+++ b/coordination/view/types.go
@@ -20,22 +20,22 @@
 	Voters []Member `cbor:"3,keyasint"`
 }
 
-// Ballot numbers one attempt to decide a view. Later rounds win; the identity breaks ties.
-type Ballot struct {
+// ProposalNumber numbers one attempt to decide a view. Later rounds win; the identity breaks ties.
+type ProposalNumber struct {
 	Round    uint64 `cbor:"1,keyasint"`
-	Identity string `cbor:"2,keyasint"`
+	Proposer string `cbor:"2,keyasint"`
 }
 
 // Before tells whether the ballot is lower than the other one.
-func (b Ballot) Before(other Ballot) bool {
+func (b ProposalNumber) Before(other ProposalNumber) bool {
 	if b.Round != other.Round {
 		return b.Round < other.Round
 	}
-	return b.Identity < other.Identity
+	return b.Proposer < other.Proposer
 }
 
-// Zero tells whether no ballot was made yet.
-func (b Ballot) Zero() bool { return b.Round == 0 }
+// IsZero tells whether no ballot was made yet.
+func (b ProposalNumber) IsZero() bool { return b.Round == 0 }
 
 // Head returns the member at which commands enter; the zero Member when there is no view yet.
 func (v View) Head() Member {
@@ -53,21 +53,21 @@
 	return v.Chain[len(v.Chain)-1]
 }
 
-// Place returns the position of the identity in the chain, or -1.
-func (v View) Place(identity string) int { return place(v.Chain, identity) }
+// ChainIndex returns the position of the identity in the chain, or -1.
+func (v View) ChainIndex(identity string) int { return place(v.Chain, identity) }
 
-// Votes tells whether the identity is a voter of the view.
-func (v View) Votes(identity string) bool { return place(v.Voters, identity) >= 0 }
+// IsVoter tells whether the identity is a voter of the view.
+func (v View) IsVoter(identity string) bool { return place(v.Voters, identity) >= 0 }
 
 // Majority is the number of voters that decides the next view.
 func (v View) Majority() int { return len(v.Voters)/2 + 1 }
 
-// CommitMinimum is the shortest chain that may commit: every majority of the voters then meets it, and the
+// MinChainLength is the shortest chain that may commit: every majority of the voters then meets it, and the
 // loss of as many disks as must be borne leaves a copy.
-func (v View) CommitMinimum(faults int) int { return CommitMinimum(len(v.Voters), faults) }
+func (v View) MinChainLength(faults int) int { return MinChainLength(len(v.Voters), faults) }
 
-// CommitMinimum is the shortest chain that may commit among that many voters.
-func CommitMinimum(voters, faults int) int {
+// MinChainLength is the shortest chain that may commit among that many voters.
+func MinChainLength(voters, faults int) int {
 	meetsMajority := voters - (voters/2 + 1) + 1
 	return max(faults+1, meetsMajority)
 }
@@ -75,16 +75,16 @@
 // maximumVoters bounds the voters of a large group: every attempt asks all of them.
 const maximumVoters = 9
 
-// TargetVoters is how many voters a group of that many live members works towards: an odd number, enough to bear
+// TargetVoterCount is how many voters a group of that many live members works towards: an odd number, enough to bear
 // the lost disks, and so many of the members that more than half of those hold a majority of the votes.
-func TargetVoters(faults, members int) int {
+func TargetVoterCount(faults, members int) int {
 	odd := members - 1 + members%2
 	return max(2*faults+1, 3, min(odd, maximumVoters))
 }
 
-// TargetChain is how long a chain among that many voters should be: one member can go before another must come in.
-func TargetChain(voters, faults int) int {
-	return max(2*faults+1, CommitMinimum(voters, faults)+1)
+// TargetChainLength is how long a chain among that many voters should be: one member can go before another must come in.
+func TargetChainLength(voters, faults int) int {
+	return max(2*faults+1, MinChainLength(voters, faults)+1)
 }
 
 func place(members []Member, identity string) int {
--- a/coordination/view/view_test.go
+++ b/coordination/view/view_test.go
@@ -44,17 +44,17 @@
 }
 
 // prepare opens a ballot.
-func (d *duel) prepare(ballot Ballot) {
-	p := &Proposer{Current: d.current, Ballot: ballot}
+func (d *duel) prepare(ballot ProposalNumber) {
+	p := &Proposer{Current: d.current, Number: ballot}
 	for i := range d.acceptors {
 		d.send(func() {
 			given := d.acceptors[i].Prepare(2, ballot)
-			promise := Promise{Ballot: ballot, Given: given, Report: Report{Member: member(i)}}
+			promise := Promise{Number: ballot, Granted: given, Report: Report{Member: member(i)}}
 			if given {
 				promise.Accepted, promise.Value = d.acceptors[i].Accepted, d.acceptors[i].Value
 			}
 			d.send(func() {
-				p.Promised(promise)
+				p.AddPromise(promise)
 				if p.Prepared() && p.Value.Epoch == 0 {
 					d.propose(p)
 				}
@@ -65,18 +65,18 @@
 
 // propose sends the ballot's value: one of its own, unless another may be decided.
 func (d *duel) propose(p *Proposer) {
-	value, bound := p.Bound()
+	value, bound := p.RequiredValue()
 	if !bound {
-		value = View{Epoch: 2, Chain: []Member{{Identity: fmt.Sprint(p.Ballot)}}}
+		value = View{Epoch: 2, Chain: []Member{{Identity: fmt.Sprint(p.Number)}}}
 	}
 	p.Value = value
 	for i := range d.acceptors {
 		d.send(func() {
-			if !d.acceptors[i].Accept(p.Ballot, value, d.planted) {
+			if !d.acceptors[i].Accept(p.Number, value, d.planted) {
 				return
 			}
 			d.send(func() {
-				if p.Accepted(member(i).Identity) {
+				if p.AddAcceptance(member(i).Identity) {
 					d.decided = append(d.decided, value)
 				}
 			})
@@ -87,8 +87,8 @@
 // play returns the values that two proposers of four ballots each have decided.
 func (d *duel) play() []View {
 	for round := range uint64(4) {
-		d.prepare(Ballot{Round: round + 1, Identity: "x"})
-		d.prepare(Ballot{Round: round + 1, Identity: "y"})
+		d.prepare(ProposalNumber{Round: round + 1, Proposer: "x"})
+		d.prepare(ProposalNumber{Round: round + 1, Proposer: "y"})
 	}
 	for len(d.flying) > 0 {
 		at := d.random.IntN(len(d.flying))
@@ -120,7 +120,7 @@
 		if decided := playDuel(seed, voters, mutation.Set{}); !same(decided) {
 			t.Fatalf("seed %d: %v", seed, decided)
 		}
-		found = found || !same(playDuel(seed, voters, mutation.Set{AnyBallot: true}))
+		found = found || !same(playDuel(seed, voters, mutation.Set{AcceptAnyProposal: true}))
 	}
 	if !found {
 		t.Error("accepting a ballot below the promise is not found")
@@ -128,7 +128,7 @@
 }
 
 // drawPlan draws a situation in which a view has to be planned.
-func drawPlan(t *rapid.T) (View, []Report, Wish) {
+func drawPlan(t *rapid.T) (View, []Report, Reconfiguration) {
 	faults := rapid.IntRange(0, 2).Draw(t, "faults")
 	voters := members(rapid.IntRange(1, 7).Draw(t, "voters"))
 	current := View{Epoch: 5, Voters: voters, Chain: voters[:rapid.IntRange(1, len(voters)).Draw(t, "chain")]}
@@ -137,21 +137,21 @@
 	var reports []Report
 	for _, voter := range promised {
 		reports = append(reports, Report{
-			Member:  voter,
-			Active:  rapid.Uint64Range(1, 5).Draw(t, "active"),
-			Last:    rapid.Uint64Range(0, 9).Draw(t, "last"),
-			Leaving: rapid.IntRange(0, 4).Draw(t, "leaving") == 0,
+			Member:        voter,
+			CompleteEpoch: rapid.Uint64Range(1, 5).Draw(t, "active"),
+			LastIndex:     rapid.Uint64Range(0, 9).Draw(t, "last"),
+			Leaving:       rapid.IntRange(0, 4).Draw(t, "leaving") == 0,
 		})
 	}
 	identity := rapid.Custom(func(t *rapid.T) string { return member(rapid.IntRange(0, 9).Draw(t, "identity")).Identity })
-	wish := Wish{
-		Faults: faults,
-		Target: rapid.IntRange(0, 9).Draw(t, "target"),
-		Out:    rapid.SliceOfN(identity, 0, 3).Draw(t, "out"),
-		Gone:   rapid.SliceOfN(identity, 0, 3).Draw(t, "gone"),
+	wish := Reconfiguration{
+		FaultTolerance:  faults,
+		TargetVoters:    rapid.IntRange(0, 9).Draw(t, "target"),
+		RemoveFromChain: rapid.SliceOfN(identity, 0, 3).Draw(t, "out"),
+		ReplaceVoters:   rapid.SliceOfN(identity, 0, 3).Draw(t, "gone"),
 	}
 	for i := range rapid.IntRange(0, 3).Draw(t, "standbys") {
-		wish.Standbys = append(wish.Standbys, member(20+i))
+		wish.Learners = append(wish.Learners, member(20+i))
 	}
 	return current, reports, wish
 }
@@ -166,14 +166,14 @@
 			t.Fatalf("the head %v is none of the holders %v", next.Head(), holders)
 		}
 		for i, link := range next.Chain {
-			if !next.Votes(link.Identity) {
+			if !next.IsVoter(link.Identity) {
 				t.Fatalf("%v of the chain is no voter", link)
 			}
-			if next.Place(link.Identity) != i {
+			if next.ChainIndex(link.Identity) != i {
 				t.Fatalf("%v is in the chain twice", link)
 			}
 		}
-		if len(next.Voters) > max(wish.Target, len(current.Voters)) {
+		if len(next.Voters) > max(wish.TargetVoters, len(current.Voters)) {
 			t.Fatalf("%d voters", len(next.Voters))
 		}
 		if slices.Equal(next.Voters, current.Voters) {
@@ -181,12 +181,12 @@
 		}
 		kept := 0
 		for _, holder := range holders {
-			if next.Votes(holder.Member.Identity) {
+			if next.IsVoter(holder.Member.Identity) {
 				kept++
 			}
 		}
-		founding := len(current.Voters) < current.CommitMinimum(wish.Faults)
-		if kept < CommitMinimum(len(next.Voters), wish.Faults) && !founding {
+		founding := len(current.Voters) < current.MinChainLength(wish.FaultTolerance)
+		if kept < MinChainLength(len(next.Voters), wish.FaultTolerance) && !founding {
 			t.Fatalf("%d of the new voters hold what was committed: %v", kept, next.Voters)
 		}
 	})
@@ -196,13 +196,13 @@
 func TestVotesWaitForHolders(t *testing.T) {
 	voters := members(3)
 	current := View{Epoch: 5, Voters: voters, Chain: voters[:2]}
-	reports := []Report{{Member: voters[0], Active: 5}, {Member: voters[1], Active: 4}}
-	wish := Wish{Faults: 1, Target: 3, Gone: []string{voters[2].Identity}, Standbys: []Member{member(20)}}
-	if next := Plan(current, reports, wish); next.Votes(member(20).Identity) {
+	reports := []Report{{Member: voters[0], CompleteEpoch: 5}, {Member: voters[1], CompleteEpoch: 4}}
+	wish := Reconfiguration{FaultTolerance: 1, TargetVoters: 3, ReplaceVoters: []string{voters[2].Identity}, Learners: []Member{member(20)}}
+	if next := Plan(current, reports, wish); next.IsVoter(member(20).Identity) {
 		t.Errorf("one of %v holds everything", next.Voters)
 	}
-	wish.Planted.AnyVoters = true
-	if next := Plan(current, reports, wish); !next.Votes(member(20).Identity) {
+	wish.Mutation.UncheckedVoters = true
+	if next := Plan(current, reports, wish); !next.IsVoter(member(20).Identity) {
 		t.Error("votes without holders are not found")
 	}
 }
@@ -211,7 +211,7 @@
 func TestCommitMinimum(t *testing.T) {
 	for faults := range 4 {
 		for voters := 1; voters <= maximumVoters; voters++ {
-			minimum := CommitMinimum(voters, faults)
+			minimum := MinChainLength(voters, faults)
 			majority := voters/2 + 1
 			if minimum+majority <= voters || minimum <= faults {
 				t.Errorf("%d voters, %d faults: a chain of %d", voters, faults, minimum)
--- a/internal/control/roles/fencing_test.go
+++ b/internal/control/roles/fencing_test.go
@@ -68,8 +68,8 @@
 
 func statusOf(s chain.Status) replica.Status {
 	return replica.Status{
-		View: s.View, Leader: s.Leader, LeaseUntil: instant(s.LeaseUntil), LeaderSince: instant(s.LeaderSince),
-		PreviousMayAct: instant(s.PreviousMayAct),
+		View: s.View, Leader: s.IsLeader, LeaseUntil: instant(s.LeaseExpiry), LeaderSince: instant(s.LeaderSince),
+		PreviousMayAct: instant(s.PreviousLeaseExpiry),
 	}
 }
 
--- a/internal/systemsim/instance.go
+++ b/internal/systemsim/instance.go
@@ -348,9 +348,9 @@
 
 func statusOf(s chain.Status) replica.Status {
 	return replica.Status{
-		Self: s.Self, View: s.View, Committed: s.Committed, Live: s.Live, Leader: s.Leader,
-		LeaseUntil: instant(s.LeaseUntil), LeaderSince: instant(s.LeaderSince),
-		PreviousMayAct: instant(s.PreviousMayAct), ConfirmedAt: instant(s.ConfirmedAt),
+		Self: s.Self, View: s.View, Committed: s.CommitIndex, Live: s.LiveMembers, Leader: s.IsLeader,
+		LeaseUntil: instant(s.LeaseExpiry), LeaderSince: instant(s.LeaderSince),
+		PreviousMayAct: instant(s.PreviousLeaseExpiry), ConfirmedAt: instant(s.ConfirmedAt),
 	}
 }
 
