--- a/cmd/raventrestle-control/events.go
+++ b/cmd/raventrestle-control/events.go
@@ -83,7 +83,7 @@
 	switch outcome {
 	case placer.Accepted:
 		return "accepted"
-	case placer.Holds:
+	case placer.AlreadyApplied:
 		return "holds"
 	case placer.Busy:
 		return "busy"
--- a/cmd/raventrestle-control/instance.go
+++ b/cmd/raventrestle-control/instance.go
@@ -223,11 +223,11 @@
 }
 
 func makePlacer(settings *nodeconfig.Settings, quiet time.Duration) *placer.Placer {
-	return placer.New(placer.Options{
-		CeilingWindow: settings.Bounds.CeilingWindow,
-		CeilingOver:   settings.Bounds.CeilingOver,
-		QuietBefore:   quiet,
-		Looks:         true,
+	return placer.New(placer.Config{
+		LoadRateWindow:   settings.Bounds.CeilingWindow,
+		LoadRateFactor:   settings.Bounds.CeilingOver,
+		HandoverGap:      quiet,
+		InspectEndpoints: true,
 	})
 }
 
--- a/internal/control/placer/adapters.go
+++ b/internal/control/placer/adapters.go
@@ -211,7 +211,7 @@
 	if !e.live() || e.plan != nil || e.pending != nil || now.Before(e.pauseUntil) {
 		return false
 	}
-	return e.known || (!p.options.Looks && e.settled)
+	return e.known || (!p.options.InspectEndpoints && e.settled)
 }
 
 // leastMissed finds the adapter on the endpoint that may make way and is missed least; one that is in use may only
--- a/internal/control/placer/endpoint.go
+++ b/internal/control/placer/endpoint.go
@@ -288,7 +288,7 @@
 }
 
 // look takes the endpoint's own report.
-func (e *endpoint) look(now time.Time, told Look) {
+func (e *endpoint) look(now time.Time, told Inspection) {
 	e.looking = false
 	e.lookAt = now.Add(lookAgain)
 	if told.Failed || (e.pending != nil && e.pending.phase == sent) {
@@ -311,7 +311,7 @@
 }
 
 // adopt takes a report without an order under way as the truth.
-func (e *endpoint) adopt(now time.Time, told Look) {
+func (e *endpoint) adopt(now time.Time, told Inspection) {
 	e.pending = nil
 	e.known = true
 	e.revision = told.Revision
--- a/internal/control/placer/gate.go
+++ b/internal/control/placer/gate.go
@@ -26,7 +26,7 @@
 	if e.pending != nil || now.Before(e.pauseUntil) {
 		return errBusy
 	}
-	if p.options.Looks && !e.known {
+	if p.options.InspectEndpoints && !e.known {
 		return errUnsure
 	}
 	if order.Unload {
@@ -128,13 +128,13 @@
 // issue sends an order through the gate; false if it was held back.
 func (p *Placer) issue(now time.Time, f *fleet, e *endpoint, order Order, out *Output) bool {
 	if err := p.admissible(now, f, e, order); err != nil {
-		p.counters.Dropped++
+		p.counters.Inadmissible++
 		return false
 	}
 	p.nextOrder++
 	order.ID = p.nextOrder
 	order.Endpoint, order.Address = e.ID, e.Address
-	if p.options.Looks {
+	if p.options.InspectEndpoints {
 		revision := e.revision
 		order.Revision = &revision
 	}
--- a/internal/control/placer/gate_test.go
+++ b/internal/control/placer/gate_test.go
@@ -47,7 +47,7 @@
 		}, Order{Model: "small"}, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			p := New(Options{Looks: true, QuietBefore: time.Minute})
+			p := New(Config{InspectEndpoints: true, HandoverGap: time.Minute})
 			engine := &configuration.Engine{Slots: 8, WeightsMB: 100, AdapterSlots: 2, LoadsPerS: 2,
 				Models: []configuration.Model{{Name: "big", WeightsMB: 60, LoadTimeS: 5, Adapters: 4, AdapterMB: 1},
 					{Name: "small", WeightsMB: 30, LoadTimeS: 5, Adapters: 4, AdapterMB: 1}}}
@@ -57,7 +57,7 @@
 				Services: []configuration.Service{{Name: "lm", Engine: engine}}}, Endpoints: table})
 			f := p.fleets["lm"]
 			e := f.endpoints["i-1"]
-			e.look(now, Look{Endpoint: "i-1", Models: held})
+			e.look(now, Inspection{Endpoint: "i-1", Models: held})
 			if test.change != nil {
 				test.change(p, f, e)
 			}
@@ -70,8 +70,8 @@
 			if want := test.want == nil; issued != want || (len(out.Orders) == 1) != want {
 				t.Errorf("issued %v with orders %+v, want %v", issued, out.Orders, want)
 			}
-			if want := before.Dropped + 1; test.want != nil && p.counters.Dropped != want {
-				t.Errorf("%d orders dropped, want %d", p.counters.Dropped, want)
+			if want := before.Inadmissible + 1; test.want != nil && p.counters.Inadmissible != want {
+				t.Errorf("%d orders dropped, want %d", p.counters.Inadmissible, want)
 			}
 		})
 	}
--- a/internal/control/placer/golden_fleet_test.go
+++ b/internal/control/placer/golden_fleet_test.go
@@ -124,7 +124,7 @@
 		}
 	}
 	f.configuration.Services = append(f.configuration.Services, configuration.Service{Name: "plain"})
-	f.placer = New(Options{Looks: s.inspect, QuietBefore: time.Minute})
+	f.placer = New(Config{InspectEndpoints: s.inspect, HandoverGap: time.Minute})
 	return f
 }
 
@@ -203,7 +203,7 @@
 		f.configuration, f.changed = next, true
 	}
 	if slices.Contains(f.scenario.takeovers, f.now) {
-		f.placer = New(Options{Looks: f.scenario.inspect, QuietBefore: f.scenario.quiet})
+		f.placer = New(Config{InspectEndpoints: f.scenario.inspect, HandoverGap: f.scenario.quiet})
 		f.generation++
 		f.input, f.changed, f.wakeAt = Input{}, true, time.Time{}
 		f.record("takeover %d", f.generation)
@@ -456,7 +456,7 @@
 func (f *goldenFleet) step() {
 	in := f.input
 	now := time.Unix(1e9, 0).Add(f.now)
-	if now.Before(f.wakeAt) && len(in.Results)+len(in.Looks)+len(in.Reports) == 0 && !f.changed {
+	if now.Before(f.wakeAt) && len(in.Results)+len(in.Inspections)+len(in.Reports) == 0 && !f.changed {
 		return
 	}
 	f.input = Input{}
@@ -483,7 +483,7 @@
 	for _, order := range out.Orders {
 		f.send(order)
 	}
-	for _, id := range out.Looks {
+	for _, id := range out.Inspect {
 		f.inspect(id)
 	}
 }
@@ -491,15 +491,15 @@
 // inspect answers with the endpoint's own report, or that none came.
 func (f *goldenFleet) inspect(id string) {
 	generation := f.generation
-	answer := Look{Endpoint: id, Failed: true}
+	answer := Inspection{Endpoint: id, Failed: true}
 	for _, e := range f.endpoints {
 		if e.id == id && e.up && !f.chance(0.05) {
-			answer = Look{Endpoint: id, Busy: e.order != nil, Revision: e.revision, Models: f.holdings(e)}
+			answer = Inspection{Endpoint: id, Busy: e.order != nil, Revision: e.revision, Models: f.holdings(e)}
 		}
 	}
 	f.later(time.Duration(f.random.IntN(120))*time.Millisecond, func() {
 		if f.generation == generation {
-			f.input.Looks = append(f.input.Looks, answer)
+			f.input.Inspections = append(f.input.Inspections, answer)
 		}
 	})
 }
@@ -553,7 +553,7 @@
 	case order.Adapter != "" && !there, order.Unload && !there:
 		return Invalid
 	case order.Adapter != "" && has != order.Unload, order.Adapter == "" && !order.Unload && there:
-		return Holds
+		return AlreadyApplied
 	}
 	f.begin(e, order)
 	return Accepted
--- a/internal/control/placer/golden_test.go
+++ b/internal/control/placer/golden_test.go
@@ -98,8 +98,8 @@
 		f.record("order %d %s %s %s %s %q revision %s reason %q", order.ID, order.Endpoint, order.Address, operation,
 			order.Model, order.Adapter, revision, order.Reason)
 	}
-	if len(out.Looks) > 0 {
-		f.record("inspect %s", strings.Join(out.Looks, " "))
+	if len(out.Inspect) > 0 {
+		f.record("inspect %s", strings.Join(out.Inspect, " "))
 	}
 	if wake := out.WakeAt.Sub(now); wake != f.lastWake {
 		f.lastWake = wake
@@ -114,7 +114,7 @@
 	now := time.Unix(1e9, 0).Add(f.now)
 	c := p.counters
 	f.record("counters loads %d warm %d unloads %d adapters %d inspections %d rejected %d unanswered %d dropped %d",
-		c.Loads, c.WarmLoads, c.Unloads, c.Adapters, c.Looks, c.Refused, c.Unanswered, c.Dropped)
+		c.Loads, c.WarmLoads, c.Unloads, c.Adapters, c.Inspections, c.Rejected, c.Unanswered, c.Inadmissible)
 	f.record("rate limit %d own %d others %d", p.ledger.limit, len(p.ledger.entries), len(p.ledger.others))
 	for _, fleet := range p.sorted() {
 		f.record("service %s token time %s", fleet.name, exact(fleet.tokenTime))
--- a/internal/control/placer/order_test.go
+++ b/internal/control/placer/order_test.go
@@ -11,7 +11,7 @@
 // single is a fleet of one endpoint with one model that has adapters, and a placer that knows it.
 func single(t *testing.T, now time.Time) (*Placer, protocol.Endpoint) {
 	t.Helper()
-	p := New(Options{Looks: true})
+	p := New(Config{InspectEndpoints: true})
 	engine := &configuration.Engine{
 		Slots: 8, WeightsMB: 100, AdapterSlots: 2, LoadsPerS: 2,
 		Models: []configuration.Model{{Name: "big", WeightsMB: 60, LoadTimeS: 5, Adapters: 4, AdapterMB: 1}},
@@ -25,8 +25,8 @@
 		Configuration: &configuration.Configuration{Generation: 1, Services: services},
 		Endpoints:     []protocol.Endpoint{e},
 	}
-	if out := p.Step(now, in); len(out.Looks) != 1 {
-		t.Fatalf("looks %v, want one", out.Looks)
+	if out := p.Step(now, in); len(out.Inspect) != 1 {
+		t.Fatalf("looks %v, want one", out.Inspect)
 	}
 	return p, e
 }
@@ -46,8 +46,8 @@
 		now := time.Unix(1e9, 0)
 		p, e := single(t, now)
 		table := func() []protocol.Endpoint { return []protocol.Endpoint{e} }
-		look := Look{Endpoint: e.ID, Revision: 7, Models: e.Models}
-		out := p.Step(now.Add(50*time.Millisecond), Input{Endpoints: table(), Looks: []Look{look}})
+		look := Inspection{Endpoint: e.ID, Revision: 7, Models: e.Models}
+		out := p.Step(now.Add(50*time.Millisecond), Input{Endpoints: table(), Inspections: []Inspection{look}})
 		if len(out.Orders) != 1 || out.Orders[0].Adapter == "" || *out.Orders[0].Revision != 7 {
 			t.Fatalf("orders %+v, want one for an adapter at revision 7", out.Orders)
 		}
@@ -73,8 +73,8 @@
 func TestARestartedEndpointIsLookedAtAnew(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	p, e := single(t, now)
-	look := Look{Endpoint: e.ID, Revision: 7, Models: e.Models}
-	out := p.Step(now.Add(50*time.Millisecond), Input{Endpoints: []protocol.Endpoint{e}, Looks: []Look{look}})
+	look := Inspection{Endpoint: e.ID, Revision: 7, Models: e.Models}
+	out := p.Step(now.Add(50*time.Millisecond), Input{Endpoints: []protocol.Endpoint{e}, Inspections: []Inspection{look}})
 	if len(out.Orders) != 1 || *out.Orders[0].Revision != 7 {
 		t.Fatalf("orders %+v, want one at revision 7", out.Orders)
 	}
@@ -83,13 +83,13 @@
 	results := []Result{{ID: out.Orders[0].ID, Outcome: Accepted}}
 	in := Input{Endpoints: table, Results: results, Reports: unserved("")}
 	out = p.Step(now.Add(100*time.Millisecond), in)
-	if len(out.Orders) != 0 || len(out.Looks) != 1 || out.Looks[0] != "i-2" {
-		t.Fatalf("orders %+v, looks %+v, want a look at i-2 alone", out.Orders, out.Looks)
+	if len(out.Orders) != 0 || len(out.Inspect) != 1 || out.Inspect[0] != "i-2" {
+		t.Fatalf("orders %+v, looks %+v, want a look at i-2 alone", out.Orders, out.Inspect)
 	}
-	in = Input{Endpoints: table, Looks: []Look{{Endpoint: "i-2"}}}
+	in = Input{Endpoints: table, Inspections: []Inspection{{Endpoint: "i-2"}}}
 	for at := 150 * time.Millisecond; at < 5*time.Second; at += 50 * time.Millisecond {
 		out = p.Step(now.Add(at), in)
-		in.Looks = nil
+		in.Inspections = nil
 		if len(out.Orders) > 0 {
 			break
 		}
@@ -105,8 +105,8 @@
 	p, e := single(t, now)
 	e.Sequence, e.Models = 2, []protocol.HeldModel{{Name: "big", Generation: 1, Adapters: []string{"a1", "a2"}}}
 	asked := unserved("a3")
-	look := Look{Endpoint: e.ID, Models: e.Models}
-	in := Input{Endpoints: []protocol.Endpoint{e}, Looks: []Look{look}, Reports: asked}
+	look := Inspection{Endpoint: e.ID, Models: e.Models}
+	in := Input{Endpoints: []protocol.Endpoint{e}, Inspections: []Inspection{look}, Reports: asked}
 	out := p.Step(now.Add(50*time.Millisecond), in)
 	if len(out.Orders) != 1 || !out.Orders[0].Unload {
 		t.Fatalf("orders %+v, want an unload", out.Orders)
@@ -131,8 +131,8 @@
 	asked := unserved("a3")
 	table := []protocol.Endpoint{e}
 	p.Step(now.Add(50*time.Millisecond), Input{Endpoints: table, Reports: asked}) // its report is not there yet
-	look := Look{Endpoint: e.ID, Models: e.Models}
-	out := p.Step(now.Add(4*time.Second), Input{Endpoints: table, Looks: []Look{look}})
+	look := Inspection{Endpoint: e.ID, Models: e.Models}
+	out := p.Step(now.Add(4*time.Second), Input{Endpoints: table, Inspections: []Inspection{look}})
 	if len(out.Orders) != 0 {
 		t.Errorf("orders %+v for what nobody asked for in the last seconds", out.Orders)
 	}
@@ -146,9 +146,9 @@
 	held := map[string]bool{}
 	came, served := map[string]time.Duration{}, map[string]time.Duration{}
 	var results []Result
-	looks := []Look{{Endpoint: e.ID, Models: e.Models}}
+	looks := []Inspection{{Endpoint: e.ID, Models: e.Models}}
 	for at := 50 * time.Millisecond; at < 20*time.Second; at += 50 * time.Millisecond {
-		in := Input{Endpoints: []protocol.Endpoint{e}, Results: results, Looks: looks}
+		in := Input{Endpoints: []protocol.Endpoint{e}, Results: results, Inspections: looks}
 		results, looks = nil, nil
 		if at%(500*time.Millisecond) == 0 {
 			told := protocol.Report{Node: "r", Sequence: uint64(at), Over: 500 * time.Millisecond}
@@ -202,8 +202,8 @@
 	table := []protocol.Endpoint{first, second}
 	p.Step(now.Add(50*time.Millisecond), Input{Endpoints: table})
 	asked := unserved("a3")
-	looks := []Look{{Endpoint: "i-1", Models: held}, {Endpoint: "i-2", Models: held}}
-	in := Input{Endpoints: table, Reports: asked, Looks: looks}
+	looks := []Inspection{{Endpoint: "i-1", Models: held}, {Endpoint: "i-2", Models: held}}
+	in := Input{Endpoints: table, Reports: asked, Inspections: looks}
 	unloads := 0
 	for i := range 10 {
 		for _, order := range p.Step(now.Add(time.Duration(2+i)*50*time.Millisecond), in).Orders {
--- a/internal/control/placer/placer.go
+++ b/internal/control/placer/placer.go
@@ -28,19 +28,19 @@
 
 // Counters count what happened since the start, for people and tests.
 type Counters struct {
-	Loads      int `json:"loads"`
-	WarmLoads  int `json:"warm_loads"`
-	Unloads    int `json:"unloads"`
-	Adapters   int `json:"adapters"`
-	Looks      int `json:"looks"`
-	Refused    int `json:"refused"`    // orders that the endpoint refused
-	Unanswered int `json:"unanswered"` // orders without an answer
-	Dropped    int `json:"dropped"`    // orders that the last gate held back: a defect in the planning
+	Loads        int `json:"loads"`
+	WarmLoads    int `json:"warm_loads"`
+	Unloads      int `json:"unloads"`
+	Adapters     int `json:"adapters"`
+	Inspections  int `json:"looks"`
+	Rejected     int `json:"refused"`    // orders that the endpoint refused
+	Unanswered   int `json:"unanswered"` // orders without an answer
+	Inadmissible int `json:"dropped"`    // orders that the last gate held back: a defect in the planning
 }
 
 // Placer decides which endpoint holds which models and adapters.
 type Placer struct {
-	options   Options
+	options   Config
 	start     time.Time
 	fleets    map[string]*fleet
 	demand    *tally
@@ -52,7 +52,7 @@
 }
 
 // New makes a placer that knows nothing yet. The first Step is its start.
-func New(options Options) *Placer {
+func New(options Config) *Placer {
 	return &Placer{
 		options: options.withDefaults(),
 		fleets:  map[string]*fleet{},
@@ -85,7 +85,7 @@
 	for _, result := range in.Results {
 		p.result(now, result)
 	}
-	for _, look := range in.Looks {
+	for _, look := range in.Inspections {
 		p.look(now, look)
 	}
 	p.demand.advance(now)
@@ -107,7 +107,7 @@
 		return
 	}
 	p.start = now
-	p.ledger = newLedger(now, p.options.CeilingWindow, p.options.QuietBefore)
+	p.ledger = newLedger(now, p.options.LoadRateWindow, p.options.HandoverGap)
 }
 
 // configure takes a configuration; what endpoints hold stays known.
@@ -143,7 +143,7 @@
 			delete(p.fleets, name)
 		}
 	}
-	p.ledger.setRate(perSecond, p.options.CeilingOver, p.options.CeilingWindow)
+	p.ledger.setRate(perSecond, p.options.LoadRateFactor, p.options.LoadRateWindow)
 }
 
 func (p *Placer) sorted() []*fleet {
@@ -243,7 +243,7 @@
 		if order.shown {
 			e.done(now)
 		}
-	case Holds:
+	case AlreadyApplied:
 		e.done(now)
 		e.doubts(now)
 	case Unknown:
@@ -262,7 +262,7 @@
 }
 
 func (p *Placer) refused(now time.Time, e *endpoint, outcome Outcome) {
-	p.counters.Refused++
+	p.counters.Rejected++
 	e.pending = nil
 	e.doubts(now)
 	pause := refusedPause
@@ -273,7 +273,7 @@
 	e.pauseUntil = now.Add(pause)
 }
 
-func (p *Placer) look(now time.Time, told Look) {
+func (p *Placer) look(now time.Time, told Inspection) {
 	for _, f := range p.fleets {
 		if e := f.endpoints[told.Endpoint]; e != nil {
 			if !told.Failed && !told.Busy {
@@ -314,7 +314,7 @@
 			p.result(now, Result{ID: order.order.ID, Outcome: Unknown})
 		case order.phase == running && order.order.Adapter != "" && now.Sub(order.answered) >= adapterLate:
 			e.done(now)
-		case !p.options.Looks && order.phase != sent && now.Sub(order.issued) > f.over(order.order):
+		case !p.options.InspectEndpoints && order.phase != sent && now.Sub(order.issued) > f.over(order.order):
 			p.assume(now, e)
 		}
 	}
@@ -340,7 +340,7 @@
 
 // looks asks for the reports that are due.
 func (p *Placer) looks(now time.Time, f *fleet, out *Output) {
-	if !p.options.Looks {
+	if !p.options.InspectEndpoints {
 		return
 	}
 	for _, e := range f.order {
@@ -349,8 +349,8 @@
 		}
 		e.lookAt = now.Add(lookAgain)
 		e.looking = true
-		p.counters.Looks++
-		out.Looks = append(out.Looks, e.ID)
+		p.counters.Inspections++
+		out.Inspect = append(out.Inspect, e.ID)
 	}
 }
 
--- a/internal/control/placer/plan.go
+++ b/internal/control/placer/plan.go
@@ -66,7 +66,7 @@
 
 // best makes the most valuable change; false if none is worth it.
 func (p *Placer) best(now time.Time, f *fleet, b *book, onlyUrgent bool, out *Output) bool {
-	if f.loadsUnderWay() >= f.mostLoads(p.options.CeilingWindow) {
+	if f.loadsUnderWay() >= f.mostLoads(p.options.LoadRateWindow) {
 		return false
 	}
 	var chosen *choice
@@ -98,7 +98,7 @@
 		return false
 	}
 	most := l.rate*l.demand.worth*(1-worthAt(l.level)) + p.redundant(l) + l.adapterGain
-	return most*horizon+zoneBonus+fitBonus > p.options.LoadPrice+p.options.OrderPrice+hysteresis
+	return most*horizon+zoneBonus+fitBonus > p.options.LoadCost+p.options.OrderCost+hysteresis
 }
 
 func (f *fleet) loadsUnderWay() int {
@@ -124,14 +124,14 @@
 			continue
 		}
 		c := &choice{load: l, at: e, gain: p.gain(now, l, e, bases)}
-		most := c.gain + fitBonus - p.options.LoadPrice - p.options.OrderPrice - hysteresis
+		most := c.gain + fitBonus - p.options.LoadCost - p.options.OrderCost - hysteresis
 		if most <= 0 || chosen != nil && most <= chosen.score || !p.victims(now, f, b, c) {
 			continue
 		}
 		if l.dragging && b.waitsToo(c) {
 			continue // one copy in use that leaves for it is enough
 		}
-		price := p.options.LoadPrice + p.options.OrderPrice*float64(1+len(c.victims))
+		price := p.options.LoadCost + p.options.OrderCost*float64(1+len(c.victims))
 		c.score = c.gain - c.loss - price - hysteresis
 		c.score -= delayLoss * p.loadTime(f, e, l.model).Seconds() * (1 + p.pressing(l))
 		c.score += p.fit(f, e, l, c.victims)
@@ -155,7 +155,7 @@
 	if e.pending != nil && e.pending.order.Adapter == "" {
 		return false // an adapter takes a moment only
 	}
-	if p.options.Looks && !e.known {
+	if p.options.InspectEndpoints && !e.known {
 		return false
 	}
 	return allowed || e.held[model]
@@ -179,7 +179,7 @@
 			waited += waitGrowth * now.Sub(d.waitingSince).Seconds()
 		}
 		now := p.pressing(l) * d.worth * waited
-		return now + horizon*math.Max(l.rate, l.steady)*(missLoss*d.worth+p.options.LoadPrice)*after
+		return now + horizon*math.Max(l.rate, l.steady)*(missLoss*d.worth+p.options.LoadCost)*after
 	}
 	rate := l.rate * d.worth * (after - worthAt(l.level))
 	sum := horizon * (rate + p.redundant(l) + l.adapterGain)
@@ -253,7 +253,7 @@
 
 // proceed sends the next order of an endpoint's plan.
 func (p *Placer) proceed(now time.Time, f *fleet, b *book, e *endpoint, out *Output) {
-	if e.pending != nil || now.Before(e.pauseUntil) || (p.options.Looks && !e.known) {
+	if e.pending != nil || now.Before(e.pauseUntil) || (p.options.InspectEndpoints && !e.known) {
 		return
 	}
 	current := e.plan
--- a/internal/control/placer/size_test.go
+++ b/internal/control/placer/size_test.go
@@ -17,17 +17,17 @@
 func BenchmarkStepAtSize(b *testing.B) {
 	random := rand.New(rand.NewPCG(1, 1))
 	now := time.Unix(0, 0)
-	p := New(Options{Looks: true, QuietBefore: time.Minute})
+	p := New(Config{InspectEndpoints: true, HandoverGap: time.Minute})
 	table := sizetest.Table()
 	p.Step(now, Input{Configuration: sizetest.Configuration(), Endpoints: table})
 	step, orders := 0, 0
 	sequence := uint64(0)
 	var results []Result
-	var looks []Look
+	var looks []Inspection
 	revisions := make(map[string]uint64)
 	one := func() {
 		now = now.Add(time.Second / stepsPerS)
-		in := Input{Endpoints: table, Results: results, Looks: looks}
+		in := Input{Endpoints: table, Results: results, Inspections: looks}
 		for i := range sizetest.Routers * sizetest.ReportsPerS / stepsPerS {
 			sequence++
 			router := (step*sizetest.Routers*sizetest.ReportsPerS/stepsPerS + i) % sizetest.Routers
@@ -45,8 +45,8 @@
 			revisions[order.Endpoint]++
 		}
 		looks = looks[:0]
-		for _, id := range out.Looks {
-			looks = append(looks, Look{Endpoint: id, Revision: revisions[id], Models: held(table, id)})
+		for _, id := range out.Inspect {
+			looks = append(looks, Inspection{Endpoint: id, Revision: revisions[id], Models: held(table, id)})
 		}
 	}
 	for range 10 * stepsPerS {
--- a/internal/control/placer/takeover_test.go
+++ b/internal/control/placer/takeover_test.go
@@ -28,10 +28,10 @@
 	return &configuration.Configuration{Generation: 1, Services: services}, table
 }
 
-func looksAt(table []protocol.Endpoint, busy bool) []Look {
-	var looks []Look
+func looksAt(table []protocol.Endpoint, busy bool) []Inspection {
+	var looks []Inspection
 	for _, e := range table {
-		looks = append(looks, Look{Endpoint: e.ID, Busy: busy, Revision: 3, Models: e.Models})
+		looks = append(looks, Inspection{Endpoint: e.ID, Busy: busy, Revision: 3, Models: e.Models})
 	}
 	return looks
 }
@@ -53,10 +53,10 @@
 func TestNewHolderLoadsWhatIsWantedAtOnce(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := takeover()
-	p := New(Options{Looks: true, QuietBefore: time.Second})
+	p := New(Config{InspectEndpoints: true, HandoverGap: time.Second})
 	p.Step(now, Input{Configuration: c, Endpoints: table})
 	out := p.Step(now.Add(100*time.Millisecond), Input{
-		Endpoints: table, Looks: looksAt(table, false),
+		Endpoints: table, Inspections: looksAt(table, false),
 		Reports: wantedModels(5, "m1", "m2", "m3", "m4", "m5", "m6"),
 	})
 	loads := 0
@@ -101,10 +101,10 @@
 	now := time.Unix(1e9, 0)
 	c, table := takeover()
 	c.Services[0].Engine.WeightsMB = 100 // no room beside the copy that is there
-	p := New(Options{Looks: true, QuietBefore: time.Second})
+	p := New(Config{InspectEndpoints: true, HandoverGap: time.Second})
 	p.Step(now, Input{Configuration: c, Endpoints: table})
 	out := p.Step(now.Add(100*time.Millisecond), Input{
-		Endpoints: table, Looks: looksAt(table, false),
+		Endpoints: table, Inspections: looksAt(table, false),
 		Reports: wantedModels(5, "m1"),
 	})
 	if len(out.Orders) != 0 {
@@ -121,9 +121,9 @@
 	now := time.Unix(1e9, 0)
 	c, table := takeover()
 	c.Services[0].Engine.WeightsMB = 100
-	p := New(Options{Looks: true, QuietBefore: time.Second})
+	p := New(Config{InspectEndpoints: true, HandoverGap: time.Second})
 	p.Step(now, Input{Configuration: c, Endpoints: table})
-	p.Step(now.Add(100*time.Millisecond), Input{Endpoints: table, Looks: looksAt(table, false), Reports: wantedModels(0)})
+	p.Step(now.Add(100*time.Millisecond), Input{Endpoints: table, Inspections: looksAt(table, false), Reports: wantedModels(0)})
 	again := now.Add(5 * time.Second)
 	out := p.Step(again, Input{Endpoints: table, Reports: wantedModels(5, "m1")})
 	if len(out.Orders) != 0 {
@@ -142,13 +142,13 @@
 	for i := range table[1:] {
 		table[1+i].Models = nil
 	}
-	p := New(Options{Looks: true, QuietBefore: time.Second})
+	p := New(Config{InspectEndpoints: true, HandoverGap: time.Second})
 	p.Step(now, Input{Configuration: c, Endpoints: table, Recovering: true})
 	looks := looksAt(table, false)
 	loads := 0
 	for i := range 60 {
 		at := now.Add(time.Duration(i+1) * 50 * time.Millisecond)
-		in := Input{Endpoints: table, Looks: looks, Recovering: true}
+		in := Input{Endpoints: table, Inspections: looks, Recovering: true}
 		if i%10 == 0 {
 			in.Reports = []protocol.Report{{
 				Node: "r", Sequence: uint64(i), Over: 500 * time.Millisecond,
@@ -175,9 +175,9 @@
 	now := time.Unix(1e9, 0)
 	c, table := takeover()
 	c.Services[0].Engine.WeightsMB = 100
-	p := New(Options{Looks: true, QuietBefore: time.Minute})
+	p := New(Config{InspectEndpoints: true, HandoverGap: time.Minute})
 	p.Step(now, Input{Configuration: c, Endpoints: table})
-	p.Step(now.Add(50*time.Millisecond), Input{Endpoints: table, Looks: looksAt(table, false), Reports: wantedModels(0)})
+	p.Step(now.Add(50*time.Millisecond), Input{Endpoints: table, Inspections: looksAt(table, false), Reports: wantedModels(0)})
 	places := map[string]bool{}
 	var results []Result
 	for at := 500 * time.Millisecond; at < 4*time.Second; at += 100 * time.Millisecond {
@@ -209,7 +209,7 @@
 			table[i].Models = []protocol.HeldModel{{Name: "m2", Generation: 1}}
 		}
 	}
-	p := New(Options{Looks: true, QuietBefore: time.Minute})
+	p := New(Config{InspectEndpoints: true, HandoverGap: time.Minute})
 	p.Step(now, Input{Configuration: c, Endpoints: table})
 	looks := looksAt(table, false)
 	for at := 500 * time.Millisecond; at < 7*time.Second; at += 500 * time.Millisecond {
@@ -223,7 +223,7 @@
 		if at > 6*time.Second {
 			told.Models = append(told.Models, protocol.ModelDemand{Service: "lm", Model: "m1", Asked: 3, Unserved: 3, Worth: 27})
 		}
-		out := p.Step(now.Add(at), Input{Endpoints: table, Looks: looks, Reports: []protocol.Report{told}})
+		out := p.Step(now.Add(at), Input{Endpoints: table, Inspections: looks, Reports: []protocol.Report{told}})
 		looks = nil
 		for _, order := range out.Orders {
 			if order.Unload && order.Model != "m2" {
@@ -241,13 +241,13 @@
 	now := time.Unix(1e9, 0)
 	c, table := takeover()
 	c.Services[0].Engine.WeightsMB = 100
-	p := New(Options{Looks: true, QuietBefore: time.Minute})
+	p := New(Config{InspectEndpoints: true, HandoverGap: time.Minute})
 	p.Step(now, Input{Configuration: c, Endpoints: table})
 	looks := looksAt(table, false)
 	unloads := 0
 	var results []Result
 	for at := 500 * time.Millisecond; at < 5*time.Second; at += 100 * time.Millisecond {
-		in := Input{Endpoints: table, Results: results, Looks: looks}
+		in := Input{Endpoints: table, Results: results, Inspections: looks}
 		if at%(500*time.Millisecond) == 0 {
 			in.Reports = wantedModels(2, "m1")
 			in.Reports[0].Models[1].Running = 30
--- a/internal/control/placer/types.go
+++ b/internal/control/placer/types.go
@@ -16,12 +16,12 @@
 	Endpoints     []protocol.Endpoint          // the whole table as the registry has it, every step
 	Reports       []protocol.Report            // of routers, each once
 	Results       []Result
-	Looks         []Look // answers to Output.Looks
-	Recovering    bool   // the core or the links are in trouble, or were a moment ago
+	Inspections   []Inspection // answers to Output.Inspect
+	Recovering    bool         // the core or the links are in trouble, or were a moment ago
 }
 
-// Look is an endpoint's answer to GET /-/report, or that none came.
-type Look struct {
+// Inspection is an endpoint's answer to GET /-/report, or that none came.
+type Inspection struct {
 	Endpoint string
 	Failed   bool   // no answer, or not this endpoint's
 	Busy     bool   // an order is under way
@@ -46,11 +46,11 @@
 
 // The outcomes of an order.
 const (
-	Accepted Outcome = iota // 202
-	Holds                   // 200: it was so already
-	Busy                    // 409
-	Invalid                 // 4xx otherwise: the endpoint is another one, the order makes no sense
-	Unknown                 // no answer: it may have been taken
+	Accepted       Outcome = iota // 202
+	AlreadyApplied                // 200: it was so already
+	Busy                          // 409
+	Invalid                       // 4xx otherwise: the endpoint is another one, the order makes no sense
+	Unknown                       // no answer: it may have been taken
 )
 
 // Result answers an order.
@@ -61,7 +61,7 @@
 
 // Output is what the host carries out.
 type Output struct {
-	Orders []Order
-	Looks  []string  // IDs of endpoints whose GET /-/report is to be asked; Input.Looks answers each once
-	WakeAt time.Time // when the next step may decide something, zero: at the next input
+	Orders  []Order
+	Inspect []string  // IDs of endpoints whose GET /-/report is to be asked; Input.Inspections answers each once
+	WakeAt  time.Time // when the next step may decide something, zero: at the next input
 }
--- a/internal/control/placer/victims.go
+++ b/internal/control/placer/victims.go
@@ -117,7 +117,7 @@
 	}
 	for _, name := range held.adapters {
 		if a := d.adapters[name]; a != nil {
-			sum += (adapterMove + p.options.OrderPrice) * math.Min(1, a.slow.rate(p.demand.age(now), slowTime)*horizon)
+			sum += (adapterMove + p.options.OrderCost) * math.Min(1, a.slow.rate(p.demand.age(now), slowTime)*horizon)
 		}
 	}
 	return sum
@@ -129,5 +129,5 @@
 	if l.demand == nil || l.demand.askedAt.IsZero() {
 		return dormantWorth * math.Exp(-now.Sub(p.start).Seconds()/dormantTime.Seconds())
 	}
-	return horizon * math.Max(l.rate, l.steady) * (missLoss*l.demand.worth + p.options.LoadPrice)
+	return horizon * math.Max(l.rate, l.steady) * (missLoss*l.demand.worth + p.options.LoadCost)
 }
--- a/internal/control/placer/world_run_test.go
+++ b/internal/control/placer/world_run_test.go
@@ -15,11 +15,11 @@
 func (stands) Step(time.Time, Input) Output { return Output{} }
 
 func looking(quiet time.Duration) decider {
-	return New(Options{QuietBefore: quiet, Looks: true})
+	return New(Config{HandoverGap: quiet, InspectEndpoints: true})
 }
 
 func blind(quiet time.Duration) decider {
-	return New(Options{QuietBefore: quiet})
+	return New(Config{HandoverGap: quiet})
 }
 
 func playMany(t *testing.T, s shape, days int, trouble troubles, fresh func(time.Duration) decider) stats {
--- a/internal/control/placer/world_test.go
+++ b/internal/control/placer/world_test.go
@@ -169,7 +169,7 @@
 
 type report struct {
 	at   time.Duration
-	look Look
+	look Inspection
 }
 
 type delivery struct {
@@ -203,7 +203,7 @@
 	decider   decider
 	fresh     func(quiet time.Duration) decider
 	results   []Result
-	looks     []Look
+	looks     []Inspection
 	reports   []protocol.Report
 	sentUp    map[string]uint64
 	asked     []map[[2]string]*protocol.ModelDemand
@@ -556,7 +556,7 @@
 	if w.now >= e.nextBeat {
 		w.sendBeat(e)
 	}
-	e.history = append(e.history, report{w.now, Look{Endpoint: e.id, Busy: e.order != nil, Revision: e.seq, Models: w.holdings(e)}})
+	e.history = append(e.history, report{w.now, Inspection{Endpoint: e.id, Busy: e.order != nil, Revision: e.seq, Models: w.holdings(e)}})
 	if len(e.history) > 8 {
 		e.history = e.history[len(e.history)-8:]
 	}
@@ -739,7 +739,7 @@
 	if w.now%(100*time.Millisecond) != 0 && len(w.results)+len(w.looks) == 0 {
 		return
 	}
-	in := Input{Reports: w.reports, Results: w.results, Looks: w.looks}
+	in := Input{Reports: w.reports, Results: w.results, Inspections: w.looks}
 	w.reports, w.results, w.looks = nil, nil, nil
 	if w.first {
 		in.Configuration = w.shape.configuration()
@@ -761,7 +761,7 @@
 	for _, order := range out.Orders {
 		w.send(holder, order)
 	}
-	for _, id := range out.Looks {
+	for _, id := range out.Inspect {
 		w.askLook(holder, id)
 	}
 }
@@ -779,7 +779,7 @@
 func (w *world) askLook(holder decider, id string) {
 	w.stats.looks++
 	w.later(5*time.Millisecond, func() {
-		answer := Look{Endpoint: id, Failed: true}
+		answer := Inspection{Endpoint: id, Failed: true}
 		for _, e := range w.engines {
 			if e.id == id && e.up && len(e.history) > 0 {
 				answer = e.history[max(0, len(e.history)-6)].look
@@ -839,9 +839,9 @@
 		w.stats.refused++
 		return Invalid
 	case order.Unload && order.Adapter != "" && !adapters[order.Adapter]:
-		return Holds
+		return AlreadyApplied
 	case !order.Unload && order.Adapter == "" && holds, !order.Unload && order.Adapter != "" && adapters[order.Adapter]:
-		return Holds
+		return AlreadyApplied
 	}
 	e.seq++
 	w.begin(e, order)
--- a/internal/control/roles/calls.go
+++ b/internal/control/roles/calls.go
@@ -17,7 +17,7 @@
 		h.tasks.Add(1)
 		go h.order(ctx, epoch, term, order)
 	}
-	h.looks.want(out.Looks)
+	h.looks.want(out.Inspect)
 }
 
 // ask has the next endpoints report, at the addresses that the placer saw last.
@@ -26,7 +26,7 @@
 	for _, id := range h.looks.next() {
 		at, known := slices.BinarySearchFunc(h.endpoints, id, compareID)
 		if !known {
-			h.deliver(term, func(in *inbox) { in.looks = append(in.looks, placer.Look{Endpoint: id, Failed: true}) })
+			h.deliver(term, func(in *inbox) { in.looks = append(in.looks, placer.Inspection{Endpoint: id, Failed: true}) })
 			continue
 		}
 		h.tasks.Add(1)
--- a/internal/control/roles/golden_test.go
+++ b/internal/control/roles/golden_test.go
@@ -125,7 +125,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := placer.Look{Endpoint: "i-701", Busy: true, Revision: 1<<33 + 801, Models: []protocol.HeldModel{
+	want := placer.Inspection{Endpoint: "i-701", Busy: true, Revision: 1<<33 + 801, Models: []protocol.HeldModel{
 		{Name: "model-802", Generation: 1<<34 + 803, Adapters: []string{"adapter-804", "adapter-805"}},
 		{Name: "model-806", Generation: 807, Adapters: []string{}},
 	}}
@@ -136,7 +136,7 @@
 
 // TestGoldenAnswers says what is understood of each kind of answer to an order.
 func TestGoldenAnswers(t *testing.T) {
-	outcomes := map[string]placer.Outcome{"accepted": placer.Accepted, "holds": placer.Holds, "busy": placer.Busy,
+	outcomes := map[string]placer.Outcome{"accepted": placer.Accepted, "holds": placer.AlreadyApplied, "busy": placer.Busy,
 		"invalid": placer.Invalid, "unknown": placer.Unknown}
 	for _, line := range strings.Split(strings.TrimSpace(readGolden(t, "answers.tsv")), "\n") {
 		columns := strings.Split(line, "\t")
--- a/internal/control/roles/holder.go
+++ b/internal/control/roles/holder.go
@@ -112,7 +112,7 @@
 type inbox struct {
 	batches []*protocol.ReportBatch
 	results []placer.Result
-	looks   []placer.Look
+	looks   []placer.Inspection
 }
 
 // New makes a holder; Run starts it.
@@ -337,7 +337,7 @@
 	}
 	h.forPlacer.Reports = append(h.forPlacer.Reports, reports...)
 	h.forPlacer.Results = append(h.forPlacer.Results, arrived.results...)
-	h.forPlacer.Looks = append(h.forPlacer.Looks, arrived.looks...)
+	h.forPlacer.Inspections = append(h.forPlacer.Inspections, arrived.looks...)
 }
 
 // place has the placer decide.
--- a/internal/control/roles/sender.go
+++ b/internal/control/roles/sender.go
@@ -98,7 +98,7 @@
 	case answer.StatusCode == http.StatusAccepted:
 		return placer.Accepted
 	case answer.StatusCode == http.StatusOK:
-		return placer.Holds
+		return placer.AlreadyApplied
 	case answer.StatusCode == http.StatusConflict, answer.Header.Get("X-Not-Executed") != "" &&
 		answer.StatusCode >= http.StatusInternalServerError:
 		return placer.Busy
@@ -109,10 +109,10 @@
 }
 
 // Look asks an endpoint for its own report.
-func (s *Sender) Look(ctx context.Context, epoch uint64, id, address string) (placer.Look, error) {
+func (s *Sender) Look(ctx context.Context, epoch uint64, id, address string) (placer.Inspection, error) {
 	ctx, cancel := context.WithTimeout(context.WithValue(ctx, epochKey{}, epoch), s.within)
 	defer cancel()
-	failed := placer.Look{Endpoint: id, Failed: true}
+	failed := placer.Inspection{Endpoint: id, Failed: true}
 	request, err := sling.New().Base("http://"+address).Get("/-/report").Set("X-Expected-Instance", id).Request()
 	if err != nil {
 		return failed, fmt.Errorf("report of %s: build: %w", id, err)
@@ -129,7 +129,7 @@
 	if err := json.NewDecoder(io.LimitReader(answer.Body, answerBytes)).Decode(&told); err != nil {
 		return failed, fmt.Errorf("report of %s: %w", id, err)
 	}
-	return placer.Look{Endpoint: id, Busy: told.Busy, Revision: told.Revision, Models: told.Models}, nil
+	return placer.Inspection{Endpoint: id, Busy: told.Busy, Revision: told.Revision, Models: told.Models}, nil
 }
 
 // epochKey is the key of a request's epoch in its context.
--- a/internal/control/roles/sender_test.go
+++ b/internal/control/roles/sender_test.go
@@ -59,7 +59,7 @@
 		outcome placer.Outcome
 	}{
 		{http.StatusAccepted, false, placer.Accepted},
-		{http.StatusOK, false, placer.Holds},
+		{http.StatusOK, false, placer.AlreadyApplied},
 		{http.StatusConflict, false, placer.Busy},
 		{http.StatusServiceUnavailable, true, placer.Busy},
 		{http.StatusServiceUnavailable, false, placer.Unknown},
@@ -96,7 +96,7 @@
 		t.Errorf("%v, %v, %d calls", outcome, err, calls.Load())
 	}
 	if outcome, err := sender.Order(t.Context(), 2, placer.Order{Address: serverAddress(endpoint)}); err != nil ||
-		outcome != placer.Holds {
+		outcome != placer.AlreadyApplied {
 		t.Errorf("in the epoch of the lease: %v, %v", outcome, err)
 	}
 }
