--- a/coordination/view/acceptor.go
+++ b/coordination/view/acceptor.go
@@ -2,36 +2,57 @@
 
 import "raventrestle/coordination/internal/mutation"
 
-// Acceptor is the durable part of one voter in the decision of one epoch. Its owner persists it before any
-// answer leaves.
+// ProposalNumber orders the proposals of one epoch. The higher round wins; the proposer's identity breaks ties, so that
+// two proposers never use the same number.
+type ProposalNumber struct {
+	Round    uint64 `cbor:"1,keyasint"` // 0: no proposal
+	Proposer string `cbor:"2,keyasint"` // identity of the proposing voter
+}
+
+// Before reports whether the number is lower than the other one.
+func (n ProposalNumber) Before(other ProposalNumber) bool {
+	if n.Round != other.Round {
+		return n.Round < other.Round
+	}
+	return n.Proposer < other.Proposer
+}
+
+// IsZero reports whether the number stands for no proposal.
+func (n ProposalNumber) IsZero() bool { return n.Round == 0 }
+
+// Acceptor is the durable state of one voter in the decision of one epoch: the acceptor of Paxos.
+//
+// Invariants: Promised never falls within an epoch, and Accepted is never above it. They hold across restarts only if the
+// owner has the changed state on disk before any answer leaves.
 type Acceptor struct {
 	Epoch    uint64         `cbor:"1,keyasint"` // the epoch that is being decided
-	Promised ProposalNumber `cbor:"2,keyasint"`
-	Accepted ProposalNumber `cbor:"3,keyasint"`
-	Value    View           `cbor:"4,keyasint"` // accepted in ballot Accepted
+	Promised ProposalNumber `cbor:"2,keyasint"` // nothing below it is accepted any more
+	Accepted ProposalNumber `cbor:"3,keyasint"` // newest accepted proposal, zero when there is none
+	Value    View           `cbor:"4,keyasint"` // value of the accepted proposal
 }
 
-// Prepare takes in the first phase of a ballot. It tells whether the promise is given; then the acceptor
-// has changed and must be persisted.
-func (a *Acceptor) Prepare(epoch uint64, ballot ProposalNumber) bool {
+// Prepare handles the first phase of a proposal and reports whether it is promised. If so, the acceptor has changed and
+// must be persisted before the promise is sent.
+func (a *Acceptor) Prepare(epoch uint64, number ProposalNumber) bool {
 	if a.Epoch != epoch {
 		*a = Acceptor{Epoch: epoch}
 	}
-	if ballot.Before(a.Promised) {
+	if number.Before(a.Promised) {
 		return false
 	}
-	a.Promised = ballot
+	a.Promised = number
 	return true
 }
 
-// Accept takes in the second phase. It tells whether the value is accepted, as Prepare does.
-func (a *Acceptor) Accept(ballot ProposalNumber, value View, planted mutation.Set) bool {
+// Accept handles the second phase of a proposal and reports whether the value is accepted. If so, the acceptor has
+// changed and must be persisted before the acceptance is sent.
+func (a *Acceptor) Accept(number ProposalNumber, value View, mutants mutation.Set) bool {
 	if a.Epoch != value.Epoch {
 		*a = Acceptor{Epoch: value.Epoch}
 	}
-	if ballot.Before(a.Promised) && !planted.AcceptAnyProposal {
+	if number.Before(a.Promised) && !mutants.AcceptAnyProposal {
 		return false
 	}
-	a.Promised, a.Accepted, a.Value = ballot, ballot, value
+	a.Promised, a.Accepted, a.Value = number, number, value
 	return true
 }
--- a/coordination/view/golden_test.go
+++ b/coordination/view/golden_test.go
@@ -29,7 +29,7 @@
 // goldenValues holds the stored and sent values, each with all fields set and with none, by their lines in the file.
 func goldenValues() []any {
 	member, v := goldenMember("m"), goldenView(101)
-	ballot := ProposalNumber{Round: 102, Proposer: "proposer"}
+	number := ProposalNumber{Round: 102, Proposer: "proposer"}
 	acceptor := Acceptor{
 		Epoch: 103, Promised: ProposalNumber{Round: 104, Proposer: "promised"}, Accepted: ProposalNumber{Round: 105, Proposer: "accepted"},
 		Value: goldenView(106),
@@ -40,7 +40,7 @@
 		Accepted: ProposalNumber{Round: 112, Proposer: "accepted"}, Value: goldenView(113), Report: report,
 	}
 	return []any{
-		&member, &Member{}, &v, &View{}, &ballot, &ProposalNumber{}, &acceptor, &Acceptor{}, &report, &Report{}, &promise, &Promise{},
+		&member, &Member{}, &v, &View{}, &number, &ProposalNumber{}, &acceptor, &Acceptor{}, &report, &Report{}, &promise, &Promise{},
 	}
 }
 
@@ -62,7 +62,7 @@
 	return lines
 }
 
-// Views, ballots and the voters' states are read and written as build 73ca247 did, on disk and between processes.
+// Views, proposal numbers and acceptors are read and written as build 73ca247 did, on disk and between processes.
 func TestGoldenValues(t *testing.T) {
 	lines, values := readGolden(t, "values.hex"), goldenValues()
 	if len(lines) != len(values) {
@@ -113,17 +113,17 @@
 	}
 }
 
-// A voter that goes on from its golden state keeps its promise, and its next states are written as before.
+// An acceptor that continues from its golden state keeps its promise, and its next states are written as before.
 func TestGoldenAcceptorIsContinued(t *testing.T) {
 	var acceptor Acceptor
 	if err := cbor.Unmarshal(readGolden(t, "values.hex")[6], &acceptor); err != nil {
 		t.Fatalf("reading the golden acceptor: %v", err)
 	}
 	if acceptor.Prepare(103, ProposalNumber{Round: 104, Proposer: "prior"}) {
-		t.Error("a ballot below the promised one gets a promise, want none")
+		t.Error("got a promise for a proposal below the promised one, want none")
 	}
 	if acceptor.Accept(ProposalNumber{Round: 103, Proposer: "z"}, goldenView(103), mutation.Set{}) {
-		t.Error("a value of a ballot below the promised one is accepted, want not")
+		t.Error("got a value accepted from a proposal below the promised one, want it rejected")
 	}
 	var got [][]byte
 	store := func() {
@@ -134,15 +134,15 @@
 		got = append(got, body)
 	}
 	if !acceptor.Prepare(103, ProposalNumber{Round: 114, Proposer: "later"}) {
-		t.Error("a ballot above the promised one gets no promise, want one")
+		t.Error("got no promise for a proposal above the promised one, want one")
 	}
 	store()
 	if !acceptor.Accept(ProposalNumber{Round: 114, Proposer: "later"}, goldenView(103), mutation.Set{}) {
-		t.Error("the value of the promised ballot is not accepted, want accepted")
+		t.Error("got the value of the promised proposal rejected, want it accepted")
 	}
 	store()
 	if !acceptor.Prepare(104, ProposalNumber{Round: 1, Proposer: "next"}) {
-		t.Error("the first ballot of the next epoch gets no promise, want one")
+		t.Error("got no promise for the first proposal of the next epoch, want one")
 	}
 	store()
 	if want := readGolden(t, "acceptor_continued.hex"); !reflect.DeepEqual(got, want) {
--- a/coordination/view/plan.go
+++ b/coordination/view/plan.go
@@ -6,61 +6,69 @@
 	"raventrestle/coordination/internal/mutation"
 )
 
-// Reconfiguration is what a proposer would like the next view to be. Plan grants of it what is safe.
+// Invariants of a planned view, whatever the reconfiguration asks for:
+//
+//   - its head is one of the reports with the newest CompleteEpoch, so its log has everything that was committed;
+//   - each member of the chain is a voter and is in the chain once;
+//   - if the voters change, at least MinChainLength of the new voters have everything that was committed, so that any
+//     majority of them includes one, also after the tolerated number of lost disks. A group with too few voters to have
+//     ever committed is exempt, but may only grow.
+
+// Reconfiguration is what a proposer asks of the next view. Plan grants what is safe.
 type Reconfiguration struct {
-	FaultTolerance  int
-	TargetVoters    int      // voters to work towards; the present ones stay in any case
+	FaultTolerance  int      // number of disks that may be lost at once
+	TargetVoters    int      // number of voters to work towards; the present ones stay in any case
 	RemoveFromChain []string // identities that should leave the chain
-	ReplaceVoters   []string // voters that should give up their vote to a standby
-	Learners        []Member // live members outside the voters whose logs are near the head's, best first
-	AvoidAsHead     []string // identities that should not be the head where another can
+	ReplaceVoters   []string // identities of voters whose votes should go to learners
+	Learners        []Member // live members without a vote whose logs are close to the head's, most preferred first
+	AvoidAsHead     []string // identities that should not become head where another one can
 	Mutation        mutation.Set
 }
 
-// Plan makes the next view out of the reports of a majority of the voters. The head is one of those whose log
-// was made whole in the newest epoch among the reports: everything that was ever committed is in its log,
-// because each chain that committed meets every majority of the voters.
-func Plan(current View, reports []Report, wish Reconfiguration) View {
-	holders := holdersOf(reports)
+// Plan computes the next view from the reports of a majority of the voters. See the package comment for why the chosen
+// head has everything that was ever committed.
+func Plan(current View, reports []Report, change Reconfiguration) View {
+	complete := completeReports(reports)
 	next := View{Epoch: current.Epoch + 1}
-	next.Voters = planVoters(current, reports, holders, wish)
-	head := planHead(current, holders, wish)
-	next.Chain = planChain(current, next.Voters, reports, head, wish)
+	next.Voters = planVoters(current, reports, complete, change)
+	head := planHead(current, complete, change)
+	next.Chain = planChain(current, next.Voters, reports, head, change)
 	return next
 }
 
-// holdersOf returns the reports of those that hold all that was committed.
-func holdersOf(reports []Report) []Report {
+// completeReports returns the reports of the newest CompleteEpoch: their members have everything that was committed.
+func completeReports(reports []Report) []Report {
 	newest := uint64(0)
 	for _, report := range reports {
 		newest = max(newest, report.CompleteEpoch)
 	}
-	var holders []Report
+	var complete []Report
 	for _, report := range reports {
 		if report.CompleteEpoch == newest {
-			holders = append(holders, report)
+			complete = append(complete, report)
 		}
 	}
-	return holders
+	return complete
 }
 
-// planHead prefers members that stay, then the longest log (so that what is under way is kept), then the
-// order of the chain.
-func planHead(current View, holders []Report, wish Reconfiguration) Report {
-	best := holders[0]
-	for _, report := range holders[1:] {
-		if betterHead(current, report, best, wish) {
+// planHead prefers members that stay, then the longest log, so that entries in flight are kept, then the order of
+// the chain.
+func planHead(current View, complete []Report, change Reconfiguration) Report {
+	best := complete[0]
+	for _, report := range complete[1:] {
+		if preferredAsHead(current, report, best, change) {
 			best = report
 		}
 	}
 	return best
 }
 
-func betterHead(current View, a, b Report, wish Reconfiguration) bool {
-	aAvoided, bAvoided := avoided(a, wish), avoided(b, wish)
+// preferredAsHead reports whether a is a better head than b.
+func preferredAsHead(current View, a, b Report, change Reconfiguration) bool {
+	avoidA, avoidB := avoidAsHead(a, change), avoidAsHead(b, change)
 	switch {
-	case aAvoided != bAvoided:
-		return bAvoided
+	case avoidA != avoidB:
+		return avoidB
 	case a.LastEpoch != b.LastEpoch:
 		return a.LastEpoch > b.LastEpoch
 	case a.LastIndex != b.LastIndex:
@@ -69,94 +77,98 @@
 	return rank(current, a.Member.Identity) < rank(current, b.Member.Identity)
 }
 
-func avoided(report Report, wish Reconfiguration) bool {
+func avoidAsHead(report Report, change Reconfiguration) bool {
 	identity := report.Member.Identity
-	return report.Leaving || slices.Contains(wish.AvoidAsHead, identity) || slices.Contains(wish.RemoveFromChain, identity)
+	return report.Leaving || slices.Contains(change.AvoidAsHead, identity) ||
+		slices.Contains(change.RemoveFromChain, identity)
 }
 
-// rank is the place in the chain, then in the voters.
+// rank orders the voters: those of the chain by their position, then the others.
 func rank(v View, identity string) int {
-	if at := v.ChainIndex(identity); at >= 0 {
-		return at
+	if index := v.ChainIndex(identity); index >= 0 {
+		return index
 	}
-	return len(v.Chain) + place(v.Voters, identity)
+	return len(v.Chain) + indexOf(v.Voters, identity)
 }
 
-// planVoters gives the places of the gone to standbys, and free places to standbys, one after the other as long as
-// enough voters hold all that was committed: a majority of the new voters must meet the holders, also after the
-// loss of as many disks as must be borne.
-func planVoters(current View, reports, holders []Report, wish Reconfiguration) []Member {
+// planVoters gives the votes of the voters to replace, and then further votes, to learners, one at a time and as long as
+// enough of the resulting voters have everything that was committed. A voter that has promised keeps its vote.
+func planVoters(current View, reports, complete []Report, change Reconfiguration) []Member {
 	voters := current.Voters
-	standbys := slices.Clone(wish.Learners)
-	try := func(changed []Member) {
-		if enoughHolders(current, changed, holders, wish.FaultTolerance) || wish.Mutation.UncheckedVoters {
-			voters, standbys = changed, standbys[1:]
+	learners := slices.Clone(change.Learners)
+	adoptIfSafe := func(changed []Member) {
+		if safeVoters(current, changed, complete, change.FaultTolerance) || change.Mutation.UncheckedVoters {
+			voters, learners = changed, learners[1:]
 		}
 	}
 	for i, voter := range current.Voters {
 		promised := slices.ContainsFunc(reports, func(r Report) bool { return r.Member.Identity == voter.Identity })
-		if promised || !slices.Contains(wish.ReplaceVoters, voter.Identity) || len(standbys) == 0 {
+		if promised || !slices.Contains(change.ReplaceVoters, voter.Identity) || len(learners) == 0 {
 			continue
 		}
 		changed := slices.Clone(voters)
-		changed[i] = standbys[0]
-		try(changed)
+		changed[i] = learners[0]
+		adoptIfSafe(changed)
 	}
-	for range len(standbys) {
-		if len(voters) < wish.TargetVoters {
-			try(append(slices.Clone(voters), standbys[0]))
+	for range len(learners) {
+		if len(voters) < change.TargetVoters {
+			adoptIfSafe(append(slices.Clone(voters), learners[0]))
 		}
 	}
 	return voters
 }
 
-func enoughHolders(current View, voters []Member, holders []Report, faults int) bool {
-	kept := 0
-	for _, holder := range holders {
-		if place(voters, holder.Member.Identity) >= 0 {
-			kept++
+// safeVoters reports whether every majority of the changed voters will include a member that has everything that was
+// committed, also after that many lost disks.
+func safeVoters(current View, changed []Member, complete []Report, faults int) bool {
+	retained := 0
+	for _, report := range complete {
+		if indexOf(changed, report.Member.Identity) >= 0 {
+			retained++
 		}
 	}
-	if kept >= MinChainLength(len(voters), faults) {
+	if retained >= MinChainLength(len(changed), faults) {
 		return true
 	}
 	if len(current.Voters) >= current.MinChainLength(faults) {
 		return false
 	}
-	// So few voters have never committed anything. They may only grow.
+	// The current voters are too few to have ever committed anything. They may only grow in number.
 	for _, voter := range current.Voters {
-		if place(voters, voter.Identity) < 0 {
+		if indexOf(changed, voter.Identity) < 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// planChain puts the head first, then the former chain in its order, then other voters up to the target.
-func planChain(current View, voters []Member, reports []Report, head Report, wish Reconfiguration) []Member {
+// planChain puts the head first, then the members that stay in the order of the current chain, then learners that have
+// become voters, up to the target length. Members that should leave stay as long as the chain would be too short to
+// commit without them.
+func planChain(current View, voters []Member, reports []Report, head Report, change Reconfiguration) []Member {
 	chain := []Member{head.Member}
-	target := TargetChainLength(len(voters), wish.FaultTolerance)
+	target := TargetChainLength(len(voters), change.FaultTolerance)
 	add := func(member Member) {
-		if len(chain) < target && place(chain, member.Identity) < 0 && place(voters, member.Identity) >= 0 {
+		if len(chain) < target && indexOf(chain, member.Identity) < 0 && indexOf(voters, member.Identity) >= 0 {
 			chain = append(chain, member)
 		}
 	}
-	inOrder := slices.Clone(reports)
-	slices.SortStableFunc(inOrder, func(a, b Report) int {
+	byRank := slices.Clone(reports)
+	slices.SortStableFunc(byRank, func(a, b Report) int {
 		return rank(current, a.Member.Identity) - rank(current, b.Member.Identity)
 	})
-	for _, report := range inOrder {
-		if !report.Leaving && !slices.Contains(wish.RemoveFromChain, report.Member.Identity) {
+	for _, report := range byRank {
+		if !report.Leaving && !slices.Contains(change.RemoveFromChain, report.Member.Identity) {
 			add(report.Member)
 		}
 	}
-	for _, standby := range wish.Learners {
-		add(standby)
+	for _, learner := range change.Learners {
+		add(learner)
 	}
-	minimum := MinChainLength(len(voters), wish.FaultTolerance)
-	for _, leaving := range []bool{false, true} { // those that should go stay while they are needed
-		for _, report := range inOrder {
-			if len(chain) < minimum && report.Leaving == leaving {
+	minLength := MinChainLength(len(voters), change.FaultTolerance)
+	for _, leaving := range []bool{false, true} { // members that leave of their own accord are retained last
+		for _, report := range byRank {
+			if len(chain) < minLength && report.Leaving == leaving {
 				add(report.Member)
 			}
 		}
--- a/coordination/view/proposer.go
+++ b/coordination/view/proposer.go
@@ -1,55 +1,55 @@
 package view
 
-// Report is what a voter tells with its promise. A voter that has promised a later epoch takes no more
-// entries in the earlier one, so the report stays true until the later epoch has begun.
+// Report is what a voter states about its log in a promise. A voter that has promised a proposal for a later epoch takes
+// no more entries in the earlier one, so the report stays true until the later epoch has begun.
 type Report struct {
 	Member        Member `cbor:"1,keyasint"`
-	CompleteEpoch uint64 `cbor:"2,keyasint"` // newest epoch in whose chain its log was made whole
+	CompleteEpoch uint64 `cbor:"2,keyasint"` // newest epoch in whose chain its log was complete
 	LastIndex     uint64 `cbor:"3,keyasint"` // index of its newest entry
 	LastEpoch     uint64 `cbor:"4,keyasint"` // epoch of its newest entry
 	Leaving       bool   `cbor:"5,keyasint,omitempty"`
 }
 
-// Promise is a voter's answer to the first phase.
+// Promise is a voter's answer to the first phase of a proposal.
 type Promise struct {
-	Number   ProposalNumber `cbor:"1,keyasint"`
-	Granted  bool           `cbor:"2,keyasint"`
-	Promised ProposalNumber `cbor:"3,keyasint,omitempty"` // the ballot that stood in the way
-	Accepted ProposalNumber `cbor:"4,keyasint,omitempty"`
-	Value    View           `cbor:"5,keyasint,omitempty"`
+	Number   ProposalNumber `cbor:"1,keyasint"`           // of the proposal that it answers
+	Granted  bool           `cbor:"2,keyasint"`           // the voter accepts nothing below Number any more
+	Promised ProposalNumber `cbor:"3,keyasint,omitempty"` // the higher number that prevented the promise
+	Accepted ProposalNumber `cbor:"4,keyasint,omitempty"` // newest proposal that the voter has accepted
+	Value    View           `cbor:"5,keyasint,omitempty"` // value of the accepted proposal
 	Report   Report         `cbor:"6,keyasint"`
 }
 
-// Proposer drives one ballot. It is volatile: a lost proposer is replaced by a higher ballot.
+// Proposer drives one proposal: the proposer of Paxos. It is volatile: when it is lost, a higher proposal replaces it.
+//
+// Invariants: only voters of Current count, each of them once, and the owner sets Value only once a majority has
+// promised. If one of these promises reports an accepted proposal, Value is RequiredValue, because that value may already
+// be decided.
 type Proposer struct {
-	Current View // the view whose voters decide
-	Number  ProposalNumber
-	Value   View // set once the second phase has begun
+	Current View           // the view whose voters decide
+	Number  ProposalNumber // of this proposal
+	Value   View           // set once the second phase has begun
 
-	promises []Promise
-	accepted []string
+	promises  []Promise
+	acceptors []string // identities of the voters that have accepted Value
 }
 
-// AddPromise takes in a promise of this ballot.
+// AddPromise records a promise of this proposal; any other one is ignored.
 func (p *Proposer) AddPromise(promise Promise) {
-	if !promise.Granted || promise.Number != p.Number || !p.Current.IsVoter(promise.Report.Member.Identity) {
+	voter := promise.Report.Member.Identity
+	if !promise.Granted || promise.Number != p.Number || !p.Current.IsVoter(voter) || p.HasPromiseFrom(voter) {
 		return
 	}
-	for _, known := range p.promises {
-		if known.Report.Member.Identity == promise.Report.Member.Identity {
-			return
-		}
-	}
 	p.promises = append(p.promises, promise)
 }
 
-// PromiseCount is the number of voters that have promised.
+// PromiseCount returns how many voters have promised.
 func (p *Proposer) PromiseCount() int { return len(p.promises) }
 
-// Prepared tells whether a majority has promised.
+// Prepared reports whether a majority of the voters has promised, so that the second phase may begin.
 func (p *Proposer) Prepared() bool { return len(p.promises) >= p.Current.Majority() }
 
-// Reports returns what the voters told, in the order in which they promised.
+// Reports returns the reports of the voters that have promised, in the order in which their promises came.
 func (p *Proposer) Reports() []Report {
 	reports := make([]Report, 0, len(p.promises))
 	for _, promise := range p.promises {
@@ -58,7 +58,7 @@
 	return reports
 }
 
-// HasPromiseFrom tells whether that voter has promised.
+// HasPromiseFrom reports whether the voter of that identity has promised.
 func (p *Proposer) HasPromiseFrom(identity string) bool {
 	for _, promise := range p.promises {
 		if promise.Report.Member.Identity == identity {
@@ -68,27 +68,28 @@
 	return false
 }
 
-// RequiredValue returns the value that an earlier ballot may already have decided; such a value must be proposed.
+// RequiredValue returns the value of the highest accepted proposal among the promises. It may already be decided, so the
+// proposer must propose it. It returns false when the proposer is free to choose.
 func (p *Proposer) RequiredValue() (View, bool) {
-	var best Promise
+	var highest Promise
 	for _, promise := range p.promises {
-		if !promise.Accepted.IsZero() && best.Accepted.Before(promise.Accepted) {
-			best = promise
+		if !promise.Accepted.IsZero() && highest.Accepted.Before(promise.Accepted) {
+			highest = promise
 		}
 	}
-	return best.Value, !best.Accepted.IsZero()
+	return highest.Value, !highest.Accepted.IsZero()
 }
 
-// AddAcceptance takes in a voter's acceptance and tells whether the value is now decided.
+// AddAcceptance records that the voter has accepted Value and reports whether Value is now decided.
 func (p *Proposer) AddAcceptance(identity string) bool {
 	if !p.Current.IsVoter(identity) {
 		return false
 	}
-	for _, known := range p.accepted {
-		if known == identity {
-			return len(p.accepted) >= p.Current.Majority()
+	for _, acceptor := range p.acceptors {
+		if acceptor == identity {
+			return len(p.acceptors) >= p.Current.Majority()
 		}
 	}
-	p.accepted = append(p.accepted, identity)
-	return len(p.accepted) >= p.Current.Majority()
+	p.acceptors = append(p.acceptors, identity)
+	return len(p.acceptors) >= p.Current.Majority()
 }
--- a/coordination/view/view_test.go
+++ b/coordination/view/view_test.go
@@ -23,34 +23,34 @@
 	return list
 }
 
-// duel lets proposers race through acceptors, with messages lost, doubled and in any order.
+// duel lets proposers compete for the acceptors of one epoch, with messages lost, duplicated and in any order.
 type duel struct {
 	random    *rand.Rand
-	planted   mutation.Set
+	mutants   mutation.Set
 	current   View
 	acceptors []Acceptor
-	flying    []func()
+	inFlight  []func()
 	decided   []View
 }
 
-// send has a message delivered some time later: once, twice or not at all.
+// send delivers a message some time later: once, twice or not at all.
 func (d *duel) send(deliver func()) {
 	if d.random.IntN(10) > 0 {
-		d.flying = append(d.flying, deliver)
+		d.inFlight = append(d.inFlight, deliver)
 	}
 	if d.random.IntN(10) == 0 {
-		d.flying = append(d.flying, deliver)
+		d.inFlight = append(d.inFlight, deliver)
 	}
 }
 
-// prepare opens a ballot.
-func (d *duel) prepare(ballot ProposalNumber) {
-	p := &Proposer{Current: d.current, Number: ballot}
+// prepare opens a proposal.
+func (d *duel) prepare(number ProposalNumber) {
+	p := &Proposer{Current: d.current, Number: number}
 	for i := range d.acceptors {
 		d.send(func() {
-			given := d.acceptors[i].Prepare(2, ballot)
-			promise := Promise{Number: ballot, Granted: given, Report: Report{Member: member(i)}}
-			if given {
+			granted := d.acceptors[i].Prepare(2, number)
+			promise := Promise{Number: number, Granted: granted, Report: Report{Member: member(i)}}
+			if granted {
 				promise.Accepted, promise.Value = d.acceptors[i].Accepted, d.acceptors[i].Value
 			}
 			d.send(func() {
@@ -63,16 +63,16 @@
 	}
 }
 
-// propose sends the ballot's value: one of its own, unless another may be decided.
+// propose sends the proposal's value: one of its own, unless another may be decided already.
 func (d *duel) propose(p *Proposer) {
-	value, bound := p.RequiredValue()
-	if !bound {
+	value, required := p.RequiredValue()
+	if !required {
 		value = View{Epoch: 2, Chain: []Member{{Identity: fmt.Sprint(p.Number)}}}
 	}
 	p.Value = value
 	for i := range d.acceptors {
 		d.send(func() {
-			if !d.acceptors[i].Accept(p.Number, value, d.planted) {
+			if !d.acceptors[i].Accept(p.Number, value, d.mutants) {
 				return
 			}
 			d.send(func() {
@@ -84,51 +84,51 @@
 	}
 }
 
-// play returns the values that two proposers of four ballots each have decided.
-func (d *duel) play() []View {
+// run returns the values that two proposers of four proposals each have decided.
+func (d *duel) run() []View {
 	for round := range uint64(4) {
 		d.prepare(ProposalNumber{Round: round + 1, Proposer: "x"})
 		d.prepare(ProposalNumber{Round: round + 1, Proposer: "y"})
 	}
-	for len(d.flying) > 0 {
-		at := d.random.IntN(len(d.flying))
-		deliver := d.flying[at]
-		d.flying = slices.Delete(d.flying, at, at+1)
+	for len(d.inFlight) > 0 {
+		at := d.random.IntN(len(d.inFlight))
+		deliver := d.inFlight[at]
+		d.inFlight = slices.Delete(d.inFlight, at, at+1)
 		deliver()
 	}
 	return d.decided
 }
 
-func playDuel(seed uint64, voters int, planted mutation.Set) []View {
+func runDuel(seed uint64, voters int, mutants mutation.Set) []View {
 	d := &duel{
 		random:    rand.New(rand.NewPCG(seed, 0)),
-		planted:   planted,
+		mutants:   mutants,
 		current:   View{Epoch: 1, Chain: members(voters), Voters: members(voters)},
 		acceptors: make([]Acceptor, voters),
 	}
-	return d.play()
+	return d.run()
 }
 
-// An epoch decides one view, whatever the order of the messages; a voter that forgets its promise breaks that.
-func TestOneViewIsDecided(t *testing.T) {
-	found := false
+// An epoch decides one view whatever the order of the messages. An acceptor that forgets its promise breaks that.
+func TestAnEpochDecidesAtMostOneView(t *testing.T) {
+	detected := false
 	for seed := uint64(0); seed < 3000; seed++ {
 		voters := 3 + 2*int(seed%2)
 		same := func(decided []View) bool {
 			return !slices.ContainsFunc(decided, func(v View) bool { return !slices.Equal(v.Chain, decided[0].Chain) })
 		}
-		if decided := playDuel(seed, voters, mutation.Set{}); !same(decided) {
-			t.Fatalf("seed %d: %v", seed, decided)
+		if decided := runDuel(seed, voters, mutation.Set{}); !same(decided) {
+			t.Fatalf("seed %d: got decided views %v, want all equal", seed, decided)
 		}
-		found = found || !same(playDuel(seed, voters, mutation.Set{AcceptAnyProposal: true}))
+		detected = detected || !same(runDuel(seed, voters, mutation.Set{AcceptAnyProposal: true}))
 	}
-	if !found {
-		t.Error("accepting a ballot below the promise is not found")
+	if !detected {
+		t.Error("got one decided view for each seed with an acceptor that accepts below its promise, want two for some seed")
 	}
 }
 
-// drawPlan draws a situation in which a view has to be planned.
-func drawPlan(t *rapid.T) (View, []Report, Reconfiguration) {
+// drawReconfiguration draws a view, reports of a majority of its voters and a reconfiguration.
+func drawReconfiguration(t *rapid.T) (View, []Report, Reconfiguration) {
 	faults := rapid.IntRange(0, 2).Draw(t, "faults")
 	voters := members(rapid.IntRange(1, 7).Draw(t, "voters"))
 	current := View{Epoch: 5, Voters: voters, Chain: voters[:rapid.IntRange(1, len(voters)).Draw(t, "chain")]}
@@ -138,83 +138,85 @@
 	for _, voter := range promised {
 		reports = append(reports, Report{
 			Member:        voter,
-			CompleteEpoch: rapid.Uint64Range(1, 5).Draw(t, "active"),
+			CompleteEpoch: rapid.Uint64Range(1, 5).Draw(t, "complete"),
 			LastIndex:     rapid.Uint64Range(0, 9).Draw(t, "last"),
 			Leaving:       rapid.IntRange(0, 4).Draw(t, "leaving") == 0,
 		})
 	}
 	identity := rapid.Custom(func(t *rapid.T) string { return member(rapid.IntRange(0, 9).Draw(t, "identity")).Identity })
-	wish := Reconfiguration{
+	change := Reconfiguration{
 		FaultTolerance:  faults,
 		TargetVoters:    rapid.IntRange(0, 9).Draw(t, "target"),
-		RemoveFromChain: rapid.SliceOfN(identity, 0, 3).Draw(t, "out"),
-		ReplaceVoters:   rapid.SliceOfN(identity, 0, 3).Draw(t, "gone"),
+		RemoveFromChain: rapid.SliceOfN(identity, 0, 3).Draw(t, "remove"),
+		ReplaceVoters:   rapid.SliceOfN(identity, 0, 3).Draw(t, "replace"),
 	}
-	for i := range rapid.IntRange(0, 3).Draw(t, "standbys") {
-		wish.Learners = append(wish.Learners, member(20+i))
+	for i := range rapid.IntRange(0, 3).Draw(t, "learners") {
+		change.Learners = append(change.Learners, member(20+i))
 	}
-	return current, reports, wish
+	return current, reports, change
 }
 
-// A plan keeps what the proof needs, whatever is wished for.
-func TestPlanIsSafe(t *testing.T) {
+// A planned view keeps what the safety argument needs, whatever the reconfiguration asks for.
+func TestPlannedViewIsSafe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		current, reports, wish := drawPlan(t)
-		next := Plan(current, reports, wish)
-		holders := holdersOf(reports)
-		if !slices.ContainsFunc(holders, func(r Report) bool { return r.Member == next.Head() }) {
-			t.Fatalf("the head %v is none of the holders %v", next.Head(), holders)
+		current, reports, change := drawReconfiguration(t)
+		next := Plan(current, reports, change)
+		complete := completeReports(reports)
+		if !slices.ContainsFunc(complete, func(r Report) bool { return r.Member == next.Head() }) {
+			t.Fatalf("got head %v, want one of the complete members %v", next.Head(), complete)
 		}
-		for i, link := range next.Chain {
-			if !next.IsVoter(link.Identity) {
-				t.Fatalf("%v of the chain is no voter", link)
+		for i, member := range next.Chain {
+			if !next.IsVoter(member.Identity) {
+				t.Fatalf("got %v in the chain without a vote, want voters only", member)
 			}
-			if next.ChainIndex(link.Identity) != i {
-				t.Fatalf("%v is in the chain twice", link)
+			if first := next.ChainIndex(member.Identity); first != i {
+				t.Fatalf("got %v in the chain at %d and %d, want it once", member, first, i)
 			}
 		}
-		if len(next.Voters) > max(wish.TargetVoters, len(current.Voters)) {
-			t.Fatalf("%d voters", len(next.Voters))
+		if most := max(change.TargetVoters, len(current.Voters)); len(next.Voters) > most {
+			t.Fatalf("got %d voters, want %d at most", len(next.Voters), most)
 		}
 		if slices.Equal(next.Voters, current.Voters) {
 			return
 		}
-		kept := 0
-		for _, holder := range holders {
-			if next.IsVoter(holder.Member.Identity) {
-				kept++
+		retained := 0
+		for _, report := range complete {
+			if next.IsVoter(report.Member.Identity) {
+				retained++
 			}
 		}
-		founding := len(current.Voters) < current.MinChainLength(wish.FaultTolerance)
-		if kept < MinChainLength(len(next.Voters), wish.FaultTolerance) && !founding {
-			t.Fatalf("%d of the new voters hold what was committed: %v", kept, next.Voters)
+		neverCommitted := len(current.Voters) < current.MinChainLength(change.FaultTolerance)
+		want := MinChainLength(len(next.Voters), change.FaultTolerance)
+		if retained < want && !neverCommitted {
+			t.Fatalf("got %d complete members among the new voters %v, want %d", retained, next.Voters, want)
 		}
 	})
 }
 
-// A standby gets no vote while too few of the voters are known to hold everything.
-func TestVotesWaitForHolders(t *testing.T) {
+// A learner gets no vote while too few of the voters are known to have everything.
+func TestVotersDoNotChangeWithoutEnoughCompleteMembers(t *testing.T) {
 	voters := members(3)
 	current := View{Epoch: 5, Voters: voters, Chain: voters[:2]}
 	reports := []Report{{Member: voters[0], CompleteEpoch: 5}, {Member: voters[1], CompleteEpoch: 4}}
-	wish := Reconfiguration{FaultTolerance: 1, TargetVoters: 3, ReplaceVoters: []string{voters[2].Identity}, Learners: []Member{member(20)}}
-	if next := Plan(current, reports, wish); next.IsVoter(member(20).Identity) {
-		t.Errorf("one of %v holds everything", next.Voters)
+	change := Reconfiguration{FaultTolerance: 1, TargetVoters: 3, ReplaceVoters: []string{voters[2].Identity}, Learners: []Member{member(20)}}
+	if next := Plan(current, reports, change); next.IsVoter(member(20).Identity) {
+		t.Errorf("got voters %v, want no change with one complete member", next.Voters)
 	}
-	wish.Mutation.UncheckedVoters = true
-	if next := Plan(current, reports, wish); !next.IsVoter(member(20).Identity) {
-		t.Error("votes without holders are not found")
+	change.Mutation.UncheckedVoters = true
+	if next := Plan(current, reports, change); !next.IsVoter(member(20).Identity) {
+		t.Errorf("got voters %v with the check disabled, want a change", next.Voters)
 	}
 }
 
-// Every chain that may commit meets every majority of its voters, also after as many lost disks as must be borne.
-func TestCommitMinimum(t *testing.T) {
+// Every chain that may commit has a member in every majority of its voters and outlives the tolerated lost disks.
+func TestMinChainLengthMeetsEveryMajority(t *testing.T) {
 	for faults := range 4 {
-		for voters := 1; voters <= maximumVoters; voters++ {
-			minimum := MinChainLength(voters, faults)
+		for voters := 1; voters <= maxVoters; voters++ {
+			got := MinChainLength(voters, faults)
 			majority := voters/2 + 1
-			if minimum+majority <= voters || minimum <= faults {
-				t.Errorf("%d voters, %d faults: a chain of %d", voters, faults, minimum)
+			if got+majority <= voters || got <= faults {
+				t.Errorf("%d voters, %d faults: got a chain of %d, want more than %d and more than %d",
+					voters, faults, got, voters-majority, faults)
 			}
 		}
 	}
