--- a/cmd/raventrestle-control/events.go
+++ b/cmd/raventrestle-control/events.go
@@ -62,18 +62,18 @@
 		Msg("")
 }
 
-// RoleBegan implements roles.Events.
-func (e *events) RoleBegan(epoch uint64, late time.Duration) {
+// LeadershipBegan implements roles.Events.
+func (e *events) LeadershipBegan(epoch uint64, late time.Duration) {
 	e.logger.Info().Str("event", "role_began").Uint64("epoch", epoch).Dur("late", late).Msg("")
 }
 
-// RoleEnded implements roles.Events.
-func (e *events) RoleEnded(epoch uint64) {
+// LeadershipEnded implements roles.Events.
+func (e *events) LeadershipEnded(epoch uint64) {
 	e.logger.Info().Str("event", "role_ended").Uint64("epoch", epoch).Msg("")
 }
 
-// Order implements roles.Events.
-func (e *events) Order(epoch uint64, order placer.Order, outcome placer.Outcome, err error) {
+// OrderCompleted implements roles.Events.
+func (e *events) OrderCompleted(epoch uint64, order placer.Order, outcome placer.Outcome, err error) {
 	e.logger.Info().Str("event", "order").Uint64("epoch", epoch).Str("endpoint", order.Endpoint).
 		Str("model", order.Model).Str("adapter", order.Adapter).Bool("unload", order.Unload).
 		Str("reason", order.Reason).Str("outcome", outcomeName(outcome)).Err(err).Msg("")
--- a/cmd/raventrestle-control/instance.go
+++ b/cmd/raventrestle-control/instance.go
@@ -36,7 +36,7 @@
 // instance is a running control instance.
 type instance struct {
 	replica replica.Interface
-	holder  *roles.Holder
+	holder  *roles.Leader
 	mesh    *transport.Mesh
 	peers   *transport.Server
 	http    *api.Server
@@ -103,10 +103,10 @@
 	table := host.New(host.Settings{Origin: origin, Heartbeat: settings.Heartbeat, Codec: codec}, host.Parts{
 		Replica: group, Configurations: configurations, Mesh: i.mesh, Roles: reports, Events: events,
 	})
-	i.holder = roles.New(roles.Settings{Origin: origin, Node: settings.NodeName, Lease: settings.Bounds.Lease},
-		roles.Parts{
+	i.holder = roles.New(roles.Config{Origin: origin, NodeName: settings.NodeName, Lease: settings.Bounds.Lease},
+		roles.Dependencies{
 			Replica: group, Endpoints: table, Configurations: configurations, Mesh: i.mesh,
-			NewPlacer: newPlacer, NewAllocator: newAllocator, Events: events,
+			NewPlacer: newPlacer, NewAllocator: newAllocator, EventRecorder: events,
 		})
 	reports.holder = i.holder
 	entrance.host.Store(table)
@@ -135,9 +135,9 @@
 }
 
 // lateReports breaks the circle between the host and the holder.
-type lateReports struct{ holder *roles.Holder }
+type lateReports struct{ holder *roles.Leader }
 
-func (l *lateReports) Reports(batch *protocol.ReportBatch) { l.holder.Reports(batch) }
+func (l *lateReports) HandleReports(batch *protocol.ReportBatch) { l.holder.HandleReports(batch) }
 
 func (i *instance) spawn(task func()) {
 	i.tasks.Add(1)
@@ -162,7 +162,7 @@
 
 // stop hands the roles over, answers what is under way and ends.
 func (i *instance) stop(ctx context.Context) error {
-	i.holder.Stop()
+	i.holder.StepDown()
 	handOver, cancel := context.WithTimeout(ctx, i.handOver)
 	defer cancel()
 	stopped := i.replica.Stop(handOver)
--- a/internal/control/host/commands.go
+++ b/internal/control/host/commands.go
@@ -173,7 +173,7 @@
 	case *protocol.Report:
 		h.reported(message)
 	case *protocol.ReportBatch:
-		h.parts.Roles.Reports(message)
+		h.parts.Roles.HandleReports(message)
 	case *protocol.GrantBatch:
 		if heldUp <= staleGrant {
 			h.grantHere(message.Routers)
--- a/internal/control/host/host.go
+++ b/internal/control/host/host.go
@@ -40,7 +40,7 @@
 // Roles takes what concerns the singleton roles.
 type Roles interface {
 	// Reports takes what an instance's routers reported and confirmed. It does not block.
-	Reports(batch *protocol.ReportBatch)
+	HandleReports(batch *protocol.ReportBatch)
 }
 
 // Events are told to people, one line each.
@@ -293,7 +293,7 @@
 	batch := &protocol.ReportBatch{Origin: h.settings.Origin, Reports: h.reports, Confirmed: h.granted}
 	h.reports, h.granted = nil, nil
 	if holder == h.settings.Origin.Address {
-		h.parts.Roles.Reports(batch)
+		h.parts.Roles.HandleReports(batch)
 		return
 	}
 	h.sendPeer(now, holder, batch)
--- a/internal/control/host/host_test.go
+++ b/internal/control/host/host_test.go
@@ -35,7 +35,7 @@
 	s.generation, s.document = generation, []byte(document)
 }
 
-func (s *standIn) Reports(batch *protocol.ReportBatch) {
+func (s *standIn) HandleReports(batch *protocol.ReportBatch) {
 	for _, report := range batch.Reports {
 		s.reports <- report
 	}
--- a/internal/control/roles/calls.go
+++ b/internal/control/roles/calls.go
@@ -10,7 +10,7 @@
 )
 
 // carryOut begins what the placer decided, one goroutine for each call.
-func (h *Holder) carryOut(ctx context.Context, out placer.Output) {
+func (h *Leader) carryOut(ctx context.Context, out placer.Output) {
 	epoch, term := h.turn.Epoch, h.term
 	for _, order := range out.Orders {
 		h.orders[order.ID] = order
@@ -21,7 +21,7 @@
 }
 
 // ask has the next endpoints report, at the addresses that the placer saw last.
-func (h *Holder) ask(ctx context.Context) {
+func (h *Leader) ask(ctx context.Context) {
 	epoch, term := h.turn.Epoch, h.term
 	for _, id := range h.looks.next() {
 		at, known := slices.BinarySearchFunc(h.endpoints, id, compareID)
@@ -37,23 +37,23 @@
 // compareID orders endpoints as tables have them.
 func compareID(e protocol.Endpoint, id string) int { return strings.Compare(e.ID, id) }
 
-func (h *Holder) order(ctx context.Context, epoch, term uint64, order placer.Order) {
+func (h *Leader) order(ctx context.Context, epoch, term uint64, order placer.Order) {
 	defer h.tasks.Done()
-	outcome, err := h.sender.Order(ctx, epoch, order)
-	h.parts.Events.Order(epoch, order, outcome, err)
+	outcome, err := h.sender.SendOrder(ctx, epoch, order)
+	h.parts.EventRecorder.OrderCompleted(epoch, order, outcome, err)
 	h.deliver(term, func(in *inbox) {
 		in.results = append(in.results, placer.Result{ID: order.ID, Outcome: outcome})
 	})
 }
 
-func (h *Holder) lookAt(ctx context.Context, epoch, term uint64, id, address string) {
+func (h *Leader) lookAt(ctx context.Context, epoch, term uint64, id, address string) {
 	defer h.tasks.Done()
-	look, _ := h.sender.Look(ctx, epoch, id, address) // a failure is said in the look itself
+	look, _ := h.sender.Inspect(ctx, epoch, id, address) // a failure is said in the look itself
 	h.deliver(term, func(in *inbox) { in.looks = append(in.looks, look) })
 }
 
 // deliver puts an answer into the inbox, unless the placer that asked is gone.
-func (h *Holder) deliver(term uint64, put func(in *inbox)) {
+func (h *Leader) deliver(term uint64, put func(in *inbox)) {
 	h.mutex.Lock()
 	if term == h.term {
 		put(&h.inbox)
--- a/internal/control/roles/fencing_test.go
+++ b/internal/control/roles/fencing_test.go
@@ -44,7 +44,7 @@
 // holding is the life of one process. It has one order at a time for the endpoint.
 type holding struct {
 	life   int
-	tenure *Tenure
+	tenure *Leadership
 	busy   bool
 }
 
@@ -94,14 +94,14 @@
 	now := instant(process.Now)
 	h := f.hosts[machine]
 	if h == nil || h.life != process.Life {
-		h = &holding{life: process.Life, tenure: NewTenure(shortLease, now)}
+		h = &holding{life: process.Life, tenure: NewLeadership(shortLease, now)}
 		f.hosts[machine] = h
 	}
 	status := statusOf(process.Status)
 	if f.hasty {
 		status.PreviousMayAct, status.LeaderSince = now.Add(-shortLease), now.Add(-shortLease)
 	}
-	if turn := h.tenure.Step(now, status); turn.Acts && !h.busy {
+	if turn := h.tenure.Step(now, status); turn.MayAct && !h.busy {
 		h.busy = true
 		f.dial(machine, h, turn.Epoch)
 	}
--- a/internal/control/roles/golden_test.go
+++ b/internal/control/roles/golden_test.go
@@ -92,10 +92,10 @@
 // TestGoldenOrders compares all bytes of an order's request. ADDRESS in the files stands for the endpoint's.
 func TestGoldenOrders(t *testing.T) {
 	address, requests := rawEndpoint(t, acceptedAnswer)
-	sender := NewSender("node-601", lease, always)
+	sender := NewEndpointClient("node-601", lease, always)
 	for name, order := range goldenOrders() {
 		order.Address = address
-		outcome, err := sender.Order(t.Context(), 1<<40+602, order)
+		outcome, err := sender.SendOrder(t.Context(), 1<<40+602, order)
 		if err != nil || outcome != placer.Accepted {
 			t.Errorf("%s: %v, %v, want it accepted", name, outcome, err)
 			continue
@@ -110,7 +110,7 @@
 // TestGoldenReportRequest compares all bytes of the question for an endpoint's report.
 func TestGoldenReportRequest(t *testing.T) {
 	address, requests := rawEndpoint(t, readGolden(t, "report.http"))
-	if _, err := NewSender("node-601", lease, always).Look(t.Context(), 7, "i-701", address); err != nil {
+	if _, err := NewEndpointClient("node-601", lease, always).Inspect(t.Context(), 7, "i-701", address); err != nil {
 		t.Fatal(err)
 	}
 	if got, want := strings.ReplaceAll(<-requests, address, "ADDRESS"), readGolden(t, "report-request.http"); got != want {
@@ -121,7 +121,7 @@
 // TestGoldenReport reads a stored answer with every field that the page names.
 func TestGoldenReport(t *testing.T) {
 	address, _ := rawEndpoint(t, readGolden(t, "report.http"))
-	got, err := NewSender("node-601", lease, always).Look(t.Context(), 7, "i-701", address)
+	got, err := NewEndpointClient("node-601", lease, always).Inspect(t.Context(), 7, "i-701", address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -152,7 +152,7 @@
 			header = columns[1] + "\r\n"
 		}
 		address, _ := rawEndpoint(t, "HTTP/1.1 "+columns[0]+" X\r\n"+header+"Content-Length: 0\r\nConnection: close\r\n\r\n")
-		got, err := NewSender("n", lease, always).Order(t.Context(), 1, placer.Order{Address: address, Model: "m"})
+		got, err := NewEndpointClient("n", lease, always).SendOrder(t.Context(), 1, placer.Order{Address: address, Model: "m"})
 		if err != nil || got != want {
 			t.Errorf("%s %s: %v, %v, want %v", columns[0], columns[1], got, err, want)
 		}
@@ -209,7 +209,7 @@
 
 func goldenLeadership() string {
 	var out strings.Builder
-	tenures := []*Tenure{NewTenure(lease, begin), NewTenure(lease, begin.Add(-time.Hour))}
+	tenures := []*Leadership{NewLeadership(lease, begin), NewLeadership(lease, begin.Add(-time.Hour))}
 	steps := []struct {
 		who             int
 		epoch           uint64
@@ -230,9 +230,9 @@
 		for ms := s.from; ms <= s.until; ms += 50 {
 			now := at(ms)
 			turn := tenures[s.who].Step(now, leading(s.epoch, at(s.since), at(s.previous), at(s.until)))
-			fmt.Fprintf(&out, "%d of %d at %d ms: leads %t acts %t epoch %d", s.who, s.epoch, ms, turn.Leads, turn.Acts, turn.Epoch)
+			fmt.Fprintf(&out, "%d of %d at %d ms: leads %t acts %t epoch %d", s.who, s.epoch, ms, turn.Leads, turn.MayAct, turn.Epoch)
 			if turn.Leads {
-				fmt.Fprintf(&out, " from %v until %v quiet %v", turn.From.Sub(begin), turn.Until.Sub(begin), turn.Quiet)
+				fmt.Fprintf(&out, " from %v until %v quiet %v", turn.ActsFrom.Sub(begin), turn.LeaseUntil.Sub(begin), turn.IdleFor)
 			}
 			out.WriteByte('\n')
 		}
--- a/internal/control/roles/holder.go
+++ b/internal/control/roles/holder.go
@@ -46,36 +46,36 @@
 	Current() *configuration.Configuration
 }
 
-// Events are told to people, one line each.
-type Events interface {
-	RoleBegan(epoch uint64, from time.Duration)
-	RoleEnded(epoch uint64)
-	Order(epoch uint64, order placer.Order, outcome placer.Outcome, err error)
+// EventRecorder are told to people, one line each.
+type EventRecorder interface {
+	LeadershipBegan(epoch uint64, from time.Duration)
+	LeadershipEnded(epoch uint64)
+	OrderCompleted(epoch uint64, order placer.Order, outcome placer.Outcome, err error)
 }
 
-// Parts are what the holder works with.
-type Parts struct {
+// Dependencies are what the holder works with.
+type Dependencies struct {
 	Replica        replica.Interface
 	Endpoints      Endpoints
 	Configurations Configurations
 	Mesh           host.Mesh
 	NewPlacer      func(quiet time.Duration) Placer // nobody has sent an order for so long
 	NewAllocator   func(quiet time.Duration) Allocator
-	Events         Events
+	EventRecorder  EventRecorder
 }
 
-// Settings are fixed at the start of the process.
-type Settings struct {
-	Origin protocol.Origin
-	Node   string        // name of the holder in orders
-	Lease  time.Duration // lease_ms
+// Config are fixed at the start of the process.
+type Config struct {
+	Origin   protocol.Origin
+	NodeName string        // name of the holder in orders
+	Lease    time.Duration // lease_ms
 }
 
-// Holder runs the roles while this instance may.
-type Holder struct {
-	settings Settings
-	parts    Parts
-	sender   *Sender
+// Leader runs the roles while this instance may.
+type Leader struct {
+	settings Config
+	parts    Dependencies
+	sender   *EndpointClient
 	wake     chan struct{}
 	tasks    sync.WaitGroup
 
@@ -85,8 +85,8 @@
 	term    uint64 // number of the placer that the answers are for
 
 	// Owned by Run.
-	tenure        *Tenure
-	turn          Turn
+	tenure        *Leadership
+	turn          LeadershipOutput
 	ended         uint64 // epoch in which this instance last ceased to act
 	placer        Placer
 	allocator     Allocator
@@ -116,22 +116,22 @@
 }
 
 // New makes a holder; Run starts it.
-func New(settings Settings, parts Parts) *Holder {
-	h := &Holder{
+func New(settings Config, parts Dependencies) *Leader {
+	h := &Leader{
 		settings: settings,
 		parts:    parts,
 		wake:     make(chan struct{}, 1),
-		tenure:   NewTenure(settings.Lease, time.Now()),
+		tenure:   NewLeadership(settings.Lease, time.Now()),
 		loadings: newLoadings(),
 		looks:    newLooks(),
 		orders:   make(map[uint64]placer.Order),
 	}
-	h.sender = NewSender(settings.Node, settings.Lease, h.permitted)
+	h.sender = NewEndpointClient(settings.NodeName, settings.Lease, h.permitted)
 	return h
 }
 
 // permitted looks at the lease at this very moment.
-func (h *Holder) permitted(epoch uint64) bool {
+func (h *Leader) permitted(epoch uint64) bool {
 	h.mutex.Lock()
 	stopped := h.stopped
 	h.mutex.Unlock()
@@ -142,16 +142,16 @@
 	return status.Leader && status.View.Epoch == epoch && time.Now().Add(leaseReserve).Before(status.LeaseUntil)
 }
 
-// Stop ends all orders for good: the roles are about to be handed over.
-func (h *Holder) Stop() {
+// StepDown ends all orders for good: the roles are about to be handed over.
+func (h *Leader) StepDown() {
 	h.mutex.Lock()
 	h.stopped = true
 	h.mutex.Unlock()
 	h.nudge()
 }
 
-// Reports takes what an instance's routers reported. It does not block.
-func (h *Holder) Reports(batch *protocol.ReportBatch) {
+// HandleReports takes what an instance's routers reported. It does not block.
+func (h *Leader) HandleReports(batch *protocol.ReportBatch) {
 	h.mutex.Lock()
 	if len(h.inbox.batches) < maximumBatches {
 		h.inbox.batches = append(h.inbox.batches, batch)
@@ -160,7 +160,7 @@
 	h.nudge()
 }
 
-func (h *Holder) nudge() {
+func (h *Leader) nudge() {
 	select {
 	case h.wake <- struct{}{}:
 	default:
@@ -168,7 +168,7 @@
 }
 
 // Run holds the roles whenever this instance may, until the context ends.
-func (h *Holder) Run(ctx context.Context) {
+func (h *Leader) Run(ctx context.Context) {
 	defer h.tasks.Wait()
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -176,10 +176,10 @@
 		changed := h.parts.Replica.Changed() // before the look, so that no change is missed
 		now := time.Now()
 		h.look(now)
-		if h.turn.Acts && !now.Before(h.stepFrom()) {
+		if h.turn.MayAct && !now.Before(h.stepFrom()) {
 			h.step(ctx, now)
 		}
-		if h.turn.Leads && !h.turn.Acts {
+		if h.turn.Leads && !h.turn.MayAct {
 			h.learn(ctx, now)
 		}
 		timer.Reset(h.pause(now))
@@ -194,7 +194,7 @@
 }
 
 // stepFrom is when the next step may be made: soon if requests wait for quota.
-func (h *Holder) stepFrom() time.Time {
+func (h *Leader) stepFrom() time.Time {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	for _, batch := range h.inbox.batches {
@@ -206,14 +206,14 @@
 }
 
 // look draws from the replica's status what this instance may do.
-func (h *Holder) look(now time.Time) {
+func (h *Leader) look(now time.Time) {
 	status := h.parts.Replica.Status()
 	h.trouble.observe(now, status)
 	before := h.turn
 	h.turn = h.tenure.Step(now, status)
 	h.mutex.Lock()
 	if h.stopped {
-		h.turn = Turn{}
+		h.turn = LeadershipOutput{}
 	}
 	if !h.turn.Leads {
 		h.inbox.batches = nil
@@ -223,30 +223,30 @@
 		h.prepare()
 	}
 	switch {
-	case h.turn.Acts && !before.Acts:
+	case h.turn.MayAct && !before.MayAct:
 		h.begin(now)
-	case before.Acts && !h.turn.Acts:
+	case before.MayAct && !h.turn.MayAct:
 		h.end(before)
 	}
 }
 
 // prepare makes ready to gather for the role. Where nobody else can have held it in between, the deciders go on as
 // they were.
-func (h *Holder) prepare() {
+func (h *Leader) prepare() {
 	if h.placer == nil || h.turn.Epoch-h.ended > 1 {
 		h.startAnew()
 	}
 }
 
 // begin takes the role up.
-func (h *Holder) begin(now time.Time) {
+func (h *Leader) begin(now time.Time) {
 	h.nextStep, h.nextPlace = now, now
-	h.parts.Events.RoleBegan(h.turn.Epoch, now.Sub(h.turn.From))
+	h.parts.EventRecorder.LeadershipBegan(h.turn.Epoch, now.Sub(h.turn.ActsFrom))
 }
 
-func (h *Holder) startAnew() {
-	h.placer = h.parts.NewPlacer(h.turn.Quiet)
-	h.allocator = h.parts.NewAllocator(h.turn.Quiet)
+func (h *Leader) startAnew() {
+	h.placer = h.parts.NewPlacer(h.turn.IdleFor)
+	h.allocator = h.parts.NewAllocator(h.turn.IdleFor)
 	h.roster = newRoster()
 	h.loadings = newLoadings()
 	h.looks = newLooks()
@@ -260,14 +260,14 @@
 	h.mutex.Unlock()
 }
 
-func (h *Holder) end(before Turn) {
+func (h *Leader) end(before LeadershipOutput) {
 	h.ended = before.Epoch
-	h.parts.Events.RoleEnded(before.Epoch)
+	h.parts.EventRecorder.LeadershipEnded(before.Epoch)
 }
 
 // step has the placer and the allocator decide, and begins what they order. Where one of them takes long, it gets a
 // part of the time only: heartbeats, configurations and routers of this instance must not wait for it.
-func (h *Holder) step(ctx context.Context, now time.Time) {
+func (h *Leader) step(ctx context.Context, now time.Time) {
 	arrived := h.takeInbox()
 	reports := h.reportsOf(now, arrived.batches)
 	h.gather(now, arrived, reports)
@@ -290,7 +290,7 @@
 }
 
 // learn takes in what is reported before this instance may act.
-func (h *Holder) learn(ctx context.Context, now time.Time) {
+func (h *Leader) learn(ctx context.Context, now time.Time) {
 	if now.Before(h.nextStep) {
 		return
 	}
@@ -327,7 +327,7 @@
 }
 
 // gather keeps what arrived for the placer's next step.
-func (h *Holder) gather(now time.Time, arrived inbox, reports []protocol.Report) {
+func (h *Leader) gather(now time.Time, arrived inbox, reports []protocol.Report) {
 	if changed := h.newConfiguration(); changed != nil {
 		h.forPlacer.Configuration = changed
 	}
@@ -341,7 +341,7 @@
 }
 
 // place has the placer decide.
-func (h *Holder) place(ctx context.Context, now time.Time) {
+func (h *Leader) place(ctx context.Context, now time.Time) {
 	view, err := h.view(ctx)
 	if err != nil {
 		return // the instance stops, or is behind: later
@@ -363,7 +363,7 @@
 }
 
 // newConfiguration returns the newest version if it is new here.
-func (h *Holder) newConfiguration() *configuration.Configuration {
+func (h *Leader) newConfiguration() *configuration.Configuration {
 	newest := h.parts.Configurations.Current()
 	if newest == nil || newest == h.configuration {
 		return nil
@@ -373,7 +373,7 @@
 	return newest
 }
 
-func (h *Holder) reportsOf(now time.Time, batches []*protocol.ReportBatch) []protocol.Report {
+func (h *Leader) reportsOf(now time.Time, batches []*protocol.ReportBatch) []protocol.Report {
 	var reports []protocol.Report
 	for _, batch := range batches {
 		for i := range batch.Reports {
@@ -385,7 +385,7 @@
 }
 
 // confirmedOf returns the confirmations of grants of this epoch; numbers of others mean nothing here.
-func (h *Holder) confirmedOf(batches []*protocol.ReportBatch) []quota.Confirmation {
+func (h *Leader) confirmedOf(batches []*protocol.ReportBatch) []quota.Confirmation {
 	var confirmed []quota.Confirmation
 	for _, batch := range batches {
 		for _, told := range batch.Confirmed {
@@ -399,7 +399,7 @@
 }
 
 // divide has the tenants' limits divided. While the number of routers is unknown, all keep to their floors.
-func (h *Holder) divide(now time.Time, in quota.Input) {
+func (h *Leader) divide(now time.Time, in quota.Input) {
 	if in.Floors == 0 {
 		return
 	}
@@ -416,13 +416,13 @@
 	}
 }
 
-func (h *Holder) view(ctx context.Context) (host.View, error) {
+func (h *Leader) view(ctx context.Context) (host.View, error) {
 	ctx, cancel := context.WithTimeout(ctx, viewWithin)
 	defer cancel()
 	return h.parts.Endpoints.View(ctx)
 }
 
-func (h *Holder) takeInbox() inbox {
+func (h *Leader) takeInbox() inbox {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	taken := h.inbox
@@ -431,7 +431,7 @@
 }
 
 // note keeps in mind which orders are under way now.
-func (h *Holder) note(now time.Time, results []placer.Result) {
+func (h *Leader) note(now time.Time, results []placer.Result) {
 	for _, result := range results {
 		order, known := h.orders[result.ID]
 		delete(h.orders, result.ID)
@@ -442,12 +442,12 @@
 }
 
 // pause says when to look again, while nothing arrives.
-func (h *Holder) pause(now time.Time) time.Duration {
+func (h *Leader) pause(now time.Time) time.Duration {
 	if !h.turn.Leads {
 		return time.Hour // until the replica's state changes
 	}
-	if !h.turn.Acts {
-		return min(watchEvery, max(0, h.turn.From.Sub(now)))
+	if !h.turn.MayAct {
+		return min(watchEvery, max(0, h.turn.ActsFrom.Sub(now)))
 	}
 	pause := watchEvery
 	if h.looks.wait() {
--- a/internal/control/roles/holder_test.go
+++ b/internal/control/roles/holder_test.go
@@ -49,15 +49,15 @@
 	s.view = view
 }
 
-func (s *stage) ShowLoading(table protocol.LoadingTable)           { s.loadings <- table }
-func (s *stage) Grant(batches map[string][]protocol.RouterGrants)  { s.grants <- batches }
-func (s *stage) Current() *configuration.Configuration             { return &configuration.Configuration{} }
-func (s *stage) Send(string, any)                                  {}
-func (s *stage) RoleBegan(epoch uint64, _ time.Duration)           { s.began <- epoch }
-func (s *stage) RoleEnded(epoch uint64)                            { s.finished <- epoch }
-func (s *stage) Order(uint64, placer.Order, placer.Outcome, error) {}
-func (s *stage) newPlacer(quiet time.Duration) Placer              { s.quiet <- quiet; return placerOf{s} }
-func (s *stage) newAllocator(time.Duration) Allocator              { return allocatorOf{s} }
+func (s *stage) ShowLoading(table protocol.LoadingTable)                    { s.loadings <- table }
+func (s *stage) Grant(batches map[string][]protocol.RouterGrants)           { s.grants <- batches }
+func (s *stage) Current() *configuration.Configuration                      { return &configuration.Configuration{} }
+func (s *stage) Send(string, any)                                           {}
+func (s *stage) LeadershipBegan(epoch uint64, _ time.Duration)              { s.began <- epoch }
+func (s *stage) LeadershipEnded(epoch uint64)                               { s.finished <- epoch }
+func (s *stage) OrderCompleted(uint64, placer.Order, placer.Outcome, error) {}
+func (s *stage) newPlacer(quiet time.Duration) Placer                       { s.quiet <- quiet; return placerOf{s} }
+func (s *stage) newAllocator(time.Duration) Allocator                       { return allocatorOf{s} }
 
 type placerOf struct{ *stage }
 
@@ -86,7 +86,7 @@
 	return out
 }
 
-func startStage(t *testing.T, status replica.Status) (*stage, *Holder) {
+func startStage(t *testing.T, status replica.Status) (*stage, *Leader) {
 	t.Helper()
 	const room = 4096
 	s := &stage{
@@ -95,10 +95,10 @@
 		grants: make(chan map[string][]protocol.RouterGrants, room), began: make(chan uint64, room),
 		finished: make(chan uint64, room), quiet: make(chan time.Duration, room),
 	}
-	holder := New(Settings{Origin: protocol.Origin{Address: "self"}, Node: "node-7", Lease: 200 * time.Millisecond},
-		Parts{
+	holder := New(Config{Origin: protocol.Origin{Address: "self"}, NodeName: "node-7", Lease: 200 * time.Millisecond},
+		Dependencies{
 			Replica: s.double, Endpoints: s, Configurations: s, Mesh: s, NewPlacer: s.newPlacer,
-			NewAllocator: s.newAllocator, Events: s,
+			NewAllocator: s.newAllocator, EventRecorder: s,
 		})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -194,7 +194,7 @@
 func TestStoppedHolderActsNoMore(t *testing.T) {
 	s, holder := startStage(t, leadingNow(foundingEpoch))
 	next(t, "begin", s.began, func(uint64) bool { return true })
-	holder.Stop()
+	holder.StepDown()
 	next(t, "end", s.finished, func(uint64) bool { return true })
 	if holder.permitted(foundingEpoch) {
 		t.Error("orders may still leave")
@@ -214,7 +214,7 @@
 	s.mutex.Lock()
 	s.allocated = []quota.Grants{{Router: router, Batch: 5, List: []protocol.QuotaGrant{{Tenant: "t"}}}}
 	s.mutex.Unlock()
-	holder.Reports(batch)
+	holder.HandleReports(batch)
 	in := next(t, "step with the report", s.divided, func(in quota.Input) bool { return len(in.Reports) == 1 })
 	if in.Floors != 2 || len(in.Routers) != 1 || in.Routers[0] != router || len(in.Confirmed) != 1 {
 		t.Errorf("%+v", in)
@@ -235,7 +235,7 @@
 	s.allocated = []quota.Grants{{Router: quota.Router{Node: "r1"}, List: []protocol.QuotaGrant{{Tenant: "t"}}}}
 	s.loseLease = true
 	s.mutex.Unlock()
-	holder.Reports(&protocol.ReportBatch{Reports: []protocol.Report{{Node: "r1", Sequence: 1}}})
+	holder.HandleReports(&protocol.ReportBatch{Reports: []protocol.Report{{Node: "r1", Sequence: 1}}})
 	next(t, "end", s.finished, func(uint64) bool { return true })
 	if len(s.grants) != 0 {
 		t.Error("it grants")
--- a/internal/control/roles/sender.go
+++ b/internal/control/roles/sender.go
@@ -28,25 +28,25 @@
 )
 
 // ErrLeaseOver means that an order was held back: another instance may hold the role by now.
-var ErrLeaseOver = errors.New("lease is over")
+var ErrLeaseExpired = errors.New("lease is over")
 
-// Permit says whether orders of an epoch may leave at this moment.
-type Permit func(epoch uint64) bool
+// LeaseCheck says whether orders of an epoch may leave at this moment.
+type LeaseCheck func(epoch uint64) bool
 
-// Sender carries orders to endpoints, each on a connection of its own that is reset when it fails, so that
+// EndpointClient carries orders to endpoints, each on a connection of its own that is reset when it fails, so that
 // no order arrives after a later one. An order that began before the lease ended is over before the next holder acts:
 // its call ends within the pause between two holders, and so does the kernel's care for bytes that were not
 // acknowledged, also while this process stands still.
-type Sender struct {
+type EndpointClient struct {
 	holder string
 	within time.Duration
 	client *http.Client
 }
 
-// NewSender makes a sender; holder is this instance's node name, lease the deployment's lease_ms.
-func NewSender(holder string, lease time.Duration, permit Permit) *Sender {
+// NewEndpointClient makes a sender; holder is this instance's node name, lease the deployment's lease_ms.
+func NewEndpointClient(holder string, lease time.Duration, permit LeaseCheck) *EndpointClient {
 	within := orderTime(lease)
-	return &Sender{holder: holder, within: within, client: newClient(within, permit)}
+	return &EndpointClient{holder: holder, within: within, client: newClient(within, permit)}
 }
 
 // orderTime is how long an order may be on its way.
@@ -65,8 +65,8 @@
 	Fence     uint64  `json:"fence_token"`
 }
 
-// Order sends one order and says what became of it.
-func (s *Sender) Order(ctx context.Context, epoch uint64, order placer.Order) (placer.Outcome, error) {
+// SendOrder sends one order and says what became of it.
+func (s *EndpointClient) SendOrder(ctx context.Context, epoch uint64, order placer.Order) (placer.Outcome, error) {
 	ctx, cancel := context.WithTimeout(context.WithValue(ctx, epochKey{}, epoch), s.within)
 	defer cancel()
 	body := orderBody{
@@ -108,8 +108,8 @@
 	return placer.Unknown
 }
 
-// Look asks an endpoint for its own report.
-func (s *Sender) Look(ctx context.Context, epoch uint64, id, address string) (placer.Inspection, error) {
+// Inspect asks an endpoint for its own report.
+func (s *EndpointClient) Inspect(ctx context.Context, epoch uint64, id, address string) (placer.Inspection, error) {
 	ctx, cancel := context.WithTimeout(context.WithValue(ctx, epochKey{}, epoch), s.within)
 	defer cancel()
 	failed := placer.Inspection{Endpoint: id, Failed: true}
@@ -136,7 +136,7 @@
 type epochKey struct{}
 
 // newClient makes the client of all orders. Each has a connection of its own.
-func newClient(within time.Duration, permit Permit) *http.Client {
+func newClient(within time.Duration, permit LeaseCheck) *http.Client {
 	control := func(_, _ string, socket syscall.RawConn) error { return boundUnanswered(socket, within) }
 	dialer := net.Dialer{KeepAlive: -1, Timeout: within, Control: control}
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -178,7 +178,7 @@
 
 func (g *guarded) Write(bytes []byte) (int, error) {
 	if !g.permit() {
-		return 0, ErrLeaseOver
+		return 0, ErrLeaseExpired
 	}
 	return g.Conn.Write(bytes)
 }
--- a/internal/control/roles/sender_test.go
+++ b/internal/control/roles/sender_test.go
@@ -32,7 +32,7 @@
 	}))
 	defer endpoint.Close()
 	revision := uint64(2)
-	outcome, err := NewSender("node-7", lease, always).Order(t.Context(), 41, placer.Order{
+	outcome, err := NewEndpointClient("node-7", lease, always).SendOrder(t.Context(), 41, placer.Order{
 		Endpoint: "i-1", Address: serverAddress(endpoint), Model: "m", Adapter: "a3", Revision: &revision,
 	})
 	if err != nil || outcome != placer.Accepted {
@@ -77,7 +77,7 @@
 			w.Header().Set("Location", "/-/order")
 			w.WriteHeader(c.status)
 		}))
-		outcome, err := NewSender("n", lease, always).Order(t.Context(), 1, placer.Order{Address: serverAddress(endpoint)})
+		outcome, err := NewEndpointClient("n", lease, always).SendOrder(t.Context(), 1, placer.Order{Address: serverAddress(endpoint)})
 		endpoint.Close()
 		if err != nil || outcome != c.outcome || calls.Load() != 1 {
 			t.Errorf("%d: %v, %v, %d calls", c.status, outcome, err, calls.Load())
@@ -90,12 +90,12 @@
 	var calls atomic.Int32
 	endpoint := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { calls.Add(1) }))
 	defer endpoint.Close()
-	sender := NewSender("n", lease, func(epoch uint64) bool { return epoch == 2 })
-	outcome, err := sender.Order(t.Context(), 1, placer.Order{Address: serverAddress(endpoint)})
-	if !errors.Is(err, ErrLeaseOver) || outcome != placer.Unknown || calls.Load() != 0 {
+	sender := NewEndpointClient("n", lease, func(epoch uint64) bool { return epoch == 2 })
+	outcome, err := sender.SendOrder(t.Context(), 1, placer.Order{Address: serverAddress(endpoint)})
+	if !errors.Is(err, ErrLeaseExpired) || outcome != placer.Unknown || calls.Load() != 0 {
 		t.Errorf("%v, %v, %d calls", outcome, err, calls.Load())
 	}
-	if outcome, err := sender.Order(t.Context(), 2, placer.Order{Address: serverAddress(endpoint)}); err != nil ||
+	if outcome, err := sender.SendOrder(t.Context(), 2, placer.Order{Address: serverAddress(endpoint)}); err != nil ||
 		outcome != placer.AlreadyApplied {
 		t.Errorf("in the epoch of the lease: %v, %v", outcome, err)
 	}
@@ -109,7 +109,7 @@
 	defer func() { _ = listener.Close() }()
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	outcome, err := NewSender("n", lease, always).Order(ctx, 1, placer.Order{Address: listener.Addr().String()})
+	outcome, err := NewEndpointClient("n", lease, always).SendOrder(ctx, 1, placer.Order{Address: listener.Addr().String()})
 	if err == nil || outcome != placer.Unknown {
 		t.Errorf("%v, %v", outcome, err)
 	}
@@ -129,7 +129,7 @@
 	defer func() { _ = listener.Close() }()
 	const short = 300 * time.Millisecond
 	began := time.Now()
-	outcome, err := NewSender("n", short, always).Order(t.Context(), 1, placer.Order{Address: listener.Addr().String()})
+	outcome, err := NewEndpointClient("n", short, always).SendOrder(t.Context(), 1, placer.Order{Address: listener.Addr().String()})
 	if took := time.Since(began); err == nil || outcome != placer.Unknown || took > short {
 		t.Errorf("%v, %v after %v", outcome, err, took)
 	}
@@ -172,7 +172,7 @@
 			`"busy":true,"seq":2,"queued":1,"running":12,"kv_used":41000,"kv_total":90000,"handles":0}`))
 	}))
 	defer endpoint.Close()
-	look, err := NewSender("n", lease, always).Look(t.Context(), 1, "i-1", serverAddress(endpoint))
+	look, err := NewEndpointClient("n", lease, always).Inspect(t.Context(), 1, "i-1", serverAddress(endpoint))
 	if err != nil || look.Failed || !look.Busy || look.Revision != 2 || len(look.Models) != 1 ||
 		look.Models[0].Adapters[0] != "a1" {
 		t.Errorf("%+v, %v", look, err)
--- a/internal/control/roles/tenure.go
+++ b/internal/control/roles/tenure.go
@@ -15,12 +15,12 @@
 	handoverPart = 3
 )
 
-// Tenure decides whether this instance may act. It is pure.
+// Leadership decides whether this instance may act. It is pure.
 //
 // Invariants (tenure_test.go): a holder acts only after the last moment at which an earlier one may act, and a part
 // of the lease later; and a holder that has acted, or may have before its process started, acts again after another
 // one only when a whole lease has passed since: holders never take turns within a lease.
-type Tenure struct {
+type Leadership struct {
 	lease time.Duration
 	begun time.Time     // start of the process
 	epoch uint64        // newest in which this instance leads or led
@@ -30,34 +30,34 @@
 	last  time.Time     // when it acted last, or may have: the start of the process
 }
 
-// Turn says what this instance may do now.
-type Turn struct {
-	Leads bool // it is to gather what the roles need
-	Acts  bool
-	Epoch uint64
-	From  time.Time     // when it may act, while it leads
-	Until time.Time     // when its lease ends, if it is not renewed
-	Quiet time.Duration // nobody has acted for so long, at least
+// LeadershipOutput says what this instance may do now.
+type LeadershipOutput struct {
+	Leads      bool // it is to gather what the roles need
+	MayAct     bool
+	Epoch      uint64
+	ActsFrom   time.Time     // when it may act, while it leads
+	LeaseUntil time.Time     // when its lease ends, if it is not renewed
+	IdleFor    time.Duration // nobody has acted for so long, at least
 }
 
-// NewTenure makes a tenure; lease is the deployment's lease_ms.
-func NewTenure(lease time.Duration, now time.Time) *Tenure {
-	return &Tenure{lease: lease, begun: now, last: now}
+// NewLeadership makes a tenure; lease is the deployment's lease_ms.
+func NewLeadership(lease time.Duration, now time.Time) *Leadership {
+	return &Leadership{lease: lease, begun: now, last: now}
 }
 
 // Step looks at the newest status.
-func (t *Tenure) Step(now time.Time, status replica.Status) Turn {
+func (t *Leadership) Step(now time.Time, status replica.Status) LeadershipOutput {
 	if !status.Leader || !now.Before(status.LeaseUntil) {
-		return Turn{}
+		return LeadershipOutput{}
 	}
 	if epoch := status.View.Epoch; epoch != t.epoch {
 		t.from, t.quiet = t.startOf(now, status)
 		t.epoch = epoch
 	}
-	turn := Turn{Leads: true, Epoch: t.epoch, From: t.from, Until: status.LeaseUntil}
-	turn.Quiet = t.quiet + max(0, now.Sub(t.from))
+	turn := LeadershipOutput{Leads: true, Epoch: t.epoch, ActsFrom: t.from, LeaseUntil: status.LeaseUntil}
+	turn.IdleFor = t.quiet + max(0, now.Sub(t.from))
 	if !now.Before(t.from) {
-		turn.Acts = true
+		turn.MayAct = true
 		t.acted = t.epoch
 		t.last = now
 	}
@@ -65,7 +65,7 @@
 }
 
 // startOf says from when this instance may act in a new epoch, and for how long nobody will have acted then.
-func (t *Tenure) startOf(now time.Time, status replica.Status) (from time.Time, quiet time.Duration) {
+func (t *Leadership) startOf(now time.Time, status replica.Status) (from time.Time, quiet time.Duration) {
 	epoch := status.View.Epoch
 	switch {
 	case t.acted != 0 && t.acted+1 == epoch:
--- a/internal/control/roles/tenure_test.go
+++ b/internal/control/roles/tenure_test.go
@@ -20,14 +20,14 @@
 }
 
 func TestFirstHolderActsAtOnce(t *testing.T) {
-	turn := NewTenure(lease, begin).Step(begin, leading(foundingEpoch, begin, time.Time{}, begin.Add(time.Second)))
-	if !turn.Acts || turn.Quiet != 0 {
+	turn := NewLeadership(lease, begin).Step(begin, leading(foundingEpoch, begin, time.Time{}, begin.Add(time.Second)))
+	if !turn.MayAct || turn.IdleFor != 0 {
 		t.Errorf("%+v", turn)
 	}
 }
 
 // begunLongAgo is a tenure of a process that can't have acted within a lease.
-func begunLongAgo() *Tenure { return NewTenure(lease, begin.Add(-time.Hour)) }
+func begunLongAgo() *Leadership { return NewLeadership(lease, begin.Add(-time.Hour)) }
 
 func TestNextHolderWaitsForTheFormerLeaseAndAPause(t *testing.T) {
 	tenure := begunLongAgo()
@@ -35,47 +35,47 @@
 	for wait := time.Duration(0); wait < 5*time.Second; wait += 100 * time.Millisecond {
 		now := begin.Add(wait)
 		turn := tenure.Step(now, leading(2, begin, previous, now.Add(time.Second)))
-		if want := !now.Before(previous.Add(lease / handoverPart)); turn.Acts != want {
-			t.Fatalf("after %v: acts %v", wait, turn.Acts)
+		if want := !now.Before(previous.Add(lease / handoverPart)); turn.MayAct != want {
+			t.Fatalf("after %v: acts %v", wait, turn.MayAct)
 		}
-		if turn.Acts && turn.Quiet < lease/handoverPart {
-			t.Errorf("after %v: quiet %v", wait, turn.Quiet)
+		if turn.MayAct && turn.IdleFor < lease/handoverPart {
+			t.Errorf("after %v: quiet %v", wait, turn.IdleFor)
 		}
 	}
 }
 
 func TestRestartedHolderWaitsForAWholeLease(t *testing.T) {
-	tenure := NewTenure(lease, begin)
+	tenure := NewLeadership(lease, begin)
 	for wait := time.Duration(0); wait < 5*time.Second; wait += 100 * time.Millisecond {
 		now := begin.Add(wait)
 		turn := tenure.Step(now, leading(2, begin, begin, now.Add(time.Second)))
-		if want := !now.Before(begin.Add(lease)); turn.Acts != want {
-			t.Fatalf("after %v: acts %v", wait, turn.Acts)
+		if want := !now.Before(begin.Add(lease)); turn.MayAct != want {
+			t.Fatalf("after %v: acts %v", wait, turn.MayAct)
 		}
 	}
 }
 
 func TestHolderGoesOnInTheNextEpoch(t *testing.T) {
-	tenure := NewTenure(lease, begin)
+	tenure := NewLeadership(lease, begin)
 	tenure.Step(begin, leading(foundingEpoch, begin, time.Time{}, begin.Add(time.Second)))
 	later := begin.Add(500 * time.Millisecond)
-	if turn := tenure.Step(later, leading(2, later, begin.Add(time.Second), later.Add(time.Second))); !turn.Acts {
+	if turn := tenure.Step(later, leading(2, later, begin.Add(time.Second), later.Add(time.Second))); !turn.MayAct {
 		t.Error("it waits for itself")
 	}
 	skipped := later.Add(time.Second)
-	if turn := tenure.Step(skipped, leading(4, skipped, skipped, skipped.Add(time.Second))); turn.Acts {
+	if turn := tenure.Step(skipped, leading(4, skipped, skipped, skipped.Add(time.Second))); turn.MayAct {
 		t.Error("another may have held the epoch between")
 	}
 }
 
 func TestNobodyActsWithoutALease(t *testing.T) {
-	tenure := NewTenure(lease, begin)
+	tenure := NewLeadership(lease, begin)
 	status := leading(foundingEpoch, begin, time.Time{}, begin)
-	if turn := tenure.Step(begin, status); turn.Acts || turn.Leads {
+	if turn := tenure.Step(begin, status); turn.MayAct || turn.Leads {
 		t.Errorf("lease over: %+v", turn)
 	}
 	status.LeaseUntil, status.Leader = begin.Add(time.Second), false
-	if turn := tenure.Step(begin, status); turn.Acts || turn.Leads {
+	if turn := tenure.Step(begin, status); turn.MayAct || turn.Leads {
 		t.Errorf("not the leader: %+v", turn)
 	}
 }
@@ -97,7 +97,7 @@
 
 func playSuccession(t *testing.T, random *rand.Rand) (turns int) {
 	t.Helper()
-	tenures := []*Tenure{begunLongAgo(), begunLongAgo(), begunLongAgo()}
+	tenures := []*Leadership{begunLongAgo(), begunLongAgo(), begunLongAgo()}
 	now, previous := begin, time.Time{}
 	lastActor, lastActed := -1, time.Time{}
 	acted := make([]time.Time, len(tenures)) // by whom when, before another one acted
@@ -114,7 +114,7 @@
 		for now.Before(end) {
 			until = now.Add(800 * time.Millisecond)
 			turn := tenures[leader].Step(now, leading(epoch, since, previous, until))
-			if turn.Acts && lastActor >= 0 && lastActor != leader {
+			if turn.MayAct && lastActor >= 0 && lastActor != leader {
 				turns++
 				if now.Sub(lastActed) < lease/handoverPart {
 					t.Fatalf("%d acts %v after %d", leader, now.Sub(lastActed), lastActor)
@@ -123,7 +123,7 @@
 					t.Fatalf("%d acts %v after its last act, %d between", leader, now.Sub(acted[leader]), lastActor)
 				}
 			}
-			if turn.Acts {
+			if turn.MayAct {
 				lastActor, lastActed, acted[leader] = leader, now, now
 			}
 			now = now.Add(50 * time.Millisecond)
--- a/internal/systemsim/instance.go
+++ b/internal/systemsim/instance.go
@@ -31,8 +31,8 @@
 	engine  *engine.Engine
 	machine *state.Machine
 	status  replica.Status // as the replica published it last
-	tenure  *roles.Tenure
-	turn    roles.Turn
+	tenure  *roles.Leadership
+	turn    roles.LeadershipOutput
 	desk    desk
 	mesh    mesh
 
@@ -99,7 +99,7 @@
 	}
 	i.engine = opened
 	i.status = statusOf(opened.Status(i.local()))
-	i.tenure, i.turn = roles.NewTenure(lease, i.clock()), roles.Turn{}
+	i.tenure, i.turn = roles.NewLeadership(lease, i.clock()), roles.LeadershipOutput{}
 	i.mesh = newMesh(i)
 	i.desk = newDesk(i)
 	i.plan(0)
@@ -256,7 +256,7 @@
 // lookAtRole stands in for the holder of the roles: it notes that it acts whenever it may.
 func (i *instance) lookAtRole() {
 	i.turn = i.tenure.Step(i.clock(), i.currentStatus())
-	if i.turn.Acts {
+	if i.turn.MayAct {
 		i.world.acted(i)
 	}
 }
@@ -272,7 +272,7 @@
 
 // acts tells whether the instance may act in a role at this moment.
 func (i *instance) acts() bool {
-	return i.running && !i.frozen && i.turn.Acts && i.currentStatus().Leader
+	return i.running && !i.frozen && i.turn.MayAct && i.currentStatus().Leader
 }
 
 // change carries out an operator's call.
