--- a/cmd/raventrestle-control/instance.go
+++ b/cmd/raventrestle-control/instance.go
@@ -232,11 +232,11 @@
 }
 
 func makeAllocator(settings *nodeconfig.Settings, quiet time.Duration) *quota.Allocator {
-	return quota.New(quota.Options{
-		Window:      settings.Bounds.QuotaWindow,
-		Over:        settings.Bounds.QuotaOver,
-		Slack:       settings.Bounds.QuotaSlack,
-		QuietBefore: quiet,
-		Confirms:    true,
+	return quota.New(quota.Config{
+		Window:            settings.Bounds.QuotaWindow,
+		OvershootFraction: settings.Bounds.QuotaOver,
+		OvershootSlack:    settings.Bounds.QuotaSlack,
+		IdleBefore:        quiet,
+		Confirms:          true,
 	})
 }
--- a/internal/control/quota/golden_test.go
+++ b/internal/control/quota/golden_test.go
@@ -32,28 +32,28 @@
 	restart   int  // the step in which the first router starts again; 0: never
 	length    int  // steps
 	configure bool // the limits, tenants and the number of floors change on the way
-	options   Options
+	options   Config
 }
 
 var goldenCases = []goldenCase{
 	{name: "pushed", seed: 1, routers: 2, length: 440,
-		options: Options{Over: 0.1, Slack: 11000, QuietBefore: time.Minute, Confirms: true}},
+		options: Config{OvershootFraction: 0.1, OvershootSlack: 11000, IdleBefore: time.Minute, Confirms: true}},
 	{name: "credits", seed: 2, routers: 2, length: 440, credits: true,
-		options: Options{Over: 0.1, Slack: 11000, QuietBefore: time.Minute, Confirms: true}},
+		options: Config{OvershootFraction: 0.1, OvershootSlack: 11000, IdleBefore: time.Minute, Confirms: true}},
 	{name: "takeover-pressing", seed: 3, routers: 2, length: 440, credits: true, pressing: true, gathers: 50,
-		options: Options{Over: 0.1, Slack: 9000, QuietBefore: time.Second, Confirms: true}},
+		options: Config{OvershootFraction: 0.1, OvershootSlack: 9000, IdleBefore: time.Second, Confirms: true}},
 	{name: "takeover-idle", seed: 4, routers: 2, length: 440, credits: true, gathers: 50,
-		options: Options{Over: 0.05, Slack: 3000, QuietBefore: 500 * time.Millisecond, Delivery: time.Second, Window: 6 * time.Second}},
+		options: Config{OvershootFraction: 0.05, OvershootSlack: 3000, IdleBefore: 500 * time.Millisecond, DeliveryTimeout: time.Second, Window: 6 * time.Second}},
 	{name: "lost-router", seed: 5, routers: 2, length: 1050, restart: 400, credits: true, lost: true,
-		options: Options{Over: 0.1, Slack: 11000, QuietBefore: time.Minute, Confirms: true}},
+		options: Config{OvershootFraction: 0.1, OvershootSlack: 11000, IdleBefore: time.Minute, Confirms: true}},
 	{name: "reconfigured", seed: 6, routers: 2, length: 440, credits: true, configure: true,
-		options: Options{Over: 0.1, Slack: 11000, QuietBefore: time.Minute, Confirms: true}},
+		options: Config{OvershootFraction: 0.1, OvershootSlack: 11000, IdleBefore: time.Minute, Confirms: true}},
 	{name: "takeover-late", seed: 9, routers: 2, length: 440, credits: true, pressing: true, gathers: 250,
-		options: Options{Over: 0.1, Slack: 11000, QuietBefore: time.Second, Confirms: true}},
+		options: Config{OvershootFraction: 0.1, OvershootSlack: 11000, IdleBefore: time.Second, Confirms: true}},
 	{name: "many-routers", seed: 7, routers: 7, length: 440, restart: 170, credits: true, lost: true, configure: true, gathers: 30,
-		options: Options{Over: 0.1, Slack: 20000, QuietBefore: 800 * time.Millisecond, Confirms: true}},
+		options: Config{OvershootFraction: 0.1, OvershootSlack: 20000, IdleBefore: 800 * time.Millisecond, Confirms: true}},
 	{name: "many-routers-pushed", seed: 8, routers: 5, length: 440, restart: 170, lost: true,
-		options: Options{Over: 0.2, Slack: 5000, QuietBefore: 2 * time.Second, Confirms: true}},
+		options: Config{OvershootFraction: 0.2, OvershootSlack: 5000, IdleBefore: 2 * time.Second, Confirms: true}},
 }
 
 const goldenStepTime = 50 * time.Millisecond
@@ -101,7 +101,7 @@
 
 // input draws what is new in this step. What is drawn does not depend on what the allocator granted.
 func (g *goldenPlay) input() Input {
-	in := Input{Gathering: g.step < g.gathers, Floors: g.routers, Confirmed: g.confirms[g.step]}
+	in := Input{ObserveOnly: g.step < g.gathers, MinRouterCount: g.routers, Confirmations: g.confirms[g.step]}
 	switch {
 	case g.step == 0:
 		in.Configuration = g.tenants(0)
@@ -111,7 +111,7 @@
 		in.Configuration = g.tenants(2)
 	}
 	if g.configure && g.step >= 100 && g.step < 200 {
-		in.Floors = 0 // as many as there are routers
+		in.MinRouterCount = 0 // as many as there are routers
 	}
 	if g.restart > 0 && g.step == g.restart {
 		g.ids[0].Incarnation++
@@ -176,16 +176,16 @@
 	var lines []string
 	for ; g.step < c.length; g.step++ {
 		out := a.Step(g.now, g.input())
-		lines = append(lines, fmt.Sprintf("%v wake %v grants %d", g.now.Sub(begin), out.WakeAt.Sub(g.now), len(out.Grants)))
-		for _, grants := range out.Grants {
-			lines = append(lines, fmt.Sprintf("to %s %d batch %d", grants.Node, grants.Incarnation, grants.Batch))
-			for _, grant := range grants.List {
+		lines = append(lines, fmt.Sprintf("%v wake %v grants %d", g.now.Sub(begin), out.WakeAt.Sub(g.now), len(out.Batches)))
+		for _, grants := range out.Batches {
+			lines = append(lines, fmt.Sprintf("to %s %d batch %d", grants.Node, grants.Incarnation, grants.ID))
+			for _, grant := range grants.Grants {
 				lines = append(lines, fmt.Sprintf("%s rate %s burst %s for %v credit %s", grant.Tenant, number(grant.RatePerS),
 					number(grant.Burst), grant.For, number(grant.Credit)))
 			}
 			if late := g.random.IntN(10); late < 9 { // else it is lost
 				at := g.step + 1 + late/3
-				g.confirms[at] = append(g.confirms[at], Confirmation{Router: grants.Router, Batch: grants.Batch})
+				g.confirms[at] = append(g.confirms[at], Confirmation{Router: grants.Router, BatchID: grants.ID})
 			}
 		}
 		g.now = g.now.Add(goldenStepTime)
@@ -252,7 +252,7 @@
 		value   any
 	}{
 		{"window", DefaultWindow},
-		{"delivery", DefaultDelivery},
+		{"delivery", DefaultDeliveryTimeout},
 		{"credits: grant lasts", pulledFor},
 		{"no credits: grant lasts", pushedFor},
 		{"renewed after this part", renewPart},
--- a/internal/control/quota/quota.go
+++ b/internal/control/quota/quota.go
@@ -17,20 +17,20 @@
 	"raventrestle/internal/protocol"
 )
 
-// Options of an Allocator. Zero fields take the defaults.
-type Options struct {
-	Window      time.Duration // quota_window_s
-	Over        float64       // quota_over
-	Slack       float64       // quota_slack
-	QuietBefore time.Duration // no other holder has granted anything for so long before New
-	Delivery    time.Duration // a grant arrives within it or never
-	Confirms    bool          // the host passes in confirmations; without them a grant counts until it has run out
+// Config of an Allocator. Zero fields take the defaults.
+type Config struct {
+	Window            time.Duration // quota_window_s
+	OvershootFraction float64       // quota_over
+	OvershootSlack    float64       // quota_slack
+	IdleBefore        time.Duration // no other holder has granted anything for so long before New
+	DeliveryTimeout   time.Duration // a grant arrives within it or never
+	Confirms          bool          // the host passes in confirmations; without them a grant counts until it has run out
 }
 
 // Defaults and times.
 const (
-	DefaultWindow   = 8 * time.Second
-	DefaultDelivery = 750 * time.Millisecond
+	DefaultWindow          = 8 * time.Second
+	DefaultDeliveryTimeout = 750 * time.Millisecond
 
 	pulledFor    = 4 * time.Second         // a grant is good for so long where routers ask for credits
 	pushedFor    = 1500 * time.Millisecond // and where they don't
@@ -64,35 +64,35 @@
 // Confirmation says that a router has a batch of grants in force.
 type Confirmation struct {
 	Router
-	Batch uint64
+	BatchID uint64
 }
 
 // Input is all that is new since the last step.
 type Input struct {
-	Configuration *configuration.Configuration // nil: unchanged
-	Routers       []Router                     // all that are there, every step
-	Floors        int                          // least number of routers that any router may believe in, 0: len(Routers)
-	Reports       []protocol.Report            // each once
-	Confirmed     []Confirmation
-	Gathering     bool // this instance may not grant yet, and only learns
+	Configuration  *configuration.Configuration // nil: unchanged
+	Routers        []Router                     // all that are there, every step
+	MinRouterCount int                          // least number of routers that any router may believe in, 0: len(Routers)
+	Reports        []protocol.Report            // each once
+	Confirmations  []Confirmation
+	ObserveOnly    bool // this instance may not grant yet, and only learns
 }
 
-// Grants is one message to one router.
-type Grants struct {
+// GrantBatch is one message to one router.
+type GrantBatch struct {
 	Router
-	Batch uint64
-	List  []protocol.QuotaGrant
+	ID     uint64
+	Grants []protocol.QuotaGrant
 }
 
 // Output is what the host sends.
 type Output struct {
-	Grants []Grants
-	WakeAt time.Time
+	Batches []GrantBatch
+	WakeAt  time.Time
 }
 
 // Allocator divides the limits.
 type Allocator struct {
-	options Options
+	options Config
 	start   time.Time
 	acting  time.Time // first step that was not only gathering
 	tenants map[string]*tenant
@@ -111,12 +111,12 @@
 }
 
 // New makes an allocator that has granted nothing.
-func New(options Options) *Allocator {
+func New(options Config) *Allocator {
 	if options.Window <= 0 {
 		options.Window = DefaultWindow
 	}
-	if options.Delivery <= 0 {
-		options.Delivery = DefaultDelivery
+	if options.DeliveryTimeout <= 0 {
+		options.DeliveryTimeout = DefaultDeliveryTimeout
 	}
 	return &Allocator{options: options, tenants: map[string]*tenant{}, routers: map[Router]*router{}}
 }
@@ -130,14 +130,14 @@
 		a.configure(now, in.Configuration.Tenants)
 	}
 	a.meet(in)
-	for _, confirmation := range in.Confirmed {
+	for _, confirmation := range in.Confirmations {
 		a.confirm(now, confirmation)
 	}
 	for _, report := range in.Reports {
 		a.report(now, report)
 	}
 	out := Output{WakeAt: now.Add(wakeEvery)}
-	if in.Gathering || a.acting.IsZero() && now.Sub(a.start) < judgedOver {
+	if in.ObserveOnly || a.acting.IsZero() && now.Sub(a.start) < judgedOver {
 		return out
 	}
 	if a.acting.IsZero() {
@@ -146,7 +146,7 @@
 			t.judgePast(now, a.options)
 		}
 	}
-	if now.Sub(a.acting) < a.earlier()-a.options.QuietBefore {
+	if now.Sub(a.acting) < a.earlier()-a.options.IdleBefore {
 		return out
 	}
 	lists := map[Router][]protocol.QuotaGrant{}
@@ -159,7 +159,7 @@
 
 // earlier is how long an earlier holder's grants may still be in force after its last. Their credits are counted
 // by newTenant, their rates are hardly above the floors.
-func (a *Allocator) earlier() time.Duration { return pushedFor + a.options.Delivery }
+func (a *Allocator) earlier() time.Duration { return pushedFor + a.options.DeliveryTimeout }
 
 // configure takes the tenants. Grants of an old limit count until they end.
 func (a *Allocator) configure(now time.Time, tenants []configuration.Tenant) {
@@ -189,7 +189,7 @@
 
 // meet takes the set of routers.
 func (a *Allocator) meet(in Input) {
-	a.floors = in.Floors
+	a.floors = in.MinRouterCount
 	if a.floors <= 0 {
 		a.floors = len(in.Routers)
 	}
@@ -228,7 +228,7 @@
 func (a *Allocator) confirm(now time.Time, confirmation Confirmation) {
 	for _, t := range a.order {
 		if p := t.parts[confirmation.Router]; p != nil {
-			p.confirm(now, confirmation.Batch)
+			p.confirm(now, confirmation.BatchID)
 		}
 	}
 }
@@ -248,7 +248,7 @@
 		for _, grant := range lists[id] {
 			a.tenants[grant.Tenant].sent(now, id, a.batch, grant, a.options)
 		}
-		out.Grants = append(out.Grants, Grants{Router: id, Batch: a.batch, List: lists[id]})
+		out.Batches = append(out.Batches, GrantBatch{Router: id, ID: a.batch, Grants: lists[id]})
 	}
 }
 
--- a/internal/control/quota/size_test.go
+++ b/internal/control/quota/size_test.go
@@ -16,19 +16,19 @@
 func BenchmarkStepAtSize(b *testing.B) {
 	random := rand.New(rand.NewPCG(1, 1))
 	now := time.Unix(0, 0)
-	a := New(Options{Slack: 11000, Over: 0.1, QuietBefore: time.Minute, Confirms: true})
+	a := New(Config{OvershootSlack: 11000, OvershootFraction: 0.1, IdleBefore: time.Minute, Confirms: true})
 	var routers []Router
 	for i := range sizetest.Routers {
 		routers = append(routers, Router{Node: sizetest.RouterName(i), Incarnation: uint64(i) + 1})
 	}
-	a.Step(now, Input{Configuration: sizetest.Configuration(), Routers: routers, Floors: sizetest.Routers})
+	a.Step(now, Input{Configuration: sizetest.Configuration(), Routers: routers, MinRouterCount: sizetest.Routers})
 	codec := protocol.NewCodec()
 	step, grants, bytes := 0, 0, 0
 	sequence := uint64(0)
 	var confirmed []Confirmation
 	one := func() {
 		now = now.Add(time.Second / stepsPerS)
-		in := Input{Routers: routers, Floors: sizetest.Routers, Confirmed: confirmed}
+		in := Input{Routers: routers, MinRouterCount: sizetest.Routers, Confirmations: confirmed}
 		for i := range sizetest.Routers * sizetest.ReportsPerS / stepsPerS {
 			sequence++
 			router := (step*sizetest.Routers*sizetest.ReportsPerS/stepsPerS + i) % sizetest.Routers
@@ -39,14 +39,14 @@
 		out := a.Step(now, in)
 		b.StopTimer()
 		confirmed = nil
-		for _, grant := range out.Grants {
+		for _, grant := range out.Batches {
 			grants++
-			frame, err := codec.Encode(&protocol.Update{Quotas: grant.List})
+			frame, err := codec.Encode(&protocol.Update{Quotas: grant.Grants})
 			if err != nil {
 				b.Fatal(err)
 			}
 			bytes += len(frame)
-			confirmed = append(confirmed, Confirmation{Router: grant.Router, Batch: grant.Batch})
+			confirmed = append(confirmed, Confirmation{Router: grant.Router, BatchID: grant.ID})
 		}
 	}
 	for range 5 * stepsPerS {
--- a/internal/control/quota/tenant.go
+++ b/internal/control/quota/tenant.go
@@ -62,7 +62,7 @@
 const assumedPart = 1.15
 
 // newTenant makes a tenant about whose past nothing is known.
-func newTenant(now time.Time, name string, rate float64, options Options) *tenant {
+func newTenant(now time.Time, name string, rate float64, options Config) *tenant {
 	spans := int(options.Window/bucketSpan) + 2
 	t := &tenant{name: name, rate: rate, parts: map[Router]*part{}, spent: make([]float64, spans), newest: now, began: now}
 	for i := range t.spent {
@@ -80,7 +80,7 @@
 
 // judgePast makes sure, when the allocator begins to act, that what an earlier holder may have let a tenant spend is
 // counted. A tenant that presses, or of which nothing is known, is assumed to have spent all of a window at once.
-func (t *tenant) judgePast(now time.Time, options Options) {
+func (t *tenant) judgePast(now time.Time, options Config) {
 	t.advance(now)
 	over := now.Sub(t.began)
 	if over >= judgedOver && t.asked <= pressedPart*t.rate*over.Seconds()+pressedMore*t.lack {
@@ -130,14 +130,14 @@
 }
 
 // allowed is what a window may hold, less the buckets' debts and a reserve.
-func (t *tenant) allowed(options Options) float64 {
+func (t *tenant) allowed(options Config) float64 {
 	whole := t.rate*options.Window.Seconds() + t.burst
-	tolerance := whole*options.Over + options.Slack
+	tolerance := whole*options.OvershootFraction + options.OvershootSlack
 	return (whole + tolerance*(1-protocol.QuotaDebtShare)) * (1 - reserve)
 }
 
 // depth is what the buckets of all routers may hold together.
-func (t *tenant) depth(options Options) float64 {
+func (t *tenant) depth(options Config) float64 {
 	beyond := t.allowed(options) - t.rate*options.Window.Seconds() - t.burst
 	return t.burst + depthPart*math.Max(0, beyond)
 }
@@ -211,9 +211,9 @@
 }
 
 // extra is how much of the rate may be granted beyond the floors: the least that any open window leaves.
-func (t *tenant) extra(now time.Time, depth float64, options Options) float64 {
+func (t *tenant) extra(now time.Time, depth float64, options Config) float64 {
 	from := now.Add(-reportLag)
-	until := now.Add(t.goodFor() + options.Delivery)
+	until := now.Add(t.goodFor() + options.DeliveryTimeout)
 	least := 2 * t.rate
 	t.windows(now, options, func(end time.Time, spent float64) {
 		left := t.allowed(options) - spent - depth - t.rate*protocol.QuotaFloorShare*end.Sub(from).Seconds()
@@ -226,9 +226,9 @@
 }
 
 // lendable is what may be lent at once beside all that is granted.
-func (t *tenant) lendable(now time.Time, depth float64, options Options) float64 {
+func (t *tenant) lendable(now time.Time, depth float64, options Config) float64 {
 	from := now.Add(-reportLag)
-	until := now.Add(t.goodFor() + options.Delivery)
+	until := now.Add(t.goodFor() + options.DeliveryTimeout)
 	extra := 0.0
 	for _, p := range t.parts {
 		extra += math.Max(p.extra, p.most())
@@ -245,7 +245,7 @@
 }
 
 // windows calls with the end of each window that is open, and what was spent in it so far.
-func (t *tenant) windows(now time.Time, options Options, call func(end time.Time, spent float64)) {
+func (t *tenant) windows(now time.Time, options Config, call func(end time.Time, spent float64)) {
 	spent := 0.0
 	for _, p := range t.parts {
 		spent += p.lent()
@@ -356,16 +356,16 @@
 }
 
 // sent notes a grant that leaves.
-func (t *tenant) sent(now time.Time, id Router, batch uint64, told protocol.QuotaGrant, options Options) {
+func (t *tenant) sent(now time.Time, id Router, batch uint64, told protocol.QuotaGrant, options Config) {
 	p := t.parts[id]
 	p.possible = append(p.possible, grant{
 		batch: batch, rate: told.RatePerS, depth: told.Burst, extra: p.extra,
-		sent: now, lasts: told.For, until: now.Add(told.For + options.Delivery),
+		sent: now, lasts: told.For, until: now.Add(told.For + options.DeliveryTimeout),
 	})
 	if told.Credit > 0 {
 		p.credits = append(p.credits, credit{batch: batch, amount: told.Credit})
 	}
 	for i := range p.credits { // every grant prolongs them
-		p.credits[i].until = now.Add(told.For + options.Delivery)
+		p.credits[i].until = now.Add(told.For + options.DeliveryTimeout)
 	}
 }
--- a/internal/control/quota/world_test.go
+++ b/internal/control/quota/world_test.go
@@ -80,7 +80,7 @@
 	nodes     []*node
 	parties   []*party
 	queue     []event
-	options   Options
+	options   Config
 	allocator *Allocator
 	gatherAt  time.Duration
 	holderAt  time.Duration
@@ -141,7 +141,7 @@
 // hold is one step of the allocator that holds the role.
 func (w *world) hold() {
 	if w.idle || w.now < w.gatherAt {
-		w.in.Reports, w.in.Confirmed = nil, nil
+		w.in.Reports, w.in.Confirmations = nil, nil
 		return
 	}
 	if w.allocator == nil {
@@ -150,8 +150,8 @@
 	}
 	in := w.in
 	w.in = Input{}
-	in.Gathering = w.now < w.holderAt
-	in.Floors = len(w.nodes)
+	in.ObserveOnly = w.now < w.holderAt
+	in.MinRouterCount = len(w.nodes)
 	for _, n := range w.nodes {
 		if n.cutUntil <= w.now {
 			in.Routers = append(in.Routers, n.id)
@@ -159,20 +159,20 @@
 	}
 	out := w.allocator.Step(w.epoch.Add(w.now), in)
 	holder := w.allocator
-	for _, message := range out.Grants {
+	for _, message := range out.Batches {
 		w.messages++
-		w.grants += len(message.List)
+		w.grants += len(message.Grants)
 		w.deliver(holder, message)
 	}
 }
 
-func (w *world) deliver(holder *Allocator, message Grants) {
+func (w *world) deliver(holder *Allocator, message GrantBatch) {
 	n := w.find(message.Router)
 	if n == nil || n.cutUntil > w.now || w.random.IntN(500) == 0 {
 		return
 	}
 	w.later(w.delay(), func() {
-		for _, g := range message.List {
+		for _, g := range message.Grants {
 			b := n.buckets[g.Tenant]
 			b.rate, b.depth, b.ends = g.RatePerS, g.Burst, w.now+g.For
 			b.level = math.Min(b.level, b.depth)
@@ -183,7 +183,7 @@
 		w.serve(n)
 		w.later(w.delay(), func() {
 			if w.allocator == holder {
-				w.in.Confirmed = append(w.in.Confirmed, Confirmation{message.Router, message.Batch})
+				w.in.Confirmations = append(w.in.Confirmations, Confirmation{message.Router, message.ID})
 			}
 		})
 	})
@@ -259,7 +259,7 @@
 
 func (w *world) debt(p *party) float64 {
 	whole := p.tenant.RatePerS*w.window.Seconds() + p.tenant.Burst
-	return (whole*w.options.Over + w.options.Slack) * protocol.QuotaDebtShare / float64(len(w.nodes))
+	return (whole*w.options.OvershootFraction + w.options.OvershootSlack) * protocol.QuotaDebtShare / float64(len(w.nodes))
 }
 
 // serve spends for those who wait; without credits a request is refused at once.
@@ -304,7 +304,7 @@
 }
 
 func (w *world) judge(p *party) {
-	most := (p.tenant.RatePerS*w.window.Seconds()+p.tenant.Burst)*(1+w.options.Over) + w.options.Slack
+	most := (p.tenant.RatePerS*w.window.Seconds()+p.tenant.Burst)*(1+w.options.OvershootFraction) + w.options.OvershootSlack
 	sum := 0.0
 	for i := len(p.spent) - 1; i >= 0 && w.now-p.spent[i].at <= w.window; i-- {
 		sum += p.spent[i].amount
@@ -358,7 +358,7 @@
 	w := &world{
 		random: rand.New(rand.NewPCG(seed, 3)), epoch: time.Unix(1e9, 0), window: 8 * time.Second,
 		credits: credits,
-		options: Options{Over: 0.1, Slack: 11000, Confirms: true},
+		options: Config{OvershootFraction: 0.1, OvershootSlack: 11000, Confirms: true},
 	}
 	for i := range routers {
 		w.nodes = append(w.nodes, &node{
@@ -398,5 +398,5 @@
 // changeHolder takes the role away; another instance learns after a while and acts later.
 func (w *world) changeHolder(gathers, acts time.Duration) {
 	w.allocator, w.gatherAt, w.holderAt = nil, w.now+gathers, w.now+acts
-	w.options.QuietBefore = 3 * time.Second
+	w.options.IdleBefore = 3 * time.Second
 }
--- a/internal/control/roles/holder.go
+++ b/internal/control/roles/holder.go
@@ -279,10 +279,10 @@
 	h.wakeAt = h.placeAt
 	divided := time.Now()
 	h.divide(now, quota.Input{
-		Routers:   h.roster.routers(now),
-		Floors:    h.roster.count(now, h.routerCount),
-		Reports:   reports,
-		Confirmed: h.confirmedOf(arrived.batches),
+		Routers:        h.roster.routers(now),
+		MinRouterCount: h.roster.count(now, h.routerCount),
+		Reports:        reports,
+		Confirmations:  h.confirmedOf(arrived.batches),
 	})
 	h.stepped = time.Now()
 	h.rest = dividePart * h.stepped.Sub(divided)
@@ -306,10 +306,10 @@
 	reports := h.reportsOf(now, arrived.batches)
 	h.gather(now, arrived, reports)
 	h.divide(now, quota.Input{
-		Routers:   h.roster.routers(now),
-		Floors:    h.roster.count(now, h.routerCount),
-		Reports:   reports,
-		Gathering: true,
+		Routers:        h.roster.routers(now),
+		MinRouterCount: h.roster.count(now, h.routerCount),
+		Reports:        reports,
+		ObserveOnly:    true,
 	})
 }
 
@@ -391,7 +391,7 @@
 		for _, told := range batch.Confirmed {
 			if told.Epoch == h.turn.Epoch {
 				router := quota.Router{Node: told.Node, Incarnation: told.Incarnation}
-				confirmed = append(confirmed, quota.Confirmation{Router: router, Batch: told.Batch})
+				confirmed = append(confirmed, quota.Confirmation{Router: router, BatchID: told.Batch})
 			}
 		}
 	}
@@ -400,7 +400,7 @@
 
 // divide has the tenants' limits divided. While the number of routers is unknown, all keep to their floors.
 func (h *Leader) divide(now time.Time, in quota.Input) {
-	if in.Floors == 0 {
+	if in.MinRouterCount == 0 {
 		return
 	}
 	if h.configuration != h.divided {
@@ -408,8 +408,8 @@
 		in.Configuration = h.configuration
 	}
 	out := h.allocator.Step(now, in)
-	if len(out.Grants) > 0 && h.permitted(h.turn.Epoch) { // the process may have stood still since the step began
-		h.parts.Endpoints.Grant(h.roster.batches(out.Grants, h.turn.Epoch))
+	if len(out.Batches) > 0 && h.permitted(h.turn.Epoch) { // the process may have stood still since the step began
+		h.parts.Endpoints.Grant(h.roster.batches(out.Batches, h.turn.Epoch))
 	}
 	if len(in.Routers) > 0 && out.WakeAt.Before(h.wakeAt) {
 		h.wakeAt = out.WakeAt
--- a/internal/control/roles/holder_test.go
+++ b/internal/control/roles/holder_test.go
@@ -33,7 +33,7 @@
 	mutex     sync.Mutex
 	view      host.View
 	orders    []placer.Order // for the next step
-	allocated []quota.Grants
+	allocated []quota.GrantBatch
 	loseLease bool // while the allocator divides
 }
 
@@ -76,7 +76,7 @@
 	out := quota.Output{WakeAt: now.Add(time.Hour)}
 	if len(in.Reports) > 0 {
 		a.mutex.Lock()
-		out.Grants = a.allocated
+		out.Batches = a.allocated
 		if a.loseLease {
 			a.double.SetStatus(replica.Status{})
 		}
@@ -212,11 +212,11 @@
 	}
 	next(t, "step without reports", s.divided, func(quota.Input) bool { return true })
 	s.mutex.Lock()
-	s.allocated = []quota.Grants{{Router: router, Batch: 5, List: []protocol.QuotaGrant{{Tenant: "t"}}}}
+	s.allocated = []quota.GrantBatch{{Router: router, ID: 5, Grants: []protocol.QuotaGrant{{Tenant: "t"}}}}
 	s.mutex.Unlock()
 	holder.HandleReports(batch)
 	in := next(t, "step with the report", s.divided, func(in quota.Input) bool { return len(in.Reports) == 1 })
-	if in.Floors != 2 || len(in.Routers) != 1 || in.Routers[0] != router || len(in.Confirmed) != 1 {
+	if in.MinRouterCount != 2 || len(in.Routers) != 1 || in.Routers[0] != router || len(in.Confirmations) != 1 {
 		t.Errorf("%+v", in)
 	}
 	batches := next(t, "grants", s.grants, func(map[string][]protocol.RouterGrants) bool { return true })
@@ -232,7 +232,7 @@
 	s.setView(host.View{RouterCount: 2})
 	next(t, "step without reports", s.divided, func(quota.Input) bool { return true })
 	s.mutex.Lock()
-	s.allocated = []quota.Grants{{Router: quota.Router{Node: "r1"}, List: []protocol.QuotaGrant{{Tenant: "t"}}}}
+	s.allocated = []quota.GrantBatch{{Router: quota.Router{Node: "r1"}, Grants: []protocol.QuotaGrant{{Tenant: "t"}}}}
 	s.loseLease = true
 	s.mutex.Unlock()
 	holder.HandleReports(&protocol.ReportBatch{Reports: []protocol.Report{{Node: "r1", Sequence: 1}}})
--- a/internal/control/roles/routers.go
+++ b/internal/control/roles/routers.go
@@ -75,7 +75,7 @@
 }
 
 // batches turns grants into one batch for each instance.
-func (r *roster) batches(grants []quota.Grants, epoch uint64) map[string][]protocol.RouterGrants {
+func (r *roster) batches(grants []quota.GrantBatch, epoch uint64) map[string][]protocol.RouterGrants {
 	batches := make(map[string][]protocol.RouterGrants)
 	for _, grant := range grants {
 		last, known := r.seen[grant.Router]
@@ -83,7 +83,7 @@
 			continue
 		}
 		batches[last.through] = append(batches[last.through], protocol.RouterGrants{
-			Node: grant.Node, Incarnation: grant.Incarnation, Grants: grant.List, Epoch: epoch, Batch: grant.Batch,
+			Node: grant.Node, Incarnation: grant.Incarnation, Grants: grant.Grants, Epoch: epoch, Batch: grant.ID,
 		})
 	}
 	return batches
