--- a/internal/control/api/golden_test.go
+++ b/internal/control/api/golden_test.go
@@ -343,7 +343,7 @@
 // TestGoldenUndecidedChanges: the chain does not answer in time.
 func TestGoldenUndecidedChanges(t *testing.T) {
 	s := startGoldenServer(t)
-	s.double.Stall(true)
+	s.double.SetStalled(true)
 	s.check(t, "config-put-undecided")
 	s.check(t, "config-patch-undecided")
 	s.check(t, "config-get-unknown")
--- a/internal/control/changes/api_test.go
+++ b/internal/control/changes/api_test.go
@@ -131,16 +131,16 @@
 
 func TestUndecidedChangesAreUnclear(t *testing.T) {
 	s := startSite(t)
-	s.double.Stall(true)
+	s.double.SetStalled(true)
 	answer, _ := s.call(t, http.MethodPut, "/-/config", "0", version(5, "s"))
 	if answer.StatusCode != http.StatusServiceUnavailable || answer.Header.Get("Retry-After") == "" {
 		t.Errorf("stalled change: %d, Retry-After %q", answer.StatusCode, answer.Header.Get("Retry-After"))
 	}
-	if patience := s.double.Patience(); patience <= 0 || patience > 850*time.Millisecond {
+	if patience := s.double.ProposalTimeout(); patience <= 0 || patience > 850*time.Millisecond {
 		t.Errorf("the chain was given %v: the caller has gone by then", patience)
 	}
-	s.double.Stall(false)
-	s.double.Refuse(true)
+	s.double.SetStalled(false)
+	s.double.SetRejecting(true)
 	for _, method := range []string{http.MethodPut, http.MethodGet} {
 		if answer, _ := s.call(t, method, "/-/config", "0", version(5, "s")); answer.StatusCode != 503 {
 			t.Errorf("%s without the chain: %d", method, answer.StatusCode)
--- a/internal/control/host/host_test.go
+++ b/internal/control/host/host_test.go
@@ -256,12 +256,12 @@
 
 func TestConfirmedWaitsForTheBarrier(t *testing.T) {
 	nodes := startNodes(t, 1)
-	nodes[0].double.Refuse(true)
+	nodes[0].double.SetRejecting(true)
 	c := subscribe(t, nodes[0], protocol.Subscribe{Node: "r1"}, false)
 	c.await("first", func(u *protocol.Update) bool { return u.Sequence == 1 && !u.Confirmed })
-	nodes[0].double.Refuse(false)
+	nodes[0].double.SetRejecting(false)
 	c.await("confirmed", func(u *protocol.Update) bool { return u.Confirmed })
-	if nodes[0].double.Barriers() == 0 {
+	if nodes[0].double.BarrierCount() == 0 {
 		t.Error("confirmed without a barrier")
 	}
 }
@@ -300,7 +300,7 @@
 func TestIsolatedInstanceRefuses(t *testing.T) {
 	nodes := startNodes(t, 3)
 	call(t, nodes[0], beat("e1", 1, protocol.Ready))
-	nodes[0].double.Part(true)
+	nodes[0].double.SetPartitioned(true)
 	deadline := time.Now().Add(patience)
 	for sequence := uint64(2); ; sequence++ {
 		err := nodes[0].host.Heartbeat(t.Context(), beat("e1", sequence, protocol.Ready))
--- a/internal/control/host/standing_test.go
+++ b/internal/control/host/standing_test.go
@@ -56,19 +56,19 @@
 func TestContactOutlivesTheEpoch(t *testing.T) {
 	double := replicatest.New(nil, replica.Status{View: replica.View{Epoch: 4}})
 	h := New(Settings{Codec: testCodec()}, Parts{Replica: double, Configurations: &standIn{}, Events: &standIn{}})
-	double.PartForever()
+	double.NeverReachMajority()
 	h.readReplica(time.Now())
 	if contact := h.status.contact; contact.Epoch != 4 || !contact.ConfirmedAt.IsZero() || !h.ConfirmedAt().IsZero() {
 		t.Fatalf("without any: %+v", contact)
 	}
-	double.Part(false)
+	double.SetPartitioned(false)
 	h.readReplica(time.Now())
 	known := h.status.contact
 	if known.Epoch != 4 || known.ConfirmedAt.IsZero() || h.status.isolated {
 		t.Fatalf("with one: %+v", known)
 	}
 	double.SetStatus(replica.Status{View: replica.View{Epoch: 5}})
-	double.PartForever()
+	double.NeverReachMajority()
 	h.readReplica(time.Now())
 	if h.status.contact != known || h.status.isolated || !h.ConfirmedAt().Equal(known.ConfirmedAt) {
 		t.Errorf("in a new epoch: %+v, isolated %v", h.status.contact, h.status.isolated)
@@ -76,7 +76,7 @@
 	if h.readReplica(known.ConfirmedAt.Add(isolatedAfter + 1)); !h.status.isolated {
 		t.Error("the earlier epoch's contact is believed for ever")
 	}
-	double.Part(false)
+	double.SetPartitioned(false)
 	h.readReplica(time.Now())
 	if contact := h.status.contact; contact.Epoch != 5 || !contact.ConfirmedAt.After(known.ConfirmedAt) {
 		t.Errorf("with one of the new epoch: %+v", contact)
@@ -136,7 +136,7 @@
 	nodes := startNodes(t, 1)
 	c := subscribe(t, nodes[0], protocol.Subscribe{Node: "r1"}, false)
 	c.await("first", func(u *protocol.Update) bool { return u.Sequence == 1 })
-	nodes[0].double.Part(true)
+	nodes[0].double.SetPartitioned(true)
 	deadline := time.After(patience)
 	for age := time.Duration(0); age < distribution.FreshFor; {
 		select {
@@ -148,7 +148,7 @@
 			t.Fatal("no age over a second was told")
 		}
 	}
-	nodes[0].double.Part(false)
+	nodes[0].double.SetPartitioned(false)
 	for {
 		select {
 		case beacon := <-c.beacons:
--- a/internal/control/replicatest/double.go
+++ b/internal/control/replicatest/double.go
@@ -11,22 +11,22 @@
 )
 
 // ErrRefused is what a refusing double answers.
-var ErrRefused = errors.New("the double refuses")
+var ErrRejected = errors.New("the double refuses")
 
 // Double is a replica that commits at once, in memory.
 type Double struct {
-	mutex   sync.Mutex
-	machine replica.Machine
-	index   uint64
-	status  replica.Status
-	changed chan struct{}
-	refuse  bool
-	stall   bool
-	stopped bool
-	parted  bool
-	contact time.Time     // newest contact with a majority while parted
-	barrier int           // barriers that passed
-	given   time.Duration // to the last proposal
+	mutex               sync.Mutex
+	machine             replica.Machine
+	index               uint64
+	status              replica.Status
+	changed             chan struct{}
+	rejecting           bool
+	stalled             bool
+	stopped             bool
+	partitioned         bool
+	lastMajorityContact time.Time     // newest contact with a majority while parted
+	barrierCount        int           // barriers that passed
+	proposalTimeout     time.Duration // to the last proposal
 }
 
 // New makes a double around a machine, which may be nil where nothing is proposed.
@@ -38,16 +38,16 @@
 func (d *Double) Propose(ctx context.Context, command []byte) ([]byte, error) {
 	d.mutex.Lock()
 	if deadline, bounded := ctx.Deadline(); bounded {
-		d.given = time.Until(deadline)
+		d.proposalTimeout = time.Until(deadline)
 	}
-	if d.stall {
+	if d.stalled {
 		d.mutex.Unlock()
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	defer d.mutex.Unlock()
-	if d.refuse {
-		return nil, ErrRefused
+	if d.rejecting {
+		return nil, ErrRejected
 	}
 	d.index++
 	result := d.machine.Apply(d.index, command)
@@ -59,16 +59,16 @@
 // Barrier passes at once, unless the double refuses or stalls.
 func (d *Double) Barrier(ctx context.Context) (uint64, error) {
 	d.mutex.Lock()
-	if d.stall {
+	if d.stalled {
 		d.mutex.Unlock()
 		<-ctx.Done()
 		return 0, ctx.Err()
 	}
 	defer d.mutex.Unlock()
-	if d.refuse {
-		return 0, ErrRefused
+	if d.rejecting {
+		return 0, ErrRejected
 	}
-	d.barrier++
+	d.barrierCount++
 	return d.index, nil
 }
 
@@ -77,26 +77,26 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	status := d.status
-	status.ConfirmedAt = d.contact
-	if !d.parted {
+	status.ConfirmedAt = d.lastMajorityContact
+	if !d.partitioned {
 		status.ConfirmedAt = time.Now()
 	}
 	return status
 }
 
-// Part has the contact with a majority end at this moment, or be there again.
-func (d *Double) Part(parted bool) {
+// SetPartitioned has the contact with a majority end at this moment, or be there again.
+func (d *Double) SetPartitioned(parted bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.parted, d.contact = parted, time.Now()
+	d.partitioned, d.lastMajorityContact = parted, time.Now()
 	d.signal()
 }
 
-// PartForever has the double be one that never had contact with a majority.
-func (d *Double) PartForever() {
+// NeverReachMajority has the double be one that never had contact with a majority.
+func (d *Double) NeverReachMajority() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.parted, d.contact = true, time.Time{}
+	d.partitioned, d.lastMajorityContact = true, time.Time{}
 	d.signal()
 }
 
@@ -108,32 +108,32 @@
 	d.signal()
 }
 
-// Refuse has proposals and barriers fail, or not any more.
-func (d *Double) Refuse(refuse bool) {
+// SetRejecting has proposals and barriers fail, or not any more.
+func (d *Double) SetRejecting(refuse bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.refuse = refuse
+	d.rejecting = refuse
 }
 
-// Stall has proposals and barriers wait for the end of their context, or not any more.
-func (d *Double) Stall(stall bool) {
+// SetStalled has proposals and barriers wait for the end of their context, or not any more.
+func (d *Double) SetStalled(stall bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.stall = stall
+	d.stalled = stall
 }
 
-// Barriers returns how many barriers passed.
-func (d *Double) Barriers() int {
+// BarrierCount returns how many barriers passed.
+func (d *Double) BarrierCount() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.barrier
+	return d.barrierCount
 }
 
-// Patience returns how long the last proposal was to wait, 0 without a bound.
-func (d *Double) Patience() time.Duration {
+// ProposalTimeout returns how long the last proposal was to wait, 0 without a bound.
+func (d *Double) ProposalTimeout() time.Duration {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.given
+	return d.proposalTimeout
 }
 
 // Changed is closed at the next change.
--- a/internal/control/state/command.go
+++ b/internal/control/state/command.go
@@ -19,7 +19,7 @@
 // Methods of a change.
 const (
 	Replace = http.MethodPut   // the body is the whole configuration
-	Amend   = http.MethodPatch // the body changes named items
+	Patch   = http.MethodPatch // the body changes named items
 )
 
 const (
@@ -29,10 +29,10 @@
 
 // ChangeConfiguration is the command of an operator's change.
 type ChangeConfiguration struct {
-	Method  string `cbor:"1,keyasint"`
-	IfMatch int64  `cbor:"2,keyasint"` // the generation that the change builds on
-	Body    []byte `cbor:"3,keyasint"`
-	Zlib    bool   `cbor:"4,keyasint,omitempty"` // Body is packed
+	Method     string `cbor:"1,keyasint"`
+	IfMatch    int64  `cbor:"2,keyasint"` // the generation that the change builds on
+	Body       []byte `cbor:"3,keyasint"`
+	Compressed bool   `cbor:"4,keyasint,omitempty"` // Body is packed
 }
 
 // NewCommand returns the encoded command of a change. A large body is packed: it is written to the disk and
@@ -45,7 +45,7 @@
 			return nil, err
 		}
 		if len(packed) < len(body) {
-			change.Body, change.Zlib = packed, true
+			change.Body, change.Compressed = packed, true
 		}
 	}
 	command, err := cbor.Marshal(change)
@@ -93,12 +93,12 @@
 	if err := cbor.Unmarshal(command, &change); err != nil {
 		return nil, fmt.Errorf("decode command: %w", err)
 	}
-	if change.Zlib {
+	if change.Compressed {
 		body, err := unpack(change.Body, maxBodyBytes)
 		if err != nil {
 			return nil, err
 		}
-		change.Body, change.Zlib = body, false
+		change.Body, change.Compressed = body, false
 	}
 	if len(change.Body) > maxBodyBytes {
 		return nil, errTooLarge
--- a/internal/control/state/histories_test.go
+++ b/internal/control/state/histories_test.go
@@ -185,7 +185,7 @@
 func (p *operators) draw(operator int, believed int64) *order {
 	o := &order{
 		id:         fmt.Sprintf("o%d.%d", operator, len(p.sent)),
-		method:     []string{Replace, Amend}[p.site.Draw(2)],
+		method:     []string{Replace, Patch}[p.site.Draw(2)],
 		base:       believed,
 		generation: believed + 1 + int64(p.site.Draw(3)),
 		invalid:    p.site.Draw(8) == 0,
--- a/internal/control/state/machine.go
+++ b/internal/control/state/machine.go
@@ -124,7 +124,7 @@
 	switch change.Method {
 	case Replace:
 		return m.replace(change.Body)
-	case Amend:
+	case Patch:
 		patch, err := configuration.ParsePatch(change.Body)
 		if err != nil {
 			return nil, err
--- a/internal/control/state/machine_test.go
+++ b/internal/control/state/machine_test.go
@@ -44,7 +44,7 @@
 		t.Errorf("before the first: %d, %s", generation, document)
 	}
 	first := command(t, Replace, 0, put(5, "first"))
-	second := command(t, Amend, 5, addTenant(8, "t"))
+	second := command(t, Patch, 5, addTenant(8, "t"))
 	steps := []struct {
 		name    string
 		command []byte
@@ -63,8 +63,8 @@
 		{"second", second, Accepted{Generation: 8}},
 		{"first yet again", first, Accepted{Generation: 5}},
 		{"second again", second, Accepted{Generation: 8}},
-		{"the second's body on another version", command(t, Amend, 8, addTenant(8, "t")), Rejected{}},
-		{"invalid change", command(t, Amend, 8, []byte(`{"generation":9,"upsert":[]}`)), Rejected{}},
+		{"the second's body on another version", command(t, Patch, 8, addTenant(8, "t")), Rejected{}},
+		{"invalid change", command(t, Patch, 8, []byte(`{"generation":9,"upsert":[]}`)), Rejected{}},
 	}
 	for index, step := range steps {
 		got := apply(t, m, uint64(index), step.command)
@@ -89,7 +89,7 @@
 	}
 	history := []Version{
 		{Generation: 5, Index: 2, Method: Replace, Bytes: len(put(5, "first"))},
-		{Generation: 8, Index: 10, Method: Amend, Bytes: len(want)},
+		{Generation: 8, Index: 10, Method: Patch, Bytes: len(want)},
 	}
 	if difference := cmp.Diff(history, m.History()); difference != "" {
 		t.Error(difference)
@@ -148,7 +148,7 @@
 		t.Fatal(err)
 	}
 	for _, body := range [][]byte{nil, []byte("x"), bomb, whole[:len(whole)/2]} {
-		encoded, err := cbor.Marshal(ChangeConfiguration{Method: Replace, Body: body, Zlib: true})
+		encoded, err := cbor.Marshal(ChangeConfiguration{Method: Replace, Body: body, Compressed: true})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -331,7 +331,7 @@
 	tenant := fmt.Sprintf("%s-%d", operator, index)
 	return &operation{
 		name:       tenant,
-		method:     rapid.SampledFrom([]string{Replace, Amend}).Draw(t, "method"),
+		method:     rapid.SampledFrom([]string{Replace, Patch}).Draw(t, "method"),
 		ifMatch:    believed[operator],
 		generation: believed[operator] + rapid.Int64Range(0, 3).Draw(t, "step"),
 		tenant:     tenant,
@@ -388,7 +388,7 @@
 // FuzzApply feeds any bytes as commands and snapshots.
 func FuzzApply(f *testing.F) {
 	f.Add(command(f, Replace, 0, put(1, "x")))
-	f.Add(command(f, Amend, 0, addTenant(1, "x")))
+	f.Add(command(f, Patch, 0, addTenant(1, "x")))
 	f.Add(New().Snapshot())
 	f.Fuzz(func(t *testing.T, encoded []byte) {
 		m := New()
