--- a/internal/control/api/golden_test.go
+++ b/internal/control/api/golden_test.go
@@ -427,26 +427,26 @@
 // goldenEndpoints has every state and every field.
 var goldenEndpoints = []protocol.Endpoint{
 	{
-		ID: "i-4", Service: "wuno96b", Address: "10.128.0.12:8080", Zone: "oulu-b", Generation: "v9", Slots: 7,
+		ID: "i-4", Service: "wuno96b", Address: "10.128.0.12:8080", Zone: "oulu-b", SoftwareVersion: "v9", Slots: 7,
 		State: 3, Sequence: math.MaxUint64,
 	},
 	{
-		ID: "i-2", Service: "huvo11a", Address: "10.128.0.10:8080", Zone: "vantaa-b", Generation: "v2", Slots: 32,
-		State: 1, Sequence: 12, Models: []protocol.HeldModel{{Name: "rada7437b5", Generation: 5}},
+		ID: "i-2", Service: "huvo11a", Address: "10.128.0.10:8080", Zone: "vantaa-b", SoftwareVersion: "v2", Slots: 32,
+		State: 1, Sequence: 12, Models: []protocol.LoadedModel{{Name: "rada7437b5", Generation: 5}},
 	},
 	{
-		ID: "i-1", Service: "huvo11a", Address: "10.128.0.9:8080", Zone: "vantaa-a", Generation: "v1", Slots: 64,
-		State: 0, Sequence: 4, ColdFor: 1500500 * time.Microsecond,
-		Models: []protocol.HeldModel{{Name: "daka510000", Generation: 3, Adapters: []string{"a1", "a7"}}},
-		Loading: []protocol.Load{
-			{Model: "rada7437b5", Within: 6 * time.Second},
-			{Model: "daka510000", Adapter: "a3", Within: 66 * time.Millisecond},
+		ID: "i-1", Service: "huvo11a", Address: "10.128.0.9:8080", Zone: "vantaa-a", SoftwareVersion: "v1", Slots: 64,
+		State: 0, Sequence: 4, WarmUpRemaining: 1500500 * time.Microsecond,
+		Models: []protocol.LoadedModel{{Name: "daka510000", Generation: 3, Adapters: []string{"a1", "a7"}}},
+		Loading: []protocol.ModelLoad{
+			{Model: "rada7437b5", Remaining: 6 * time.Second},
+			{Model: "daka510000", Adapter: "a3", Remaining: 66 * time.Millisecond},
 			{Model: "daka510000", Unload: true},
 		},
 	},
 	{
-		ID: "i-3", Service: "huvo11a", Address: "10.128.0.11:8080", Zone: "vantaa-c", Generation: "v3", Slots: 16,
-		State: 2, Sequence: 9, Models: []protocol.HeldModel{{Name: "daka510000", Generation: 2, Adapters: []string{}}},
+		ID: "i-3", Service: "huvo11a", Address: "10.128.0.11:8080", Zone: "vantaa-c", SoftwareVersion: "v3", Slots: 16,
+		State: 2, Sequence: 9, Models: []protocol.LoadedModel{{Name: "daka510000", Generation: 2, Adapters: []string{}}},
 	},
 }
 
--- a/internal/control/api/instances.go
+++ b/internal/control/api/instances.go
@@ -13,15 +13,15 @@
 
 // heartbeat is the body of an endpoint's call.
 type heartbeat struct {
-	Backend         string               `json:"backend"`
-	Address         string               `json:"address"`
-	Zone            string               `json:"zone"`
-	Generation      string               `json:"generation"`
-	Slots           int                  `json:"slots"`
-	State           string               `json:"state"`
-	ColdRemainingMS float64              `json:"cold_remaining_ms"`
-	Models          []protocol.HeldModel `json:"models"`
-	Sequence        uint64               `json:"seq"`
+	Backend         string                 `json:"backend"`
+	Address         string                 `json:"address"`
+	Zone            string                 `json:"zone"`
+	Generation      string                 `json:"generation"`
+	Slots           int                    `json:"slots"`
+	State           string                 `json:"state"`
+	ColdRemainingMS float64                `json:"cold_remaining_ms"`
+	Models          []protocol.LoadedModel `json:"models"`
+	Sequence        uint64                 `json:"seq"`
 }
 
 // The states that an endpoint says it is in.
@@ -73,16 +73,16 @@
 		return protocol.Endpoint{}, fmt.Errorf("heartbeat of %s: %w", id, err)
 	}
 	endpoint := protocol.Endpoint{
-		ID:         id,
-		Service:    told.Backend,
-		Address:    told.Address,
-		Zone:       told.Zone,
-		Generation: told.Generation,
-		Slots:      told.Slots,
-		State:      protocol.Ready,
-		Sequence:   told.Sequence,
-		ColdFor:    time.Duration(told.ColdRemainingMS * float64(time.Millisecond)),
-		Models:     told.Models,
+		ID:              id,
+		Service:         told.Backend,
+		Address:         told.Address,
+		Zone:            told.Zone,
+		SoftwareVersion: told.Generation,
+		Slots:           told.Slots,
+		State:           protocol.Ready,
+		Sequence:        told.Sequence,
+		WarmUpRemaining: time.Duration(told.ColdRemainingMS * float64(time.Millisecond)),
+		Models:          told.Models,
 	}
 	if told.State == stateDraining {
 		endpoint.State = protocol.Draining
--- a/internal/control/api/views.go
+++ b/internal/control/api/views.go
@@ -11,17 +11,17 @@
 
 // EndpointView is an endpoint as people see it.
 type EndpointView struct {
-	ID                string               `json:"id"`
-	Service           string               `json:"backend"`
-	Address           string               `json:"address"`
-	Zone              string               `json:"zone"`
-	Generation        string               `json:"generation"`
-	Slots             int                  `json:"slots"`
-	State             string               `json:"state"`
-	Sequence          uint64               `json:"seq"`
-	WarmUpRemainingMS int64                `json:"cold_remaining_ms,omitempty"`
-	Models            []protocol.HeldModel `json:"models"`
-	Loading           []LoadView           `json:"loading,omitempty"`
+	ID                string                 `json:"id"`
+	Service           string                 `json:"backend"`
+	Address           string                 `json:"address"`
+	Zone              string                 `json:"zone"`
+	Generation        string                 `json:"generation"`
+	Slots             int                    `json:"slots"`
+	State             string                 `json:"state"`
+	Sequence          uint64                 `json:"seq"`
+	WarmUpRemainingMS int64                  `json:"cold_remaining_ms,omitempty"`
+	Models            []protocol.LoadedModel `json:"models"`
+	Loading           []LoadView             `json:"loading,omitempty"`
 }
 
 // LoadView is an order under way.
@@ -84,7 +84,7 @@
 		return stateReady
 	case protocol.Draining:
 		return stateDraining
-	case protocol.Silent:
+	case protocol.Unresponsive:
 		return "silent"
 	}
 	return "gone"
@@ -125,16 +125,16 @@
 
 func viewOf(e *protocol.Endpoint) EndpointView {
 	view := EndpointView{
-		ID: e.ID, Service: e.Service, Address: e.Address, Zone: e.Zone, Generation: e.Generation,
+		ID: e.ID, Service: e.Service, Address: e.Address, Zone: e.Zone, Generation: e.SoftwareVersion,
 		Slots: e.Slots, State: stateName(e.State), Sequence: e.Sequence,
-		WarmUpRemainingMS: e.ColdFor.Milliseconds(), Models: e.Models,
+		WarmUpRemainingMS: e.WarmUpRemaining.Milliseconds(), Models: e.Models,
 	}
 	if view.Models == nil {
-		view.Models = []protocol.HeldModel{}
+		view.Models = []protocol.LoadedModel{}
 	}
 	for _, load := range e.Loading {
 		view.Loading = append(view.Loading, LoadView{
-			Model: load.Model, Adapter: load.Adapter, Unload: load.Unload, RemainingMS: load.Within.Milliseconds(),
+			Model: load.Model, Adapter: load.Adapter, Unload: load.Unload, RemainingMS: load.Remaining.Milliseconds(),
 		})
 	}
 	return view
--- a/internal/control/changes/api_test.go
+++ b/internal/control/changes/api_test.go
@@ -222,7 +222,7 @@
 	}
 	got := s.instances.beats[0]
 	if got.ID != "i-7" || got.Service != "b" || got.State != protocol.Draining || got.Sequence != 4 ||
-		got.ColdFor != 250*time.Millisecond || got.Models[0].Adapters[0] != "a1" {
+		got.WarmUpRemaining != 250*time.Millisecond || got.Models[0].Adapters[0] != "a1" {
 		t.Errorf("%+v", got)
 	}
 	bad := map[string]string{
@@ -251,8 +251,8 @@
 func TestViewsForPeople(t *testing.T) {
 	s := startSite(t)
 	s.instances.beats = []protocol.Endpoint{{
-		ID: "i-1", Service: "b", Models: []protocol.HeldModel{{Name: "m"}},
-		Loading: []protocol.Load{{Model: "n", Within: time.Second}},
+		ID: "i-1", Service: "b", Models: []protocol.LoadedModel{{Name: "m"}},
+		Loading: []protocol.ModelLoad{{Model: "n", Remaining: time.Second}},
 	}}
 	for path, contains := range map[string]string{
 		"/-/endpoints": `"id":"i-1"`, "/-/models": `"model":"n"`, "/-/members": `"epoch":1`,
--- a/internal/control/distribution/standing_test.go
+++ b/internal/control/distribution/standing_test.go
@@ -41,7 +41,7 @@
 func oneGone(withGone bool) []protocol.Endpoint {
 	table := oneEndpoint(withGone)
 	if withGone {
-		table = append(table, protocol.Endpoint{ID: "e1", State: protocol.Gone})
+		table = append(table, protocol.Endpoint{ID: "e1", State: protocol.Departed})
 	}
 	return table
 }
--- a/internal/control/host/check_test.go
+++ b/internal/control/host/check_test.go
@@ -20,7 +20,7 @@
 	if answer.Rejected {
 		w.refused++
 		call.endpoint.beatAt = w.now // it asks another
-		if call.state == protocol.Gone {
+		if call.state == protocol.Departed {
 			w.later(worldStep, 30*time.Millisecond, func() { w.sayLeft(call.endpoint) })
 		}
 		return
--- a/internal/control/host/cost_test.go
+++ b/internal/control/host/cost_test.go
@@ -29,7 +29,7 @@
 	for n := range table {
 		table[n] = protocol.Endpoint{
 			ID: fmt.Sprint("i-", n), Service: "s", Address: fmt.Sprintf("10.0.0.1:%d", n),
-			Models: []protocol.HeldModel{{Name: "m", Generation: 1, Adapters: []string{"a1", "a2"}}},
+			Models: []protocol.LoadedModel{{Name: "m", Generation: 1, Adapters: []string{"a1", "a2"}}},
 		}
 	}
 	beat := func(n int) {
--- a/internal/control/host/desk_test.go
+++ b/internal/control/host/desk_test.go
@@ -106,7 +106,7 @@
 	w.endpoints[0].crashed = true
 	w.run(9 * time.Second)
 	for _, r := range w.routers {
-		if r.table["e0"].State != protocol.Silent || r.table["e1"].State != protocol.Ready {
+		if r.table["e0"].State != protocol.Unresponsive || r.table["e1"].State != protocol.Ready {
 			t.Fatalf("router %d: e0 is %d, e1 is %d", r.number, r.table["e0"].State, r.table["e1"].State)
 		}
 	}
--- a/internal/control/host/frames_test.go
+++ b/internal/control/host/frames_test.go
@@ -15,8 +15,8 @@
 	codec := protocol.NewCodec()
 	f := frames{codec: codec}
 	list := []protocol.Endpoint{{
-		ID: "e", Service: "s", Slots: 3, ColdFor: time.Second,
-		Models: []protocol.HeldModel{{Name: "m", Adapters: []string{"a"}}}, Loading: []protocol.Load{{Model: "n"}},
+		ID: "e", Service: "s", Slots: 3, WarmUpRemaining: time.Second,
+		Models: []protocol.LoadedModel{{Name: "m", Adapters: []string{"a"}}}, Loading: []protocol.ModelLoad{{Model: "n"}},
 	}}
 	updates := []*protocol.Update{
 		{
--- a/internal/control/host/status.go
+++ b/internal/control/host/status.go
@@ -132,7 +132,7 @@
 	members := make([]protocol.Member, 0, len(known))
 	for _, member := range known {
 		members = append(members, protocol.Member{
-			Identity: member.Identity, Address: member.Address, Control: member.Tag, Zone: member.Zone,
+			Identity: member.Identity, Address: member.Address, ControlAddress: member.Tag, Zone: member.Zone,
 		})
 	}
 	slices.SortFunc(members, func(a, b protocol.Member) int { return cmp.Compare(a.Identity, b.Identity) })
--- a/internal/control/host/world_test.go
+++ b/internal/control/host/world_test.go
@@ -296,7 +296,7 @@
 		r.whole = true
 	}
 	for _, e := range update.Endpoints {
-		if e.State == protocol.Gone {
+		if e.State == protocol.Departed {
 			delete(r.table, e.ID)
 			continue
 		}
@@ -386,6 +386,6 @@
 func (w *world) sayLeft(e *endpoint) {
 	w.tickets++
 	n := w.random.IntN(len(w.instances))
-	w.asked[w.tickets] = asked{at: w.now, endpoint: e, instance: n, state: protocol.Gone}
+	w.asked[w.tickets] = asked{at: w.now, endpoint: e, instance: n, state: protocol.Departed}
 	w.step(n, News{Registry: []registry.Input{registry.Deregister{RequestID: w.tickets, ID: e.id}}})
 }
--- a/internal/control/placer/endpoint.go
+++ b/internal/control/placer/endpoint.go
@@ -188,7 +188,7 @@
 	}
 	for i := range e.copies {
 		e.copies[i].missing++
-		if slices.ContainsFunc(told.Models, func(m protocol.HeldModel) bool { return m.Name == e.copies[i].model }) {
+		if slices.ContainsFunc(told.Models, func(m protocol.LoadedModel) bool { return m.Name == e.copies[i].model }) {
 			e.copies[i].missing = 0
 		}
 	}
@@ -197,7 +197,7 @@
 }
 
 // sees takes in that the model is there.
-func (e *endpoint) sees(now time.Time, told protocol.HeldModel) {
+func (e *endpoint) sees(now time.Time, told protocol.LoadedModel) {
 	if e.find(told.Name) == nil {
 		if e.beats > 1 && !e.arriving(told.Name) {
 			e.doubts(now)
@@ -234,7 +234,7 @@
 	if order == nil || !order.order.Unload {
 		return
 	}
-	at := slices.IndexFunc(told.Models, func(m protocol.HeldModel) bool { return m.Name == order.order.Model })
+	at := slices.IndexFunc(told.Models, func(m protocol.LoadedModel) bool { return m.Name == order.order.Model })
 	if order.order.Adapter != "" {
 		if at >= 0 && !slices.Contains(told.Models[at].Adapters, order.order.Adapter) && order.seen {
 			e.shows(now)
--- a/internal/control/placer/gate_test.go
+++ b/internal/control/placer/gate_test.go
@@ -51,7 +51,7 @@
 			engine := &configuration.Engine{Slots: 8, WeightsMB: 100, AdapterSlots: 2, LoadsPerS: 2,
 				Models: []configuration.Model{{Name: "big", WeightsMB: 60, LoadTimeS: 5, Adapters: 4, AdapterMB: 1},
 					{Name: "small", WeightsMB: 30, LoadTimeS: 5, Adapters: 4, AdapterMB: 1}}}
-			held := []protocol.HeldModel{{Name: "big", Generation: 1, Adapters: []string{"a1"}}}
+			held := []protocol.LoadedModel{{Name: "big", Generation: 1, Adapters: []string{"a1"}}}
 			table := []protocol.Endpoint{{ID: "i-1", Service: "lm", Address: "10.0.0.1:80", Sequence: 1, Models: held}}
 			p.Step(now, Input{Configuration: &configuration.Configuration{Generation: 1,
 				Services: []configuration.Service{{Name: "lm", Engine: engine}}}, Endpoints: table})
--- a/internal/control/placer/golden_fleet_test.go
+++ b/internal/control/placer/golden_fleet_test.go
@@ -304,10 +304,10 @@
 	}
 }
 
-func (f *goldenFleet) holdings(e *goldenEndpoint) []protocol.HeldModel {
-	var held []protocol.HeldModel
+func (f *goldenFleet) holdings(e *goldenEndpoint) []protocol.LoadedModel {
+	var held []protocol.LoadedModel
 	for _, name := range slices.Sorted(maps.Keys(e.models)) {
-		held = append(held, protocol.HeldModel{Name: name, Generation: 1, Adapters: slices.Clone(e.models[name])})
+		held = append(held, protocol.LoadedModel{Name: name, Generation: 1, Adapters: slices.Clone(e.models[name])})
 	}
 	return held
 }
@@ -471,9 +471,9 @@
 			delete(f.table, id)
 			continue
 		case quiet > 6*time.Second:
-			entry.State = protocol.Gone
+			entry.State = protocol.Departed
 		case quiet > 2500*time.Millisecond:
-			entry.State = protocol.Silent
+			entry.State = protocol.Unresponsive
 		}
 		in.Endpoints = append(in.Endpoints, entry)
 	}
--- a/internal/control/placer/order_test.go
+++ b/internal/control/placer/order_test.go
@@ -18,7 +18,7 @@
 	}
 	e := protocol.Endpoint{
 		ID: "i-1", Service: "lm", Address: "10.0.0.1:80", Zone: "z", Slots: 8, Sequence: 1,
-		Models: []protocol.HeldModel{{Name: "big", Generation: 1}},
+		Models: []protocol.LoadedModel{{Name: "big", Generation: 1}},
 	}
 	services := []configuration.Service{{Name: "lm", Engine: engine}}
 	in := Input{
@@ -53,7 +53,7 @@
 		}
 		first := out.Orders[0]
 		e.Sequence = 2
-		e.Models = []protocol.HeldModel{{Name: "big", Generation: 1, Adapters: []string{first.Adapter}}}
+		e.Models = []protocol.LoadedModel{{Name: "big", Generation: 1, Adapters: []string{first.Adapter}}}
 		in := Input{Endpoints: table()}
 		if !together {
 			if out = p.Step(now.Add(100*time.Millisecond), in); len(out.Orders) != 0 {
@@ -103,7 +103,7 @@
 func TestAHeartbeatWithoutAnUnloadedAdapterEndsItsOrder(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	p, e := single(t, now)
-	e.Sequence, e.Models = 2, []protocol.HeldModel{{Name: "big", Generation: 1, Adapters: []string{"a1", "a2"}}}
+	e.Sequence, e.Models = 2, []protocol.LoadedModel{{Name: "big", Generation: 1, Adapters: []string{"a1", "a2"}}}
 	asked := unserved("a3")
 	look := Inspection{Endpoint: e.ID, Models: e.Models}
 	in := Input{Endpoints: []protocol.Endpoint{e}, Inspections: []Inspection{look}, Reports: asked}
@@ -115,7 +115,7 @@
 	if out.Orders[0].Adapter == left {
 		left = "a2"
 	}
-	e.Sequence, e.Models = 3, []protocol.HeldModel{{Name: "big", Generation: 1, Adapters: []string{left}}}
+	e.Sequence, e.Models = 3, []protocol.LoadedModel{{Name: "big", Generation: 1, Adapters: []string{left}}}
 	in = Input{Endpoints: []protocol.Endpoint{e}, Results: []Result{{ID: out.Orders[0].ID, Outcome: Accepted}}}
 	out = p.Step(now.Add(100*time.Millisecond), in)
 	if len(out.Orders) != 1 || out.Orders[0].Unload || out.Orders[0].Adapter != "a3" {
@@ -127,7 +127,7 @@
 func TestAnAdapterThatNobodyAsksForAnyMoreMakesNoOtherGoAway(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	p, e := single(t, now)
-	e.Sequence, e.Models = 2, []protocol.HeldModel{{Name: "big", Generation: 1, Adapters: []string{"a1", "a2"}}}
+	e.Sequence, e.Models = 2, []protocol.LoadedModel{{Name: "big", Generation: 1, Adapters: []string{"a1", "a2"}}}
 	asked := unserved("a3")
 	table := []protocol.Endpoint{e}
 	p.Step(now.Add(50*time.Millisecond), Input{Endpoints: table, Reports: asked}) // its report is not there yet
@@ -171,7 +171,7 @@
 			}
 			held[order.Adapter] = !order.Unload
 			e.Sequence++
-			e.Models = []protocol.HeldModel{{Name: "big", Generation: 1}}
+			e.Models = []protocol.LoadedModel{{Name: "big", Generation: 1}}
 			for _, name := range []string{"a1", "a2", "a3", "a4"} {
 				if held[name] {
 					e.Models[0].Adapters = append(e.Models[0].Adapters, name)
@@ -197,7 +197,7 @@
 	p, first := single(t, now)
 	second := first
 	second.ID, second.Address = "i-2", "10.0.0.2:80"
-	held := []protocol.HeldModel{{Name: "big", Generation: 1, Adapters: []string{"a1", "a2"}}}
+	held := []protocol.LoadedModel{{Name: "big", Generation: 1, Adapters: []string{"a1", "a2"}}}
 	first.Models, second.Models, first.Sequence = held, held, 2
 	table := []protocol.Endpoint{first, second}
 	p.Step(now.Add(50*time.Millisecond), Input{Endpoints: table})
--- a/internal/control/placer/placer.go
+++ b/internal/control/placer/placer.go
@@ -160,7 +160,7 @@
 	present := make(map[string]bool, len(table))
 	for _, told := range table {
 		f := p.fleets[told.Service]
-		if f == nil || told.State == protocol.Gone {
+		if f == nil || told.State == protocol.Departed {
 			continue
 		}
 		present[told.ID] = true
@@ -287,7 +287,7 @@
 }
 
 // shortestLoad is the least time that a load from the store of one of these models lasts.
-func (f *fleet) shortestLoad(models []protocol.HeldModel) time.Duration {
+func (f *fleet) shortestLoad(models []protocol.LoadedModel) time.Duration {
 	shortest := time.Duration(math.MaxInt64)
 	for _, held := range models {
 		lasts := time.Duration(leastLoad * f.models[held.Name].LoadTimeS * float64(time.Second))
@@ -344,7 +344,7 @@
 		return
 	}
 	for _, e := range f.order {
-		if e.State == protocol.Silent || e.lookAt.IsZero() || now.Before(e.lookAt) {
+		if e.State == protocol.Unresponsive || e.lookAt.IsZero() || now.Before(e.lookAt) {
 			continue
 		}
 		e.lookAt = now.Add(lookAgain)
--- a/internal/control/placer/size_test.go
+++ b/internal/control/placer/size_test.go
@@ -62,7 +62,7 @@
 	b.ReportMetric(float64(orders)/float64(b.N), "orders/op")
 }
 
-func held(table []protocol.Endpoint, id string) []protocol.HeldModel {
+func held(table []protocol.Endpoint, id string) []protocol.LoadedModel {
 	for i := range table {
 		if table[i].ID == id {
 			return table[i].Models
@@ -99,9 +99,9 @@
 		case order.Adapter != "":
 			moveAdapter(e, order)
 		case !order.Unload:
-			e.Models = append(e.Models[:len(e.Models):len(e.Models)], protocol.HeldModel{Name: order.Model, Generation: 1})
+			e.Models = append(e.Models[:len(e.Models):len(e.Models)], protocol.LoadedModel{Name: order.Model, Generation: 1})
 		default:
-			var kept []protocol.HeldModel
+			var kept []protocol.LoadedModel
 			for _, held := range e.Models {
 				if held.Name != order.Model {
 					kept = append(kept, held)
--- a/internal/control/placer/takeover_test.go
+++ b/internal/control/placer/takeover_test.go
@@ -22,7 +22,7 @@
 	for _, id := range []string{"i-1", "i-2", "i-3", "i-4", "i-5", "i-6"} {
 		table = append(table, protocol.Endpoint{
 			ID: id, Service: "lm", Address: id + ":80", Zone: "z", Slots: 64,
-			Sequence: 9, Models: []protocol.HeldModel{{Name: "busy", Generation: 1}},
+			Sequence: 9, Models: []protocol.LoadedModel{{Name: "busy", Generation: 1}},
 		})
 	}
 	return &configuration.Configuration{Generation: 1, Services: services}, table
@@ -204,9 +204,9 @@
 	c, table := takeover()
 	c.Services[0].Engine.WeightsMB = 100
 	for i := range table {
-		table[i].Models = []protocol.HeldModel{{Name: "busy", Generation: 1}}
+		table[i].Models = []protocol.LoadedModel{{Name: "busy", Generation: 1}}
 		if i >= 3 {
-			table[i].Models = []protocol.HeldModel{{Name: "m2", Generation: 1}}
+			table[i].Models = []protocol.LoadedModel{{Name: "m2", Generation: 1}}
 		}
 	}
 	p := New(Config{InspectEndpoints: true, HandoverGap: time.Minute})
--- a/internal/control/placer/types.go
+++ b/internal/control/placer/types.go
@@ -26,7 +26,7 @@
 	Failed   bool   // no answer, or not this endpoint's
 	Busy     bool   // an order is under way
 	Revision uint64 // seq: orders taken since its start
-	Models   []protocol.HeldModel
+	Models   []protocol.LoadedModel
 }
 
 // Order is one call of POST /-/order.
--- a/internal/control/placer/world_test.go
+++ b/internal/control/placer/world_test.go
@@ -612,10 +612,10 @@
 	return n
 }
 
-func (w *world) holdings(e *engine) []protocol.HeldModel {
-	held := make([]protocol.HeldModel, 0, len(e.models))
+func (w *world) holdings(e *engine) []protocol.LoadedModel {
+	held := make([]protocol.LoadedModel, 0, len(e.models))
 	for name, adapters := range e.models {
-		model := protocol.HeldModel{Name: name, Generation: 1}
+		model := protocol.LoadedModel{Name: name, Generation: 1}
 		for adapter := range adapters {
 			model.Adapters = append(model.Adapters, adapter)
 		}
@@ -751,7 +751,7 @@
 			delete(w.table, id)
 			continue
 		case quiet > 2500*time.Millisecond:
-			told.State = protocol.Silent
+			told.State = protocol.Unresponsive
 		}
 		in.Endpoints = append(in.Endpoints, told)
 	}
--- a/internal/control/registry/entry.go
+++ b/internal/control/registry/entry.go
@@ -47,7 +47,7 @@
 	word(e.Service)
 	word(e.Address)
 	word(e.Zone)
-	word(e.Generation)
+	word(e.SoftwareVersion)
 	number(uint64(e.Slots))
 	number(uint64(e.State))
 	for _, model := range e.Models {
@@ -72,17 +72,17 @@
 	case e.left:
 		return protocol.Endpoint{
 			ID: shown.ID, Service: shown.Service, Address: shown.Address,
-			Sequence: finalSequence, State: protocol.Gone,
+			Sequence: finalSequence, State: protocol.Departed,
 		}
 	case e.gone:
 		return protocol.Endpoint{
 			ID: shown.ID, Service: shown.Service, Address: shown.Address,
-			Sequence: shown.Sequence, State: protocol.Gone,
+			Sequence: shown.Sequence, State: protocol.Departed,
 		}
 	case e.silent && shown.State == protocol.Ready:
-		shown.State = protocol.Silent
+		shown.State = protocol.Unresponsive
 	}
-	shown.ColdFor = max(0, e.coldUntil.Sub(now))
+	shown.WarmUpRemaining = max(0, e.coldUntil.Sub(now))
 	shown.Loading = r.loading.of(shown.ID, now)
 	return shown
 }
@@ -90,12 +90,12 @@
 // record is the entry as other instances get it.
 func (r *Registry) record(now time.Time, e *entry) protocol.Record {
 	endpoint := e.endpoint
-	endpoint.ColdFor = max(0, e.coldUntil.Sub(now))
+	endpoint.WarmUpRemaining = max(0, e.coldUntil.Sub(now))
 	endpoint.Loading = nil
 	if e.left {
 		endpoint = protocol.Endpoint{
 			ID: endpoint.ID, Address: endpoint.Address, Service: endpoint.Service,
-			Sequence: endpoint.Sequence, State: protocol.Gone,
+			Sequence: endpoint.Sequence, State: protocol.Departed,
 		}
 	}
 	return protocol.Record{Endpoint: endpoint, Age: max(0, now.Sub(e.heard))}
@@ -122,9 +122,9 @@
 
 // replace takes in newer contents and says whether routers need to know.
 func (r *Registry) replace(now time.Time, e *entry, newer protocol.Endpoint, heard time.Time) (changed bool) {
-	coldUntil := now.Add(newer.ColdFor)
-	coldMoved := coldUntil.Sub(e.coldUntil).Abs() > coldTolerance && (newer.ColdFor > 0 || e.coldUntil.After(now))
-	newer.ColdFor, newer.Loading = 0, nil
+	coldUntil := now.Add(newer.WarmUpRemaining)
+	coldMoved := coldUntil.Sub(e.coldUntil).Abs() > coldTolerance && (newer.WarmUpRemaining > 0 || e.coldUntil.After(now))
+	newer.WarmUpRemaining, newer.Loading = 0, nil
 	content := contentHash(&newer)
 	fresh := now.Sub(heard) <= r.silentAfter()
 	changed = e.content != content || e.gone || e.silent && fresh || coldMoved
@@ -177,7 +177,7 @@
 	r.urgent = r.urgent || urgent
 }
 
-func cloneModels(models []protocol.HeldModel) []protocol.HeldModel {
+func cloneModels(models []protocol.LoadedModel) []protocol.LoadedModel {
 	own := slices.Clone(models)
 	for i := range own {
 		own[i].Adapters = slices.Clone(own[i].Adapters)
--- a/internal/control/registry/exchange.go
+++ b/internal/control/registry/exchange.go
@@ -49,7 +49,7 @@
 	heard := now.Add(-max(0, record.Age))
 	e := r.entries[told.ID]
 	switch {
-	case told.State == protocol.Gone:
+	case told.State == protocol.Departed:
 		r.mergeLeft(now, from, e, told)
 		return
 	case e == nil && record.Age > r.newsLasts():
@@ -135,7 +135,7 @@
 			continue
 		}
 		summary.Versions = append(summary.Versions, protocol.RecordVersion{
-			ID: id, Sequence: e.endpoint.Sequence, Content: e.content, Gone: e.left,
+			ID: id, Sequence: e.endpoint.Sequence, Content: e.content, Departed: e.left,
 		})
 	}
 	p.exchanged = now
@@ -170,8 +170,8 @@
 func (r *Registry) lacks(now time.Time, e *entry, version protocol.RecordVersion, present bool) bool {
 	switch {
 	case e.left:
-		return !version.Gone
-	case e.gone, now.Sub(e.heard) > dropAfter, version.Gone, r.withheld(now, e):
+		return !version.Departed
+	case e.gone, now.Sub(e.heard) > dropAfter, version.Departed, r.withheld(now, e):
 		return false
 	case !present:
 		return true
--- a/internal/control/registry/farewell_test.go
+++ b/internal/control/registry/farewell_test.go
@@ -132,7 +132,7 @@
 	if len(out.Replies) != 0 {
 		t.Fatal("acknowledged before routers have it")
 	}
-	if len(out.Changed) != 1 || out.Changed[0].ID != "stranger" || out.Changed[0].State != protocol.Gone || !out.Urgent {
+	if len(out.Changed) != 1 || out.Changed[0].ID != "stranger" || out.Changed[0].State != protocol.Departed || !out.Urgent {
 		t.Fatalf("routers are told %+v", out.Changed)
 	}
 	at := slices.IndexFunc(out.Send, func(sent Send) bool {
@@ -147,7 +147,7 @@
 	other.beat(beat("stranger", 1, protocol.Ready)) // it called there
 	delta.Origin = protocol.Origin{Address: "self of the first", Incarnation: 9}
 	there := other.step(PeerMessage{Content: delta})
-	if len(there.Changed) != 1 || there.Changed[0].State != protocol.Gone {
+	if len(there.Changed) != 1 || there.Changed[0].State != protocol.Departed {
 		t.Errorf("routers of the other instance are told %+v", there.Changed)
 	}
 }
@@ -166,11 +166,11 @@
 		{"a late one", func() Output { return x.beat(beat("e", 2, protocol.Ready)) }, protocol.Draining},
 		{"a later one", func() Output { return x.beat(beat("e", 5, protocol.Draining)) }, protocol.Draining},
 		{"a late draining one", func() Output { return x.beat(beat("e", 4, protocol.Draining)) }, protocol.Draining},
-		{"delete", func() Output { return x.leave("e") }, protocol.Gone},
-		{"delete again", func() Output { return x.leave("e") }, protocol.Gone},
-		{"draining after delete", func() Output { return x.beat(beat("e", 6, protocol.Draining)) }, protocol.Gone},
-		{"late ready after delete", func() Output { return x.beat(beat("e", 1, protocol.Ready)) }, protocol.Gone},
-		{"ready after delete", func() Output { return x.beat(beat("e", 9, protocol.Ready)) }, protocol.Gone},
+		{"delete", func() Output { return x.leave("e") }, protocol.Departed},
+		{"delete again", func() Output { return x.leave("e") }, protocol.Departed},
+		{"draining after delete", func() Output { return x.beat(beat("e", 6, protocol.Draining)) }, protocol.Departed},
+		{"late ready after delete", func() Output { return x.beat(beat("e", 1, protocol.Ready)) }, protocol.Departed},
+		{"ready after delete", func() Output { return x.beat(beat("e", 9, protocol.Ready)) }, protocol.Departed},
 	}
 	for _, call := range repeated {
 		out := call.say()
@@ -196,7 +196,7 @@
 	if len(out.Replies) != 3 || !out.Replies[2].InForce {
 		t.Errorf("%+v", out.Replies)
 	}
-	x.want("e", protocol.Gone)
+	x.want("e", protocol.Departed)
 }
 
 // TestSettledFarewellNeedsContactAgain: what was in force everywhere may not be where the others are by now.
--- a/internal/control/registry/golden_test.go
+++ b/internal/control/registry/golden_test.go
@@ -212,10 +212,10 @@
 		endpoint.State = protocol.Draining
 	}
 	if h.one(10) {
-		endpoint.ColdFor = h.upTo(4000, time.Millisecond)
+		endpoint.WarmUpRemaining = h.upTo(4000, time.Millisecond)
 	}
 	if h.one(5) {
-		endpoint.Models = []protocol.HeldModel{
+		endpoint.Models = []protocol.LoadedModel{
 			{Name: fmt.Sprint("m", h.random.IntN(3)), Generation: 1, Adapters: []string{"a1"}},
 		}
 	}
@@ -226,7 +226,7 @@
 	h.loadings++
 	table := protocol.LoadingTable{Epoch: h.loadings / 5, Sequence: h.loadings}
 	if h.one(2) {
-		loads := []protocol.Load{{Model: "m", Within: h.upTo(9000, time.Millisecond)}}
+		loads := []protocol.ModelLoad{{Model: "m", Remaining: h.upTo(9000, time.Millisecond)}}
 		table.Loading = []protocol.EndpointLoading{{Endpoint: id, Loads: loads}}
 	}
 	return table
--- a/internal/control/registry/loading.go
+++ b/internal/control/registry/loading.go
@@ -15,22 +15,22 @@
 }
 
 type timedLoad struct {
-	load protocol.Load
+	load protocol.ModelLoad
 	due  time.Time
 }
 
 // overdue is how long an order is shown beyond its expected end, should its holder not speak any more.
 const overdue = 30 * time.Second
 
-func (t *loadingTable) of(id string, now time.Time) []protocol.Load {
+func (t *loadingTable) of(id string, now time.Time) []protocol.ModelLoad {
 	timed := t.loads[id]
 	if len(timed) == 0 {
 		return nil
 	}
-	shown := make([]protocol.Load, len(timed))
+	shown := make([]protocol.ModelLoad, len(timed))
 	for i, item := range timed {
 		shown[i] = item.load
-		shown[i].Within = max(0, item.due.Sub(now))
+		shown[i].Remaining = max(0, item.due.Sub(now))
 	}
 	return shown
 }
@@ -91,7 +91,7 @@
 	for _, endpoint := range table.Loading {
 		for _, load := range endpoint.Loads {
 			r.loading.loads[endpoint.Endpoint] = append(r.loading.loads[endpoint.Endpoint],
-				timedLoad{load: load, due: now.Add(load.Within)})
+				timedLoad{load: load, due: now.Add(load.Remaining)})
 		}
 	}
 	r.changeLoading(before)
--- a/internal/control/registry/registry_test.go
+++ b/internal/control/registry/registry_test.go
@@ -80,7 +80,7 @@
 			return
 		}
 	}
-	if state != protocol.Gone {
+	if state != protocol.Departed {
 		x.t.Errorf("%s is not there, want %d", id, state)
 	}
 }
@@ -96,7 +96,7 @@
 	x.want("e", protocol.Draining)
 	x.leave("e")
 	x.beat(beat("e", 6, protocol.Ready))
-	x.want("e", protocol.Gone)
+	x.want("e", protocol.Departed)
 }
 
 func TestUnchangedHeartbeatIsNoNews(t *testing.T) {
@@ -106,12 +106,12 @@
 		t.Errorf("%+v", out)
 	}
 	cold := beat("e", 3, protocol.Ready)
-	cold.ColdFor = 3 * time.Second
+	cold.WarmUpRemaining = 3 * time.Second
 	if out := x.beat(cold); len(out.Changed) != 1 {
 		t.Errorf("news of a cold endpoint: %+v", out)
 	}
 	x.wait(time.Second)
-	cold.Sequence, cold.ColdFor = 4, 2*time.Second
+	cold.Sequence, cold.WarmUpRemaining = 4, 2*time.Second
 	if out := x.beat(cold); len(out.Changed) != 0 {
 		t.Errorf("it grows warm as expected: %+v", out)
 	}
@@ -123,11 +123,11 @@
 	x.wait(3 * heartbeatEvery)
 	x.want("e", protocol.Ready)
 	x.wait(2 * time.Second)
-	x.want("e", protocol.Silent)
+	x.want("e", protocol.Unresponsive)
 	x.beat(beat("e", 2, protocol.Ready))
 	x.want("e", protocol.Ready)
 	x.wait(dropAfter + 2*time.Second)
-	x.want("e", protocol.Gone)
+	x.want("e", protocol.Departed)
 	x.beat(beat("e", 3, protocol.Ready))
 	x.want("e", protocol.Ready)
 }
@@ -150,15 +150,15 @@
 	}
 	report := RouterReport{Unreachable: []string{"unreachable", "alive"}, Reached: []string{"reached"}}
 	x.step(report)
-	x.want("unreachable", protocol.Gone)
+	x.want("unreachable", protocol.Departed)
 	x.want("alive", protocol.Ready)
 	x.step(RouterReport{Unreachable: []string{"reached"}})
-	x.want("reached", protocol.Silent)
+	x.want("reached", protocol.Unresponsive)
 	for range 8 {
 		x.wait(3 * time.Second)
 		x.step(RouterReport{Reached: []string{"reached"}})
 	}
-	x.want("reached", protocol.Silent)
+	x.want("reached", protocol.Unresponsive)
 }
 
 func TestNewEndpointAtAnOldAddress(t *testing.T) {
@@ -168,10 +168,10 @@
 	next := beat("new", 1, protocol.Ready)
 	next.Address = "old:1"
 	x.beat(next)
-	x.want("old", protocol.Gone)
+	x.want("old", protocol.Departed)
 	x.want("new", protocol.Ready)
 	x.beat(beat("old", 1, protocol.Ready)) // late
-	x.want("old", protocol.Gone)
+	x.want("old", protocol.Departed)
 	x.want("new", protocol.Ready)
 }
 
@@ -249,7 +249,7 @@
 			t.Errorf("%+v", out)
 		}
 	}
-	x.want("e", protocol.Gone) // noted all the same
+	x.want("e", protocol.Departed) // noted all the same
 	young := &table{t: t, Registry: New(x.settings, begin), now: begin.Add(10 * time.Millisecond)}
 	if out := young.beat(beat("e", 1, protocol.Ready)); !acknowledged(out) {
 		t.Errorf("ready at a young instance: %+v", out)
@@ -307,7 +307,7 @@
 		for _, model := range models {
 			made.Loading = append(made.Loading, protocol.EndpointLoading{
 				Endpoint: "e",
-				Loads:    []protocol.Load{{Model: model, Within: 5 * time.Second}},
+				Loads:    []protocol.ModelLoad{{Model: model, Remaining: 5 * time.Second}},
 			})
 		}
 		return made
@@ -315,7 +315,7 @@
 	x.step(PeerMessage{Content: table(3, 1, "m")})
 	x.now = x.now.Add(2 * time.Second)
 	shown := x.Endpoints(x.now)[0].Loading
-	if len(shown) != 1 || shown[0].Model != "m" || shown[0].Within != 3*time.Second {
+	if len(shown) != 1 || shown[0].Model != "m" || shown[0].Remaining != 3*time.Second {
 		t.Errorf("%+v", shown)
 	}
 	x.step(PeerMessage{Content: table(2, 9, "old")})
@@ -334,7 +334,7 @@
 	x.beat(beat("e", 2, protocol.Ready))
 	const heardElsewhere = 1 << 40
 	out := x.leave("e")
-	if len(out.Changed) != 1 || out.Changed[0].State != protocol.Gone || out.Changed[0].Sequence <= heardElsewhere {
+	if len(out.Changed) != 1 || out.Changed[0].State != protocol.Departed || out.Changed[0].Sequence <= heardElsewhere {
 		t.Errorf("routers are told %+v", out.Changed)
 	}
 	for _, shown := range x.EndpointsAndTombstones(x.now) {
@@ -355,7 +355,7 @@
 		}})
 	}
 	tell("silent", x.silentAfter()+time.Millisecond)
-	x.want("silent", protocol.Gone)
+	x.want("silent", protocol.Departed)
 	tell("heard", x.silentAfter()-time.Second)
 	x.want("heard", protocol.Ready)
 	x.whole = false // after a start, what others have kept is all there is
--- a/internal/control/registry/rejoin_test.go
+++ b/internal/control/registry/rejoin_test.go
@@ -21,7 +21,7 @@
 
 func (x *table) shows(id string) bool {
 	return slices.ContainsFunc(x.EndpointsAndTombstones(x.now), func(e protocol.Endpoint) bool {
-		return e.ID == id && e.State != protocol.Gone
+		return e.ID == id && e.State != protocol.Departed
 	})
 }
 
@@ -59,7 +59,7 @@
 	x.wait(x.allCalled() / 2)
 	x.beat(beat("lives", x.ticket, protocol.Ready))
 	x.wait(x.allCalled() / 2)
-	x.want("left", protocol.Gone)
+	x.want("left", protocol.Departed)
 	x.want("lives", protocol.Ready)
 	if !x.whole || x.maybeStale(x.now) {
 		t.Error("it is still taken for stale")
@@ -90,7 +90,7 @@
 	x := newTable(t)
 	x.beat(beat("e", 1, protocol.Ready))
 	x.wait(x.silentAfter() + x.allCalled() + time.Second)
-	x.want("e", protocol.Silent)
+	x.want("e", protocol.Unresponsive)
 	if !x.shows("e") || !x.tells("e") {
 		t.Error("withheld though the table is fresh")
 	}
@@ -132,7 +132,7 @@
 			told = append(told, changed.State)
 		}
 	}
-	if !slices.Equal(told, []protocol.EndpointState{protocol.Gone}) {
+	if !slices.Equal(told, []protocol.EndpointState{protocol.Departed}) {
 		t.Errorf("routers are told the states %v", told)
 	}
 }
@@ -173,7 +173,7 @@
 		t.Error("the others are not told of one that has called since")
 	}
 	x.wait(x.allHeard())
-	x.want("left", protocol.Gone)
+	x.want("left", protocol.Departed)
 	x.want("lives", protocol.Ready)
 	if !x.tellsWhole() {
 		t.Error("the table is not told to be whole once it is fresh")
@@ -200,7 +200,7 @@
 	told := false
 	for x.maybeStale(x.now) {
 		x.now = x.wakeAt()
-		told = slices.ContainsFunc(x.step().Changed, func(e protocol.Endpoint) bool { return e.State == protocol.Silent })
+		told = slices.ContainsFunc(x.step().Changed, func(e protocol.Endpoint) bool { return e.State == protocol.Unresponsive })
 	}
 	if !told || !x.shows("e") {
 		t.Errorf("told: %v, shown: %v", told, x.shows("e"))
@@ -222,7 +222,7 @@
 		t.Error("the table is not taken for stale with the first contact")
 	}
 	x.wait(x.allHeard())
-	x.want("e", protocol.Gone)
+	x.want("e", protocol.Departed)
 }
 
 // TestInstanceWithoutContactTellsOthersOfThoseItHearsOnly: an instance that restarts may be the first to be reached, before
--- a/internal/control/registry/size_test.go
+++ b/internal/control/registry/size_test.go
@@ -111,7 +111,7 @@
 		sequence++
 		e := table[sequence%perInstance]
 		e.Sequence = sequence
-		e.Models = []protocol.HeldModel{{Name: sizetest.ModelName(int(sequence % sizetest.Models)), Generation: 1}}
+		e.Models = []protocol.LoadedModel{{Name: sizetest.ModelName(int(sequence % sizetest.Models)), Generation: 1}}
 		r.Step(now, Heartbeat{RequestID: sequence, Endpoint: e})
 		confirmDeltas(r, r.Step(now.Add(ordinaryChange)), now)
 	}
--- a/internal/control/roles/golden_test.go
+++ b/internal/control/roles/golden_test.go
@@ -125,7 +125,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := placer.Inspection{Endpoint: "i-701", Busy: true, Revision: 1<<33 + 801, Models: []protocol.HeldModel{
+	want := placer.Inspection{Endpoint: "i-701", Busy: true, Revision: 1<<33 + 801, Models: []protocol.LoadedModel{
 		{Name: "model-802", Generation: 1<<34 + 803, Adapters: []string{"adapter-804", "adapter-805"}},
 		{Name: "model-806", Generation: 807, Adapters: []string{}},
 	}}
--- a/internal/control/roles/holder_test.go
+++ b/internal/control/roles/holder_test.go
@@ -155,7 +155,7 @@
 	if load := shown.Loading[0]; load.Endpoint != "i-1" || load.Loads[0].Model != "m" {
 		t.Errorf("%+v", load)
 	}
-	at.Models = []protocol.HeldModel{{Name: "m"}}
+	at.Models = []protocol.LoadedModel{{Name: "m"}}
 	s.setView(host.View{Endpoints: []protocol.Endpoint{at}})
 	next(t, "end of the load", s.loadings, func(table protocol.LoadingTable) bool { return len(table.Loading) == 0 })
 }
--- a/internal/control/roles/loading.go
+++ b/internal/control/roles/loading.go
@@ -25,7 +25,7 @@
 }
 
 type underWay struct {
-	load protocol.Load
+	load protocol.ModelLoad
 	due  time.Time
 }
 
@@ -48,7 +48,7 @@
 
 // begin notes an order that an endpoint took.
 func (l *loadings) begin(now time.Time, order placer.Order) {
-	load := protocol.Load{Model: order.Model, Adapter: order.Adapter, Unload: order.Unload}
+	load := protocol.ModelLoad{Model: order.Model, Adapter: order.Adapter, Unload: order.Unload}
 	due := now.Add(l.expected(order))
 	l.byID[order.Endpoint] = append(l.byID[order.Endpoint], underWay{load: load, due: due})
 	l.changed = true
@@ -92,7 +92,7 @@
 }
 
 // done says whether an endpoint's own account shows the order's effect.
-func done(endpoint *protocol.Endpoint, load protocol.Load) bool {
+func done(endpoint *protocol.Endpoint, load protocol.ModelLoad) bool {
 	return holds(endpoint, load.Model, load.Adapter) != load.Unload
 }
 
@@ -117,7 +117,7 @@
 		loading := protocol.EndpointLoading{Endpoint: id}
 		for _, order := range orders {
 			load := order.load
-			load.Within = max(0, order.due.Sub(now))
+			load.Remaining = max(0, order.due.Sub(now))
 			loading.Loads = append(loading.Loads, load)
 		}
 		table.Loading = append(table.Loading, loading)
--- a/internal/control/roles/sender.go
+++ b/internal/control/roles/sender.go
@@ -190,7 +190,7 @@
 
 // reportBody is the answer to GET /-/report, as far as the placer needs it.
 type reportBody struct {
-	Models   []protocol.HeldModel `json:"models"`
-	Busy     bool                 `json:"busy"`
-	Revision uint64               `json:"seq"`
+	Models   []protocol.LoadedModel `json:"models"`
+	Busy     bool                   `json:"busy"`
+	Revision uint64                 `json:"seq"`
 }
--- a/internal/protocol/codec_test.go
+++ b/internal/protocol/codec_test.go
@@ -15,8 +15,8 @@
 		&Update{
 			Sequence: 3, Generation: 7, Document: []byte("{}"), Full: true, Routers: 9, Confirmed: true,
 			Endpoints: []Endpoint{{
-				ID: "i", State: Draining, ColdFor: time.Second,
-				Models: []HeldModel{{Name: "m", Generation: 2, Adapters: []string{"a1"}}},
+				ID: "i", State: Draining, WarmUpRemaining: time.Second,
+				Models: []LoadedModel{{Name: "m", Generation: 2, Adapters: []string{"a1"}}},
 			}},
 			Members: []Member{{Identity: "c", Address: "10.0.0.1:7500"}},
 			Quotas:  []QuotaGrant{{Tenant: "t", RatePerS: 2.5, Burst: 1, For: time.Second}},
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -35,7 +35,7 @@
 		{"2", &Update{
 			Sequence: 201, Generation: 202, Document: []byte("document-203"), Full: true,
 			Endpoints: []Endpoint{goldenEndpoint(2)},
-			Members:   []Member{{Identity: "member-1", Address: "member-2", Control: "member-3", Zone: "member-4"}},
+			Members:   []Member{{Identity: "member-1", Address: "member-2", ControlAddress: "member-3", Zone: "member-4"}},
 			Routers:   207,
 			Quotas:    []QuotaGrant{goldenGrant(1)},
 			Confirmed: true,
@@ -54,7 +54,7 @@
 		{"33", &RegistryConfirm{Origin: origin, For: 3302, Received: []uint64{3303, 3304}, InForce: []uint64{3305, 3306}}},
 		{"34", &RegistrySummary{
 			Origin:   origin,
-			Versions: []RecordVersion{{ID: "version-1", Sequence: 3401, Content: 3402, Gone: true}},
+			Versions: []RecordVersion{{ID: "version-1", Sequence: 3401, Content: 3402, Departed: true}},
 			Answer:   true,
 		}},
 		{"35", &RegistryDigest{
@@ -62,7 +62,7 @@
 		}},
 		{"36", &LoadingTable{
 			Origin: origin, Epoch: 3601, Sequence: 3602,
-			Loading: []EndpointLoading{{Endpoint: "endpoint-1", Loads: []Load{goldenLoad(3)}}},
+			Loading: []EndpointLoading{{Endpoint: "endpoint-1", Loads: []ModelLoad{goldenLoad(3)}}},
 		}},
 		{"37", &ReportBatch{
 			Origin:    origin,
@@ -81,17 +81,17 @@
 func goldenEndpoint(set int) Endpoint {
 	text := func(field int) string { return fmt.Sprintf("endpoint-%d-%d", set, field) }
 	return Endpoint{
-		ID: text(1), Service: text(2), Address: text(3), Zone: text(4), Generation: text(5), Slots: 1006 + set,
-		State: EndpointState(set), Sequence: uint64(1008 + 100*set), ColdFor: time.Duration(1009 + 100*set),
-		Models:  []HeldModel{{Name: text(10), Generation: int64(1011 + 100*set), Adapters: []string{text(12), text(13)}}},
-		Loading: []Load{goldenLoad(set)},
+		ID: text(1), Service: text(2), Address: text(3), Zone: text(4), SoftwareVersion: text(5), Slots: 1006 + set,
+		State: EndpointState(set), Sequence: uint64(1008 + 100*set), WarmUpRemaining: time.Duration(1009 + 100*set),
+		Models:  []LoadedModel{{Name: text(10), Generation: int64(1011 + 100*set), Adapters: []string{text(12), text(13)}}},
+		Loading: []ModelLoad{goldenLoad(set)},
 	}
 }
 
-func goldenLoad(set int) Load {
-	return Load{
+func goldenLoad(set int) ModelLoad {
+	return ModelLoad{
 		Model: fmt.Sprintf("load-model-%d", set), Adapter: fmt.Sprintf("load-adapter-%d", set), Unload: true,
-		Within: time.Duration(1104 + 100*set),
+		Remaining: time.Duration(1104 + 100*set),
 	}
 }
 
@@ -130,7 +130,7 @@
 		{"32 settle", &RegistryDelta{Settle: true}},
 		{"32 whole", &RegistryDelta{Whole: true}},
 	}
-	for _, state := range []EndpointState{Ready, Draining, Silent, Gone} {
+	for _, state := range []EndpointState{Ready, Draining, Unresponsive, Departed} {
 		messages = append(messages, goldenMessage{
 			line: fmt.Sprintf("2 state %d", len(messages)-4), message: &Update{Endpoints: []Endpoint{{State: state}}},
 		})
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -9,48 +9,48 @@
 
 // The states of an endpoint.
 const (
-	Ready    EndpointState = iota
-	Draining               // takes no new request
-	Silent                 // its heartbeats stopped; its calls may still succeed
-	Gone                   // left or given up: only in updates
+	Ready        EndpointState = iota
+	Draining                   // takes no new request
+	Unresponsive               // its heartbeats stopped; its calls may still succeed
+	Departed                   // left or given up: only in updates
 )
 
 // Endpoint is one incarnation of a model or application server.
 type Endpoint struct {
-	ID         string        `cbor:"1,keyasint"`
-	Service    string        `cbor:"2,keyasint"`
-	Address    string        `cbor:"3,keyasint"` // host:port
-	Zone       string        `cbor:"4,keyasint"`
-	Generation string        `cbor:"5,keyasint,omitempty"` // of its software
-	Slots      int           `cbor:"6,keyasint"`
-	State      EndpointState `cbor:"7,keyasint"`
-	Sequence   uint64        `cbor:"8,keyasint"`           // rises with each heartbeat; the later one wins
-	ColdFor    time.Duration `cbor:"9,keyasint,omitempty"` // how much longer it stays slow after its start
-	Models     []HeldModel   `cbor:"10,keyasint,omitempty"`
-	Loading    []Load        `cbor:"11,keyasint,omitempty"` // orders under way, as the placer knows them
+	ID              string        `cbor:"1,keyasint"`
+	Service         string        `cbor:"2,keyasint"`
+	Address         string        `cbor:"3,keyasint"` // host:port
+	Zone            string        `cbor:"4,keyasint"`
+	SoftwareVersion string        `cbor:"5,keyasint,omitempty"` // of its software
+	Slots           int           `cbor:"6,keyasint"`
+	State           EndpointState `cbor:"7,keyasint"`
+	Sequence        uint64        `cbor:"8,keyasint"`           // rises with each heartbeat; the later one wins
+	WarmUpRemaining time.Duration `cbor:"9,keyasint,omitempty"` // how much longer it stays slow after its start
+	Models          []LoadedModel `cbor:"10,keyasint,omitempty"`
+	Loading         []ModelLoad   `cbor:"11,keyasint,omitempty"` // orders under way, as the placer knows them
 }
 
-// HeldModel is a model in an endpoint's memory, with its adapters.
-type HeldModel struct {
+// LoadedModel is a model in an endpoint's memory, with its adapters.
+type LoadedModel struct {
 	Name       string   `cbor:"1,keyasint" json:"name"`
 	Generation int64    `cbor:"2,keyasint" json:"generation"`
 	Adapters   []string `cbor:"3,keyasint,omitempty" json:"adapters"`
 }
 
-// Load is a load or an unload that an endpoint was ordered to carry out.
-type Load struct {
-	Model   string        `cbor:"1,keyasint"`
-	Adapter string        `cbor:"2,keyasint,omitempty"`
-	Unload  bool          `cbor:"3,keyasint,omitempty"`
-	Within  time.Duration `cbor:"4,keyasint"` // expected time until it is done, when this was sent
+// ModelLoad is a load or an unload that an endpoint was ordered to carry out.
+type ModelLoad struct {
+	Model     string        `cbor:"1,keyasint"`
+	Adapter   string        `cbor:"2,keyasint,omitempty"`
+	Unload    bool          `cbor:"3,keyasint,omitempty"`
+	Remaining time.Duration `cbor:"4,keyasint"` // expected time until it is done, when this was sent
 }
 
 // Member is a control instance.
 type Member struct {
-	Identity string `cbor:"1,keyasint"`
-	Address  string `cbor:"2,keyasint"` // of its transport, host:port
-	Control  string `cbor:"3,keyasint"` // of its public interface, host:port
-	Zone     string `cbor:"4,keyasint"`
+	Identity       string `cbor:"1,keyasint"`
+	Address        string `cbor:"2,keyasint"` // of its transport, host:port
+	ControlAddress string `cbor:"3,keyasint"` // of its public interface, host:port
+	Zone           string `cbor:"4,keyasint"`
 }
 
 // Subscribe opens a router's connection to a control instance, and asks for everything newer than it has.
--- a/internal/protocol/peers.go
+++ b/internal/protocol/peers.go
@@ -66,7 +66,7 @@
 	ID       string `cbor:"1,keyasint"`
 	Sequence uint64 `cbor:"2,keyasint"`
 	Content  uint64 `cbor:"3,keyasint"` // hash over what the endpoint said of itself
-	Gone     bool   `cbor:"4,keyasint,omitempty"`
+	Departed bool   `cbor:"4,keyasint,omitempty"`
 }
 
 // RegistrySummary opens a full exchange: the receiver answers with the records that are missing in it or
@@ -88,8 +88,8 @@
 
 // EndpointLoading is what one endpoint was ordered to do and has not done yet.
 type EndpointLoading struct {
-	Endpoint string `cbor:"1,keyasint"`
-	Loads    []Load `cbor:"2,keyasint"`
+	Endpoint string      `cbor:"1,keyasint"`
+	Loads    []ModelLoad `cbor:"2,keyasint"`
 }
 
 // LoadingTable is the placer's whole table of orders under way. The higher epoch and then the higher
--- a/internal/router/dispatch/closing_test.go
+++ b/internal/router/dispatch/closing_test.go
@@ -21,7 +21,7 @@
 // in no more clients, with a word to come back soon. What comes later and can't be sent has only a moment.
 func TestNothingIsHeldAtTheEnd(t *testing.T) {
 	loading := modelEndpoint("a", 1, "m")
-	loading.Loading = []protocol.Load{{Model: "rare", Within: 9 * time.Second}}
+	loading.Loading = []protocol.ModelLoad{{Model: "rare", Remaining: 9 * time.Second}}
 	s := newScript(t, loading)
 	s.step(1000)
 	s.step(1000, Arrived{s.patient("rare")})
@@ -55,7 +55,7 @@
 // A load that will be done only after the router lets in no more clients is not waited for.
 func TestLoadsThatComeTooLateAreNotAwaited(t *testing.T) {
 	loading := modelEndpoint("a", 1, "m")
-	loading.Loading = []protocol.Load{{Model: "rare", Within: 9 * time.Second}}
+	loading.Loading = []protocol.ModelLoad{{Model: "rare", Remaining: 9 * time.Second}}
 	s := newScript(t, loading)
 	s.step(0, s.closing(2500))
 	r := s.request("rare")
--- a/internal/router/dispatch/day_test.go
+++ b/internal/router/dispatch/day_test.go
@@ -173,7 +173,7 @@
 			w.tell(fresh)
 		})
 		w.at(at+3*time.Second, func(w *world) {
-			w.servers[i].row.State = protocol.Gone
+			w.servers[i].row.State = protocol.Departed
 			w.tell(w.servers[i])
 			w.servers[i].gone = true
 			w.crash(w.servers[i])
--- a/internal/router/dispatch/decisions_test.go
+++ b/internal/router/dispatch/decisions_test.go
@@ -123,7 +123,7 @@
 	s.step(5, ViewChanged{Endpoints: []protocol.Endpoint{late}})
 	s.step(6, Finished{ID: 2, Endpoint: "b"}, ViewChanged{Endpoints: []protocol.Endpoint{{
 		ID: "b", Service: "lm",
-		State: protocol.Gone, Sequence: 3,
+		State: protocol.Departed, Sequence: 3,
 	}}})
 	if out := s.step(7, Arrived{s.request("m")}); len(sends(out)) > 0 {
 		t.Errorf("sent %v to what drains", sends(out))
@@ -132,7 +132,7 @@
 
 func TestLateNewsDoNotBringBackTheGone(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 5, "m"))
-	s.step(1, ViewChanged{Endpoints: []protocol.Endpoint{{ID: "a", Service: "lm", State: protocol.Gone, Sequence: 6}}})
+	s.step(1, ViewChanged{Endpoints: []protocol.Endpoint{{ID: "a", Service: "lm", State: protocol.Departed, Sequence: 6}}})
 	s.step(2, ViewChanged{Endpoints: []protocol.Endpoint{modelEndpoint("a", 5, "m")}})
 	if out := s.step(3, Arrived{s.request("m")}); len(sends(out)) > 0 {
 		t.Errorf("sent %v to what is gone", sends(out))
@@ -154,7 +154,7 @@
 		s.step(10+i, Finished{ID: send.ID, Endpoint: send.Endpoint})
 	}
 	s.step(400, ViewChanged{Endpoints: []protocol.Endpoint{modelEndpoint(first.Endpoint, 2, "m")}})
-	gone := protocol.Endpoint{ID: second.Endpoint, Service: "lm", State: protocol.Gone, Sequence: 9}
+	gone := protocol.Endpoint{ID: second.Endpoint, Service: "lm", State: protocol.Departed, Sequence: 9}
 	s.step(401, ViewChanged{Endpoints: []protocol.Endpoint{gone}})
 	if send := s.oneSend(s.step(402, Arrived{s.request("m")})); send.Endpoint != first.Endpoint {
 		t.Errorf("sent %+v", send)
--- a/internal/router/dispatch/demand.go
+++ b/internal/router/dispatch/demand.go
@@ -155,7 +155,7 @@
 func (d *Decider) reachability() (failing, reached []string) {
 	d.suspects = slices.DeleteFunc(d.suspects, func(e *endpoint) bool { return !d.suspect(e) })
 	for _, e := range d.suspects {
-		if e.state == protocol.Silent && !d.doubtful(e) {
+		if e.state == protocol.Unresponsive && !d.doubtful(e) {
 			reached = append(reached, e.id)
 		} else if e.evidence.most > 0 {
 			failing = append(failing, e.id)
@@ -166,7 +166,7 @@
 
 // suspect says whether an endpoint may have to be told of.
 func (d *Decider) suspect(e *endpoint) bool {
-	e.suspected = e.listed && (e.state == protocol.Silent || e.evidence.most > 0)
+	e.suspected = e.listed && (e.state == protocol.Unresponsive || e.evidence.most > 0)
 	return e.suspected
 }
 
--- a/internal/router/dispatch/ending.go
+++ b/internal/router/dispatch/ending.go
@@ -17,7 +17,7 @@
 	d.heard(e, input.Load)
 	d.judge(r, e, input)
 	e.changed()
-	if e.state == protocol.Gone && len(e.calls) == 0 {
+	if e.state == protocol.Departed && len(e.calls) == 0 {
 		delete(d.endpoints, e.id)
 	}
 	if !input.More || r.withdrawn {
--- a/internal/router/dispatch/evidence.go
+++ b/internal/router/dispatch/evidence.go
@@ -297,7 +297,7 @@
 
 // doubtful: its heartbeats stopped, and no call of this router vouches for it.
 func (d *Decider) doubtful(e *endpoint) bool {
-	if e.state != protocol.Silent {
+	if e.state != protocol.Unresponsive {
 		return false
 	}
 	return !e.evidence.ever || d.now-e.evidence.goodAt > lately
--- a/internal/router/dispatch/holding.go
+++ b/internal/router/dispatch/holding.go
@@ -12,11 +12,11 @@
 const connectionShare = 0.8
 
 // hold makes the endpoint's holdings those that were told.
-func (d *Decider) hold(e *endpoint, models []protocol.HeldModel, newer bool) {
+func (d *Decider) hold(e *endpoint, models []protocol.LoadedModel, newer bool) {
 	d.holdOne(e, "", nil, newer) // requests that name no model go to any endpoint
 	for i := len(e.holdings) - 1; i >= 0; i-- {
 		h := e.holdings[i]
-		named := func(m protocol.HeldModel) bool { return m.Name == h.group.model }
+		named := func(m protocol.LoadedModel) bool { return m.Name == h.group.model }
 		if h.group.model != "" && !slices.ContainsFunc(models, named) {
 			d.release(e, h)
 		}
@@ -70,7 +70,7 @@
 
 // takesRequests: it neither drains nor is gone.
 func (e *endpoint) takesRequests() bool {
-	return e.state != protocol.Draining && e.state != protocol.Gone
+	return e.state != protocol.Draining && e.state != protocol.Departed
 }
 
 // holding returns what the endpoint holds of a model, nil if nothing.
--- a/internal/router/dispatch/holding_test.go
+++ b/internal/router/dispatch/holding_test.go
@@ -39,7 +39,7 @@
 	s := newScript(t, modelEndpoint("a", 1, "m"))
 	s.step(1, Arrived{s.request("rare")})
 	loads := modelEndpoint("a", 1, "m")
-	loads.Loading = []protocol.Load{{Model: "rare", Within: 250 * time.Millisecond}}
+	loads.Loading = []protocol.ModelLoad{{Model: "rare", Remaining: 250 * time.Millisecond}}
 	s.step(20, ViewChanged{Endpoints: []protocol.Endpoint{loads}})
 	if out := s.step(130); len(refusals(out)) > 0 {
 		t.Fatalf("refused %v though the load fits", refusals(out))
@@ -54,7 +54,7 @@
 	s := newScript(t, modelEndpoint("a", 1, "m"))
 	s.step(1, Arrived{s.request("rare")})
 	loads := modelEndpoint("a", 1, "m")
-	loads.Loading = []protocol.Load{{Model: "rare", Within: 2 * time.Second}}
+	loads.Loading = []protocol.ModelLoad{{Model: "rare", Remaining: 2 * time.Second}}
 	s.step(20, ViewChanged{Endpoints: []protocol.Endpoint{loads}})
 	refusal := s.oneRefusal(s.step(124))
 	if refusal.RetryAfter < 1800*time.Millisecond || refusal.RetryAfter > 2600*time.Millisecond {
@@ -180,7 +180,7 @@
 
 func TestSilentEndpointIsUsedOnlyInDoubt(t *testing.T) {
 	silent := modelEndpoint("a", 2, "m")
-	silent.State = protocol.Silent
+	silent.State = protocol.Unresponsive
 	s := newScript(t, silent, modelEndpoint("b", 1, "m"))
 	for i := range 10 {
 		send := s.oneSend(s.step(10*i+1, Arrived{s.request("m")}))
@@ -189,7 +189,7 @@
 		}
 		s.step(10*i+5, FirstByte{ID: send.ID, Endpoint: "b"}, Finished{ID: send.ID, Endpoint: "b"})
 	}
-	s.step(200, ViewChanged{Endpoints: []protocol.Endpoint{{ID: "b", Service: "lm", State: protocol.Gone, Sequence: 3}}})
+	s.step(200, ViewChanged{Endpoints: []protocol.Endpoint{{ID: "b", Service: "lm", State: protocol.Departed, Sequence: 3}}})
 	if send := s.oneSend(s.step(201, Arrived{s.request("m")})); send.Endpoint != "a" {
 		t.Errorf("sent to %s", send.Endpoint)
 	}
@@ -205,7 +205,7 @@
 	for name, again := range map[string]bool{"first try": false, "further try": true} {
 		t.Run(name, func(t *testing.T) {
 			loads := modelEndpoint("a", 1, "m")
-			loads.Loading = []protocol.Load{{Model: "rare", Within: 450 * time.Millisecond}}
+			loads.Loading = []protocol.ModelLoad{{Model: "rare", Remaining: 450 * time.Millisecond}}
 			s := newScript(t, loads)
 			r := s.request("rare") // objective 500 ms
 			r.Deadline, r.Again = s.time(200), again
@@ -224,7 +224,7 @@
 // The same where the model should be there by now and another request tries it.
 func TestNothingWaitsForATryPastItsDeadline(t *testing.T) {
 	loads := modelEndpoint("a", 1, "m")
-	loads.Loading = []protocol.Load{{Model: "rare", Within: 50 * time.Millisecond}}
+	loads.Loading = []protocol.ModelLoad{{Model: "rare", Remaining: 50 * time.Millisecond}}
 	s := newScript(t, loads)
 	first, second := s.request("rare"), s.request("rare")
 	second.Deadline = s.time(300)
--- a/internal/router/dispatch/placing_test.go
+++ b/internal/router/dispatch/placing_test.go
@@ -51,28 +51,28 @@
 	s.loads(model, "", w.now+worldLoad)
 	w.tell(s)
 	w.at(w.now+worldLoad, func(w *world) {
-		s.row.Models = append(s.row.Models, protocol.HeldModel{Name: model, Generation: 1})
+		s.row.Models = append(s.row.Models, protocol.LoadedModel{Name: model, Generation: 1})
 		s.loaded(model, "")
 		w.heartbeat(s)
 	})
 }
 
 func (s *server) loads(model, adapter string, due time.Duration) {
-	s.row.Loading = append(slices.Clone(s.row.Loading), protocol.Load{Model: model, Adapter: adapter})
+	s.row.Loading = append(slices.Clone(s.row.Loading), protocol.ModelLoad{Model: model, Adapter: adapter})
 	s.due = append(s.due, due)
 }
 
 // loading is what is told now of the loads under way.
-func (s *server) loading(now time.Duration) []protocol.Load {
+func (s *server) loading(now time.Duration) []protocol.ModelLoad {
 	list := slices.Clone(s.row.Loading)
 	for i := range list {
-		list[i].Within = max(s.due[i]-now, 0)
+		list[i].Remaining = max(s.due[i]-now, 0)
 	}
 	return list
 }
 
 func (s *server) loaded(model, adapter string) {
-	i := slices.IndexFunc(s.row.Loading, func(l protocol.Load) bool { return l.Model == model && l.Adapter == adapter })
+	i := slices.IndexFunc(s.row.Loading, func(l protocol.ModelLoad) bool { return l.Model == model && l.Adapter == adapter })
 	s.row.Loading = slices.Delete(slices.Clone(s.row.Loading), i, i+1)
 	s.due = slices.Delete(s.due, i, i+1)
 }
--- a/internal/router/dispatch/presume.go
+++ b/internal/router/dispatch/presume.go
@@ -38,8 +38,8 @@
 			continue
 		}
 		g := e.service.groupNamed(l.Model)
-		margin := presumeMargin + time.Duration(presumePart*float64(l.Within))
-		g.expected = append(g.expected, arrival{at: e, adapter: l.Adapter, ready: e.loadingAt + l.Within + margin})
+		margin := presumeMargin + time.Duration(presumePart*float64(l.Remaining))
+		g.expected = append(g.expected, arrival{at: e, adapter: l.Adapter, ready: e.loadingAt + l.Remaining + margin})
 		g.changes++
 		e.awaited = append(e.awaited, g)
 	}
--- a/internal/router/dispatch/presume_test.go
+++ b/internal/router/dispatch/presume_test.go
@@ -11,7 +11,7 @@
 func loadingScript(t *testing.T) *script {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
 	loads := modelEndpoint("a", 1, "m")
-	loads.Loading = []protocol.Load{{Model: "m", Adapter: "a3", Within: 60 * time.Millisecond}}
+	loads.Loading = []protocol.ModelLoad{{Model: "m", Adapter: "a3", Remaining: 60 * time.Millisecond}}
 	for range 2 {
 		r := s.request("m")
 		r.Adapter = "a3"
--- a/internal/router/dispatch/random_test.go
+++ b/internal/router/dispatch/random_test.go
@@ -53,7 +53,7 @@
 var troubles = []func(w *world, s *server, until time.Duration){
 	func(w *world, s *server, until time.Duration) { // crash, and back under another id
 		w.crash(s)
-		w.at(until, func(w *world) { w.replace(s, protocol.Gone) })
+		w.at(until, func(w *world) { w.replace(s, protocol.Departed) })
 	},
 	func(w *world, s *server, until time.Duration) { // dark
 		s.mood = isDark
@@ -72,14 +72,14 @@
 		w.tell(s)
 		w.at(until, func(w *world) {
 			w.crash(s)
-			w.replace(s, protocol.Gone)
+			w.replace(s, protocol.Departed)
 		})
 	},
 	func(w *world, s *server, until time.Duration) { // heartbeats lost
-		s.row.State = protocol.Silent
+		s.row.State = protocol.Unresponsive
 		w.tell(s)
 		w.at(until, func(w *world) {
-			if s.row.State == protocol.Silent {
+			if s.row.State == protocol.Unresponsive {
 				s.row.State = protocol.Ready
 				w.tell(s)
 			}
--- a/internal/router/dispatch/script_test.go
+++ b/internal/router/dispatch/script_test.go
@@ -36,7 +36,7 @@
 func modelEndpoint(id string, sequence uint64, models ...string) protocol.Endpoint {
 	e := protocol.Endpoint{ID: id, Service: "lm", Address: id + ":1", Zone: "z", Slots: 64, Sequence: sequence}
 	for _, m := range models {
-		e.Models = append(e.Models, protocol.HeldModel{Name: m, Generation: 1})
+		e.Models = append(e.Models, protocol.LoadedModel{Name: m, Generation: 1})
 	}
 	return e
 }
--- a/internal/router/dispatch/view.go
+++ b/internal/router/dispatch/view.go
@@ -77,7 +77,7 @@
 	near        bool // in this router's zone
 	listed      bool
 	holdings    []*holding
-	loading     []protocol.Load
+	loading     []protocol.ModelLoad
 	loadingAt   time.Duration // when loading was told
 	awaited     []*group      // whose models it loads
 	suspected   bool          // in Decider.suspects
@@ -216,7 +216,7 @@
 // that drains never takes requests again, whatever is told of it later.
 func (d *Decider) update(news *protocol.Endpoint) {
 	e := d.endpoints[news.ID]
-	if news.State == protocol.Gone {
+	if news.State == protocol.Departed {
 		if e != nil && news.Sequence >= e.sequence {
 			e.sequence = news.Sequence
 			d.leave(e)
@@ -249,7 +249,7 @@
 	e.near = news.Zone == d.options.Zone
 	e.loading = news.Loading
 	e.loadingAt = d.now
-	e.coldUntil = d.now + news.ColdFor
+	e.coldUntil = d.now + news.WarmUpRemaining
 	d.hold(e, news.Models, newer)
 	d.expect(e)
 	d.moveOn(e)
@@ -268,7 +268,7 @@
 		}
 	}
 	e.drained = e.state == protocol.Draining
-	e.state = protocol.Gone
+	e.state = protocol.Departed
 	e.loading = nil
 	for len(e.holdings) > 0 {
 		d.release(e, e.holdings[len(e.holdings)-1])
--- a/internal/router/dispatcher/actor.go
+++ b/internal/router/dispatcher/actor.go
@@ -276,7 +276,7 @@
 		a.idle.Retain(func(id string) bool { return known[id] })
 	}
 	for i := range view.Endpoints {
-		if view.Endpoints[i].State == protocol.Gone {
+		if view.Endpoints[i].State == protocol.Departed {
 			a.idle.Drop(view.Endpoints[i].ID)
 		}
 	}
--- a/internal/router/dispatcher/actor_test.go
+++ b/internal/router/dispatcher/actor_test.go
@@ -176,7 +176,7 @@
 	v, _ := ticket.Wait(context.Background(), nil)
 	c := connect(t, dialer)
 	ticket.Finish(Ending{Send: v.Send, Connection: c, Rest: time.Minute})
-	gone := dispatch.ViewChanged{Endpoints: []protocol.Endpoint{{ID: "e", State: protocol.Gone}}}
+	gone := dispatch.ViewChanged{Endpoints: []protocol.Endpoint{{ID: "e", State: protocol.Departed}}}
 	if err := a.Apply(context.Background(), gone); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sizetest/sizetest.go
+++ b/internal/sizetest/sizetest.go
@@ -122,7 +122,7 @@
 		number := i % Services
 		table[i] = protocol.Endpoint{
 			ID: EndpointID(i), Service: ServiceName(number), Address: fmt.Sprintf("10.%d.%d.9:8080", i/250, i%250),
-			Zone: fmt.Sprintf("zone%02d", i%Zones), Generation: "v1", Slots: 64, Sequence: 1,
+			Zone: fmt.Sprintf("zone%02d", i%Zones), SoftwareVersion: "v1", Slots: 64, Sequence: 1,
 		}
 		held := map[int]bool{i % Models: true}
 		for len(held) < HeldModels {
@@ -130,7 +130,7 @@
 		}
 		for model := range Models {
 			if held[model] {
-				table[i].Models = append(table[i].Models, protocol.HeldModel{Name: ModelName(model), Generation: 1})
+				table[i].Models = append(table[i].Models, protocol.LoadedModel{Name: ModelName(model), Generation: 1})
 			}
 		}
 	}
--- a/internal/systemsim/desk.go
+++ b/internal/systemsim/desk.go
@@ -255,7 +255,7 @@
 	for _, members := range [][]replica.Member{status.View.Voters, status.View.Chain, status.Live, {status.Self}} {
 		for _, member := range members {
 			known[member.Identity] = protocol.Member{
-				Identity: member.Identity, Address: member.Address, Control: member.Tag, Zone: member.Zone,
+				Identity: member.Identity, Address: member.Address, ControlAddress: member.Tag, Zone: member.Zone,
 			}
 		}
 	}
--- a/internal/systemsim/table.go
+++ b/internal/systemsim/table.go
@@ -55,7 +55,7 @@
 	known, isListed := t.listed[news.ID]
 	past, isBuried := t.graves[news.ID]
 	switch {
-	case news.State == protocol.Gone:
+	case news.State == protocol.Departed:
 		if isListed && news.Sequence >= known.sequence {
 			t.listed[news.ID] = row{state: known.state, sequence: news.Sequence}
 			t.bury(news.ID, true)
@@ -74,5 +74,5 @@
 // eligible tells whether the endpoint may get new requests.
 func (t *table) eligible(id string) bool {
 	r, isListed := t.listed[id]
-	return isListed && (r.state == protocol.Ready || r.state == protocol.Silent)
+	return isListed && (r.state == protocol.Ready || r.state == protocol.Unresponsive)
 }
