--- a/coordination/chain/contact.go
+++ b/coordination/chain/contact.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// contact is how a member proves how old its knowledge is. A proof is a moment on its own steady clock and an index: a
+// freshness is how a member proves how old its knowledge is. A proof is a moment on its own steady clock and an index: a
 // majority of the voters was in this epoch at the moment, and all that was acknowledged anywhere before it is at or
 // below the index. It holds once the index is applied here.
 //
@@ -25,12 +25,12 @@
 // under a number that changes with each life of the follower, each epoch, each refusal of its disk and each life of the
 // head. An answer carries the number, an echo counts only with the number of the receipts at hand, and under one number
 // only a ping that is newer than all before is noted. What is lost, late or out of order makes a proof only older.
-type contact struct {
-	number   uint64 // of the receipts
-	headLife uint64 // of the receipts
-	receipts []receipt
-	waiting  []proof // not held yet, oldest first: the head's marks, or what the head has told
-	held     proof   // the newest that holds
+type freshness struct {
+	generation      uint64 // of the receipts
+	headIncarnation uint64 // of the receipts
+	receipts        []receipt
+	candidates      []proof // not held yet, oldest first: the head's marks, or what the head has told
+	current         proof   // the newest that holds
 }
 
 // proof says that all that was acknowledged before the moment is at or below the index.
@@ -41,144 +41,144 @@
 
 // receipt is when a ping of the head first came.
 type receipt struct {
-	sent time.Duration // on the head's clock
-	at   time.Duration // on the own clock
+	sentAt     time.Duration // on the head's clock
+	receivedAt time.Duration // on the own clock
 }
 
 // contactRoom bounds receipts and waiting proofs.
-const contactRoom = 64
+const maxFreshnessEntries = 64
 
 // driftShare is the part of a time by which two steady clocks may differ over it: one in so many.
-const driftShare = 1000
+const clockDriftDivisor = 1000
 
-// beginContact forgets all proofs, in a new epoch or life or after the node has fallen back to its disk.
-func (n *Node) beginContact() {
+// resetFreshness forgets all proofs, in a new epoch or life or after the node has fallen back to its disk.
+func (n *Node) resetFreshness() {
 	if n.config.Mutation.ProofOutlivesEpoch {
-		n.contact = contact{waiting: n.contact.waiting, held: n.contact.held}
+		n.freshness = freshness{candidates: n.freshness.candidates, current: n.freshness.current}
 	} else {
-		n.contact = contact{}
+		n.freshness = freshness{}
 	}
-	n.renumberContact()
+	n.startReceiptGeneration()
 }
 
-// renumberContact begins a new list of receipts.
-func (n *Node) renumberContact() {
-	n.contacts++
-	n.contact.number = n.life + n.contacts
-	n.contact.receipts = nil
+// startReceiptGeneration begins a new list of receipts.
+func (n *Node) startReceiptGeneration() {
+	n.receiptGenerations++
+	n.freshness.generation = n.incarnation + n.receiptGenerations
+	n.freshness.receipts = nil
 }
 
-// runContact notes which proof holds by now.
-func (n *Node) runContact(now time.Duration) {
-	if n.proves() && n.view.Majority() == 1 { // nobody has to answer
-		n.mark(now)
+// updateFreshness notes which proof holds by now.
+func (n *Node) updateFreshness(now time.Duration) {
+	if n.mayProve() && n.view.Majority() == 1 { // nobody has to answer
+		n.recordProofCandidate(now)
 		n.wakeBy(now + n.timing.HeartbeatInterval)
 	}
-	before := n.contact.held
-	n.contact.hold(n.proved(now))
-	if n.isHead() && before.at == 0 && n.contact.held.at > 0 {
-		n.pingAtOnce(now)
+	before := n.freshness.current
+	n.freshness.setCurrent(n.currentProof(now))
+	if n.isHead() && before.at == 0 && n.freshness.current.at > 0 {
+		n.heartbeatLivePeersNow(now)
 	}
 }
 
-// pingAtOnce has the first proof of an epoch told to all live members.
-func (n *Node) pingAtOnce(now time.Duration) {
+// heartbeatLivePeersNow has the first proof of an epoch told to all live members.
+func (n *Node) heartbeatLivePeersNow(now time.Duration) {
 	for _, p := range n.peers {
-		if n.live(now, p) {
-			p.pingedAt = 0
+		if n.isLive(now, p) {
+			p.heartbeatSentAt = 0
 		}
 	}
 }
 
-// proves tells whether the node as head may count itself among the voters that are in its epoch, and its log as whole.
-func (n *Node) proves() bool { return n.isHead() && n.whole() && !n.wedged() && !n.refusing }
+// mayProve tells whether the node as head may count itself among the voters that are in its epoch, and its log as whole.
+func (n *Node) mayProve() bool { return n.isHead() && n.complete() && !n.sealed() && !n.diskFailing }
 
-// mark notes the last index at the sending of a ping.
-func (n *Node) mark(now time.Duration) {
-	if n.proves() {
-		n.contact.await(proof{at: now, index: n.log.last()})
+// recordProofCandidate notes the last index at the sending of a ping.
+func (n *Node) recordProofCandidate(now time.Duration) {
+	if n.mayProve() {
+		n.freshness.addCandidate(proof{at: now, index: n.log.lastIndex()})
 	}
 }
 
 // ConfirmedAt returns the moment of the newest proof; see Status.
-func (n *Node) ConfirmedAt(now time.Duration) time.Duration { return n.proved(now).at }
+func (n *Node) ConfirmedAt(now time.Duration) time.Duration { return n.currentProof(now).at }
 
-// proved returns the newest proof that holds now.
-func (n *Node) proved(now time.Duration) proof {
-	until, applied := now, n.applied
+// currentProof returns the newest proof that holds now.
+func (n *Node) currentProof(now time.Duration) proof {
+	until, applied := now, n.appliedIndex
 	if n.isHead() && !n.config.Mutation.ProofByClock {
-		until = n.confirmedSince(now)
+		until = n.majorityConfirmedAt(now)
 	}
 	if n.config.Mutation.ProofWithoutIndex {
 		applied = math.MaxUint64
 	}
-	return n.contact.newest(until, applied)
+	return n.freshness.newestValid(until, applied)
 }
 
-// onProof takes in what a ping tells of the head's proof, and notes the ping's receipt.
-func (n *Node) onProof(now time.Duration, ping Heartbeat) {
-	c := &n.contact
-	if ping.Incarnation != c.headLife {
-		c.headLife = ping.Incarnation
-		n.renumberContact()
+// handleProof takes in what a ping tells of the head's proof, and notes the ping's receipt.
+func (n *Node) handleProof(now time.Duration, ping Heartbeat) {
+	c := &n.freshness
+	if ping.Incarnation != c.headIncarnation {
+		c.headIncarnation = ping.Incarnation
+		n.startReceiptGeneration()
 	}
-	at, known := c.moment(ping, n.timing.SuspectTimeout)
+	at, known := c.proofMoment(ping, n.timing.SuspectTimeout)
 	if n.config.Mutation.ProofAtReceipt {
 		at, known = now-(ping.SentAt-ping.ProofAt), ping.ProofAt > 0
 	}
 	if known {
-		c.await(proof{at: at, index: ping.ProofIndex})
+		c.addCandidate(proof{at: at, index: ping.ProofIndex})
 	}
-	c.receive(receipt{sent: ping.SentAt, at: now})
+	c.addReceipt(receipt{sentAt: ping.SentAt, receivedAt: now})
 }
 
-// moment returns a time on the own clock that isn't after the moment of the head's proof. An echo places no proof that
+// proofMoment returns a time on the own clock that isn't after the moment of the head's proof. An echo places no proof that
 // is younger than it by more than the patience.
-func (c *contact) moment(ping Heartbeat, patience time.Duration) (time.Duration, bool) {
-	if ping.ProofAt == 0 || ping.EchoGeneration != c.number || ping.ProofAt-ping.EchoReceivedAt > patience {
+func (c *freshness) proofMoment(ping Heartbeat, patience time.Duration) (time.Duration, bool) {
+	if ping.ProofAt == 0 || ping.EchoGeneration != c.generation || ping.ProofAt-ping.EchoReceivedAt > patience {
 		return 0, false
 	}
 	for _, r := range c.receipts {
-		if r.sent == ping.Echo {
+		if r.sentAt == ping.Echo {
 			since := ping.EchoReceivedAt - ping.ProofAt
-			at := r.at - since - max(since, -since)/driftShare
+			at := r.receivedAt - since - max(since, -since)/clockDriftDivisor
 			return at, at > 0
 		}
 	}
 	return 0, false
 }
 
-// receive notes a ping that is newer than all before.
-func (c *contact) receive(r receipt) {
-	if len(c.receipts) > 0 && r.sent <= c.receipts[len(c.receipts)-1].sent {
+// addReceipt notes a ping that is newer than all before.
+func (c *freshness) addReceipt(r receipt) {
+	if len(c.receipts) > 0 && r.sentAt <= c.receipts[len(c.receipts)-1].sentAt {
 		return
 	}
-	if len(c.receipts) == contactRoom {
+	if len(c.receipts) == maxFreshnessEntries {
 		c.receipts = append(c.receipts[:0], c.receipts[1:]...)
 	}
 	c.receipts = append(c.receipts, r)
 }
 
-// await adds a proof that is newer than all before. Where there is no room it takes the place of the newest, so that
+// addCandidate adds a proof that is newer than all before. Where there is no room it takes the place of the newest, so that
 // the oldest can still come to hold.
-func (c *contact) await(p proof) {
-	newest := c.held.at
-	if len(c.waiting) > 0 {
-		newest = c.waiting[len(c.waiting)-1].at
+func (c *freshness) addCandidate(p proof) {
+	newest := c.current.at
+	if len(c.candidates) > 0 {
+		newest = c.candidates[len(c.candidates)-1].at
 	}
 	if p.at <= newest {
 		return
 	}
-	if len(c.waiting) == contactRoom {
-		c.waiting = c.waiting[:contactRoom-1]
+	if len(c.candidates) == maxFreshnessEntries {
+		c.candidates = c.candidates[:maxFreshnessEntries-1]
 	}
-	c.waiting = append(c.waiting, p)
+	c.candidates = append(c.candidates, p)
 }
 
-// newest returns the newest proof at or before the moment whose index is applied.
-func (c *contact) newest(until time.Duration, applied uint64) proof {
-	newest := c.held
-	for _, p := range c.waiting {
+// newestValid returns the newest proof at or before the moment whose index is applied.
+func (c *freshness) newestValid(until time.Duration, applied uint64) proof {
+	newest := c.current
+	for _, p := range c.candidates {
 		if p.at <= until && p.index <= applied {
 			newest = p
 		}
@@ -186,12 +186,12 @@
 	return newest
 }
 
-// hold notes the proof as held and forgets what is older.
-func (c *contact) hold(p proof) {
-	c.held = p
+// setCurrent notes the proof as held and forgets what is older.
+func (c *freshness) setCurrent(p proof) {
+	c.current = p
 	keep := 0
-	for keep < len(c.waiting) && c.waiting[keep].at <= p.at {
+	for keep < len(c.candidates) && c.candidates[keep].at <= p.at {
 		keep++
 	}
-	c.waiting = append(c.waiting[:0], c.waiting[keep:]...)
+	c.candidates = append(c.candidates[:0], c.candidates[keep:]...)
 }
--- a/coordination/chain/contact_test.go
+++ b/coordination/chain/contact_test.go
@@ -22,7 +22,7 @@
 func newFollower(t *testing.T) *follower {
 	n := founder(t, 1)
 	n.Persisted()
-	n.matched = true
+	n.logMatched = true
 	return &follower{Node: n, head: n.View().Head()}
 }
 
@@ -77,22 +77,22 @@
 		"nothing": func(f *follower) *follower { return f },
 		"restart": func(*follower) *follower {
 			next := newFollower(t)
-			next.life += 2
-			next.beginContact()
+			next.incarnation += 2
+			next.resetFreshness()
 			return next
 		},
 		"disk": func(f *follower) *follower {
 			f.PersistFailed(sent + testShift)
 			f.DiskRecovered(sent + testShift)
-			f.matched = true
+			f.logMatched = true
 			return f
 		},
 		"life of head": func(f *follower) *follower {
-			f.onProof(sent+testShift, Heartbeat{Incarnation: testLife + 1})
+			f.handleProof(sent+testShift, Heartbeat{Incarnation: testLife + 1})
 			return f
 		},
 		"newer receipts": func(f *follower) *follower {
-			for i := range time.Duration(2 * contactRoom) {
+			for i := range time.Duration(2 * maxFreshnessEntries) {
 				f.ping(sent+2*testHop+i, Heartbeat{SentAt: sent + 1 + i})
 			}
 			return f
@@ -117,7 +117,7 @@
 	number := f.ping(sent, Heartbeat{SentAt: sent}).ReceiptGeneration
 	told := Heartbeat{SentAt: sent + time.Second, Echo: sent, EchoReceivedAt: sent, EchoGeneration: number, ProofAt: sent - old}
 	f.ping(sent+time.Second, told)
-	if got, least := f.confirmedAt(sent+time.Second), old/driftShare; got == 0 || got > sent-old-least {
+	if got, least := f.confirmedAt(sent+time.Second), old/clockDriftDivisor; got == 0 || got > sent-old-least {
 		t.Errorf("%v is proved by a proof of %v", got, sent-old)
 	}
 }
@@ -137,16 +137,16 @@
 // After a silence a member asks again at once for what it lacks, however often it had asked in vain.
 func TestAsksAgainWhenItIsHeardAgain(t *testing.T) {
 	f := newFollower(t)
-	f.matched = false
+	f.logMatched = false
 	now := time.Minute
 	for range 40 {
 		f.ping(now, Heartbeat{SentAt: now, Echo: time.Second})
 		now += f.timing.HeartbeatInterval
 	}
-	before := f.feed.number
+	before := f.catchUp.lastRequestID
 	f.ping(now, Heartbeat{SentAt: now, Echo: now - time.Millisecond})
-	if f.feed.number != before+1 {
-		t.Errorf("%d questions when it is heard again", f.feed.number-before)
+	if f.catchUp.lastRequestID != before+1 {
+		t.Errorf("%d questions when it is heard again", f.catchUp.lastRequestID-before)
 	}
 }
 
@@ -183,7 +183,7 @@
 
 func (h testHead) answer(now, sent time.Duration, promised uint64) {
 	from := h.View().Chain[1]
-	pong := HeartbeatReply{Incarnation: h.life, HeartbeatSentAt: sent, CompleteEpoch: 1, ReceiptGeneration: 5, PromisedEpoch: promised}
+	pong := HeartbeatReply{Incarnation: h.incarnation, HeartbeatSentAt: sent, CompleteEpoch: 1, ReceiptGeneration: 5, PromisedEpoch: promised}
 	h.Receive(now, from.Address, Message{From: from.Identity, Epoch: 1, HeartbeatReply: &pong})
 	h.Persisted()
 	h.TakeCommitted()
--- a/coordination/chain/golden_test.go
+++ b/coordination/chain/golden_test.go
@@ -259,20 +259,20 @@
 	}
 	entry := Entry{Index: 108, Epoch: 109, ID: CommandID{Proposer: 110, Number: 111}, Command: []byte("command")}
 	known := []view.Member{goldenMember("k"), goldenMember("l")}
-	whole := base{Index: 113, Epoch: 114, Snapshot: SnapshotPoint{Index: 115, Epoch: 116}}
+	whole := checkpointBase{Index: 113, Epoch: 114, Snapshot: SnapshotPoint{Index: 115, Epoch: 116}}
 	return []goldenValue{
 		{"1", &record{Self: &self}},
 		{"2", &record{View: &v}},
 		{"3", &record{Acceptor: &acceptor}},
-		{"4", &record{Active: 107}},
+		{"4", &record{CompleteEpoch: 107}},
 		{"5", &record{Entry: &entry}},
-		{"6", &record{Cut: &cut}},
-		{"7", &record{Committed: 112}},
-		{"8", &record{Known: known}},
+		{"6", &record{TruncateAfter: &cut}},
+		{"7", &record{CommitIndex: 112}},
+		{"8", &record{KnownMembers: known}},
 		{"9", &record{Base: &whole}},
 		{"all", &record{
-			Self: &self, View: &v, Acceptor: &acceptor, Active: 107, Entry: &entry, Cut: &cut, Committed: 112,
-			Known: known, Base: &whole,
+			Self: &self, View: &v, Acceptor: &acceptor, CompleteEpoch: 107, Entry: &entry, TruncateAfter: &cut, CommitIndex: 112,
+			KnownMembers: known, Base: &whole,
 		}},
 	}
 }
@@ -285,8 +285,8 @@
 		{"2", &record{View: &view.View{}}},
 		{"3", &record{Acceptor: &view.Acceptor{}}},
 		{"5", &record{Entry: &Entry{}}},
-		{"6", &record{Cut: new(uint64)}},
-		{"9", &record{Base: &base{}}},
+		{"6", &record{TruncateAfter: new(uint64)}},
+		{"9", &record{Base: &checkpointBase{}}},
 	}
 }
 
@@ -344,20 +344,20 @@
 	}
 	return []goldenValue{
 		{"1", &record{
-			Base: &base{Index: 10, Epoch: 3, Snapshot: SnapshotPoint{Index: 12, Epoch: 4}},
-			Self: &self, View: &old, Acceptor: &first, Active: 4, Committed: 11, Known: []view.Member{goldenMember("b")},
+			Base: &checkpointBase{Index: 10, Epoch: 3, Snapshot: SnapshotPoint{Index: 12, Epoch: 4}},
+			Self: &self, View: &old, Acceptor: &first, CompleteEpoch: 4, CommitIndex: 11, KnownMembers: []view.Member{goldenMember("b")},
 		}},
 		{"2", &record{Entry: entry(11, 3, "eleven")}},
 		{"3", &record{Entry: entry(12, 4, "twelve")}},
 		{"4", &record{Entry: entry(13, 5, "replaced")}},
 		{"5", &record{Entry: entry(14, 5, "cut off")}},
-		{"6", &record{Cut: &cut}},
+		{"6", &record{TruncateAfter: &cut}},
 		{"7", &record{Entry: entry(14, 5, "replaced with its predecessor")}},
-		{"8", &record{View: &newer, Active: 6}},
+		{"8", &record{View: &newer, CompleteEpoch: 6}},
 		{"9", &record{Entry: entry(13, 6, "thirteen")}},
 		{"10", &record{Acceptor: &second}},
 		{"11", &record{
-			Entry: entry(14, 6, "fourteen"), Committed: 13, Known: []view.Member{goldenMember("b"), goldenMember("c")},
+			Entry: entry(14, 6, "fourteen"), CommitIndex: 13, KnownMembers: []view.Member{goldenMember("b"), goldenMember("c")},
 		}},
 	}
 }
--- a/coordination/chain/leave.go
+++ b/coordination/chain/leave.go
@@ -25,21 +25,21 @@
 		return "" // it holds nothing
 	case n.isHead():
 		return "no other member of the chain can be the head"
-	case !n.watch.pinged:
+	case !n.detector.heartbeatReceived:
 		return fmt.Sprintf("the head of epoch %d has not been heard", n.view.Epoch)
 	case n.inChain():
 		return fmt.Sprintf("the chain needs it: it has %d members, %d are the least, and no voter outside is ready",
-			len(n.view.Chain), n.minimum())
-	case n.watch.copies < needed:
-		return fmt.Sprintf("%d other members are known to hold everything, %d must", n.watch.copies, needed)
+			len(n.view.Chain), n.minChainLength())
+	case n.detector.durableReplicas < needed:
+		return fmt.Sprintf("%d other members are known to hold everything, %d must", n.detector.durableReplicas, needed)
 	}
 	return ""
 }
 
-// copiesBeside counts the members beside one outside the chain that stay and hold everything that was acknowledged
+// durableReplicasBeside counts the members beside one outside the chain that stay and hold everything that was acknowledged
 // before this epoch. What is acknowledged in it is held by its whole chain.
-func (n *Node) copiesBeside(now time.Duration, going *peer) int {
-	if !n.whole() || n.refusing {
+func (n *Node) durableReplicasBeside(now time.Duration, going *peer) int {
+	if !n.complete() || n.diskFailing {
 		return 0
 	}
 	copies := 0
@@ -47,17 +47,17 @@
 		copies++
 	}
 	for _, p := range n.peers {
-		if p != going && p.answered && n.live(now, p) && n.holdsBeginning(p) {
+		if p != going && p.replied && n.isLive(now, p) && n.hasStateBeforeEpoch(p) {
 			copies++
 		}
 	}
 	return copies
 }
 
-// holdsBeginning tells whether a member that stays has, on its disk, all that the head held when the epoch began.
-func (n *Node) holdsBeginning(p *peer) bool {
+// hasStateBeforeEpoch tells whether a member that stays has, on its disk, all that the head held when the epoch began.
+func (n *Node) hasStateBeforeEpoch(p *peer) bool {
 	if n.config.Mutation.CountLearners {
 		return true
 	}
-	return p.pong.Matched && p.pong.LastIndex >= n.start && !p.pong.DiskFailing && !p.pong.Leaving
+	return p.lastReply.Matched && p.lastReply.LastIndex >= n.epochStartIndex && !p.lastReply.DiskFailing && !p.lastReply.Leaving
 }
--- a/coordination/chain/leave_test.go
+++ b/coordination/chain/leave_test.go
@@ -26,7 +26,7 @@
 func copiesTold(t *testing.T, n *Node, pong HeartbeatReply) int {
 	t.Helper()
 	now := n.lastStep + 400*time.Millisecond
-	pong.Incarnation, pong.HeartbeatSentAt = n.life, now
+	pong.Incarnation, pong.HeartbeatSentAt = n.incarnation, now
 	n.Receive(now, "c", Message{From: "c", To: "a", Epoch: 2, HeartbeatReply: &pong})
 	for _, envelope := range n.Tick(now + n.timing.HeartbeatInterval).Messages {
 		if envelope.Address == "b" && envelope.Message.Heartbeat != nil {
--- a/coordination/chain/log_test.go
+++ b/coordination/chain/log_test.go
@@ -11,12 +11,12 @@
 )
 
 // drawLog draws a log that begins with a given prefix and goes on with entries of rising epochs.
-func drawLog(t *rapid.T, prefix []Entry, epochs *rapid.Generator[uint64]) entries {
-	log := entries{list: slices.Clone(prefix)}
+func drawLog(t *rapid.T, prefix []Entry, epochs *rapid.Generator[uint64]) memoryLog {
+	log := memoryLog{entries: slices.Clone(prefix)}
 	epoch := log.lastEpoch()
 	for range rapid.IntRange(0, 6).Draw(t, "more") {
 		epoch = max(epoch, epochs.Draw(t, "epoch"))
-		log.append(Entry{Index: log.last() + 1, Epoch: epoch})
+		log.append(Entry{Index: log.lastIndex() + 1, Epoch: epoch})
 	}
 	return log
 }
@@ -26,13 +26,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		shared := drawLog(t, nil, rapid.Uint64Range(1, 3))
 		// An entry of one index and epoch is the same everywhere, so the two go on with different epochs.
-		mine := drawLog(t, shared.list, rapid.SampledFrom([]uint64{4, 6, 8}))
-		other := drawLog(t, shared.list, rapid.SampledFrom([]uint64{5, 7, 9}))
-		committed := rapid.Uint64Range(0, shared.last()).Draw(t, "committed")
-		mine.trim(rapid.Uint64Range(0, shared.last()).Draw(t, "base"))
-		got := mine.common(committed, other.ends(committed))
-		want := shared.last()
-		if want < mine.base {
+		mine := drawLog(t, shared.entries, rapid.SampledFrom([]uint64{4, 6, 8}))
+		other := drawLog(t, shared.entries, rapid.SampledFrom([]uint64{5, 7, 9}))
+		committed := rapid.Uint64Range(0, shared.lastIndex()).Draw(t, "committed")
+		mine.compact(rapid.Uint64Range(0, shared.lastIndex()).Draw(t, "base"))
+		got := mine.commonIndex(committed, other.epochEnds(committed))
+		want := shared.lastIndex()
+		if want < mine.baseIndex {
 			want = committed
 		}
 		if got != want {
@@ -44,10 +44,10 @@
 func drawState(t *rapid.T) State {
 	member := view.Member{Identity: "a", Address: "10.0.0.1:1", Zone: "z", Tag: "t"}
 	base := rapid.Uint64Range(0, 9).Draw(t, "base")
-	log := entries{base: base, baseEpoch: base / 4}
+	log := memoryLog{baseIndex: base, baseEpoch: base / 4}
 	for i := range rapid.IntRange(0, 5).Draw(t, "entries") {
 		log.append(Entry{
-			Index: log.last() + 1, Epoch: 5, ID: CommandID{Proposer: 1, Number: uint64(i)},
+			Index: log.lastIndex() + 1, Epoch: 5, ID: CommandID{Proposer: 1, Number: uint64(i)},
 			Command: rapid.SliceOfN(rapid.Byte(), 1, 9).Draw(t, "command"),
 		})
 	}
@@ -56,8 +56,8 @@
 		View:          view.View{Epoch: 5, Chain: []view.Member{member}, Voters: []view.Member{member}},
 		Acceptor:      view.Acceptor{Epoch: 6, Promised: view.ProposalNumber{Round: 3, Proposer: "a"}},
 		CompleteEpoch: 4,
-		CommitIndex:   rapid.Uint64Range(base, log.last()).Draw(t, "committed"),
-		BaseIndex:     base, BaseEpoch: base / 4, Entries: log.list,
+		CommitIndex:   rapid.Uint64Range(base, log.lastIndex()).Draw(t, "committed"),
+		BaseIndex:     base, BaseEpoch: base / 4, Entries: log.entries,
 		Snapshot:     SnapshotPoint{Index: base, Epoch: base / 4},
 		KnownMembers: []view.Member{member},
 	}
@@ -80,14 +80,14 @@
 // Later entries replace earlier ones from their index on; a gap is an error.
 func TestRecordsReplace(t *testing.T) {
 	entry := func(index, epoch uint64) []byte {
-		return encode(record{Entry: &Entry{Index: index, Epoch: epoch}})
+		return encodeRecord(record{Entry: &Entry{Index: index, Epoch: epoch}})
 	}
 	state, err := Restore([][]byte{entry(1, 1), entry(2, 1), entry(3, 1), entry(2, 2)})
 	if err != nil || len(state.Entries) != 2 || state.Entries[1].Epoch != 2 {
 		t.Errorf("%+v, %v", state.Entries, err)
 	}
 	cut := uint64(1)
-	state, err = Restore([][]byte{entry(1, 1), entry(2, 1), encode(record{Cut: &cut})})
+	state, err = Restore([][]byte{entry(1, 1), entry(2, 1), encodeRecord(record{TruncateAfter: &cut})})
 	if err != nil || len(state.Entries) != 1 {
 		t.Errorf("%+v, %v", state.Entries, err)
 	}
--- a/coordination/chain/node_test.go
+++ b/coordination/chain/node_test.go
@@ -52,10 +52,10 @@
 		from := n.View().Chain[0]
 		n.Receive(time.Second, from.Address, Message{From: from.Identity, ViewDecision: &ViewDecision{View: later(n)}})
 		n.Persisted()
-		before := n.durable
+		before := n.durableState
 		message.From, message.Epoch = from.Identity, 1
 		out := n.Receive(2*time.Second, from.Address, message)
-		if len(out.Records) > 0 || !reflect.DeepEqual(before, n.durable) {
+		if len(out.Records) > 0 || !reflect.DeepEqual(before, n.durableState) {
 			t.Errorf("%+v changes the state", message)
 		}
 		told := false
@@ -83,12 +83,12 @@
 		t.Fatal("the promise is not kept on disk")
 	}
 	for _, message := range []Message{
-		{Append: &Append{InReplyTo: n.feed.number, Entries: []Entry{{Index: 1, Epoch: 1}}}},
+		{Append: &Append{InReplyTo: n.catchUp.lastRequestID, Entries: []Entry{{Index: 1, Epoch: 1}}}},
 		{Barrier: &Barrier{RequestID: 1, Requester: "x", RequesterAddress: "x"}},
 	} {
 		message.From, message.Epoch = head.Identity, 1
 		n.Receive(time.Second, head.Address, message)
-		if n.log.last() != 0 {
+		if n.log.lastIndex() != 0 {
 			t.Errorf("%+v is taken", message)
 		}
 	}
@@ -105,13 +105,13 @@
 func TestRefusedWriteIsTakenBack(t *testing.T) {
 	n := founder(t, 0)
 	n.Persisted()
-	before := n.durable
+	before := n.durableState
 	_, out := n.Propose(time.Second, []byte("x"))
-	if len(out.Records) == 0 || n.log.last() != 1 {
+	if len(out.Records) == 0 || n.log.lastIndex() != 1 {
 		t.Fatal("the head does not take the command")
 	}
 	n.PersistFailed(time.Second)
-	if !reflect.DeepEqual(before.log, n.durable.log) || !n.DiskFailing() {
+	if !reflect.DeepEqual(before.log, n.durableState.log) || !n.DiskFailing() {
 		t.Errorf("log %+v after a refused write", n.log)
 	}
 	if _, out := n.Propose(time.Second, []byte("y")); len(out.Records) > 0 {
@@ -130,7 +130,7 @@
 		})
 		n.Persisted()
 	}
-	if n.log.last() != 1 {
-		t.Errorf("%d entries", n.log.last())
+	if n.log.lastIndex() != 1 {
+		t.Errorf("%d entries", n.log.lastIndex())
 	}
 }
--- a/coordination/chain/receive.go
+++ b/coordination/chain/receive.go
@@ -12,47 +12,47 @@
 		return
 	}
 	if m.To != "" && m.To != n.self.Identity {
-		n.onMisdirected(now, address)
+		n.handleMisdirected(now, address)
 		return
 	}
 	switch {
 	case m.Hello != nil:
-		n.onHello(now, address, m)
+		n.handleHello(now, address, m)
 	case m.ViewRequest != nil:
-		n.tellView(now, m.From, address)
+		n.sendView(now, m.From, address)
 	case m.ViewDecision != nil:
-		n.onDecided(now, *m.ViewDecision)
+		n.handleViewDecision(now, *m.ViewDecision)
 	case m.Prepare != nil:
-		n.onPrepare(now, address, m.From, *m.Prepare)
+		n.handlePrepare(now, address, m.From, *m.Prepare)
 	case m.BarrierReply != nil:
-		n.requests.barrierPassed(m.BarrierReply.RequestID, m.BarrierReply.Index)
+		n.pending.barrierAnswered(m.BarrierReply.RequestID, m.BarrierReply.Index)
 	default:
-		if n.sameEpoch(now, address, m) {
+		if n.checkEpoch(now, address, m) {
 			n.receiveInEpoch(now, address, m)
 		}
 	}
 }
 
-// onMisdirected hears a message to the member that was at this address before and has lost its disk. Whoever still
+// handleMisdirected hears a message to the member that was at this address before and has lost its disk. Whoever still
 // looks for that one knows the group, also where none of the seeds is left.
-func (n *Node) onMisdirected(now time.Duration, address string) {
-	if n.view.Epoch > 0 || n.watch.misdirectedAt > 0 && now-n.watch.misdirectedAt < helloEvery {
+func (n *Node) handleMisdirected(now time.Duration, address string) {
+	if n.view.Epoch > 0 || n.detector.misdirectedAnsweredAt > 0 && now-n.detector.misdirectedAnsweredAt < helloInterval {
 		return
 	}
-	n.watch.misdirectedAt = now
+	n.detector.misdirectedAnsweredAt = now
 	n.sendTo(address, Message{Hello: &Hello{Member: n.self}})
 }
 
-// sameEpoch refuses messages of other epochs and sees that the one behind learns of the later one.
-func (n *Node) sameEpoch(now time.Duration, address string, m Message) bool {
+// checkEpoch refuses messages of other epochs and sees that the one behind learns of the later one.
+func (n *Node) checkEpoch(now time.Duration, address string, m Message) bool {
 	switch {
 	case m.Epoch < n.view.Epoch && n.config.Mutation.NoEpochCheck && m.Epoch > 0:
 		return true
 	case m.Epoch < n.view.Epoch:
-		n.tellView(now, m.From, address)
+		n.sendView(now, m.From, address)
 		return false
 	case m.Epoch > n.view.Epoch:
-		n.askView(now, m.From, address)
+		n.requestView(now, m.From, address)
 		return false
 	}
 	return n.view.Epoch > 0
@@ -61,149 +61,149 @@
 func (n *Node) receiveInEpoch(now time.Duration, address string, m Message) {
 	switch {
 	case m.Heartbeat != nil:
-		n.onPing(now, address, m)
+		n.handleHeartbeat(now, address, m)
 	case m.HeartbeatReply != nil:
-		n.onPong(now, m.From, *m.HeartbeatReply)
+		n.handleHeartbeatReply(now, m.From, *m.HeartbeatReply)
 	case m.Fetch != nil:
-		n.onFetch(now, address, m.From, *m.Fetch)
+		n.handleFetch(now, address, m.From, *m.Fetch)
 	case m.Append != nil:
-		n.onAppend(now, m.From, *m.Append)
+		n.handleAppend(now, m.From, *m.Append)
 	case m.Commit != nil:
-		n.onCommit(m.Commit.Index)
+		n.handleCommit(m.Commit.Index)
 	case m.Forward != nil:
-		n.onForward(*m.Forward)
+		n.handleForward(*m.Forward)
 	case m.Barrier != nil:
-		n.onBarrier(*m.Barrier)
+		n.handleBarrier(*m.Barrier)
 	case m.PreVote != nil:
-		n.onPoll(now, address, m.From, *m.PreVote)
+		n.handlePreVote(now, address, m.From, *m.PreVote)
 	case m.PreVoteReply != nil:
-		n.onPollReply(now, m.From, *m.PreVoteReply)
+		n.handlePreVoteReply(now, m.From, *m.PreVoteReply)
 	case m.Promise != nil:
-		n.onPromise(now, *m.Promise)
+		n.handlePromise(now, *m.Promise)
 	case m.Accept != nil:
-		n.onAccept(now, address, m.From, *m.Accept)
+		n.handleAccept(now, address, m.From, *m.Accept)
 	case m.Accepted != nil:
-		n.onAccepted(now, m.From, *m.Accepted)
+		n.handleAccepted(now, m.From, *m.Accepted)
 	}
 }
 
 // tellEvery limits how often one member is told or asked for a view.
-const tellEvery = 50 * time.Millisecond
+const viewSendInterval = 50 * time.Millisecond
 
-// tellView sends the view to a member that is behind.
-func (n *Node) tellView(now time.Duration, identity, address string) {
-	if n.view.Epoch == 0 || !n.mayTell(now, identity) {
+// sendView sends the view to a member that is behind.
+func (n *Node) sendView(now time.Duration, identity, address string) {
+	if n.view.Epoch == 0 || !n.mayExchangeView(now, identity) {
 		return
 	}
-	n.sendTo(address, Message{To: identity, ViewDecision: &ViewDecision{View: n.filled(n.view), PriorLeasesExpired: n.clear}})
+	n.sendTo(address, Message{To: identity, ViewDecision: &ViewDecision{View: n.resolveView(n.view), PriorLeasesExpired: n.priorLeasesExpired}})
 }
 
-// askView asks a member that has shown a later epoch for its view.
-func (n *Node) askView(now time.Duration, identity, address string) {
-	if n.mayTell(now, identity) {
+// requestView asks a member that has shown a later epoch for its view.
+func (n *Node) requestView(now time.Duration, identity, address string) {
+	if n.mayExchangeView(now, identity) {
 		n.sendTo(address, Message{To: identity, ViewRequest: &ViewRequest{}})
 	}
 }
 
-func (n *Node) mayTell(now time.Duration, identity string) bool {
-	p := n.find(identity)
+func (n *Node) mayExchangeView(now time.Duration, identity string) bool {
+	p := n.findPeer(identity)
 	if p == nil {
 		return true
 	}
-	if p.toldAt > 0 && now-p.toldAt < tellEvery {
+	if p.viewSentAt > 0 && now-p.viewSentAt < viewSendInterval {
 		return false
 	}
-	p.toldAt = now
+	p.viewSentAt = now
 	return true
 }
 
-// onHello takes in a member and shows it the way to the head.
-func (n *Node) onHello(now time.Duration, address string, m Message) {
-	p := n.learn(now, m.Hello.Member)
+// handleHello takes in a member and shows it the way to the head.
+func (n *Node) handleHello(now time.Duration, address string, m Message) {
+	p := n.learnMember(now, m.Hello.Member)
 	if p == nil || m.From != m.Hello.Member.Identity {
 		return
 	}
-	p.helloAt = now
-	n.buryFormer(now, p.member)
+	p.helloReceivedAt = now
+	n.suspectFormerIdentity(now, p.member)
 	switch {
 	case m.Epoch < n.view.Epoch:
-		n.tellView(now, m.From, address)
+		n.sendView(now, m.From, address)
 	case m.Epoch > n.view.Epoch:
-		n.askView(now, m.From, address)
+		n.requestView(now, m.From, address)
 	case n.isHead():
-		n.ping(now, p)
+		n.sendHeartbeat(now, p)
 	}
 }
 
-// buryFormer takes the member for dead that was known at the address of another: it has lost its disk. Its own word
+// suspectFormerIdentity takes the member for dead that was known at the address of another: it has lost its disk. Its own word
 // would take this back.
-func (n *Node) buryFormer(now time.Duration, member view.Member) {
+func (n *Node) suspectFormerIdentity(now time.Duration, member view.Member) {
 	for _, former := range n.peers {
 		if former.member.Address != member.Address || former.member.Identity == member.Identity {
 			continue
 		}
 		former.heardAt = min(former.heardAt, now-n.timing.SuspectTimeout-time.Millisecond)
 		if former.member.Identity == n.view.Head().Identity {
-			n.watch.yielding = true
+			n.detector.headStepsDown = true
 		}
 	}
 }
 
-// onDecided enters a view that is later than the node's own.
-func (n *Node) onDecided(now time.Duration, d ViewDecision) {
+// handleViewDecision enters a view that is later than the node's own.
+func (n *Node) handleViewDecision(now time.Duration, d ViewDecision) {
 	if d.View.Epoch <= n.view.Epoch || len(d.View.Chain) == 0 {
 		return
 	}
-	n.enter(now, d.View, d.PriorLeasesExpired)
+	n.enterView(now, d.View, d.PriorLeasesExpired)
 }
 
-// enter begins a view. What was promised towards it is done with.
-func (n *Node) enter(now time.Duration, v view.View, clean bool) {
+// enterView begins a view. What was promised towards it is done with.
+func (n *Node) enterView(now time.Duration, v view.View, clean bool) {
 	before := n.view.Head().Identity
-	n.view, n.clear = v, clean
-	n.learnView(now, v)
+	n.view, n.priorLeasesExpired = v, clean
+	n.learnViewMembers(now, v)
 	r := record{View: &v}
 	if n.isHead() || n.config.Mutation.EarlyComplete && n.inChain() {
-		n.active = v.Epoch
-		r.Active = v.Epoch
+		n.completeEpoch = v.Epoch
+		r.CompleteEpoch = v.Epoch
 	}
-	if !n.refusing {
-		n.known, n.unsaved = n.members(), true
+	if !n.diskFailing {
+		n.knownMembers, n.unsavedProgress = n.members(), true
 		n.persist(r)
 	}
 	if !clean {
-		n.watch.previousMayAct = now + n.timing.LeaseTTL + leaseMargin
+		n.detector.previousLeaseExpiry = now + n.timing.LeaseTTL + leaseMargin
 	}
 	if before != n.self.Identity {
-		n.giveGrace(now)
+		n.resetLastHeard(now)
 	}
-	n.begin(now)
+	n.resetVolatile(now)
 }
 
-// giveGrace has all peers count as heard now, for a head that has not watched them so far.
-func (n *Node) giveGrace(now time.Duration) {
+// resetLastHeard has all peers count as heard now, for a head that has not watched them so far.
+func (n *Node) resetLastHeard(now time.Duration) {
 	for _, p := range n.peers {
 		p.heardAt = now
 	}
 }
 
-// begin resets all that is volatile in an epoch: after a start, a change of view or a refused write.
-func (n *Node) begin(now time.Duration) {
-	n.matched = n.whole()
-	n.start = n.log.last()
-	n.feed = feed{number: n.feed.number, settled: n.feed.number}
-	n.change = change{}
+// resetVolatile resets all that is volatile in an epoch: after a start, a change of view or a refused write.
+func (n *Node) resetVolatile(now time.Duration) {
+	n.logMatched = n.complete()
+	n.epochStartIndex = n.log.lastIndex()
+	n.catchUp = catchUp{lastRequestID: n.catchUp.lastRequestID, answeredUpTo: n.catchUp.lastRequestID}
+	n.viewChange = viewChange{}
 	for _, p := range n.peers {
-		p.next, p.waiting, p.asked, p.backlog = 0, false, nil, backlog{}
-		p.confirmed, p.pong, p.answered = 0, HeartbeatReply{}, false
+		p.nextIndex, p.fetchesMore, p.deferredFetch, p.inFlight = 0, false, nil, inFlightAnswer{}
+		p.confirmedSentAt, p.lastReply, p.replied = 0, HeartbeatReply{}, false
 		p.progressAt = now
 	}
-	n.learnView(now, n.view)
-	for _, member := range n.known {
-		n.learn(now, member)
+	n.learnViewMembers(now, n.view)
+	for _, member := range n.knownMembers {
+		n.learnMember(now, member)
 	}
-	n.beginWatch(now)
-	n.beginContact()
-	n.requests.resend()
-	n.commitHere()
+	n.resetFailureDetector(now)
+	n.resetFreshness()
+	n.pending.resendAll()
+	n.commitAtTail()
 }
--- a/coordination/chain/snapshot.go
+++ b/coordination/chain/snapshot.go
@@ -7,7 +7,7 @@
 )
 
 // snapshotRecentLimit is how many identities of applied commands are remembered against repetition.
-const snapshotRecentLimit = 1024
+const maxRecentCommands = 1024
 
 // Snapshot is the applied state up to an index, as it lies on disk and travels to members that lack too much.
 type Snapshot struct {
@@ -34,30 +34,30 @@
 	return s, nil
 }
 
-// recent remembers the newest applied identities, oldest first.
-type recent struct {
+// recentCommands remembers the newest applied identities, oldest first.
+type recentCommands struct {
 	order []CommandID
-	held  map[CommandID]struct{}
+	ids   map[CommandID]struct{}
 }
 
-func newRecent(order []CommandID) recent {
-	r := recent{order: append([]CommandID(nil), order...), held: make(map[CommandID]struct{}, len(order))}
+func newRecent(order []CommandID) recentCommands {
+	r := recentCommands{order: append([]CommandID(nil), order...), ids: make(map[CommandID]struct{}, len(order))}
 	for _, id := range order {
-		r.held[id] = struct{}{}
+		r.ids[id] = struct{}{}
 	}
 	return r
 }
 
-func (r *recent) has(id CommandID) bool {
-	_, held := r.held[id]
+func (r *recentCommands) has(id CommandID) bool {
+	_, held := r.ids[id]
 	return held
 }
 
-func (r *recent) add(id CommandID) {
+func (r *recentCommands) add(id CommandID) {
 	r.order = append(r.order, id)
-	r.held[id] = struct{}{}
-	if len(r.order) > snapshotRecentLimit {
-		delete(r.held, r.order[0])
+	r.ids[id] = struct{}{}
+	if len(r.order) > maxRecentCommands {
+		delete(r.ids, r.order[0])
 		r.order = r.order[1:]
 	}
 }
--- a/coordination/chain/string.go
+++ b/coordination/chain/string.go
@@ -21,17 +21,17 @@
 		set  bool
 		name string
 	}{
-		{n.wedged(), " promised"},
-		{n.whole(), " whole"},
-		{n.matched, " matched"},
-		{n.refusing, " refusing"},
+		{n.sealed(), " promised"},
+		{n.complete(), " whole"},
+		{n.logMatched, " matched"},
+		{n.diskFailing, " refusing"},
 		{n.leaving, " leaving"},
-		{n.watch.leaderSince > 0, " leader"},
+		{n.detector.leaderSince > 0, " leader"},
 	} {
 		if mark.set {
 			marks += mark.name
 		}
 	}
 	return fmt.Sprintf("epoch %d chain %s voters %s: log %d-%d committed %d active %d%s",
-		n.view.Epoch, names(n.view.Chain), names(n.view.Voters), n.log.base, n.log.last(), n.committed, n.active, marks)
+		n.view.Epoch, names(n.view.Chain), names(n.view.Voters), n.log.baseIndex, n.log.lastIndex(), n.commitIndex, n.completeEpoch, marks)
 }
