--- a/internal/control/distribution/standing.go
+++ b/internal/control/distribution/standing.go
@@ -12,15 +12,15 @@
 }
 
 // standing is what a message that is decided now states on a connection.
-func (h *Hub) standing(now time.Time, connection ConnectionID) protocol.Standing {
-	standing := protocol.Standing{
-		Epoch: h.contact.Epoch,
-		Known: !h.contact.ConfirmedAt.IsZero(),
-		At:    now.Sub(h.started),
-		Mark:  h.marks[connection],
+func (h *Hub) standing(now time.Time, connection ConnectionID) protocol.FreshnessProof {
+	standing := protocol.FreshnessProof{
+		Epoch:              h.contact.Epoch,
+		HasMajorityContact: !h.contact.ConfirmedAt.IsZero(),
+		SentAt:             now.Sub(h.started),
+		EchoedSequence:     h.marks[connection],
 	}
-	if standing.Known {
-		standing.Age = max(0, now.Sub(h.contact.ConfirmedAt))
+	if standing.HasMajorityContact {
+		standing.MajorityContactAge = max(0, now.Sub(h.contact.ConfirmedAt))
 	}
 	return standing
 }
@@ -35,7 +35,7 @@
 // probed answers at once, whoever asks.
 func (h *Hub) probed(now time.Time, in Probed) {
 	h.noteMark(in.Connection, in.Mark)
-	answer := &protocol.Probed{Generation: h.generation, Standing: h.standing(now, in.Connection)}
+	answer := &protocol.ProbeReply{Generation: h.generation, Freshness: h.standing(now, in.Connection)}
 	h.out.Send = append(h.out.Send, Send{Connection: in.Connection, Message: answer})
 }
 
--- a/internal/control/distribution/standing_test.go
+++ b/internal/control/distribution/standing_test.go
@@ -15,8 +15,8 @@
 func contactAt(at time.Time) Contact { return Contact{Epoch: epoch, ConfirmedAt: at} }
 
 // standingsTo returns what all messages to a connection state.
-func standingsTo(out Output, connection ConnectionID) []protocol.Standing {
-	var standings []protocol.Standing
+func standingsTo(out Output, connection ConnectionID) []protocol.FreshnessProof {
+	var standings []protocol.FreshnessProof
 	for _, message := range out.Send {
 		if message.Connection == connection {
 			standings = append(standings, standingOf(message.Message))
@@ -25,14 +25,14 @@
 	return standings
 }
 
-func standingOf(message any) protocol.Standing {
+func standingOf(message any) protocol.FreshnessProof {
 	switch message := message.(type) {
 	case *protocol.Update:
-		return message.Standing
+		return message.Freshness
 	case *protocol.Beacon:
-		return message.Standing
-	case *protocol.Probed:
-		return message.Standing
+		return message.Freshness
+	case *protocol.ProbeReply:
+		return message.Freshness
 	}
 	panic("a message without standing")
 }
@@ -52,17 +52,17 @@
 	h := New(begin)
 	at := begin.Add(2 * time.Second)
 	out := h.Step(at, noTable, contactAt(at.Add(-30*time.Millisecond)), subscribed(1, "r1", 0))
-	want := protocol.Standing{Epoch: epoch, Known: true, Age: 30 * time.Millisecond, At: 2 * time.Second}
+	want := protocol.FreshnessProof{Epoch: epoch, HasMajorityContact: true, MajorityContactAge: 30 * time.Millisecond, SentAt: 2 * time.Second}
 	if got := standingsTo(out, 1); len(got) != 1 || got[0] != want {
 		t.Errorf("first update states %+v, want %+v", got, want)
 	}
 	out = h.Step(at.Add(BeaconEvery), noTable)
-	want.Age, want.At = 30*time.Millisecond+BeaconEvery, at.Add(BeaconEvery).Sub(begin)
+	want.MajorityContactAge, want.SentAt = 30*time.Millisecond+BeaconEvery, at.Add(BeaconEvery).Sub(begin)
 	if got := standingsTo(out, 1); beaconsTo(out, 1) != 1 || got[0] != want {
 		t.Errorf("beacon states %+v, want %+v", got, want)
 	}
 	out = h.Step(at.Add(BeaconEvery), noTable, Probed{Connection: 2, Mark: 9})
-	want.Mark = 9
+	want.EchoedSequence = 9
 	if got := standingsTo(out, 2); len(got) != 1 || got[0] != want {
 		t.Errorf("answer to a probe states %+v, want %+v", got, want)
 	}
@@ -71,7 +71,7 @@
 func TestWithoutContactTheStandingSaysSo(t *testing.T) {
 	h := New(begin)
 	out := h.Step(begin.Add(time.Second), noTable, Contact{Epoch: epoch}, subscribed(1, "r1", 0))
-	want := protocol.Standing{Epoch: epoch, At: time.Second}
+	want := protocol.FreshnessProof{Epoch: epoch, SentAt: time.Second}
 	if got := standingsTo(out, 1); len(got) != 1 || got[0] != want {
 		t.Errorf("states %+v, want %+v", got, want)
 	}
@@ -80,7 +80,7 @@
 func TestContactAfterTheStepIsNotOlderThanTheMessage(t *testing.T) {
 	h := New(begin)
 	out := h.Step(begin, noTable, contactAt(begin.Add(time.Millisecond)), subscribed(1, "r1", 0))
-	if got := standingsTo(out, 1); !got[0].Known || got[0].Age != 0 {
+	if got := standingsTo(out, 1); !got[0].HasMajorityContact || got[0].MajorityContactAge != 0 {
 		t.Errorf("states %+v", got)
 	}
 }
@@ -92,8 +92,8 @@
 	if len(out.Send) != 1 {
 		t.Fatalf("%d messages", len(out.Send))
 	}
-	answer, isAnswer := out.Send[0].Message.(*protocol.Probed)
-	if !isAnswer || answer.Generation != 4 || answer.Standing.Mark != 5 {
+	answer, isAnswer := out.Send[0].Message.(*protocol.ProbeReply)
+	if !isAnswer || answer.Generation != 4 || answer.Freshness.EchoedSequence != 5 {
 		t.Errorf("answer %+v", out.Send[0].Message)
 	}
 	if len(h.Connected()) != 0 || len(out.Joined) != 0 || out.Barrier != 0 {
@@ -105,17 +105,17 @@
 	h := New(begin)
 	h.Step(begin, noTable, Probed{Connection: 1, Mark: 5}, Probed{Connection: 2, Mark: 50})
 	out := h.Step(begin, noTable, subscribed(1, "r1", 0))
-	if got := standingsTo(out, 1); got[0].Mark != 5 {
+	if got := standingsTo(out, 1); got[0].EchoedSequence != 5 {
 		t.Errorf("the mark of the probe is forgotten: %+v", got)
 	}
 	h.Step(begin, noTable, Confirmed{Connection: 1, Sequence: 1, Mark: 7}, Probed{Connection: 1, Mark: 6})
 	h.Step(begin, noTable, Confirmed{Connection: 1, Sequence: 1})
-	if got := standingsTo(h.Step(begin.Add(BeaconEvery), noTable), 1); got[0].Mark != 7 {
+	if got := standingsTo(h.Step(begin.Add(BeaconEvery), noTable), 1); got[0].EchoedSequence != 7 {
 		t.Errorf("a mark fell: %+v", got)
 	}
 	router := subscribed(3, "r3", 0)
-	router.Router.Mark = 11
-	if got := standingsTo(h.Step(begin, noTable, router), 3); got[0].Mark != 11 {
+	router.Router.EchoSequence = 11
+	if got := standingsTo(h.Step(begin, noTable, router), 3); got[0].EchoedSequence != 11 {
 		t.Errorf("the mark of the subscription does not come back: %+v", got)
 	}
 	h.Step(begin, noTable, Closed{Connection: 1}, Closed{Connection: 2}, Closed{Connection: 3})
@@ -127,7 +127,7 @@
 func TestClosingForgetsTheMark(t *testing.T) {
 	h := New(begin)
 	first := subscribed(1, "r1", 0)
-	first.Router.Mark = 1
+	first.Router.EchoSequence = 1
 	h.Step(begin, noTable, first)
 	h.Step(begin, noTable, subscribed(2, "r1", 0)) // closes the first, of which no Closed comes
 	if _, kept := h.marks[1]; kept {
@@ -195,7 +195,7 @@
 	h.Step(begin, noTable, contactAt(begin.Add(-FreshFor)), subscribed(1, "r1", 0))
 	at := begin.Add(10 * time.Millisecond)
 	out := h.Step(at, noTable, contactAt(at)) // it was told a fresh one that is none any more
-	if got := standingsTo(out, 1); len(got) != 1 || got[0].Age != 0 {
+	if got := standingsTo(out, 1); len(got) != 1 || got[0].MajorityContactAge != 0 {
 		t.Fatalf("told %+v", got)
 	}
 	at = at.Add(time.Millisecond)
@@ -206,7 +206,7 @@
 	if got := standingsTo(out, 2); len(got) != 1 {
 		t.Errorf("a router that knows of the contact is told again: %+v", got)
 	}
-	if got := standingsTo(out, 3); len(got) != 2 || !got[1].Known {
+	if got := standingsTo(out, 3); len(got) != 2 || !got[1].HasMajorityContact {
 		t.Errorf("a router that was told of none in this step is left with it: %+v", got)
 	}
 }
@@ -250,7 +250,7 @@
 			case "subscribe":
 				mark++
 				marks[connection] = mark
-				router := protocol.Subscribe{Node: string(rune('a' + connection)), Mark: mark}
+				router := protocol.Subscribe{Node: string(rune('a' + connection)), EchoSequence: mark}
 				in = Subscribed{Connection: connection, Router: router}
 			case "confirm":
 				in = Confirmed{Connection: connection, Sequence: 1}
@@ -263,17 +263,17 @@
 			}
 			for _, message := range h.Step(now, oneGone, inputs...).Send {
 				standing := standingOf(message.Message)
-				if standing.At != now.Sub(begin) || standing.Mark != marks[message.Connection] {
+				if standing.SentAt != now.Sub(begin) || standing.EchoedSequence != marks[message.Connection] {
 					t.Fatalf("%+v at %v with mark %d", standing, now.Sub(begin), marks[message.Connection])
 				}
-				if standing.Known == contact.ConfirmedAt.IsZero() {
-					t.Fatalf("known: %v of %+v", standing.Known, contact)
+				if standing.HasMajorityContact == contact.ConfirmedAt.IsZero() {
+					t.Fatalf("known: %v of %+v", standing.HasMajorityContact, contact)
 				}
-				if standing.Known && now.Add(-standing.Age).After(contact.ConfirmedAt) {
-					t.Fatalf("states an age of %v, it is %v", standing.Age, now.Sub(contact.ConfirmedAt))
+				if standing.HasMajorityContact && now.Add(-standing.MajorityContactAge).After(contact.ConfirmedAt) {
+					t.Fatalf("states an age of %v, it is %v", standing.MajorityContactAge, now.Sub(contact.ConfirmedAt))
 				}
 				update, isUpdate := message.Message.(*protocol.Update)
-				if isUpdate && update.Full && (!standing.Known || standing.Age > FreshFor) {
+				if isUpdate && update.Full && (!standing.HasMajorityContact || standing.MajorityContactAge > FreshFor) {
 					t.Fatalf("replaces with a contact of %+v", standing)
 				}
 			}
--- a/internal/control/distribution/subscriber.go
+++ b/internal/control/distribution/subscriber.go
@@ -55,7 +55,7 @@
 // subscribe takes a router in and sends it everything that it lacks.
 func (h *Hub) subscribe(now time.Time, table Table, in Subscribed) {
 	h.replaceEarlier(in)
-	h.noteMark(in.Connection, in.Router.Mark)
+	h.noteMark(in.Connection, in.Router.EchoSequence)
 	replaces := h.whole && h.fresh(now)
 	h.arrivals++
 	s := &subscriber{
@@ -112,7 +112,7 @@
 
 // update begins an update with the configuration, where the router's is older.
 func (h *Hub) update(now time.Time, s *subscriber) *protocol.Update {
-	update := &protocol.Update{Generation: h.generation, Standing: h.standing(now, s.connection)}
+	update := &protocol.Update{Generation: h.generation, Freshness: h.standing(now, s.connection)}
 	if h.generation > s.generation {
 		update.Document = h.document
 	}
@@ -182,7 +182,7 @@
 
 func (h *Hub) beacon(now time.Time, s *subscriber) {
 	s.lastSent, s.toldStale = now, !h.fresh(now)
-	message := &protocol.Beacon{Sequence: s.sequence, Generation: h.generation, Standing: h.standing(now, s.connection)}
+	message := &protocol.Beacon{Sequence: s.sequence, Generation: h.generation, Freshness: h.standing(now, s.connection)}
 	h.out.Send = append(h.out.Send, Send{Connection: s.connection, Message: message})
 }
 
--- a/internal/control/host/commands.go
+++ b/internal/control/host/commands.go
@@ -165,11 +165,11 @@
 	case *protocol.Confirm:
 		if id, known := h.connections[in.connection]; known {
 			h.news.Hub = append(h.news.Hub,
-				distribution.Confirmed{Connection: id, Sequence: message.Sequence, Mark: message.Mark})
+				distribution.Confirmed{Connection: id, Sequence: message.Sequence, Mark: message.EchoSequence})
 		}
 	case *protocol.Probe:
 		h.news.Hub = append(h.news.Hub,
-			distribution.Probed{Connection: h.identify(in.connection), Mark: message.Mark})
+			distribution.Probed{Connection: h.identify(in.connection), Mark: message.EchoSequence})
 	case *protocol.Report:
 		h.reported(message)
 	case *protocol.ReportBatch:
--- a/internal/control/host/frames_test.go
+++ b/internal/control/host/frames_test.go
@@ -22,8 +22,8 @@
 		{
 			Sequence: 1, Generation: 2, Document: []byte("{}"), Full: true, Endpoints: list,
 			Members: []protocol.Member{{Identity: "m"}}, Routers: 4, Confirmed: true,
-			Standing: protocol.Standing{Epoch: 3, Known: true, Age: time.Second, At: time.Hour, Mark: 8},
-			Quotas:   []protocol.QuotaGrant{{Tenant: "t", RatePerS: 5, Burst: 6, For: time.Second}},
+			Freshness: protocol.FreshnessProof{Epoch: 3, HasMajorityContact: true, MajorityContactAge: time.Second, SentAt: time.Hour, EchoedSequence: 8},
+			Quotas:    []protocol.QuotaGrant{{Tenant: "t", RatePerS: 5, Burst: 6, For: time.Second}},
 		},
 		{Sequence: 2, Endpoints: list},
 		{Sequence: 3},
--- a/internal/control/host/standing_test.go
+++ b/internal/control/host/standing_test.go
@@ -86,11 +86,11 @@
 // prober keeps the answers to probes.
 type prober struct {
 	client
-	probed chan *protocol.Probed
+	probed chan *protocol.ProbeReply
 }
 
 func (p *prober) Message(connection *transport.Connection, message any) {
-	if answer, isAnswer := message.(*protocol.Probed); isAnswer {
+	if answer, isAnswer := message.(*protocol.ProbeReply); isAnswer {
 		p.probed <- answer
 		return
 	}
@@ -101,7 +101,7 @@
 func TestProbeThenSubscription(t *testing.T) {
 	nodes := startNodes(t, 1)
 	nodes[0].stand.set(7, "seven")
-	p := &prober{probed: make(chan *protocol.Probed, 4), client: client{
+	p := &prober{probed: make(chan *protocol.ProbeReply, 4), client: client{
 		t: t, mute: true,
 		updates: make(chan *protocol.Update, 64), beacons: make(chan *protocol.Beacon, 1), closed: make(chan struct{}),
 	}}
@@ -110,13 +110,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(connection.Close)
-	if err := connection.Send(protocol.Probe{Mark: 6}); err != nil {
+	if err := connection.Send(protocol.Probe{EchoSequence: 6}); err != nil {
 		t.Fatal(err)
 	}
 	select {
 	case answer := <-p.probed:
-		standing := answer.Standing
-		if answer.Generation != 7 || standing.Mark != 6 || standing.Epoch != 1 || !standing.Known {
+		standing := answer.Freshness
+		if answer.Generation != 7 || standing.EchoedSequence != 6 || standing.Epoch != 1 || !standing.HasMajorityContact {
 			t.Errorf("%+v", answer)
 		}
 	case <-time.After(patience):
@@ -126,8 +126,8 @@
 		t.Fatal(err)
 	}
 	first := p.await("first", func(u *protocol.Update) bool { return u.Sequence == 1 })
-	if first.Standing.Mark != 6 || !first.Standing.Known {
-		t.Errorf("first: %+v", first.Standing)
+	if first.Freshness.EchoedSequence != 6 || !first.Freshness.HasMajorityContact {
+		t.Errorf("first: %+v", first.Freshness)
 	}
 }
 
@@ -141,7 +141,7 @@
 	for age := time.Duration(0); age < distribution.FreshFor; {
 		select {
 		case beacon := <-c.beacons:
-			age = beacon.Standing.Age
+			age = beacon.Freshness.MajorityContactAge
 		case <-c.closed:
 			t.Fatal("sent away")
 		case <-deadline:
@@ -152,7 +152,7 @@
 	for {
 		select {
 		case beacon := <-c.beacons:
-			if beacon.Standing.Known && beacon.Standing.Age < distribution.FreshFor {
+			if beacon.Freshness.HasMajorityContact && beacon.Freshness.MajorityContactAge < distribution.FreshFor {
 				return
 			}
 		case <-deadline:
--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -4,14 +4,14 @@
 
 // The kinds of messages on the wire. A kind keeps its number for good; new ones get new numbers.
 const (
-	KindSubscribe byte = 1
-	KindUpdate    byte = 2
-	KindConfirm   byte = 3
-	KindBeacon    byte = 4
-	KindReport    byte = 5
-	KindReplica   byte = 6
-	KindProbe     byte = 7
-	KindProbed    byte = 8
+	KindSubscribe  byte = 1
+	KindUpdate     byte = 2
+	KindConfirm    byte = 3
+	KindBeacon     byte = 4
+	KindReport     byte = 5
+	KindReplica    byte = 6
+	KindProbe      byte = 7
+	KindProbeReply byte = 8
 )
 
 // ReplicaMessage carries a message between replicas, whose insides only they know.
@@ -31,6 +31,6 @@
 	codec.Register(KindReport, Report{})
 	codec.Register(KindReplica, ReplicaMessage{})
 	codec.Register(KindProbe, Probe{})
-	codec.Register(KindProbed, Probed{})
+	codec.Register(KindProbeReply, ProbeReply{})
 	return codec
 }
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -29,9 +29,9 @@
 // filledMessages returns one message of each kind, with every field set to a value of its own.
 func filledMessages() []goldenMessage {
 	origin := Origin{Address: "10.0.0.1:7500", Incarnation: 0x8000000000000001, At: 71 * time.Millisecond}
-	standing := Standing{Epoch: 301, Known: true, Age: 302, At: 303, Mark: 304}
+	standing := FreshnessProof{Epoch: 301, HasMajorityContact: true, MajorityContactAge: 302, SentAt: 303, EchoedSequence: 304}
 	return []goldenMessage{
-		{"1", &Subscribe{Node: "node-1", Zone: "zone-2", Incarnation: 103, Generation: 104, Ready: true, Mark: 106}},
+		{"1", &Subscribe{Node: "node-1", Zone: "zone-2", Incarnation: 103, Generation: 104, Ready: true, EchoSequence: 106}},
 		{"2", &Update{
 			Sequence: 201, Generation: 202, Document: []byte("document-203"), Full: true,
 			Endpoints: []Endpoint{goldenEndpoint(2)},
@@ -39,14 +39,14 @@
 			Routers:   207,
 			Quotas:    []QuotaGrant{goldenGrant(1)},
 			Confirmed: true,
-			Standing:  standing,
+			Freshness: standing,
 		}},
-		{"3", &Confirm{Sequence: 401, Mark: 402}},
-		{"4", &Beacon{Sequence: 501, Generation: 502, Standing: standing}},
+		{"3", &Confirm{Sequence: 401, EchoSequence: 402}},
+		{"4", &Beacon{Sequence: 501, Generation: 502, Freshness: standing}},
 		{"5", goldenReport(1)},
 		{"6", &ReplicaMessage{From: "from-1", Body: []byte{0xb0, 0xd1}}},
-		{"7", &Probe{Mark: 701}},
-		{"8", &Probed{Generation: 801, Standing: standing}},
+		{"7", &Probe{EchoSequence: 701}},
+		{"8", &ProbeReply{Generation: 801, Freshness: standing}},
 		{"32", &RegistryDelta{
 			Origin: origin, Sequence: 3202, Records: []Record{{Endpoint: goldenEndpoint(3), Age: 3203}}, Settle: true,
 			Whole: true,
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -55,40 +55,40 @@
 
 // Subscribe opens a router's connection to a control instance, and asks for everything newer than it has.
 type Subscribe struct {
-	Node        string `cbor:"1,keyasint"`
-	Zone        string `cbor:"2,keyasint"`
-	Incarnation uint64 `cbor:"3,keyasint"` // random, one for each start of the process
-	Generation  int64  `cbor:"4,keyasint"` // of the newest configuration it has; 0: none
-	Ready       bool   `cbor:"5,keyasint"`
-	Mark        uint64 `cbor:"6,keyasint,omitempty"` // comes back in Standing.Mark; 0: none
+	Node         string `cbor:"1,keyasint"`
+	Zone         string `cbor:"2,keyasint"`
+	Incarnation  uint64 `cbor:"3,keyasint"` // random, one for each start of the process
+	Generation   int64  `cbor:"4,keyasint"` // of the newest configuration it has; 0: none
+	Ready        bool   `cbor:"5,keyasint"`
+	EchoSequence uint64 `cbor:"6,keyasint,omitempty"` // comes back in Standing.Mark; 0: none
 }
 
 // Update brings a router up to date. Sequence rises by one with each update of a connection; a gap means
 // that the router must connect anew.
 type Update struct {
-	Sequence   uint64       `cbor:"1,keyasint"`
-	Generation int64        `cbor:"2,keyasint"`           // of Document; only committed versions are sent
-	Document   []byte       `cbor:"3,keyasint,omitempty"` // the whole configuration, when it is newer: see PackDocument
-	Full       bool         `cbor:"4,keyasint,omitempty"` // Endpoints is the whole table
-	Endpoints  []Endpoint   `cbor:"5,keyasint,omitempty"` // added, changed, or Gone
-	Members    []Member     `cbor:"6,keyasint,omitempty"` // all control instances known
-	Routers    int          `cbor:"7,keyasint,omitempty"` // how many routers share limits; 0: unchanged
-	Quotas     []QuotaGrant `cbor:"8,keyasint,omitempty"`
-	Confirmed  bool         `cbor:"9,keyasint,omitempty"` // a majority confirmed that Generation is the newest
-	Standing   Standing     `cbor:"10,keyasint,omitzero"`
+	Sequence   uint64         `cbor:"1,keyasint"`
+	Generation int64          `cbor:"2,keyasint"`           // of Document; only committed versions are sent
+	Document   []byte         `cbor:"3,keyasint,omitempty"` // the whole configuration, when it is newer: see PackDocument
+	Full       bool           `cbor:"4,keyasint,omitempty"` // Endpoints is the whole table
+	Endpoints  []Endpoint     `cbor:"5,keyasint,omitempty"` // added, changed, or Gone
+	Members    []Member       `cbor:"6,keyasint,omitempty"` // all control instances known
+	Routers    int            `cbor:"7,keyasint,omitempty"` // how many routers share limits; 0: unchanged
+	Quotas     []QuotaGrant   `cbor:"8,keyasint,omitempty"`
+	Confirmed  bool           `cbor:"9,keyasint,omitempty"` // a majority confirmed that Generation is the newest
+	Freshness  FreshnessProof `cbor:"10,keyasint,omitzero"`
 }
 
 // Confirm answers an Update: it is in force.
 type Confirm struct {
-	Sequence uint64 `cbor:"1,keyasint"`
-	Mark     uint64 `cbor:"2,keyasint,omitempty"` // comes back in Standing.Mark; 0: none
+	Sequence     uint64 `cbor:"1,keyasint"`
+	EchoSequence uint64 `cbor:"2,keyasint,omitempty"` // comes back in Standing.Mark; 0: none
 }
 
 // Beacon is sent when there is nothing else to send, so that silence means a broken connection.
 type Beacon struct {
-	Sequence   uint64   `cbor:"1,keyasint"` // of the last update
-	Generation int64    `cbor:"2,keyasint"` // newest committed configuration
-	Standing   Standing `cbor:"3,keyasint,omitzero"`
+	Sequence   uint64         `cbor:"1,keyasint"` // of the last update
+	Generation int64          `cbor:"2,keyasint"` // newest committed configuration
+	Freshness  FreshnessProof `cbor:"3,keyasint,omitzero"`
 }
 
 // QuotaGrant is a router's part of a tenant's rate, in the tenant's unit.
--- a/internal/router/node/node_test.go
+++ b/internal/router/node/node_test.go
@@ -53,7 +53,7 @@
 func (c *control) Message(conn *transport.Connection, message any) {
 	switch m := message.(type) {
 	case *protocol.Probe:
-		conn.Send(protocol.Probed{Generation: c.update.Generation, Standing: c.standing(m.Mark)})
+		conn.Send(protocol.ProbeReply{Generation: c.update.Generation, Freshness: c.standing(m.EchoSequence)})
 	case *protocol.Subscribe:
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
@@ -66,8 +66,8 @@
 	}
 }
 
-func (c *control) standing(mark uint64) protocol.Standing {
-	return protocol.Standing{Epoch: 1, Known: true, At: time.Since(c.started), Mark: mark}
+func (c *control) standing(mark uint64) protocol.FreshnessProof {
+	return protocol.FreshnessProof{Epoch: 1, HasMajorityContact: true, SentAt: time.Since(c.started), EchoedSequence: mark}
 }
 
 func (c *control) Closed(*transport.Connection, error) {}
--- a/internal/router/subscription/anchor.go
+++ b/internal/router/subscription/anchor.go
@@ -51,20 +51,20 @@
 
 // take reads a statement. It returns a moment, on the own clock, at which the instance had contact with a majority: a
 // little before the true one, never after it. Ok is false where nothing is proved.
-func (a *anchor) take(now time.Time, s protocol.Standing) (contact time.Time, ok bool) {
+func (a *anchor) take(now time.Time, s protocol.FreshnessProof) (contact time.Time, ok bool) {
 	a.returned(s)
 	if !a.known || now.Sub(a.setAt) > mostAnchor {
 		return time.Time{}, false
 	}
-	left := a.earliest(now).Add(s.At)
+	left := a.earliest(now).Add(s.SentAt)
 	if left.After(now) { // the clocks run too differently, or one was set
 		a.known, a.sentAt = false, time.Time{}
 		return time.Time{}, false
 	}
-	if !s.Known || s.Age < 0 || s.Age > mostAge {
+	if !s.HasMajorityContact || s.MajorityContactAge < 0 || s.MajorityContactAge > mostAge {
 		return time.Time{}, false
 	}
-	return left.Add(-s.Age - s.Age/driftPart), true
+	return left.Add(-s.MajorityContactAge - s.MajorityContactAge/driftPart), true
 }
 
 // earliest is when the instance's clock read 0, or earlier: the clocks may have drifted since the mark.
@@ -73,10 +73,10 @@
 }
 
 // returned takes in the newest mark that has come back with a statement.
-func (a *anchor) returned(s protocol.Standing) {
+func (a *anchor) returned(s protocol.FreshnessProof) {
 	newest := -1
 	for i, mark := range a.sent {
-		if mark.number <= s.Mark {
+		if mark.number <= s.EchoedSequence {
 			newest = i
 		}
 	}
@@ -85,7 +85,7 @@
 	}
 	at := a.sent[newest].at
 	a.sent = a.sent[newest+1:]
-	zero := at.Add(-s.At)
+	zero := at.Add(-s.SentAt)
 	if a.known && zero.Before(a.earliest(at)) && at.Sub(a.setAt) < keepAnchor {
 		return // it was longer on its way than the one before
 	}
--- a/internal/router/subscription/anchor_test.go
+++ b/internal/router/subscription/anchor_test.go
@@ -10,21 +10,21 @@
 func TestAnchor(t *testing.T) {
 	begin := time.Unix(1000, 0)
 	at := func(d time.Duration) time.Time { return begin.Add(d) }
-	standing := func(mark uint64, clock, age time.Duration) protocol.Standing {
-		return protocol.Standing{Epoch: 1, Known: true, Mark: mark, At: clock, Age: age}
+	standing := func(mark uint64, clock, age time.Duration) protocol.FreshnessProof {
+		return protocol.FreshnessProof{Epoch: 1, HasMajorityContact: true, EchoedSequence: mark, SentAt: clock, MajorityContactAge: age}
 	}
 	const s = time.Second
 	for name, c := range map[string]struct {
 		marks    map[time.Duration]uint64 // when they were sent
 		now      time.Duration
-		standing protocol.Standing
+		standing protocol.FreshnessProof
 		want     time.Duration // of the contact, before what drift may amount to
 		proves   bool
 	}{
 		"no mark has come back": {map[time.Duration]uint64{1 * s: 5}, 2 * s, standing(4, 70*s, 0), 0, false},
 		"first mark":            {map[time.Duration]uint64{1 * s: 5}, 2 * s, standing(5, 70*s, s/2), s / 2, true},
 		"late message":          {map[time.Duration]uint64{1 * s: 5}, 9 * s, standing(5, 70*s, 0), 1 * s, true},
-		"no contact":            {map[time.Duration]uint64{1 * s: 5}, 2 * s, protocol.Standing{Mark: 5, At: 70 * s}, 0, false},
+		"no contact":            {map[time.Duration]uint64{1 * s: 5}, 2 * s, protocol.FreshnessProof{EchoedSequence: 5, SentAt: 70 * s}, 0, false},
 		"negative age":          {map[time.Duration]uint64{1 * s: 5}, 2 * s, standing(5, 70*s, -s), 0, false},
 		"endless age":           {map[time.Duration]uint64{1 * s: 5}, 2 * s, standing(5, 70*s, 1<<62), 0, false},
 	} {
@@ -50,13 +50,13 @@
 	begin := time.Unix(1000, 0)
 	var a anchor
 	a.mark(1, begin)
-	a.take(begin.Add(time.Millisecond), protocol.Standing{Known: true, Mark: 1, At: time.Hour})
-	late := protocol.Standing{Known: true, Mark: 1, At: time.Hour + 2*time.Second, Age: time.Second / 2}
+	a.take(begin.Add(time.Millisecond), protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 1, SentAt: time.Hour})
+	late := protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 1, SentAt: time.Hour + 2*time.Second, MajorityContactAge: time.Second / 2}
 	contact, ok := a.take(begin.Add(10*time.Second), late)
 	if want := begin.Add(1500 * time.Millisecond); !ok || contact.After(want) || want.Sub(contact) > 20*time.Millisecond {
 		t.Errorf("contact %v, %v", contact.Sub(begin), ok)
 	}
-	ahead := protocol.Standing{Known: true, Mark: 1, At: time.Hour + 20*time.Second}
+	ahead := protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 1, SentAt: time.Hour + 20*time.Second}
 	if _, ok := a.take(begin.Add(11*time.Second), ahead); ok || a.known || !a.due(begin.Add(11*time.Second)) {
 		t.Error("a message from the future proves something")
 	}
@@ -67,19 +67,19 @@
 	begin := time.Unix(1000, 0)
 	var a anchor
 	a.mark(1, begin)
-	a.take(begin, protocol.Standing{Known: true, Mark: 1, At: 0})
+	a.take(begin, protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 1, SentAt: 0})
 	a.mark(2, begin.Add(keepAnchor/2))
-	a.take(begin.Add(keepAnchor/2+time.Second), protocol.Standing{Known: true, Mark: 2, At: keepAnchor/2 + time.Second})
+	a.take(begin.Add(keepAnchor/2+time.Second), protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 2, SentAt: keepAnchor/2 + time.Second})
 	if !a.zero.Equal(begin) {
 		t.Errorf("an inexact anchor took the place of an exact one: %v", a.zero.Sub(begin))
 	}
 	a.mark(3, begin.Add(keepAnchor))
-	a.take(begin.Add(keepAnchor+time.Second), protocol.Standing{Known: true, Mark: 3, At: keepAnchor + time.Second})
+	a.take(begin.Add(keepAnchor+time.Second), protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 3, SentAt: keepAnchor + time.Second})
 	if a.zero.Equal(begin) {
 		t.Error("an old anchor was kept")
 	}
 	end := begin.Add(keepAnchor + mostAnchor)
-	if _, ok := a.take(end.Add(time.Second), protocol.Standing{Known: true, Mark: 3, At: keepAnchor + mostAnchor}); ok {
+	if _, ok := a.take(end.Add(time.Second), protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 3, SentAt: keepAnchor + mostAnchor}); ok {
 		t.Error("proof without a newer mark")
 	}
 }
--- a/internal/router/subscription/applying.go
+++ b/internal/router/subscription/applying.go
@@ -24,7 +24,7 @@
 		f.generation = max(f.generation, u.Generation)
 	}
 	d.updates = append(d.updates, queued{connection: f.id, update: u})
-	d.stated(now, f, u.Standing, u.Generation)
+	d.stated(now, f, u.Freshness, u.Generation)
 }
 
 // applyNext has the next update put in force, one at a time.
--- a/internal/router/subscription/decider.go
+++ b/internal/router/subscription/decider.go
@@ -114,7 +114,7 @@
 		d.listen(now, f, message)
 		return
 	}
-	probed, isProbed := message.(*protocol.Probed)
+	probed, isProbed := message.(*protocol.ProbeReply)
 	if p := d.search.find(id); p != nil && isProbed {
 		d.probed(now, p, probed)
 	}
@@ -165,8 +165,8 @@
 }
 
 // state takes in what an instance can prove of itself and of a generation.
-func (d *Decider) state(now time.Time, l *link, s protocol.Standing, generation int64) {
-	if s == (protocol.Standing{}) { // an older instance
+func (d *Decider) state(now time.Time, l *link, s protocol.FreshnessProof, generation int64) {
+	if s == (protocol.FreshnessProof{}) { // an older instance
 		return
 	}
 	d.epoch = max(d.epoch, s.Epoch)
--- a/internal/router/subscription/decider_test.go
+++ b/internal/router/subscription/decider_test.go
@@ -127,13 +127,13 @@
 	n.run(time.Second)
 	follows, generation := n.out.Follows, n.inForce
 	late := n.standing(first)
-	late.Epoch, late.Known, late.Age = 9, true, 0
+	late.Epoch, late.HasMajorityContact, late.MajorityContactAge = 9, true, 0
 	n.step(
 		Received{Connection: first.id, Message: &protocol.Update{
-			Sequence: first.sequence + 1, Generation: 9, Document: []byte("nine"), Standing: late,
+			Sequence: first.sequence + 1, Generation: 9, Document: []byte("nine"), Freshness: late,
 		}},
-		Received{Connection: first.id, Message: &protocol.Beacon{Sequence: 77, Generation: 9, Standing: late}},
-		Received{Connection: first.id, Message: &protocol.Probed{Generation: 9, Standing: late}},
+		Received{Connection: first.id, Message: &protocol.Beacon{Sequence: 77, Generation: 9, Freshness: late}},
+		Received{Connection: first.id, Message: &protocol.ProbeReply{Generation: 9, Freshness: late}},
 		Opened{Connection: first.id},
 		Ended{Connection: first.id, Err: errors.New("late")},
 		Applied{},
@@ -353,7 +353,7 @@
 		"gap":      {func(n *network, w *wire) { w.sequence++; n.update(w, protocol.Update{}, 4) }, ErrSequence},
 		"repeated": {func(n *network, w *wire) { w.sequence--; n.update(w, protocol.Update{}, 4) }, ErrSequence},
 		"beacon of others": {func(n *network, w *wire) {
-			n.post(w, &protocol.Beacon{Sequence: w.sequence + 1, Generation: 4, Standing: n.standing(w)})
+			n.post(w, &protocol.Beacon{Sequence: w.sequence + 1, Generation: 4, Freshness: n.standing(w)})
 		}, ErrSequence},
 		"document": {func(n *network, w *wire) { n.refuse = ErrDocument; n.commit() }, ErrDocument},
 		"epoch":    {func(n *network, w *wire) { w.peer.epoch = 0 }, ErrEpoch},
--- a/internal/router/subscription/following.go
+++ b/internal/router/subscription/following.go
@@ -35,12 +35,12 @@
 func (d *Decider) follow(now time.Time, l link) {
 	d.followed = &following{link: l, silentAt: now.Add(mostSilence), heard: l.states, generation: d.knowledge.generation}
 	d.send(l.id, protocol.Subscribe{
-		Node:        d.identity.Node,
-		Zone:        d.identity.Zone,
-		Incarnation: d.identity.Incarnation,
-		Generation:  d.knowledge.generation,
-		Ready:       d.knowledge.ready,
-		Mark:        d.mark(now, &d.followed.link),
+		Node:         d.identity.Node,
+		Zone:         d.identity.Zone,
+		Incarnation:  d.identity.Incarnation,
+		Generation:   d.knowledge.generation,
+		Ready:        d.knowledge.ready,
+		EchoSequence: d.mark(now, &d.followed.link),
 	})
 	for _, report := range d.reports {
 		d.sendReport(report)
@@ -90,16 +90,16 @@
 			d.leave(now, ErrSequence)
 			return
 		}
-		d.stated(now, f, m.Standing, m.Generation)
-	case *protocol.Probed:
+		d.stated(now, f, m.Freshness, m.Generation)
+	case *protocol.ProbeReply:
 		f.asked = false
-		d.stated(now, f, m.Standing, m.Generation)
+		d.stated(now, f, m.Freshness, m.Generation)
 	}
 }
 
 // stated takes in a statement of the instance that is followed.
-func (d *Decider) stated(now time.Time, f *following, s protocol.Standing, generation int64) {
-	if s.Epoch < f.epoch && s != (protocol.Standing{}) {
+func (d *Decider) stated(now time.Time, f *following, s protocol.FreshnessProof, generation int64) {
+	if s.Epoch < f.epoch && s != (protocol.FreshnessProof{}) {
 		d.leave(now, ErrEpoch)
 		return
 	}
@@ -157,7 +157,7 @@
 // markAgain sends a mark to the instance that is followed, where none has gone for long. A probe brings it back at once.
 func (d *Decider) markAgain(now time.Time) {
 	if f := d.followed; f != nil && f.states && f.anchor.due(now) {
-		d.send(f.id, protocol.Probe{Mark: d.mark(now, &f.link)})
+		d.send(f.id, protocol.Probe{EchoSequence: d.mark(now, &f.link)})
 	}
 }
 
--- a/internal/router/subscription/network_test.go
+++ b/internal/router/subscription/network_test.go
@@ -107,15 +107,15 @@
 }
 
 // standing is what a peer states now on a connection.
-func (n *network) standing(w *wire) protocol.Standing {
+func (n *network) standing(w *wire) protocol.FreshnessProof {
 	p := w.peer
 	if p.old {
-		return protocol.Standing{}
+		return protocol.FreshnessProof{}
 	}
 	n.touch(p)
-	s := protocol.Standing{Epoch: p.epoch, At: p.clock + p.elapsed(n.now.Sub(n.begin)), Mark: w.mark}
+	s := protocol.FreshnessProof{Epoch: p.epoch, SentAt: p.clock + p.elapsed(n.now.Sub(n.begin)), EchoedSequence: w.mark}
 	if !p.contact.IsZero() {
-		s.Known, s.Age = true, p.elapsed(n.now.Sub(p.contact))
+		s.HasMajorityContact, s.MajorityContactAge = true, p.elapsed(n.now.Sub(p.contact))
 	}
 	return s
 }
@@ -226,15 +226,15 @@
 	switch m := message.(type) {
 	case protocol.Probe:
 		if !w.peer.old {
-			w.mark = max(w.mark, m.Mark)
-			n.post(w, &protocol.Probed{Generation: w.peer.generation, Standing: n.standing(w)})
+			w.mark = max(w.mark, m.EchoSequence)
+			n.post(w, &protocol.ProbeReply{Generation: w.peer.generation, Freshness: n.standing(w)})
 		}
 	case protocol.Subscribe:
-		w.mark, w.follows = m.Mark, true
+		w.mark, w.follows = m.EchoSequence, true
 		whole := !w.peer.cut || w.peer.old
 		n.update(w, protocol.Update{Full: whole, Confirmed: whole}, m.Generation)
 	case protocol.Confirm:
-		w.mark = max(w.mark, m.Mark)
+		w.mark = max(w.mark, m.EchoSequence)
 		w.peer.confirms = append(w.peer.confirms, m.Sequence)
 	case protocol.Report:
 		w.peer.reports = append(w.peer.reports, m)
@@ -243,7 +243,7 @@
 
 func (n *network) update(w *wire, u protocol.Update, has int64) {
 	w.sequence++
-	u.Sequence, u.Generation, u.Standing = w.sequence, w.peer.generation, n.standing(w)
+	u.Sequence, u.Generation, u.Freshness = w.sequence, w.peer.generation, n.standing(w)
 	if has < u.Generation {
 		u.Document = []byte("document")
 	}
@@ -322,7 +322,7 @@
 	n.beaconAt = n.now.Add(beacon)
 	for _, w := range n.wires {
 		if w.follows && !w.closed {
-			n.post(w, &protocol.Beacon{Sequence: w.sequence, Generation: w.peer.generation, Standing: n.standing(w)})
+			n.post(w, &protocol.Beacon{Sequence: w.sequence, Generation: w.peer.generation, Freshness: n.standing(w)})
 		}
 	}
 }
--- a/internal/router/subscription/probing.go
+++ b/internal/router/subscription/probing.go
@@ -113,7 +113,7 @@
 		return
 	}
 	f.asked = true
-	d.send(f.id, protocol.Probe{Mark: d.mark(now, &f.link)})
+	d.send(f.id, protocol.Probe{EchoSequence: d.mark(now, &f.link)})
 }
 
 // askAhead asks instances of this round, some at a time.
@@ -149,7 +149,7 @@
 func (d *Decider) ask(now time.Time, p *probe) {
 	p.state = asked
 	p.until = now.Add(probeTimeout)
-	d.send(p.id, protocol.Probe{Mark: d.mark(now, &p.link)})
+	d.send(p.id, protocol.Probe{EchoSequence: d.mark(now, &p.link)})
 }
 
 // opened asks on a new connection. Where nobody else is there, one that answers no probes is followed all the same.
@@ -166,10 +166,10 @@
 	d.ask(now, p)
 }
 
-func (d *Decider) probed(now time.Time, p *probe, m *protocol.Probed) {
+func (d *Decider) probed(now time.Time, p *probe, m *protocol.ProbeReply) {
 	delete(d.mute, p.address)
 	p.state = answered
-	d.state(now, &p.link, m.Standing, m.Generation)
+	d.state(now, &p.link, m.Freshness, m.Generation)
 }
 
 // failed drops a probe.
--- a/internal/router/subscription/subscription_test.go
+++ b/internal/router/subscription/subscription_test.go
@@ -48,8 +48,8 @@
 
 func (i *instance) Message(c *transport.Connection, message any) {
 	if probe, ok := message.(*protocol.Probe); ok {
-		standing := protocol.Standing{Epoch: 1, Known: true, At: time.Since(i.started), Mark: probe.Mark}
-		c.Send(protocol.Probed{Generation: 4, Standing: standing})
+		standing := protocol.FreshnessProof{Epoch: 1, HasMajorityContact: true, SentAt: time.Since(i.started), EchoedSequence: probe.EchoSequence}
+		c.Send(protocol.ProbeReply{Generation: 4, Freshness: standing})
 		return
 	}
 	i.got <- arrival{c, message}
@@ -143,10 +143,10 @@
 	w := start(t, i)
 	w.force.hold = make(chan struct{})
 	c, s := next[*protocol.Subscribe](i)
-	if s.Mark == 0 {
+	if s.EchoSequence == 0 {
 		t.Error("no mark")
 	}
-	if s.Mark = 0; *s != (protocol.Subscribe{Node: "n", Zone: "z1", Incarnation: 7}) {
+	if s.EchoSequence = 0; *s != (protocol.Subscribe{Node: "n", Zone: "z1", Incarnation: 7}) {
 		t.Errorf("%+v", s)
 	}
 	c.Send(full)
--- a/internal/systemsim/desk.go
+++ b/internal/systemsim/desk.go
@@ -141,10 +141,10 @@
 	case *protocol.Confirm:
 		if id, known := d.connections[s]; known {
 			d.news.Hub = append(d.news.Hub,
-				distribution.Confirmed{Connection: id, Sequence: message.Sequence, Mark: message.Mark})
+				distribution.Confirmed{Connection: id, Sequence: message.Sequence, Mark: message.EchoSequence})
 		}
 	case *protocol.Probe:
-		d.news.Hub = append(d.news.Hub, distribution.Probed{Connection: d.identify(s), Mark: message.Mark})
+		d.news.Hub = append(d.news.Hub, distribution.Probed{Connection: d.identify(s), Mark: message.EchoSequence})
 	case *protocol.Report:
 		return
 	default:
--- a/internal/systemsim/mutant.go
+++ b/internal/systemsim/mutant.go
@@ -36,23 +36,23 @@
 
 // heard is a message as the router's decider gets it. Each router gets a copy, as from the wire.
 func (w *World) heard(message any) any {
-	believe := func(s *protocol.Standing) {
+	believe := func(s *protocol.FreshnessProof) {
 		if w.Mutant == BelieveBeacons {
-			s.Known, s.Age, s.Epoch = true, 0, math.MaxInt64
+			s.HasMajorityContact, s.MajorityContactAge, s.Epoch = true, 0, math.MaxInt64
 		}
 	}
 	switch m := message.(type) {
 	case *protocol.Update:
 		c := *m
-		believe(&c.Standing)
+		believe(&c.Freshness)
 		return &c
 	case *protocol.Beacon:
 		c := *m
-		believe(&c.Standing)
+		believe(&c.Freshness)
 		return &c
-	case *protocol.Probed:
+	case *protocol.ProbeReply:
 		c := *m
-		believe(&c.Standing)
+		believe(&c.Freshness)
 		return &c
 	}
 	return message
--- a/internal/systemsim/truth.go
+++ b/internal/systemsim/truth.go
@@ -131,18 +131,18 @@
 
 // checkStanding holds what an instance states to a router against the truth.
 func (w *World) checkStanding(i *instance, message any) {
-	var standing protocol.Standing
+	var standing protocol.FreshnessProof
 	var generation int64
 	switch m := message.(type) {
 	case *protocol.Update:
-		standing, generation = m.Standing, m.Generation
+		standing, generation = m.Freshness, m.Generation
 	case *protocol.Beacon:
-		standing, generation = m.Standing, m.Generation
-	case *protocol.Probed:
-		standing, generation = m.Standing, m.Generation
+		standing, generation = m.Freshness, m.Generation
+	case *protocol.ProbeReply:
+		standing, generation = m.Freshness, m.Generation
 	}
-	if standing.Known {
-		w.checkClaim(i.address+" tells that it", w.Now()-standing.Age, generation)
+	if standing.HasMajorityContact {
+		w.checkClaim(i.address+" tells that it", w.Now()-standing.MajorityContactAge, generation)
 	}
 }
 
