--- a/internal/control/registry/farewell_test.go
+++ b/internal/control/registry/deregistration_test.go
@@ -37,11 +37,11 @@
 		if out := say(x, 2); len(out.Replies) != 0 {
 			t.Fatalf("%s: acknowledged with a contact from before the call", name)
 		}
-		if wait := x.out.WakeAt.Sub(x.now); wait > contactEvery || x.out.WakeDeferrable {
+		if wait := x.out.WakeAt.Sub(x.now); wait > quorumPollInterval || x.out.WakeDeferrable {
 			t.Errorf("%s: the contact is looked for after %v", name, wait)
 		}
 		x.wait(200 * time.Millisecond)
-		if len(x.pending) != 1 {
+		if len(x.pendingDrains) != 1 {
 			t.Fatalf("%s: answered without contact: %+v", name, x.out)
 		}
 		x.parted = asked
@@ -107,7 +107,7 @@
 	if out := x.beat(beat("f", 1, protocol.Ready)); !acknowledged(out) {
 		t.Errorf("with a contact of late: %+v", out)
 	}
-	never := New(x.settings, begin)
+	never := New(x.config, begin)
 	out := never.Step(begin.Add(time.Minute), Heartbeat{RequestID: 1, Endpoint: beat("e", 1, protocol.Ready)})
 	if !out.Replies[0].Rejected {
 		t.Errorf("without any contact ever: %+v", out)
--- a/internal/control/registry/rejoin_test.go
+++ b/internal/control/registry/partition_recovery_test.go
@@ -53,15 +53,15 @@
 	}
 	x.parted = time.Time{}
 	x.step()
-	if x.shows("left") || x.tells("left") || x.whole {
+	if x.shows("left") || x.tells("left") || x.complete {
 		t.Error("the table is not taken for stale with the first contact")
 	}
-	x.wait(x.allCalled() / 2)
+	x.wait(x.syncWindow() / 2)
 	x.beat(beat("lives", x.ticket, protocol.Ready))
-	x.wait(x.allCalled() / 2)
+	x.wait(x.syncWindow() / 2)
 	x.want("left", protocol.Departed)
 	x.want("lives", protocol.Ready)
-	if !x.whole || x.maybeStale(x.now) {
+	if !x.complete || x.possiblyStale(x.now) {
 		t.Error("it is still taken for stale")
 	}
 	x.beat(beat("left", x.ticket, protocol.Ready))
@@ -81,7 +81,7 @@
 	if !x.shows("e") {
 		t.Error("still kept back")
 	}
-	x.wait(x.allCalled())
+	x.wait(x.syncWindow())
 	x.want("e", protocol.Ready)
 }
 
@@ -89,7 +89,7 @@
 func TestSilentEndpointIsKeptWithContact(t *testing.T) {
 	x := newTable(t)
 	x.beat(beat("e", 1, protocol.Ready))
-	x.wait(x.silentAfter() + x.allCalled() + time.Second)
+	x.wait(x.unresponsiveTimeout() + x.syncWindow() + time.Second)
 	x.want("e", protocol.Unresponsive)
 	if !x.shows("e") || !x.tells("e") {
 		t.Error("withheld though the table is fresh")
@@ -110,12 +110,12 @@
 	settings := Config{Origin: protocol.Origin{Address: "self", Incarnation: 1}, Heartbeat: heartbeatEvery}
 	x := &table{t: t, Registry: New(settings, begin), now: begin}
 	x.step()
-	for !x.whole {
+	for !x.complete {
 		x.now = x.wakeAt()
 		x.step()
 	}
-	if took := x.now.Sub(begin); took != x.allCalled() {
-		t.Errorf("whole after %v, want %v", took, x.allCalled())
+	if took := x.now.Sub(begin); took != x.syncWindow() {
+		t.Errorf("whole after %v, want %v", took, x.syncWindow())
 	}
 }
 
@@ -126,7 +126,7 @@
 	x.beat(beat("e", 1, protocol.Ready))
 	x.parted = x.now
 	var told []protocol.EndpointState
-	for end := x.now.Add(dropAfter + 3*time.Second); x.now.Before(end); {
+	for end := x.now.Add(evictionTimeout + 3*time.Second); x.now.Before(end); {
 		x.now = x.wakeAt()
 		for _, changed := range x.step().Changed {
 			told = append(told, changed.State)
@@ -172,7 +172,7 @@
 	if !x.tells("lives") {
 		t.Error("the others are not told of one that has called since")
 	}
-	x.wait(x.allHeard())
+	x.wait(x.rejoinWindow())
 	x.want("left", protocol.Departed)
 	x.want("lives", protocol.Ready)
 	if !x.tellsWhole() {
@@ -197,13 +197,13 @@
 	x.step()
 	x.wait(time.Second)
 	x.step(RouterReport{Reached: []string{"e"}})
-	told := false
-	for x.maybeStale(x.now) {
+	published := false
+	for x.possiblyStale(x.now) {
 		x.now = x.wakeAt()
-		told = slices.ContainsFunc(x.step().Changed, func(e protocol.Endpoint) bool { return e.State == protocol.Unresponsive })
+		published = slices.ContainsFunc(x.step().Changed, func(e protocol.Endpoint) bool { return e.State == protocol.Unresponsive })
 	}
-	if !told || !x.shows("e") {
-		t.Errorf("told: %v, shown: %v", told, x.shows("e"))
+	if !published || !x.shows("e") {
+		t.Errorf("published: %v, shown: %v", published, x.shows("e"))
 	}
 }
 
@@ -218,10 +218,10 @@
 		step()
 	}
 	x.step()
-	if x.shows("e") || x.whole {
+	if x.shows("e") || x.complete {
 		t.Error("the table is not taken for stale with the first contact")
 	}
-	x.wait(x.allHeard())
+	x.wait(x.rejoinWindow())
 	x.want("e", protocol.Departed)
 }
 
@@ -232,7 +232,7 @@
 	x.beat(beat("left", 1, protocol.Ready))
 	x.beat(beat("lives", 2, protocol.Ready))
 	x.apart(3*time.Second, "lives")
-	if !x.isolated(x.now) {
+	if !x.quorumLost(x.now) {
 		t.Fatal("it has contact")
 	}
 	if x.tells("left") {
--- a/internal/control/registry/registry.go
+++ b/internal/control/registry/registry.go
@@ -29,29 +29,29 @@
 	// IsolatedAfter is how long an instance believes in its newest contact with a majority.
 	QuorumContactTTL = time.Second
 
-	wholeBeats       = 2                      // every living endpoint has called somewhere by then
-	loadingEvery     = 5 * time.Second        // the orders under way are told again
-	flushEvery       = 50 * time.Millisecond  // deltas with ordinary changes to other instances
-	tableLasts       = 400 * time.Millisecond // a table without changes is not made anew
-	tickEvery        = time.Second
-	contactEvery     = 30 * time.Millisecond  // a call waits for contact with a majority: look for it so often
-	settleRetry      = 250 * time.Millisecond // a settling record that is not confirmed is sent once more
-	silenceMargin    = 400 * time.Millisecond
-	silentBeats      = 3                // heartbeats that may be missing
-	dropAfter        = 15 * time.Second // of silence
-	reachedFor       = 15 * time.Second // a router's successful call keeps a silent endpoint so long
-	reachedLately    = 2 * time.Second  // and outweighs another router's failed call so long
-	goneFor          = time.Minute      // a given up endpoint is remembered, with its sequence
-	leftFor          = 10 * time.Minute // one that left
-	unfitFor         = time.Second      // after the start, to hear from all other instances
-	stallAfter       = 1500 * time.Millisecond
-	routerLinger     = 10 * time.Second // a router that vanished still counts
-	unreachedLinger  = time.Minute      // and those of an instance that is out of reach
-	coldTolerance    = 500 * time.Millisecond
-	urgentChange     = time.Duration(0)
-	ordinaryChange   = 5 * time.Millisecond // other instances get ordinary changes together
-	maximumHints     = 8192                 // kept for one instance; beyond, a full exchange
-	exchangeInterval = 2 * time.Second      // between full exchanges with one instance
+	syncHeartbeats           = 2                      // every living endpoint has called somewhere by then
+	loadingResendInterval    = 5 * time.Second        // the orders under way are told again
+	minFlushInterval         = 50 * time.Millisecond  // deltas with ordinary changes to other instances
+	tableCacheTTL            = 400 * time.Millisecond // a table without changes is not made anew
+	tickInterval             = time.Second
+	quorumPollInterval       = 30 * time.Millisecond  // a call waits for contact with a majority: look for it so often
+	drainResendDelay         = 250 * time.Millisecond // a settling record that is not confirmed is sent once more
+	heartbeatMargin          = 400 * time.Millisecond
+	maxMissedHeartbeats      = 3                // heartbeats that may be missing
+	evictionTimeout          = 15 * time.Second // of silence
+	reachedFor               = 15 * time.Second // a router's successful call keeps a silent endpoint so long
+	routerSuccessTTL         = 2 * time.Second  // and outweighs another router's failed call so long
+	evictedTombstoneTTL      = time.Minute      // a given up endpoint is remembered, with its sequence
+	deregisteredTombstoneTTL = 10 * time.Minute // one that left
+	startupSyncTime          = time.Second      // after the start, to hear from all other instances
+	stallThreshold           = 1500 * time.Millisecond
+	routerTTL                = 10 * time.Second // a router that vanished still counts
+	unreachablePeerRouterTTL = time.Minute      // and those of an instance that is out of reach
+	warmUpTolerance          = 500 * time.Millisecond
+	urgentFlushDelay         = time.Duration(0)
+	ordinaryFlushDelay       = 5 * time.Millisecond // other instances get ordinary changes together
+	maxHints                 = 8192                 // kept for one instance; beyond, a full exchange
+	minFullExchangeInterval  = 2 * time.Second      // between full exchanges with one instance
 )
 
 // Config are fixed at the start of the process.
@@ -62,61 +62,61 @@
 
 // Registry is the table of one instance. It is not safe for concurrent use.
 type Registry struct {
-	settings Config
+	config   Config
 	started  time.Time
 	lastTick time.Time
 	nextTick time.Time
 	lastStep time.Time
 
-	entries    map[string]*entry
-	byHash     map[uint32]*entry
-	byAddress  map[string]*entry // newest of each address
-	heardHere  map[uint32]struct{}
-	loading    loadingTable
-	ownLoads   *protocol.LoadingTable // of this instance's placer; nil: another's is in force
-	loadsTold  time.Time              // to all instances
-	peers      map[string]*peer
-	order      []*peer             // by address: what is decided must not depend on the order of a map
-	pending    map[uint64]*pending // by ticket
-	owed       []owed
-	routers    routerCount
-	whole      bool
-	wholeFrom  time.Time // endpoints' calls count from then on until the table is whole
-	wasStale   bool      // the table was stale in the last step
-	rejoinedAt time.Time // contact with a majority came back, and the table may still be stale; zero: it is not
-	contact    time.Time // newest contact with a majority of the voters; zero: there was none
-	floor      uint64    // every connected router has confirmed this revision
-	revision   uint64
-	changed    map[string]struct{}
-	urgent     bool
-	flushAt    time.Time // for deltas to other instances; zero: none are due
-	flushedAt  time.Time
-
-	cached   []protocol.Endpoint // the whole table at a revision
-	cachedAt time.Time
-	cachedOf uint64
-
-	out Output
+	entries              map[string]*entry
+	byHash               map[uint32]*entry
+	byAddress            map[string]*entry // newest of each address
+	heardSinceDigest     map[uint32]struct{}
+	loads                loadingTable
+	localLoading         *protocol.LoadingTable // of this instance's placer; nil: another's is in force
+	loadingSentAt        time.Time              // to all instances
+	peers                map[string]*peer
+	peersByAddress       []*peer                  // by address: what is decided must not depend on the order of a map
+	pendingDrains        map[uint64]*pendingDrain // by ticket
+	pendingConfirmations []pendingConfirmation
+	routers              routerCount
+	complete             bool
+	syncingSince         time.Time // endpoints' calls count from then on until the table is whole
+	wasPossiblyStale     bool      // the table was stale in the last step
+	rejoinedAt           time.Time // contact with a majority came back, and the table may still be stale; zero: it is not
+	quorumContactAt      time.Time // newest contact with a majority of the voters; zero: there was none
+	routersConfirmed     uint64    // every connected router has confirmed this revision
+	revision             uint64
+	changed              map[string]struct{}
+	urgent               bool
+	nextFlush            time.Time // for deltas to other instances; zero: none are due
+	lastFlush            time.Time
+
+	tableCache         []protocol.Endpoint // the whole table at a revision
+	tableCachedAt      time.Time
+	tableCacheRevision uint64
+
+	output Output
 }
 
 // New returns an empty registry.
 func New(settings Config, now time.Time) *Registry {
 	return &Registry{
-		settings:  settings,
-		started:   now,
-		wholeFrom: now,
-		lastTick:  now,
-		nextTick:  now.Add(tickEvery),
-		lastStep:  now,
-		entries:   make(map[string]*entry),
-		byHash:    make(map[uint32]*entry),
-		byAddress: make(map[string]*entry),
-		heardHere: make(map[uint32]struct{}),
-		peers:     make(map[string]*peer),
-		pending:   make(map[uint64]*pending),
-		routers:   newRouterCount(),
-		changed:   make(map[string]struct{}),
-		floor:     NoRouters,
+		config:           settings,
+		started:          now,
+		syncingSince:     now,
+		lastTick:         now,
+		nextTick:         now.Add(tickInterval),
+		lastStep:         now,
+		entries:          make(map[string]*entry),
+		byHash:           make(map[uint32]*entry),
+		byAddress:        make(map[string]*entry),
+		heardSinceDigest: make(map[uint32]struct{}),
+		peers:            make(map[string]*peer),
+		pendingDrains:    make(map[uint64]*pendingDrain),
+		routers:          newRouterCount(),
+		changed:          make(map[string]struct{}),
+		routersConfirmed: NoRouters,
 	}
 }
 
@@ -199,70 +199,70 @@
 
 // Step takes in what happened.
 func (r *Registry) Step(now time.Time, inputs ...Input) Output {
-	r.out = Output{}
+	r.output = Output{}
 	r.forgiveStall(now)
 	for _, in := range inputs {
-		r.take(now, in)
+		r.handle(now, in)
 	}
 	if !now.Before(r.nextTick) {
 		r.tick(now)
 	}
-	r.judgeStale(now)
-	r.collectChanges(now)
-	r.settle(now)
-	r.payOwed(now)
-	if !r.flushAt.IsZero() && !now.Before(r.flushAt) {
+	r.updateStaleness(now)
+	r.publishChanges(now)
+	r.acknowledgeDrains(now)
+	r.confirmInForceDeltas(now)
+	if !r.nextFlush.IsZero() && !now.Before(r.nextFlush) {
 		r.flush(now)
 	}
-	r.out.Revision = r.revision
-	r.out.Complete = r.whole
-	r.out.RouterCount = r.routerCount()
-	r.out.WakeAt = r.wakeAt()
-	r.out.WakeDeferrable = r.out.WakeAt.Equal(r.nextTick)
+	r.output.Revision = r.revision
+	r.output.Complete = r.complete
+	r.output.RouterCount = r.routerCount()
+	r.output.WakeAt = r.wakeAt()
+	r.output.WakeDeferrable = r.output.WakeAt.Equal(r.nextTick)
 	r.lastStep = now
-	return r.out
+	return r.output
 }
 
-func (r *Registry) take(now time.Time, in Input) {
+func (r *Registry) handle(now time.Time, in Input) {
 	switch in := in.(type) {
 	case Heartbeat:
-		r.heartbeat(now, in)
+		r.handleHeartbeat(now, in)
 	case Deregister:
-		r.leave(now, in)
+		r.handleDeregister(now, in)
 	case PeerMessage:
-		r.message(now, in.Content)
+		r.handlePeerMessage(now, in.Content)
 	case Peers:
-		r.setPeers(now, in)
+		r.handlePeers(now, in)
 	case QuorumContact:
-		r.takeContact(now, in)
+		r.handleQuorumContact(now, in)
 	case Routers:
 		r.routers.own = in.Connected
-		for _, p := range r.order {
-			p.routersTold = false
+		for _, p := range r.peersByAddress {
+			p.routersSent = false
 		}
 		r.routers.refresh(now, r.peers)
 	case RoutersConfirmed:
-		r.floor = in.Revision
+		r.routersConfirmed = in.Revision
 	case RouterReport:
-		r.routerReport(now, in)
+		r.handleRouterReport(now, in)
 	case LocalLoading:
-		r.ownLoading(now, in.Table)
+		r.handleLocalLoading(now, in.Table)
 	}
 }
 
 // forgiveStall keeps a process that did not run for a while from taking its own silence for the endpoints'.
 func (r *Registry) forgiveStall(now time.Time) {
 	late := now.Sub(r.nextTick)
-	if late < stallAfter {
+	if late < stallThreshold {
 		return
 	}
 	for _, e := range r.entries {
-		e.heard = e.heard.Add(late)
+		e.lastHeartbeat = e.lastHeartbeat.Add(late)
 	}
 }
 
-// collectChanges gives what changed in this step a revision.
-func (r *Registry) collectChanges(now time.Time) {
+// publishChanges gives what changed in this step a revision.
+func (r *Registry) publishChanges(now time.Time) {
 	if len(r.changed) == 0 {
 		return
 	}
@@ -270,12 +270,12 @@
 	for _, id := range slices.Sorted(maps.Keys(r.changed)) {
 		e := r.entries[id]
 		e.revision = r.revision
-		if r.silentWhileStale(now, e) {
+		if r.hiddenWhileStale(now, e) {
 			continue
 		}
-		r.out.Changed = append(r.out.Changed, r.view(now, e))
+		r.output.Changed = append(r.output.Changed, r.routerView(now, e))
 	}
-	r.out.Urgent = r.urgent
+	r.output.Urgent = r.urgent
 	r.urgent = false
 	clear(r.changed)
 }
@@ -283,24 +283,24 @@
 // Endpoints returns the whole table as routers see it, by ID. Those given up are not in it. Times and sequences may be
 // some hundred milliseconds old. The table must not be changed.
 func (r *Registry) Endpoints(now time.Time) []protocol.Endpoint {
-	isNew := r.cached != nil && r.cachedOf == r.revision && len(r.changed) == 0 && now.Sub(r.cachedAt) < tableLasts
+	isNew := r.tableCache != nil && r.tableCacheRevision == r.revision && len(r.changed) == 0 && now.Sub(r.tableCachedAt) < tableCacheTTL
 	if !isNew {
-		r.cached = r.views(now, func(e *entry) bool { return !e.gone })
-		r.cachedAt, r.cachedOf = now, r.revision
+		r.tableCache = r.routerViews(now, func(e *entry) bool { return !e.tombstone })
+		r.tableCachedAt, r.tableCacheRevision = now, r.revision
 	}
-	return r.cached
+	return r.tableCache
 }
 
 // EndpointsAndTombstones returns the same with those that are gone and not forgotten yet.
 func (r *Registry) EndpointsAndTombstones(now time.Time) []protocol.Endpoint {
-	return r.views(now, func(*entry) bool { return true })
+	return r.routerViews(now, func(*entry) bool { return true })
 }
 
-func (r *Registry) views(now time.Time, shown func(e *entry) bool) []protocol.Endpoint {
+func (r *Registry) routerViews(now time.Time, shown func(e *entry) bool) []protocol.Endpoint {
 	table := make([]protocol.Endpoint, 0, len(r.entries))
 	for _, e := range r.entries {
-		if shown(e) && !r.silentWhileStale(now, e) {
-			table = append(table, r.view(now, e))
+		if shown(e) && !r.hiddenWhileStale(now, e) {
+			table = append(table, r.routerView(now, e))
 		}
 	}
 	slices.SortFunc(table, func(a, b protocol.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
@@ -312,13 +312,13 @@
 
 func (r *Registry) wakeAt() time.Time {
 	wake := r.nextTick
-	if !r.flushAt.IsZero() && r.flushAt.Before(wake) {
-		wake = r.flushAt
+	if !r.nextFlush.IsZero() && r.nextFlush.Before(wake) {
+		wake = r.nextFlush
 	}
-	if ends := r.staleEnds(); !ends.IsZero() && ends.Before(wake) {
+	if ends := r.stalenessDeadline(); !ends.IsZero() && ends.Before(wake) {
 		wake = ends
 	}
-	for _, p := range r.pending {
+	for _, p := range r.pendingDrains {
 		if p.wakeAt.Before(wake) {
 			wake = p.wakeAt
 		}
@@ -326,13 +326,13 @@
 	return wake
 }
 
-// flushWithin has the changes sent to the other instances soon. Ordinary ones in quick succession go together.
-func (r *Registry) flushWithin(now time.Time, wait time.Duration) {
+// scheduleFlush has the changes sent to the other instances soon. Ordinary ones in quick succession go together.
+func (r *Registry) scheduleFlush(now time.Time, wait time.Duration) {
 	at := now.Add(wait)
-	if wait > urgentChange {
-		at = later(at, r.flushedAt.Add(flushEvery))
+	if wait > urgentFlushDelay {
+		at = latest(at, r.lastFlush.Add(minFlushInterval))
 	}
-	if r.flushAt.IsZero() || at.Before(r.flushAt) {
-		r.flushAt = at
+	if r.nextFlush.IsZero() || at.Before(r.nextFlush) {
+		r.nextFlush = at
 	}
 }
--- a/internal/control/registry/registry_test.go
+++ b/internal/control/registry/registry_test.go
@@ -126,7 +126,7 @@
 	x.want("e", protocol.Unresponsive)
 	x.beat(beat("e", 2, protocol.Ready))
 	x.want("e", protocol.Ready)
-	x.wait(dropAfter + 2*time.Second)
+	x.wait(evictionTimeout + 2*time.Second)
 	x.want("e", protocol.Departed)
 	x.beat(beat("e", 3, protocol.Ready))
 	x.want("e", protocol.Ready)
@@ -213,7 +213,7 @@
 	start := x.now
 	x.beat(beat("e", 1, protocol.Draining))
 	x.step(PeerMessage{Content: &protocol.RegistryConfirm{ // it has the record, its routers don't
-		Origin: protocol.Origin{Address: "slow", Incarnation: 2}, For: 1, Received: []uint64{x.peers["slow"].sequence}}})
+		Origin: protocol.Origin{Address: "slow", Incarnation: 2}, For: 1, Received: []uint64{x.peers["slow"].deltaSequence}}})
 	for len(x.out.Replies) == 0 {
 		x.wait(10 * time.Millisecond)
 	}
@@ -250,7 +250,7 @@
 		}
 	}
 	x.want("e", protocol.Departed) // noted all the same
-	young := &table{t: t, Registry: New(x.settings, begin), now: begin.Add(10 * time.Millisecond)}
+	young := &table{t: t, Registry: New(x.config, begin), now: begin.Add(10 * time.Millisecond)}
 	if out := young.beat(beat("e", 1, protocol.Ready)); !acknowledged(out) {
 		t.Errorf("ready at a young instance: %+v", out)
 	}
@@ -271,10 +271,10 @@
 	x := newTable(t)
 	x.step(Peers{Reachable: []string{"other"}})
 	x.step(Peers{})
-	for n := range maximumHints + 10 {
+	for n := range maxHints + 10 {
 		x.beat(beat(fmt.Sprint("e", n), 1, protocol.Ready))
 	}
-	if hints := len(x.peers["other"].dirty); hints > maximumHints {
+	if hints := len(x.peers["other"].hints); hints > maxHints {
 		t.Errorf("%d hints", hints)
 	}
 	out := x.step(Peers{Reachable: []string{"other"}})
@@ -290,7 +290,7 @@
 	x := newTable(t)
 	x.beat(beat("e", 1, protocol.Ready))
 	x.leave("e")
-	x.wait(leftFor + 3*time.Second)
+	x.wait(deregisteredTombstoneTTL + 3*time.Second)
 	if len(x.entries) != 0 || len(x.byHash) != 0 || len(x.byAddress) != 0 {
 		t.Errorf("%d entries, %d hashes, %d addresses", len(x.entries), len(x.byHash), len(x.byAddress))
 	}
@@ -354,11 +354,11 @@
 			Records: []protocol.Record{{Endpoint: beat(id, 1, protocol.Ready), Age: age}},
 		}})
 	}
-	tell("silent", x.silentAfter()+time.Millisecond)
+	tell("silent", x.unresponsiveTimeout()+time.Millisecond)
 	x.want("silent", protocol.Departed)
-	tell("heard", x.silentAfter()-time.Second)
+	tell("heard", x.unresponsiveTimeout()-time.Second)
 	x.want("heard", protocol.Ready)
-	x.whole = false // after a start, what others have kept is all there is
-	tell("kept", x.silentAfter()+time.Millisecond)
+	x.complete = false // after a start, what others have kept is all there is
+	tell("kept", x.unresponsiveTimeout()+time.Millisecond)
 	x.want("kept", protocol.Ready)
 }
--- a/internal/control/registry/routers.go
+++ b/internal/control/registry/router_count.go
@@ -15,18 +15,18 @@
 
 func (c *routerCount) refresh(now time.Time, peers map[string]*peer) {
 	for _, router := range c.own {
-		c.seen[router] = now.Add(routerLinger)
+		c.seen[router] = now.Add(routerTTL)
 	}
 	for _, p := range peers {
-		linger := routerLinger
-		if !p.reachable && now.Sub(p.lostSince) < unreachedLinger {
-			linger = unreachedLinger - now.Sub(p.lostSince)
+		linger := routerTTL
+		if !p.reachable && now.Sub(p.unreachableSince) < unreachablePeerRouterTTL {
+			linger = unreachablePeerRouterTTL - now.Sub(p.unreachableSince)
 		}
-		if !p.reachable && now.Sub(p.lostSince) >= unreachedLinger {
+		if !p.reachable && now.Sub(p.unreachableSince) >= unreachablePeerRouterTTL {
 			continue
 		}
 		for _, router := range p.routers {
-			c.seen[router] = later(c.seen[router], now.Add(linger))
+			c.seen[router] = latest(c.seen[router], now.Add(linger))
 		}
 	}
 	for router, until := range c.seen {
@@ -37,7 +37,7 @@
 }
 
 func (r *Registry) routerCount() int {
-	if !r.whole {
+	if !r.complete {
 		return 0
 	}
 	return len(r.routers.seen)
--- a/internal/control/registry/size_test.go
+++ b/internal/control/registry/size_test.go
@@ -33,7 +33,7 @@
 			Records: []protocol.Record{{Endpoint: table[i]}},
 		}})
 	}
-	confirmDeltas(r, r.Step(now.Add(ordinaryChange)), now)
+	confirmDeltas(r, r.Step(now.Add(ordinaryFlushDelay)), now)
 	return r, now, table
 }
 
@@ -48,7 +48,7 @@
 			if send.To == instanceAddress(i) {
 				r.Step(now, PeerMessage{Content: &protocol.RegistryConfirm{
 					Origin: origin(i),
-					For:    r.settings.Origin.Incarnation, Received: []uint64{delta.Sequence},
+					For:    r.config.Origin.Incarnation, Received: []uint64{delta.Sequence},
 				}})
 			}
 		}
@@ -113,7 +113,7 @@
 		e.Sequence = sequence
 		e.Models = []protocol.LoadedModel{{Name: sizetest.ModelName(int(sequence % sizetest.Models)), Generation: 1}}
 		r.Step(now, Heartbeat{RequestID: sequence, Endpoint: e})
-		confirmDeltas(r, r.Step(now.Add(ordinaryChange)), now)
+		confirmDeltas(r, r.Step(now.Add(ordinaryFlushDelay)), now)
 	}
 }
 
