--- a/internal/control/state/golden_test.go
+++ b/internal/control/state/golden_test.go
@@ -69,18 +69,18 @@
 	body   []byte
 }
 
-// goldenLong is a text of many bytes that packs well, but not to nothing.
-func goldenLong(seed uint64, words int) string {
+// goldenText is a text of many bytes that compresses well, but not to nothing.
+func goldenText(seed uint64, tokens int) string {
 	random := rand.New(rand.NewPCG(seed, 73))
 	var text strings.Builder
-	for range words {
+	for range tokens {
 		fmt.Fprintf(&text, "w%03d ", random.IntN(200))
 	}
 	return text.String()
 }
 
 // goldenSteps is the history: changes that are accepted, repeated, rejected, and on other versions; with documents
-// and bodies on both sides of the size above which they are packed.
+// and bodies on both sides of the size above which they are compressed.
 func goldenSteps() []goldenStep {
 	document := func(generation int64, note string) []byte {
 		return fmt.Appendf(nil, `{"generation":%d,"note":%q,"routes":[{"name":"r1","hostname":"h.example",`+
@@ -93,7 +93,7 @@
 		return fmt.Appendf(nil, `{"generation":%d,"upsert":{"tenants":[{"name":%q,"api_keys":[%q],"note":%q}]},`+
 			`"delete":{"routes":["r-old"]}}`, generation, name, "key-"+name, note)
 	}
-	var keys []string // each at two tenants: more faults than a result holds
+	var keys []string // each at two tenants: more faults than a result contains
 	for n := range 60 {
 		keys = append(keys, fmt.Sprintf(`{"name":"a%d","api_keys":["k%d"]},{"name":"b%d","api_keys":["k%d"]}`, n, n, n, n))
 	}
@@ -101,8 +101,8 @@
 		strings.Join(keys, ","))
 	first := goldenStep{"first", "PUT", 0, document(11, "first")}
 	small := goldenStep{"patch", "PATCH", 11, tenant(23, "t2", "short")}
-	long := goldenStep{"packed patch", "PATCH", 23, tenant(31, "t3", goldenLong(1, 8000))}
-	large := goldenStep{"packed document", "PUT", 31, document(47, goldenLong(2, 9000))}
+	long := goldenStep{"packed patch", "PATCH", 23, tenant(31, "t3", goldenText(1, 8000))}
+	large := goldenStep{"packed document", "PUT", 31, document(47, goldenText(2, 9000))}
 	return []goldenStep{
 		{"patch of nothing", "PATCH", 5, tenant(7, "t0", "")},
 		first,
@@ -136,8 +136,8 @@
 // goldenIndex is the index of a step's command in the log.
 func goldenIndex(step int) uint64 { return 1000 + 3*uint64(step) }
 
-// snapshotAfter are the steps after which a snapshot is in a file: a document that is not packed, one that is, and the
-// end, with a document that is not packed after those that were.
+// snapshotAfter are the steps after which a snapshot is in a file: a document that is not compressed, one that is, and
+// the end, with a document that is not compressed after those that were.
 var snapshotAfter = map[int]string{9: "snapshot-small.hex", 15: "snapshot-packed.hex", 17: "snapshot-end.hex"}
 
 func readSnapshot(t *testing.T, name string) []byte {
@@ -146,7 +146,7 @@
 }
 
 // TestGoldenHistory has the commands of history.tsv applied: the same commands are built today, they read the same, they
-// get the same answers and make the same documents and snapshots.
+// get the same results and make the same documents and snapshots.
 func TestGoldenHistory(t *testing.T) {
 	steps := goldenSteps()
 	lines := readGolden(t, "history.tsv", 6)
@@ -206,7 +206,7 @@
 }
 
 // TestGoldenSnapshots has today's machine go on from each stored snapshot: it writes the same snapshot again, gives the
-// rest of the history's commands the same answers, and ends in the same state.
+// rest of the history's commands the same results, and ends in the same state.
 func TestGoldenSnapshots(t *testing.T) {
 	lines := readGolden(t, "history.tsv", 6)
 	for after, file := range snapshotAfter {
@@ -244,7 +244,7 @@
 }
 
 // TestGoldenSnapshotOfForgottenChanges has the memory of changes run over: what is forgotten when, what the snapshot
-// says of it, and the answers to changes before and after that bound, by the machine and by one restored.
+// says of it, and the results of changes before and after that bound, by the machine and by one restored.
 func TestGoldenSnapshotOfForgottenChanges(t *testing.T) {
 	lines := readGolden(t, "forgotten.tsv", 3)
 	m := New()
@@ -307,8 +307,8 @@
 	}
 }
 
-// TestGoldenCommandSizes has bodies on both sides of the size above which they are packed, and one that packing would not
-// shorten.
+// TestGoldenCommandSizes has bodies on both sides of the size above which they are compressed, and one that compression would
+// not shorten.
 func TestGoldenCommandSizes(t *testing.T) {
 	lines := readGolden(t, "sizes.tsv", 4)
 	noise := make([]byte, 20000)
@@ -316,7 +316,7 @@
 	for i := range noise {
 		noise[i] = byte(random.Uint32())
 	}
-	text := []byte(goldenLong(3, 10000))
+	text := []byte(goldenText(3, 10000))
 	bodies := map[string][]byte{"16384": text[:16384], "16385": text[:16385], "noise": noise}
 	if len(lines) != len(bodies) {
 		t.Fatalf("%d lines, want %d", len(lines), len(bodies))
--- a/internal/control/state/result.go
+++ b/internal/control/state/result.go
@@ -9,26 +9,26 @@
 	"raventrestle/internal/configuration"
 )
 
-// Result is what became of a change: Accepted, VersionMismatch, Rejected or Forgotten.
+// Result is the outcome of a change: Accepted, VersionMismatch, Rejected or Forgotten.
 type Result interface{ isResult() }
 
-// Accepted says that the change was taken, now or before.
+// Accepted means that the change is part of the configuration's history, since now or since an earlier attempt.
 type Accepted struct {
-	Generation int64 `cbor:"1,keyasint"` // that it made
+	Generation int64 `cbor:"1,keyasint"` // that the change made
 }
 
-// VersionMismatch says that the change builds on another version than the current one.
+// VersionMismatch means that the change builds on another version than the current one and was never accepted.
 type VersionMismatch struct {
 	Current int64 `cbor:"1,keyasint"`
 }
 
-// Forgotten says that the change builds on a version so old that the machine no longer knows which change was taken
-// on it. It may have been this one: there is no clear answer.
+// Forgotten means that the change builds on a version so old that the machine no longer knows which change was accepted
+// on it. It may have been this one, so the caller must not say that it was rejected. See changeLog.
 type Forgotten struct {
 	Current int64 `cbor:"1,keyasint"`
 }
 
-// Rejected says that the change is invalid.
+// Rejected means that the change is invalid. The number of faults is bounded by maxFaults.
 type Rejected struct {
 	Faults []configuration.Fault `cbor:"1,keyasint"`
 }
@@ -38,10 +38,10 @@
 func (Rejected) isResult()        {}
 func (Forgotten) isResult()       {}
 
-// mostFaults bounds the faults in a result, and so its size.
-const mostFaults = 50
+// maxFaults bounds the faults in a result, and so its size.
+const maxFaults = 50
 
-// resultMessage has one of its members.
+// resultMessage is the encoded form of a result. One of its fields is set.
 type resultMessage struct {
 	Accepted  *Accepted        `cbor:"1,keyasint,omitempty"`
 	Mismatch  *VersionMismatch `cbor:"2,keyasint,omitempty"`
@@ -68,7 +68,7 @@
 	return encoded
 }
 
-var errNoResult = errors.New("no result in it")
+var errNoResult = errors.New("message has no result")
 
 // DecodeResult reads what Machine.Apply returned.
 func DecodeResult(encoded []byte) (Result, error) {
@@ -89,11 +89,12 @@
 	return nil, fmt.Errorf("state: decode result: %w", errNoResult)
 }
 
-// rejected makes a result of an error: the faults of an invalid configuration, or the error itself.
-func rejected(err error) Rejected {
+// rejection returns the result of a change that failed: the faults of an invalid configuration, or else the error itself
+// as the only fault.
+func rejection(err error) Rejected {
 	var invalid *configuration.Invalid
 	if errors.As(err, &invalid) {
-		return Rejected{Faults: invalid.Faults[:min(len(invalid.Faults), mostFaults)]}
+		return Rejected{Faults: invalid.Faults[:min(len(invalid.Faults), maxFaults)]}
 	}
 	return Rejected{Faults: []configuration.Fault{{Item: "change", Reason: err.Error()}}}
 }
--- a/internal/control/state/snapshot.go
+++ b/internal/control/state/snapshot.go
@@ -9,21 +9,24 @@
 	"raventrestle/internal/configuration"
 )
 
-// snapshotFormat is the only one so far.
+// snapshotFormat is the only format of snapshots so far.
 const snapshotFormat = 1
 
-// maxDocumentBytes bounds a document that is unpacked. Amendments may make one larger than any body.
+// maxDocumentBytes bounds a document after decompression. It is above maxBodyBytes, because patches can make a document
+// larger than any body.
 const maxDocumentBytes = 64 << 20
 
+// snapshotMessage is the encoded form of the complete state.
 type snapshotMessage struct {
-	Format    int             `cbor:"1,keyasint"`
-	Document  []byte          `cbor:"2,keyasint,omitempty"` // nothing before the first configuration
-	Taken     []snapshotTaken `cbor:"3,keyasint,omitempty"`
-	Forgotten int64           `cbor:"4,keyasint,omitempty"` // made by the newest change that is no longer in Taken
-	Zlib      bool            `cbor:"5,keyasint,omitempty"` // Document is packed
+	Format              int              `cbor:"1,keyasint"`
+	Document            []byte           `cbor:"2,keyasint,omitempty"` // empty before the first configuration
+	Changes             []snapshotChange `cbor:"3,keyasint,omitempty"` // those of the change log, oldest first
+	ForgottenGeneration int64            `cbor:"4,keyasint,omitempty"` // as in changeLog
+	Compressed          bool             `cbor:"5,keyasint,omitempty"` // Document is compressed (zlib)
 }
 
-type snapshotTaken struct {
+// snapshotChange is the encoded form of an acceptedChange: an array, because there are thousands of them.
+type snapshotChange struct {
 	_           struct{} `cbor:",toarray"`
 	Fingerprint []byte
 	Generation  int64
@@ -32,19 +35,19 @@
 	Bytes       int
 }
 
-// Snapshot returns the whole state, for Restore.
+// Snapshot implements replica.Machine: it returns the complete state, for Restore.
 func (m *Machine) Snapshot() []byte {
 	message := snapshotMessage{
-		Format:    snapshotFormat,
-		Taken:     make([]snapshotTaken, 0, len(m.taken)),
-		Forgotten: m.forgotten,
+		Format:              snapshotFormat,
+		Changes:             make([]snapshotChange, 0, len(m.log.changes)),
+		ForgottenGeneration: m.log.forgottenGeneration,
 	}
 	if m.document != nil {
-		message.Document, message.Zlib = packDocument(m.document.Encode())
+		message.Document, message.Compressed = compressDocument(m.document.Encode())
 	}
-	for i := range m.taken {
-		change := &m.taken[i]
-		message.Taken = append(message.Taken, snapshotTaken{
+	for i := range m.log.changes {
+		change := &m.log.changes[i]
+		message.Changes = append(message.Changes, snapshotChange{
 			Fingerprint: change.fingerprint[:],
 			Generation:  change.version.Generation,
 			Index:       change.version.Index,
@@ -59,31 +62,32 @@
 	return encoded
 }
 
-// packDocument packs a large document: a snapshot goes to members over their links.
-func packDocument(document []byte) (packed []byte, is bool) {
-	if len(document) <= packAboveBytes {
+// compressDocument compresses a large document, because snapshots are sent to members over their links. It returns the
+// document itself where that saves nothing.
+func compressDocument(document []byte) (encoded []byte, compressed bool) {
+	if len(document) <= compressAboveBytes {
 		return document, false
 	}
-	packed, err := pack(document)
-	if err != nil || len(packed) >= len(document) {
+	encoded, err := compress(document)
+	if err != nil || len(encoded) >= len(document) {
 		return document, false
 	}
-	return packed, true
+	return encoded, true
 }
 
 var (
-	errSnapshotFormat = errors.New("unknown format")
-	errFingerprint    = errors.New("fingerprint of another length")
+	errSnapshotFormat    = errors.New("unknown format")
+	errFingerprintLength = errors.New("invalid length of a fingerprint")
 )
 
-// Restore replaces the whole state by that of a snapshot. After an error the state is as it was.
+// Restore implements replica.Machine: it replaces the complete state by that of a snapshot. After an error the state is
+// unchanged.
 func (m *Machine) Restore(snapshot []byte) error {
 	restored, err := restore(snapshot)
 	if err != nil {
 		return fmt.Errorf("state: restore snapshot: %w", err)
 	}
-	m.document, m.taken, m.known = restored.document, restored.taken, restored.known
-	m.forgotten = restored.forgotten
+	m.document, m.log = restored.document, restored.log
 	m.view.Store(restored.view.Load())
 	return nil
 }
@@ -97,43 +101,49 @@
 		return nil, fmt.Errorf("%w %d", errSnapshotFormat, message.Format)
 	}
 	m := New()
-	m.forgotten = message.Forgotten
-	if message.Zlib {
-		document, err := unpack(message.Document, maxDocumentBytes)
-		if err != nil {
-			return nil, err
-		}
-		message.Document = document
-	}
-	if len(message.Document) > 0 {
-		document, err := configuration.ParseDocument(message.Document)
-		if err != nil {
-			return nil, err
-		}
-		m.document = document
+	m.log.forgottenGeneration = message.ForgottenGeneration
+	document, err := message.document()
+	if err != nil {
+		return nil, err
 	}
+	m.document = document
 	var history []Version
-	for _, change := range message.Taken {
-		taken, err := change.restore()
+	for i := range message.Changes {
+		change, err := message.Changes[i].accepted()
 		if err != nil {
 			return nil, err
 		}
-		m.remember(taken)
-		history = append(history, taken.version)
+		m.log.add(change)
+		history = append(history, change.version)
 	}
-	m.view.Store(&View{History: history[:max(0, len(history)-1)]})
+	m.view.Store(&View{History: history[:max(0, len(history)-1)]}) // publish adds the newest version
 	m.publish()
 	return m, nil
 }
 
-func (s *snapshotTaken) restore() (takenChange, error) {
-	var mark fingerprint
-	if len(s.Fingerprint) != len(mark) {
-		return takenChange{}, fmt.Errorf("%w: %d", errFingerprint, len(s.Fingerprint))
+// document returns the decoded document, nil before the first configuration.
+func (s *snapshotMessage) document() (*configuration.Document, error) {
+	encoded := s.Document
+	if s.Compressed {
+		var err error
+		if encoded, err = decompress(encoded, maxDocumentBytes); err != nil {
+			return nil, err
+		}
+	}
+	if len(encoded) == 0 {
+		return nil, nil
+	}
+	return configuration.ParseDocument(encoded)
+}
+
+func (s *snapshotChange) accepted() (acceptedChange, error) {
+	var identity fingerprint
+	if len(s.Fingerprint) != len(identity) {
+		return acceptedChange{}, fmt.Errorf("%w: %d bytes", errFingerprintLength, len(s.Fingerprint))
 	}
-	copy(mark[:], s.Fingerprint)
-	return takenChange{
-		fingerprint: mark,
+	copy(identity[:], s.Fingerprint)
+	return acceptedChange{
+		fingerprint: identity,
 		version:     Version{Generation: s.Generation, Index: s.Index, Method: s.Method, Bytes: s.Bytes},
 	}, nil
 }
