--- a/cmd/raventrestle-control/events.go
+++ b/cmd/raventrestle-control/events.go
@@ -45,18 +45,18 @@
 	e.logger.Info().Str("event", "settings_read").Msg("")
 }
 
-// RouterSubscribed implements host.Events.
+// RouterSubscribed implements host.EventRecorder.
 func (e *events) RouterSubscribed(node, zone string, generation int64) {
 	e.logger.Info().Str("event", "router_subscribed").Str("router", node).Str("zone", zone).
 		Int64("generation", generation).Msg("")
 }
 
-// RouterClosed implements host.Events.
+// RouterClosed implements host.EventRecorder.
 func (e *events) RouterClosed(node, reason string) {
 	e.logger.Info().Str("event", "router_closed").Str("router", node).Str("reason", reason).Msg("")
 }
 
-// Isolated implements host.Events.
+// Isolated implements host.EventRecorder.
 func (e *events) Isolated(isolated bool, live, voters int) {
 	e.logger.Warn().Str("event", "isolated").Bool("isolated", isolated).Int("live", live).Int("voters", voters).
 		Msg("")
--- a/cmd/raventrestle-control/instance.go
+++ b/cmd/raventrestle-control/instance.go
@@ -100,7 +100,7 @@
 	newPlacer := func(quiet time.Duration) roles.Placer { return makePlacer(settings, quiet) }
 	newAllocator := func(quiet time.Duration) roles.Allocator { return makeAllocator(settings, quiet) }
 	reports := &lateReports{}
-	table := host.New(host.Settings{Origin: origin, Heartbeat: settings.Heartbeat, Codec: codec}, host.Parts{
+	table := host.New(host.Config{Origin: origin, Heartbeat: settings.Heartbeat, Codec: codec}, host.Dependencies{
 		Replica: group, Configurations: configurations, Mesh: i.mesh, Roles: reports, Events: events,
 	})
 	i.holder = roles.New(roles.Config{Origin: origin, NodeName: settings.NodeName, Lease: settings.Bounds.Lease},
--- /dev/null
+++ b/internal/control/controller/controller.go
@@ -0,0 +1,233 @@
+package controller
+
+import (
+	"time"
+
+	"raventrestle/internal/control/distribution"
+	"raventrestle/internal/control/registry"
+	"raventrestle/internal/protocol"
+)
+
+// Config is fixed at the start of the process.
+type Config struct {
+	Origin protocol.Origin // of this instance; At is set in each message
+}
+
+// EndpointRegistry is the table of endpoints; *registry.Registry is one.
+type EndpointRegistry interface {
+	Step(now time.Time, inputs ...registry.Input) registry.Output
+	Endpoints(now time.Time) []protocol.Endpoint
+	EndpointsAndTombstones(now time.Time) []protocol.Endpoint
+}
+
+// Controller is the soft state of one instance. It is not safe for concurrent use.
+type Controller struct {
+	config   Config
+	started  time.Time
+	registry EndpointRegistry
+	hub      *distribution.Hub
+
+	// advertised is what the hub was given last of the registry's output, without changed endpoints.
+	advertised  distribution.Endpoints
+	connections connectionTable
+	calls       callTable
+	replica     replicaView
+	barrier     barrierState
+	reports     reportQueue
+	delays      queueingDelays
+	grantEpoch  uint64 // newest epoch whose grants were passed on
+
+	// Of the step in progress.
+	registryInputs []registry.Input
+	hubInputs      []distribution.Input
+	out            Output
+}
+
+// New returns a controller that knows nothing yet, around an empty registry. Its messages state the time since it
+// started.
+func New(config Config, endpoints EndpointRegistry, started time.Time) *Controller {
+	return &Controller{
+		config:      config,
+		started:     started,
+		registry:    endpoints,
+		hub:         distribution.New(started),
+		connections: newConnectionTable(),
+		calls:       newCallTable(),
+		delays:      newQueueingDelays(),
+	}
+}
+
+// Step takes in what happened and returns what is to be done. Times of successive steps must not decrease.
+func (c *Controller) Step(now time.Time, input Input) Output {
+	c.registryInputs, c.hubInputs, c.out = nil, nil, Output{}
+	c.observeCommitted(input.Replicated)
+	for _, event := range input.Events {
+		c.take(now, event)
+	}
+	c.observeMembership(now, input.Replicated.Status)
+	c.stepParts(now)
+	c.forwardReports(now)
+	c.limitWake(now)
+	return c.out
+}
+
+func (c *Controller) take(now time.Time, event Event) {
+	switch event := event.(type) {
+	case MessageReceived:
+		c.receive(now, event)
+	case ConnectionClosed:
+		c.connectionClosed(event.Connection)
+	case ReplicaChanged:
+		c.replica.observedAt = time.Time{}
+	case BarrierFinished:
+		c.finishBarrier(now, event)
+	case HeartbeatReceived:
+		c.toRegistry(registry.Heartbeat{RequestID: c.calls.add(event.Caller), Endpoint: event.Endpoint})
+	case DeregistrationReceived:
+		c.toRegistry(registry.Deregister{RequestID: c.calls.add(event.Caller), ID: event.ID})
+	case LoadingChanged:
+		c.toRegistry(registry.LocalLoading{Table: event.Table})
+	case GrantsIssued:
+		c.distributeGrants(now, event.Batches)
+	}
+}
+
+func (c *Controller) toRegistry(input registry.Input) {
+	c.registryInputs = append(c.registryInputs, input)
+}
+func (c *Controller) toHub(input distribution.Input) { c.hubInputs = append(c.hubInputs, input) }
+
+// stepParts steps the hub, then the registry, and the hub once more with what the registry changed.
+func (c *Controller) stepParts(now time.Time) {
+	subscriptions := c.hub.Step(now, c.tableAt(now), c.hubInputs...)
+	if subscriptions.Routers {
+		c.toRegistry(registry.Routers{Connected: c.routerHashes()})
+	}
+	c.toRegistry(registry.RoutersConfirmed{Revision: subscriptions.Floor})
+	endpoints := c.registry.Step(now, c.registryInputs...)
+	c.collectSubscriptions(subscriptions)
+	barrier, wakeAt := subscriptions.Barrier, subscriptions.WakeAt
+	if c.mustAdvertise(endpoints) {
+		advertised := c.advertise(now, endpoints)
+		barrier, wakeAt = advertised.Barrier, advertised.WakeAt
+	}
+	c.collectEndpoints(now, endpoints)
+	c.startBarrier(now, barrier)
+	c.out.WakeAt = mergeWakes(wakeAt, endpoints)
+}
+
+// tableAt gives the hub the table of endpoints as it is while the step lasts.
+func (c *Controller) tableAt(now time.Time) distribution.Table {
+	return func(includeTombstones bool) []protocol.Endpoint {
+		if includeTombstones {
+			return c.registry.EndpointsAndTombstones(now)
+		}
+		return c.registry.Endpoints(now)
+	}
+}
+
+// mustAdvertise says whether the hub must take in the registry's output. It notes that it does.
+func (c *Controller) mustAdvertise(out registry.Output) bool {
+	summary := distribution.Endpoints{Routers: out.RouterCount, Whole: out.Complete}
+	changed := summary.Routers != c.advertised.Routers || summary.Whole != c.advertised.Whole
+	c.advertised = summary
+	return changed || len(out.Changed) > 0
+}
+
+// advertise has the hub send the registry's changes to the routers.
+func (c *Controller) advertise(now time.Time, out registry.Output) distribution.Output {
+	sent := c.hub.Step(now, c.tableAt(now), distribution.Endpoints{
+		Changed:  out.Changed,
+		Revision: out.Revision,
+		Urgent:   out.Urgent,
+		Routers:  out.RouterCount,
+		Whole:    out.Complete,
+	})
+	c.collectMessages(sent)
+	return sent
+}
+
+// collectSubscriptions puts what the hub decided into the output.
+func (c *Controller) collectSubscriptions(out distribution.Output) {
+	c.collectMessages(out)
+	c.out.Subscribed = out.Joined
+	c.reports.confirmed = append(c.reports.confirmed, out.Granted...)
+}
+
+// collectMessages puts the hub's messages and closings into the output.
+func (c *Controller) collectMessages(out distribution.Output) {
+	for _, message := range out.Send {
+		if connection, open := c.connections.connection(message.Connection); open {
+			c.out.RouterMessages = append(c.out.RouterMessages,
+				RouterMessage{Connection: connection, Message: message.Message})
+		}
+	}
+	for _, closing := range out.Close {
+		connection, open := c.connections.connection(closing.Connection)
+		if !open {
+			continue
+		}
+		c.connections.remove(connection)
+		c.out.Close = append(c.out.Close, Closing{Connection: connection, Node: closing.Node, Reason: closing.Reason})
+	}
+}
+
+// collectEndpoints puts what the registry decided into the output.
+func (c *Controller) collectEndpoints(now time.Time, out registry.Output) {
+	for _, message := range out.Send {
+		c.sendPeer(now, message.To, message.Message)
+	}
+	for _, acknowledgement := range out.Replies {
+		if caller, waits := c.calls.take(acknowledgement.RequestID); waits {
+			c.out.Answers = append(c.out.Answers, Answer{Caller: caller, Result: acknowledgement})
+		}
+	}
+}
+
+// sendPeer sends to another instance, with a stamp of this process's origin and clock.
+func (c *Controller) sendPeer(now time.Time, to string, message any) {
+	if stamped, isStamped := message.(protocol.FromPeer); isStamped {
+		*stamped.Sender() = c.config.Origin
+		stamped.Sender().At = now.Sub(c.started)
+	}
+	c.out.PeerMessages = append(c.out.PeerMessages, registry.Send{To: to, Message: message})
+}
+
+func (c *Controller) routerHashes() []uint32 {
+	nodes := c.hub.Connected()
+	hashes := make([]uint32, len(nodes))
+	for i, node := range nodes {
+		hashes[i] = registry.NameHash(node)
+	}
+	return hashes
+}
+
+// mergeWakes lets the registry's tick wait for the hub's beacons where nobody waits for it.
+func mergeWakes(hub time.Time, out registry.Output) time.Time {
+	switch {
+	case hub.IsZero():
+		return out.WakeAt
+	case out.WakeDeferrable && out.WakeAt.Before(hub) && hub.Sub(out.WakeAt) <= distribution.BeaconEvery:
+		return hub
+	case out.WakeAt.Before(hub):
+		return out.WakeAt
+	}
+	return hub
+}
+
+// limitWake brings the wake forward to when reports are due or a barrier may be repeated.
+func (c *Controller) limitWake(now time.Time) {
+	c.out.WakeAt = earlier(c.out.WakeAt, c.reports.dueAt())
+	c.out.WakeAt = earlier(c.out.WakeAt, c.barrier.retryAt)
+	if c.out.WakeAt.Before(now) {
+		c.out.WakeAt = now
+	}
+}
+
+// earlier returns the earlier of two times; a zero b counts as none.
+func earlier(a, b time.Time) time.Time {
+	if !b.IsZero() && b.Before(a) {
+		return b
+	}
+	return a
+}
--- a/internal/control/host/cost_test.go
+++ b/internal/control/controller/heartbeat_bench_test.go
@@ -1,12 +1,10 @@
-package host
+package controller
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"raventrestle/internal/control/distribution"
-	"raventrestle/internal/control/registry"
 	"raventrestle/internal/protocol"
 )
 
@@ -14,16 +12,10 @@
 func BenchmarkHeartbeat(b *testing.B) {
 	const endpoints, routers = 2900, 55
 	now := time.Unix(1000, 0)
-	desk := NewDesk(registry.Config{
-		Origin:    protocol.Origin{Address: "self", Incarnation: 1},
-		Heartbeat: time.Second,
-	}, now)
+	c := newTestController(now)
 	for n := range routers {
-		subscribed := distribution.Subscribed{
-			Connection: distribution.ConnectionID(n + 1),
-			Router:     protocol.Subscribe{Node: fmt.Sprint("r", n)},
-		}
-		desk.Step(now, News{Hub: []distribution.Input{subscribed}})
+		subscribe := &protocol.Subscribe{Node: fmt.Sprint("r", n)}
+		c.Step(now, Input{Events: []Event{MessageReceived{Connection: n, Message: subscribe}}})
 	}
 	table := make([]protocol.Endpoint, endpoints)
 	for n := range table {
@@ -32,16 +24,16 @@
 			Models: []protocol.LoadedModel{{Name: "m", Generation: 1, Adapters: []string{"a1", "a2"}}},
 		}
 	}
-	beat := func(n int) {
+	heartbeat := func(n int) {
 		table[n%endpoints].Sequence++
-		desk.Step(now, News{Registry: []registry.Input{registry.Heartbeat{RequestID: 1, Endpoint: table[n%endpoints]}}})
+		c.Step(now, Input{Events: []Event{HeartbeatReceived{Caller: n, Endpoint: table[n%endpoints]}}})
 	}
 	for n := range endpoints {
-		beat(n)
+		heartbeat(n)
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for n := range b.N {
-		beat(n)
+		heartbeat(n)
 	}
 }
--- a/internal/control/host/check_test.go
+++ b/internal/control/controller/model_test.go
@@ -1,4 +1,4 @@
-package host
+package controller
 
 import (
 	"fmt"
@@ -8,31 +8,37 @@
 	"raventrestle/internal/protocol"
 )
 
-func (w *world) acknowledged(n int, answer registry.Reply) {
-	call := w.asked[answer.RequestID]
-	delete(w.asked, answer.RequestID)
+// acknowledged holds an answer to an endpoint against what the routers have.
+func (w *world) acknowledged(n int, answer Answer) {
+	ticket := answer.Caller.(uint64)
+	call, waits := w.calls[ticket]
+	if !waits {
+		w.fault("call %d is answered at %d, but doesn't wait", ticket, n)
+		return
+	}
+	delete(w.calls, ticket)
 	if call.state == protocol.Ready {
 		return
 	}
-	if took := w.now.Sub(call.at); took > registry.QuorumConfirmTimeout+worldStep {
-		w.fault("%s answered at %d after %v", call.endpoint.id, n, took)
+	if waited := w.now.Sub(call.at); waited > registry.QuorumConfirmTimeout+worldStep {
+		w.fault("%s answered at %d after %v", call.endpoint.id, n, waited)
 	}
-	if answer.Rejected {
-		w.refused++
-		call.endpoint.beatAt = w.now // it asks another
+	if answer.Result.Rejected {
+		w.rejected++
+		call.endpoint.heartbeatAt = w.now // it calls another instance
 		if call.state == protocol.Departed {
-			w.later(worldStep, 30*time.Millisecond, func() { w.sayLeft(call.endpoint) })
+			w.later(worldStep, 30*time.Millisecond, func() { w.sendDeregistration(call.endpoint) })
 		}
 		return
 	}
 	if w.instances[n].contact.Before(call.at) {
 		w.fault("%s acknowledged at %d, without contact with a majority since it called", call.endpoint.id, n)
 	}
-	if !answer.InForce {
-		w.unsettled++
+	if !answer.Result.InForce {
+		w.notInForce++
 		return
 	}
-	w.settled++
+	w.inForce++
 	reach := map[int]bool{n: true}
 	for _, address := range w.instances[n].reach {
 		for _, other := range w.instances {
@@ -52,41 +58,43 @@
 	}
 }
 
+// fault notes a broken rule.
 func (w *world) fault(format string, values ...any) {
 	w.faults = append(w.faults, w.now.Format("05.000 ")+fmt.Sprintf(format, values...))
 }
 
-// agree checks that all instances and routers have what the endpoints are.
+// agree checks that all instances and routers have the endpoints as they are.
 func (w *world) agree() {
-	truth := make(map[string]protocol.EndpointState)
+	want := make(map[string]protocol.EndpointState)
 	for _, e := range w.endpoints {
 		if !e.left && !e.crashed {
-			truth[e.id] = e.state
+			want[e.id] = e.state
 		}
 	}
 	for _, i := range w.instances {
-		w.compare(fmt.Sprintf("instance %d", i.number), truth, i.desk.Endpoints(w.now))
+		w.compare(fmt.Sprintf("instance %d", i.number), want, i.controller.Endpoints(w.now))
 	}
 	for _, r := range w.routers {
 		var table []protocol.Endpoint
 		for _, e := range r.table {
 			table = append(table, e)
 		}
-		w.compare(fmt.Sprintf("router %d", r.number), truth, table)
+		w.compare(fmt.Sprintf("router %d", r.number), want, table)
 	}
 }
 
-func (w *world) compare(who string, truth map[string]protocol.EndpointState, table []protocol.Endpoint) {
+// compare holds one table against the state of the endpoints that exist.
+func (w *world) compare(who string, want map[string]protocol.EndpointState, table []protocol.Endpoint) {
 	found := make(map[string]bool)
 	for _, e := range table {
 		found[e.ID] = true
-		if state, lives := truth[e.ID]; !lives || state != e.State {
-			w.fault("%s has %s as %d, it is %d (lives: %v)", who, e.ID, e.State, state, lives)
+		if state, exists := want[e.ID]; !exists || state != e.State {
+			w.fault("%s has %s as %d, want %d (exists: %v)", who, e.ID, e.State, state, exists)
 		}
 	}
-	for id, state := range truth {
+	for id, state := range want {
 		if !found[id] {
-			w.fault("%s lacks %s, which is %d", who, id, state)
+			w.fault("%s lacks %s, want it as %d", who, id, state)
 		}
 	}
 }
--- /dev/null
+++ b/internal/control/controller/reports.go
@@ -0,0 +1,72 @@
+package controller
+
+import (
+	"time"
+
+	"raventrestle/internal/control/registry"
+	"raventrestle/internal/protocol"
+)
+
+const (
+	reportInterval        = 200 * time.Millisecond // between batches to the leader of the singleton roles
+	starvedReportInterval = 4 * time.Millisecond   // the same, while requests wait for quota
+	maxPendingReports     = 4096                   // kept while no leader is known
+)
+
+// reportQueue gathers what the routers connected here report and confirm, for the leader of the singleton roles.
+type reportQueue struct {
+	reports   []protocol.Report
+	confirmed []protocol.GrantConfirmed
+	starved   bool      // a report says that requests wait for quota
+	sentAt    time.Time // of the newest batch
+}
+
+func (q *reportQueue) empty() bool { return len(q.reports)+len(q.confirmed) == 0 }
+
+// dueAt is when the next batch is to be sent; zero: there is nothing to send.
+func (q *reportQueue) dueAt() time.Time {
+	switch {
+	case q.empty():
+		return time.Time{}
+	case q.starved:
+		return q.sentAt.Add(starvedReportInterval)
+	}
+	return q.sentAt.Add(reportInterval)
+}
+
+// keepNewest drops what can't be kept any longer without a leader.
+func (q *reportQueue) keepNewest() {
+	q.reports = q.reports[max(0, len(q.reports)-maxPendingReports):]
+	q.confirmed = nil
+}
+
+// takeReport keeps a router's report for the leader and gives the registry what it says of endpoints.
+func (c *Controller) takeReport(report *protocol.Report) {
+	if len(report.Unreachable)+len(report.Reached) > 0 {
+		c.toRegistry(registry.RouterReport{Unreachable: report.Unreachable, Reached: report.Reached})
+	}
+	c.reports.starved = c.reports.starved || report.Lacks()
+	c.reports.reports = append(c.reports.reports, *report)
+}
+
+// forwardReports sends a batch to the leader of the singleton roles, if one is due. The leader is the head of the
+// chain, or the member that is about to be.
+func (c *Controller) forwardReports(now time.Time) {
+	queue := &c.reports
+	if queue.empty() || now.Before(queue.dueAt()) {
+		return
+	}
+	queue.sentAt, queue.starved = now, false
+	leader := c.replica.leader
+	if leader == "" {
+		queue.keepNewest()
+		return
+	}
+	batch := &protocol.ReportBatch{Origin: c.config.Origin, Reports: queue.reports, Confirmed: queue.confirmed}
+	queue.reports, queue.confirmed = nil, nil
+	if leader == c.config.Origin.Address {
+		c.out.Reports = append(c.out.Reports, batch)
+		return
+	}
+	c.sendPeer(now, leader, batch)
+}
--- a/internal/control/host/world_test.go
+++ b/internal/control/controller/world_test.go
@@ -1,4 +1,4 @@
-package host
+package controller
 
 import (
 	"fmt"
@@ -6,39 +6,39 @@
 	"slices"
 	"time"
 
-	"raventrestle/internal/control/distribution"
+	"raventrestle/coordination/replica"
 	"raventrestle/internal/control/registry"
 	"raventrestle/internal/protocol"
 )
 
-// world plays instances, routers and endpoints over a network in virtual time. It checks after each step that
-// what was acknowledged as settled is in force.
+// world simulates instances, routers and endpoints on a network in virtual time. It checks at each answer to an endpoint
+// that what is acknowledged as in force is in force.
 type world struct {
-	now       time.Time
-	random    *rand.Rand
-	instances []*instance
-	routers   []*router
-	endpoints []*endpoint
-	flying    []flight
-	cut       map[[2]int]bool
-	loss      float64
-	calm      bool // no call is late any more
-	tickets   uint64
-	asked     map[uint64]asked
-	faults    []string
-	settled   int
-	unsettled int
-	refused   int
-	next      uint64 // incarnations and connections
+	now         time.Time
+	random      *rand.Rand
+	instances   []*instance
+	routers     []*router
+	endpoints   []*endpoint
+	inTransit   []delivery
+	partitioned map[[2]int]bool // pairs of instances, the lower number first
+	loss        float64         // share of the messages between instances that are lost
+	calm        bool            // no call is late any more
+	tickets     uint64
+	calls       map[uint64]call // that wait for their answers
+	faults      []string
+	inForce     int // answers to drains and deregistrations, by result
+	notInForce  int
+	rejected    int
+	next        uint64 // incarnations and connections
 }
 
 type instance struct {
-	number  int
-	address string
-	desk    *Desk
-	wakeAt  time.Time
-	reach   []string
-	contact time.Time // newest contact with a majority
+	number     int
+	address    string
+	controller *Controller
+	wakeAt     time.Time
+	reach      []string  // other instances, as it noticed last
+	contact    time.Time // newest contact with a majority
 
 	proving  time.Time // of the contact that will be proved next, if it lasts; zero: none
 	provenAt time.Time
@@ -47,33 +47,34 @@
 type router struct {
 	number     int
 	home       int // -1: not connected
-	connection distribution.ConnectionID
+	connection uint64
 	next       uint64 // sequence expected
 	table      map[string]protocol.Endpoint
-	whole      bool
+	complete   bool // its table replaced an earlier one
 	retryAt    time.Time
 }
 
 type endpoint struct {
-	id       string
-	address  string
-	sequence uint64
-	state    protocol.EndpointState
-	left     bool
-	crashed  bool
-	beatAt   time.Time
-	load     int
+	id          string
+	address     string
+	sequence    uint64
+	state       protocol.EndpointState
+	left        bool
+	crashed     bool
+	heartbeatAt time.Time
+	load        int
 }
 
-type asked struct {
+// call is an endpoint's call at an instance.
+type call struct {
 	at       time.Time
 	endpoint *endpoint
 	instance int
 	state    protocol.EndpointState
 }
 
-// flight is something on its way.
-type flight struct {
+// delivery is a message in transit.
+type delivery struct {
 	at      time.Time
 	order   uint64
 	deliver func()
@@ -82,15 +83,15 @@
 const (
 	worldStep      = 5 * time.Millisecond
 	worldHeartbeat = 1200 * time.Millisecond
-	worldProof     = 250 * time.Millisecond // a contact is proved within so long
+	worldProof     = 250 * time.Millisecond // a contact is proved after this time at most
 )
 
 func newWorld(seed uint64, instances, routers, endpoints int) *world {
 	w := &world{
-		now:    time.Unix(1000, 0),
-		random: rand.New(rand.NewPCG(seed, seed)),
-		cut:    make(map[[2]int]bool),
-		asked:  make(map[uint64]asked),
+		now:         time.Unix(1000, 0),
+		random:      rand.New(rand.NewPCG(seed, seed)),
+		partitioned: make(map[[2]int]bool),
+		calls:       make(map[uint64]call),
 	}
 	for n := range instances {
 		w.instances = append(w.instances, &instance{number: n, address: fmt.Sprintf("c%d", n)})
@@ -108,7 +109,7 @@
 }
 
 func (w *world) addEndpoint(address string) *endpoint {
-	e := &endpoint{id: fmt.Sprintf("e%d", len(w.endpoints)), address: address, beatAt: w.now}
+	e := &endpoint{id: fmt.Sprintf("e%d", len(w.endpoints)), address: address, heartbeatAt: w.now}
 	w.endpoints = append(w.endpoints, e)
 	return e
 }
@@ -116,13 +117,12 @@
 func (w *world) restart(n int) {
 	i := w.instances[n]
 	w.next++
-	i.desk = NewDesk(registry.Config{
-		Origin:    protocol.Origin{Address: i.address, Incarnation: w.next},
-		Heartbeat: worldHeartbeat,
-	}, w.now)
+	origin := protocol.Origin{Address: i.address, Incarnation: w.next}
+	endpoints := registry.New(registry.Config{Origin: origin, Heartbeat: worldHeartbeat}, w.now)
+	i.controller = New(Config{Origin: origin}, endpoints, w.now)
 	i.reach, i.wakeAt = nil, w.now
 	i.contact, i.proving = time.Time{}, time.Time{}
-	w.tellReach(n)
+	w.observeReach(n)
 	for _, r := range w.routers {
 		if r.home == n {
 			r.disconnect(w.now)
@@ -135,7 +135,9 @@
 	r.retryAt = now.Add(20 * time.Millisecond)
 }
 
-func (w *world) connected(a, b int) bool { return a == b || !w.cut[[2]int{min(a, b), max(a, b)}] }
+func (w *world) connected(a, b int) bool {
+	return a == b || !w.partitioned[[2]int{min(a, b), max(a, b)}]
+}
 
 func (w *world) reachable(n int) []string {
 	var reach []string
@@ -147,10 +149,10 @@
 	return reach
 }
 
-func (w *world) later(least, most time.Duration, deliver func()) {
+func (w *world) later(minDelay, maxDelay time.Duration, deliver func()) {
 	w.next++
-	delay := least + time.Duration(w.random.Int64N(int64(most-least)))
-	w.flying = append(w.flying, flight{at: w.now.Add(delay), order: w.next, deliver: deliver})
+	delay := minDelay + time.Duration(w.random.Int64N(int64(maxDelay-minDelay)))
+	w.inTransit = append(w.inTransit, delivery{at: w.now.Add(delay), order: w.next, deliver: deliver})
 }
 
 // run lets time pass.
@@ -158,14 +160,14 @@
 	for end := w.now.Add(span); w.now.Before(end); {
 		w.now = w.now.Add(worldStep)
 		w.arrive()
-		w.beat()
+		w.sendHeartbeats()
 		w.subscribe()
 		for n, i := range w.instances {
-			if w.random.IntN(40) == 0 { // a cut is noticed a while after it happened
+			if w.random.IntN(40) == 0 { // a partition is noticed a while after it began
 				w.notice(n)
 			}
 			if !w.now.Before(i.wakeAt) {
-				w.step(n, News{})
+				w.step(n)
 			}
 		}
 	}
@@ -175,13 +177,30 @@
 	i := w.instances[n]
 	if reach := w.reachable(n); !slices.Equal(reach, i.reach) {
 		i.reach = reach
-		w.tellReach(n)
+		w.observeReach(n)
 	}
 }
 
-func (w *world) tellReach(n int) {
+func (w *world) observeReach(n int) {
+	w.step(n, ReplicaChanged{})
+}
+
+// status is what the replica of an instance publishes: who is live as it noticed last, and its contact with a majority.
+func (w *world) status(n int) replica.Status {
 	i := w.instances[n]
-	w.step(n, News{Registry: []registry.Input{registry.Peers{Reachable: i.reach}}})
+	status := replica.Status{View: replica.View{Epoch: 1}, ConfirmedAt: w.confirm(n)}
+	for _, other := range w.instances {
+		member := replica.Member{Identity: other.address, Address: other.address}
+		status.View.Voters = append(status.View.Voters, member)
+		if other == i {
+			status.Self = member
+		}
+		if other == i || slices.Contains(i.reach, other.address) {
+			status.Live = append(status.Live, member)
+		}
+	}
+	status.View.Chain = status.View.Voters
+	return status
 }
 
 // confirm notes contact with a majority, as the replica would: it proves a moment that is some time ago.
@@ -202,51 +221,48 @@
 }
 
 func (w *world) arrive() {
-	var due []flight
-	kept := w.flying[:0]
-	for _, f := range w.flying {
+	var due []delivery
+	kept := w.inTransit[:0]
+	for _, f := range w.inTransit {
 		if f.at.After(w.now) {
 			kept = append(kept, f)
 			continue
 		}
 		due = append(due, f)
 	}
-	w.flying = kept
+	w.inTransit = kept
 	for _, f := range due {
 		f.deliver()
 	}
 }
 
-// step lets one instance work and carries out what it orders.
-func (w *world) step(n int, news News) {
+// step lets one instance work and carries out its output.
+func (w *world) step(n int, events ...Event) {
 	i := w.instances[n]
-	desk := i.desk
-	contact := w.confirm(n)
-	news.Hub = append([]distribution.Input{distribution.Contact{Epoch: 1, ConfirmedAt: contact}}, news.Hub...)
-	news.Registry = append([]registry.Input{registry.QuorumContact{ConfirmedAt: contact}}, news.Registry...)
-	orders := desk.Step(w.now, news)
-	i.wakeAt = orders.WakeAt
-	for _, closing := range orders.Close {
+	controller := i.controller
+	output := controller.Step(w.now, Input{Replicated: ReplicatedState{Status: w.status(n)}, Events: events})
+	i.wakeAt = output.WakeAt
+	for _, closing := range output.Close {
 		for _, r := range w.routers {
 			if r.home == n && r.connection == closing.Connection {
 				r.disconnect(w.now)
 			}
 		}
 	}
-	for _, message := range orders.Routers {
+	for _, message := range output.RouterMessages {
 		w.toRouter(n, message)
 	}
-	for _, message := range orders.Peers {
+	for _, message := range output.PeerMessages {
 		w.toPeer(n, message)
 	}
-	for _, answer := range orders.Acknowledge {
+	for _, answer := range output.Answers {
 		w.acknowledged(n, answer)
 	}
-	if orders.Barrier != 0 {
-		number := orders.Barrier
+	if output.StartBarrier != 0 {
+		number := output.StartBarrier
 		w.later(time.Millisecond, 10*time.Millisecond, func() {
-			if w.instances[n].desk == desk {
-				w.step(n, News{Hub: []distribution.Input{distribution.BarrierPassed{Barrier: number}}})
+			if w.instances[n].controller == controller {
+				w.step(n, BarrierFinished{Number: number, Succeeded: true})
 			}
 		})
 	}
@@ -262,14 +278,14 @@
 		}
 		w.later(time.Millisecond, 12*time.Millisecond, func() {
 			if w.connected(from, n) {
-				w.step(n, News{Registry: []registry.Input{registry.PeerMessage{Content: message.Message}}})
+				w.step(n, MessageReceived{Message: message.Message})
 			}
 		})
 	}
 }
 
 // toRouter keeps the order of a connection's messages: each arrives in the step after the one before.
-func (w *world) toRouter(n int, message distribution.Send) {
+func (w *world) toRouter(n int, message RouterMessage) {
 	for _, r := range w.routers {
 		if r.home != n || r.connection != message.Connection {
 			continue
@@ -283,7 +299,7 @@
 	}
 }
 
-func (w *world) update(r *router, connection distribution.ConnectionID, update *protocol.Update) {
+func (w *world) update(r *router, connection uint64, update *protocol.Update) {
 	if r.home < 0 || r.connection != connection {
 		return
 	}
@@ -293,7 +309,7 @@
 	}
 	if update.Full {
 		clear(r.table)
-		r.whole = true
+		r.complete = true
 	}
 	for _, e := range update.Endpoints {
 		if e.State == protocol.Departed {
@@ -305,9 +321,8 @@
 	home := r.home
 	w.later(worldStep, 3*worldStep, func() {
 		if r.home == home && r.connection == connection {
-			w.step(home, News{Hub: []distribution.Input{
-				distribution.Confirmed{Connection: connection, Sequence: update.Sequence},
-			}})
+			confirm := &protocol.Confirm{Sequence: update.Sequence}
+			w.step(home, MessageReceived{Connection: connection, Message: confirm})
 		}
 	})
 }
@@ -319,11 +334,9 @@
 		}
 		w.next++
 		r.home = w.random.IntN(len(w.instances))
-		r.connection, r.next = distribution.ConnectionID(w.next), 0
-		w.step(r.home, News{Hub: []distribution.Input{distribution.Subscribed{
-			Connection: r.connection,
-			Router:     protocol.Subscribe{Node: fmt.Sprintf("r%d", r.number), Incarnation: 1},
-		}}})
+		r.connection, r.next = w.next, 0
+		router := &protocol.Subscribe{Node: fmt.Sprintf("r%d", r.number), Incarnation: 1}
+		w.step(r.home, MessageReceived{Connection: r.connection, Message: router})
 	}
 }
 
@@ -335,35 +348,35 @@
 	}
 	home, connection := r.home, r.connection
 	r.disconnect(w.now)
-	w.step(home, News{Hub: []distribution.Input{distribution.Closed{Connection: connection}}})
+	w.step(home, ConnectionClosed{Connection: connection})
 }
 
-// beat has endpoints call; some calls arrive very late.
-func (w *world) beat() {
+// sendHeartbeats has endpoints call when their interval is over; some calls arrive very late.
+func (w *world) sendHeartbeats() {
 	for _, e := range w.endpoints {
-		if e.crashed || e.left || w.now.Before(e.beatAt) {
+		if e.crashed || e.left || w.now.Before(e.heartbeatAt) {
 			continue
 		}
-		e.beatAt = w.now.Add(worldHeartbeat)
+		e.heartbeatAt = w.now.Add(worldHeartbeat)
 		w.call(e)
 	}
 }
 
 func (w *world) call(e *endpoint) {
 	e.sequence++
-	told := protocol.Endpoint{
+	reported := protocol.Endpoint{
 		ID: e.id, Service: "s", Address: e.address, State: e.state, Sequence: e.sequence,
 		Slots: e.load,
 	}
-	most := 30 * time.Millisecond
+	maxDelay := 30 * time.Millisecond
 	if !w.calm && w.random.IntN(10) == 0 {
-		most = 3 * time.Second
+		maxDelay = 3 * time.Second
 	}
-	w.later(worldStep, most, func() {
+	w.later(worldStep, maxDelay, func() {
 		w.tickets++
 		n := w.random.IntN(len(w.instances))
-		w.asked[w.tickets] = asked{at: w.now, endpoint: e, instance: n, state: told.State}
-		w.step(n, News{Registry: []registry.Input{registry.Heartbeat{RequestID: w.tickets, Endpoint: told}}})
+		w.calls[w.tickets] = call{at: w.now, endpoint: e, instance: n, state: reported.State}
+		w.step(n, HeartbeatReceived{Caller: w.tickets, Endpoint: reported})
 	})
 }
 
@@ -380,12 +393,12 @@
 		return
 	}
 	e.left = true
-	w.later(worldStep, 30*time.Millisecond, func() { w.sayLeft(e) })
+	w.later(worldStep, 30*time.Millisecond, func() { w.sendDeregistration(e) })
 }
 
-func (w *world) sayLeft(e *endpoint) {
+func (w *world) sendDeregistration(e *endpoint) {
 	w.tickets++
 	n := w.random.IntN(len(w.instances))
-	w.asked[w.tickets] = asked{at: w.now, endpoint: e, instance: n, state: protocol.Departed}
-	w.step(n, News{Registry: []registry.Input{registry.Deregister{RequestID: w.tickets, ID: e.id}}})
+	w.calls[w.tickets] = call{at: w.now, endpoint: e, instance: n, state: protocol.Departed}
+	w.step(n, DeregistrationReceived{Caller: w.tickets, ID: e.id})
 }
--- a/internal/control/host/commands.go
+++ b/internal/control/host/commands.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"raventrestle/internal/control/distribution"
+	"raventrestle/internal/control/controller"
 	"raventrestle/internal/control/registry"
 	"raventrestle/internal/protocol"
 	"raventrestle/internal/transport"
@@ -18,61 +18,61 @@
 	ErrIsolated = errors.New("instance has no contact with a majority of the others")
 )
 
-// The commands of the queue.
-type (
-	arrived struct {
-		connection *transport.Connection
-		message    any
-	}
-	ended        struct{ connection *transport.Connection }
-	replicaMoved struct{}
-	barrierEnded struct {
-		number uint64
-		passed bool
-	}
-	heartbeat struct {
-		endpoint protocol.Endpoint
-		answer   chan registry.Reply
-	}
-	leave struct {
-		id     string
-		answer chan registry.Reply
+// lookup asks for the soft state as the newest step left it. All other commands of the queue are events of the
+// controller.
+type lookup struct{ answer chan View }
+
+// take takes a command from the queue. Events wait for the step that follows.
+func (h *Host) take(command any) {
+	switch command := command.(type) {
+	case controller.Event:
+		h.events = append(h.events, command)
+	case lookup:
+		command.answer <- h.view()
 	}
-	ownLoading struct{ table protocol.LoadingTable }
-	ownGrants  struct {
-		batches map[string][]protocol.RouterGrants
+}
+
+// post queues a command. It waits while the queue is full, and says whether the command was queued.
+func (h *Host) post(ctx context.Context, command any) bool {
+	select {
+	case h.queue <- command:
+		return true
+	case <-h.ended:
+		return false
+	case <-ctx.Done():
+		return false
 	}
-	lookup struct{ answer chan View }
-)
+}
 
 // Message takes what arrives on a connection; the host is a transport.Handler.
 func (h *Host) Message(c *transport.Connection, message any) {
 	if body, isReplica := message.(*protocol.ReplicaMessage); isReplica {
-		h.parts.Replica.Deliver(body.From, body.Body)
+		h.dependencies.Replica.Deliver(body.From, body.Body)
 		return
 	}
-	h.post(context.Background(), arrived{connection: c, message: message})
+	h.post(context.Background(), controller.MessageReceived{Connection: c, Message: message})
 }
 
-// Closed notes a connection's end.
+// Closed takes in that a connection ended.
 func (h *Host) Closed(c *transport.Connection, _ error) {
-	h.post(context.Background(), ended{connection: c})
+	h.post(context.Background(), controller.ConnectionClosed{Connection: c})
 }
 
-// Heartbeat takes in an endpoint's call and returns once it may be answered.
+// Heartbeat takes in an endpoint's state and returns once the endpoint may be answered. The error is ErrIsolated where
+// another instance is to be asked, ErrStopped, or wraps the context's.
 func (h *Host) Heartbeat(ctx context.Context, endpoint protocol.Endpoint) error {
 	answer := make(chan registry.Reply, 1)
-	return h.wait(ctx, heartbeat{endpoint: endpoint, answer: answer}, answer)
+	return h.await(ctx, controller.HeartbeatReceived{Caller: answer, Endpoint: endpoint}, answer)
 }
 
-// Deregister takes in an endpoint's end and returns once it may be answered.
+// Deregister takes in an endpoint's end and returns once the endpoint may be answered, with the errors of Heartbeat.
 func (h *Host) Deregister(ctx context.Context, id string) error {
 	answer := make(chan registry.Reply, 1)
-	return h.wait(ctx, leave{id: id, answer: answer}, answer)
+	return h.await(ctx, controller.DeregistrationReceived{Caller: answer, ID: id}, answer)
 }
 
-func (h *Host) wait(ctx context.Context, command any, answer chan registry.Reply) error {
-	if !h.post(ctx, command) {
+func (h *Host) await(ctx context.Context, event controller.Event, answer <-chan registry.Reply) error {
+	if !h.post(ctx, event) {
 		return ErrStopped
 	}
 	select {
@@ -88,17 +88,17 @@
 	}
 }
 
-// ShowLoading tells routers and instances which orders are under way.
+// ShowLoading gives routers and instances the placer's model loads that are in progress.
 func (h *Host) ShowLoading(table protocol.LoadingTable) {
-	h.post(context.Background(), ownLoading{table: table})
+	h.post(context.Background(), controller.LoadingChanged{Table: table})
 }
 
-// Grant sends quota grants to the instances that have the routers, by address.
+// Grant sends quota grants to the instances that have the routers. Batches are keyed by transport address.
 func (h *Host) Grant(batches map[string][]protocol.RouterGrants) {
-	h.post(context.Background(), ownGrants{batches: batches})
+	h.post(context.Background(), controller.GrantsIssued{Batches: batches})
 }
 
-// View is the soft state for people and for the placer.
+// View is the soft state for people and for the singleton roles.
 type View struct {
 	Endpoints   []protocol.Endpoint
 	Routers     []string // connected here
@@ -107,7 +107,7 @@
 	Isolated    bool
 }
 
-// View returns the newest soft state.
+// View returns the soft state as the newest step left it. The error is ErrStopped or wraps the context's.
 func (h *Host) View(ctx context.Context) (View, error) {
 	answer := make(chan View, 1)
 	if !h.post(ctx, lookup{answer: answer}) {
@@ -123,122 +123,12 @@
 	}
 }
 
-func (h *Host) take(command any) {
-	switch command := command.(type) {
-	case arrived:
-		h.arrived(command)
-	case ended:
-		h.forgetConnection(command.connection)
-	case replicaMoved:
-		h.status.read = time.Time{} // it may be about who is there
-	case barrierEnded:
-		h.endBarrier(command)
-	case heartbeat:
-		h.news.Registry = append(h.news.Registry,
-			registry.Heartbeat{RequestID: h.ticket(command.answer), Endpoint: command.endpoint})
-	case leave:
-		h.news.Registry = append(h.news.Registry, registry.Deregister{RequestID: h.ticket(command.answer), ID: command.id})
-	case ownLoading:
-		h.news.Registry = append(h.news.Registry, registry.LocalLoading{Table: command.table})
-	case ownGrants:
-		h.spreadGrants(command.batches)
-	case lookup:
-		command.answer <- h.view()
-	}
-}
-
-func (h *Host) ticket(answer chan registry.Reply) uint64 {
-	h.nextTicket++
-	h.tickets[h.nextTicket] = answer
-	return h.nextTicket
-}
-
-func (h *Host) arrived(in arrived) {
-	var heldUp time.Duration
-	if fromPeer, isPeer := in.message.(protocol.FromPeer); isPeer {
-		heldUp = h.delays.heldUp(time.Since(h.started), fromPeer.Sender())
-	}
-	switch message := in.message.(type) {
-	case *protocol.Subscribe:
-		h.news.Hub = append(h.news.Hub,
-			distribution.Subscribed{Connection: h.identify(in.connection), Router: *message})
-	case *protocol.Confirm:
-		if id, known := h.connections[in.connection]; known {
-			h.news.Hub = append(h.news.Hub,
-				distribution.Confirmed{Connection: id, Sequence: message.Sequence, Mark: message.EchoSequence})
-		}
-	case *protocol.Probe:
-		h.news.Hub = append(h.news.Hub,
-			distribution.Probed{Connection: h.identify(in.connection), Mark: message.EchoSequence})
-	case *protocol.Report:
-		h.reported(message)
-	case *protocol.ReportBatch:
-		h.parts.Roles.HandleReports(message)
-	case *protocol.GrantBatch:
-		if heldUp <= staleGrant {
-			h.grantHere(message.Routers)
-		}
-	default:
-		h.news.Registry = append(h.news.Registry, registry.PeerMessage{Content: in.message})
-	}
-}
-
-// identify returns the number of a connection. It keeps it for its life: a probe may come before a subscription.
-func (h *Host) identify(connection *transport.Connection) distribution.ConnectionID {
-	if id, known := h.connections[connection]; known {
-		return id
-	}
-	h.nextID++
-	h.connections[connection] = h.nextID
-	h.byID[h.nextID] = connection
-	return h.nextID
-}
-
-func (h *Host) forgetConnection(connection *transport.Connection) {
-	id, known := h.connections[connection]
-	if !known {
-		return
-	}
-	delete(h.connections, connection)
-	delete(h.byID, id)
-	h.news.Hub = append(h.news.Hub, distribution.Closed{Connection: id})
-}
-
-func (h *Host) reported(report *protocol.Report) {
-	if len(report.Unreachable)+len(report.Reached) > 0 {
-		h.news.Registry = append(h.news.Registry,
-			registry.RouterReport{Unreachable: report.Unreachable, Reached: report.Reached})
-	}
-	h.lacking = h.lacking || report.Lacks()
-	h.reports = append(h.reports, *report)
-}
-
-func (h *Host) spreadGrants(batches map[string][]protocol.RouterGrants) {
-	now := time.Now()
-	for address, routers := range batches {
-		if address == h.settings.Origin.Address {
-			h.grantHere(routers)
-			continue
-		}
-		h.sendPeer(now, address, &protocol.GrantBatch{Origin: h.settings.Origin, Routers: routers})
-	}
-}
-
-// grantHere passes grants on. Those of an earlier holder that come after a later one's are not its to give any more.
-func (h *Host) grantHere(routers []protocol.RouterGrants) {
-	for _, router := range routers {
-		if router.Epoch < h.grantEpoch {
-			continue
-		}
-		h.grantEpoch = router.Epoch
-		h.news.Hub = append(h.news.Hub, distribution.Granted{Router: router})
-	}
-}
-
-func (h *Host) endBarrier(in barrierEnded) {
-	h.barrier = false
-	if !in.passed {
-		return // the next step asks for another where it is still needed
+func (h *Host) view() View {
+	return View{
+		Endpoints:   h.controller.Endpoints(time.Now()),
+		Routers:     h.controller.Routers(),
+		RouterCount: h.controller.RouterCount(),
+		Members:     h.controller.Members(),
+		Isolated:    h.controller.Isolated(),
 	}
-	h.news.Hub = append(h.news.Hub, distribution.BarrierPassed{Barrier: in.number})
 }
--- a/internal/control/host/frames.go
+++ b/internal/control/host/frames.go
@@ -20,7 +20,7 @@
 	Routers    int                     `cbor:"7,keyasint,omitempty"`
 	Quotas     []protocol.QuotaGrant   `cbor:"8,keyasint,omitempty"`
 	Confirmed  bool                    `cbor:"9,keyasint,omitempty"`
-	Standing   protocol.FreshnessProof `cbor:"10,keyasint,omitzero"`
+	Freshness  protocol.FreshnessProof `cbor:"10,keyasint,omitzero"`
 }
 
 // frames makes frames of updates and encodes a list of endpoints once, however many routers get it in a row.
@@ -49,7 +49,7 @@
 	return f.codec.EncodeAs(protocol.KindUpdate, encodedUpdate{
 		Sequence: u.Sequence, Generation: u.Generation, Document: u.Document, Full: u.Full, Endpoints: endpoints,
 		Members: u.Members, Routers: u.Routers, Quotas: u.Quotas, Confirmed: u.Confirmed,
-		Standing: u.Freshness,
+		Freshness: u.Freshness,
 	})
 }
 
--- a/internal/control/host/host_test.go
+++ b/internal/control/host/host_test.go
@@ -89,11 +89,11 @@
 		})
 		mesh := transport.NewMesh(testCodec(), self.address, entrances[n])
 		t.Cleanup(mesh.Close)
-		self.host = New(Settings{
+		self.host = New(Config{
 			Origin:    protocol.Origin{Address: self.address, Incarnation: uint64(n + 1)},
 			Heartbeat: 200 * time.Millisecond,
 			Codec:     testCodec(),
-		}, Parts{Replica: self.double, Configurations: self.stand, Mesh: mesh, Roles: self.stand, Events: self.stand})
+		}, Dependencies{Replica: self.double, Configurations: self.stand, Mesh: mesh, Roles: self.stand, Events: self.stand})
 		entrances[n].host = self.host
 	}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/control/host/standing_test.go
+++ b/internal/control/host/standing_test.go
@@ -1,85 +1,47 @@
 package host
 
 import (
-	"slices"
 	"testing"
 	"time"
 
 	"raventrestle/coordination/replica"
 	"raventrestle/internal/control/distribution"
+	"raventrestle/internal/control/registry"
 	"raventrestle/internal/control/replicatest"
 	"raventrestle/internal/protocol"
 	"raventrestle/internal/transport"
 )
 
-// busyReplica commits a version whenever its status is read, and its contact covers it.
-type busyReplica struct {
-	*replicatest.Double
-	commit func()
-}
-
-func (b *busyReplica) Status() replica.Status {
-	b.commit()
-	return b.Double.Status()
-}
-
-// TestContactIsGivenAfterWhatItCovers: whatever is in the contact's majority is known to the hub before the contact,
-// and both before what the step takes in.
-func TestContactIsGivenAfterWhatItCovers(t *testing.T) {
-	stand := &standIn{}
-	committed := int64(0)
-	busy := &busyReplica{Double: replicatest.New(nil, replica.Status{View: replica.View{Epoch: 4}})}
-	busy.commit = func() {
-		committed++
-		stand.set(committed, "document")
-	}
-	h := New(Settings{Codec: testCodec()}, Parts{Replica: busy, Configurations: stand, Events: stand})
-	for range 3 {
-		h.news = News{Hub: []distribution.Input{distribution.BarrierPassed{Barrier: 1}}}
-		h.readReplica(time.Now())
-		contact := slices.IndexFunc(h.news.Hub, func(in distribution.Input) bool {
-			is, isContact := in.(distribution.Contact)
-			return isContact && is.Epoch == 4
-		})
-		version := slices.IndexFunc(h.news.Hub, func(in distribution.Input) bool {
-			is, isVersion := in.(distribution.Configuration)
-			return isVersion && is.Generation == committed
-		})
-		passed := slices.Index(h.news.Hub, distribution.Input(distribution.BarrierPassed{Barrier: 1}))
-		if version < 0 || contact < version || passed < contact {
-			t.Fatalf("version at %d, contact at %d, barrier at %d", version, contact, passed)
-		}
-	}
-}
-
-// TestContactOutlivesTheEpoch: the replica proves nothing in the first moments of an epoch. That is no loss of contact.
-func TestContactOutlivesTheEpoch(t *testing.T) {
+// TestConfirmedMomentOutlivesTheEpoch: the replica proves nothing in the first moments of an epoch. What it proved
+// before holds on, for whoever asks the host.
+func TestConfirmedMomentOutlivesTheEpoch(t *testing.T) {
 	double := replicatest.New(nil, replica.Status{View: replica.View{Epoch: 4}})
-	h := New(Settings{Codec: testCodec()}, Parts{Replica: double, Configurations: &standIn{}, Events: &standIn{}})
+	stand := &standIn{}
+	h := New(Config{Codec: testCodec()}, Dependencies{Replica: double, Configurations: stand, Events: stand})
 	double.NeverReachMajority()
-	h.readReplica(time.Now())
-	if contact := h.status.contact; contact.Epoch != 4 || !contact.ConfirmedAt.IsZero() || !h.ConfirmedAt().IsZero() {
-		t.Fatalf("without any: %+v", contact)
+	h.step(time.Now())
+	if confirmedAt := h.ConfirmedAt(); !confirmedAt.IsZero() {
+		t.Fatalf("confirmed at %v without contact, want never", confirmedAt)
 	}
 	double.SetPartitioned(false)
-	h.readReplica(time.Now())
-	known := h.status.contact
-	if known.Epoch != 4 || known.ConfirmedAt.IsZero() || h.status.isolated {
-		t.Fatalf("with one: %+v", known)
+	h.step(time.Now())
+	known := h.controller.ConfirmedAt()
+	if known.IsZero() || h.view().Isolated {
+		t.Fatalf("confirmed at %v, isolated %v with a contact; want some time, false", known, h.view().Isolated)
 	}
 	double.SetStatus(replica.Status{View: replica.View{Epoch: 5}})
 	double.NeverReachMajority()
-	h.readReplica(time.Now())
-	if h.status.contact != known || h.status.isolated || !h.ConfirmedAt().Equal(known.ConfirmedAt) {
-		t.Errorf("in a new epoch: %+v, isolated %v", h.status.contact, h.status.isolated)
+	h.step(time.Now())
+	if confirmedAt := h.ConfirmedAt(); !confirmedAt.Equal(known) || h.view().Isolated {
+		t.Errorf("in a new epoch: confirmed at %v, isolated %v; want %v, false", confirmedAt, h.view().Isolated, known)
 	}
-	if h.readReplica(known.ConfirmedAt.Add(isolatedAfter + 1)); !h.status.isolated {
+	if h.step(known.Add(registry.QuorumContactTTL + 1)); !h.view().Isolated {
 		t.Error("the earlier epoch's contact is believed for ever")
 	}
 	double.SetPartitioned(false)
-	h.readReplica(time.Now())
-	if contact := h.status.contact; contact.Epoch != 5 || !contact.ConfirmedAt.After(known.ConfirmedAt) {
-		t.Errorf("with one of the new epoch: %+v", contact)
+	h.step(time.Now())
+	if confirmedAt := h.controller.ConfirmedAt(); !confirmedAt.After(known) {
+		t.Errorf("confirmed at %v with a contact of the new epoch, want after %v", confirmedAt, known)
 	}
 }
 
--- /dev/null
+++ b/internal/systemsim/host.go
@@ -0,0 +1,114 @@
+package systemsim
+
+import (
+	"time"
+
+	"raventrestle/coordination/engine"
+	"raventrestle/coordination/replica"
+	"raventrestle/internal/control/controller"
+	"raventrestle/internal/control/registry"
+	"raventrestle/internal/protocol"
+)
+
+// host stands in for package host: it keeps events for the controller's next step, wakes it, and carries out its
+// output on the simulated network. Everything that is decided is decided by the real controller.
+type host struct {
+	owner      *instance
+	controller *controller.Controller
+	events     []controller.Event
+	wakesAt    time.Duration // world time of the planned step; zero: none is planned
+}
+
+func newHost(i *instance) host {
+	endpoints := registry.New(registry.Config{Origin: i.origin(), Heartbeat: heartbeatEvery}, i.clock())
+	config := controller.Config{Origin: i.origin()}
+	return host{owner: i, controller: controller.New(config, i.world.mutateRegistry(endpoints), i.clock())}
+}
+
+// wake plans a step after the delay at the latest.
+func (h *host) wake(delay time.Duration) {
+	now := h.owner.world.Now()
+	at := now + max(0, delay)
+	if h.wakesAt > now && h.wakesAt <= at {
+		return
+	}
+	h.wakesAt = at
+	h.owner.after(at-now, func() {
+		if h.wakesAt == at {
+			h.wakesAt = 0
+			h.step()
+		}
+	})
+}
+
+// post queues an event. It waits for a moment, as in the queue of the real host.
+func (h *host) post(event controller.Event) {
+	h.events = append(h.events, event)
+	h.wake(h.owner.world.between(10*time.Microsecond, 500*time.Microsecond))
+}
+
+func (h *host) step() {
+	h.owner.countStep()
+	events := h.events
+	h.events = nil
+	now := h.owner.clock()
+	state := replicatedState{h.owner}
+	output := h.controller.Step(now, controller.Input{
+		Replicated: controller.ReadReplicatedState(state, state),
+		Events:     events,
+	})
+	h.carryOut(output)
+	h.wake(output.WakeAt.Sub(now))
+}
+
+// carryOut carries out a step's output in the order of its fields. No router of the simulated system reports anything
+// to the singleton roles, so there are no reports.
+func (h *host) carryOut(output controller.Output) {
+	process := &h.owner.process
+	for _, message := range output.RouterMessages {
+		h.owner.world.checkStanding(h.owner, message.Message)
+		message.Connection.(*stream).endOf(process).send(message.Message)
+	}
+	for _, message := range output.PeerMessages {
+		h.owner.mesh.send(message.To, message.Message)
+	}
+	for _, closing := range output.Close {
+		h.owner.world.tracef("%s closes the connection of %s: %s", h.owner.address, closing.Node, closing.Reason)
+		closing.Connection.(*stream).endOf(process).close()
+	}
+	for _, answer := range output.Answers {
+		answer.Caller.(waitingCall)(!answer.Result.Rejected)
+	}
+	if output.StartBarrier != 0 {
+		h.startBarrier(output.StartBarrier)
+	}
+}
+
+// waitingCall ends an endpoint's call; it takes whether the instance accepted it.
+type waitingCall func(accepted bool)
+
+func (h *host) startBarrier(number uint64) {
+	h.owner.ask(engine.Input{Barrier: true}, controller.BarrierTimeout, func(result engine.Result) {
+		h.post(controller.BarrierFinished{Number: number, Succeeded: result.Err == nil})
+	})
+}
+
+// heartbeat and deregister are endpoints' calls.
+func (h *host) heartbeat(endpoint protocol.Endpoint, answer waitingCall) {
+	h.post(controller.HeartbeatReceived{Caller: answer, Endpoint: endpoint})
+}
+
+func (h *host) deregister(id string, answer waitingCall) {
+	h.post(controller.DeregistrationReceived{Caller: answer, ID: id})
+}
+
+// replicatedState is what the controller reads of the instance's replica.
+type replicatedState struct{ owner *instance }
+
+// Status implements controller.StatusReader.
+func (s replicatedState) Status() replica.Status {
+	return s.owner.world.mutateStatus(s.owner.currentStatus(), s.owner.clock())
+}
+
+// Newest implements controller.Configurations.
+func (s replicatedState) Newest() (generation int64, document []byte) { return s.owner.newest() }
--- a/internal/systemsim/instance.go
+++ b/internal/systemsim/instance.go
@@ -9,6 +9,7 @@
 	"raventrestle/coordination/replica"
 	"raventrestle/coordination/view"
 	"raventrestle/coordination/wal/modeldisk"
+	"raventrestle/internal/control/controller"
 	"raventrestle/internal/control/roles"
 	"raventrestle/internal/control/state"
 	"raventrestle/internal/protocol"
@@ -16,15 +17,13 @@
 
 // Times of an instance's process.
 const (
-	syncTime      = 5 * time.Millisecond
-	decideWithin  = 800 * time.Millisecond
-	barrierWithin = 1500 * time.Millisecond
-	barrierPause  = 200 * time.Millisecond
-	roleEvery     = 50 * time.Millisecond
-	readyGrace    = 2 * time.Second // until an instance without a majority acknowledges no heartbeat of a ready endpoint
+	syncTime     = 5 * time.Millisecond
+	decideWithin = 800 * time.Millisecond
+	roleEvery    = 50 * time.Millisecond
+	readyGrace   = 2 * time.Second // until an instance without a majority acknowledges no heartbeat of a ready endpoint
 )
 
-// instance is one control instance: a replica with its disk, the desk for routers and endpoints, and the roles.
+// instance is one control instance: a replica with its disk, the controller for routers and endpoints, and the roles.
 type instance struct {
 	process
 	disk    *modeldisk.Disk
@@ -33,7 +32,7 @@
 	status  replica.Status // as the replica published it last
 	tenure  *roles.Leadership
 	turn    roles.LeadershipOutput
-	desk    desk
+	host    host
 	mesh    mesh
 
 	inbox []engine.Input
@@ -101,9 +100,9 @@
 	i.status = statusOf(opened.Status(i.local()))
 	i.tenure, i.turn = roles.NewLeadership(lease, i.clock()), roles.LeadershipOutput{}
 	i.mesh = newMesh(i)
-	i.desk = newDesk(i)
+	i.host = newHost(i)
 	i.plan(0)
-	i.desk.wake(0)
+	i.host.wake(0)
 	i.watchRoles()
 }
 
@@ -209,7 +208,7 @@
 	moved := before.View.Epoch != status.View.Epoch || before.Committed != status.Committed ||
 		before.Leader != status.Leader || len(before.Live) != len(status.Live)
 	if moved {
-		i.desk.replicaMoved()
+		i.host.post(controller.ReplicaChanged{})
 		i.lookAtRole()
 	}
 }
@@ -234,14 +233,14 @@
 		i.put(engine.Input{Message: &m.content, Address: m.from})
 		return
 	}
-	i.desk.arrived(s, message)
+	i.host.post(controller.MessageReceived{Connection: s, Message: message})
 }
 
 func (i *instance) streamOpened(s *stream) { i.mesh.opened(s) }
 
 func (i *instance) streamEnded(s *stream) {
 	i.mesh.ended(s)
-	i.desk.forget(s)
+	i.host.post(controller.ConnectionClosed{Connection: s})
 }
 
 // newest is the committed configuration as this instance has it.
@@ -319,7 +318,7 @@
 // heartbeat and left carry out endpoints' calls.
 func (i *instance) heartbeat(told protocol.Endpoint, answer func(any)) {
 	came := i.world.Now()
-	i.desk.heartbeat(told, func(taken bool) {
+	i.host.heartbeat(told, func(taken bool) {
 		if taken {
 			i.checkHeartbeat(told, came)
 		}
@@ -338,7 +337,7 @@
 
 func (i *instance) left(id string, answer func(any)) {
 	came := i.world.Now()
-	i.desk.leave(id, func(taken bool) {
+	i.host.deregister(id, func(taken bool) {
 		if taken {
 			i.world.checkAnswered(i, came, i.apartSince, "the end of "+id)
 		}
@@ -354,15 +353,6 @@
 	}
 }
 
-// stamp puts the sender and its clock into a message for another instance.
-func (i *instance) stamp(message any) any {
-	if stamped, isStamped := message.(protocol.FromPeer); isStamped {
-		*stamped.Sender() = i.origin()
-		stamped.Sender().At = i.world.Now() - i.began
-	}
-	return message
-}
-
 func (i *instance) origin() protocol.Origin {
 	return protocol.Origin{Address: i.address, Incarnation: uint64(i.life)}
 }
--- a/internal/systemsim/mutant.go
+++ b/internal/systemsim/mutant.go
@@ -4,7 +4,11 @@
 	"math"
 	"math/rand/v2"
 	"net/netip"
+	"time"
 
+	"raventrestle/coordination/replica"
+	"raventrestle/internal/control/controller"
+	"raventrestle/internal/control/registry"
 	"raventrestle/internal/protocol"
 	"raventrestle/internal/router/subscription"
 )
@@ -57,3 +61,33 @@
 	}
 	return message
 }
+
+// mutateStatus is the replica's status as the controller reads it.
+func (w *World) mutateStatus(status replica.Status, now time.Time) replica.Status {
+	if w.Mutant == StampFresh {
+		status.ConfirmedAt = now
+	}
+	return status
+}
+
+// mutateRegistry is the registry as the controller uses it.
+func (w *World) mutateRegistry(endpoints *registry.Registry) controller.EndpointRegistry {
+	if w.Mutant == DrainWithoutContact {
+		return registryWithoutContact{endpoints}
+	}
+	return endpoints
+}
+
+// registryWithoutContact is a registry that takes itself to be in contact with a majority always.
+type registryWithoutContact struct{ *registry.Registry }
+
+// Step implements controller.EndpointRegistry.
+func (r registryWithoutContact) Step(now time.Time, inputs ...registry.Input) registry.Output {
+	believed := []registry.Input{registry.QuorumContact{ConfirmedAt: now}}
+	for _, input := range inputs {
+		if _, isContact := input.(registry.QuorumContact); !isContact {
+			believed = append(believed, input)
+		}
+	}
+	return r.Registry.Step(now, believed...)
+}
--- a/internal/systemsim/scenario_test.go
+++ b/internal/systemsim/scenario_test.go
@@ -113,7 +113,7 @@
 
 // following lists the routers that have subscribed to an instance.
 func (w *World) following(x *instance) []*router {
-	nodes := x.desk.desk.Routers()
+	nodes := x.host.controller.Routers()
 	var list []*router
 	for _, r := range w.routers {
 		if slices.Contains(nodes, r.address) {
