--- a/cmd/raventrestle-lab/system.go
+++ b/cmd/raventrestle-lab/system.go
@@ -46,3 +46,29 @@
 	f.BoolVar(&verbose, "orders", false, "tell the orders that endpoints get")
 	return c
 }
+
+// upgradeCommand plays a rolling upgrade between two builds and back.
+func upgradeCommand() *cobra.Command {
+	var o system.UpgradeOptions
+	c := &cobra.Command{
+		Use: "upgrade", Args: cobra.NoArgs,
+		Short: "Replace each process of the system by another build and back, under load, and tell what was lost",
+		RunE: func(c *cobra.Command, _ []string) error {
+			o.Log = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelWarn}))
+			o.Out = c.OutOrStdout()
+			if err := system.RunUpgrade(c.Context(), o); err != nil {
+				return &failure{err}
+			}
+			return nil
+		},
+	}
+	f := c.Flags()
+	f.StringVar(&o.Programs, "from", "", "folder with raventrestle-control and raventrestle-router of the build that runs first")
+	f.StringVar(&o.Next, "to", "", "folder with the same programs of the other build")
+	f.StringVar(&o.Dir, "dir", "", "folder for settings, data and logs (default: the system's for temporary files)")
+	f.BoolVar(&o.Keep, "keep", false, "keep settings, data and logs")
+	for _, name := range []string{"from", "to"} {
+		cobra.CheckErr(c.MarkFlagRequired(name))
+	}
+	return c
+}
--- a/internal/lab/system/operator.go
+++ b/internal/lab/system/operator.go
@@ -8,6 +8,7 @@
 	"fmt"
 	"io"
 	"net/http"
+	"strconv"
 	"strings"
 	"time"
 
@@ -79,7 +80,7 @@
 		return fmt.Errorf("configuration: %w", err)
 	}
 	for number := 0; ; number++ {
-		if err = w.put(ctx, w.places.control(number%instances), text); err == nil {
+		if err = w.put(ctx, w.places.control(number%instances), 0, text); err == nil {
 			return nil
 		}
 		if !pause(ctx, tryAgainIn) {
@@ -88,14 +89,15 @@
 	}
 }
 
-func (w *world) put(ctx context.Context, control string, text []byte) error {
+// put sends a whole configuration that builds on version base.
+func (w *world) put(ctx context.Context, control string, base int64, text []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, callWithin)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+control+"/-/config", bytes.NewReader(text))
 	if err != nil {
 		return err
 	}
-	request.Header.Set("If-Match", "0")
+	request.Header.Set("If-Match", strconv.FormatInt(base, 10))
 	request.Header.Set("Content-Type", "application/json")
 	answer, err := http.DefaultClient.Do(request)
 	if err != nil {
--- a/internal/lab/system/process.go
+++ b/internal/lab/system/process.go
@@ -27,7 +27,7 @@
 		return nil, fmt.Errorf("settings of %s: %w", name, err)
 	}
 	p := &process{name: name, log: w.file(name + ".log"), ended: make(chan error, 1)}
-	output, err := os.Create(p.log)
+	output, err := os.OpenFile(p.log, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("log of %s: %w", name, err)
 	}
--- a/internal/lab/system/system.go
+++ b/internal/lab/system/system.go
@@ -50,11 +50,10 @@
 
 // Run starts everything, plays requests, tells what was served, and ends everything.
 func Run(ctx context.Context, options Options) (err error) {
-	folder, err := os.MkdirTemp(options.Dir, "raven-system-")
+	w, err := newWorld(options)
 	if err != nil {
-		return fmt.Errorf("folder of the run: %w", err)
+		return err
 	}
-	w := &world{options: options, folder: folder}
 	defer func() { err = errors.Join(err, w.end(err != nil)) }()
 	if err := w.start(ctx); err != nil {
 		return err
@@ -69,6 +68,14 @@
 	return nil
 }
 
+func newWorld(options Options) (*world, error) {
+	folder, err := os.MkdirTemp(options.Dir, "raventrestle-system-")
+	if err != nil {
+		return nil, fmt.Errorf("folder of the run: %w", err)
+	}
+	return &world{options: options, folder: folder}, nil
+}
+
 // start brings up all processes and endpoints and the first configuration.
 func (w *world) start(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startWithin)
@@ -106,21 +113,29 @@
 }
 
 func (w *world) startControl(number int) error {
-	process, err := startProcess(w, "raventrestle-control", fmt.Sprintf("control-%d", number+1), w.controlSettings(number))
+	process, err := w.launchControl(number)
 	if err == nil {
 		w.controls = append(w.controls, process)
 	}
 	return err
 }
 
+func (w *world) launchControl(number int) (*process, error) {
+	return startProcess(w, "raventrestle-control", fmt.Sprintf("control-%d", number+1), w.controlSettings(number))
+}
+
 func (w *world) startRouter(number int) error {
-	process, err := startProcess(w, "raventrestle-router", fmt.Sprintf("router-%d", number+1), w.routerSettings(number))
+	process, err := w.launchRouter(number)
 	if err == nil {
 		w.routers = append(w.routers, process)
 	}
 	return err
 }
 
+func (w *world) launchRouter(number int) (*process, error) {
+	return startProcess(w, "raventrestle-router", fmt.Sprintf("router-%d", number+1), w.routerSettings(number))
+}
+
 // startEndpoints starts stand-ins. One model is held by two of them, another by none.
 func (w *world) startEndpoints() error {
 	for number, models := range [][]string{{"sparrow", "wren"}, {"sparrow"}, {"heron"}, nil} {
