--- a/coordination/engine/engine.go
+++ b/coordination/engine/engine.go
@@ -110,7 +110,7 @@
 	if options.KeepBytes <= 0 {
 		options.KeepBytes = DefaultKeepBytes
 	}
-	log, recovered, err := wal.Open(options.FS, wal.Options{SegmentBytes: options.SegmentBytes})
+	log, recovered, err := wal.Open(options.FS, wal.Config{SegmentBytes: options.SegmentBytes})
 	if err != nil {
 		return nil, fmt.Errorf("engine: opening the log: %w", err)
 	}
@@ -119,11 +119,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("engine: recovering: %w", err)
 	}
-	refused := recovered.Refused
+	refused := recovered.WriteError
 	if recovered.Empty {
 		refused = log.Checkpoint(nil, state.Records())
 	}
-	e.heldBase = min(log.Held(), options.CompactBytes/2)
+	e.heldBase = min(log.BytesSinceCheckpoint(), options.CompactBytes/2)
 	e.node = chain.New(now, state, chain.Config{
 		FaultTolerance: options.Faults, Seeds: options.Seeds, RandomSeed: options.Random, Timing: options.Timing,
 		Mutation: options.Mutation,
@@ -193,7 +193,7 @@
 // Maintain makes a snapshot when the log since the last one has grown enough. The host calls it after it has
 // carried out the effects of a step, so that nothing waits for it.
 func (e *Engine) Maintain(now time.Duration) error {
-	if e.node.DiskFailing() || e.log.Held()-e.heldBase < max(e.options.CompactBytes, e.snapshot) {
+	if e.node.DiskFailing() || e.log.BytesSinceCheckpoint()-e.heldBase < max(e.options.CompactBytes, e.snapshot) {
 		return nil
 	}
 	err := e.checkpoint()
@@ -316,7 +316,7 @@
 // retryDisk writes the whole state anew once the disk takes writes again.
 func (e *Engine) retryDisk(now time.Duration) {
 	e.retryAt = now + refusedRetry
-	err := e.log.Probe()
+	err := e.log.CheckWritable()
 	if err == nil {
 		err = e.checkpoint()
 	}
@@ -371,7 +371,7 @@
 
 // keep notes the sizes right after a checkpoint.
 func (e *Engine) keep(snapshot []byte) {
-	e.heldBase, e.snapshot = e.log.Held(), int64(len(snapshot))
+	e.heldBase, e.snapshot = e.log.BytesSinceCheckpoint(), int64(len(snapshot))
 	e.node.SetSnapshotSize(len(snapshot))
 }
 
--- a/coordination/engine/golden_test.go
+++ b/coordination/engine/golden_test.go
@@ -135,7 +135,7 @@
 	m := g.members[number]
 	m.engine, m.inbox = nil, nil
 	if disk, ok := m.fs.(*modeldisk.Disk); ok {
-		m.fs = disk.Kill()
+		m.fs = disk.AfterKill()
 	}
 }
 
@@ -199,7 +199,7 @@
 func TestGoldenDisksAreWrittenAgain(t *testing.T) {
 	g := playGolden(t)
 	for number, m := range g.members {
-		wantFS, err := wal.Folder(goldenPath(fmt.Sprint(number)))
+		wantFS, err := wal.OpenDirectory(goldenPath(fmt.Sprint(number)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -219,7 +219,7 @@
 // goldenState describes what a disk holds.
 func goldenState(t *testing.T, fs wal.FS) string {
 	t.Helper()
-	log, recovered, err := wal.Open(fs, wal.Options{SegmentBytes: 1200})
+	log, recovered, err := wal.Open(fs, wal.Config{SegmentBytes: 1200})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -279,7 +279,7 @@
 		if err := os.CopyFS(directory, os.DirFS(goldenPath(fmt.Sprint(number)))); err != nil {
 			t.Fatal(err)
 		}
-		fs, err := wal.Folder(directory)
+		fs, err := wal.OpenDirectory(directory)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/coordination/replica/golden_group_test.go
+++ b/coordination/replica/golden_group_test.go
@@ -35,11 +35,11 @@
 // storedState describes the state that a data directory holds.
 func storedState(t *testing.T, directory string) string {
 	t.Helper()
-	fs, err := wal.Folder(directory)
+	fs, err := wal.OpenDirectory(directory)
 	if err != nil {
 		t.Fatal(err)
 	}
-	log, recovered, err := wal.Open(fs, wal.Options{})
+	log, recovered, err := wal.Open(fs, wal.Config{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/coordination/replica/options.go
+++ b/coordination/replica/options.go
@@ -99,7 +99,7 @@
 	if o.Folder == "" {
 		return errors.New("replica: Options.Folder is missing")
 	}
-	folder, err := wal.Folder(o.Folder)
+	folder, err := wal.OpenDirectory(o.Folder)
 	if err != nil {
 		return fmt.Errorf("replica: %w", err)
 	}
--- a/coordination/replica/replica_test.go
+++ b/coordination/replica/replica_test.go
@@ -84,7 +84,7 @@
 	delete(g.net.members, address(number))
 	g.net.lock.Unlock()
 	member.Kill()
-	g.disks[address(number)] = g.disks[address(number)].Kill()
+	g.disks[address(number)] = g.disks[address(number)].AfterKill()
 }
 
 // wait waits until the member's status is as asked for.
@@ -251,10 +251,10 @@
 func TestFullDiskIsLeftAndComesBack(t *testing.T) {
 	g := newGroup(t, 3)
 	g.propose(0, "one")
-	g.disks[address(1)].Fill(true)
+	g.disks[address(1)].SetFull(true)
 	g.propose(0, "two")
 	g.expect(1, "one two")
-	g.disks[address(1)].Fill(false)
+	g.disks[address(1)].SetFull(false)
 	g.wait(g.member(0), "it is in the chain again", func(s replica.Status) bool {
 		return len(s.View.Chain) == 3 && s.View.Epoch > 2
 	})
--- a/coordination/simnet/faults.go
+++ b/coordination/simnet/faults.go
@@ -65,11 +65,11 @@
 func (w *World) powerInMidst(time.Duration) {
 	m := w.pick()
 	if m.engine != nil {
-		m.disk.CutAt = m.disk.Steps + 1 + w.random.IntN(8)
+		m.disk.PowerLossAt = m.disk.Operations + 1 + w.random.IntN(8)
 	}
 	w.after(300*time.Millisecond, func() {
-		if m.engine != nil && m.disk.CutAt > 0 {
-			m.disk.CutAt = 0
+		if m.engine != nil && m.disk.PowerLossAt > 0 {
+			m.disk.PowerLossAt = 0
 		}
 		w.back(m)
 	})
@@ -127,11 +127,11 @@
 func (w *World) fillDisk(time.Duration) {
 	m := w.pick()
 	w.tracef("%s: disk full", m.address)
-	m.disk.Refuse = true
-	w.after(w.between(100*time.Millisecond, 3*time.Second), func() { m.disk.Refuse = false })
+	m.disk.FailWrites = true
+	w.after(w.between(100*time.Millisecond, 3*time.Second), func() { m.disk.FailWrites = false })
 }
 
-func (w *World) failSync(time.Duration) { w.pick().disk.Failing = 1 + w.random.IntN(3) }
+func (w *World) failSync(time.Duration) { w.pick().disk.FailSyncs = 1 + w.random.IntN(3) }
 
 // leaveOne stops a machine in the planned way and starts it again.
 func (w *World) leaveOne(time.Duration) {
@@ -172,7 +172,7 @@
 			continue
 		}
 		up := m.engine != nil && !m.frozen && w.now-m.startedAt >= catchUp/2
-		good := !m.disk.Refuse && m.disk.Failing == 0 && m.disk.CutAt == 0 && m.stall == 0
+		good := !m.disk.FailWrites && m.disk.FailSyncs == 0 && m.disk.PowerLossAt == 0 && m.stall == 0
 		if !up || !good || m.last.DiskFailing() {
 			return false
 		}
--- a/coordination/simnet/history.go
+++ b/coordination/simnet/history.go
@@ -115,7 +115,7 @@
 	w.joinAll()
 	w.Loss = 0
 	for _, m := range w.machines {
-		m.disk.CutAt, m.disk.Refuse, m.disk.Failing, m.stall = 0, false, 0, 0
+		m.disk.PowerLossAt, m.disk.FailWrites, m.disk.FailSyncs, m.stall = 0, false, 0, 0
 		m.thaw()
 		m.start(false)
 	}
--- a/coordination/simnet/machine.go
+++ b/coordination/simnet/machine.go
@@ -207,10 +207,10 @@
 
 // powerFails plays the step of a machine whose power is set to fail in its midst.
 func (m *machine) powerFails(inputs []engine.Input) (failed bool) {
-	if m.disk.CutAt == 0 {
+	if m.disk.PowerLossAt == 0 {
 		return false
 	}
-	steps := m.disk.Steps
+	steps := m.disk.Operations
 	defer func() {
 		if m.engine == nil {
 			failed = true
@@ -219,8 +219,8 @@
 	defer m.powerCut()
 	m.engine.Step(m.local(), inputs)
 	_ = m.engine.Maintain(m.local())
-	m.world.tracef("%s: power held through steps %d to %d", m.address, steps, m.disk.Steps)
-	m.disk.CutAt = 0
+	m.world.tracef("%s: power held through steps %d to %d", m.address, steps, m.disk.Operations)
+	m.disk.PowerLossAt = 0
 	m.unsure = true
 	m.losePower() // at the latest before anything is sent
 	return true
@@ -232,7 +232,7 @@
 	if cause == nil {
 		return
 	}
-	if _, ok := cause.(modeldisk.PowerCut); !ok {
+	if _, ok := cause.(modeldisk.PowerLoss); !ok {
 		panic(cause)
 	}
 	m.unsure = true
@@ -272,14 +272,14 @@
 	}
 	m.world.tracef("%s is killed", m.address)
 	m.down()
-	m.disk = m.disk.Kill()
+	m.disk = m.disk.AfterKill()
 }
 
 // losePower ends the process; the disk keeps what was synced and some of the rest.
 func (m *machine) losePower() {
 	m.world.tracef("%s loses power", m.address)
 	m.down()
-	m.disk = m.disk.Lose(m.world.random)
+	m.disk = m.disk.AfterPowerLoss(m.world.random)
 }
 
 // wipe ends the process and empties the disk.
--- a/coordination/simnet/scenario_test.go
+++ b/coordination/simnet/scenario_test.go
@@ -175,7 +175,7 @@
 }
 
 func TestDiskOfHeadIsFull(t *testing.T) {
-	scenario(t, 1500*time.Millisecond, 4, func(w *World) { w.head().disk.Refuse = true })
+	scenario(t, 1500*time.Millisecond, 4, func(w *World) { w.head().disk.FailWrites = true })
 }
 
 // With all disks full nothing is taken, but everything is still read; afterwards the group goes on.
@@ -185,7 +185,7 @@
 		w.clients(w.now+time.Second, 5*time.Millisecond, 50*time.Millisecond)
 		_ = w.Run(2 * time.Second)
 		for _, m := range w.machines {
-			m.disk.Refuse = true
+			m.disk.FailWrites = true
 		}
 		w.clients(w.now+time.Second, 5*time.Millisecond, 50*time.Millisecond)
 		_ = w.Run(2 * time.Second)
--- a/coordination/wal/fs.go
+++ b/coordination/wal/fs.go
@@ -20,7 +20,7 @@
 	Rename(from, to string) error
 	Remove(name string) error
 	// SyncFolder makes the names durable.
-	SyncFolder() error
+	SyncDirectory() error
 }
 
 // File is a file that is written from its start to its end.
@@ -46,18 +46,18 @@
 // Unwrap returns the disk's own error.
 func (e *DiskError) Unwrap() error { return e.Err }
 
-// folder is FS on the operating system's files.
-type folder struct{ path string }
+// directory is FS on the operating system's files.
+type directory struct{ path string }
 
-// Folder returns the folder as an FS and makes it where it is missing.
-func Folder(path string) (FS, error) {
+// OpenDirectory returns the folder as an FS and makes it where it is missing.
+func OpenDirectory(path string) (FS, error) {
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return nil, fmt.Errorf("wal: making the folder: %w", err)
 	}
-	return folder{path: path}, nil
+	return directory{path: path}, nil
 }
 
-func (f folder) List() ([]string, error) {
+func (f directory) List() ([]string, error) {
 	entries, err := os.ReadDir(f.path)
 	if err != nil {
 		return nil, fmt.Errorf("listing: %w", err)
@@ -71,9 +71,9 @@
 	return names, nil
 }
 
-func (f folder) Read(name string) ([]byte, error) { return os.ReadFile(filepath.Join(f.path, name)) }
+func (f directory) Read(name string) ([]byte, error) { return os.ReadFile(filepath.Join(f.path, name)) }
 
-func (f folder) Create(name string) (File, error) {
+func (f directory) Create(name string) (File, error) {
 	file, err := os.Create(filepath.Join(f.path, name))
 	if err != nil {
 		return nil, err
@@ -81,13 +81,13 @@
 	return osFile{file}, nil
 }
 
-func (f folder) Rename(from, to string) error {
+func (f directory) Rename(from, to string) error {
 	return os.Rename(filepath.Join(f.path, from), filepath.Join(f.path, to))
 }
 
-func (f folder) Remove(name string) error { return os.Remove(filepath.Join(f.path, name)) }
+func (f directory) Remove(name string) error { return os.Remove(filepath.Join(f.path, name)) }
 
-func (f folder) SyncFolder() error {
+func (f directory) SyncDirectory() error {
 	handle, err := os.Open(f.path)
 	if err != nil {
 		return err
--- a/coordination/wal/golden_test.go
+++ b/coordination/wal/golden_test.go
@@ -24,7 +24,7 @@
 // writeGolden plays a fixed script in an empty directory and calls keep after each stage.
 func writeGolden(t *testing.T, directory string, keep func(stage string)) {
 	t.Helper()
-	fs, err := wal.Folder(directory)
+	fs, err := wal.OpenDirectory(directory)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -131,11 +131,11 @@
 
 func largeFrameSum(t *testing.T, directory string) string {
 	t.Helper()
-	fs, err := wal.Folder(directory)
+	fs, err := wal.OpenDirectory(directory)
 	if err != nil {
 		t.Fatal(err)
 	}
-	log, _, err := wal.Open(fs, wal.Options{})
+	log, _, err := wal.Open(fs, wal.Config{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -173,7 +173,7 @@
 			if err := os.CopyFS(directory, os.DirFS(goldenPath(stage))); err != nil {
 				t.Fatal(err)
 			}
-			fs, err := wal.Folder(directory)
+			fs, err := wal.OpenDirectory(directory)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -188,8 +188,8 @@
 			if got := goldenContent(recovered); got != string(want) {
 				t.Fatalf("recovered\n%s, want\n%s", got, want)
 			}
-			if recovered.Refused != nil {
-				t.Fatalf("refused: %v, want nil", recovered.Refused)
+			if recovered.WriteError != nil {
+				t.Fatalf("refused: %v, want nil", recovered.WriteError)
 			}
 			if err := log.Append(records("later")); err != nil {
 				t.Fatal(err)
--- a/coordination/wal/log.go
+++ b/coordination/wal/log.go
@@ -71,7 +71,7 @@
 		l.closeSegment()
 		return err
 	}
-	if err := l.fs.SyncFolder(); err != nil {
+	if err := l.fs.SyncDirectory(); err != nil {
 		l.closeSegment()
 		return &DiskError{Step: "sync the folder for", File: name, Err: err}
 	}
@@ -158,7 +158,7 @@
 	if err := l.fs.Rename(temporaryName, name); err != nil {
 		return &DiskError{Step: "rename to", File: name, Err: err}
 	}
-	if err := l.fs.SyncFolder(); err != nil {
+	if err := l.fs.SyncDirectory(); err != nil {
 		return &DiskError{Step: "sync the folder for", File: name, Err: err}
 	}
 	return nil
@@ -190,8 +190,8 @@
 // probeBytes is how much a probe writes.
 const probeBytes = 4 << 10
 
-// Probe tells whether the disk takes a write and a sync now.
-func (l *Log) Probe() error {
+// CheckWritable tells whether the disk takes a write and a sync now.
+func (l *Log) CheckWritable() error {
 	file, err := l.fs.Create(temporaryName)
 	if err != nil {
 		return &DiskError{Step: "create", File: temporaryName, Err: err}
@@ -214,8 +214,8 @@
 	return readSnapshot(l.fs, l.snapshot)
 }
 
-// Held is how many bytes were written since the newest checkpoint, that one included.
-func (l *Log) Held() int64 { return l.held }
+// BytesSinceCheckpoint is how many bytes were written since the newest checkpoint, that one included.
+func (l *Log) BytesSinceCheckpoint() int64 { return l.held }
 
 // Close closes the open segment. Everything acknowledged is on disk already.
 func (l *Log) Close() { l.closeSegment() }
--- a/coordination/wal/modeldisk/disk.go
+++ b/coordination/wal/modeldisk/disk.go
@@ -13,25 +13,25 @@
 )
 
 // ErrRefused is what a refusing disk answers to every write and sync.
-var ErrRefused = errors.New("modeldisk: no space left on device")
+var ErrNoSpace = errors.New("modeldisk: no space left on device")
 
-// PowerCut is the value that the disk panics with at the step at which the power is set to fail.
-type PowerCut struct{}
+// PowerLoss is the value that the disk panics with at the step at which the power is set to fail.
+type PowerLoss struct{}
 
 // Disk is one folder. It is used by one goroutine at a time.
 type Disk struct {
 	names   map[string]*content
 	durable map[string]*content
 
-	Refuse  bool // every write, sync, creation and rename fails; Fill sets it from another goroutine
-	NoSync  bool // a planted fault: syncs do nothing
-	Steps   int  // changes of the disk so far
-	Syncs   int
-	Written int64
-	CutAt   int // the power fails at this step, before it takes effect; 0 means never
-	full    atomic.Bool
+	FailWrites   bool // every write, sync, creation and rename fails; Fill sets it from another goroutine
+	NoSync       bool // a planted fault: syncs do nothing
+	Operations   int  // changes of the disk so far
+	Syncs        int
+	BytesWritten int64
+	PowerLossAt  int // the power fails at this step, before it takes effect; 0 means never
+	full         atomic.Bool
 	// Failing makes that many of the next syncs fail although the bytes may be on the disk.
-	Failing int
+	FailSyncs int
 }
 
 // content is a file. Pending writes are those since its last sync.
@@ -49,17 +49,17 @@
 	return &Disk{names: map[string]*content{}, durable: map[string]*content{}}
 }
 
-// Fill makes the disk refuse, or ends that. Unlike all else it may be called from any goroutine.
-func (d *Disk) Fill(full bool) { d.full.Store(full) }
+// SetFull makes the disk refuse, or ends that. Unlike all else it may be called from any goroutine.
+func (d *Disk) SetFull(full bool) { d.full.Store(full) }
 
 // step counts a change of the disk.
 func (d *Disk) step() error {
-	d.Steps++
-	if d.CutAt > 0 && d.Steps == d.CutAt {
-		panic(PowerCut{})
+	d.Operations++
+	if d.PowerLossAt > 0 && d.Operations == d.PowerLossAt {
+		panic(PowerLoss{})
 	}
-	if d.Refuse || d.full.Load() {
-		return ErrRefused
+	if d.FailWrites || d.full.Load() {
+		return ErrNoSpace
 	}
 	return nil
 }
@@ -111,9 +111,9 @@
 
 // Remove implements wal.FS.
 func (d *Disk) Remove(name string) error {
-	if d.Refuse { // a full disk can still remove
-		d.Refuse = false
-		defer func() { d.Refuse = true }()
+	if d.FailWrites { // a full disk can still remove
+		d.FailWrites = false
+		defer func() { d.FailWrites = true }()
 	}
 	if err := d.step(); err != nil {
 		return err
@@ -125,8 +125,8 @@
 	return nil
 }
 
-// SyncFolder implements wal.FS.
-func (d *Disk) SyncFolder() error {
+// SyncDirectory implements wal.FS.
+func (d *Disk) SyncDirectory() error {
 	if err := d.sync(); err != nil || d.NoSync {
 		return err
 	}
@@ -142,9 +142,9 @@
 		return err
 	}
 	d.Syncs++
-	if d.Failing > 0 {
-		d.Failing--
-		return ErrRefused
+	if d.FailSyncs > 0 {
+		d.FailSyncs--
+		return ErrNoSpace
 	}
 	return nil
 }
@@ -161,12 +161,12 @@
 	from := len(h.file.body)
 	h.file.body = append(h.file.body, body...)
 	h.file.pending = append(h.file.pending, span{from: from, to: from + len(body)})
-	h.disk.Written += int64(len(body))
+	h.disk.BytesWritten += int64(len(body))
 	return len(body), nil
 }
 
 func (h *handle) Sync() error {
-	failing := h.disk.Failing > 0
+	failing := h.disk.FailSyncs > 0
 	if err := h.disk.sync(); err != nil {
 		h.file.spoiled = h.file.spoiled || failing
 		return err
@@ -180,15 +180,15 @@
 
 func (h *handle) Close() error { return nil }
 
-// Kill returns the disk as the next process finds it when only the process died.
-func (d *Disk) Kill() *Disk {
-	return &Disk{names: d.names, durable: d.durable, Refuse: d.Refuse, NoSync: d.NoSync}
+// AfterKill returns the disk as the next process finds it when only the process died.
+func (d *Disk) AfterKill() *Disk {
+	return &Disk{names: d.names, durable: d.durable, FailWrites: d.FailWrites, NoSync: d.NoSync}
 }
 
-// Lose returns the disk as it may be found after a loss of power.
-func (d *Disk) Lose(random *rand.Rand) *Disk {
+// AfterPowerLoss returns the disk as it may be found after a loss of power.
+func (d *Disk) AfterPowerLoss(random *rand.Rand) *Disk {
 	after := New()
-	after.NoSync, after.Refuse = d.NoSync, d.Refuse
+	after.NoSync, after.FailWrites = d.NoSync, d.FailWrites
 	none := random.IntN(4) == 0 // at some losses nothing unsynced remains
 	all := map[string]*content{}
 	for name, file := range d.durable {
--- a/coordination/wal/recover.go
+++ b/coordination/wal/recover.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Options sets up a log.
-type Options struct {
+// Config sets up a log.
+type Config struct {
 	SegmentBytes int64 // 0 means DefaultSegmentBytes
 }
 
@@ -20,12 +20,12 @@
 	TornTail bool     // an unacknowledged frame at the end was left out
 	// Refused is set when the disk can be read but not written. What was read may then not be acted upon by
 	// anything that must survive, until an Append or a Checkpoint succeeds.
-	Refused error
+	WriteError error
 }
 
 // Open reads the folder and returns the log, ready for Append. The newest frame may have been written but not
 // synced, or its sync may have failed, so Open writes it again and syncs it before it is believed.
-func Open(fs FS, options Options) (*Log, Recovered, error) {
+func Open(fs FS, options Config) (*Log, Recovered, error) {
 	names, err := fs.List()
 	if err != nil {
 		return nil, Recovered{}, &DiskError{Step: "list", File: "the folder", Err: err}
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, Recovered{}, err
 	}
-	recovered.Refused = log.settle(nil)
+	recovered.WriteError = log.settle(nil)
 	return log, recovered, nil
 }
 
--- a/coordination/wal/wal_test.go
+++ b/coordination/wal/wal_test.go
@@ -15,7 +15,7 @@
 )
 
 // smallSegments makes a new segment every few records.
-var smallSegments = wal.Options{SegmentBytes: 200}
+var smallSegments = wal.Config{SegmentBytes: 200}
 
 func open(t testing.TB, disk *modeldisk.Disk) (*wal.Log, wal.Recovered) {
 	t.Helper()
@@ -115,7 +115,7 @@
 func play(disk *modeldisk.Disk) (acknowledged, underWay []string, snapshot, nextSnapshot string) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			if _, ok := cause.(modeldisk.PowerCut); !ok {
+			if _, ok := cause.(modeldisk.PowerLoss); !ok {
 				panic(cause)
 			}
 		}
@@ -148,17 +148,17 @@
 		for seed := uint64(0); seed < 12; seed++ {
 			random := rand.New(rand.NewPCG(seed, uint64(cut)))
 			disk := modeldisk.New()
-			disk.CutAt = cut
+			disk.PowerLossAt = cut
 			acknowledged, underWay, snapshot, next := play(disk)
-			disk = disk.Lose(random)
+			disk = disk.AfterPowerLoss(random)
 			for range 3 {
 				again := disk.Copy()
-				again.CutAt = 1 + random.IntN(3)
+				again.PowerLossAt = 1 + random.IntN(3)
 				func() {
 					defer func() { _ = recover() }()
 					_, _, _ = wal.Open(again, smallSegments)
 				}()
-				disk = again.Lose(random)
+				disk = again.AfterPowerLoss(random)
 			}
 			_, recovered, err := wal.Open(disk, smallSegments)
 			if err != nil {
@@ -179,13 +179,13 @@
 	for seed := uint64(0); seed < 50; seed++ {
 		disk, all := written(t, 5)
 		log, _ := open(t, disk)
-		disk.Failing = 1
+		disk.FailSyncs = 1
 		if err := log.Append(records("unsure")); err == nil {
 			t.Fatal("a failing sync is not told")
 		}
-		disk = disk.Kill()
+		disk = disk.AfterKill()
 		_, first := open(t, disk)
-		disk = disk.Lose(rand.New(rand.NewPCG(seed, 1)))
+		disk = disk.AfterPowerLoss(rand.New(rand.NewPCG(seed, 1)))
 		_, second := open(t, disk)
 		if !slices.Equal(texts(first.Records), texts(second.Records)) {
 			t.Fatalf("seed %d: read %q, after a loss of power %q", seed, texts(first.Records), texts(second.Records))
@@ -199,23 +199,23 @@
 // A disk that refuses leaves the log readable, and usable once it takes writes again.
 func TestRefusingDisk(t *testing.T) {
 	disk, all := written(t, 5)
-	disk.Refuse = true
+	disk.FailWrites = true
 	log, recovered := open(t, disk)
-	if recovered.Refused == nil || !slices.Equal(texts(recovered.Records), all) {
-		t.Fatalf("refused %v, records %q", recovered.Refused, texts(recovered.Records))
+	if recovered.WriteError == nil || !slices.Equal(texts(recovered.Records), all) {
+		t.Fatalf("refused %v, records %q", recovered.WriteError, texts(recovered.Records))
 	}
 	var refusal *wal.DiskError
-	if err := log.Append(records("lost")); !errors.As(err, &refusal) || !errors.Is(err, modeldisk.ErrRefused) {
+	if err := log.Append(records("lost")); !errors.As(err, &refusal) || !errors.Is(err, modeldisk.ErrNoSpace) {
 		t.Fatalf("append on a refusing disk: %v", err)
 	}
-	if err := log.Probe(); err == nil {
+	if err := log.CheckWritable(); err == nil {
 		t.Fatal("a probe of a refusing disk succeeds")
 	}
-	disk.Refuse = false
+	disk.FailWrites = false
 	if err := log.Append(records("kept")); err != nil {
 		t.Fatal(err)
 	}
-	_, after := open(t, disk.Lose(rand.New(rand.NewPCG(1, 1))))
+	_, after := open(t, disk.AfterPowerLoss(rand.New(rand.NewPCG(1, 1))))
 	if want := append(all, "kept"); !slices.Equal(texts(after.Records), want) {
 		t.Errorf("got %q, want %q", texts(after.Records), want)
 	}
@@ -260,7 +260,7 @@
 		t.Fatalf("snapshot %q, want %q", recovered.Snapshot, m.snapshot)
 	}
 	m.log, m.records = log, got
-	if recovered.Refused == nil {
+	if recovered.WriteError == nil {
 		m.maybe = nil
 	}
 }
@@ -274,7 +274,7 @@
 			"append": m.append,
 			"more":   m.append,
 			"checkpoint": func(t *rapid.T) {
-				if m.disk.Refuse || m.disk.Failing > 0 {
+				if m.disk.FailWrites || m.disk.FailSyncs > 0 {
 					return // a checkpoint that fails halfway is covered by TestPowerFailsAtEveryStep
 				}
 				text := m.text()
@@ -283,20 +283,20 @@
 				}
 				m.records, m.snapshot, m.maybe = []string{text}, "snapshot of "+text, nil
 			},
-			"kill": func(t *rapid.T) { m.reopen(t, m.disk.Kill()) },
+			"kill": func(t *rapid.T) { m.reopen(t, m.disk.AfterKill()) },
 			"power": func(t *rapid.T) {
 				seed := rapid.Uint64().Draw(t, "seed")
-				m.reopen(t, m.disk.Lose(rand.New(rand.NewPCG(seed, 3))))
+				m.reopen(t, m.disk.AfterPowerLoss(rand.New(rand.NewPCG(seed, 3))))
 			},
-			"refuse": func(t *rapid.T) { m.disk.Refuse = !m.disk.Refuse },
-			"fail":   func(t *rapid.T) { m.disk.Failing = 1 },
+			"refuse": func(t *rapid.T) { m.disk.FailWrites = !m.disk.FailWrites },
+			"fail":   func(t *rapid.T) { m.disk.FailSyncs = 1 },
 		})
 	})
 }
 
 // The files of the operating system serve as well as the model.
 func TestRealFiles(t *testing.T) {
-	folder, err := wal.Folder(t.TempDir())
+	folder, err := wal.OpenDirectory(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/systemsim/faults.go
+++ b/internal/systemsim/faults.go
@@ -284,9 +284,9 @@
 func (w *World) fillDisk() {
 	i := w.pick()
 	w.tracef("%s: disk full", i.address)
-	i.disk.Refuse, i.trouble = true, w.Now()
+	i.disk.FailWrites, i.trouble = true, w.Now()
 	w.After(w.between(100*time.Millisecond, 3*time.Second), func() {
-		i.disk.Refuse, i.trouble = false, w.Now()
+		i.disk.FailWrites, i.trouble = false, w.Now()
 	})
 }
 
@@ -318,7 +318,7 @@
 // loseDisk takes one disk, once all instances have been well for long enough to bear that.
 func (w *World) loseDisk() {
 	for _, i := range w.instances {
-		if !i.up() || i.stall > 0 || i.disk.Refuse {
+		if !i.up() || i.stall > 0 || i.disk.FailWrites {
 			return
 		}
 	}
@@ -351,7 +351,7 @@
 		c.first = nil
 	}
 	for _, i := range w.instances {
-		i.stall, i.disk.Refuse = 0, false
+		i.stall, i.disk.FailWrites = 0, false
 		i.thaw()
 		i.start(false)
 	}
--- a/internal/systemsim/instance.go
+++ b/internal/systemsim/instance.go
@@ -119,7 +119,7 @@
 	if i.running && !i.world.quiet {
 		i.world.tracef("%s is killed", i.address)
 		i.down(true)
-		i.disk = i.disk.Kill()
+		i.disk = i.disk.AfterKill()
 	}
 }
 
@@ -128,7 +128,7 @@
 	if i.running {
 		i.world.tracef("%s loses power", i.address)
 		i.down(false)
-		i.disk = i.disk.Lose(i.world.random)
+		i.disk = i.disk.AfterPowerLoss(i.world.random)
 	}
 }
 
