--- a/cmd/raventrestle-control/instance.go
+++ b/cmd/raventrestle-control/instance.go
@@ -15,7 +15,7 @@
 
 	"raventrestle/coordination/replica"
 	"raventrestle/internal/control/api"
-	"raventrestle/internal/control/changes"
+	"raventrestle/internal/control/configstore"
 	"raventrestle/internal/control/host"
 	"raventrestle/internal/control/placer"
 	"raventrestle/internal/control/quota"
@@ -96,7 +96,7 @@
 		return nil, err
 	}
 	i.replica = group
-	configurations := changes.New(group, machine)
+	configurations := configstore.New(group, machine)
 	newPlacer := func(quiet time.Duration) roles.Placer { return makePlacer(settings, quiet) }
 	newAllocator := func(quiet time.Duration) roles.Allocator { return makeAllocator(settings, quiet) }
 	reports := &lateReports{}
--- a/internal/control/api/golden_test.go
+++ b/internal/control/api/golden_test.go
@@ -23,7 +23,7 @@
 
 	"raventrestle/coordination/replica"
 	"raventrestle/internal/control/api"
-	"raventrestle/internal/control/changes"
+	"raventrestle/internal/control/configstore"
 	"raventrestle/internal/control/host"
 	"raventrestle/internal/control/replicatest"
 	"raventrestle/internal/control/state"
@@ -90,7 +90,7 @@
 		double:    replicatest.New(machine, replica.Status{}),
 		machine:   machine,
 	}
-	return s.serve(t, changes.New(s.double, machine), func() any { return map[string]int{"epoch": 3} })
+	return s.serve(t, configstore.New(s.double, machine), func() any { return map[string]int{"epoch": 3} })
 }
 
 func (s *goldenServer) serve(t *testing.T, configurations api.Configurations, status api.Status) *goldenServer {
--- a/internal/control/changes/api_test.go
+++ b/internal/control/configstore/api_test.go
@@ -1,4 +1,4 @@
-package changes
+package configstore
 
 import (
 	"bufio"
--- a/internal/control/changes/changes.go
+++ b/internal/control/configstore/store.go
@@ -1,5 +1,5 @@
-// Package changes joins the replicated state with those who change and read the configuration.
-package changes
+// Package configstore joins the replicated state with those who change and read the configuration.
+package configstore
 
 import (
 	"context"
@@ -13,22 +13,22 @@
 	"raventrestle/internal/control/state"
 )
 
-// Configurations changes and reads the configuration by the replica.
-type Configurations struct {
+// Store changes and reads the configuration by the replica.
+type Store struct {
 	replica replica.Interface
 	machine *state.Machine
 }
 
 // New joins a replica and the machine that it applies commands to.
-func New(group replica.Interface, machine *state.Machine) *Configurations {
-	return &Configurations{replica: group, machine: machine}
+func New(group replica.Interface, machine *state.Machine) *Store {
+	return &Store{replica: group, machine: machine}
 }
 
 // ErrForgotten means that a change builds on a version so old that it is not known any more whether it was taken.
 var ErrForgotten = errors.New("it builds on a version whose successor is not remembered; it may have been taken")
 
 // Change has a change decided by the chain. After an error it may be decided either way, now or later.
-func (c *Configurations) Change(
+func (c *Store) Change(
 	ctx context.Context, method string, base int64, body []byte,
 ) (api.ChangeResult, error) {
 	command, err := state.NewCommand(method, base, body)
@@ -71,7 +71,7 @@
 }
 
 // Read returns the newest version. Everything acknowledged before the call is in it.
-func (c *Configurations) Read(ctx context.Context) (int64, []byte, error) {
+func (c *Store) Read(ctx context.Context) (int64, []byte, error) {
 	if _, err := c.replica.Barrier(ctx); err != nil {
 		return 0, nil, fmt.Errorf("read of the configuration: %w", err)
 	}
@@ -80,15 +80,15 @@
 }
 
 // Newest returns the newest version that is committed here, without asking the others.
-func (c *Configurations) Newest() (int64, []byte) { return c.machine.Current() }
+func (c *Store) Newest() (int64, []byte) { return c.machine.Current() }
 
 // Current returns the same, read; nil before the first.
-func (c *Configurations) Current() *configuration.Configuration {
+func (c *Store) Current() *configuration.Configuration {
 	return c.machine.View().Configuration
 }
 
 // History returns the versions that were taken, oldest first.
-func (c *Configurations) History() []api.VersionView {
+func (c *Store) History() []api.VersionView {
 	history := c.machine.History()
 	views := make([]api.VersionView, len(history))
 	for i, version := range history {
