--- a/cmd/raventrestle-control/instance_test.go
+++ b/cmd/raventrestle-control/instance_test.go
@@ -132,7 +132,7 @@
 
 func (r *router) Message(c *transport.Connection, message any) {
 	if update, isUpdate := message.(*protocol.Update); isUpdate {
-		_ = c.Send(protocol.Confirm{Sequence: update.Sequence}) // a closed connection tells of itself
+		_ = c.Send(protocol.UpdateAck{Sequence: update.Sequence}) // a closed connection tells of itself
 		r.updates <- update
 	}
 }
@@ -182,7 +182,7 @@
 	g.call(0, http.MethodPut, "/-/config", "0", document(6), http.StatusPreconditionFailed)
 	g.call(0, http.MethodPut, "/-/config", "5", document(5), http.StatusBadRequest)
 	follower := g.subscribe(2, "r1")
-	follower.await(t, "version 5 confirmed", func(u *protocol.Update) bool { return u.Generation == 5 && u.Confirmed })
+	follower.await(t, "version 5 confirmed", func(u *protocol.Update) bool { return u.Generation == 5 && u.GenerationConfirmed })
 	g.call(0, http.MethodPut, "/-/instances/i-1", "", endpointBody("ready", 1), http.StatusOK)
 	follower.await(t, "the endpoint", func(u *protocol.Update) bool { return len(u.Endpoints) > 0 })
 	g.call(0, http.MethodPut, "/-/instances/i-1", "", endpointBody("draining", 2), http.StatusOK)
--- a/internal/control/controller/barrier_test.go
+++ b/internal/control/controller/barrier_test.go
@@ -42,7 +42,7 @@
 	out := step(retryAt+time.Millisecond, BarrierFinished{Number: 2, Succeeded: true})
 	confirmed := map[Connection]bool{}
 	for _, message := range out.RouterMessages {
-		if update, isUpdate := message.Message.(*protocol.Update); isUpdate && update.Confirmed {
+		if update, isUpdate := message.Message.(*protocol.Update); isUpdate && update.GenerationConfirmed {
 			confirmed[message.Connection] = true
 		}
 	}
--- a/internal/control/controller/connections.go
+++ b/internal/control/controller/connections.go
@@ -54,14 +54,14 @@
 // receive takes in a message of a router or of another instance.
 func (c *Controller) receive(now time.Time, in MessageReceived) {
 	var delay time.Duration
-	if fromPeer, isPeer := in.Message.(protocol.FromPeer); isPeer {
+	if fromPeer, isPeer := in.Message.(protocol.PeerMessage); isPeer {
 		delay = c.delays.observe(now.Sub(c.started), fromPeer.Sender())
 	}
 	switch message := in.Message.(type) {
 	case *protocol.Subscribe:
 		// A probe may have come before on the same connection.
 		c.toHub(distribution.Subscribed{Connection: c.connections.identify(in.Connection), Router: *message})
-	case *protocol.Confirm:
+	case *protocol.UpdateAck:
 		if id, known := c.connections.id(in.Connection); known {
 			c.toHub(distribution.Confirmed{Connection: id, Sequence: message.Sequence, Mark: message.EchoSequence})
 		}
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -186,9 +186,9 @@
 
 // sendPeer sends to another instance, with a stamp of this process's origin and clock.
 func (c *Controller) sendPeer(now time.Time, to string, message any) {
-	if stamped, isStamped := message.(protocol.FromPeer); isStamped {
+	if stamped, isStamped := message.(protocol.PeerMessage); isStamped {
 		*stamped.Sender() = c.config.Origin
-		stamped.Sender().At = now.Sub(c.started)
+		stamped.Sender().SentAt = now.Sub(c.started)
 	}
 	c.out.PeerMessages = append(c.out.PeerMessages, registry.Send{To: to, Message: message})
 }
--- a/internal/control/controller/grants.go
+++ b/internal/control/controller/grants.go
@@ -53,7 +53,7 @@
 // observe takes in a message that arrived at a time of this process's clock and returns by how much it was slower than
 // the fastest one of its sender.
 func (d *queueingDelays) observe(arrived time.Duration, from *protocol.Origin) time.Duration {
-	span := arrived - from.At
+	span := arrived - from.SentAt
 	fastest, known := d.fastest[from.Address]
 	if !known || fastest.incarnation != from.Incarnation || span < fastest.span {
 		d.fastest[from.Address] = transit{incarnation: from.Incarnation, span: span}
--- a/internal/control/controller/grants_test.go
+++ b/internal/control/controller/grants_test.go
@@ -29,7 +29,7 @@
 	c := newTestController(start)
 	receive := func(sent, arrived time.Duration) {
 		c.receive(start.Add(arrived), MessageReceived{Message: &protocol.GrantBatch{
-			Origin:  protocol.Origin{Address: "c1", Incarnation: 7, At: sent + clockOffset},
+			Origin:  protocol.Origin{Address: "c1", Incarnation: 7, SentAt: sent + clockOffset},
 			Routers: []protocol.RouterGrants{{Node: "r", Epoch: 1}},
 		}})
 	}
--- a/internal/control/controller/reports.go
+++ b/internal/control/controller/reports.go
@@ -16,7 +16,7 @@
 // reportQueue gathers what the routers connected here report and confirm, for the leader of the singleton roles.
 type reportQueue struct {
 	reports   []protocol.Report
-	confirmed []protocol.GrantConfirmed
+	confirmed []protocol.GrantAck
 	starved   bool      // a report says that requests wait for quota
 	sentAt    time.Time // of the newest batch
 }
@@ -62,7 +62,7 @@
 		queue.keepNewest()
 		return
 	}
-	batch := &protocol.ReportBatch{Origin: c.config.Origin, Reports: queue.reports, Confirmed: queue.confirmed}
+	batch := &protocol.ReportBatch{Origin: c.config.Origin, Reports: queue.reports, GrantAcks: queue.confirmed}
 	queue.reports, queue.confirmed = nil, nil
 	if leader == c.config.Origin.Address {
 		c.out.Reports = append(c.out.Reports, batch)
--- a/internal/control/controller/reports_test.go
+++ b/internal/control/controller/reports_test.go
@@ -54,7 +54,7 @@
 		t.Fatalf("batches %v, messages %v; want one message to c2", out.Reports, out.PeerMessages)
 	}
 	batch, isBatch := out.PeerMessages[0].Message.(*protocol.ReportBatch)
-	want := protocol.Origin{Address: "self", Incarnation: 1, At: reportInterval}
+	want := protocol.Origin{Address: "self", Incarnation: 1, SentAt: reportInterval}
 	if !isBatch || len(batch.Reports) != 1 || batch.Origin != want {
 		t.Errorf("message %+v, want a batch of one report from %+v", out.PeerMessages[0].Message, want)
 	}
--- a/internal/control/controller/world_test.go
+++ b/internal/control/controller/world_test.go
@@ -307,7 +307,7 @@
 	if update.Sequence != r.next {
 		w.fault("router %d: update %d where %d was due", r.number, update.Sequence, r.next)
 	}
-	if update.Full {
+	if update.Snapshot {
 		clear(r.table)
 		r.complete = true
 	}
@@ -321,7 +321,7 @@
 	home := r.home
 	w.later(worldStep, 3*worldStep, func() {
 		if r.home == home && r.connection == connection {
-			confirm := &protocol.Confirm{Sequence: update.Sequence}
+			confirm := &protocol.UpdateAck{Sequence: update.Sequence}
 			w.step(home, MessageReceived{Connection: connection, Message: confirm})
 		}
 	})
--- a/internal/control/distribution/hub.go
+++ b/internal/control/distribution/hub.go
@@ -147,12 +147,12 @@
 type Output struct {
 	Send    []Send
 	Close   []Closing
-	Floor   uint64                    // every subscribed router has confirmed the table up to this revision
-	Barrier uint64                    // begin a barrier now and return the number with BarrierPassed; 0: none is needed
-	Joined  []protocol.Subscribe      // routers that were taken in
-	Routers bool                      // the set of routers changed: see Connected
-	Granted []protocol.GrantConfirmed // that routers confirmed
-	WakeAt  time.Time                 // Step again then at the latest; zero: at the next input
+	Floor   uint64               // every subscribed router has confirmed the table up to this revision
+	Barrier uint64               // begin a barrier now and return the number with BarrierPassed; 0: none is needed
+	Joined  []protocol.Subscribe // routers that were taken in
+	Routers bool                 // the set of routers changed: see Connected
+	Granted []protocol.GrantAck  // that routers confirmed
+	WakeAt  time.Time            // Step again then at the latest; zero: at the next input
 }
 
 // Reasons for closing a router's connection.
@@ -297,7 +297,7 @@
 		}
 		s.merging = false
 		update := h.update(now, s)
-		update.Full, update.Endpoints = true, table(false)
+		update.Snapshot, update.Endpoints = true, table(false)
 		h.send(now, s, update)
 	}
 }
@@ -324,7 +324,7 @@
 		}
 		s.told = true
 		update := h.update(now, s)
-		update.Confirmed = true
+		update.GenerationConfirmed = true
 		h.send(now, s, update)
 	}
 }
--- a/internal/control/distribution/hub_test.go
+++ b/internal/control/distribution/hub_test.go
@@ -52,8 +52,8 @@
 		t.Fatalf("%d updates", len(first))
 	}
 	got := first[0]
-	if got.Sequence != 1 || got.Generation != 5 || string(got.Document) != "five" || !got.Full || got.Confirmed ||
-		len(got.Endpoints) != 1 || len(got.Members) != 1 || got.Routers != 2 {
+	if got.Sequence != 1 || got.Generation != 5 || string(got.Document) != "five" || !got.Snapshot || got.GenerationConfirmed ||
+		len(got.Endpoints) != 1 || len(got.Members) != 1 || got.RouterCount != 2 {
 		t.Errorf("first update: %+v", got)
 	}
 	if out.Barrier != 1 {
@@ -64,7 +64,7 @@
 		t.Errorf("a router that has version 5 got it again: %s", document)
 	}
 	out = h.Step(begin.Add(2*time.Millisecond), oneEndpoint, BarrierPassed{Barrier: 1})
-	if updates := updatesTo(out, 1); len(updates) != 1 || !updates[0].Confirmed || updates[0].Document != nil {
+	if updates := updatesTo(out, 1); len(updates) != 1 || !updates[0].GenerationConfirmed || updates[0].Document != nil {
 		t.Errorf("after its barrier: %+v", updates)
 	}
 	if updates := updatesTo(out, 2); len(updates) != 0 {
@@ -80,7 +80,7 @@
 	h.Step(begin, noTable, subscribed(1, "r1", 0))
 	out := h.Step(begin, noTable, Configuration{Generation: 7, Document: []byte("seven")}, BarrierPassed{Barrier: 1})
 	for _, update := range updatesTo(out, 1) {
-		if update.Confirmed && (update.Generation != 7 || string(update.Document) != "seven") {
+		if update.GenerationConfirmed && (update.Generation != 7 || string(update.Document) != "seven") {
 			t.Errorf("confirmed %+v", update)
 		}
 	}
@@ -236,7 +236,7 @@
 					t.Fatalf("version %d with document %q", update.Generation, update.Document)
 				}
 				router.generation = max(router.generation, update.Generation)
-				if update.Confirmed && (router.barrier > running || router.generation < committed) {
+				if update.GenerationConfirmed && (router.barrier > running || router.generation < committed) {
 					t.Fatalf("confirmed too early: %+v", update)
 				}
 			}
--- a/internal/control/distribution/standing_test.go
+++ b/internal/control/distribution/standing_test.go
@@ -46,7 +46,7 @@
 	return table
 }
 
-func isFull(update *protocol.Update) bool { return update.Full }
+func isFull(update *protocol.Update) bool { return update.Snapshot }
 
 func TestEveryMessageStatesTheAgeOfTheContact(t *testing.T) {
 	h := New(begin)
@@ -158,8 +158,8 @@
 	h.Step(begin, oneGone, contactAt(begin), Endpoints{Revision: 3, Routers: 2, Whole: true})
 	at := begin.Add(FreshFor + time.Millisecond)
 	first := updatesTo(h.Step(at, oneGone, subscribed(1, "r1", 0)), 1)[0]
-	if first.Full || len(first.Endpoints) != 2 {
-		t.Fatalf("a table of %d that replaces (%v) without a fresh contact", len(first.Endpoints), first.Full)
+	if first.Snapshot || len(first.Endpoints) != 2 {
+		t.Fatalf("a table of %d that replaces (%v) without a fresh contact", len(first.Endpoints), first.Snapshot)
 	}
 	at = at.Add(time.Millisecond)
 	stale := h.Step(at, oneGone, Endpoints{Changed: oneEndpoint(false), Revision: 4, Routers: 2, Whole: true, Urgent: true})
@@ -168,7 +168,7 @@
 	}
 	at = at.Add(time.Millisecond)
 	fresh := updatesTo(h.Step(at, oneGone, contactAt(at)), 1)
-	if len(fresh) != 1 || !fresh[0].Full || len(fresh[0].Endpoints) != 1 {
+	if len(fresh) != 1 || !fresh[0].Snapshot || len(fresh[0].Endpoints) != 1 {
 		t.Fatalf("with a fresh contact again: %+v", fresh)
 	}
 	again := h.Step(at.Add(time.Millisecond), oneGone, contactAt(at))
@@ -180,11 +180,11 @@
 func TestTableOfAYoungInstanceReplacesOnceItIsWhole(t *testing.T) {
 	h := New(begin)
 	first := updatesTo(h.Step(begin, oneGone, contactAt(begin), subscribed(1, "r1", 0)), 1)[0]
-	if first.Full || len(first.Endpoints) != 2 {
+	if first.Snapshot || len(first.Endpoints) != 2 {
 		t.Fatalf("first: %+v", first)
 	}
 	whole := updatesTo(h.Step(begin, oneGone, Endpoints{Revision: 1, Whole: true}), 1)
-	if len(whole) != 1 || !whole[0].Full {
+	if len(whole) != 1 || !whole[0].Snapshot {
 		t.Errorf("whole: %+v", whole)
 	}
 }
@@ -273,7 +273,7 @@
 					t.Fatalf("states an age of %v, it is %v", standing.MajorityContactAge, now.Sub(contact.ConfirmedAt))
 				}
 				update, isUpdate := message.Message.(*protocol.Update)
-				if isUpdate && update.Full && (!standing.HasMajorityContact || standing.MajorityContactAge > FreshFor) {
+				if isUpdate && update.Snapshot && (!standing.HasMajorityContact || standing.MajorityContactAge > FreshFor) {
 					t.Fatalf("replaces with a contact of %+v", standing)
 				}
 			}
--- a/internal/control/distribution/subscriber.go
+++ b/internal/control/distribution/subscriber.go
@@ -43,7 +43,7 @@
 		if done.grants == nil {
 			continue
 		}
-		h.out.Granted = append(h.out.Granted, protocol.GrantConfirmed{
+		h.out.Granted = append(h.out.Granted, protocol.GrantAck{
 			Node:        s.router.Node,
 			Incarnation: s.router.Incarnation,
 			Epoch:       done.grants.Epoch,
@@ -76,9 +76,9 @@
 	h.out.Routers = true
 	h.out.Joined = append(h.out.Joined, in.Router)
 	update := h.update(now, s)
-	update.Full, update.Endpoints = replaces, table(!replaces)
+	update.Snapshot, update.Endpoints = replaces, table(!replaces)
 	update.Members = h.members
-	update.Routers = h.routers
+	update.RouterCount = h.routers
 	h.send(now, s, update)
 }
 
@@ -120,7 +120,7 @@
 		update.Members = h.members
 	}
 	if s.needsRouters {
-		update.Routers = h.routers
+		update.RouterCount = h.routers
 	}
 	s.needsMembers, s.needsRouters = false, false
 	return update
@@ -132,7 +132,7 @@
 	s.generation = max(s.generation, update.Generation)
 	s.lastSent, s.toldStale = now, !h.fresh(now)
 	revision := h.revision
-	if len(h.changed) > 0 && !update.Full {
+	if len(h.changed) > 0 && !update.Snapshot {
 		revision = h.sentRevision(s)
 	}
 	s.waiting = append(s.waiting, mark{sequence: s.sequence, revision: revision, sent: now})
--- a/internal/control/host/frames.go
+++ b/internal/control/host/frames.go
@@ -39,7 +39,7 @@
 // update returns an update as a frame.
 func (f *frames) update(u *protocol.Update) (transport.Frame, error) {
 	cache := &f.deltas
-	if u.Full {
+	if u.Snapshot {
 		cache = &f.tables
 	}
 	endpoints, err := cache.encode(u.Endpoints)
@@ -47,8 +47,8 @@
 		return nil, fmt.Errorf("update %d: %w", u.Sequence, err)
 	}
 	return f.codec.EncodeAs(protocol.KindUpdate, encodedUpdate{
-		Sequence: u.Sequence, Generation: u.Generation, Document: u.Document, Full: u.Full, Endpoints: endpoints,
-		Members: u.Members, Routers: u.Routers, Quotas: u.Quotas, Confirmed: u.Confirmed,
+		Sequence: u.Sequence, Generation: u.Generation, Document: u.Document, Full: u.Snapshot, Endpoints: endpoints,
+		Members: u.Members, Routers: u.RouterCount, Quotas: u.Quotas, Confirmed: u.GenerationConfirmed,
 		Freshness: u.Freshness,
 	})
 }
--- a/internal/control/host/frames_test.go
+++ b/internal/control/host/frames_test.go
@@ -20,8 +20,8 @@
 	}}
 	updates := []*protocol.Update{
 		{
-			Sequence: 1, Generation: 2, Document: []byte("{}"), Full: true, Endpoints: list,
-			Members: []protocol.Member{{Identity: "m"}}, Routers: 4, Confirmed: true,
+			Sequence: 1, Generation: 2, Document: []byte("{}"), Snapshot: true, Endpoints: list,
+			Members: []protocol.Member{{Identity: "m"}}, RouterCount: 4, GenerationConfirmed: true,
 			Freshness: protocol.FreshnessProof{Epoch: 3, HasMajorityContact: true, MajorityContactAge: time.Second, SentAt: time.Hour, EchoedSequence: 8},
 			Quotas:    []protocol.QuotaGrant{{Tenant: "t", RatePerS: 5, Burst: 6, For: time.Second}},
 		},
--- a/internal/control/host/host_test.go
+++ b/internal/control/host/host_test.go
@@ -126,7 +126,7 @@
 	switch message := message.(type) {
 	case *protocol.Update:
 		if !c.mute {
-			_ = connection.Send(protocol.Confirm{Sequence: message.Sequence})
+			_ = connection.Send(protocol.UpdateAck{Sequence: message.Sequence})
 		}
 		c.updates <- message
 	case *protocol.Beacon:
@@ -212,8 +212,8 @@
 	if first.Generation != 7 || string(first.Document) != "seven" {
 		t.Errorf("first: %+v", first)
 	}
-	if !first.Confirmed {
-		c.await("confirmed", func(u *protocol.Update) bool { return u.Confirmed && u.Generation == 7 })
+	if !first.GenerationConfirmed {
+		c.await("confirmed", func(u *protocol.Update) bool { return u.GenerationConfirmed && u.Generation == 7 })
 	}
 	call(t, nodes[1], beat("e1", 1, protocol.Ready))
 	c.await("ready", func(u *protocol.Update) bool { return has(u, "e1", protocol.Ready) })
@@ -235,7 +235,7 @@
 func TestNewVersionComesAtOnceAndBeaconsFollow(t *testing.T) {
 	nodes := startNodes(t, 1)
 	c := subscribe(t, nodes[0], protocol.Subscribe{Node: "r1"}, false)
-	c.await("confirmed", func(u *protocol.Update) bool { return u.Confirmed })
+	c.await("confirmed", func(u *protocol.Update) bool { return u.GenerationConfirmed })
 	nodes[0].stand.set(9, "nine")
 	status := nodes[0].double.Status()
 	status.Committed++
@@ -258,9 +258,9 @@
 	nodes := startNodes(t, 1)
 	nodes[0].double.SetRejecting(true)
 	c := subscribe(t, nodes[0], protocol.Subscribe{Node: "r1"}, false)
-	c.await("first", func(u *protocol.Update) bool { return u.Sequence == 1 && !u.Confirmed })
+	c.await("first", func(u *protocol.Update) bool { return u.Sequence == 1 && !u.GenerationConfirmed })
 	nodes[0].double.SetRejecting(false)
-	c.await("confirmed", func(u *protocol.Update) bool { return u.Confirmed })
+	c.await("confirmed", func(u *protocol.Update) bool { return u.GenerationConfirmed })
 	if nodes[0].double.BarrierCount() == 0 {
 		t.Error("confirmed without a barrier")
 	}
--- a/internal/control/registry/anti_entropy.go
+++ b/internal/control/registry/anti_entropy.go
@@ -13,7 +13,7 @@
 	switch content := content.(type) {
 	case *protocol.RegistryDelta:
 		r.handleDelta(now, content)
-	case *protocol.RegistryConfirm:
+	case *protocol.RegistryAck:
 		r.handleConfirm(now, content)
 	case *protocol.RegistrySummary:
 		r.handleSummary(now, content)
@@ -30,14 +30,14 @@
 	for i := range delta.Records {
 		r.mergeRecord(now, p, &delta.Records[i])
 	}
-	if delta.Whole {
+	if delta.FromCompleteTable {
 		r.complete = true
 	}
 	if delta.Sequence == 0 {
 		return // answers a summary: nobody waits for its arrival
 	}
 	p.receivedToConfirm = append(p.receivedToConfirm, delta.Sequence)
-	if delta.Settle {
+	if delta.InForceAckRequested {
 		r.awaitLocalRouters(now, p.address, delta.Sequence)
 		r.scheduleFlush(now, urgentFlushDelay)
 	}
@@ -46,13 +46,13 @@
 // mergeRecord takes in one record: the higher sequence wins, and what left stays away.
 func (r *Registry) mergeRecord(now time.Time, from *peer, record *protocol.Record) {
 	received := record.Endpoint
-	heard := now.Add(-max(0, record.Age))
+	heard := now.Add(-max(0, record.HeartbeatAge))
 	e := r.entries[received.ID]
 	switch {
 	case received.State == protocol.Departed:
 		r.mergeDeregistration(now, from, e, received)
 		return
-	case e == nil && record.Age > r.maxUnknownAge():
+	case e == nil && record.HeartbeatAge > r.maxUnknownAge():
 		return
 	case e == nil:
 		e = r.insert(received.ID)
@@ -112,9 +112,9 @@
 	}
 }
 
-func (r *Registry) handleConfirm(now time.Time, confirm *protocol.RegistryConfirm) {
+func (r *Registry) handleConfirm(now time.Time, confirm *protocol.RegistryAck) {
 	p := r.notePeerIncarnation(now, confirm.Origin)
-	if confirm.For != r.config.Origin.Incarnation {
+	if confirm.SenderIncarnation != r.config.Origin.Incarnation {
 		return
 	}
 	for _, sequence := range confirm.Received {
@@ -128,14 +128,14 @@
 
 // sendSummary opens or answers a full exchange.
 func (r *Registry) sendSummary(now time.Time, p *peer, answer bool) {
-	summary := &protocol.RegistrySummary{Origin: r.config.Origin, Answer: answer}
+	summary := &protocol.RegistrySummary{Origin: r.config.Origin, IsReply: answer}
 	for _, id := range slices.Sorted(maps.Keys(r.entries)) {
 		e := r.entries[id]
 		if e.tombstone && !e.deregistered {
 			continue
 		}
 		summary.Versions = append(summary.Versions, protocol.RecordVersion{
-			ID: id, Sequence: e.endpoint.Sequence, Content: e.contentHash, Departed: e.deregistered,
+			ID: id, Sequence: e.endpoint.Sequence, ContentHash: e.contentHash, Departed: e.deregistered,
 		})
 	}
 	p.lastFullExchange = now
@@ -146,7 +146,7 @@
 // handleSummary answers with what the sender lacks, and asks for what is lacking here.
 func (r *Registry) handleSummary(now time.Time, summary *protocol.RegistrySummary) {
 	p := r.notePeerIncarnation(now, summary.Origin)
-	delta := &protocol.RegistryDelta{Origin: r.config.Origin, Whole: r.complete && !summary.Answer && !r.possiblyStale(now)}
+	delta := &protocol.RegistryDelta{Origin: r.config.Origin, FromCompleteTable: r.complete && !summary.IsReply && !r.possiblyStale(now)}
 	known := make(map[string]protocol.RecordVersion, len(summary.Versions))
 	for _, version := range summary.Versions {
 		known[version.ID] = version
@@ -158,10 +158,10 @@
 			delta.Records = append(delta.Records, r.peerRecord(now, e))
 		}
 	}
-	if len(delta.Records) > 0 || delta.Whole {
+	if len(delta.Records) > 0 || delta.FromCompleteTable {
 		r.send(p.address, delta)
 	}
-	if !summary.Answer {
+	if !summary.IsReply {
 		r.sendSummary(now, p, true)
 	}
 }
@@ -176,7 +176,7 @@
 	case !present:
 		return true
 	}
-	return e.endpoint.Sequence > version.Sequence && e.contentHash != version.Content
+	return e.endpoint.Sequence > version.Sequence && e.contentHash != version.ContentHash
 }
 
 // sendDigests tells the other instances who is alive, and compares the tables.
@@ -198,9 +198,9 @@
 	if unchanged && now.Sub(p.digestSent) < maxDigestInterval {
 		return
 	}
-	digest := &protocol.RegistryDigest{Origin: r.config.Origin, Alive: alive, Table: table}
+	digest := &protocol.RegistryDigest{Origin: r.config.Origin, AliveHashes: alive, TableHash: table}
 	if !p.routersSent || now.Sub(p.digestSent) >= maxDigestInterval {
-		digest.RoutersTold, digest.Routers = true, r.routers.own
+		digest.RoutersIncluded, digest.RouterHashes = true, r.routers.own
 	}
 	p.routersSent, p.tableHashSent, p.digestSent = true, table, now
 	r.send(p.address, digest)
@@ -221,14 +221,14 @@
 
 func (r *Registry) handleDigest(now time.Time, digest *protocol.RegistryDigest) {
 	p := r.notePeerIncarnation(now, digest.Origin)
-	for _, hash := range digest.Alive {
+	for _, hash := range digest.AliveHashes {
 		if e := r.byHash[hash]; e != nil {
 			r.refreshLiveness(now, e)
 		}
 	}
-	p.tableHash, p.tableHashKnown = digest.Table, true
-	if digest.RoutersTold {
-		p.routers = digest.Routers
+	p.tableHash, p.tableHashKnown = digest.TableHash, true
+	if digest.RoutersIncluded {
+		p.routers = digest.RouterHashes
 		r.routers.refresh(now, r.peers)
 	}
 }
--- a/internal/control/registry/entry.go
+++ b/internal/control/registry/entry.go
@@ -98,7 +98,7 @@
 			Sequence: endpoint.Sequence, State: protocol.Departed,
 		}
 	}
-	return protocol.Record{Endpoint: endpoint, Age: max(0, now.Sub(e.lastHeartbeat))}
+	return protocol.Record{Endpoint: endpoint, HeartbeatAge: max(0, now.Sub(e.lastHeartbeat))}
 }
 
 // insert makes an entry for an endpoint that is new here.
--- a/internal/control/registry/partition_recovery_test.go
+++ b/internal/control/registry/partition_recovery_test.go
@@ -28,7 +28,7 @@
 // tells says whether another instance that knows nothing would be told of an endpoint.
 func (x *table) tells(id string) bool {
 	out := x.step(PeerMessage{Content: &protocol.RegistrySummary{
-		Origin: protocol.Origin{Address: "other", Incarnation: 1}, Answer: true,
+		Origin: protocol.Origin{Address: "other", Incarnation: 1}, IsReply: true,
 	}})
 	for _, sent := range out.Send {
 		delta, isDelta := sent.Message.(*protocol.RegistryDelta)
@@ -76,7 +76,7 @@
 	x.apart(6 * time.Second)
 	x.parted = time.Time{}
 	x.step(PeerMessage{Content: &protocol.RegistryDigest{
-		Origin: protocol.Origin{Address: "other", Incarnation: 1}, Alive: []uint32{NameHash("e")},
+		Origin: protocol.Origin{Address: "other", Incarnation: 1}, AliveHashes: []uint32{NameHash("e")},
 	}})
 	if !x.shows("e") {
 		t.Error("still kept back")
@@ -184,7 +184,7 @@
 	out := x.step(PeerMessage{Content: &protocol.RegistrySummary{Origin: protocol.Origin{Address: "other", Incarnation: 1}}})
 	return slices.ContainsFunc(out.Send, func(sent Send) bool {
 		delta, isDelta := sent.Message.(*protocol.RegistryDelta)
-		return isDelta && delta.Whole
+		return isDelta && delta.FromCompleteTable
 	})
 }
 
--- a/internal/control/registry/peers.go
+++ b/internal/control/registry/peers.go
@@ -196,15 +196,15 @@
 	if len(p.receivedToConfirm)+len(p.inForceToConfirm) == 0 {
 		return
 	}
-	r.send(p.address, &protocol.RegistryConfirm{
-		Origin: r.config.Origin, For: p.incarnation, Received: p.receivedToConfirm, InForce: p.inForceToConfirm,
+	r.send(p.address, &protocol.RegistryAck{
+		Origin: r.config.Origin, SenderIncarnation: p.incarnation, Received: p.receivedToConfirm, InForce: p.inForceToConfirm,
 	})
 	p.receivedToConfirm, p.inForceToConfirm = nil, nil
 }
 
 func (r *Registry) sendDelta(now time.Time, p *peer) {
 	p.deltaSequence++
-	delta := &protocol.RegistryDelta{Origin: r.config.Origin, Sequence: p.deltaSequence, Settle: len(p.awaitedDrains) > 0}
+	delta := &protocol.RegistryDelta{Origin: r.config.Origin, Sequence: p.deltaSequence, InForceAckRequested: len(p.awaitedDrains) > 0}
 	for id := range p.awaitedDrains {
 		p.hints[id] = struct{}{}
 	}
--- a/internal/control/registry/registry_test.go
+++ b/internal/control/registry/registry_test.go
@@ -189,14 +189,14 @@
 			delta = sent
 		}
 	}
-	if delta == nil || !delta.Settle || len(delta.Records) != 1 {
+	if delta == nil || !delta.InForceAckRequested || len(delta.Records) != 1 {
 		t.Fatalf("sent %+v", out.Send)
 	}
 	if out = x.step(RoutersConfirmed{Revision: out.Revision}); len(out.Replies) != 0 {
 		t.Fatal("acknowledged without the other instance")
 	}
-	confirm := &protocol.RegistryConfirm{
-		Origin: protocol.Origin{Address: "other", Incarnation: 2}, For: 1,
+	confirm := &protocol.RegistryAck{
+		Origin: protocol.Origin{Address: "other", Incarnation: 2}, SenderIncarnation: 1,
 		InForce: []uint64{delta.Sequence},
 	}
 	if out = x.step(PeerMessage{Content: confirm}); !acknowledged(out) {
@@ -212,8 +212,8 @@
 	x.step(Peers{Reachable: []string{"slow"}})
 	start := x.now
 	x.beat(beat("e", 1, protocol.Draining))
-	x.step(PeerMessage{Content: &protocol.RegistryConfirm{ // it has the record, its routers don't
-		Origin: protocol.Origin{Address: "slow", Incarnation: 2}, For: 1, Received: []uint64{x.peers["slow"].deltaSequence}}})
+	x.step(PeerMessage{Content: &protocol.RegistryAck{ // it has the record, its routers don't
+		Origin: protocol.Origin{Address: "slow", Incarnation: 2}, SenderIncarnation: 1, Received: []uint64{x.peers["slow"].deltaSequence}}})
 	for len(x.out.Replies) == 0 {
 		x.wait(10 * time.Millisecond)
 	}
@@ -351,7 +351,7 @@
 	tell := func(id string, age time.Duration) {
 		x.step(PeerMessage{Content: &protocol.RegistryDelta{
 			Origin:  protocol.Origin{Address: "other", Incarnation: 1},
-			Records: []protocol.Record{{Endpoint: beat(id, 1, protocol.Ready), Age: age}},
+			Records: []protocol.Record{{Endpoint: beat(id, 1, protocol.Ready), HeartbeatAge: age}},
 		}})
 	}
 	tell("silent", x.unresponsiveTimeout()+time.Millisecond)
--- a/internal/control/registry/size_test.go
+++ b/internal/control/registry/size_test.go
@@ -46,9 +46,9 @@
 		}
 		for i := 1; i < sizetest.Instances; i++ {
 			if send.To == instanceAddress(i) {
-				r.Step(now, PeerMessage{Content: &protocol.RegistryConfirm{
-					Origin: origin(i),
-					For:    r.config.Origin.Incarnation, Received: []uint64{delta.Sequence},
+				r.Step(now, PeerMessage{Content: &protocol.RegistryAck{
+					Origin:            origin(i),
+					SenderIncarnation: r.config.Origin.Incarnation, Received: []uint64{delta.Sequence},
 				}})
 			}
 		}
@@ -94,7 +94,7 @@
 			count(r.Step(now, Heartbeat{RequestID: uint64(beat), Endpoint: e}))
 		}
 		for i := 1; i < sizetest.Instances; i++ {
-			digest := &protocol.RegistryDigest{Origin: origin(i), Alive: alive[i], Table: r.tableHash()}
+			digest := &protocol.RegistryDigest{Origin: origin(i), AliveHashes: alive[i], TableHash: r.tableHash()}
 			count(r.Step(now, PeerMessage{Content: digest}))
 		}
 	}
--- a/internal/control/roles/holder.go
+++ b/internal/control/roles/holder.go
@@ -388,7 +388,7 @@
 func (h *Leader) confirmedOf(batches []*protocol.ReportBatch) []quota.Confirmation {
 	var confirmed []quota.Confirmation
 	for _, batch := range batches {
-		for _, told := range batch.Confirmed {
+		for _, told := range batch.GrantAcks {
 			if told.Epoch == h.turn.Epoch {
 				router := quota.Router{Node: told.Node, Incarnation: told.Incarnation}
 				confirmed = append(confirmed, quota.Confirmation{Router: router, BatchID: told.Batch})
--- a/internal/control/roles/holder_test.go
+++ b/internal/control/roles/holder_test.go
@@ -208,7 +208,7 @@
 	batch := &protocol.ReportBatch{
 		Origin:    protocol.Origin{Address: "other"},
 		Reports:   []protocol.Report{{Node: "r1", Incarnation: 5, Sequence: 1}},
-		Confirmed: []protocol.GrantConfirmed{{Node: "r1", Incarnation: 5, Epoch: 1, Batch: 4}, {Node: "r1", Epoch: 9}},
+		GrantAcks: []protocol.GrantAck{{Node: "r1", Incarnation: 5, Epoch: 1, Batch: 4}, {Node: "r1", Epoch: 9}},
 	}
 	next(t, "step without reports", s.divided, func(quota.Input) bool { return true })
 	s.mutex.Lock()
--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -6,7 +6,7 @@
 const (
 	KindSubscribe  byte = 1
 	KindUpdate     byte = 2
-	KindConfirm    byte = 3
+	KindUpdateAck  byte = 3
 	KindBeacon     byte = 4
 	KindReport     byte = 5
 	KindReplica    byte = 6
@@ -26,7 +26,7 @@
 	codec := transport.NewCodec()
 	codec.Register(KindSubscribe, Subscribe{})
 	codec.Register(KindUpdate, Update{})
-	codec.Register(KindConfirm, Confirm{})
+	codec.Register(KindUpdateAck, UpdateAck{})
 	codec.Register(KindBeacon, Beacon{})
 	codec.Register(KindReport, Report{})
 	codec.Register(KindReplica, ReplicaMessage{})
--- a/internal/protocol/codec_test.go
+++ b/internal/protocol/codec_test.go
@@ -13,7 +13,7 @@
 	for _, message := range []any{
 		&Subscribe{Node: "n", Zone: "z", Incarnation: 1 << 63, Generation: 7, Ready: true},
 		&Update{
-			Sequence: 3, Generation: 7, Document: []byte("{}"), Full: true, Routers: 9, Confirmed: true,
+			Sequence: 3, Generation: 7, Document: []byte("{}"), Snapshot: true, RouterCount: 9, GenerationConfirmed: true,
 			Endpoints: []Endpoint{{
 				ID: "i", State: Draining, WarmUpRemaining: time.Second,
 				Models: []LoadedModel{{Name: "m", Generation: 2, Adapters: []string{"a1"}}},
@@ -21,7 +21,7 @@
 			Members: []Member{{Identity: "c", Address: "10.0.0.1:7500"}},
 			Quotas:  []QuotaGrant{{Tenant: "t", RatePerS: 2.5, Burst: 1, For: time.Second}},
 		},
-		&Confirm{Sequence: 4},
+		&UpdateAck{Sequence: 4},
 		&Beacon{Sequence: 5, Generation: 7},
 		&Report{Node: "n", Models: []ModelDemand{{Model: "m", Asked: 2}}, Reached: []string{"i"}},
 		&ReplicaMessage{From: "10.0.0.1:7500", Body: []byte{1, 2}},
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -28,37 +28,37 @@
 
 // filledMessages returns one message of each kind, with every field set to a value of its own.
 func filledMessages() []goldenMessage {
-	origin := Origin{Address: "10.0.0.1:7500", Incarnation: 0x8000000000000001, At: 71 * time.Millisecond}
+	origin := Origin{Address: "10.0.0.1:7500", Incarnation: 0x8000000000000001, SentAt: 71 * time.Millisecond}
 	standing := FreshnessProof{Epoch: 301, HasMajorityContact: true, MajorityContactAge: 302, SentAt: 303, EchoedSequence: 304}
 	return []goldenMessage{
 		{"1", &Subscribe{Node: "node-1", Zone: "zone-2", Incarnation: 103, Generation: 104, Ready: true, EchoSequence: 106}},
 		{"2", &Update{
-			Sequence: 201, Generation: 202, Document: []byte("document-203"), Full: true,
-			Endpoints: []Endpoint{goldenEndpoint(2)},
-			Members:   []Member{{Identity: "member-1", Address: "member-2", ControlAddress: "member-3", Zone: "member-4"}},
-			Routers:   207,
-			Quotas:    []QuotaGrant{goldenGrant(1)},
-			Confirmed: true,
-			Freshness: standing,
+			Sequence: 201, Generation: 202, Document: []byte("document-203"), Snapshot: true,
+			Endpoints:           []Endpoint{goldenEndpoint(2)},
+			Members:             []Member{{Identity: "member-1", Address: "member-2", ControlAddress: "member-3", Zone: "member-4"}},
+			RouterCount:         207,
+			Quotas:              []QuotaGrant{goldenGrant(1)},
+			GenerationConfirmed: true,
+			Freshness:           standing,
 		}},
-		{"3", &Confirm{Sequence: 401, EchoSequence: 402}},
+		{"3", &UpdateAck{Sequence: 401, EchoSequence: 402}},
 		{"4", &Beacon{Sequence: 501, Generation: 502, Freshness: standing}},
 		{"5", goldenReport(1)},
 		{"6", &ReplicaMessage{From: "from-1", Body: []byte{0xb0, 0xd1}}},
 		{"7", &Probe{EchoSequence: 701}},
 		{"8", &ProbeReply{Generation: 801, Freshness: standing}},
 		{"32", &RegistryDelta{
-			Origin: origin, Sequence: 3202, Records: []Record{{Endpoint: goldenEndpoint(3), Age: 3203}}, Settle: true,
-			Whole: true,
+			Origin: origin, Sequence: 3202, Records: []Record{{Endpoint: goldenEndpoint(3), HeartbeatAge: 3203}}, InForceAckRequested: true,
+			FromCompleteTable: true,
 		}},
-		{"33", &RegistryConfirm{Origin: origin, For: 3302, Received: []uint64{3303, 3304}, InForce: []uint64{3305, 3306}}},
+		{"33", &RegistryAck{Origin: origin, SenderIncarnation: 3302, Received: []uint64{3303, 3304}, InForce: []uint64{3305, 3306}}},
 		{"34", &RegistrySummary{
 			Origin:   origin,
-			Versions: []RecordVersion{{ID: "version-1", Sequence: 3401, Content: 3402, Departed: true}},
-			Answer:   true,
+			Versions: []RecordVersion{{ID: "version-1", Sequence: 3401, ContentHash: 3402, Departed: true}},
+			IsReply:  true,
 		}},
 		{"35", &RegistryDigest{
-			Origin: origin, Alive: []uint32{3501, 3502}, Table: 3503, RoutersTold: true, Routers: []uint32{3504, 3505},
+			Origin: origin, AliveHashes: []uint32{3501, 3502}, TableHash: 3503, RoutersIncluded: true, RouterHashes: []uint32{3504, 3505},
 		}},
 		{"36", &LoadingTable{
 			Origin: origin, Epoch: 3601, Sequence: 3602,
@@ -67,7 +67,7 @@
 		{"37", &ReportBatch{
 			Origin:    origin,
 			Reports:   []Report{*goldenReport(2)},
-			Confirmed: []GrantConfirmed{{Node: "node-3701", Incarnation: 3702, Epoch: 3703, Batch: 3704}},
+			GrantAcks: []GrantAck{{Node: "node-3701", Incarnation: 3702, Epoch: 3703, Batch: 3704}},
 		}},
 		{"38", &GrantBatch{
 			Origin: origin,
@@ -125,10 +125,10 @@
 // of an endpoint, messages without anything in them, and such with empty ones nested in them.
 func partialMessages() []goldenMessage {
 	messages := []goldenMessage{
-		{"2 full", &Update{Full: true}},
-		{"2 confirmed", &Update{Confirmed: true}},
-		{"32 settle", &RegistryDelta{Settle: true}},
-		{"32 whole", &RegistryDelta{Whole: true}},
+		{"2 full", &Update{Snapshot: true}},
+		{"2 confirmed", &Update{GenerationConfirmed: true}},
+		{"32 settle", &RegistryDelta{InForceAckRequested: true}},
+		{"32 whole", &RegistryDelta{FromCompleteTable: true}},
 	}
 	for _, state := range []EndpointState{Ready, Draining, Unresponsive, Departed} {
 		messages = append(messages, goldenMessage{
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -66,20 +66,20 @@
 // Update brings a router up to date. Sequence rises by one with each update of a connection; a gap means
 // that the router must connect anew.
 type Update struct {
-	Sequence   uint64         `cbor:"1,keyasint"`
-	Generation int64          `cbor:"2,keyasint"`           // of Document; only committed versions are sent
-	Document   []byte         `cbor:"3,keyasint,omitempty"` // the whole configuration, when it is newer: see PackDocument
-	Full       bool           `cbor:"4,keyasint,omitempty"` // Endpoints is the whole table
-	Endpoints  []Endpoint     `cbor:"5,keyasint,omitempty"` // added, changed, or Gone
-	Members    []Member       `cbor:"6,keyasint,omitempty"` // all control instances known
-	Routers    int            `cbor:"7,keyasint,omitempty"` // how many routers share limits; 0: unchanged
-	Quotas     []QuotaGrant   `cbor:"8,keyasint,omitempty"`
-	Confirmed  bool           `cbor:"9,keyasint,omitempty"` // a majority confirmed that Generation is the newest
-	Freshness  FreshnessProof `cbor:"10,keyasint,omitzero"`
+	Sequence            uint64         `cbor:"1,keyasint"`
+	Generation          int64          `cbor:"2,keyasint"`           // of Document; only committed versions are sent
+	Document            []byte         `cbor:"3,keyasint,omitempty"` // the whole configuration, when it is newer: see PackDocument
+	Snapshot            bool           `cbor:"4,keyasint,omitempty"` // Endpoints is the whole table
+	Endpoints           []Endpoint     `cbor:"5,keyasint,omitempty"` // added, changed, or Gone
+	Members             []Member       `cbor:"6,keyasint,omitempty"` // all control instances known
+	RouterCount         int            `cbor:"7,keyasint,omitempty"` // how many routers share limits; 0: unchanged
+	Quotas              []QuotaGrant   `cbor:"8,keyasint,omitempty"`
+	GenerationConfirmed bool           `cbor:"9,keyasint,omitempty"` // a majority confirmed that Generation is the newest
+	Freshness           FreshnessProof `cbor:"10,keyasint,omitzero"`
 }
 
-// Confirm answers an Update: it is in force.
-type Confirm struct {
+// UpdateAck answers an Update: it is in force.
+type UpdateAck struct {
 	Sequence     uint64 `cbor:"1,keyasint"`
 	EchoSequence uint64 `cbor:"2,keyasint,omitempty"` // comes back in Standing.Mark; 0: none
 }
--- a/internal/protocol/peers.go
+++ b/internal/protocol/peers.go
@@ -6,7 +6,7 @@
 // their numbers for good.
 const (
 	KindRegistryDelta   byte = 32
-	KindRegistryConfirm byte = 33
+	KindRegistryAck     byte = 33
 	KindRegistrySummary byte = 34
 	KindRegistryDigest  byte = 35
 	KindLoadingTable    byte = 36
@@ -22,7 +22,7 @@
 // RegisterPeerMessages adds the messages between control instances to a codec.
 func RegisterPeerMessages(codec Registrar) {
 	codec.Register(KindRegistryDelta, RegistryDelta{})
-	codec.Register(KindRegistryConfirm, RegistryConfirm{})
+	codec.Register(KindRegistryAck, RegistryAck{})
 	codec.Register(KindRegistrySummary, RegistrySummary{})
 	codec.Register(KindRegistryDigest, RegistryDigest{})
 	codec.Register(KindLoadingTable, LoadingTable{})
@@ -35,38 +35,38 @@
 	Address     string `cbor:"1,keyasint"` // of its transport, where answers go
 	Incarnation uint64 `cbor:"2,keyasint"` // random, one for each start of the process
 	// At is when the message left, since the process started: it tells messages that were held up.
-	At time.Duration `cbor:"3,keyasint,omitempty"`
+	SentAt time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
 // Record is what one control instance knows of one endpoint.
 type Record struct {
-	Endpoint Endpoint      `cbor:"1,keyasint"` // Ready, Draining, or Gone if it left
-	Age      time.Duration `cbor:"2,keyasint"` // since the newest heartbeat that the sender knows of
+	Endpoint     Endpoint      `cbor:"1,keyasint"` // Ready, Draining, or Gone if it left
+	HeartbeatAge time.Duration `cbor:"2,keyasint"` // since the newest heartbeat that the sender knows of
 }
 
 // RegistryDelta carries records that changed, or that the receiver lacks.
 type RegistryDelta struct {
-	Origin   Origin   `cbor:"1,keyasint"`
-	Sequence uint64   `cbor:"2,keyasint"` // names it in RegistryConfirm
-	Records  []Record `cbor:"3,keyasint,omitempty"`
-	Settle   bool     `cbor:"4,keyasint,omitempty"` // tell when they are in force at the receiver's routers
-	Whole    bool     `cbor:"5,keyasint,omitempty"` // answers a summary, out of a table that is whole
+	Origin              Origin   `cbor:"1,keyasint"`
+	Sequence            uint64   `cbor:"2,keyasint"` // names it in RegistryConfirm
+	Records             []Record `cbor:"3,keyasint,omitempty"`
+	InForceAckRequested bool     `cbor:"4,keyasint,omitempty"` // tell when they are in force at the receiver's routers
+	FromCompleteTable   bool     `cbor:"5,keyasint,omitempty"` // answers a summary, out of a table that is whole
 }
 
-// RegistryConfirm answers deltas.
-type RegistryConfirm struct {
-	Origin   Origin   `cbor:"1,keyasint"`
-	For      uint64   `cbor:"2,keyasint"` // incarnation of the deltas' sender
-	Received []uint64 `cbor:"3,keyasint,omitempty"`
-	InForce  []uint64 `cbor:"4,keyasint,omitempty"` // at every router connected to this instance
+// RegistryAck answers deltas.
+type RegistryAck struct {
+	Origin            Origin   `cbor:"1,keyasint"`
+	SenderIncarnation uint64   `cbor:"2,keyasint"` // incarnation of the deltas' sender
+	Received          []uint64 `cbor:"3,keyasint,omitempty"`
+	InForce           []uint64 `cbor:"4,keyasint,omitempty"` // at every router connected to this instance
 }
 
 // RecordVersion names a record without its contents.
 type RecordVersion struct {
-	ID       string `cbor:"1,keyasint"`
-	Sequence uint64 `cbor:"2,keyasint"`
-	Content  uint64 `cbor:"3,keyasint"` // hash over what the endpoint said of itself
-	Departed bool   `cbor:"4,keyasint,omitempty"`
+	ID          string `cbor:"1,keyasint"`
+	Sequence    uint64 `cbor:"2,keyasint"`
+	ContentHash uint64 `cbor:"3,keyasint"` // hash over what the endpoint said of itself
+	Departed    bool   `cbor:"4,keyasint,omitempty"`
 }
 
 // RegistrySummary opens a full exchange: the receiver answers with the records that are missing in it or
@@ -74,16 +74,16 @@
 type RegistrySummary struct {
 	Origin   Origin          `cbor:"1,keyasint"`
 	Versions []RecordVersion `cbor:"2,keyasint,omitempty"`
-	Answer   bool            `cbor:"3,keyasint,omitempty"`
+	IsReply  bool            `cbor:"3,keyasint,omitempty"`
 }
 
 // RegistryDigest tells the others about once a second what did not change.
 type RegistryDigest struct {
-	Origin      Origin   `cbor:"1,keyasint"`
-	Alive       []uint32 `cbor:"2,keyasint,omitempty"` // hashes of the IDs heard from here since the last digest
-	Table       uint64   `cbor:"3,keyasint"`           // hash over the whole table
-	RoutersTold bool     `cbor:"4,keyasint,omitempty"` // Routers is the newest set; else it is unchanged
-	Routers     []uint32 `cbor:"5,keyasint,omitempty"` // hashes of the names of the routers connected here
+	Origin          Origin   `cbor:"1,keyasint"`
+	AliveHashes     []uint32 `cbor:"2,keyasint,omitempty"` // hashes of the IDs heard from here since the last digest
+	TableHash       uint64   `cbor:"3,keyasint"`           // hash over the whole table
+	RoutersIncluded bool     `cbor:"4,keyasint,omitempty"` // Routers is the newest set; else it is unchanged
+	RouterHashes    []uint32 `cbor:"5,keyasint,omitempty"` // hashes of the names of the routers connected here
 }
 
 // EndpointLoading is what one endpoint was ordered to do and has not done yet.
@@ -103,13 +103,13 @@
 
 // ReportBatch carries routers' reports to the instance that holds the placer's role.
 type ReportBatch struct {
-	Origin    Origin           `cbor:"1,keyasint"`
-	Reports   []Report         `cbor:"2,keyasint,omitempty"`
-	Confirmed []GrantConfirmed `cbor:"3,keyasint,omitempty"`
+	Origin    Origin     `cbor:"1,keyasint"`
+	Reports   []Report   `cbor:"2,keyasint,omitempty"`
+	GrantAcks []GrantAck `cbor:"3,keyasint,omitempty"`
 }
 
-// GrantConfirmed tells that a router has a batch of grants in force.
-type GrantConfirmed struct {
+// GrantAck tells that a router has a batch of grants in force.
+type GrantAck struct {
 	Node        string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
 	Epoch       uint64 `cbor:"3,keyasint"` // of the grants
@@ -131,8 +131,8 @@
 	Routers []RouterGrants `cbor:"3,keyasint"`
 }
 
-// FromPeer is a message between control instances.
-type FromPeer interface {
+// PeerMessage is a message between control instances.
+type PeerMessage interface {
 	// Sender returns who sent it, for reading and for stamping.
 	Sender() *Origin
 }
@@ -141,7 +141,7 @@
 func (m *RegistryDelta) Sender() *Origin { return &m.Origin }
 
 // Sender implements FromPeer.
-func (m *RegistryConfirm) Sender() *Origin { return &m.Origin }
+func (m *RegistryAck) Sender() *Origin { return &m.Origin }
 
 // Sender implements FromPeer.
 func (m *RegistrySummary) Sender() *Origin { return &m.Origin }
--- a/internal/protocol/size_test.go
+++ b/internal/protocol/size_test.go
@@ -30,7 +30,7 @@
 // BenchmarkWholeTableAtSize is the table as a router gets it when it subscribes.
 func BenchmarkWholeTableAtSize(b *testing.B) {
 	codec := protocol.NewCodec()
-	update := protocol.Update{Full: true, Endpoints: sizetest.Table()}
+	update := protocol.Update{Snapshot: true, Endpoints: sizetest.Table()}
 	bytes := 0
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/router/node/chaos_test.go
+++ b/internal/router/node/chaos_test.go
@@ -230,7 +230,7 @@
 		endpoints = append(endpoints, e.listen(t))
 	}
 	ctl := newControl(t, protocol.Update{
-		Sequence: 1, Generation: 1, Document: document(1), Full: true, Confirmed: true, Routers: 1, Endpoints: endpoints,
+		Sequence: 1, Generation: 1, Document: document(1), Snapshot: true, GenerationConfirmed: true, RouterCount: 1, Endpoints: endpoints,
 	})
 	r := newRouter(t, ctl)
 	<-ctl.confirmed
--- a/internal/router/node/cost_test.go
+++ b/internal/router/node/cost_test.go
@@ -70,7 +70,7 @@
 	b.Helper()
 	e := model(b, script)
 	ctl := newControl(b, protocol.Update{
-		Sequence: 1, Generation: 1, Document: document(1), Full: true, Confirmed: true, Routers: 1,
+		Sequence: 1, Generation: 1, Document: document(1), Snapshot: true, GenerationConfirmed: true, RouterCount: 1,
 		Endpoints: []protocol.Endpoint{e},
 	})
 	go func() { // the beacons of a control instance
--- a/internal/router/node/ending_test.go
+++ b/internal/router/node/ending_test.go
@@ -37,8 +37,8 @@
 	e := model(t, func(c net.Conn, r *http.Request) { reached <- struct{}{}; <-release })
 	e.Service = "silent"
 	ctl := newControl(t, protocol.Update{
-		Sequence: 1, Generation: 1, Document: []byte(endingDocument), Full: true,
-		Confirmed: true, Routers: 1, Endpoints: []protocol.Endpoint{e},
+		Sequence: 1, Generation: 1, Document: []byte(endingDocument), Snapshot: true,
+		GenerationConfirmed: true, RouterCount: 1, Endpoints: []protocol.Endpoint{e},
 	})
 	r := newRouter(t, ctl)
 	r.settings.Bounds.Grace = grace
@@ -82,8 +82,8 @@
 		answers(c, r)
 	})
 	ctl := newControl(t, protocol.Update{
-		Sequence: 1, Generation: 1, Document: document(1), Full: true, Confirmed: true,
-		Routers: 1, Endpoints: []protocol.Endpoint{e},
+		Sequence: 1, Generation: 1, Document: document(1), Snapshot: true, GenerationConfirmed: true,
+		RouterCount: 1, Endpoints: []protocol.Endpoint{e},
 	})
 	r := newRouter(t, ctl)
 	<-ctl.confirmed
@@ -119,8 +119,8 @@
 	e := model(t, func(c net.Conn, r *http.Request) { t.Errorf("%s reached the endpoint", r.URL.Path) })
 	e.Service = "silent"
 	ctl := newControl(t, protocol.Update{
-		Sequence: 1, Generation: 1, Document: []byte(endingDocument), Full: true,
-		Confirmed: true, Routers: 1, Endpoints: []protocol.Endpoint{e},
+		Sequence: 1, Generation: 1, Document: []byte(endingDocument), Snapshot: true,
+		GenerationConfirmed: true, RouterCount: 1, Endpoints: []protocol.Endpoint{e},
 	})
 	r := newRouter(t, ctl)
 	r.settings.Bounds.Grace = grace
--- a/internal/router/node/node_test.go
+++ b/internal/router/node/node_test.go
@@ -59,7 +59,7 @@
 		defer c.mutex.Unlock()
 		c.connections = append(c.connections, conn)
 		conn.Send(c.update)
-	case *protocol.Confirm:
+	case *protocol.UpdateAck:
 		c.confirmed <- m.Sequence
 	case *protocol.Report:
 		c.reports <- m
@@ -224,7 +224,7 @@
 		answers(c, r)
 	})
 	ctl := newControl(t, protocol.Update{
-		Sequence: 1, Generation: 3, Document: document(3), Full: true, Endpoints: []protocol.Endpoint{e},
+		Sequence: 1, Generation: 3, Document: document(3), Snapshot: true, Endpoints: []protocol.Endpoint{e},
 	})
 	r := newRouter(t, ctl)
 	if n := <-ctl.confirmed; n != 1 {
@@ -236,7 +236,7 @@
 	if status := r.probe(); status != 503 {
 		t.Errorf("probe before the confirmation: %d", status)
 	}
-	ctl.connections[0].Send(protocol.Update{Sequence: 2, Generation: 3, Confirmed: true})
+	ctl.connections[0].Send(protocol.Update{Sequence: 2, Generation: 3, GenerationConfirmed: true})
 	<-ctl.confirmed
 	if status := r.probe(); status != 200 {
 		t.Errorf("probe: %d", status)
@@ -284,7 +284,7 @@
 func TestDeniesOnlyWhileInTouch(t *testing.T) {
 	e := model(t, answers)
 	ctl := newControl(t, protocol.Update{
-		Sequence: 1, Generation: 3, Document: document(3), Full: true, Confirmed: true, Endpoints: []protocol.Endpoint{e},
+		Sequence: 1, Generation: 3, Document: document(3), Snapshot: true, GenerationConfirmed: true, Endpoints: []protocol.Endpoint{e},
 	})
 	r := newRouter(t, ctl)
 	<-ctl.confirmed
@@ -300,7 +300,7 @@
 func TestReports(t *testing.T) {
 	e := model(t, answers)
 	ctl := newControl(t, protocol.Update{
-		Sequence: 1, Generation: 1, Document: document(1), Full: true, Confirmed: true, Routers: 1,
+		Sequence: 1, Generation: 1, Document: document(1), Snapshot: true, GenerationConfirmed: true, RouterCount: 1,
 		Endpoints: []protocol.Endpoint{e},
 	})
 	r := newRouter(t, ctl)
--- a/internal/router/subscription/applying.go
+++ b/internal/router/subscription/applying.go
@@ -41,7 +41,7 @@
 // change is what an update changes. A configuration never goes back.
 func (d *Decider) change(u *protocol.Update) *Change {
 	change := &Change{
-		View: dispatch.ViewChanged{Full: u.Full, Endpoints: u.Endpoints, Quotas: u.Quotas, Routers: u.Routers},
+		View: dispatch.ViewChanged{Full: u.Snapshot, Endpoints: u.Endpoints, Quotas: u.Quotas, Routers: u.RouterCount},
 	}
 	if u.Generation > d.knowledge.generation && len(u.Document) > 0 {
 		change.Generation, change.Document = u.Generation, u.Document
@@ -74,7 +74,7 @@
 	if f != nil {
 		f.confirmed = done.update.Sequence
 		d.noteNearer(now, f)
-		d.send(f.id, protocol.Confirm{Sequence: f.confirmed})
+		d.send(f.id, protocol.UpdateAck{Sequence: f.confirmed})
 	}
 }
 
@@ -85,8 +85,8 @@
 		k.inForce(u.Generation)
 		d.tell(ConfigurationInForce{Generation: u.Generation})
 	}
-	k.whole = k.whole || u.Full
-	k.confirmed = k.confirmed || u.Confirmed && u.Generation == k.generation
+	k.whole = k.whole || u.Snapshot
+	k.confirmed = k.confirmed || u.GenerationConfirmed && u.Generation == k.generation
 	if k.becomesReady() {
 		d.tell(BecameReady{})
 	}
--- a/internal/router/subscription/decider_test.go
+++ b/internal/router/subscription/decider_test.go
@@ -538,7 +538,7 @@
 	n := settled(t, three...)
 	w := n.followedWire()
 	w.peer.generation = 3
-	n.update(w, protocol.Update{Confirmed: true}, 0)
+	n.update(w, protocol.Update{GenerationConfirmed: true}, 0)
 	n.run(10 * time.Millisecond)
 	if last := n.applies[len(n.applies)-1]; last.Document != nil {
 		t.Errorf("%+v was asked for", last)
--- a/internal/router/subscription/network_test.go
+++ b/internal/router/subscription/network_test.go
@@ -232,8 +232,8 @@
 	case protocol.Subscribe:
 		w.mark, w.follows = m.EchoSequence, true
 		whole := !w.peer.cut || w.peer.old
-		n.update(w, protocol.Update{Full: whole, Confirmed: whole}, m.Generation)
-	case protocol.Confirm:
+		n.update(w, protocol.Update{Snapshot: whole, GenerationConfirmed: whole}, m.Generation)
+	case protocol.UpdateAck:
 		w.mark = max(w.mark, m.EchoSequence)
 		w.peer.confirms = append(w.peer.confirms, m.Sequence)
 	case protocol.Report:
--- a/internal/router/subscription/property_test.go
+++ b/internal/router/subscription/property_test.go
@@ -123,7 +123,7 @@
 	n.take(p, n.newest)
 	for _, w := range n.wires {
 		if w.peer == p && w.follows && !w.closed {
-			n.update(w, protocol.Update{Full: true, Confirmed: true}, n.newest)
+			n.update(w, protocol.Update{Snapshot: true, GenerationConfirmed: true}, n.newest)
 		}
 	}
 }
--- a/internal/router/subscription/subscription_test.go
+++ b/internal/router/subscription/subscription_test.go
@@ -135,7 +135,7 @@
 }
 
 var full = protocol.Update{
-	Sequence: 1, Generation: 4, Document: []byte("four"), Full: true, Endpoints: []protocol.Endpoint{{ID: "e"}},
+	Sequence: 1, Generation: 4, Document: []byte("four"), Snapshot: true, Endpoints: []protocol.Endpoint{{ID: "e"}},
 }
 
 func TestConfirmedOnlyOnceInForce(t *testing.T) {
@@ -155,7 +155,7 @@
 		t.Fatalf("%T before it was in force", a.message)
 	case w.force.hold <- struct{}{}:
 	}
-	if _, m := next[*protocol.Confirm](i); m.Sequence != 1 {
+	if _, m := next[*protocol.UpdateAck](i); m.Sequence != 1 {
 		t.Errorf("%+v", m)
 	}
 	if w.Ready() {
@@ -165,7 +165,7 @@
 	if _, r := next[*protocol.Report](i); r.Node != "n" || r.Incarnation != 7 || r.Sequence != 1 {
 		t.Errorf("%+v", r)
 	}
-	c.Send(protocol.Update{Sequence: 2, Generation: 4, Confirmed: true})
+	c.Send(protocol.Update{Sequence: 2, Generation: 4, GenerationConfirmed: true})
 	w.force.hold <- struct{}{}
 	<-w.log.ready
 	i.server.Close()
@@ -199,7 +199,7 @@
 				c, first, second = got.connection, b, a
 			}
 			c.Send(full)
-			next[*protocol.Confirm](first)
+			next[*protocol.UpdateAck](first)
 			amiss(c)
 			if _, s := next[*protocol.Subscribe](second); s.Generation != 4 {
 				t.Errorf("%+v", s)
@@ -215,14 +215,14 @@
 	w := start(t, i)
 	c, _ := next[*protocol.Subscribe](i)
 	c.Send(full)
-	next[*protocol.Confirm](i)
-	c.Send(protocol.Update{Sequence: 2, Generation: 3, Document: []byte("three"), Confirmed: true})
-	next[*protocol.Confirm](i)
+	next[*protocol.UpdateAck](i)
+	c.Send(protocol.Update{Sequence: 2, Generation: 3, Document: []byte("three"), GenerationConfirmed: true})
+	next[*protocol.UpdateAck](i)
 	if w.force.last().Configuration != nil || w.Ready() {
 		t.Error("an older configuration was taken")
 	}
-	c.Send(protocol.Update{Sequence: 3, Generation: 4, Document: []byte("four"), Confirmed: true})
-	next[*protocol.Confirm](i)
+	c.Send(protocol.Update{Sequence: 3, Generation: 4, Document: []byte("four"), GenerationConfirmed: true})
+	next[*protocol.UpdateAck](i)
 	if w.force.last().Configuration != nil || !w.Ready() {
 		t.Error("the same configuration was not enough, or was taken again")
 	}
@@ -232,13 +232,13 @@
 	i := newInstance(t)
 	w := start(t, i)
 	c, _ := next[*protocol.Subscribe](i)
-	c.Send(protocol.Update{Sequence: 1, Generation: 4, Document: []byte("four"), Confirmed: true})
-	next[*protocol.Confirm](i)
+	c.Send(protocol.Update{Sequence: 1, Generation: 4, Document: []byte("four"), GenerationConfirmed: true})
+	next[*protocol.UpdateAck](i)
 	if w.Ready() {
 		t.Error("ready without endpoints")
 	}
-	c.Send(protocol.Update{Sequence: 2, Generation: 4, Full: true})
-	next[*protocol.Confirm](i)
+	c.Send(protocol.Update{Sequence: 2, Generation: 4, Snapshot: true})
+	next[*protocol.UpdateAck](i)
 	if !w.Ready() {
 		t.Error("not ready")
 	}
@@ -250,13 +250,13 @@
 	i := newInstance(t)
 	w := start(t, i)
 	c, _ := next[*protocol.Subscribe](i)
-	c.Send(protocol.Update{Sequence: 1, Full: true, Confirmed: true})
-	next[*protocol.Confirm](i)
+	c.Send(protocol.Update{Sequence: 1, Snapshot: true, GenerationConfirmed: true})
+	next[*protocol.UpdateAck](i)
 	if w.Ready() {
 		t.Error("ready without a configuration")
 	}
 	c.Send(protocol.Update{Sequence: 2, Generation: 4, Document: []byte("four")})
-	next[*protocol.Confirm](i)
+	next[*protocol.UpdateAck](i)
 	if !w.Ready() {
 		t.Error("not ready")
 	}
--- a/internal/systemsim/believer.go
+++ b/internal/systemsim/believer.go
@@ -97,7 +97,7 @@
 	case subscription.Applied:
 		b.applying = false
 		if b.connection != 0 {
-			b.send(b.connection, protocol.Confirm{Sequence: b.sequence})
+			b.send(b.connection, protocol.UpdateAck{Sequence: b.sequence})
 		}
 	}
 }
@@ -115,7 +115,7 @@
 	b.sequence = update.Sequence
 	b.learn(update.Members)
 	change := &subscription.Change{
-		View: dispatch.ViewChanged{Full: update.Full, Endpoints: update.Endpoints, Routers: update.Routers},
+		View: dispatch.ViewChanged{Full: update.Snapshot, Endpoints: update.Endpoints, Routers: update.RouterCount},
 	}
 	if update.Generation > b.generation && len(update.Document) > 0 {
 		change.Generation, change.Document = update.Generation, update.Document
--- a/internal/systemsim/router.go
+++ b/internal/systemsim/router.go
@@ -147,7 +147,7 @@
 	switch m := message.(type) {
 	case protocol.Subscribe:
 		return &m
-	case protocol.Confirm:
+	case protocol.UpdateAck:
 		return &m
 	case protocol.Probe:
 		return &m
