--- a/check.sh
+++ b/check.sh
@@ -7,6 +7,7 @@
 cd "$(dirname "$0")"
 
 max_policy_line=110 # characters
+rapid_seed=1 # of the property tests' cases: the same ones each time; property-tests.sh draws others
 known_red=KNOWN-RED.txt
 known_red_time=120s    # a known failure may be one that hangs
 
@@ -47,6 +48,30 @@
 	sed 's/[][().*+?|{}$^\\]/\\&/g; s:/:$/^:g; s/^/^/; s/$/$/' | paste -sd '|' -
 }
 
+# rapid_packages prints the packages whose tests have rapid linked in, by themselves or by what they import.
+rapid_packages() {
+	go list -test -f '{{range .Deps}}{{if eq . "pgregory.net/rapid"}}{{$.ImportPath}}{{end}}{{end}}' ./... |
+		sed -n 's/\.test$//p' | sort -u
+}
+
+# seed_flag prints the flag that fixes the cases of a package's property tests, nothing where it has none.
+seed_flag() {
+	! printf '%s\n' "$rapid_packages" | grep -qxF -e "$1" || printf '%s\n' "-rapid.seed=$rapid_seed"
+}
+
+# play_tests plays the packages, one a line, with the flags of go test. Packages with property tests come last, with the
+# fixed seed: they would draw other cases at each run.
+play_tests() {
+	packages=$1
+	shift
+	plain=$(printf '%s\n' "$packages" | grep -vxF -e "$rapid_packages" || :)
+	drawn=$(printf '%s\n' "$packages" | grep -xF -e "$rapid_packages" || :)
+	# shellcheck disable=SC2086 # lists of packages
+	[ -z "$plain" ] || go test "$@" $plain
+	# shellcheck disable=SC2086
+	[ -z "$drawn" ] || go test "$@" $drawn -rapid.nofailfile -rapid.seed="$rapid_seed"
+}
+
 tab=$(printf '\t')
 bad=$(gofmt -l .)
 [ -z "$bad" ] || { echo "not formatted: $bad"; exit 1; }
@@ -73,22 +98,23 @@
 red_list=$(reds)
 red_packages=$(printf '%s\n' "$red_list" | cut -f2 | sort -u)
 all_packages=$(go list ./...)
+rapid_packages=$(rapid_packages)
+[ -n "$rapid_packages" ] || { echo "no package has property tests by rapid: rapid_packages finds none"; exit 1; }
 green_packages=$(printf '%s\n' "$all_packages" | grep -vxF -e "${red_packages:-none}")
 # Tests that start real processes and measure their time go first, one package at a time: the simulated worlds of the
 # deciders take all processors.
 processes='^raventrestle/cmd/'
-# shellcheck disable=SC2046 # lists of packages
-go test -race -p 1 $(printf '%s\n' "$green_packages" | grep -E "$processes")
-# shellcheck disable=SC2046
-go test -race $(printf '%s\n' "$green_packages" | grep -vE "$processes")
+play_tests "$(printf '%s\n' "$green_packages" | grep -E "$processes")" -race -p 1
+play_tests "$(printf '%s\n' "$green_packages" | grep -vE "$processes")" -race
 for package in $red_packages; do
 	skipped=$(printf '%s\n' "$red_list" | awk -F "$tab" -v p="$package" '$2 == p { print $1 }' | pattern)
-	go test -race -skip "$skipped" "$package"
+	play_tests "$package" -race -skip "$skipped"
 done
 [ -z "$red_list" ] || printf '%s\n' "$red_list" | while IFS="$tab" read -r name package cause issue; do
 	outcome=fails
+	# shellcheck disable=SC2046 # one flag or none
 	said=$(go test -race -v -count=1 -timeout "$known_red_time" -run "$(printf '%s\n' "$name" | pattern)" "$package" \
-		2>&1 </dev/null) && outcome=passes
+		$(seed_flag "$package") 2>&1 </dev/null) && outcome=passes
 	printf '%s\n' "$said" | grep -q '^=== RUN' || outcome="does not run"
 	echo "known red: $name of $package $outcome ($cause; $issue)"
 done
