--- a/internal/fleet/lease/doc.go
+++ b/internal/fleet/lease/doc.go
@@ -21,8 +21,14 @@
 // above them, as a floor goes by acknowledgements and a member never goes back, and nobody's own is below them.
 // So each counts its fractions with a part of at most s(g)/n(v), and the sum is at most s(g).
 //
+// "A member never goes back" is what the argument rests on, and a floor is never taken back either. So no floor may
+// go by a list or generation that is older than one that an earlier life acknowledged. A snapshot is stored before
+// what it holds is acknowledged. A life without one is told several versions, and the book draws no conclusion before
+// it has them all: floors and parts are worked out when it is next asked, not at each telling (reckon).
+//
 // Who is missing on one list of its range is not reckoned with by all and uses nothing, borrowed or own; once it is on
-// all of them it uses nothing under a generation older than the others held when they began to reckon with it.
+// all of them it uses nothing under a generation older than the others held when they began to reckon with it. That bound
+// stands in its snapshot, as the others' floors outlast its life.
 //
 // Hence a smaller size or a longer list counts at once for who hears of it; a larger size or a shorter list only
 // when each member of every list in the range has said that it follows. A version between that was never told has
@@ -71,9 +77,11 @@
 //     than the last is a lost state: New with mayHaveLent.
 //   - One life of a name runs at a time, and epochs grow.
 //   - One version has one content everywhere; versions count up by one. List.Since and Whole.Since name the oldest
-//     version that any member may still hold, as the authority knows it; 0 means the first. A life that has lost its
-//     state is told versions by the authority, not from a copy older than its earlier life held.
-//   - A new life is told the wholes before the lists, and every member holds every whole (one that doesn't holds back a
-//     larger size, never safety).
+//     version that any member may still hold, or may hold again after it ends and restores its snapshot, as the authority
+//     knows it by what was acknowledged; 0 means the first.
+//   - A life that has lost its state is told all versions from there to the authority's newest before any other method is
+//     called, in any order. None of what holds below the newest is true for it: its earlier life may have acknowledged
+//     that one.
+//   - Every member holds every whole (one that doesn't holds back a larger size, never safety).
 //   - A Book is not safe for concurrent use.
 package lease
--- a/internal/fleet/lease/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -219,7 +219,7 @@
 }
 
 // broken are rules that a test switches off, one at a time.
-type broken struct{ fromReceipt, noMargin, twice, forgets, stale, alone, noWindow bool }
+type broken struct{ fromReceipt, noMargin, twice, forgets, stale, alone, noWindow, eager bool }
 
 // Book is one life's account of rights. Use New.
 type Book struct {
@@ -231,6 +231,7 @@
 	stepped time.Duration
 	tellAt  time.Duration
 	changed bool // versions were told since the last State went out
+	pending bool // versions were told that the floors and parts don't go by yet: see reckon
 	number  uint64
 	list    uint64
 	floor   uint64
@@ -238,7 +239,8 @@
 	since   uint64
 	gone    map[string]bool
 	share   map[string]float64 // parts as fractions of a whole, over all lists in the range
-	grew    time.Duration      // when one of them last grew
+	grown   bool               // one of them has grown by another list than the first
+	grew    time.Duration      // when one of them last did
 	peers   map[string]*peer
 	wholes  map[ID]*whole
 	order   []*whole
@@ -273,8 +275,9 @@
 	return d + time.Duration(math.Ceil(float64(d)*b.cfg.Drift))
 }
 
-// Members takes a version of the agreed list. One older than the held one fills a gap.
-func (b *Book) Members(now time.Duration, l List) error {
+// Members takes a version of the agreed list. One older than the held one fills a gap. It counts from the next call of
+// another method than Members and SetWhole on, so the order in which versions are told does not matter.
+func (b *Book) Members(l List) error {
 	if l.Version == 0 || l.Since > l.Version {
 		return fmt.Errorf("lease: list version %d, since %d: give a version of at least 1 and a since of at most it", l.Version, l.Since)
 	}
@@ -306,10 +309,34 @@
 		p := b.peer(m.Name)
 		p.epoch = max(p.epoch, m.Epoch)
 	}
-	b.relist(now)
+	b.deferReckoning()
 	return nil
 }
 
+func (b *Book) deferReckoning() {
+	b.pending = true
+	if b.broken.eager {
+		b.reckon(b.stepped)
+	}
+}
+
+// reckon brings floors and parts up to what was told since. It is not done at each version: a life that has lost its
+// state is told several, from old ones on, and what follows from the first of them alone is wrong. An older list may have
+// this member alone on it, which would then no longer reckon with generations that a member of a newer list uses; and
+// a floor never goes back (TestLifeThatLostItsStateReckonsWithEachGenerationInAnyOrder).
+func (b *Book) reckon(now time.Duration) {
+	if !b.pending {
+		return
+	}
+	b.pending = false
+	b.relist(now)
+	if b.list == 0 { // relist has done nothing
+		for _, w := range b.order {
+			b.resize(w)
+		}
+	}
+}
+
 func (b *Book) peer(name string) *peer {
 	p := b.peers[name]
 	if p == nil {
@@ -412,7 +439,7 @@
 		grew = grew || s > old[name]
 	}
 	if grew {
-		b.grew = now
+		b.grown, b.grew = true, now
 	}
 	for _, w := range b.order {
 		if w.Kind != Count {
@@ -447,7 +474,8 @@
 	return ok
 }
 
-// SetWhole takes a generation of a whole. One older than the held one fills a gap.
+// SetWhole takes a generation of a whole. One older than the held one fills a gap. Like a list's, it counts from the next
+// call of another method on.
 func (b *Book) SetWhole(now time.Duration, n Whole) error {
 	switch {
 	case n.Generation == 0 || n.Since > n.Generation:
@@ -465,7 +493,7 @@
 		if b.earlier && n.Kind == Count {
 			w.from += b.drifted(n.Window)
 		}
-		if n.Kind == Count && b.list > 1 {
+		if n.Kind == Count && b.grown {
 			w.until = b.grew + b.drifted(n.Window)
 		}
 		b.wholes[n.ID] = w
@@ -486,7 +514,7 @@
 		w.Generation, w.Size, b.changed = n.Generation, n.Size, true
 	}
 	w.Since = max(w.Since, n.Since)
-	b.resize(w)
+	b.deferReckoning()
 	return nil
 }
 
@@ -566,6 +594,7 @@
 	if w == nil {
 		return 0
 	}
+	b.reckon(now)
 	return b.rights(now, w)
 }
 
@@ -576,6 +605,7 @@
 	if w == nil || !(n >= 0) {
 		return false
 	}
+	b.reckon(now)
 	r := b.rights(now, w)
 	if w.Kind == Count {
 		w.turn(now, b.drifted(w.Window))
--- a/internal/fleet/lease/snapshot.go
+++ b/internal/fleet/lease/snapshot.go
@@ -20,6 +20,7 @@
 type HeldWhole struct {
 	Whole Whole // Since is the floor
 	Sizes map[uint64]float64
+	Must  uint64 // nothing is used under an older generation
 	Lent  []Lent
 }
 
@@ -33,12 +34,13 @@
 
 // Snapshot returns the state to store.
 func (b *Book) Snapshot(now time.Duration) Snapshot {
+	b.reckon(now)
 	s := Snapshot{Epoch: b.epoch, Wait: max(0, b.free-now), Since: b.floor}
 	for _, v := range slices.Sorted(maps.Keys(b.lists)) {
 		s.Lists = append(s.Lists, b.lists[v])
 	}
 	for _, w := range b.order {
-		h := HeldWhole{Whole: w.Whole, Sizes: maps.Clone(w.sizes)}
+		h := HeldWhole{Whole: w.Whole, Sizes: maps.Clone(w.sizes), Must: w.must}
 		for _, l := range w.lent {
 			if now < l.end {
 				h.Lent = append(h.Lent, Lent{l.key, l.lastAsk, l.fraction, l.end - now})
@@ -61,7 +63,7 @@
 	}
 	b.earlier, b.free, b.since = true, now+s.Wait, s.Since
 	for _, l := range s.Lists {
-		if err := b.Members(now, l); err != nil {
+		if err := b.Members(l); err != nil {
 			return nil, err
 		}
 	}
@@ -77,6 +79,7 @@
 		if w == nil {
 			continue
 		}
+		w.must = h.Must
 		for _, l := range h.Lent {
 			w.lent = append(w.lent, lent{l.Key, l.LastAsk, l.Fraction, now + l.Left})
 		}
--- a/internal/fleet/lease/step.go
+++ b/internal/fleet/lease/step.go
@@ -11,6 +11,7 @@
 // Step takes in what has happened and returns what to send. Jitter in [0, 1) spreads the waits of members apart.
 func (b *Book) Step(now time.Duration, jitter float64, events []Event) []Send {
 	b.stepped = max(b.stepped, now)
+	b.reckon(now)
 	var out []Send
 	relist := false
 	for _, e := range events {
