--- /dev/null
+++ b/coordination/chain/apply.go
@@ -0,0 +1,35 @@
+package chain
+
+// Invariant: entries are handed out once, in the order of the log, and only when they are committed. A member that
+// restarts begins after its snapshot.
+
+// Applied is an entry to apply.
+type Applied struct {
+	Entry
+	Duplicate bool // the command was applied before under the same ID: it must not be applied again
+}
+
+// Applied returns the point up to which the node has handed out entries, and the commands to put into a snapshot
+// there.
+func (n *Node) Applied() (SnapshotPoint, []CommandID) {
+	epoch, _ := n.log.epochAt(n.appliedIndex)
+	return SnapshotPoint{Index: n.appliedIndex, Epoch: epoch}, n.recent.order
+}
+
+// TakeCommitted returns the entries to apply now, in order. The owner calls it after Persisted.
+func (n *Node) TakeCommitted() []Applied {
+	if n.commitIndex <= n.appliedIndex {
+		return nil
+	}
+	var list []Applied
+	for _, entry := range n.log.after(n.appliedIndex)[:n.commitIndex-n.appliedIndex] {
+		repeated := n.recent.has(entry.ID)
+		if !repeated {
+			n.recent.add(entry.ID)
+		}
+		n.pending.commandApplied(entry.ID, n.incarnation)
+		list = append(list, Applied{Entry: entry, Duplicate: repeated})
+	}
+	n.appliedIndex = n.commitIndex
+	return list
+}
--- a/coordination/chain/found.go
+++ b/coordination/chain/bootstrap.go
@@ -6,11 +6,15 @@
 	"raventrestle/coordination/view"
 )
 
-// founderPrefix makes the identity of a founder, so that all founders compute the same first view.
+// Invariant: an identity is used by one disk only. A member that has lost its disk comes back under another identity,
+// so that its former vote and its former entries never count for it. The founders' identities are derived from their
+// addresses, which is safe because a group is founded once, on empty disks.
+
+// founderPrefix begins the identity of each founder. All founders compute the same first view from their seeds.
 const founderPrefix = "founder@"
 
-// Bootstrap returns the state of a founder: the seeds are the first view. It tells false when the address is not
-// among the seeds. Only the very first start of a whole group may found, on an empty disk.
+// Bootstrap returns the state of a founder: the seeds are the members of the first view. It returns false when the
+// member's address is not among the seeds. Only the very first start of a group may bootstrap, on an empty disk.
 func Bootstrap(self view.Member, seeds []string) (State, bool) {
 	if !slices.Contains(seeds, self.Address) {
 		return State{}, false
@@ -31,7 +35,7 @@
 	return state, true
 }
 
-// JoinAsLearner returns the state of a member that asks to be taken in. The identity must be new.
+// JoinAsLearner returns the state of a member that looks for a group to be admitted to. The identity must be new.
 func JoinAsLearner(self view.Member, identity string) State {
 	self.Identity = identity
 	return State{Self: self}
--- /dev/null
+++ b/coordination/chain/deduplication.go
@@ -0,0 +1,36 @@
+package chain
+
+// Invariant: a command that was applied is applied again neither by a retried Forward nor after a snapshot, as long
+// as it is among the newest maxRecentCommands. All members decide so alike, because the list is part of the
+// replicated state.
+
+// maxRecentCommands is how many applied commands are remembered.
+const maxRecentCommands = 1024
+
+// recentCommands remembers the newest applied commands.
+type recentCommands struct {
+	order []CommandID // oldest first
+	ids   map[CommandID]struct{}
+}
+
+func newRecent(order []CommandID) recentCommands {
+	r := recentCommands{order: append([]CommandID(nil), order...), ids: make(map[CommandID]struct{}, len(order))}
+	for _, id := range order {
+		r.ids[id] = struct{}{}
+	}
+	return r
+}
+
+func (r *recentCommands) has(id CommandID) bool {
+	_, held := r.ids[id]
+	return held
+}
+
+func (r *recentCommands) add(id CommandID) {
+	r.order = append(r.order, id)
+	r.ids[id] = struct{}{}
+	if len(r.order) > maxRecentCommands {
+		delete(r.ids, r.order[0])
+		r.order = r.order[1:]
+	}
+}
--- /dev/null
+++ b/coordination/chain/discovery.go
@@ -0,0 +1,80 @@
+package chain
+
+import (
+	"slices"
+	"time"
+
+	"raventrestle/coordination/view"
+)
+
+// How members find each other and the head: by the seeds, the members known from disk, and the addresses of views.
+
+// helloInterval is the time between two searches for the head.
+const helloInterval = 250 * time.Millisecond
+
+// runDiscovery introduces this member to every known address when it is due.
+func (n *Node) runDiscovery(now time.Duration) {
+	due := max(n.detector.helloSentAt, n.detector.epochEnteredAt) + helloInterval
+	if n.detector.helloSentAt > 0 && now < due {
+		n.wakeBy(due)
+		return
+	}
+	n.detector.helloSentAt = now
+	n.expirePeers(now)
+	n.wakeBy(now + helloInterval)
+	sent := []string{n.self.Address}
+	for _, p := range n.peers {
+		if !slices.Contains(sent, p.member.Address) {
+			sent = append(sent, p.member.Address)
+			n.sendTo(p.member.Address, Message{Hello: &Hello{Member: n.self}})
+		}
+	}
+	for _, seed := range n.config.Seeds {
+		if !slices.Contains(sent, seed) {
+			sent = append(sent, seed)
+			n.sendTo(seed, Message{Hello: &Hello{Member: n.self}})
+		}
+	}
+}
+
+// handleHello takes in a member and shows it the way to the head.
+func (n *Node) handleHello(now time.Duration, address string, m Message) {
+	p := n.learnMember(now, m.Hello.Member)
+	if p == nil || m.From != m.Hello.Member.Identity {
+		return
+	}
+	p.helloReceivedAt = now
+	n.suspectFormerIdentity(now, p.member)
+	switch {
+	case m.Epoch < n.view.Epoch:
+		n.sendView(now, m.From, address)
+	case m.Epoch > n.view.Epoch:
+		n.requestView(now, m.From, address)
+	case n.isHead():
+		n.sendHeartbeat(now, p)
+	}
+}
+
+// handleMisdirected handles a message for the identity that was at this address before and has lost its disk. Whoever
+// still sends to that one knows the group, also where none of the seeds is left.
+func (n *Node) handleMisdirected(now time.Duration, address string) {
+	if n.view.Epoch > 0 || n.detector.misdirectedAnsweredAt > 0 && now-n.detector.misdirectedAnsweredAt < helloInterval {
+		return
+	}
+	n.detector.misdirectedAnsweredAt = now
+	n.sendTo(address, Message{Hello: &Hello{Member: n.self}})
+}
+
+// suspectFormerIdentity takes a member for failed at whose address another identity answers now: it has lost its
+// disk. If it is alive after all, its next message revokes this.
+func (n *Node) suspectFormerIdentity(now time.Duration, member view.Member) {
+	for _, former := range n.peers {
+		if former.member.Address != member.Address || former.member.Identity == member.Identity {
+			continue
+		}
+		former.heardAt = min(former.heardAt, now-n.timing.SuspectTimeout-time.Millisecond)
+		if former.member.Identity == n.view.Head().Identity {
+			n.detector.headStepsDown = true
+		}
+	}
+}
--- a/coordination/chain/contact.go
+++ b/coordination/chain/freshness.go
@@ -5,53 +5,59 @@
 	"time"
 )
 
-// freshness is how a member proves how old its knowledge is. A proof is a moment on its own steady clock and an index: a
-// majority of the voters was in this epoch at the moment, and all that was acknowledged anywhere before it is at or
-// below the index. It holds once the index is applied here.
+// Proofs of freshness: how a member proves how old its applied state is at most.
 //
-// The head marks, whenever it pings, the time S and the last index L of its log. Once a majority of the voters (the
-// head among them while it has promised nothing) has answered pings that were sent at S or later, no later epoch was
-// decided at S: each of them had promised none when it answered. So until S commands came only into the log of this
-// epoch's head, which is whole and holds each before anybody else does. What was acknowledged before S is at or below L.
+// A proof is a moment on the own steady clock and an index: a majority of the voters was in this epoch at the moment,
+// and everything that was acknowledged anywhere before it is at or below the index. It is valid once the index is
+// applied here.
 //
-// A follower learns of S and L by a ping. The ping also tells of the newest answer that the head had from it: to which
-// ping (Echo), and at which time H on the head's clock it came (EchoAt). The follower noted its own time R when that
-// ping came, before it answered; so R is before H, and S is at R-(H-S) or later on its own clock. Only the difference of
-// two readings of one clock is used, and a share of it is taken off because two steady clocks may run a little
-// unequally. How long pings are on their way, or how long a process stands still, doesn't matter. An echo from long
-// before S is not used: a member that the head doesn't hear comes to prove nothing.
+// The head notes, whenever it sends heartbeats, the time S and the last index L of its log. Once a majority of the
+// voters (the head among them as long as it has promised nothing) has answered heartbeats that were sent at S or
+// later, no later epoch was decided at S: each of them had promised none when it answered. So until S commands
+// entered only the log of this epoch's head, which is complete and has each before anybody else. What was
+// acknowledged before S is at or below L.
 //
-// R must be of the first time that the ping came, else one that comes twice would move it past H. So receipts are kept
-// under a number that changes with each life of the follower, each epoch, each refusal of its disk and each life of the
-// head. An answer carries the number, an echo counts only with the number of the receipts at hand, and under one number
-// only a ping that is newer than all before is noted. What is lost, late or out of order makes a proof only older.
+// A follower learns S and L from a heartbeat. The heartbeat also names the newest reply that the head had from it: to
+// which heartbeat (Echo), and at which time H on the head's clock it came (EchoReceivedAt). The follower noted its
+// own time R when that heartbeat came, before it replied; so R is before H, and S is at R-(H-S) or later on its own
+// clock. Only the difference of two readings of one clock is used, and a share of it is subtracted because two steady
+// clocks may run at slightly different speeds. Neither the delay of heartbeats nor a stall of a process matters. An
+// echo from long before S is not used: a member that the head does not hear comes to prove nothing.
+//
+// R must belong to the first receipt of the heartbeat: a duplicate would move it past H. So receipts are kept under a
+// generation that changes with each incarnation of the follower, each epoch, each failure of its disk and each
+// incarnation of the head. A reply carries the generation, an echo counts only for the generation at hand, and in one
+// generation only a heartbeat that is newer than all before is noted. Loss, delay and reordering make a proof only
+// older.
+
+// maxFreshnessEntries bounds the receipts and the candidates.
+const maxFreshnessEntries = 64
+
+// clockDriftDivisor is the reciprocal of the share by which two steady clocks may differ over a time.
+const clockDriftDivisor = 1000
+
+// freshness holds the node's proofs and what it needs to date them.
 type freshness struct {
 	generation      uint64 // of the receipts
-	headIncarnation uint64 // of the receipts
+	headIncarnation uint64 // to which the receipts belong
 	receipts        []receipt
-	candidates      []proof // not held yet, oldest first: the head's marks, or what the head has told
-	current         proof   // the newest that holds
+	candidates      []proof // not valid yet, oldest first: the head's own, or those that the head has reported
+	current         proof   // the newest valid one
 }
 
-// proof says that all that was acknowledged before the moment is at or below the index.
+// proof states that everything that was acknowledged before the moment is at or below the index.
 type proof struct {
 	at    time.Duration
 	index uint64
 }
 
-// receipt is when a ping of the head first came.
+// receipt is when a heartbeat first came.
 type receipt struct {
 	sentAt     time.Duration // on the head's clock
 	receivedAt time.Duration // on the own clock
 }
 
-// contactRoom bounds receipts and waiting proofs.
-const maxFreshnessEntries = 64
-
-// driftShare is the part of a time by which two steady clocks may differ over it: one in so many.
-const clockDriftDivisor = 1000
-
-// resetFreshness forgets all proofs, in a new epoch or life or after the node has fallen back to its disk.
+// resetFreshness drops all proofs: in a new epoch or incarnation, or after the node has returned to its disk's state.
 func (n *Node) resetFreshness() {
 	if n.config.Mutation.ProofOutlivesEpoch {
 		n.freshness = freshness{candidates: n.freshness.candidates, current: n.freshness.current}
@@ -68,7 +74,7 @@
 	n.freshness.receipts = nil
 }
 
-// updateFreshness notes which proof holds by now.
+// updateFreshness determines which proof is valid by now.
 func (n *Node) updateFreshness(now time.Duration) {
 	if n.mayProve() && n.view.Majority() == 1 { // nobody has to answer
 		n.recordProofCandidate(now)
@@ -81,7 +87,7 @@
 	}
 }
 
-// heartbeatLivePeersNow has the first proof of an epoch told to all live members.
+// heartbeatLivePeersNow makes heartbeats to all live members due, so that they learn of the first proof of an epoch.
 func (n *Node) heartbeatLivePeersNow(now time.Duration) {
 	for _, p := range n.peers {
 		if n.isLive(now, p) {
@@ -90,20 +96,20 @@
 	}
 }
 
-// mayProve tells whether the node as head may count itself among the voters that are in its epoch, and its log as whole.
+// mayProve reports whether the node, as head, may count itself among the voters in its epoch and its log as complete.
 func (n *Node) mayProve() bool { return n.isHead() && n.complete() && !n.sealed() && !n.diskFailing }
 
-// recordProofCandidate notes the last index at the sending of a ping.
+// recordProofCandidate notes the last index at the sending of a heartbeat.
 func (n *Node) recordProofCandidate(now time.Duration) {
 	if n.mayProve() {
 		n.freshness.addCandidate(proof{at: now, index: n.log.lastIndex()})
 	}
 }
 
-// ConfirmedAt returns the moment of the newest proof; see Status.
+// ConfirmedAt returns the moment of the newest valid proof; see Status.
 func (n *Node) ConfirmedAt(now time.Duration) time.Duration { return n.currentProof(now).at }
 
-// currentProof returns the newest proof that holds now.
+// currentProof returns the newest proof that is valid now.
 func (n *Node) currentProof(now time.Duration) proof {
 	until, applied := now, n.appliedIndex
 	if n.isHead() && !n.config.Mutation.ProofByClock {
@@ -115,7 +121,7 @@
 	return n.freshness.newestValid(until, applied)
 }
 
-// handleProof takes in what a ping tells of the head's proof, and notes the ping's receipt.
+// handleProof takes in the head's proof from a heartbeat, and notes the heartbeat's receipt.
 func (n *Node) handleProof(now time.Duration, ping Heartbeat) {
 	c := &n.freshness
 	if ping.Incarnation != c.headIncarnation {
@@ -132,8 +138,8 @@
 	c.addReceipt(receipt{sentAt: ping.SentAt, receivedAt: now})
 }
 
-// proofMoment returns a time on the own clock that isn't after the moment of the head's proof. An echo places no proof that
-// is younger than it by more than the patience.
+// proofMoment returns a time on the own clock that is not after the moment of the head's proof. It returns false when
+// the heartbeat's echo can't date the proof; an echo does not date a proof that is younger by more than maxEchoAge.
 func (c *freshness) proofMoment(ping Heartbeat, patience time.Duration) (time.Duration, bool) {
 	if ping.ProofAt == 0 || ping.EchoGeneration != c.generation || ping.ProofAt-ping.EchoReceivedAt > patience {
 		return 0, false
@@ -148,7 +154,7 @@
 	return 0, false
 }
 
-// addReceipt notes a ping that is newer than all before.
+// addReceipt notes a heartbeat that is newer than all before.
 func (c *freshness) addReceipt(r receipt) {
 	if len(c.receipts) > 0 && r.sentAt <= c.receipts[len(c.receipts)-1].sentAt {
 		return
@@ -159,8 +165,8 @@
 	c.receipts = append(c.receipts, r)
 }
 
-// addCandidate adds a proof that is newer than all before. Where there is no room it takes the place of the newest, so that
-// the oldest can still come to hold.
+// addCandidate adds a proof that is newer than all before. When there is no space it replaces the newest, so that the
+// oldest can still become valid.
 func (c *freshness) addCandidate(p proof) {
 	newest := c.current.at
 	if len(c.candidates) > 0 {
@@ -186,7 +192,7 @@
 	return newest
 }
 
-// setCurrent notes the proof as held and forgets what is older.
+// setCurrent makes the proof the current one and drops the older candidates.
 func (c *freshness) setCurrent(p proof) {
 	c.current = p
 	keep := 0
--- a/coordination/chain/leave.go
+++ b/coordination/chain/leave.go
@@ -5,19 +5,26 @@
 	"time"
 )
 
-// Leave has the node give up the head and leave the chain, where others can go on.
+// Graceful shutdown of a member whose disk may be lost afterwards.
+//
+// Invariant: a member is safe to leave only when nothing more is acknowledged with its help, and more other members
+// than may lose their disks have on disk everything that was acknowledged before.
+
+// Leave makes the node give up the head and leave the chain, as soon as others can take its place.
 func (n *Node) Leave(now time.Duration) Output {
 	n.enterStep(now)
 	n.leaving = true
 	return n.finish(now)
 }
 
-// SafeToLeave tells whether the member's disk may be lost for good at this moment, beside as many others as must be borne.
+// SafeToLeave reports whether the member's disk may be lost for good now, in addition to the tolerated number of
+// others.
 func (n *Node) SafeToLeave() bool { return n.LeaveBlocker() == "" }
 
-// LeaveBlocker tells why the member can't go yet; it is empty once it can. It can go when it is outside the chain, so that
-// nothing more is acknowledged with its help, and the head of that view has told that more others than may be lost hold
-// everything that was acknowledged before. Others know the view then, even if nothing more leaves this member.
+// LeaveBlocker returns why the member can't leave yet, or an empty string once it can. It can leave when it is
+// outside the chain, so that nothing more is acknowledged with its help, and the head of that view has reported that
+// more members than may lose their disks have everything that was acknowledged before. These members know the view
+// then, even if nothing more leaves this member.
 func (n *Node) LeaveBlocker() string {
 	needed := n.config.FaultTolerance + 1
 	switch {
@@ -36,8 +43,8 @@
 	return ""
 }
 
-// durableReplicasBeside counts the members beside one outside the chain that stay and hold everything that was acknowledged
-// before this epoch. What is acknowledged in it is held by its whole chain.
+// durableReplicasBeside counts the members, without the one that leaves, that stay and have on disk everything that
+// was acknowledged before this epoch. What is acknowledged in this epoch is on the disks of its whole chain.
 func (n *Node) durableReplicasBeside(now time.Duration, going *peer) int {
 	if !n.complete() || n.diskFailing {
 		return 0
@@ -54,7 +61,8 @@
 	return copies
 }
 
-// hasStateBeforeEpoch tells whether a member that stays has, on its disk, all that the head held when the epoch began.
+// hasStateBeforeEpoch reports whether a member that stays has on disk everything that the head had when the epoch
+// began.
 func (n *Node) hasStateBeforeEpoch(p *peer) bool {
 	if n.config.Mutation.CountLearners {
 		return true
--- a/coordination/chain/log.go
+++ b/coordination/chain/log.go
@@ -1,9 +1,30 @@
 package chain
 
-// memoryLog is the log in memory: what follows the entry at base.
+// Invariants of the log:
+//
+//   - Indexes are consecutive, and epochs never fall from one entry to the next.
+//   - An entry is determined by its index and epoch, and so is everything before it: in one epoch only that epoch's
+//     head assigns indexes, and it begins from one log.
+//   - Entries up to the commit index are never truncated; commonIndex never returns less than it.
+
+// CommandID identifies a command, so that one that is forwarded twice is applied once.
+type CommandID struct {
+	Proposer uint64 `cbor:"1,keyasint"` // incarnation of the proposing member, drawn at random at each start
+	Number   uint64 `cbor:"2,keyasint"` // unique within the incarnation
+}
+
+// Entry is one command at its position in the log.
+type Entry struct {
+	Index   uint64    `cbor:"1,keyasint"`
+	Epoch   uint64    `cbor:"2,keyasint"` // in which the head appended it
+	ID      CommandID `cbor:"3,keyasint"`
+	Command []byte    `cbor:"4,keyasint"`
+}
+
+// memoryLog holds the newest part of the log in memory: the entries after baseIndex.
 type memoryLog struct {
 	baseIndex uint64
-	baseEpoch uint64
+	baseEpoch uint64 // epoch of the entry at baseIndex
 	entries   []Entry
 }
 
@@ -16,7 +37,7 @@
 	return l.entries[len(l.entries)-1].Epoch
 }
 
-// epochAt returns the epoch of the entry at the index, where the log still knows it.
+// epochAt returns the epoch of the entry at the index, and false when the log does not hold that entry.
 func (l *memoryLog) epochAt(index uint64) (uint64, bool) {
 	switch {
 	case index == l.baseIndex:
@@ -27,12 +48,12 @@
 	return l.entries[index-l.baseIndex-1].Epoch, true
 }
 
-// after returns the entries that follow the index. The slice must not be changed.
+// after returns the entries that follow the index. The caller must not change the slice.
 func (l *memoryLog) after(index uint64) []Entry { return l.entries[index-l.baseIndex:] }
 
 func (l *memoryLog) append(entry Entry) { l.entries = append(l.entries, entry) }
 
-// truncate removes what follows the index. Earlier copies of the list keep their entries.
+// truncate removes the entries after the index. Slices that were taken before keep their entries.
 func (l *memoryLog) truncate(index uint64) {
 	if index >= l.lastIndex() {
 		return
@@ -41,7 +62,7 @@
 	l.entries = append(make([]Entry, 0, keep+1), l.entries[:keep]...)
 }
 
-// compact forgets what lies at or before the index.
+// compact drops the entries at or before the index.
 func (l *memoryLog) compact(index uint64) {
 	if index <= l.baseIndex {
 		return
@@ -51,7 +72,7 @@
 	l.baseIndex, l.baseEpoch = index, epoch
 }
 
-// epochEnds summarises the entries above the index by epoch.
+// epochEnds returns the last index of each epoch among the entries after the index.
 func (l *memoryLog) epochEnds(above uint64) []EpochEnd {
 	var ends []EpochEnd
 	for _, entry := range l.after(max(above, l.baseIndex)) {
@@ -64,8 +85,8 @@
 	return ends
 }
 
-// commonIndex returns the newest index up to which this log surely equals the asker's: an entry is the same
-// wherever index and epoch are, and so is all before it.
+// commonIndex returns the newest index up to which this log is certain to equal the log of a member that has
+// committed up to the commit index and has the given epoch ends after it.
 func (l *memoryLog) commonIndex(committed uint64, ends []EpochEnd) uint64 {
 	for i := len(ends) - 1; i >= 0; i-- {
 		first := committed + 1
--- a/coordination/chain/peer.go
+++ b/coordination/chain/members.go
@@ -13,28 +13,35 @@
 
 	// As the head sees it.
 	heartbeatSentAt   time.Duration
-	heardAt           time.Duration // its newest answer, or the start of the grace that it was given
-	replied           bool          // in this epoch or since the last silence
-	steadySince       time.Duration // start of its unbroken answers
-	confirmedSentAt   time.Duration // sending time of the newest ping of this life that it has answered in this epoch
-	echoedSentAt      time.Duration // sending time of the newest ping of this life that it has answered
-	echoReceivedAt    time.Duration // that answer came
-	echoGeneration    uint64        // Contact of that answer
+	heardAt           time.Duration // newest reply, or the start of a grace window
+	replied           bool          // in this epoch, and since it was last suspected
+	steadySince       time.Duration // start of its unbroken replies
+	confirmedSentAt   time.Duration // sending time of the newest heartbeat that it has confirmed in this epoch
+	echoedSentAt      time.Duration // sending time of the newest heartbeat of this incarnation that it has answered
+	echoReceivedAt    time.Duration // when that reply came
+	echoGeneration    uint64        // ReceiptGeneration of that reply
 	lastReply         HeartbeatReply
-	membershipVersion uint64 // version of the table that it holds
-	progressAt        time.Duration
-	flaps             int           // how often it fell silent while in the chain
+	membershipVersion uint64        // of the list of members that it has
+	progressAt        time.Duration // when its log last grew or had nothing to wait for
+	flaps             int           // how often it failed while in the chain
 	flappedAt         time.Duration // the last time
 	helloReceivedAt   time.Duration
 
 	// As its upstream member sees it.
-	nextIndex            uint64 // index that it is sent next; 0 until it has asked
-	fetchesMore          bool   // it will ask for the rest
-	deferredFetch        *Fetch // not yet answered, because this node's own log isn't whole
-	deferredFetchAddress string // address of the question
+	nextIndex            uint64 // of the entry that it is sent next; 0 until it has fetched
+	fetchesMore          bool   // it will fetch the rest
+	deferredFetch        *Fetch // not yet answered, because this node's own log is not complete
+	deferredFetchAddress string
 	inFlight             inFlightAnswer
 
-	viewSentAt time.Duration // a view was last told or asked for
+	viewSentAt time.Duration // when a view was last sent to or requested from it
+}
+
+// membershipTable is the head's list of the members, as last received.
+type membershipTable struct {
+	version uint64
+	members []view.Member
+	live    []bool // for each of members
 }
 
 // findPeer returns the peer with the identity, or nil.
@@ -47,7 +54,7 @@
 	return nil
 }
 
-// learnMember takes in a member. Fuller knowledge of a known one replaces what was held.
+// learnMember takes in a member. A description with zone or tag replaces the one known before.
 func (n *Node) learnMember(now time.Duration, member view.Member) *peer {
 	if member.Identity == n.self.Identity || member.Identity == "" {
 		return nil
@@ -76,7 +83,7 @@
 	}
 }
 
-// resolve returns the fullest knowledge of a member.
+// resolve returns the most complete description of a member that the node knows.
 func (n *Node) resolve(member view.Member) view.Member {
 	if member.Identity == n.self.Identity {
 		return n.self
@@ -87,7 +94,7 @@
 	return member
 }
 
-// resolveView returns the view with the fullest knowledge of its members.
+// resolveView returns the view with the most complete descriptions of its members.
 func (n *Node) resolveView(v view.View) view.View {
 	fill := func(members []view.Member) []view.Member {
 		filled := make([]view.Member, 0, len(members))
@@ -99,7 +106,7 @@
 	return view.View{Epoch: v.Epoch, Chain: fill(v.Chain), Voters: fill(v.Voters)}
 }
 
-// inView tells whether the member is in the view.
+// inView reports whether the identity is in the chain or a voter of the view.
 func inView(v view.View, identity string) bool {
 	return v.ChainIndex(identity) >= 0 || v.IsVoter(identity)
 }
@@ -116,7 +123,7 @@
 	}
 }
 
-// members lists the node itself and its peers, for the disk and for others.
+// members lists the node itself and its peers, for the disk and for other members.
 func (n *Node) members() []view.Member {
 	members := []view.Member{n.self}
 	for _, p := range n.peers {
@@ -124,3 +131,15 @@
 	}
 	return members
 }
+
+// adoptMembership takes in the head's list of members.
+func (n *Node) adoptMembership(now time.Duration, ping Heartbeat) {
+	n.membership = membershipTable{version: ping.MembershipVersion, members: ping.Members, live: ping.Live}
+	before := len(n.peers)
+	for _, member := range ping.Members {
+		n.learnMember(now, member)
+	}
+	if len(n.peers) != before {
+		n.knownMembers, n.unsavedProgress = n.members(), true
+	}
+}
--- a/coordination/chain/message.go
+++ b/coordination/chain/message.go
@@ -6,8 +6,10 @@
 	"raventrestle/coordination/view"
 )
 
-// Message is one message between nodes. Exactly one of the bodies is set. A node refuses the bodies that
-// belong to an epoch when Epoch is not its own.
+// The cbor numbers below are the protocol between processes of different builds. A number never changes its meaning.
+
+// Message is one message between members. Exactly one of the bodies is set. A node handles the bodies that belong to
+// an epoch only if Epoch is its own: see checkEpoch.
 type Message struct {
 	From  string `cbor:"1,keyasint"`           // identity of the sender
 	To    string `cbor:"2,keyasint,omitempty"` // identity of the receiver, where it is known
@@ -32,82 +34,83 @@
 	Accepted       *Accepted       `cbor:"26,keyasint,omitempty"`
 }
 
-// Hello makes its sender known. Whoever hears no head sends it to all addresses that it knows.
+// Hello introduces its sender. A member that does not hear a head sends it to every address that it knows.
 type Hello struct {
 	Member view.Member `cbor:"1,keyasint"`
 }
 
-// ViewRequest asks for the receiver's view, because it has shown a later epoch.
+// ViewRequest asks for the receiver's view, after a message of the receiver has shown a later epoch.
 type ViewRequest struct{}
 
-// ViewDecision tells a view that was decided.
+// ViewDecision announces a view that was decided.
 type ViewDecision struct {
 	View view.View `cbor:"1,keyasint"`
-	// Clean says that no leader of an earlier epoch can still believe in its lease.
+	// PriorLeasesExpired says that no leader of an earlier epoch can still regard its lease as valid.
 	PriorLeasesExpired bool `cbor:"2,keyasint,omitempty"`
 }
 
 // Heartbeat is sent by the head to every member that it knows.
 type Heartbeat struct {
-	Incarnation       uint64        `cbor:"1,keyasint"` // of this start of the head
+	Incarnation       uint64        `cbor:"1,keyasint"` // of the head's process
 	SentAt            time.Duration `cbor:"2,keyasint"` // on the head's clock
-	Echo              time.Duration `cbor:"3,keyasint"` // newest Sent that the receiver has confirmed to the head
+	Echo              time.Duration `cbor:"3,keyasint"` // newest SentAt to which the head has the receiver's reply
 	CommitIndex       uint64        `cbor:"4,keyasint"`
 	LastIndex         uint64        `cbor:"5,keyasint"`
 	StepDown          bool          `cbor:"6,keyasint,omitempty"` // the head can't write: another should take over
-	MembershipVersion uint64        `cbor:"7,keyasint"`           // of the table of members
-	Members           []view.Member `cbor:"8,keyasint,omitempty"` // the table, when the receiver lacks it
-	Live              []bool        `cbor:"9,keyasint,omitempty"` // beside Members
-	// Copies is how many others than the receiver hold all that was acknowledged before this epoch, and stay.
+	MembershipVersion uint64        `cbor:"7,keyasint"`           // of the head's list of members
+	Members           []view.Member `cbor:"8,keyasint,omitempty"` // that list, when the receiver lacks the version
+	Live              []bool        `cbor:"9,keyasint,omitempty"` // for each of Members: it answers the head
+	// DurableReplicas is how many members other than the receiver have on disk everything that was acknowledged before
+	// this epoch, and stay.
 	DurableReplicas int `cbor:"20,keyasint,omitempty"`
 
-	// For the receiver's contact, all on the head's clock.
-	EchoReceivedAt time.Duration `cbor:"10,keyasint,omitempty"` // when the answer to Echo came
-	EchoGeneration uint64        `cbor:"11,keyasint,omitempty"` // Contact of that answer
+	// For the receiver's proof of freshness. All times are on the head's clock.
+	EchoReceivedAt time.Duration `cbor:"10,keyasint,omitempty"` // when the reply to Echo came
+	EchoGeneration uint64        `cbor:"11,keyasint,omitempty"` // ReceiptGeneration of that reply
 	ProofAt        time.Duration `cbor:"12,keyasint,omitempty"` // moment of the head's newest proof; 0: it has none
-	ProofIndex     uint64        `cbor:"13,keyasint,omitempty"` // all acknowledged before Proof is at or below it
+	ProofIndex     uint64        `cbor:"13,keyasint,omitempty"` // all acknowledged before ProofAt is at or below it
 }
 
-// HeartbeatReply answers a ping.
+// HeartbeatReply answers a Heartbeat.
 type HeartbeatReply struct {
-	Incarnation       uint64        `cbor:"1,keyasint"`
-	HeartbeatSentAt   time.Duration `cbor:"2,keyasint"` // of the ping
+	Incarnation       uint64        `cbor:"1,keyasint"` // of the heartbeat
+	HeartbeatSentAt   time.Duration `cbor:"2,keyasint"` // of the heartbeat
 	CommitIndex       uint64        `cbor:"3,keyasint"`
 	LastIndex         uint64        `cbor:"4,keyasint"`
-	CompleteEpoch     uint64        `cbor:"5,keyasint"`
-	Matched           bool          `cbor:"6,keyasint,omitempty"` // its log is a beginning of the head's
-	PromisedEpoch     uint64        `cbor:"7,keyasint,omitempty"` // a later epoch that it has promised to decide
-	DiskFailing       bool          `cbor:"8,keyasint,omitempty"` // its disk refuses writes
+	CompleteEpoch     uint64        `cbor:"5,keyasint"`           // newest epoch in whose chain its log was complete
+	Matched           bool          `cbor:"6,keyasint,omitempty"` // its log is a prefix of the head's
+	PromisedEpoch     uint64        `cbor:"7,keyasint,omitempty"` // a later epoch for which it has promised a proposal
+	DiskFailing       bool          `cbor:"8,keyasint,omitempty"` // its disk rejects writes
 	Leaving           bool          `cbor:"9,keyasint,omitempty"`
-	MembershipVersion uint64        `cbor:"10,keyasint"`
-	ReceiptGeneration uint64        `cbor:"11,keyasint,omitempty"` // number of the receipts among which the ping is
+	MembershipVersion uint64        `cbor:"10,keyasint"`           // of the list of members that it has
+	ReceiptGeneration uint64        `cbor:"11,keyasint,omitempty"` // of the receipts that the heartbeat is noted among
 }
 
-// EpochEnd says up to which index a log holds entries of an epoch.
+// EpochEnd is the last index of an epoch in a log.
 type EpochEnd struct {
 	Epoch     uint64 `cbor:"1,keyasint"`
 	LastIndex uint64 `cbor:"2,keyasint"`
 }
 
-// Fetch asks the upstream member for what follows the sender's log.
+// Fetch asks the upstream member for the entries that follow the sender's log.
 type Fetch struct {
 	RequestID   uint64     `cbor:"1,keyasint"`
 	CommitIndex uint64     `cbor:"2,keyasint"`
-	EpochEnds   []EpochEnd `cbor:"3,keyasint"` // of the entries above Committed, oldest first
+	EpochEnds   []EpochEnd `cbor:"3,keyasint"` // of the entries after CommitIndex, oldest first
 }
 
-// Append carries entries down the chain or to a standby.
+// Append carries entries down the chain, or from the head to a learner.
 type Append struct {
-	InReplyTo       uint64  `cbor:"1,keyasint,omitempty"` // the Fetch that it answers; 0 when it was not asked for
+	InReplyTo       uint64  `cbor:"1,keyasint,omitempty"` // RequestID of the Fetch that it answers; 0: unsolicited
 	PreviousIndex   uint64  `cbor:"2,keyasint"`           // index before the entries
 	Entries         []Entry `cbor:"3,keyasint,omitempty"`
 	CommitIndex     uint64  `cbor:"4,keyasint"`
-	EpochStartIndex uint64  `cbor:"5,keyasint"`           // a log that matches up to here is whole in this epoch
-	More            bool    `cbor:"6,keyasint,omitempty"` // ask again for the rest
-	Snapshot        []byte  `cbor:"7,keyasint,omitempty"` // stands for everything up to Previous
+	EpochStartIndex uint64  `cbor:"5,keyasint"`           // a log that matches up to it is complete in this epoch
+	More            bool    `cbor:"6,keyasint,omitempty"` // fetch again for the rest
+	Snapshot        []byte  `cbor:"7,keyasint,omitempty"` // stands for everything up to PreviousIndex
 }
 
-// Commit tells how far the tail has committed.
+// Commit announces how far the tail has committed.
 type Commit struct {
 	Index uint64 `cbor:"1,keyasint"`
 }
@@ -118,42 +121,42 @@
 	Command []byte    `cbor:"2,keyasint"`
 }
 
-// Barrier passes from the head to the tail.
+// Barrier passes from the head through the chain to the tail, on behalf of a read.
 type Barrier struct {
 	RequestID        uint64 `cbor:"1,keyasint"`
-	Requester        string `cbor:"2,keyasint"`
-	RequesterAddress string `cbor:"3,keyasint"` // of the asker
+	Requester        string `cbor:"2,keyasint"` // identity
+	RequesterAddress string `cbor:"3,keyasint"`
 }
 
-// BarrierReply goes from the tail to the asker.
+// BarrierReply goes from the tail to the requester.
 type BarrierReply struct {
 	RequestID uint64 `cbor:"1,keyasint"`
-	Index     uint64 `cbor:"2,keyasint"`
+	Index     uint64 `cbor:"2,keyasint"` // everything acknowledged before the request is at or below it
 }
 
-// PreVote asks whether a new view would be supported. It changes nothing at the receiver.
+// PreVote asks whether the receiver would support a view change. It changes nothing at the receiver.
 type PreVote struct {
 	RequestID uint64 `cbor:"1,keyasint"`
 }
 
-// PreVoteReply supports an attempt.
+// PreVoteReply grants a PreVote.
 type PreVoteReply struct {
 	RequestID uint64 `cbor:"1,keyasint"`
 }
 
-// Prepare opens a ballot for the epoch after View.
+// Prepare is phase 1a of Paxos: it opens a proposal for the epoch after View.
 type Prepare struct {
 	View   view.View           `cbor:"1,keyasint"`
 	Number view.ProposalNumber `cbor:"2,keyasint"`
 }
 
-// Accept proposes the value of a ballot.
+// Accept is phase 2a of Paxos: it proposes a value.
 type Accept struct {
 	Number view.ProposalNumber `cbor:"1,keyasint"`
 	Value  view.View           `cbor:"2,keyasint"`
 }
 
-// Accepted tells that a voter holds the value of the ballot.
+// Accepted is phase 2b of Paxos: the voter has the proposal's value on disk.
 type Accepted struct {
 	Number view.ProposalNumber `cbor:"1,keyasint"`
 }
--- /dev/null
+++ b/coordination/chain/read.go
@@ -0,0 +1,93 @@
+package chain
+
+import (
+	"slices"
+	"time"
+)
+
+// Linearizable reads by barriers.
+//
+// Invariant: the index of a barrier covers everything that was acknowledged anywhere before the barrier was
+// requested. The barrier passes every member of the chain, each of which answers only in its own epoch, complete and
+// not sealed. So no later view had been decided when it was requested, and what was acknowledged by then is in the
+// tail's log. A barrier needs no disk and no clock.
+
+// barrier is a requested barrier without a result.
+type barrier struct {
+	id       uint64
+	sentAt   time.Duration
+	answered bool
+	index    uint64 // set when answered
+}
+
+// BarrierResult is the result of a barrier: the member has applied everything up to Index.
+type BarrierResult struct {
+	RequestID uint64
+	Index     uint64
+}
+
+// Barrier requests an index that covers everything acknowledged anywhere by now. It returns the request's ID.
+func (n *Node) Barrier(now time.Duration) (uint64, Output) {
+	n.enterStep(now)
+	n.pending.lastID++
+	n.pending.barriers = append(n.pending.barriers, &barrier{id: n.pending.lastID})
+	return n.pending.lastID, n.finish(now)
+}
+
+// CancelBarrier gives up a barrier.
+func (n *Node) CancelBarrier(number uint64) {
+	n.pending.barriers = slices.DeleteFunc(n.pending.barriers, func(b *barrier) bool { return b.id == number })
+}
+
+// TakeBarrierResults returns the barriers whose index is applied. The owner calls it after TakeCommitted.
+func (n *Node) TakeBarrierResults() []BarrierResult {
+	var passed []BarrierResult
+	n.pending.barriers = slices.DeleteFunc(n.pending.barriers, func(b *barrier) bool {
+		done := b.answered && b.index <= n.appliedIndex
+		if done {
+			passed = append(passed, BarrierResult{RequestID: b.id, Index: b.index})
+		}
+		return done
+	})
+	return passed
+}
+
+// barrierAnswered records the tail's answer.
+func (r *pendingRequests) barrierAnswered(number, index uint64) {
+	for _, b := range r.barriers {
+		if b.id == number && !b.answered {
+			b.answered, b.index = true, index
+		}
+	}
+}
+
+// sendBarrier brings a barrier to the head, which may be this node.
+func (n *Node) sendBarrier(now time.Duration, b *barrier) {
+	if n.view.Epoch == 0 {
+		return
+	}
+	b.sentAt = now
+	message := Barrier{RequestID: b.id, Requester: n.self.Identity, RequesterAddress: n.self.Address}
+	if n.isHead() {
+		n.handleBarrier(message)
+		return
+	}
+	n.send(n.resolve(n.view.Head()), Message{Barrier: &message})
+}
+
+// handleBarrier passes a barrier on, and answers it at the tail. The answer is the tail's last index: how far the log
+// is committed a tail that has just restarted need not know yet.
+func (n *Node) handleBarrier(b Barrier) {
+	if !n.complete() || n.sealed() || !n.chainMayCommit() {
+		return
+	}
+	if !n.isTail() {
+		n.send(n.resolve(n.successor()), Message{Barrier: &b})
+		return
+	}
+	if b.Requester == n.self.Identity {
+		n.pending.barrierAnswered(b.RequestID, n.log.lastIndex())
+		return
+	}
+	n.sendTo(b.RequesterAddress, Message{To: b.Requester, BarrierReply: &BarrierReply{RequestID: b.RequestID, Index: n.log.lastIndex()}})
+}
--- a/coordination/chain/wish.go
+++ b/coordination/chain/reconfiguration.go
@@ -7,16 +7,26 @@
 	"raventrestle/coordination/view"
 )
 
-// nearEnough is how many entries a standby may lack to be taken into the chain.
+// Which membership the head asks for next. These rules decide when a view change is worth its interruption; that the
+// resulting view is safe is ensured by view.Plan alone, from what the voters report.
+//
+// Invariants:
+//
+//   - The head asks for a view without a member only while the chain can be filled up to the length at which it may
+//     commit.
+//   - A learner is admitted only when it answers steadily and has nearly everything that is committed; each recent
+//     failure doubles the time for which it must do so.
+//   - Votes change only while enough members have everything that was committed.
+
+// maxAdmissionLag is how many committed entries a member may lack when it is admitted.
 const maxAdmissionLag = 16
 
-// flapMemory is how long a member's silences count against its admission; flapLimit bounds what they cost.
 const (
-	flapWindow = 30 * time.Second
-	maxFlaps   = 5
+	flapWindow = 30 * time.Second // for which a member's failures count against its admission
+	maxFlaps   = 5                // failures that count at most
 )
 
-// reconfigurationNeeded tells whether the head wants another view than its own.
+// reconfigurationNeeded reports whether the head needs another view than its own.
 func (n *Node) reconfigurationNeeded(now time.Duration) bool {
 	remaining := 0
 	out := false
@@ -41,7 +51,7 @@
 	return n.shouldAdmit(now)
 }
 
-// shouldRemove tells whether a member of the chain should leave it, and counts its silences.
+// shouldRemove reports whether a member should leave the chain, and records its failures.
 func (n *Node) shouldRemove(now time.Duration, identity string) bool {
 	if identity == n.self.Identity {
 		return n.leaving
@@ -57,7 +67,7 @@
 	return true
 }
 
-// recordFlap counts a silence once.
+// recordFlap counts a failure to answer once, until the member answers again.
 func (n *Node) recordFlap(now time.Duration, p *peer) {
 	if p.flappedAt >= p.heardAt && p.flappedAt > 0 {
 		return
@@ -69,7 +79,18 @@
 	p.flaps = min(p.flaps+1, maxFlaps)
 }
 
-// makesNoProgress tells whether a member of the chain makes no progress although its predecessor is ahead.
+// recordProgressFlap counts a failure to make progress. The first one in the window counts as two, so that already
+// the member's next admission takes longer.
+func (n *Node) recordProgressFlap(now time.Duration, p *peer) {
+	if now-p.flappedAt > flapWindow {
+		p.flaps = 1
+	}
+	p.flappedAt = now
+	p.flaps = min(p.flaps+1, maxFlaps)
+}
+
+// makesNoProgress reports whether a member of the chain has made no progress for too long although its predecessor is
+// ahead. Entries on their way over a slow link extend the time.
 func (n *Node) makesNoProgress(now time.Duration, p *peer) bool {
 	place := n.view.ChainIndex(p.member.Identity)
 	if place <= 0 {
@@ -98,7 +119,7 @@
 	return true
 }
 
-// bytesAfter counts the commands that follow the index, as far as the log still has them.
+// bytesAfter returns the size of the commands after the index, as far as the log still has them.
 func (n *Node) bytesAfter(index uint64) int {
 	bytes := 0
 	for _, entry := range n.log.after(min(max(index, n.log.baseIndex), n.log.lastIndex())) {
@@ -107,15 +128,7 @@
 	return bytes
 }
 
-func (n *Node) recordProgressFlap(now time.Duration, p *peer) {
-	if now-p.flappedAt > flapWindow {
-		p.flaps = 1
-	}
-	p.flappedAt = now
-	p.flaps = min(p.flaps+1, maxFlaps)
-}
-
-// successorReady tells whether another member of the chain can become head.
+// successorReady reports whether another member of the chain can become head.
 func (n *Node) successorReady(now time.Duration) bool {
 	return slices.ContainsFunc(n.view.Chain, func(member view.Member) bool {
 		p := n.findPeer(member.Identity)
@@ -123,7 +136,7 @@
 	})
 }
 
-// admissible tells whether a member outside the chain has answered steadily and holds what is committed.
+// admissible reports whether a member outside the chain has answered steadily and has nearly all that is committed.
 func (n *Node) admissible(now time.Duration, p *peer) bool {
 	if !p.replied || !n.isLive(now, p) || p.lastReply.DiskFailing || p.lastReply.Leaving || !p.lastReply.Matched {
 		return false
@@ -142,7 +155,7 @@
 	return true
 }
 
-// admissibleVoters lists the voters outside the chain that can come into it.
+// admissibleVoters returns the voters outside the chain that can be admitted to it.
 func (n *Node) admissibleVoters(now time.Duration) []view.Member {
 	var reserves []view.Member
 	for _, voter := range n.view.Voters {
@@ -154,7 +167,7 @@
 	return reserves
 }
 
-// shouldAdmit tells whether a voter should come into the chain, or a standby should take a vote.
+// shouldAdmit reports whether a voter should be admitted to the chain, or a learner should get a vote.
 func (n *Node) shouldAdmit(now time.Duration) bool {
 	room := len(n.view.Chain) < view.TargetChainLength(len(n.view.Voters), n.config.FaultTolerance)
 	if room && len(n.admissibleVoters(now)) > 0 {
@@ -174,8 +187,8 @@
 	return voters < n.targetVoterCount(now) && n.liveCompleteMembers(now) >= grown
 }
 
-// targetVoterCount is how many voters the live members should have. While one of the voters is silent there are no more:
-// a standby may have to take its vote, and a vote that nobody uses raises the majority for good.
+// targetVoterCount returns how many voters the live members should have. While a voter does not answer there are no
+// more than now: a learner may have to take over its vote, and an unused vote would raise the majority for good.
 func (n *Node) targetVoterCount(now time.Duration) int {
 	answering := n.countVoters(func(p *peer) bool { return p.replied && n.isLive(now, p) })
 	if answering < len(n.view.Voters) && len(n.view.Voters) >= n.minChainLength() {
@@ -190,7 +203,7 @@
 	return view.TargetVoterCount(n.config.FaultTolerance, members)
 }
 
-// liveCompleteMembers counts the members whose logs are whole in this epoch.
+// liveCompleteMembers counts the live members of the chain whose logs are complete in this epoch.
 func (n *Node) liveCompleteMembers(now time.Duration) int {
 	count := 0
 	for _, member := range n.view.Chain {
@@ -202,7 +215,7 @@
 	return count
 }
 
-// admissibleLearners lists the admissible members without a vote, those of zones without a live voter first.
+// admissibleLearners returns the admissible members without a vote, those of zones without a live voter first.
 func (n *Node) admissibleLearners(now time.Duration) []view.Member {
 	var zones []string
 	for _, voter := range n.view.Voters {
@@ -224,7 +237,8 @@
 	return append(first, second...)
 }
 
-// votersToReplace lists the voters that were silent for long, or whose address another identity now answers at.
+// votersToReplace returns the voters that have not answered for long, or at whose address another identity answers
+// now.
 func (n *Node) votersToReplace(now time.Duration) []string {
 	var gone []string
 	for _, voter := range n.view.Voters {
@@ -244,7 +258,8 @@
 	return gone
 }
 
-// reconfiguration is what the next view should be, from what this node knows. Others than the head know only who promises.
+// reconfiguration returns what the next view should be, as far as this node knows. A voter that is not the head knows
+// only who promises.
 func (n *Node) reconfiguration(now time.Duration) view.Reconfiguration {
 	wish := view.Reconfiguration{FaultTolerance: n.config.FaultTolerance, TargetVoters: len(n.view.Voters), Mutation: n.config.Mutation}
 	if !n.isHead() {
--- a/coordination/chain/record.go
+++ b/coordination/chain/record.go
@@ -9,23 +9,28 @@
 	"raventrestle/coordination/view"
 )
 
-// ErrRecord marks a record on disk that makes no sense at its place.
+// The cbor numbers below are the format on disk. A number never changes its meaning.
+//
+// Invariant: replaying the records of a log in their order, beginning with a checkpoint, gives the state that Records
+// would write. Restore rejects a log with gaps or with entries cut off below its base.
+
+// ErrInvalidRecord marks a record on disk that can't be decoded or does not fit its position in the log.
 var ErrInvalidRecord = errors.New("chain: bad record")
 
-// record is one change of the durable state. A set field replaces what was there before.
+// record is one change of the durable state. A field that is set replaces the former value.
 type record struct {
 	Self          *view.Member    `cbor:"1,keyasint,omitempty"`
 	View          *view.View      `cbor:"2,keyasint,omitempty"`
 	Acceptor      *view.Acceptor  `cbor:"3,keyasint,omitempty"`
 	CompleteEpoch uint64          `cbor:"4,keyasint,omitempty"`
-	Entry         *Entry          `cbor:"5,keyasint,omitempty"` // replaces all from its index on
-	TruncateAfter *uint64         `cbor:"6,keyasint,omitempty"` // removes what follows the index
+	Entry         *Entry          `cbor:"5,keyasint,omitempty"` // replaces everything from its index on
+	TruncateAfter *uint64         `cbor:"6,keyasint,omitempty"` // removes the entries after the index
 	CommitIndex   uint64          `cbor:"7,keyasint,omitempty"`
 	KnownMembers  []view.Member   `cbor:"8,keyasint,omitempty"`
-	Base          *checkpointBase `cbor:"9,keyasint,omitempty"` // begins a whole state
+	Base          *checkpointBase `cbor:"9,keyasint,omitempty"` // begins a checkpoint: discards everything before
 }
 
-// checkpointBase begins the records of a whole state.
+// checkpointBase begins the records of a checkpoint.
 type checkpointBase struct {
 	Index    uint64        `cbor:"1,keyasint"`
 	Epoch    uint64        `cbor:"2,keyasint"`
@@ -40,8 +45,8 @@
 	return body
 }
 
-// Restore rebuilds the state from its records, oldest first. Recent is not part of the records: the snapshot
-// holds it.
+// Restore rebuilds the state from its records, oldest first. RecentCommands is left empty, because the snapshot holds
+// it. It fails with ErrInvalidRecord.
 func Restore(records [][]byte) (State, error) {
 	var state State
 	log := memoryLog{}
@@ -59,6 +64,7 @@
 	return state, nil
 }
 
+// applyRecord applies one record to the state and to the log, which becomes part of the state in the end.
 func (s *State) applyRecord(log *memoryLog, r record) error {
 	if r.Base != nil {
 		*s, *log = State{Snapshot: r.Base.Snapshot}, memoryLog{baseIndex: r.Base.Index, baseEpoch: r.Base.Epoch}
@@ -94,7 +100,7 @@
 	return nil
 }
 
-// Records returns the whole state as records, for a checkpoint.
+// Records returns the complete state as the records of a checkpoint.
 func (s *State) Records() [][]byte {
 	records := [][]byte{encodeRecord(record{
 		Base:          &checkpointBase{Index: s.BaseIndex, Epoch: s.BaseEpoch, Snapshot: s.Snapshot},
--- /dev/null
+++ b/coordination/chain/takeover.go
@@ -0,0 +1,115 @@
+package chain
+
+import (
+	"slices"
+	"time"
+)
+
+// Takeover when the head is suspected.
+//
+// A voter that suspects the head first asks the others for a pre-vote, and starts a proposal only when a majority
+// suspects the head as well. A voter that is cut off from the head alone therefore ends no epoch, because its promise
+// would seal it. Pre-votes have no bearing on safety; they promise nothing (compare the pre-vote of Raft, D. Ongaro,
+// 2014, section 9.6).
+
+// runReconfiguration starts a proposal when the head needs another membership and enough voters answer it to decide
+// one.
+func (n *Node) runReconfiguration(now time.Duration) {
+	if !n.reconfigurationNeeded(now) || !n.majorityReplies(now) {
+		return
+	}
+	if now < n.viewChange.retryAt {
+		n.wakeBy(n.viewChange.retryAt)
+		return
+	}
+	n.startProposal(now)
+}
+
+// runTakeover starts pre-votes, one voter after the other by rank, while the head is suspected.
+func (n *Node) runTakeover(now time.Duration) {
+	c := &n.viewChange
+	if !n.sealed() && !n.headSuspected(now) {
+		c.suspectedSince = 0
+		n.wakeBy(n.detector.headHeardAt + n.timing.SuspectTimeout + time.Millisecond)
+		n.wakeBy(n.detector.echoChangedAt + n.timing.SuspectTimeout + 2*n.timing.HeartbeatInterval + time.Millisecond)
+		return
+	}
+	if c.suspectedSince == 0 {
+		c.suspectedSince = now
+		c.retryAt = now + n.takeoverDelay()
+		if n.sealed() {
+			c.retryAt += n.timing.RetryInterval
+		}
+	}
+	if now < c.retryAt {
+		n.wakeBy(c.retryAt)
+		return
+	}
+	c.retryAt = now + n.timing.RetryInterval + n.takeoverDelay()
+	n.wakeBy(c.retryAt)
+	n.startPreVote(now)
+}
+
+// takeoverDelay returns the voter's delay by its rank: the chain after its head first, the head last.
+func (n *Node) takeoverDelay() time.Duration {
+	turn := 0
+	for i, member := range n.view.Chain {
+		if member.Identity == n.self.Identity {
+			turn = i - 1
+		}
+	}
+	switch {
+	case n.isHead():
+		turn = len(n.view.Chain) - 1
+	case !n.inChain():
+		turn = len(n.view.Chain)
+	}
+	return time.Duration(turn)*n.timing.RankBackoff + n.jitter(n.timing.RankBackoff/2)
+}
+
+// startPreVote asks all voters whether they would support a view change.
+func (n *Node) startPreVote(now time.Duration) {
+	c := &n.viewChange
+	c.preVoteID = n.random.Uint64() | 1
+	c.supporters = []string{n.self.Identity}
+	for _, voter := range n.view.Voters {
+		n.send(n.resolve(voter), Message{PreVote: &PreVote{RequestID: c.preVoteID}})
+	}
+	n.countPreVotes(now)
+}
+
+// handlePreVote grants a pre-vote when this voter misses the head too, or a proposal was left unfinished.
+func (n *Node) handlePreVote(now time.Duration, address, from string, poll PreVote) {
+	if !n.view.IsVoter(n.self.Identity) || n.diskFailing {
+		return
+	}
+	support := n.sealed() || from == n.view.Head().Identity
+	switch {
+	case n.isHead():
+		support = support || !n.majorityIsLive(now)
+	default:
+		support = support || n.headUnresponsive(now, n.timing.PreVoteTimeout)
+	}
+	if support {
+		n.sendTo(address, Message{To: from, PreVoteReply: &PreVoteReply{RequestID: poll.RequestID}})
+	}
+}
+
+// handlePreVoteReply counts a granted pre-vote.
+func (n *Node) handlePreVoteReply(now time.Duration, from string, reply PreVoteReply) {
+	c := &n.viewChange
+	if reply.RequestID != c.preVoteID || c.proposer != nil || slices.Contains(c.supporters, from) || !n.view.IsVoter(from) {
+		return
+	}
+	c.supporters = append(c.supporters, from)
+	n.countPreVotes(now)
+}
+
+// countPreVotes starts a proposal once a majority has granted the pre-vote.
+func (n *Node) countPreVotes(now time.Duration) {
+	if n.viewChange.preVoteID == 0 || len(n.viewChange.supporters) < n.view.Majority() {
+		return
+	}
+	n.viewChange.preVoteID = 0
+	n.startProposal(now)
+}
--- a/coordination/chain/change.go
+++ b/coordination/chain/view_change.go
@@ -7,23 +7,35 @@
 	"raventrestle/coordination/view"
 )
 
-// gatherLive is how long the head waits for the promises of voters that it hears.
+// The decision on the next view: this node's roles in single-decree Paxos for the epoch after its own.
+//
+// Invariants, which make the view of each epoch unique (see package view for the argument):
+//
+//   - A promise or an acceptance is on disk before it is sent, also the proposer's own.
+//   - A proposer never uses a number twice in an epoch: numbers rise, and after a restart they begin above the
+//     promise on disk, which covers every number that it has ever sent.
+//   - A promise states the log as it stands. The voter is sealed from then on: it takes no more entries in this
+//     epoch.
+//   - The proposer sends an accepted value that a promise reports, if any, and chooses a view itself only if there is
+//     none.
+
+// livePromiseWindow is how long the head waits for the promises of voters that answer it.
 const livePromiseWindow = 250 * time.Millisecond
 
-// viewChange is the volatile part of deciding the next view.
+// viewChange is the volatile state of deciding the next view.
 type viewChange struct {
-	proposer       *view.Proposer
-	startedAt      time.Duration
-	preparedAt     time.Duration
-	retryAt        time.Duration // of the next attempt
-	highestRound   uint64        // highest seen in this epoch
-	suspectedSince time.Duration // the head is silent or this voter waits for a decision
-	preVoteID      uint64        // number of the poll that is out
-	supporters     []string
-}
-
-// runViewChange drives the decision of the next view: the head when something about the members should change, any
-// other voter when the head is silent or an attempt was left unfinished.
+	proposer       *view.Proposer // nil while this voter has no proposal
+	startedAt      time.Duration  // of the proposal
+	preparedAt     time.Duration  // when a majority had promised; 0 before
+	retryAt        time.Duration  // no proposal or pre-vote is started before
+	highestRound   uint64         // seen in this epoch
+	suspectedSince time.Duration  // since when the head is suspected, or this voter is sealed; 0: neither
+	preVoteID      uint64         // RequestID of the pre-vote under way; 0: none
+	supporters     []string       // identities of the voters that have granted it
+}
+
+// runViewChange drives the decision on the next view: the head when the membership should change, any other voter
+// when the head is suspected or a proposal was left unfinished.
 func (n *Node) runViewChange(now time.Duration) {
 	if n.view.Epoch == 0 || n.diskFailing || !n.view.IsVoter(n.self.Identity) {
 		return
@@ -39,7 +51,7 @@
 	n.runTakeover(now)
 }
 
-// runProposal begins the second phase when enough voters have promised, or gives the attempt up.
+// runProposal begins the second phase when enough voters have promised, or gives the proposal up at its timeout.
 func (n *Node) runProposal(now time.Duration) {
 	c := &n.viewChange
 	if now-c.startedAt > n.timing.ProposalTimeout {
@@ -60,7 +72,8 @@
 	}
 }
 
-// promisesGathered tells whether no more promises are worth waiting for.
+// promisesGathered reports whether no more promises are worth waiting for. The more voters promise, the more of them
+// stay in the chain.
 func (n *Node) promisesGathered(now time.Duration) bool {
 	c := &n.viewChange
 	if c.proposer.PromiseCount() == len(n.view.Voters) {
@@ -81,109 +94,7 @@
 	return now-c.preparedAt >= patience
 }
 
-// runReconfiguration starts an attempt when the head wants another view and hears enough voters to have it.
-func (n *Node) runReconfiguration(now time.Duration) {
-	if !n.reconfigurationNeeded(now) || !n.majorityReplies(now) {
-		return
-	}
-	if now < n.viewChange.retryAt {
-		n.wakeBy(n.viewChange.retryAt)
-		return
-	}
-	n.startProposal(now)
-}
-
-// runTakeover asks the other voters for support, in turn by rank, while there is trouble.
-func (n *Node) runTakeover(now time.Duration) {
-	c := &n.viewChange
-	if !n.sealed() && !n.headSuspected(now) {
-		c.suspectedSince = 0
-		n.wakeBy(n.detector.headHeardAt + n.timing.SuspectTimeout + time.Millisecond)
-		n.wakeBy(n.detector.echoChangedAt + n.timing.SuspectTimeout + 2*n.timing.HeartbeatInterval + time.Millisecond)
-		return
-	}
-	if c.suspectedSince == 0 {
-		c.suspectedSince = now
-		c.retryAt = now + n.takeoverDelay()
-		if n.sealed() {
-			c.retryAt += n.timing.RetryInterval
-		}
-	}
-	if now < c.retryAt {
-		n.wakeBy(c.retryAt)
-		return
-	}
-	c.retryAt = now + n.timing.RetryInterval + n.takeoverDelay()
-	n.wakeBy(c.retryAt)
-	n.startPreVote(now)
-}
-
-// takeoverDelay is the voter's place in the order of attempts, as a delay: the chain after its head first, the head last.
-func (n *Node) takeoverDelay() time.Duration {
-	turn := 0
-	for i, member := range n.view.Chain {
-		if member.Identity == n.self.Identity {
-			turn = i - 1
-		}
-	}
-	switch {
-	case n.isHead():
-		turn = len(n.view.Chain) - 1
-	case !n.inChain():
-		turn = len(n.view.Chain)
-	}
-	return time.Duration(turn)*n.timing.RankBackoff + n.jitter(n.timing.RankBackoff/2)
-}
-
-func (n *Node) jitter(bound time.Duration) time.Duration {
-	return time.Duration(n.random.Int64N(int64(bound) + 1))
-}
-
-func (n *Node) startPreVote(now time.Duration) {
-	c := &n.viewChange
-	c.preVoteID = n.random.Uint64() | 1
-	c.supporters = []string{n.self.Identity}
-	for _, voter := range n.view.Voters {
-		n.send(n.resolve(voter), Message{PreVote: &PreVote{RequestID: c.preVoteID}})
-	}
-	n.countPreVotes(now)
-}
-
-// handlePreVote supports an attempt when this voter misses the head too, or an attempt was left unfinished.
-func (n *Node) handlePreVote(now time.Duration, address, from string, poll PreVote) {
-	if !n.view.IsVoter(n.self.Identity) || n.diskFailing {
-		return
-	}
-	support := n.sealed() || from == n.view.Head().Identity
-	switch {
-	case n.isHead():
-		support = support || !n.majorityIsLive(now)
-	default:
-		support = support || n.headUnresponsive(now, n.timing.PreVoteTimeout)
-	}
-	if support {
-		n.sendTo(address, Message{To: from, PreVoteReply: &PreVoteReply{RequestID: poll.RequestID}})
-	}
-}
-
-func (n *Node) handlePreVoteReply(now time.Duration, from string, reply PreVoteReply) {
-	c := &n.viewChange
-	if reply.RequestID != c.preVoteID || c.proposer != nil || slices.Contains(c.supporters, from) || !n.view.IsVoter(from) {
-		return
-	}
-	c.supporters = append(c.supporters, from)
-	n.countPreVotes(now)
-}
-
-func (n *Node) countPreVotes(now time.Duration) {
-	if n.viewChange.preVoteID == 0 || len(n.viewChange.supporters) < n.view.Majority() {
-		return
-	}
-	n.viewChange.preVoteID = 0
-	n.startProposal(now)
-}
-
-// startProposal opens a ballot above all that this voter has seen, with its own promise first.
+// startProposal opens a proposal above all that this voter has seen, beginning with its own promise.
 func (n *Node) startProposal(now time.Duration) {
 	c := &n.viewChange
 	next := n.view.Epoch + 1
@@ -204,7 +115,7 @@
 	n.runProposal(now)
 }
 
-// makePromise has the own acceptor answer a ballot for the next epoch.
+// makePromise lets the own acceptor answer a proposal for the next epoch, and reports whether it was promised.
 func (n *Node) makePromise(ballot view.ProposalNumber) (view.Promise, bool) {
 	next := n.view.Epoch + 1
 	before := n.acceptor
@@ -221,7 +132,7 @@
 	}, true
 }
 
-// handlePrepare promises not to take part in this epoch any more, nor in lower ballots for the next one.
+// handlePrepare promises to take no further part in this epoch, nor in lower proposals for the next one.
 func (n *Node) handlePrepare(now time.Duration, address, from string, m Prepare) {
 	if m.View.Epoch < n.view.Epoch {
 		n.sendView(now, from, address)
@@ -244,7 +155,7 @@
 	n.sendTo(address, Message{To: from, Promise: &promise})
 }
 
-// handlePromise counts a voter's promise, or learns of a ballot that is ahead.
+// handlePromise counts a voter's promise, or learns of a higher proposal.
 func (n *Node) handlePromise(now time.Duration, promise view.Promise) {
 	c := &n.viewChange
 	if c.proposer == nil || promise.Number != c.proposer.Number {
@@ -261,7 +172,7 @@
 	}
 }
 
-// proposeView sends the value: one that may be decided already, else the plan.
+// proposeView begins the second phase: with a value that may already be decided, else with a planned view.
 func (n *Node) proposeView(now time.Duration) {
 	c := &n.viewChange
 	value, bound := c.proposer.RequiredValue()
@@ -281,6 +192,7 @@
 	}
 }
 
+// acceptView lets the own acceptor accept a value and reports whether it did.
 func (n *Node) acceptView(ballot view.ProposalNumber, value view.View) bool {
 	if value.Epoch != n.view.Epoch+1 || !n.acceptor.Accept(ballot, value, n.config.Mutation) {
 		return false
@@ -290,6 +202,7 @@
 	return true
 }
 
+// handleAccept accepts the value of a proposal unless a higher one was promised.
 func (n *Node) handleAccept(now time.Duration, address, from string, m Accept) {
 	if !n.view.IsVoter(n.self.Identity) || n.diskFailing || !n.acceptView(m.Number, m.Value) {
 		return
@@ -300,7 +213,7 @@
 	n.sendTo(address, Message{To: from, Accepted: &Accepted{Number: m.Number}})
 }
 
-// handleAccepted decides the view once a majority holds it, enters it and tells everybody.
+// handleAccepted enters the view once a majority has accepted it, and announces it to all members.
 func (n *Node) handleAccepted(now time.Duration, from string, m Accepted) {
 	c := &n.viewChange
 	if c.proposer == nil || c.proposer.Number != m.Number || c.proposer.Value.Epoch == 0 || !c.proposer.AddAcceptance(from) {
@@ -319,8 +232,8 @@
 	}
 }
 
-// previousLeasesExpired tells whether no leader of an earlier epoch can still believe in its lease: the head of the epoch that
-// ends has promised, and so has dropped its own.
+// previousLeasesExpired reports whether no leader of an earlier epoch can still regard its lease as valid: the head
+// of the epoch that ends has promised, and so has given up its own.
 func (n *Node) previousLeasesExpired(now time.Duration) bool {
 	return n.viewChange.proposer.HasPromiseFrom(n.view.Head().Identity) && now >= n.detector.previousLeaseExpiry
 }
