--- a/cmd/raventrestle-control/instance.go
+++ b/cmd/raventrestle-control/instance.go
@@ -181,21 +181,21 @@
 }
 
 func openReplica(
-	settings *nodeconfig.Settings, self string, carrier replica.Transport, machine replica.Machine, events *events,
+	settings *nodeconfig.Settings, self string, carrier replica.Transport, machine replica.StateMachine, events *events,
 ) (replica.Interface, error) {
 	seeds, err := seedAddresses(settings)
 	if err != nil {
 		return nil, err
 	}
-	return replica.Open(replica.Options{
-		Self:      replica.Member{Address: self, Zone: settings.Zone, Tag: settings.ListenControl},
-		Seeds:     seeds,
-		Bootstrap: settings.Bootstrap,
-		Faults:    settings.FaultToleranceMachines,
-		Folder:    settings.DataDir,
-		Transport: carrier,
-		Machine:   machine,
-		Log:       events.replica,
+	return replica.Open(replica.Config{
+		Self:           replica.Member{Address: self, Zone: settings.Zone, Tag: settings.ListenControl},
+		Seeds:          seeds,
+		Bootstrap:      settings.Bootstrap,
+		FaultTolerance: settings.FaultToleranceMachines,
+		Directory:      settings.DataDir,
+		Transport:      carrier,
+		StateMachine:   machine,
+		RecordEvent:    events.replica,
 	})
 }
 
--- a/coordination/engine/engine.go
+++ b/coordination/engine/engine.go
@@ -23,67 +23,67 @@
 )
 
 // ErrUnclear says that a command may or may not have been applied.
-var ErrUnclear = errors.New("the command may or may not have been applied")
+var ErrOutcomeUnknown = errors.New("the command may or may not have been applied")
 
-// Machine is the replicated state.
-type Machine interface {
+// StateMachine is the replicated state.
+type StateMachine interface {
 	Apply(index uint64, command []byte) (result []byte)
 	Snapshot() []byte
 	Restore(snapshot []byte) error
 }
 
-// Options sets up an engine.
-type Options struct {
-	Self         view.Member // Identity is ignored
-	Seeds        []string
-	Bootstrap    bool
-	Faults       int
-	FS           wal.FS
-	Machine      Machine
-	Random       uint64
-	Timing       chain.Timing
-	CompactBytes int64
-	KeepBytes    int // of commands kept in memory behind a snapshot
-	SegmentBytes int64
-	Mutation     mutation.Set
+// Config sets up an engine.
+type Config struct {
+	Self           view.Member // Identity is ignored
+	Seeds          []string
+	Bootstrap      bool
+	FaultTolerance int
+	FS             wal.FS
+	StateMachine   StateMachine
+	RandomSeed     uint64
+	Timing         chain.Timing
+	CompactBytes   int64
+	KeepBytes      int // of commands kept in memory behind a snapshot
+	SegmentBytes   int64
+	Mutation       mutation.Set
 }
 
 // Input is one thing to take in. Exactly one of the fields beside Token is set.
 type Input struct {
-	Token    uint64 // names the call in Effects
-	Message  *chain.Message
-	Address  string // where the message came from
-	Command  []byte // to propose; must not be nil
-	Barrier  bool
-	Withdraw bool // give up the call named by Token
-	Leave    bool
+	CallID  uint64 // names the call in Effects
+	Message *chain.Message
+	Address string // where the message came from
+	Command []byte // to propose; must not be nil
+	Barrier bool
+	Cancel  bool // give up the call named by Token
+	Leave   bool
 }
 
-// Effects is what a step asks of its host.
-type Effects struct {
-	Messages  []chain.Envelope
-	Results   []Result
-	Withdrawn []Withdrawn
-	DiskError error // the disk refused; the engine goes on without it and tries again
+// Output is what a step asks of its host.
+type Output struct {
+	Messages      []chain.Envelope
+	Results       []Result
+	Cancellations []Cancellation
+	DiskError     error // the disk refused; the engine goes on without it and tries again
 }
 
 // Result ends a call.
 type Result struct {
-	Token uint64
-	Value []byte // of the command
-	Index uint64 // of the barrier or the command
-	Err   error
+	CallID uint64
+	Value  []byte // of the command
+	Index  uint64 // of the barrier or the command
+	Err    error
 }
 
-// Withdrawn tells of a call that was given up whether the command may have been sent.
-type Withdrawn struct {
-	Token uint64
-	Sent  bool
+// Cancellation tells of a call that was given up whether the command may have been sent.
+type Cancellation struct {
+	CallID    uint64
+	MaybeSent bool
 }
 
 // Engine is one member.
 type Engine struct {
-	options  Options
+	options  Config
 	node     *chain.Node
 	log      *wal.Log
 	calls    map[uint64]call   // by number
@@ -94,7 +94,7 @@
 
 	records  [][]byte // gathered, not yet synced
 	messages []chain.Envelope
-	effects  Effects
+	effects  Output
 }
 
 type call struct {
@@ -103,7 +103,7 @@
 }
 
 // Open recovers the member from its disk, or begins one on an empty disk.
-func Open(now time.Duration, options Options) (*Engine, error) {
+func Open(now time.Duration, options Config) (*Engine, error) {
 	if options.CompactBytes <= 0 {
 		options.CompactBytes = DefaultCompactBytes
 	}
@@ -125,7 +125,7 @@
 	}
 	e.heldBase = min(log.BytesSinceCheckpoint(), options.CompactBytes/2)
 	e.node = chain.New(now, state, chain.Config{
-		FaultTolerance: options.Faults, Seeds: options.Seeds, RandomSeed: options.Random, Timing: options.Timing,
+		FaultTolerance: options.FaultTolerance, Seeds: options.Seeds, RandomSeed: options.RandomSeed, Timing: options.Timing,
 		Mutation: options.Mutation,
 	})
 	e.node.SetSnapshotSize(int(e.snapshot))
@@ -161,7 +161,7 @@
 	}
 	state.RecentCommands = snapshot.RecentCommands
 	e.snapshot = int64(len(recovered.Snapshot))
-	if err := e.options.Machine.Restore(snapshot.Machine); err != nil {
+	if err := e.options.StateMachine.Restore(snapshot.Machine); err != nil {
 		return chain.State{}, fmt.Errorf("restoring the machine: %w", err)
 	}
 	return state, nil
@@ -172,13 +172,13 @@
 	if founder && (e.options.Bootstrap || e.options.Mutation.VoteAfterWipe) {
 		return state
 	}
-	return chain.JoinAsLearner(e.options.Self, fmt.Sprintf("%016x", e.options.Random))
+	return chain.JoinAsLearner(e.options.Self, fmt.Sprintf("%016x", e.options.RandomSeed))
 }
 
 // Step takes the inputs in order, syncs once for all of them, and returns what they have led to. Without inputs
 // it lets timers act.
-func (e *Engine) Step(now time.Duration, inputs []Input) Effects {
-	e.effects = Effects{}
+func (e *Engine) Step(now time.Duration, inputs []Input) Output {
+	e.effects = Output{}
 	if e.node.DiskFailing() && now >= e.retryAt {
 		e.retryDisk(now)
 	}
@@ -209,14 +209,14 @@
 		e.gather(now, e.node.Receive(now, input.Address, *input.Message))
 	case input.Command != nil:
 		number, out := e.node.Propose(now, input.Command)
-		e.calls[number], e.numbers[input.Token] = call{token: input.Token}, number
+		e.calls[number], e.numbers[input.CallID] = call{token: input.CallID}, number
 		e.gather(now, out)
 	case input.Barrier:
 		number, out := e.node.Barrier(now)
-		e.calls[number], e.numbers[input.Token] = call{token: input.Token, barrier: true}, number
+		e.calls[number], e.numbers[input.CallID] = call{token: input.CallID, barrier: true}, number
 		e.gather(now, out)
-	case input.Withdraw:
-		e.withdraw(input.Token)
+	case input.Cancel:
+		e.withdraw(input.CallID)
 	case input.Leave:
 		e.gather(now, e.node.Leave(now))
 	}
@@ -235,7 +235,7 @@
 	}
 	delete(e.calls, number)
 	delete(e.numbers, token)
-	e.effects.Withdrawn = append(e.effects.Withdrawn, Withdrawn{Token: token, Sent: sent})
+	e.effects.Cancellations = append(e.effects.Cancellations, Cancellation{CallID: token, MaybeSent: sent})
 }
 
 // gather adds a step's output to what is synced next. A snapshot from a peer is written at once.
@@ -262,7 +262,7 @@
 	e.keep(out.InstallSnapshot.Snapshot)
 	snapshot, err := chain.DecodeSnapshot(out.InstallSnapshot.Snapshot)
 	if err == nil {
-		err = e.options.Machine.Restore(snapshot.Machine)
+		err = e.options.StateMachine.Restore(snapshot.Machine)
 	}
 	if err != nil {
 		panic(fmt.Sprintf("engine: a snapshot of the group can't be restored: %v", err)) // state and disk now differ
@@ -332,14 +332,14 @@
 	for _, entry := range e.node.TakeCommitted() {
 		var value []byte
 		if !entry.Duplicate {
-			value = e.options.Machine.Apply(entry.Index, entry.Command)
+			value = e.options.StateMachine.Apply(entry.Index, entry.Command)
 		}
 		if e.node.IsOwnCommand(entry.ID) && !entry.Duplicate {
 			e.end(entry.ID.Number, Result{Value: value, Index: entry.Index})
 		}
 	}
 	for _, number := range e.node.TakeUnknownOutcomes() {
-		e.end(number, Result{Err: ErrUnclear})
+		e.end(number, Result{Err: ErrOutcomeUnknown})
 	}
 	for _, passed := range e.node.TakeBarrierResults() {
 		e.end(passed.RequestID, Result{Index: passed.Index})
@@ -353,14 +353,14 @@
 	}
 	delete(e.calls, number)
 	delete(e.numbers, c.token)
-	result.Token = c.token
+	result.CallID = c.token
 	e.effects.Results = append(e.effects.Results, result)
 }
 
 func (e *Engine) checkpoint() error {
 	state := e.node.Checkpoint(e.options.KeepBytes)
 	_, applied := e.node.Applied()
-	snapshot := chain.Snapshot{Point: state.Snapshot, RecentCommands: applied, Machine: e.options.Machine.Snapshot()}.Encode()
+	snapshot := chain.Snapshot{Point: state.Snapshot, RecentCommands: applied, Machine: e.options.StateMachine.Snapshot()}.Encode()
 	if err := e.log.Checkpoint(snapshot, state.Records()); err != nil {
 		return err
 	}
@@ -375,8 +375,8 @@
 	e.node.SetSnapshotSize(len(snapshot))
 }
 
-// Wake returns when the next Step is due.
-func (e *Engine) Wake() time.Duration {
+// NextStep returns when the next Step is due.
+func (e *Engine) NextStep() time.Duration {
 	if e.node.DiskFailing() {
 		return min(e.node.NextTick(), e.retryAt)
 	}
@@ -386,14 +386,14 @@
 // Status returns what the member knows of itself.
 func (e *Engine) Status(now time.Duration) chain.Status { return e.node.Status(now) }
 
-// Leads tells whether the member may act as leader now.
-func (e *Engine) Leads(now time.Duration) bool { return e.node.IsLeader(now) }
+// IsLeader tells whether the member may act as leader now.
+func (e *Engine) IsLeader(now time.Duration) bool { return e.node.IsLeader(now) }
 
-// Left tells whether the member may go after Leave, even with its disk.
-func (e *Engine) Left() bool { return e.node.SafeToLeave() }
+// SafeToLeave tells whether the member may go after Leave, even with its disk.
+func (e *Engine) SafeToLeave() bool { return e.node.SafeToLeave() }
 
-// Staying tells why the member can't go yet; it is empty once it can.
-func (e *Engine) Staying() string { return e.node.LeaveBlocker() }
+// LeaveBlocker tells why the member can't go yet; it is empty once it can.
+func (e *Engine) LeaveBlocker() string { return e.node.LeaveBlocker() }
 
 // Node returns the state machine, for checks that look inside.
 func (e *Engine) Node() *chain.Node { return e.node }
--- a/coordination/engine/golden_test.go
+++ b/coordination/engine/golden_test.go
@@ -63,12 +63,12 @@
 	g.t.Helper()
 	m := g.members[number]
 	m.words, m.inbox = &goldenWords{}, nil
-	opened, err := engine.Open(g.now, engine.Options{
+	opened, err := engine.Open(g.now, engine.Config{
 		Self: view.Member{
 			Address: goldenAddress(number), Zone: fmt.Sprint("zone", number), Tag: fmt.Sprint("tag", number),
 		},
 		Seeds:     []string{goldenAddress(0), goldenAddress(1), goldenAddress(2)},
-		Bootstrap: bootstrap, Faults: 1, FS: m.fs, Machine: m.words, Random: random,
+		Bootstrap: bootstrap, FaultTolerance: 1, FS: m.fs, StateMachine: m.words, RandomSeed: random,
 		CompactBytes: 2500, KeepBytes: 300, SegmentBytes: 1200,
 	})
 	if err != nil {
@@ -80,7 +80,7 @@
 func (g *goldenGroup) propose(number int, word string) {
 	g.calls++
 	m := g.members[number]
-	m.inbox = append(m.inbox, engine.Input{Token: g.calls, Command: []byte(word)})
+	m.inbox = append(m.inbox, engine.Input{CallID: g.calls, Command: []byte(word)})
 }
 
 // run plays until the time has passed; every so often a member proposes a word.
--- a/coordination/simnet/catchup_test.go
+++ b/coordination/simnet/catchup_test.go
@@ -74,7 +74,7 @@
 	w := NewWorld(Setup{
 		Seed: seed, Machines: 3, Seeds: 3, Faults: 1, Rate: of.rate, Loss: of.loss,
 		Sizes:      Sizes{Compact: engine.DefaultCompactBytes, Keep: engine.DefaultKeepBytes, Segment: 4 << 20},
-		Replicated: func() engine.Machine { return &document{} },
+		Replicated: func() engine.StateMachine { return &document{} },
 	})
 	_ = w.Run(time.Second)
 	w.storm(stormEvery, of.bytes, of.large, of.largeEvery)
@@ -229,7 +229,7 @@
 	w := NewWorld(Setup{
 		Seed: 1, Machines: 3, Seeds: 3, Faults: 1,
 		Sizes:      Sizes{Compact: compact, Keep: keep, Segment: compact},
-		Replicated: func() engine.Machine { return &document{} },
+		Replicated: func() engine.StateMachine { return &document{} },
 	})
 	_ = w.Run(time.Second)
 	w.storm(stormEvery, 2<<10, change, 20)
@@ -256,7 +256,7 @@
 		w := NewWorld(Setup{
 			Seed: 1, Machines: 3, Seeds: 3, Faults: 1, Mutation: planted,
 			Sizes:      Sizes{Compact: engine.DefaultCompactBytes, Keep: engine.DefaultKeepBytes, Segment: 4 << 20},
-			Replicated: func() engine.Machine { return &document{} },
+			Replicated: func() engine.StateMachine { return &document{} },
 		})
 		_ = w.Run(time.Second)
 		w.propose(w.head(), string(make([]byte, 400<<10)))
--- a/coordination/simnet/embed.go
+++ b/coordination/simnet/embed.go
@@ -9,7 +9,7 @@
 
 // PlayEmbedded plays the history of a seed, with all faults, around machines of the caller's, whose clients begin calls
 // through the Site until it is over.
-func PlayEmbedded(seed uint64, replicated func() engine.Machine, clients func(site *Site)) (*World, error) {
+func PlayEmbedded(seed uint64, replicated func() engine.StateMachine, clients func(site *Site)) (*World, error) {
 	setup := setupOf(seed)
 	setup.Replicated = replicated
 	w := NewWorld(setup)
@@ -27,7 +27,7 @@
 
 // PlayHeads is like PlayEmbedded, but for a minute whose troubles meet the head alone: it is frozen, cut off, restarted,
 // or leaves, and is well again some time later.
-func PlayHeads(seed uint64, replicated func() engine.Machine, clients func(site *Site)) (*World, error) {
+func PlayHeads(seed uint64, replicated func() engine.StateMachine, clients func(site *Site)) (*World, error) {
 	setup := setupOf(seed)
 	setup.Replicated = replicated
 	w := NewWorld(setup)
@@ -123,13 +123,13 @@
 }
 
 // Read hands over what a machine drawn at random holds after a barrier. Where it ends first, done is never called.
-func (s *Site) Read(done func(machine engine.Machine)) {
+func (s *Site) Read(done func(machine engine.StateMachine)) {
 	m := s.world.pick()
 	s.world.barrier(m, func() { done(m.state.embedded) })
 }
 
 // Machine returns what a machine drawn at random holds, without asking the others; nil where it is down.
-func (s *Site) Machine() engine.Machine {
+func (s *Site) Machine() engine.StateMachine {
 	if m := s.world.pick(); m.engine != nil {
 		return m.state.embedded
 	}
--- a/coordination/simnet/faults.go
+++ b/coordination/simnet/faults.go
@@ -152,7 +152,7 @@
 		switch {
 		case m.life != life || m.engine == nil:
 			then()
-		case m.engine.Left() && m.busy <= w.now || w.now-asked > time.Second:
+		case m.engine.SafeToLeave() && m.busy <= w.now || w.now-asked > time.Second:
 			m.kill()
 			then()
 		default:
--- a/coordination/simnet/ledger.go
+++ b/coordination/simnet/ledger.go
@@ -115,7 +115,7 @@
 			w.ledger.entered(w, node)
 		}
 		w.ledger.epochs[identity] = epoch
-		if !m.engine.Leads(m.local()) {
+		if !m.engine.IsLeader(m.local()) {
 			continue
 		}
 		if leader != nil {
@@ -132,7 +132,7 @@
 	commands []string
 	index    map[string]uint64
 	last     uint64
-	embedded engine.Machine
+	embedded engine.StateMachine
 }
 
 func newMachineState(m *machine) *machineState {
--- a/coordination/simnet/scenario_test.go
+++ b/coordination/simnet/scenario_test.go
@@ -164,7 +164,7 @@
 		w.leave(head, func() { w.after(500*time.Millisecond, func() { head.start(false) }) })
 		for w.now-began < 3*time.Second && w.failure == nil {
 			_ = w.Run(2 * time.Millisecond)
-			if next := w.head(); next != head && next.engine != nil && next.engine.Leads(next.local()) {
+			if next := w.head(); next != head && next.engine != nil && next.engine.IsLeader(next.local()) {
 				led.add(w.now - began)
 				return
 			}
--- a/coordination/simnet/world.go
+++ b/coordination/simnet/world.go
@@ -23,7 +23,7 @@
 	Sizes    Sizes         // of the log; the zero value means small ones, so that short histories compact often
 	Trace    func(line string)
 	// Replicated makes the machine that a process replicates, where it is not the tests' own.
-	Replicated func() engine.Machine
+	Replicated func() engine.StateMachine
 }
 
 // Sizes are those of engine.Options.
--- a/internal/control/host/host_test.go
+++ b/internal/control/host/host_test.go
@@ -83,9 +83,9 @@
 	}
 	for n, self := range nodes {
 		self.double = replicatest.New(nil, replica.Status{
-			Self: members[n],
-			View: replica.View{Epoch: 1, Chain: members, Voters: members},
-			Live: members,
+			Self:        members[n],
+			View:        replica.View{Epoch: 1, Chain: members, Voters: members},
+			LiveMembers: members,
 		})
 		mesh := transport.NewMesh(testCodec(), self.address, entrances[n])
 		t.Cleanup(mesh.Close)
@@ -238,7 +238,7 @@
 	c.await("confirmed", func(u *protocol.Update) bool { return u.GenerationConfirmed })
 	nodes[0].stand.set(9, "nine")
 	status := nodes[0].double.Status()
-	status.Committed++
+	status.CommitIndex++
 	nodes[0].double.SetStatus(status)
 	c.await("version 9", func(u *protocol.Update) bool { return u.Generation == 9 && string(u.Document) == "nine" })
 	deadline := time.After(patience)
--- a/internal/control/roles/fencing_test.go
+++ b/internal/control/roles/fencing_test.go
@@ -68,8 +68,8 @@
 
 func statusOf(s chain.Status) replica.Status {
 	return replica.Status{
-		View: s.View, Leader: s.IsLeader, LeaseUntil: instant(s.LeaseExpiry), LeaderSince: instant(s.LeaderSince),
-		PreviousMayAct: instant(s.PreviousLeaseExpiry),
+		View: s.View, IsLeader: s.IsLeader, LeaseExpiry: instant(s.LeaseExpiry), LeaderSince: instant(s.LeaderSince),
+		PreviousLeaseExpiry: instant(s.PreviousLeaseExpiry),
 	}
 }
 
@@ -99,7 +99,7 @@
 	}
 	status := statusOf(process.Status)
 	if f.hasty {
-		status.PreviousMayAct, status.LeaderSince = now.Add(-shortLease), now.Add(-shortLease)
+		status.PreviousLeaseExpiry, status.LeaderSince = now.Add(-shortLease), now.Add(-shortLease)
 	}
 	if turn := h.tenure.Step(now, status); turn.MayAct && !h.busy {
 		h.busy = true
@@ -129,7 +129,7 @@
 		}
 		status := statusOf(process.Status)
 		until := instant(process.Now).Add(leaseReserve)
-		if !status.Leader || status.View.Epoch != epoch || !until.Before(status.LeaseUntil) {
+		if !status.IsLeader || status.View.Epoch != epoch || !until.Before(status.LeaseExpiry) {
 			h.busy = false // permitted says no
 			return
 		}
@@ -187,7 +187,7 @@
 
 func playFencing(seed uint64, f *fencing) error {
 	f.hosts, f.frozen = map[int]*holding{}, map[int]time.Duration{}
-	_, err := simnet.PlayHeads(seed, func() engine.Machine { return counter{} }, func(site *simnet.Site) {
+	_, err := simnet.PlayHeads(seed, func() engine.StateMachine { return counter{} }, func(site *simnet.Site) {
 		f.site = site
 		f.run()
 	})
--- a/internal/control/roles/holder.go
+++ b/internal/control/roles/holder.go
@@ -139,7 +139,7 @@
 		return false
 	}
 	status := h.parts.Replica.Status()
-	return status.Leader && status.View.Epoch == epoch && time.Now().Add(leaseReserve).Before(status.LeaseUntil)
+	return status.IsLeader && status.View.Epoch == epoch && time.Now().Add(leaseReserve).Before(status.LeaseExpiry)
 }
 
 // StepDown ends all orders for good: the roles are about to be handed over.
--- a/internal/control/roles/holder_test.go
+++ b/internal/control/roles/holder_test.go
@@ -174,7 +174,7 @@
 		t.Errorf("quiet for %v, waited for %v", quiet, waited)
 	}
 	lost := s.double.Status()
-	lost.Leader = false
+	lost.IsLeader = false
 	s.double.SetStatus(lost)
 	next(t, "end", s.finished, func(epoch uint64) bool { return epoch == 3 })
 	s.double.SetStatus(leadingNow(4))
--- a/internal/control/state/history_clients_test.go
+++ b/internal/control/state/history_clients_test.go
@@ -134,7 +134,7 @@
 			then(0)
 		}
 	})
-	p.site.Read(func(machine engine.Machine) {
+	p.site.Read(func(machine engine.StateMachine) {
 		if ended {
 			return
 		}
--- a/internal/control/state/machine.go
+++ b/internal/control/state/machine.go
@@ -9,7 +9,7 @@
 	"raventrestle/internal/configuration"
 )
 
-var _ replica.Machine = (*Machine)(nil)
+var _ replica.StateMachine = (*Machine)(nil)
 
 // Version is one accepted version of the configuration.
 type Version struct {
