--- a/internal/control/controller/replica.go
+++ b/internal/control/controller/replica.go
@@ -34,7 +34,7 @@
 func (c *Controller) observeCommitted(state ReplicatedState) {
 	if state.Generation > c.replica.generation {
 		c.replica.generation = state.Generation
-		document := protocol.PackDocument(state.Document)
+		document := protocol.CompressDocument(state.Document)
 		c.toHub(distribution.Configuration{Generation: state.Generation, Document: document})
 	}
 	contact := newestContact(c.replica.contact, state.Status)
--- a/internal/control/distribution/size_test.go
+++ b/internal/control/distribution/size_test.go
@@ -16,7 +16,7 @@
 	whole := func(bool) []protocol.Endpoint { return table }
 	now := time.Unix(0, 0)
 	h := New(now)
-	h.Step(now, whole, Configuration{Generation: 1, Document: protocol.PackDocument(sizetest.Document())})
+	h.Step(now, whole, Configuration{Generation: 1, Document: protocol.CompressDocument(sizetest.Document())})
 	h.Step(now, whole, Endpoints{Revision: 1, Routers: sizetest.Routers, Whole: true})
 	for i := range routersPerInstance {
 		router := protocol.Subscribe{Node: sizetest.RouterName(i)}
@@ -87,7 +87,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		generation++
-		packed := protocol.PackDocument(document)
+		packed := protocol.CompressDocument(document)
 		bytes += encoded(b, h.Step(now, whole, Configuration{Generation: generation, Document: packed}))
 		confirmAll(h, now, whole)
 	}
--- a/internal/control/host/host_test.go
+++ b/internal/control/host/host_test.go
@@ -319,7 +319,7 @@
 	one.await("first", func(u *protocol.Update) bool { return u.Sequence == 1 })
 	nodes[0].host.Grant(map[string][]protocol.RouterGrants{nodes[0].address: {
 		{Node: "r1", Incarnation: 2, Grants: []protocol.QuotaGrant{{Tenant: "old"}}},
-		{Node: "r1", Incarnation: 3, Grants: []protocol.QuotaGrant{{Tenant: "t", RatePerS: 5}}},
+		{Node: "r1", Incarnation: 3, Grants: []protocol.QuotaGrant{{Tenant: "t", RatePerSecond: 5}}},
 	}})
 	update := one.await("grant", func(u *protocol.Update) bool { return len(u.Quotas) > 0 })
 	if update.Quotas[0].Tenant != "t" {
--- a/internal/control/placer/golden_fleet_test.go
+++ b/internal/control/placer/golden_fleet_test.go
@@ -400,9 +400,9 @@
 		d = &goldenDemand{}
 		f.demand[key] = d
 	}
-	d.row.Asked++
+	d.row.Requests++
 	d.row.Tokens += int64(200 + f.random.IntN(1500))
-	d.row.Worth += int64(1 + f.random.IntN(10))
+	d.row.Value += int64(1 + f.random.IntN(10))
 	switch {
 	case f.served(key):
 		d.running++
@@ -434,7 +434,7 @@
 		if (f.now+time.Duration(router)*3*goldenTick)%(500*time.Millisecond) != 0 {
 			continue
 		}
-		report := protocol.Report{Node: fmt.Sprintf("r%d", router), Sequence: uint64(f.now), Over: 500 * time.Millisecond}
+		report := protocol.Report{Node: fmt.Sprintf("r%d", router), Sequence: uint64(f.now), Window: 500 * time.Millisecond}
 		for _, key := range slices.SortedFunc(maps.Keys(f.demand), goldenKey.compare) {
 			if key.router != router {
 				continue
@@ -442,9 +442,9 @@
 			d := f.demand[key]
 			row := d.row
 			row.Service, row.Model, row.Adapter = key.service, key.model, key.adapter
-			row.Waiting, row.Running = d.waiting, d.running
+			row.Queued, row.InFlight = d.waiting, d.running
 			d.row = protocol.ModelDemand{}
-			if row.Asked+row.Unserved+row.Waiting+row.Running > 0 {
+			if row.Requests+row.Unserved+row.Queued+row.InFlight > 0 {
 				report.Models = append(report.Models, row)
 			}
 		}
--- a/internal/control/placer/takeover_test.go
+++ b/internal/control/placer/takeover_test.go
@@ -37,14 +37,14 @@
 }
 
 func wantedModels(unserved int, names ...string) []protocol.Report {
-	told := protocol.Report{Node: "r", Sequence: 1, Over: 500 * time.Millisecond}
+	told := protocol.Report{Node: "r", Sequence: 1, Window: 500 * time.Millisecond}
 	for _, name := range names {
 		told.Models = append(told.Models, protocol.ModelDemand{
-			Service: "lm", Model: name, Asked: 5, Unserved: unserved,
-			Worth: 40, Tokens: 5000,
+			Service: "lm", Model: name, Requests: 5, Unserved: unserved,
+			Value: 40, Tokens: 5000,
 		})
 	}
-	told.Models = append(told.Models, protocol.ModelDemand{Service: "lm", Model: "busy", Asked: 1, Worth: 9, Tokens: 1000})
+	told.Models = append(told.Models, protocol.ModelDemand{Service: "lm", Model: "busy", Requests: 1, Value: 9, Tokens: 1000})
 	return []protocol.Report{told}
 }
 
@@ -151,9 +151,9 @@
 		in := Input{Endpoints: table, Inspections: looks, Recovering: true}
 		if i%10 == 0 {
 			in.Reports = []protocol.Report{{
-				Node: "r", Sequence: uint64(i), Over: 500 * time.Millisecond,
+				Node: "r", Sequence: uint64(i), Window: 500 * time.Millisecond,
 				Models: []protocol.ModelDemand{{
-					Service: "lm", Model: "busy", Asked: 50, Running: 60, Waiting: 5, Worth: 450,
+					Service: "lm", Model: "busy", Requests: 50, InFlight: 60, Queued: 5, Value: 450,
 					Tokens: 50000,
 				}},
 			}}
@@ -214,14 +214,14 @@
 	looks := looksAt(table, false)
 	for at := 500 * time.Millisecond; at < 7*time.Second; at += 500 * time.Millisecond {
 		told := protocol.Report{
-			Node: "r", Sequence: uint64(at), Over: 500 * time.Millisecond,
+			Node: "r", Sequence: uint64(at), Window: 500 * time.Millisecond,
 			Models: []protocol.ModelDemand{
-				{Service: "lm", Model: "busy", Asked: 1, Running: 30, Worth: 9, Tokens: 1000},
-				{Service: "lm", Model: "m2", Asked: 1, Running: 3, Worth: 9, Tokens: 1000},
+				{Service: "lm", Model: "busy", Requests: 1, InFlight: 30, Value: 9, Tokens: 1000},
+				{Service: "lm", Model: "m2", Requests: 1, InFlight: 3, Value: 9, Tokens: 1000},
 			},
 		}
 		if at > 6*time.Second {
-			told.Models = append(told.Models, protocol.ModelDemand{Service: "lm", Model: "m1", Asked: 3, Unserved: 3, Worth: 27})
+			told.Models = append(told.Models, protocol.ModelDemand{Service: "lm", Model: "m1", Requests: 3, Unserved: 3, Value: 27})
 		}
 		out := p.Step(now.Add(at), Input{Endpoints: table, Inspections: looks, Reports: []protocol.Report{told}})
 		looks = nil
@@ -250,7 +250,7 @@
 		in := Input{Endpoints: table, Results: results, Inspections: looks}
 		if at%(500*time.Millisecond) == 0 {
 			in.Reports = wantedModels(2, "m1")
-			in.Reports[0].Models[1].Running = 30
+			in.Reports[0].Models[1].InFlight = 30
 		}
 		results, looks = nil, nil
 		for _, order := range p.Step(now.Add(at), in).Orders {
--- a/internal/control/placer/world_test.go
+++ b/internal/control/placer/world_test.go
@@ -504,9 +504,9 @@
 		w.stats.rareAsked++
 	}
 	row := w.row(request)
-	row.Asked++
+	row.Requests++
 	row.Tokens += int64(request.prompt + request.output)
-	row.Worth += int64(10 - c.priority)
+	row.Value += int64(10 - c.priority)
 	w.held = append(w.held, request)
 }
 
@@ -707,17 +707,17 @@
 		w.sentUp[node]++
 		for _, c := range w.held {
 			if c.router == i {
-				w.row(c).Waiting++
+				w.row(c).Queued++
 			}
 		}
 		for _, e := range w.engines {
 			for _, c := range append(slices.Clone(e.prefills), e.decodes...) {
 				if c.router == i {
-					w.row(c).Running++
+					w.row(c).InFlight++
 				}
 			}
 		}
-		told := protocol.Report{Node: node, Sequence: w.sentUp[node], Over: 500 * time.Millisecond}
+		told := protocol.Report{Node: node, Sequence: w.sentUp[node], Window: 500 * time.Millisecond}
 		for _, row := range w.asked[i] {
 			told.Models = append(told.Models, *row)
 		}
--- a/internal/control/quota/world_test.go
+++ b/internal/control/quota/world_test.go
@@ -174,7 +174,7 @@
 	w.later(w.delay(), func() {
 		for _, g := range message.Grants {
 			b := n.buckets[g.Tenant]
-			b.rate, b.depth, b.ends = g.RatePerS, g.Burst, w.now+g.For
+			b.rate, b.depth, b.ends = g.RatePerSecond, g.Burst, w.now+g.TTL
 			b.level = math.Min(b.level, b.depth)
 			if w.credits {
 				b.credit += g.Credit
@@ -244,7 +244,7 @@
 func (w *world) refill(n *node) {
 	for _, p := range w.parties {
 		b := n.buckets[p.tenant.Name]
-		rate, depth := p.tenant.RatePerS*protocol.QuotaFloorShare/float64(len(w.nodes)), p.tenant.Burst/float64(len(w.nodes))
+		rate, depth := p.tenant.RatePerS*protocol.UngrantedRateShare/float64(len(w.nodes)), p.tenant.Burst/float64(len(w.nodes))
 		if w.now < b.ends {
 			rate, depth = math.Min(b.rate, p.tenant.RatePerS), b.depth
 		}
@@ -259,7 +259,7 @@
 
 func (w *world) debt(p *party) float64 {
 	whole := p.tenant.RatePerS*w.window.Seconds() + p.tenant.Burst
-	return (whole*w.options.OvershootFraction + w.options.OvershootSlack) * protocol.QuotaDebtShare / float64(len(w.nodes))
+	return (whole*w.options.OvershootFraction + w.options.OvershootSlack) * protocol.OverdraftShare / float64(len(w.nodes))
 }
 
 // serve spends for those who wait; without credits a request is refused at once.
@@ -334,14 +334,14 @@
 	n.next, n.urgent = w.now+500*time.Millisecond, w.now+50*time.Millisecond
 	n.sequence++
 	told := protocol.Report{Node: n.id.Node, Incarnation: n.id.Incarnation, Sequence: n.sequence}
-	told.Over = 500 * time.Millisecond
+	told.Window = 500 * time.Millisecond
 	for _, p := range w.parties {
 		b := n.buckets[p.tenant.Name]
-		row := protocol.TenantDemand{Tenant: p.tenant.Name, Asked: b.asked, Granted: b.given}
+		row := protocol.TenantDemand{Tenant: p.tenant.Name, Requested: b.asked, Admitted: b.given}
 		if w.credits {
-			row.Lacking, row.Credit = b.lacking, b.credit
+			row.Shortfall, row.RemainingCredit = b.lacking, b.credit
 		}
-		if row.Asked == 0 && row.Granted == 0 && row.Lacking == 0 {
+		if row.Requested == 0 && row.Admitted == 0 && row.Shortfall == 0 {
 			continue
 		}
 		told.Tenants = append(told.Tenants, row)
--- a/internal/control/roles/holder.go
+++ b/internal/control/roles/holder.go
@@ -198,7 +198,7 @@
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	for _, batch := range h.inbox.batches {
-		if batch.Lacks() {
+		if batch.HasShortfall() {
 			return h.stepped.Add(max(lackingPause, h.rest))
 		}
 	}
--- a/internal/router/dispatch/placing_test.go
+++ b/internal/router/dispatch/placing_test.go
@@ -19,7 +19,7 @@
 // place stands in for the placer: a model that is asked for and that nobody holds is loaded somewhere.
 func (w *world) place(report protocol.Report) {
 	for _, m := range report.Models {
-		if m.Waiting+m.Unserved == 0 || m.Service != "lm" {
+		if m.Queued+m.Unserved == 0 || m.Service != "lm" {
 			continue
 		}
 		name := m.Model + "/" + m.Adapter
--- a/internal/sizetest/sizetest.go
+++ b/internal/sizetest/sizetest.go
@@ -147,7 +147,7 @@
 func Report(random *rand.Rand, router int, sequence uint64) protocol.Report {
 	report := protocol.Report{
 		Node: RouterName(router), Incarnation: uint64(router) + 1, Sequence: sequence,
-		Over: time.Second / ReportsPerS,
+		Window: time.Second / ReportsPerS,
 	}
 	seen := map[int]bool{}
 	for len(seen) < RowsPerReport {
@@ -158,13 +158,13 @@
 		seen[model] = true
 		report.Models = append(report.Models, protocol.ModelDemand{
 			Service: ServiceName(model % Services),
-			Model:   ModelName(model), Asked: 1, Running: 2, Tokens: 1400, Worth: 9,
+			Model:   ModelName(model), Requests: 1, InFlight: 2, Tokens: 1400, Value: 9,
 		})
 	}
 	for i := range TenantsOfReport {
 		report.Tenants = append(report.Tenants, protocol.TenantDemand{
-			Tenant: TenantName((router + i) % Tenants),
-			Asked:  2800, Granted: 2800,
+			Tenant:    TenantName((router + i) % Tenants),
+			Requested: 2800, Admitted: 2800,
 		})
 	}
 	return report
