--- a/coordination/simnet/machine.go
+++ b/coordination/simnet/machine.go
@@ -98,8 +98,8 @@
 	defer m.powerCut()
 	opened, err := engine.Open(m.local(), engine.Config{
 		Self: view.Member{Address: m.address, Zone: m.zone, Tag: m.address}, Seeds: m.seeds,
-		Bootstrap: bootstrap, FaultTolerance: w.Faults, FS: m.disk, StateMachine: m.state, RandomSeed: w.random.Uint64(),
-		CompactBytes: w.Sizes.Compact, KeepBytes: w.Sizes.Keep, SegmentBytes: w.Sizes.Segment, Mutation: w.Mutation,
+		Bootstrap: bootstrap, FaultTolerance: w.FaultTolerance, FS: m.disk, StateMachine: m.state, RandomSeed: w.random.Uint64(),
+		CompactBytes: w.LogSizes.CompactBytes, KeepBytes: w.LogSizes.KeepBytes, SegmentBytes: w.LogSizes.SegmentBytes, Mutation: w.Mutation,
 	})
 	if err != nil {
 		w.fail("%s does not start: %v", m.address, err)
@@ -171,7 +171,7 @@
 	}
 	e := m.engine
 	effects := e.Step(m.local(), inputs)
-	took := time.Duration(m.disk.Syncs-syncs) * w.Sync
+	took := time.Duration(m.disk.Syncs-syncs) * w.SyncDuration
 	if took > 0 {
 		took += m.stall
 	}
@@ -187,7 +187,7 @@
 	if err := e.Maintain(m.local()); err != nil {
 		w.tracef("%s: %v", m.address, err)
 	}
-	m.busy += time.Duration(m.disk.Syncs-syncs) * w.Sync
+	m.busy += time.Duration(m.disk.Syncs-syncs) * w.SyncDuration
 	m.plan(e.NextStep() - m.local())
 	m.show()
 	w.check()
--- a/coordination/simnet/membership_test.go
+++ b/coordination/simnet/membership_test.go
@@ -21,7 +21,7 @@
 
 // sized starts a group of that size with clients that go on until it is finished.
 func sized(seed uint64, s size, planted mutation.Set) *World {
-	w := NewWorld(Setup{Seed: seed, Machines: s.machines, Seeds: 3, Faults: s.faults, Mutation: planted})
+	w := NewWorld(Config{Seed: seed, Machines: s.machines, Seeds: 3, FaultTolerance: s.faults, Mutation: planted})
 	_ = w.Run(time.Second)
 	w.clients(w.now+time.Hour, 5*time.Millisecond, 60*time.Millisecond)
 	return w
@@ -71,7 +71,7 @@
 		t.Run(s.String(), func(t *testing.T) {
 			var taken figures
 			eachSeed(1, membershipSeeds(t), func(seed uint64) {
-				w := NewWorld(Setup{Seed: seed, Machines: s.machines, Seeds: 3, Faults: s.faults})
+				w := NewWorld(Config{Seed: seed, Machines: s.machines, Seeds: 3, FaultTolerance: s.faults})
 				_ = w.Run(300 * time.Millisecond) // all have started
 				w.clients(w.now+time.Hour, 5*time.Millisecond, 60*time.Millisecond)
 				taken.add(w.untilBorne(catchUp))
--- a/coordination/simnet/scenario_test.go
+++ b/coordination/simnet/scenario_test.go
@@ -40,7 +40,7 @@
 
 // calmWorld starts a group and lets it settle.
 func calmWorld(t *testing.T, seed uint64, machines int, planted mutation.Set) *World {
-	w := NewWorld(Setup{Seed: seed, Machines: machines, Seeds: 3, Faults: 1, Mutation: planted})
+	w := NewWorld(Config{Seed: seed, Machines: machines, Seeds: 3, FaultTolerance: 1, Mutation: planted})
 	if err := w.Run(settling); err != nil {
 		t.Error(err)
 	}
--- a/internal/control/state/histories_test.go
+++ b/internal/control/state/histories_test.go
@@ -20,7 +20,7 @@
 // runHistory runs the history of a seed and checks its responses.
 func runHistory(seed uint64, newMachine func() engine.StateMachine, localRejection bool) (p *clients, steps int, err error) {
 	p = &clients{changes: changesByID{}, injectLocalRejection: localRejection}
-	world, err := simnet.PlayEmbedded(seed, newMachine, func(site *simnet.Site) {
+	world, err := simnet.PlayEmbedded(seed, newMachine, func(site *simnet.Cluster) {
 		p.site = site
 		for operator := range clientCount {
 			p.run(operator, 0)
