--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -85,13 +85,13 @@
 	}
 	document, err := configuration.ParseDocument(body)
 	if err == nil {
-		err = configuration.Check(document.Configuration(), nil)
+		err = configuration.Validate(document.Configuration(), nil)
 	}
-	var invalid *configuration.Invalid
+	var invalid *configuration.InvalidError
 	switch {
 	case errors.As(err, &invalid):
 		var faults []Fault
-		for _, fault := range invalid.Faults {
+		for _, fault := range invalid.Items {
 			faults = append(faults, Fault{Item: fault.Item, Reason: fault.Reason})
 		}
 		return bad(faults), nil
--- a/internal/control/placer/golden_fleet_test.go
+++ b/internal/control/placer/golden_fleet_test.go
@@ -139,7 +139,7 @@
 
 // fill puts a few models on an endpoint before the run.
 func (f *goldenFleet) fill(e *goldenEndpoint, engine *configuration.Engine, from int) {
-	room := engine.WeightsMB * 0.8
+	room := engine.WeightMemoryMB * 0.8
 	for i := range engine.Models {
 		model := engine.Models[(i+from)%len(engine.Models)]
 		if model.WeightsMB <= room {
@@ -254,10 +254,10 @@
 		if service.Name != e.service || service.Engine == nil {
 			continue
 		}
-		room := service.Engine.WeightsMB
+		room := service.Engine.WeightMemoryMB
 		for _, model := range service.Engine.Models {
 			if adapters, there := e.models[model.Name]; there {
-				room -= model.WeightsMB + float64(len(adapters))*model.AdapterMB
+				room -= model.WeightsMB + float64(len(adapters))*model.AdapterSizeMB
 			}
 		}
 		model := service.Engine.Models[f.random.IntN(len(service.Engine.Models))]
@@ -392,8 +392,8 @@
 
 func (f *goldenFleet) arrive(s goldenService, model configuration.Model) {
 	key := goldenKey{router: f.random.IntN(goldenRouters), service: s.name, model: model.Name}
-	if model.Adapters > 0 && f.chance(0.5) {
-		key.adapter = fmt.Sprintf("a%d", 1+int(float64(model.Adapters)*math.Pow(f.random.Float64(), 1.5)))
+	if model.AdapterCount > 0 && f.chance(0.5) {
+		key.adapter = fmt.Sprintf("a%d", 1+int(float64(model.AdapterCount)*math.Pow(f.random.Float64(), 1.5)))
 	}
 	d := f.demand[key]
 	if d == nil {
@@ -579,7 +579,7 @@
 			if service.Name == e.service && service.Engine != nil {
 				for _, model := range service.Engine.Models {
 					if model.Name == order.Model {
-						seconds = model.LoadTimeS
+						seconds = model.LoadTimeSeconds
 					}
 				}
 			}
--- a/internal/control/placer/order_test.go
+++ b/internal/control/placer/order_test.go
@@ -13,8 +13,8 @@
 	t.Helper()
 	p := New(Config{InspectEndpoints: true})
 	engine := &configuration.Engine{
-		Slots: 8, WeightsMB: 100, AdapterSlots: 2, LoadsPerS: 2,
-		Models: []configuration.Model{{Name: "big", WeightsMB: 60, LoadTimeS: 5, Adapters: 4, AdapterMB: 1}},
+		Slots: 8, WeightMemoryMB: 100, AdapterSlots: 2, LoadsPerSecond: 2,
+		Models: []configuration.Model{{Name: "big", WeightsMB: 60, LoadTimeSeconds: 5, AdapterCount: 4, AdapterSizeMB: 1}},
 	}
 	e := protocol.Endpoint{
 		ID: "i-1", Service: "lm", Address: "10.0.0.1:80", Zone: "z", Slots: 8, Sequence: 1,
--- a/internal/control/placer/takeover_test.go
+++ b/internal/control/placer/takeover_test.go
@@ -12,11 +12,11 @@
 // takeover is a fleet of six endpoints, each with a copy of "busy" and room for one model more, as a new holder finds
 // it.
 func takeover() (*configuration.Configuration, []protocol.Endpoint) {
-	models := []configuration.Model{{Name: "busy", WeightsMB: 60, LoadTimeS: 6}}
+	models := []configuration.Model{{Name: "busy", WeightsMB: 60, LoadTimeSeconds: 6}}
 	for _, name := range []string{"m1", "m2", "m3", "m4", "m5", "m6"} {
-		models = append(models, configuration.Model{Name: name, WeightsMB: 60, LoadTimeS: 6})
+		models = append(models, configuration.Model{Name: name, WeightsMB: 60, LoadTimeSeconds: 6})
 	}
-	engine := &configuration.Engine{Slots: 64, WeightsMB: 150, AdapterSlots: 2, LoadsPerS: 2.8, Models: models}
+	engine := &configuration.Engine{Slots: 64, WeightMemoryMB: 150, AdapterSlots: 2, LoadsPerSecond: 2.8, Models: models}
 	services := []configuration.Service{{Name: "lm", Engine: engine}}
 	var table []protocol.Endpoint
 	for _, id := range []string{"i-1", "i-2", "i-3", "i-4", "i-5", "i-6"} {
@@ -100,7 +100,7 @@
 func TestNewHolderTakesNoCopyAwayUnheard(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := takeover()
-	c.Services[0].Engine.WeightsMB = 100 // no room beside the copy that is there
+	c.Services[0].Engine.WeightMemoryMB = 100 // no room beside the copy that is there
 	p := New(Config{InspectEndpoints: true, HandoverGap: time.Second})
 	p.Step(now, Input{Configuration: c, Endpoints: table})
 	out := p.Step(now.Add(100*time.Millisecond), Input{
@@ -120,7 +120,7 @@
 func TestHolderThatHeardNothingForSecondsTakesNoCopyAway(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := takeover()
-	c.Services[0].Engine.WeightsMB = 100
+	c.Services[0].Engine.WeightMemoryMB = 100
 	p := New(Config{InspectEndpoints: true, HandoverGap: time.Second})
 	p.Step(now, Input{Configuration: c, Endpoints: table})
 	p.Step(now.Add(100*time.Millisecond), Input{Endpoints: table, Inspections: looksAt(table, false), Reports: wantedModels(0)})
@@ -174,7 +174,7 @@
 func TestAnUnloadThatDragsHasAnotherPlaceChosen(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := takeover()
-	c.Services[0].Engine.WeightsMB = 100
+	c.Services[0].Engine.WeightMemoryMB = 100
 	p := New(Config{InspectEndpoints: true, HandoverGap: time.Minute})
 	p.Step(now, Input{Configuration: c, Endpoints: table})
 	p.Step(now.Add(50*time.Millisecond), Input{Endpoints: table, Inspections: looksAt(table, false), Reports: wantedModels(0)})
@@ -202,7 +202,7 @@
 func TestTheCopyWithFewerRunsMakesWay(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := takeover()
-	c.Services[0].Engine.WeightsMB = 100
+	c.Services[0].Engine.WeightMemoryMB = 100
 	for i := range table {
 		table[i].Models = []protocol.LoadedModel{{Name: "busy", Generation: 1}}
 		if i >= 3 {
@@ -240,7 +240,7 @@
 func TestAnUnloadThatDragsTakesNoOtherCopyInUse(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := takeover()
-	c.Services[0].Engine.WeightsMB = 100
+	c.Services[0].Engine.WeightMemoryMB = 100
 	p := New(Config{InspectEndpoints: true, HandoverGap: time.Minute})
 	p.Step(now, Input{Configuration: c, Endpoints: table})
 	looks := looksAt(table, false)
--- a/internal/control/quota/golden_test.go
+++ b/internal/control/quota/golden_test.go
@@ -79,8 +79,8 @@
 		case change == 1 && i == 1, change == 2 && i == 2:
 			continue // removed
 		}
-		c.Tenants = append(c.Tenants, configuration.Tenant{Name: fmt.Sprintf("t%d", i), Unit: configuration.TokenCount,
-			RatePerS: rate, Burst: rate * 0.8})
+		c.Tenants = append(c.Tenants, configuration.Tenant{Name: fmt.Sprintf("t%d", i), Unit: configuration.UnitTokens,
+			RatePerSecond: rate, Burst: rate * 0.8})
 	}
 	c.Tenants = append(c.Tenants, configuration.Tenant{Name: "unlimited"})
 	return c
--- a/internal/control/quota/quota.go
+++ b/internal/control/quota/quota.go
@@ -165,16 +165,16 @@
 func (a *Allocator) configure(now time.Time, tenants []configuration.Tenant) {
 	seen := map[string]bool{}
 	for _, told := range tenants {
-		if told.RatePerS <= 0 {
+		if told.RatePerSecond <= 0 {
 			continue
 		}
 		seen[told.Name] = true
 		t := a.tenants[told.Name]
 		if t == nil {
-			t = newTenant(now, told.Name, told.RatePerS, a.options)
+			t = newTenant(now, told.Name, told.RatePerSecond, a.options)
 			a.tenants[told.Name] = t
 		}
-		t.rate, t.burst = told.RatePerS, told.Burst
+		t.rate, t.burst = told.RatePerSecond, told.Burst
 	}
 	a.order = a.order[:0]
 	for name, t := range a.tenants {
--- a/internal/control/quota/world_test.go
+++ b/internal/control/quota/world_test.go
@@ -244,9 +244,9 @@
 func (w *world) refill(n *node) {
 	for _, p := range w.parties {
 		b := n.buckets[p.tenant.Name]
-		rate, depth := p.tenant.RatePerS*protocol.UngrantedRateShare/float64(len(w.nodes)), p.tenant.Burst/float64(len(w.nodes))
+		rate, depth := p.tenant.RatePerSecond*protocol.UngrantedRateShare/float64(len(w.nodes)), p.tenant.Burst/float64(len(w.nodes))
 		if w.now < b.ends {
-			rate, depth = math.Min(b.rate, p.tenant.RatePerS), b.depth
+			rate, depth = math.Min(b.rate, p.tenant.RatePerSecond), b.depth
 		}
 		if b.level < depth {
 			b.level = math.Min(depth, b.level+rate*tick.Seconds())
@@ -258,7 +258,7 @@
 }
 
 func (w *world) debt(p *party) float64 {
-	whole := p.tenant.RatePerS*w.window.Seconds() + p.tenant.Burst
+	whole := p.tenant.RatePerSecond*w.window.Seconds() + p.tenant.Burst
 	return (whole*w.options.OvershootFraction + w.options.OvershootSlack) * protocol.OverdraftShare / float64(len(w.nodes))
 }
 
@@ -304,7 +304,7 @@
 }
 
 func (w *world) judge(p *party) {
-	most := (p.tenant.RatePerS*w.window.Seconds()+p.tenant.Burst)*(1+w.options.OvershootFraction) + w.options.OvershootSlack
+	most := (p.tenant.RatePerSecond*w.window.Seconds()+p.tenant.Burst)*(1+w.options.OvershootFraction) + w.options.OvershootSlack
 	sum := 0.0
 	for i := len(p.spent) - 1; i >= 0 && w.now-p.spent[i].at <= w.window; i-- {
 		sum += p.spent[i].amount
@@ -320,7 +320,7 @@
 	for i := len(p.asks) - 1; i >= 0 && w.now-p.asks[i].at <= w.window; i-- {
 		sum += p.asks[i].amount
 	}
-	return sum <= p.tenant.RatePerS*w.window.Seconds()+p.tenant.Burst
+	return sum <= p.tenant.RatePerSecond*w.window.Seconds()+p.tenant.Burst
 }
 
 func (w *world) report(n *node) {
@@ -372,7 +372,7 @@
 		w.parties = append(w.parties, &party{
 			demand: rate * usual, size: 1400,
 			tenant: configuration.Tenant{
-				Name: fmt.Sprintf("t%d", i), Unit: configuration.TokenCount, RatePerS: rate,
+				Name: fmt.Sprintf("t%d", i), Unit: configuration.UnitTokens, RatePerSecond: rate,
 				Burst: rate,
 			},
 		})
--- a/internal/lab/system/system_test.go
+++ b/internal/lab/system/system_test.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := configuration.Check(document.Configuration(), nil); err != nil {
+	if err := configuration.Validate(document.Configuration(), nil); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/router/dispatch/placing_test.go
+++ b/internal/router/dispatch/placing_test.go
@@ -156,7 +156,7 @@
 	engine := *w.config.Services[0].Engine
 	for i := range 6 {
 		model := fmt.Sprint("rare", i)
-		engine.Models = append(engine.Models, configuration.Model{Name: model, LoadTimeS: 3})
+		engine.Models = append(engine.Models, configuration.Model{Name: model, LoadTimeSeconds: 3})
 		aim := 500 * time.Millisecond
 		if i%2 == 0 {
 			aim = 8 * time.Second
--- a/internal/router/dispatch/quota.go
+++ b/internal/router/dispatch/quota.go
@@ -49,12 +49,12 @@
 		if t == nil {
 			t = &tenant{name: set.Name, filledAt: d.now}
 			d.tenants[set.Name] = t
-			t.limit, t.burst = set.RatePerS, set.Burst
+			t.limit, t.burst = set.RatePerSecond, set.Burst
 			t.level = d.quotaDepth(t)
 			continue
 		}
 		d.refill(t)
-		t.limit, t.burst = set.RatePerS, set.Burst
+		t.limit, t.burst = set.RatePerSecond, set.Burst
 		t.level = min(t.level, d.quotaDepth(t))
 	}
 	for name, t := range d.tenants {
