--- a/internal/control/host/frames_test.go
+++ b/internal/control/host/frames_test.go
@@ -46,15 +46,15 @@
 
 // TestEncodedUpdateHasAllFields fails when protocol.Update gets a field that frames leave out.
 func TestEncodedUpdateHasAllFields(t *testing.T) {
-	whole, encoded := reflect.TypeFor[protocol.Update](), reflect.TypeFor[encodedUpdate]()
-	for i := range whole.NumField() {
-		field := whole.Field(i)
+	update, encoded := reflect.TypeFor[protocol.Update](), reflect.TypeFor[encodedUpdate]()
+	for i := range update.NumField() {
+		field := update.Field(i)
 		same, present := encoded.FieldByName(field.Name)
 		if !present || same.Tag != field.Tag {
 			t.Errorf("field %s: %q in the update, %q in the frame", field.Name, field.Tag, same.Tag)
 		}
 	}
-	if whole.NumField() != encoded.NumField() {
-		t.Errorf("%d fields, %d in the frame", whole.NumField(), encoded.NumField())
+	if update.NumField() != encoded.NumField() {
+		t.Errorf("%d fields, %d in the frame", update.NumField(), encoded.NumField())
 	}
 }
