--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return bad(faultsOf(err)), nil
 	}
-	return good("%s, role %s, zone %s, serves %v", settings.NodeName, settings.Role, settings.Zone, settings.Serves), nil
+	return good("%s, role %s, zone %s, serves %v", settings.NodeName, settings.Role, settings.Zone, settings.ServedInterfaces), nil
 }
 
 // faultsOf takes an error of the settings apart.
@@ -59,8 +59,8 @@
 		}
 		return faults
 	}
-	var fault *nodeconfig.Fault
-	if direct, is := err.(*nodeconfig.Fault); is {
+	var fault *nodeconfig.KeyError
+	if direct, is := err.(*nodeconfig.KeyError); is {
 		return []Fault{{Item: place(direct), Reason: direct.Reason}}
 	}
 	if inner := errors.Unwrap(err); inner != nil && errors.As(err, &fault) {
@@ -70,7 +70,7 @@
 }
 
 // place names a key and its line; a missing key has none.
-func place(fault *nodeconfig.Fault) string {
+func place(fault *nodeconfig.KeyError) string {
 	if fault.Line == 0 {
 		return fault.Key
 	}
