--- a/cmd/raventrestle-control/instance.go
+++ b/cmd/raventrestle-control/instance.go
@@ -73,11 +73,11 @@
 }
 
 // start brings an instance up. Nothing here waits for another machine.
-func start(ctx context.Context, settings *nodeconfig.Config, events *events) (*instance, error) {
+func start(ctx context.Context, settings *nodeconfig.Settings, events *events) (*instance, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	codec := protocol.NewCodec()
 	protocol.RegisterPeerMessages(codec)
-	self := address(settings.IP, settings.FirstEphemeralPort)
+	self := address(settings.IP, settings.EphemeralFirst)
 	incarnation, err := drawIncarnation()
 	if err != nil {
 		cancel()
@@ -87,7 +87,7 @@
 	entrance := &gate{}
 	i := &instance{
 		cancel: cancel, failed: make(chan error, 1), mesh: transport.NewMesh(codec, self, entrance),
-		handOver: handOverTime(settings.Bounds.GracePeriod),
+		handOver: handOverTime(settings.Bounds.Grace),
 	}
 	machine := state.New()
 	group, err := openReplica(settings, self, replicaTransport{mesh: i.mesh, self: self}, machine, events)
@@ -100,10 +100,10 @@
 	newPlacer := func(quiet time.Duration) roles.Placer { return makePlacer(settings, quiet) }
 	newAllocator := func(quiet time.Duration) roles.Allocator { return makeAllocator(settings, quiet) }
 	reports := &lateReports{}
-	table := host.New(host.Config{Origin: origin, Heartbeat: settings.HeartbeatInterval, Codec: codec}, host.Dependencies{
+	table := host.New(host.Config{Origin: origin, Heartbeat: settings.Heartbeat, Codec: codec}, host.Dependencies{
 		Replica: group, Configurations: configurations, Mesh: i.mesh, Roles: reports, Events: events,
 	})
-	i.holder = roles.New(roles.Config{Origin: origin, NodeName: settings.NodeName, Lease: settings.Bounds.LeaseTTL},
+	i.holder = roles.New(roles.Config{Origin: origin, NodeName: settings.NodeName, Lease: settings.Bounds.Lease},
 		roles.Dependencies{
 			Replica: group, Endpoints: table, Configurations: configurations, Mesh: i.mesh,
 			NewPlacer: newPlacer, NewAllocator: newAllocator, EventRecorder: events,
@@ -115,7 +115,7 @@
 		cancel()
 		return nil, err
 	}
-	public, err := listenControl(ctx, settings.ControlAddress)
+	public, err := listenControl(ctx, settings.ListenControl)
 	if err != nil {
 		cancel()
 		return nil, fmt.Errorf("listen for endpoints and the operator: %w", err)
@@ -125,7 +125,7 @@
 	i.spawn(func() { table.Run(ctx) })
 	i.spawn(func() { i.holder.Run(ctx) })
 	i.spawn(func() { i.serve(public) })
-	events.started(settings.NodeName, self, settings.ControlAddress, settings.Bootstrap)
+	events.started(settings.NodeName, self, settings.ListenControl, settings.Bootstrap)
 	return i, nil
 }
 
@@ -181,33 +181,33 @@
 }
 
 func openReplica(
-	settings *nodeconfig.Config, self string, carrier replica.Transport, machine replica.StateMachine, events *events,
+	settings *nodeconfig.Settings, self string, carrier replica.Transport, machine replica.Machine, events *events,
 ) (replica.Interface, error) {
 	seeds, err := seedAddresses(settings)
 	if err != nil {
 		return nil, err
 	}
-	return replica.Open(replica.Config{
-		Self:           replica.Member{Address: self, Zone: settings.Zone, Tag: settings.ControlAddress},
-		Seeds:          seeds,
-		Bootstrap:      settings.Bootstrap,
-		FaultTolerance: settings.FaultToleranceMachines,
-		Directory:      settings.DataDir,
-		Transport:      carrier,
-		StateMachine:   machine,
-		RecordEvent:    events.replica,
+	return replica.Open(replica.Options{
+		Self:      replica.Member{Address: self, Zone: settings.Zone, Tag: settings.ListenControl},
+		Seeds:     seeds,
+		Bootstrap: settings.Bootstrap,
+		Faults:    settings.FaultToleranceMachines,
+		Folder:    settings.DataDir,
+		Transport: carrier,
+		Machine:   machine,
+		Log:       events.replica,
 	})
 }
 
 // seedAddresses turns the control addresses of the seeds into those of their transports.
-func seedAddresses(settings *nodeconfig.Config) ([]string, error) {
+func seedAddresses(settings *nodeconfig.Settings) ([]string, error) {
 	seeds := make([]string, 0, len(settings.Seeds))
 	for _, seed := range settings.Seeds {
 		ip, _, err := net.SplitHostPort(seed)
 		if err != nil {
 			return nil, fmt.Errorf("seed %q: %w", seed, err)
 		}
-		seeds = append(seeds, address(ip, settings.FirstEphemeralPort))
+		seeds = append(seeds, address(ip, settings.EphemeralFirst))
 	}
 	return seeds, nil
 }
@@ -222,19 +222,19 @@
 	return binary.LittleEndian.Uint64(bytes[:]), nil
 }
 
-func makePlacer(settings *nodeconfig.Config, quiet time.Duration) *placer.Placer {
+func makePlacer(settings *nodeconfig.Settings, quiet time.Duration) *placer.Placer {
 	return placer.New(placer.Config{
-		LoadRateWindow:   settings.Bounds.LoadRateWindow,
-		LoadRateFactor:   settings.Bounds.LoadRateOverrunRatio,
+		LoadRateWindow:   settings.Bounds.CeilingWindow,
+		LoadRateFactor:   settings.Bounds.CeilingOver,
 		HandoverGap:      quiet,
 		InspectEndpoints: true,
 	})
 }
 
-func makeAllocator(settings *nodeconfig.Config, quiet time.Duration) *quota.Allocator {
+func makeAllocator(settings *nodeconfig.Settings, quiet time.Duration) *quota.Allocator {
 	return quota.New(quota.Config{
 		Window:            settings.Bounds.QuotaWindow,
-		OvershootFraction: settings.Bounds.QuotaOverrunRatio,
+		OvershootFraction: settings.Bounds.QuotaOver,
 		OvershootSlack:    settings.Bounds.QuotaSlack,
 		IdleBefore:        quiet,
 		Confirms:          true,
--- a/coordination/chain/apply.go
+++ b/coordination/chain/apply.go
@@ -23,12 +23,12 @@
 	}
 	var list []Applied
 	for _, entry := range n.log.after(n.appliedIndex)[:n.commitIndex-n.appliedIndex] {
-		repeated := n.recent.has(entry.ID)
-		if !repeated {
+		duplicate := n.recent.has(entry.ID)
+		if !duplicate {
 			n.recent.add(entry.ID)
 		}
 		n.pending.commandApplied(entry.ID, n.incarnation)
-		list = append(list, Applied{Entry: entry, Duplicate: repeated})
+		list = append(list, Applied{Entry: entry, Duplicate: duplicate})
 	}
 	n.appliedIndex = n.commitIndex
 	return list
--- a/coordination/chain/bootstrap.go
+++ b/coordination/chain/bootstrap.go
@@ -35,7 +35,7 @@
 	return state, true
 }
 
-// JoinAsLearner returns the state of a member that looks for a group to be admitted to. The identity must be new.
+// JoinAsLearner returns the state of a member that searches for a group to be admitted to. The identity must be new.
 func JoinAsLearner(self view.Member, identity string) State {
 	self.Identity = identity
 	return State{Self: self}
--- a/coordination/chain/catchup.go
+++ b/coordination/chain/catchup.go
@@ -47,12 +47,12 @@
 	if !n.lacksEntries(now) {
 		return
 	}
-	again := n.catchUp.backoffUntil
+	due := n.catchUp.backoffUntil
 	if n.catchUp.requestedAt > 0 {
-		again = max(again, n.catchUp.requestedAt+n.fetchTimeout())
+		due = max(due, n.catchUp.requestedAt+n.fetchTimeout())
 	}
-	if now < again {
-		n.wakeBy(again)
+	if now < due {
+		n.wakeBy(due)
 		return
 	}
 	n.sendFetch(now)
@@ -121,37 +121,38 @@
 	if n.answerInFlight(p, common, f.RequestID) {
 		return
 	}
-	asked, snapshot, bytes := common, common < n.log.baseIndex, 0
+	fetched, snapshot, bytes := common, common < n.log.baseIndex, 0
 	if snapshot {
 		common, bytes = n.snapshot.Index, n.snapshotBytes
 	}
 	p.nextIndex = common + 1
 	bytes += n.sendEntries(p, f.RequestID, snapshot)
-	p.inFlight.afterIndex, p.inFlight.until = asked, n.lastStep+transmissionTime(bytes)
+	p.inFlight.afterIndex, p.inFlight.until = fetched, n.lastStep+transmissionTime(bytes)
 }
 
 // answerDeferredFetches answers those who asked before the own log was complete.
 func (n *Node) answerDeferredFetches() {
 	for _, p := range n.peers {
 		if p.deferredFetch != nil && n.isUpstreamOf(p.member.Identity) {
-			asked := *p.deferredFetch
+			fetch := *p.deferredFetch
 			p.deferredFetch = nil
-			n.answerFetch(p, asked)
+			n.answerFetch(p, fetch)
 		}
 	}
 }
 
 // answerInFlight reports whether what a peer fetches was sent to the incarnation of it that asks, and may still be on
 // its way. It is so for a bounded time after the peer has first asked for it, whatever else is sent meanwhile.
-func (n *Node) answerInFlight(p *peer, common, number uint64) bool {
-	const questions = 1 << 16 // that one life asks in an epoch, about; another one begins at random
+func (n *Node) answerInFlight(p *peer, common, requestID uint64) bool {
+	// An incarnation sends about as many requests in an epoch at most; another incarnation begins at random.
+	const maxRequests = 1 << 16
 	before := p.inFlight
-	if number <= before.requestID && before.requestID-number <= questions {
-		return true // it comes late; a newer one is answered
+	if requestID <= before.requestID && before.requestID-requestID <= maxRequests {
+		return true // a late or duplicate request: a newer one was answered
 	}
-	sameLife := before.requestID > 0 && number > before.requestID && number-before.requestID <= questions
-	p.inFlight.requestID = number
-	if sameLife && common == before.afterIndex {
+	sameIncarnation := before.requestID > 0 && requestID > before.requestID && requestID-before.requestID <= maxRequests
+	p.inFlight.requestID = requestID
+	if sameIncarnation && common == before.afterIndex {
 		return n.lastStep < before.until
 	}
 	p.inFlight.afterIndex, p.inFlight.until = common, 0
@@ -159,7 +160,7 @@
 	if p.nextIndex > common+1 {
 		bytes = n.bytesAfter(common) - n.bytesAfter(p.nextIndex-1)
 	}
-	if !sameLife || bytes <= smallAnswerBytes {
+	if !sameIncarnation || bytes <= smallAnswerBytes {
 		return false
 	}
 	p.inFlight.until = n.lastStep + transmissionTime(bytes)
@@ -210,17 +211,17 @@
 	n.appliedIndex = snapshot.Point.Index
 	n.recent = newRecent(snapshot.RecentCommands)
 	n.out.InstallSnapshot = &SnapshotInstall{Snapshot: a.Snapshot}
-	n.pending.markUnknownOutcomes(n.incarnation, n.recent)
+	n.pending.recordUnknownOutcomes(n.incarnation, n.recent)
 	return true
 }
 
 // scheduleNextFetch determines when to fetch next. If an answer had nothing, the upstream member lacks the entries
 // itself. If entries came unsolicited, an open fetch is out of date: what was small has overtaken the answer to it.
-func (n *Node) scheduleNextFetch(now time.Duration, asked, grown bool) {
+func (n *Node) scheduleNextFetch(now time.Duration, answersFetch, grown bool) {
 	switch {
-	case grown && !asked:
+	case grown && !answersFetch:
 		n.catchUp.requestedAt, n.catchUp.attempts, n.catchUp.backoffUntil = 0, 0, 0
-	case asked && !grown:
+	case answersFetch && !grown:
 		n.catchUp.backoffUntil = now + n.timing.RetryInterval
 	case grown:
 		n.catchUp.backoffUntil = 0
--- a/coordination/chain/config.go
+++ b/coordination/chain/config.go
@@ -6,10 +6,10 @@
 	"raventrestle/coordination/internal/mutation"
 )
 
-// Config holds the values that a node is constructed with.
+// Config is the set of values that a node is constructed with.
 type Config struct {
 	FaultTolerance int      // number of disks that may be lost at once; called f elsewhere
-	Seeds          []string // transport addresses at which a member looks for the group
+	Seeds          []string // transport addresses at which a member searches for the group
 	RandomSeed     uint64   // of the node's own random numbers; must differ at each start
 	Timing         Timing   // the zero value means DefaultTiming
 	Mutation       mutation.Set
--- a/coordination/chain/deduplication.go
+++ b/coordination/chain/deduplication.go
@@ -22,8 +22,8 @@
 }
 
 func (r *recentCommands) has(id CommandID) bool {
-	_, held := r.ids[id]
-	return held
+	_, found := r.ids[id]
+	return found
 }
 
 func (r *recentCommands) add(id CommandID) {
--- a/coordination/chain/epoch.go
+++ b/coordination/chain/epoch.go
@@ -13,7 +13,7 @@
 //   - The epoch of the node's view only rises. A view is entered because it was decided, or because another voter's
 //     proposal for the epoch after it shows that it was.
 //   - What was promised and accepted towards the entered epoch has no more effect, and all that is volatile in an
-//     epoch starts anew: whether the logs match, who has answered, which requests are open.
+//     epoch starts again: whether the logs match, who has answered, which requests are open.
 //   - The head is complete in its epoch from the beginning, because view.Plan takes it from the members that have
 //     everything that was committed. All others become complete once their log has reached the head's at the
 //     beginning of the epoch.
@@ -26,7 +26,8 @@
 	if n.view.Epoch == 0 || !n.mayExchangeView(now, identity) {
 		return
 	}
-	n.sendTo(address, Message{To: identity, ViewDecision: &ViewDecision{View: n.resolveView(n.view), PriorLeasesExpired: n.priorLeasesExpired}})
+	decided := ViewDecision{View: n.resolveView(n.view), PriorLeasesExpired: n.priorLeasesExpired}
+	n.sendTo(address, Message{To: identity, ViewDecision: &decided})
 }
 
 // requestView asks a member that has shown a later epoch for its view.
@@ -58,9 +59,9 @@
 }
 
 // enterView begins the epoch of the view.
-func (n *Node) enterView(now time.Duration, v view.View, clean bool) {
-	before := n.view.Head().Identity
-	n.view, n.priorLeasesExpired = v, clean
+func (n *Node) enterView(now time.Duration, v view.View, priorLeasesExpired bool) {
+	formerHead := n.view.Head().Identity
+	n.view, n.priorLeasesExpired = v, priorLeasesExpired
 	n.learnViewMembers(now, v)
 	r := record{View: &v}
 	if n.isHead() || n.config.Mutation.EarlyComplete && n.inChain() {
@@ -71,10 +72,10 @@
 		n.knownMembers, n.unsavedProgress = n.members(), true
 		n.persist(r)
 	}
-	if !clean {
+	if !priorLeasesExpired {
 		n.detector.previousLeaseExpiry = now + n.timing.LeaseTTL + leaseMargin
 	}
-	if before != n.self.Identity {
+	if formerHead != n.self.Identity {
 		n.resetLastHeard(now)
 	}
 	n.resetVolatile(now)
--- a/coordination/chain/failure_detector.go
+++ b/coordination/chain/failure_detector.go
@@ -79,19 +79,19 @@
 }
 
 // recoverFromStall gives everybody time to be heard after the process was stopped. A lease that has expired meanwhile
-// is dropped and must be confirmed anew; one that is still valid is as good as before, because it counts on the clock
+// is dropped and must be confirmed again; one that is still valid is as good as before, because it counts on the clock
 // alone.
 func (n *Node) recoverFromStall(now time.Duration) {
-	holds := n.leaseExpiry(now) > now
+	leaseValid := n.leaseExpiry(now) > now
 	n.detector.headHeardAt, n.detector.echoChangedAt = now, now
 	n.viewChange.suspectedSince = 0
 	for _, p := range n.peers {
 		p.heardAt, p.progressAt, p.heartbeatSentAt, p.steadySince = now, now, 0, 0
-		if !holds {
+		if !leaseValid {
 			p.confirmedSentAt = 0
 		}
 	}
-	if !holds {
+	if !leaseValid {
 		n.detector.leaderSince = 0
 	}
 }
@@ -102,8 +102,9 @@
 }
 
 // headUnresponsive reports whether the head was not heard, or has not heard this node, within the timeout.
-func (n *Node) headUnresponsive(now, patience time.Duration) bool {
-	return n.detector.headStepsDown || now-n.detector.headHeardAt > patience || now-n.detector.echoChangedAt > patience+2*n.timing.HeartbeatInterval
+func (n *Node) headUnresponsive(now, timeout time.Duration) bool {
+	return n.detector.headStepsDown || now-n.detector.headHeardAt > timeout ||
+		now-n.detector.echoChangedAt > timeout+2*n.timing.HeartbeatInterval
 }
 
 // isLive reports whether the head has heard the peer within the suspect timeout.
@@ -139,14 +140,14 @@
 }
 
 // countVoters counts the voters that match, and the node itself if it is a voter.
-func (n *Node) countVoters(holds func(p *peer) bool) int {
+func (n *Node) countVoters(matches func(p *peer) bool) int {
 	count := 0
 	for _, voter := range n.view.Voters {
 		if voter.Identity == n.self.Identity {
 			count++
 			continue
 		}
-		if p := n.findPeer(voter.Identity); p != nil && holds(p) {
+		if p := n.findPeer(voter.Identity); p != nil && matches(p) {
 			count++
 		}
 	}
@@ -156,13 +157,13 @@
 // noteHeadHeard notes that the head is heard, and whether it hears this node. After an interruption in either
 // direction an open fetch is taken for lost.
 func (n *Node) noteHeadHeard(now, echo time.Duration) {
-	silent := now-n.detector.headHeardAt > n.timing.SuspectTimeout
+	interrupted := now-n.detector.headHeardAt > n.timing.SuspectTimeout
 	if echo != n.detector.echoedSentAt {
-		silent = silent || now-n.detector.echoChangedAt > n.timing.SuspectTimeout
+		interrupted = interrupted || now-n.detector.echoChangedAt > n.timing.SuspectTimeout
 		n.detector.echoedSentAt, n.detector.echoChangedAt = echo, now
 	}
 	n.detector.headHeardAt, n.detector.heartbeatReceived = now, true
-	if silent {
+	if interrupted {
 		n.catchUp.requestedAt, n.catchUp.attempts = 0, 0
 	}
 }
--- a/coordination/chain/freshness.go
+++ b/coordination/chain/freshness.go
@@ -36,7 +36,7 @@
 // clockDriftDivisor is the reciprocal of the share by which two steady clocks may differ over a time.
 const clockDriftDivisor = 1000
 
-// freshness holds the node's proofs and what it needs to date them.
+// freshness is the state of the node's proofs and what it needs to date them.
 type freshness struct {
 	generation      uint64 // of the receipts
 	headIncarnation uint64 // to which the receipts belong
@@ -76,7 +76,7 @@
 
 // updateFreshness determines which proof is valid by now.
 func (n *Node) updateFreshness(now time.Duration) {
-	if n.mayProve() && n.view.Majority() == 1 { // nobody has to answer
+	if n.mayProve() && n.view.Majority() == 1 { // no other voter has to reply
 		n.recordProofCandidate(now)
 		n.wakeBy(now + n.timing.HeartbeatInterval)
 	}
@@ -122,31 +122,34 @@
 }
 
 // handleProof takes in the head's proof from a heartbeat, and notes the heartbeat's receipt.
-func (n *Node) handleProof(now time.Duration, ping Heartbeat) {
-	c := &n.freshness
-	if ping.Incarnation != c.headIncarnation {
-		c.headIncarnation = ping.Incarnation
+func (n *Node) handleProof(now time.Duration, heartbeat Heartbeat) {
+	f := &n.freshness
+	if heartbeat.Incarnation != f.headIncarnation {
+		f.headIncarnation = heartbeat.Incarnation
 		n.startReceiptGeneration()
 	}
-	at, known := c.proofMoment(ping, n.timing.SuspectTimeout)
+	at, known := f.proofMoment(heartbeat, n.timing.SuspectTimeout)
 	if n.config.Mutation.ProofAtReceipt {
-		at, known = now-(ping.SentAt-ping.ProofAt), ping.ProofAt > 0
+		at, known = now-(heartbeat.SentAt-heartbeat.ProofAt), heartbeat.ProofAt > 0
 	}
 	if known {
-		c.addCandidate(proof{at: at, index: ping.ProofIndex})
+		f.addCandidate(proof{at: at, index: heartbeat.ProofIndex})
 	}
-	c.addReceipt(receipt{sentAt: ping.SentAt, receivedAt: now})
+	f.addReceipt(receipt{sentAt: heartbeat.SentAt, receivedAt: now})
 }
 
 // proofMoment returns a time on the own clock that is not after the moment of the head's proof. It returns false when
 // the heartbeat's echo can't date the proof; an echo does not date a proof that is younger by more than maxEchoAge.
-func (c *freshness) proofMoment(ping Heartbeat, patience time.Duration) (time.Duration, bool) {
-	if ping.ProofAt == 0 || ping.EchoGeneration != c.generation || ping.ProofAt-ping.EchoReceivedAt > patience {
+func (f *freshness) proofMoment(heartbeat Heartbeat, maxEchoAge time.Duration) (time.Duration, bool) {
+	if heartbeat.ProofAt == 0 || heartbeat.EchoGeneration != f.generation {
 		return 0, false
 	}
-	for _, r := range c.receipts {
-		if r.sentAt == ping.Echo {
-			since := ping.EchoReceivedAt - ping.ProofAt
+	if heartbeat.ProofAt-heartbeat.EchoReceivedAt > maxEchoAge {
+		return 0, false
+	}
+	for _, r := range f.receipts {
+		if r.sentAt == heartbeat.Echo {
+			since := heartbeat.EchoReceivedAt - heartbeat.ProofAt
 			at := r.receivedAt - since - max(since, -since)/clockDriftDivisor
 			return at, at > 0
 		}
@@ -155,36 +158,36 @@
 }
 
 // addReceipt notes a heartbeat that is newer than all before.
-func (c *freshness) addReceipt(r receipt) {
-	if len(c.receipts) > 0 && r.sentAt <= c.receipts[len(c.receipts)-1].sentAt {
+func (f *freshness) addReceipt(r receipt) {
+	if len(f.receipts) > 0 && r.sentAt <= f.receipts[len(f.receipts)-1].sentAt {
 		return
 	}
-	if len(c.receipts) == maxFreshnessEntries {
-		c.receipts = append(c.receipts[:0], c.receipts[1:]...)
+	if len(f.receipts) == maxFreshnessEntries {
+		f.receipts = append(f.receipts[:0], f.receipts[1:]...)
 	}
-	c.receipts = append(c.receipts, r)
+	f.receipts = append(f.receipts, r)
 }
 
 // addCandidate adds a proof that is newer than all before. When there is no space it replaces the newest, so that the
 // oldest can still become valid.
-func (c *freshness) addCandidate(p proof) {
-	newest := c.current.at
-	if len(c.candidates) > 0 {
-		newest = c.candidates[len(c.candidates)-1].at
+func (f *freshness) addCandidate(p proof) {
+	newest := f.current.at
+	if len(f.candidates) > 0 {
+		newest = f.candidates[len(f.candidates)-1].at
 	}
 	if p.at <= newest {
 		return
 	}
-	if len(c.candidates) == maxFreshnessEntries {
-		c.candidates = c.candidates[:maxFreshnessEntries-1]
+	if len(f.candidates) == maxFreshnessEntries {
+		f.candidates = f.candidates[:maxFreshnessEntries-1]
 	}
-	c.candidates = append(c.candidates, p)
+	f.candidates = append(f.candidates, p)
 }
 
 // newestValid returns the newest proof at or before the moment whose index is applied.
-func (c *freshness) newestValid(until time.Duration, applied uint64) proof {
-	newest := c.current
-	for _, p := range c.candidates {
+func (f *freshness) newestValid(until time.Duration, applied uint64) proof {
+	newest := f.current
+	for _, p := range f.candidates {
 		if p.at <= until && p.index <= applied {
 			newest = p
 		}
@@ -193,11 +196,11 @@
 }
 
 // setCurrent makes the proof the current one and drops the older candidates.
-func (c *freshness) setCurrent(p proof) {
-	c.current = p
-	keep := 0
-	for keep < len(c.candidates) && c.candidates[keep].at <= p.at {
-		keep++
+func (f *freshness) setCurrent(p proof) {
+	f.current = p
+	next := 0
+	for next < len(f.candidates) && f.candidates[next].at <= p.at {
+		next++
 	}
-	c.candidates = append(c.candidates[:0], c.candidates[keep:]...)
+	f.candidates = append(f.candidates[:0], f.candidates[next:]...)
 }
--- a/coordination/chain/freshness_test.go
+++ b/coordination/chain/freshness_test.go
@@ -8,28 +8,30 @@
 )
 
 const (
-	testLife  = 7
-	testHop   = 3 * time.Millisecond
-	testShift = 40 * time.Minute // of the follower's clock against the head's
+	testIncarnation = 7                    // of the head
+	testLatency     = 3 * time.Millisecond // of a message
+	testClockOffset = 40 * time.Minute     // of the follower's clock to the head's
 )
 
-// follower is a founder behind the head, whose pings the test plays.
+// follower is a founder behind the head; the test sends it the head's heartbeats.
 type follower struct {
 	*Node
 	head view.Member
 }
 
 func newFollower(t *testing.T) *follower {
-	n := founder(t, 1)
+	t.Helper()
+	n := newFounder(t, 1)
 	n.Persisted()
 	n.logMatched = true
 	return &follower{Node: n, head: n.View().Head()}
 }
 
-// ping delivers a ping at a time of the head's clock and returns the answer.
-func (f *follower) ping(at time.Duration, ping Heartbeat) HeartbeatReply {
-	ping.Incarnation = testLife
-	out := f.Receive(at+testShift, f.head.Address, Message{From: f.head.Identity, Epoch: f.view.Epoch, Heartbeat: &ping})
+// receive delivers a heartbeat at a time of the head's clock and returns the reply.
+func (f *follower) receive(at time.Duration, heartbeat Heartbeat) HeartbeatReply {
+	heartbeat.Incarnation = testIncarnation
+	message := Message{From: f.head.Identity, Epoch: f.view.Epoch, Heartbeat: &heartbeat}
+	out := f.Receive(at+testClockOffset, f.head.Address, message)
 	f.Persisted()
 	f.TakeCommitted()
 	for _, envelope := range out.Messages {
@@ -40,39 +42,47 @@
 	return HeartbeatReply{}
 }
 
-// confirmedAt is the follower's proof on the head's clock.
+// confirmedAt returns the moment of the follower's proof on the head's clock, or 0.
 func (f *follower) confirmedAt(at time.Duration) time.Duration {
-	if confirmed := f.Status(at + testShift).ConfirmedAt; confirmed > 0 {
-		return confirmed - testShift
+	if confirmed := f.Status(at + testClockOffset).ConfirmedAt; confirmed > 0 {
+		return confirmed - testClockOffset
 	}
 	return 0
 }
 
-// A follower places the head's proof by the echo of its own answer: how long the ping that tells it was on its way
-// doesn't matter.
-func TestFollowerPlacesTheProofByTheEcho(t *testing.T) {
-	for _, late := range []time.Duration{0, time.Second, 20 * time.Second} {
+// A follower dates the head's proof by the echo of its own reply: the delay of the heartbeat that carries it does not
+// matter.
+func TestAFollowerDatesTheProofByTheEcho(t *testing.T) {
+	for _, delay := range []time.Duration{0, time.Second, 20 * time.Second} {
 		f := newFollower(t)
 		sent := time.Minute
-		pong := f.ping(sent+testHop, Heartbeat{SentAt: sent})
-		if got := f.confirmedAt(sent + testHop); got != 0 {
-			t.Errorf("%v is proved before the first proof", got)
+		reply := f.receive(sent+testLatency, Heartbeat{SentAt: sent})
+		if got := f.confirmedAt(sent + testLatency); got != 0 {
+			t.Errorf("delay %v: got proof of %v before the first one, want none", delay, got)
 		}
-		told := Heartbeat{SentAt: sent + time.Second, Echo: sent, EchoReceivedAt: sent + 2*testHop, EchoGeneration: pong.ReceiptGeneration, ProofAt: sent}
-		f.ping(sent+time.Second+testHop+late, told)
-		got := f.confirmedAt(sent + time.Second + testHop + late)
-		if got > sent || got < sent-2*testHop {
-			t.Errorf("%v late: %v is proved by the proof of %v", late, got, sent)
+		carrier := Heartbeat{
+			SentAt: sent + time.Second, Echo: sent, EchoReceivedAt: sent + 2*testLatency,
+			EchoGeneration: reply.ReceiptGeneration, ProofAt: sent,
+		}
+		f.receive(sent+time.Second+testLatency+delay, carrier)
+		got := f.confirmedAt(sent + time.Second + testLatency + delay)
+		if got > sent || got < sent-2*testLatency {
+			t.Errorf("delay %v: got proof of %v, want between %v and %v", delay, got, sent-2*testLatency, sent)
 		}
 	}
 }
 
-// A ping that came before and comes again, after a restart, after many others or after a head of another life, places
-// nothing: its second receipt lies behind the answer to the first.
-func TestPingThatComesTwicePlacesNothing(t *testing.T) {
+// A duplicate heartbeat, after a restart, after many others or after a head of another incarnation, dates no proof: its
+// second receipt is later than the reply to the first.
+func TestADuplicateHeartbeatDatesNoProof(t *testing.T) {
 	sent := time.Minute
 	first := Heartbeat{SentAt: sent}
-	told := Heartbeat{SentAt: sent + 150*time.Millisecond, Echo: sent, EchoReceivedAt: sent + 2*testHop, ProofAt: sent}
+	carrier := Heartbeat{
+		SentAt:         sent + 150*time.Millisecond,
+		Echo:           sent,
+		EchoReceivedAt: sent + 2*testLatency,
+		ProofAt:        sent,
+	}
 	for name, disturb := range map[string]func(f *follower) *follower{
 		"nothing": func(f *follower) *follower { return f },
 		"restart": func(*follower) *follower {
@@ -81,144 +91,164 @@
 			next.resetFreshness()
 			return next
 		},
-		"disk": func(f *follower) *follower {
-			f.PersistFailed(sent + testShift)
-			f.DiskRecovered(sent + testShift)
+		"failed disk": func(f *follower) *follower {
+			f.PersistFailed(sent + testClockOffset)
+			f.DiskRecovered(sent + testClockOffset)
 			f.logMatched = true
 			return f
 		},
-		"life of head": func(f *follower) *follower {
-			f.handleProof(sent+testShift, Heartbeat{Incarnation: testLife + 1})
+		"head of another incarnation": func(f *follower) *follower {
+			f.handleProof(sent+testClockOffset, Heartbeat{Incarnation: testIncarnation + 1})
 			return f
 		},
 		"newer receipts": func(f *follower) *follower {
 			for i := range time.Duration(2 * maxFreshnessEntries) {
-				f.ping(sent+2*testHop+i, Heartbeat{SentAt: sent + 1 + i})
+				f.receive(sent+2*testLatency+i, Heartbeat{SentAt: sent + 1 + i})
 			}
 			return f
 		},
 	} {
-		f := newFollower(t)
-		told.EchoGeneration = f.ping(sent+testHop, first).ReceiptGeneration
-		f = disturb(f)
-		f.ping(sent+10*time.Second, first)
-		f.ping(sent+20*time.Second, told)
-		if got := f.confirmedAt(sent + 20*time.Second); got > sent {
-			t.Errorf("%s: %v is proved by a proof of %v", name, got, sent)
-		}
+		t.Run(name, func(t *testing.T) {
+			f := newFollower(t)
+			carrier.EchoGeneration = f.receive(sent+testLatency, first).ReceiptGeneration
+			f = disturb(f)
+			f.receive(sent+10*time.Second, first)
+			f.receive(sent+20*time.Second, carrier)
+			if got := f.confirmedAt(sent + 20*time.Second); got > sent {
+				t.Errorf("got proof of %v, want %v at the latest", got, sent)
+			}
+		})
 	}
 }
 
-// Clocks that run a little unequally don't make an old proof younger than it is.
-func TestOldProofAllowsForUnequalClocks(t *testing.T) {
-	const old = 100 * time.Second
+// Clocks that run at slightly different speeds do not make an old proof younger than it is.
+func TestAnOldProofAllowsForClockDrift(t *testing.T) {
+	const age = 100 * time.Second
 	f := newFollower(t)
 	sent := time.Hour
-	number := f.ping(sent, Heartbeat{SentAt: sent}).ReceiptGeneration
-	told := Heartbeat{SentAt: sent + time.Second, Echo: sent, EchoReceivedAt: sent, EchoGeneration: number, ProofAt: sent - old}
-	f.ping(sent+time.Second, told)
-	if got, least := f.confirmedAt(sent+time.Second), old/clockDriftDivisor; got == 0 || got > sent-old-least {
-		t.Errorf("%v is proved by a proof of %v", got, sent-old)
+	number := f.receive(sent, Heartbeat{SentAt: sent}).ReceiptGeneration
+	carrier := Heartbeat{
+		SentAt:         sent + time.Second,
+		Echo:           sent,
+		EchoReceivedAt: sent,
+		EchoGeneration: number,
+		ProofAt:        sent - age,
+	}
+	f.receive(sent+time.Second, carrier)
+	if got, drift := f.confirmedAt(sent+time.Second), age/clockDriftDivisor; got == 0 || got > sent-age-drift {
+		t.Errorf("got proof of %v, want one of %v at the latest", got, sent-age-drift)
 	}
 }
 
-// An echo from long before the proof places nothing: the head hears this member no more.
-func TestProofLongAfterTheEchoIsNotPlaced(t *testing.T) {
+// An echo from long before the proof does not date it: the head no longer hears this member.
+func TestAProofLongAfterTheEchoIsNotDated(t *testing.T) {
 	f := newFollower(t)
 	sent := time.Minute
-	number := f.ping(sent+testHop, Heartbeat{SentAt: sent}).ReceiptGeneration
-	told := Heartbeat{SentAt: sent + 3*time.Second, Echo: sent, EchoReceivedAt: sent + 2*testHop, EchoGeneration: number, ProofAt: sent + 2*time.Second}
-	f.ping(sent+3*time.Second, told)
+	number := f.receive(sent+testLatency, Heartbeat{SentAt: sent}).ReceiptGeneration
+	carrier := Heartbeat{
+		SentAt:         sent + 3*time.Second,
+		Echo:           sent,
+		EchoReceivedAt: sent + 2*testLatency,
+		EchoGeneration: number,
+		ProofAt:        sent + 2*time.Second,
+	}
+	f.receive(sent+3*time.Second, carrier)
 	if got := f.confirmedAt(sent + 3*time.Second); got != 0 {
-		t.Errorf("%v is proved by an echo of %v", got, sent)
+		t.Errorf("got proof of %v by an echo of %v, want none", got, sent)
 	}
 }
 
-// After a silence a member asks again at once for what it lacks, however often it had asked in vain.
-func TestAsksAgainWhenItIsHeardAgain(t *testing.T) {
+// After an interruption a member fetches again at once what it lacks, however many fetches were lost before.
+func TestAMemberFetchesAtOnceWhenItIsHeardAgain(t *testing.T) {
 	f := newFollower(t)
 	f.logMatched = false
 	now := time.Minute
 	for range 40 {
-		f.ping(now, Heartbeat{SentAt: now, Echo: time.Second})
+		f.receive(now, Heartbeat{SentAt: now, Echo: time.Second})
 		now += f.timing.HeartbeatInterval
 	}
 	before := f.catchUp.lastRequestID
-	f.ping(now, Heartbeat{SentAt: now, Echo: now - time.Millisecond})
-	if f.catchUp.lastRequestID != before+1 {
-		t.Errorf("%d questions when it is heard again", f.catchUp.lastRequestID-before)
+	f.receive(now, Heartbeat{SentAt: now, Echo: now - time.Millisecond})
+	if got := f.catchUp.lastRequestID - before; got != 1 {
+		t.Errorf("got %d fetches when it is heard again, want 1", got)
 	}
 }
 
-// A proof waits until its index is applied.
-func TestProofWaitsForItsIndex(t *testing.T) {
+// A proof is valid only once its index is applied.
+func TestAProofWaitsForItsIndex(t *testing.T) {
 	f := newFollower(t)
 	sent := time.Minute
-	number := f.ping(sent+testHop, Heartbeat{SentAt: sent}).ReceiptGeneration
-	f.ping(sent+time.Second, Heartbeat{
-		SentAt: sent + time.Second, Echo: sent, EchoReceivedAt: sent + 2*testHop, EchoGeneration: number, ProofAt: sent, ProofIndex: 1,
+	number := f.receive(sent+testLatency, Heartbeat{SentAt: sent}).ReceiptGeneration
+	f.receive(sent+time.Second, Heartbeat{
+		SentAt: sent + time.Second, Echo: sent, EchoReceivedAt: sent + 2*testLatency, EchoGeneration: number,
+		ProofAt: sent, ProofIndex: 1,
 	})
 	if got := f.confirmedAt(sent + time.Second); got != 0 {
-		t.Errorf("%v is proved without entry 1", got)
+		t.Errorf("got proof of %v without entry 1, want none", got)
 	}
-	f.Receive(sent+testShift, f.head.Address, Message{From: f.head.Identity, Epoch: 1, Append: &Append{
+	f.Receive(sent+testClockOffset, f.head.Address, Message{From: f.head.Identity, Epoch: 1, Append: &Append{
 		Entries: []Entry{{Index: 1, Epoch: 1}}, CommitIndex: 1,
 	}})
 	f.Persisted()
 	f.TakeCommitted()
 	if got := f.confirmedAt(sent + time.Second); got == 0 || got > sent {
-		t.Errorf("%v is proved once entry 1 is applied", got)
+		t.Errorf("got proof of %v with entry 1 applied, want one of %v at the latest", got, sent)
 	}
 }
 
-// testHead is a founder at the head, to which the test plays the answers of its successor.
-type testHead struct{ *Node }
+// headNode is a founder at the head; the test sends it the replies of its successor.
+type headNode struct{ *Node }
 
-func newTestHead(t *testing.T) testHead {
-	h := testHead{founder(t, 0)}
+func newHeadNode(t *testing.T) headNode {
+	t.Helper()
+	h := headNode{newFounder(t, 0)}
 	h.Tick(time.Second)
 	h.Persisted()
 	return h
 }
 
-func (h testHead) answer(now, sent time.Duration, promised uint64) {
+// reply delivers the successor's reply to the heartbeat that was sent at the given time.
+func (h headNode) reply(now, sent time.Duration, promisedEpoch uint64) {
 	from := h.View().Chain[1]
-	pong := HeartbeatReply{Incarnation: h.incarnation, HeartbeatSentAt: sent, CompleteEpoch: 1, ReceiptGeneration: 5, PromisedEpoch: promised}
-	h.Receive(now, from.Address, Message{From: from.Identity, Epoch: 1, HeartbeatReply: &pong})
+	reply := HeartbeatReply{
+		Incarnation: h.incarnation, HeartbeatSentAt: sent, CompleteEpoch: 1, ReceiptGeneration: 5,
+		PromisedEpoch: promisedEpoch,
+	}
+	h.Receive(now, from.Address, Message{From: from.Identity, Epoch: 1, HeartbeatReply: &reply})
 	h.Persisted()
 	h.TakeCommitted()
 }
 
-// The head proves the moment of the ping that a majority has answered, not that of the answer.
-func TestHeadProvesByAnswers(t *testing.T) {
-	h := newTestHead(t)
+// The head proves the moment of the heartbeat that a majority has answered, not that of the replies.
+func TestTheHeadProvesTheMomentOfAnAnsweredHeartbeat(t *testing.T) {
+	h := newHeadNode(t)
 	if got := h.Status(2 * time.Second).ConfirmedAt; got != 0 {
-		t.Errorf("%v is proved without an answer", got)
+		t.Errorf("got proof of %v without a reply, want none", got)
 	}
-	h.answer(1500*time.Millisecond, time.Second, 0)
+	h.reply(1500*time.Millisecond, time.Second, 0)
 	if got := h.Status(2 * time.Second).ConfirmedAt; got != time.Second {
-		t.Errorf("%v is proved by an answer to the ping of 1 s", got)
+		t.Errorf("got proof of %v, want 1s: the answered heartbeat", got)
 	}
 }
 
-// A voter that has promised the next epoch proves nothing of this one.
-func TestPromisedVoterProvesNothing(t *testing.T) {
-	h := newTestHead(t)
-	h.answer(1500*time.Millisecond, time.Second, 2)
+// A reply of a voter that has promised a proposal for the next epoch proves nothing.
+func TestAVoterThatHasPromisedProvesNothing(t *testing.T) {
+	h := newHeadNode(t)
+	h.reply(1500*time.Millisecond, time.Second, 2)
 	if got := h.Status(2 * time.Second).ConfirmedAt; got != 0 {
-		t.Errorf("%v is proved by a voter that has promised the next epoch", got)
+		t.Errorf("got proof of %v by a voter that has promised the next epoch, want none", got)
 	}
 }
 
-// The head's own proof waits until what it had taken by then is applied.
-func TestHeadProvesWhatItHasApplied(t *testing.T) {
-	h := newTestHead(t)
-	h.answer(1100*time.Millisecond, time.Second, 0)
+// The head's own proof waits until the entries that it had appended by then are applied.
+func TestTheHeadProvesOnlyWhatItHasApplied(t *testing.T) {
+	h := newHeadNode(t)
+	h.reply(1100*time.Millisecond, time.Second, 0)
 	h.Propose(1200*time.Millisecond, []byte("x"))
 	h.Tick(1300 * time.Millisecond)
 	h.Persisted()
-	h.answer(1350*time.Millisecond, 1300*time.Millisecond, 0)
+	h.reply(1350*time.Millisecond, 1300*time.Millisecond, 0)
 	if got := h.Status(2 * time.Second).ConfirmedAt; got == 0 || got >= 1200*time.Millisecond {
-		t.Errorf("%v is proved with an entry of 1.2 s that isn't applied", got)
+		t.Errorf("got proof of %v, want one before the entry of 1.2s, which is not applied", got)
 	}
 }
--- a/coordination/chain/golden_test.go
+++ b/coordination/chain/golden_test.go
@@ -150,12 +150,15 @@
 		{"11", goldenMessage(Message{ViewRequest: &ViewRequest{}})},
 		{"12", goldenMessage(Message{ViewDecision: &ViewDecision{View: goldenView(401), PriorLeasesExpired: true}})},
 		{"13", goldenMessage(Message{Heartbeat: &Heartbeat{
-			Incarnation: 501, SentAt: 502 * time.Millisecond, Echo: 503 * time.Millisecond, CommitIndex: 504, LastIndex: 505, StepDown: true,
+			Incarnation: 501, SentAt: 502 * time.Millisecond, Echo: 503 * time.Millisecond, CommitIndex: 504,
+			LastIndex: 505, StepDown: true,
 			MembershipVersion: 506, Members: []view.Member{goldenMember("p"), goldenMember("q")}, Live: []bool{true, false},
-			DurableReplicas: 507, EchoReceivedAt: 508 * time.Millisecond, EchoGeneration: 509, ProofAt: 510 * time.Millisecond, ProofIndex: 511,
+			DurableReplicas: 507, EchoReceivedAt: 508 * time.Millisecond, EchoGeneration: 509,
+			ProofAt: 510 * time.Millisecond, ProofIndex: 511,
 		}})},
 		{"14", goldenMessage(Message{HeartbeatReply: &HeartbeatReply{
-			Incarnation: 601, HeartbeatSentAt: 602 * time.Millisecond, CommitIndex: 603, LastIndex: 604, CompleteEpoch: 605, Matched: true, PromisedEpoch: 606,
+			Incarnation: 601, HeartbeatSentAt: 602 * time.Millisecond, CommitIndex: 603, LastIndex: 604,
+			CompleteEpoch: 605, Matched: true, PromisedEpoch: 606,
 			DiskFailing: true, Leaving: true, MembershipVersion: 607, ReceiptGeneration: 608,
 		}})},
 		{"15", goldenMessage(Message{Fetch: &Fetch{
@@ -252,27 +255,28 @@
 
 // goldenRecords holds one record for each field, then one with all of them.
 func goldenRecords() []goldenValue {
-	self, cut, v := goldenMember("s"), uint64(101), goldenView(102)
+	self, truncateAfter, v := goldenMember("s"), uint64(101), goldenView(102)
 	acceptor := view.Acceptor{
 		Epoch: 103, Promised: view.ProposalNumber{Round: 104, Proposer: "promised"},
 		Accepted: view.ProposalNumber{Round: 105, Proposer: "accepted"}, Value: goldenView(106),
 	}
 	entry := Entry{Index: 108, Epoch: 109, ID: CommandID{Proposer: 110, Number: 111}, Command: []byte("command")}
 	known := []view.Member{goldenMember("k"), goldenMember("l")}
-	whole := checkpointBase{Index: 113, Epoch: 114, Snapshot: SnapshotPoint{Index: 115, Epoch: 116}}
+	base := checkpointBase{Index: 113, Epoch: 114, Snapshot: SnapshotPoint{Index: 115, Epoch: 116}}
 	return []goldenValue{
 		{"1", &record{Self: &self}},
 		{"2", &record{View: &v}},
 		{"3", &record{Acceptor: &acceptor}},
 		{"4", &record{CompleteEpoch: 107}},
 		{"5", &record{Entry: &entry}},
-		{"6", &record{TruncateAfter: &cut}},
+		{"6", &record{TruncateAfter: &truncateAfter}},
 		{"7", &record{CommitIndex: 112}},
 		{"8", &record{KnownMembers: known}},
-		{"9", &record{Base: &whole}},
+		{"9", &record{Base: &base}},
 		{"all", &record{
-			Self: &self, View: &v, Acceptor: &acceptor, CompleteEpoch: 107, Entry: &entry, TruncateAfter: &cut, CommitIndex: 112,
-			KnownMembers: known, Base: &whole,
+			Self: &self, View: &v, Acceptor: &acceptor, CompleteEpoch: 107, Entry: &entry, TruncateAfter: &truncateAfter,
+			CommitIndex:  112,
+			KnownMembers: known, Base: &base,
 		}},
 	}
 }
@@ -330,9 +334,10 @@
 	}
 }
 
-// goldenLog is a log as a member writes it: a checkpoint, entries, entries that are cut off and replaced, a new view.
+// goldenLog is a log as a member writes it: a checkpoint, entries, entries that are truncated and replaced, a new
+// view.
 func goldenLog() []goldenValue {
-	self, old, newer, cut := goldenMember("a"), goldenView(5), goldenView(6), uint64(13)
+	self, old, newer, truncateAfter := goldenMember("a"), goldenView(5), goldenView(6), uint64(13)
 	first := view.Acceptor{Epoch: 5, Promised: view.ProposalNumber{Round: 2, Proposer: "identity-b"}}
 	second := view.Acceptor{
 		Epoch: 6, Promised: view.ProposalNumber{Round: 4, Proposer: "identity-c"},
@@ -345,13 +350,14 @@
 	return []goldenValue{
 		{"1", &record{
 			Base: &checkpointBase{Index: 10, Epoch: 3, Snapshot: SnapshotPoint{Index: 12, Epoch: 4}},
-			Self: &self, View: &old, Acceptor: &first, CompleteEpoch: 4, CommitIndex: 11, KnownMembers: []view.Member{goldenMember("b")},
+			Self: &self, View: &old, Acceptor: &first, CompleteEpoch: 4, CommitIndex: 11,
+			KnownMembers: []view.Member{goldenMember("b")},
 		}},
 		{"2", &record{Entry: entry(11, 3, "eleven")}},
 		{"3", &record{Entry: entry(12, 4, "twelve")}},
 		{"4", &record{Entry: entry(13, 5, "replaced")}},
 		{"5", &record{Entry: entry(14, 5, "cut off")}},
-		{"6", &record{TruncateAfter: &cut}},
+		{"6", &record{TruncateAfter: &truncateAfter}},
 		{"7", &record{Entry: entry(14, 5, "replaced with its predecessor")}},
 		{"8", &record{View: &newer, CompleteEpoch: 6}},
 		{"9", &record{Entry: entry(13, 6, "thirteen")}},
@@ -416,9 +422,10 @@
 		got = append(got, out.Records...)
 	}
 	step("b", Message{Forward: &Forward{ID: CommandID{Proposer: 21, Number: 22}, Command: []byte("fifteen")}})
-	step("c", Message{Prepare: &Prepare{View: goldenView(6), Number: view.ProposalNumber{Round: 7, Proposer: "identity-c"}}})
+	number := view.ProposalNumber{Round: 7, Proposer: "identity-c"}
+	step("c", Message{Prepare: &Prepare{View: goldenView(6), Number: number}})
 	accepted := goldenView(7)
-	step("c", Message{Accept: &Accept{Number: view.ProposalNumber{Round: 7, Proposer: "identity-c"}, Value: accepted}})
+	step("c", Message{Accept: &Accept{Number: number, Value: accepted}})
 	step("c", Message{ViewDecision: &ViewDecision{View: accepted}})
 	if want := goldenBodies(t, "continued.hex"); !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %x\nwant %x", got, want)
--- a/coordination/chain/heartbeat.go
+++ b/coordination/chain/heartbeat.go
@@ -43,45 +43,61 @@
 	p.heartbeatSentAt = now
 	n.recordProofCandidate(now)
 	proof := n.currentProof(now)
-	ping := Heartbeat{
-		Incarnation: n.incarnation, SentAt: now, Echo: p.echoedSentAt, CommitIndex: n.commitIndex, LastIndex: n.log.lastIndex(),
-		StepDown: n.diskFailing, MembershipVersion: n.membershipVersion, DurableReplicas: n.durableReplicasBeside(now, p),
-		EchoReceivedAt: p.echoReceivedAt, EchoGeneration: p.echoGeneration, ProofAt: proof.at, ProofIndex: proof.index,
+	heartbeat := Heartbeat{
+		Incarnation:       n.incarnation,
+		SentAt:            now,
+		Echo:              p.echoedSentAt,
+		CommitIndex:       n.commitIndex,
+		LastIndex:         n.log.lastIndex(),
+		StepDown:          n.diskFailing,
+		MembershipVersion: n.membershipVersion,
+		DurableReplicas:   n.durableReplicasBeside(now, p),
+		EchoReceivedAt:    p.echoReceivedAt,
+		EchoGeneration:    p.echoGeneration,
+		ProofAt:           proof.at,
+		ProofIndex:        proof.index,
 	}
 	if p.membershipVersion != n.membershipVersion {
-		ping.Members = n.members()
-		ping.Live = []bool{true}
+		heartbeat.Members = n.members()
+		heartbeat.Live = []bool{true}
 		for _, other := range n.peers {
-			ping.Live = append(ping.Live, n.isLive(now, other))
+			heartbeat.Live = append(heartbeat.Live, n.isLive(now, other))
 		}
 	}
-	n.send(p.member, Message{Heartbeat: &ping})
+	n.send(p.member, Message{Heartbeat: &heartbeat})
 }
 
 // handleHeartbeat takes in what the head reports, and replies.
 func (n *Node) handleHeartbeat(now time.Duration, address string, m Message) {
-	ping := *m.Heartbeat
+	heartbeat := *m.Heartbeat
 	if m.From != n.view.Head().Identity && !n.config.Mutation.NoEpochCheck {
 		return
 	}
-	n.noteHeadHeard(now, ping.Echo)
-	n.detector.headStepsDown = ping.StepDown
-	n.detector.headCommitIndex, n.detector.headLastIndex = ping.CommitIndex, ping.LastIndex
-	n.detector.durableReplicas = ping.DurableReplicas
-	if len(ping.Members) > 0 {
-		n.adoptMembership(now, ping)
-	}
-	n.advanceCommitIndex(ping.CommitIndex)
-	n.handleProof(now, ping)
-	pong := HeartbeatReply{
-		Incarnation: ping.Incarnation, HeartbeatSentAt: ping.SentAt, CommitIndex: n.commitIndex, LastIndex: n.log.lastIndex(), CompleteEpoch: n.completeEpoch,
-		Matched: n.logMatched, DiskFailing: n.diskFailing, Leaving: n.leaving, MembershipVersion: n.membership.version,
+	n.noteHeadHeard(now, heartbeat.Echo)
+	n.detector.headStepsDown = heartbeat.StepDown
+	n.detector.headCommitIndex, n.detector.headLastIndex = heartbeat.CommitIndex, heartbeat.LastIndex
+	n.detector.durableReplicas = heartbeat.DurableReplicas
+	if len(heartbeat.Members) > 0 {
+		n.adoptMembership(now, heartbeat)
+	}
+	n.advanceCommitIndex(heartbeat.CommitIndex)
+	n.handleProof(now, heartbeat)
+	reply := HeartbeatReply{
+		Incarnation:       heartbeat.Incarnation,
+		HeartbeatSentAt:   heartbeat.SentAt,
+		CommitIndex:       n.commitIndex,
+		LastIndex:         n.log.lastIndex(),
+		CompleteEpoch:     n.completeEpoch,
+		Matched:           n.logMatched,
+		DiskFailing:       n.diskFailing,
+		Leaving:           n.leaving,
+		MembershipVersion: n.membership.version,
 		ReceiptGeneration: n.freshness.generation,
 	}
 	if n.sealed() {
-		pong.PromisedEpoch = n.acceptor.Epoch
+		reply.PromisedEpoch = n.acceptor.Epoch
 	}
-	n.sendTo(address, Message{To: m.From, HeartbeatReply: &pong})
+	n.sendTo(address, Message{To: m.From, HeartbeatReply: &reply})
 	if n.config.Mutation.NoEpochCheck {
 		n.out.Messages[len(n.out.Messages)-1].Message.Epoch = m.Epoch
 	}
@@ -89,35 +105,35 @@
 
 // handleHeartbeatReply takes in what a member reports. It extends the lease unless the member has promised a proposal
 // for a later epoch.
-func (n *Node) handleHeartbeatReply(now time.Duration, from string, pong HeartbeatReply) {
+func (n *Node) handleHeartbeatReply(now time.Duration, from string, reply HeartbeatReply) {
 	p := n.findPeer(from)
-	if p == nil || !n.isHead() || pong.Incarnation != n.incarnation || pong.HeartbeatSentAt > now {
+	if p == nil || !n.isHead() || reply.Incarnation != n.incarnation || reply.HeartbeatSentAt > now {
 		return
 	}
-	if pong.LastIndex != p.lastReply.LastIndex || pong.CompleteEpoch != p.lastReply.CompleteEpoch || !p.replied {
+	if reply.LastIndex != p.lastReply.LastIndex || reply.CompleteEpoch != p.lastReply.CompleteEpoch || !p.replied {
 		p.progressAt = now
 	}
 	p.heardAt, p.replied = max(p.heardAt, now), true
 	if p.steadySince == 0 {
 		p.steadySince = now
 	}
-	p.lastReply, p.membershipVersion = pong, pong.MembershipVersion
-	n.recordEcho(now, p, pong)
-	if pong.PromisedEpoch <= n.view.Epoch {
-		p.confirmedSentAt = max(p.confirmedSentAt, pong.HeartbeatSentAt)
+	p.lastReply, p.membershipVersion = reply, reply.MembershipVersion
+	n.recordEcho(now, p, reply)
+	if reply.PromisedEpoch <= n.view.Epoch {
+		p.confirmedSentAt = max(p.confirmedSentAt, reply.HeartbeatSentAt)
 	}
-	if from == n.view.Tail().Identity && pong.CompleteEpoch == n.view.Epoch {
-		n.advanceCommitIndex(pong.CommitIndex)
+	if from == n.view.Tail().Identity && reply.CompleteEpoch == n.view.Epoch {
+		n.advanceCommitIndex(reply.CommitIndex)
 	}
 }
 
 // recordEcho notes the newest reply for the echo. The first one of a receipt generation is echoed at once.
-func (n *Node) recordEcho(now time.Duration, p *peer, pong HeartbeatReply) {
-	if pong.HeartbeatSentAt <= p.echoedSentAt {
+func (n *Node) recordEcho(now time.Duration, p *peer, reply HeartbeatReply) {
+	if reply.HeartbeatSentAt <= p.echoedSentAt {
 		return
 	}
-	if pong.ReceiptGeneration != p.echoGeneration {
+	if reply.ReceiptGeneration != p.echoGeneration {
 		p.heartbeatSentAt = 0
 	}
-	p.echoedSentAt, p.echoReceivedAt, p.echoGeneration = pong.HeartbeatSentAt, now, pong.ReceiptGeneration
+	p.echoedSentAt, p.echoReceivedAt, p.echoGeneration = reply.HeartbeatSentAt, now, reply.ReceiptGeneration
 }
--- a/coordination/chain/leave.go
+++ b/coordination/chain/leave.go
@@ -29,36 +29,37 @@
 	needed := n.config.FaultTolerance + 1
 	switch {
 	case n.view.Epoch == 0 || n.config.Mutation.LeaveImmediately:
-		return "" // it holds nothing
+		return "" // it has no entries
 	case n.isHead():
-		return "no other member of the chain can be the head"
+		return "it is the head, and no other member of the chain is ready to become head"
 	case !n.detector.heartbeatReceived:
-		return fmt.Sprintf("the head of epoch %d has not been heard", n.view.Epoch)
+		return fmt.Sprintf("no heartbeat from the head of epoch %d yet", n.view.Epoch)
 	case n.inChain():
-		return fmt.Sprintf("the chain needs it: it has %d members, %d are the least, and no voter outside is ready",
+		return fmt.Sprintf("the chain needs it: it has %d members, must have %d, and no voter outside is ready",
 			len(n.view.Chain), n.minChainLength())
 	case n.detector.durableReplicas < needed:
-		return fmt.Sprintf("%d other members are known to hold everything, %d must", n.detector.durableReplicas, needed)
+		return fmt.Sprintf("only %d other members are known to have all acknowledged entries on disk, %d must",
+			n.detector.durableReplicas, needed)
 	}
 	return ""
 }
 
 // durableReplicasBeside counts the members, without the one that leaves, that stay and have on disk everything that
-// was acknowledged before this epoch. What is acknowledged in this epoch is on the disks of its whole chain.
-func (n *Node) durableReplicasBeside(now time.Duration, going *peer) int {
+// was acknowledged before this epoch. What is acknowledged in this epoch is on the disks of all members of its chain.
+func (n *Node) durableReplicasBeside(now time.Duration, leaving *peer) int {
 	if !n.complete() || n.diskFailing {
 		return 0
 	}
-	copies := 0
+	replicas := 0
 	if !n.leaving {
-		copies++
+		replicas++
 	}
 	for _, p := range n.peers {
-		if p != going && p.replied && n.isLive(now, p) && n.hasStateBeforeEpoch(p) {
-			copies++
+		if p != leaving && p.replied && n.isLive(now, p) && n.hasStateBeforeEpoch(p) {
+			replicas++
 		}
 	}
-	return copies
+	return replicas
 }
 
 // hasStateBeforeEpoch reports whether a member that stays has on disk everything that the head had when the epoch
@@ -67,5 +68,6 @@
 	if n.config.Mutation.CountLearners {
 		return true
 	}
-	return p.lastReply.Matched && p.lastReply.LastIndex >= n.epochStartIndex && !p.lastReply.DiskFailing && !p.lastReply.Leaving
+	reply := p.lastReply
+	return reply.Matched && reply.LastIndex >= n.epochStartIndex && !reply.DiskFailing && !reply.Leaving
 }
--- a/coordination/chain/leave_test.go
+++ b/coordination/chain/leave_test.go
@@ -8,8 +8,8 @@
 	"raventrestle/coordination/view"
 )
 
-// headOfTwo returns the head of a chain of two, which one voter has left, with three entries at the epoch's beginning.
-func headOfTwo(planted mutation.Set) *Node {
+// headOfTwo returns the head of a chain of two, which a third voter has left, with three entries when the epoch began.
+func headOfTwo(mutants mutation.Set) *Node {
 	member := func(name string) view.Member { return view.Member{Identity: name, Address: name} }
 	state := State{Self: member("a"), CompleteEpoch: 2}
 	state.View = view.View{
@@ -19,42 +19,45 @@
 	for index := uint64(1); index <= 3; index++ {
 		state.Entries = append(state.Entries, Entry{Index: index, Epoch: 1})
 	}
-	return New(time.Second, state, Config{FaultTolerance: 1, RandomSeed: 1, Mutation: planted})
+	return New(time.Second, state, Config{FaultTolerance: 1, RandomSeed: 1, Mutation: mutants})
 }
 
-// copiesTold has the head hear the other member of the chain, and returns what it then tells the member that leaves.
-func copiesTold(t *testing.T, n *Node, pong HeartbeatReply) int {
+// reportedReplicas delivers a reply of the other member of the chain to the head, and returns the number of durable
+// replicas that the head then reports to the member that leaves.
+func reportedReplicas(t *testing.T, n *Node, reply HeartbeatReply) int {
 	t.Helper()
 	now := n.lastStep + 400*time.Millisecond
-	pong.Incarnation, pong.HeartbeatSentAt = n.incarnation, now
-	n.Receive(now, "c", Message{From: "c", To: "a", Epoch: 2, HeartbeatReply: &pong})
+	reply.Incarnation, reply.HeartbeatSentAt = n.incarnation, now
+	n.Receive(now, "c", Message{From: "c", To: "a", Epoch: 2, HeartbeatReply: &reply})
 	for _, envelope := range n.Tick(now + n.timing.HeartbeatInterval).Messages {
 		if envelope.Address == "b" && envelope.Message.Heartbeat != nil {
 			return envelope.Message.Heartbeat.DurableReplicas
 		}
 	}
-	t.Fatal("the member that leaves is not pinged")
+	t.Fatal("got no heartbeat to the member that leaves, want one")
 	return 0
 }
 
-// The head counts itself and those whose logs have all that there was when the epoch began, and stay.
-func TestCopiesBesideALeavingMember(t *testing.T) {
+// The head counts itself, and the members that stay and have all entries from before the epoch.
+func TestDurableReplicasWithoutTheLeavingMember(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		pong HeartbeatReply
-		want int
+		name  string
+		reply HeartbeatReply
+		want  int
 	}{
-		{"not compared yet", HeartbeatReply{LastIndex: 3}, 1},
+		{"log not compared yet", HeartbeatReply{LastIndex: 3}, 1},
 		{"lacks an entry", HeartbeatReply{Matched: true, LastIndex: 2}, 1},
-		{"holds everything", HeartbeatReply{Matched: true, LastIndex: 3}, 2},
-		{"its disk refuses", HeartbeatReply{Matched: true, LastIndex: 3, DiskFailing: true}, 1},
-		{"leaves too", HeartbeatReply{Matched: true, LastIndex: 3, Leaving: true}, 1},
+		{"has everything", HeartbeatReply{Matched: true, LastIndex: 3}, 2},
+		{"disk rejects writes", HeartbeatReply{Matched: true, LastIndex: 3, DiskFailing: true}, 1},
+		{"leaves as well", HeartbeatReply{Matched: true, LastIndex: 3, Leaving: true}, 1},
 	} {
-		if got := copiesTold(t, headOfTwo(mutation.Set{}), c.pong); got != c.want {
-			t.Errorf("%s: %d copies, want %d", c.name, got, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if got := reportedReplicas(t, headOfTwo(mutation.Set{}), c.reply); got != c.want {
+				t.Errorf("got %d durable replicas, want %d", got, c.want)
+			}
+		})
 	}
-	if copiesTold(t, headOfTwo(mutation.Set{CountLearners: true}), HeartbeatReply{}) == 1 {
-		t.Error("a learner that counts as a holder is not found")
+	if got := reportedReplicas(t, headOfTwo(mutation.Set{CountLearners: true}), HeartbeatReply{}); got == 1 {
+		t.Errorf("got %d durable replicas with the check disabled, want more", got)
 	}
 }
--- a/coordination/chain/log.go
+++ b/coordination/chain/log.go
@@ -73,9 +73,9 @@
 }
 
 // epochEnds returns the last index of each epoch among the entries after the index.
-func (l *memoryLog) epochEnds(above uint64) []EpochEnd {
+func (l *memoryLog) epochEnds(index uint64) []EpochEnd {
 	var ends []EpochEnd
-	for _, entry := range l.after(max(above, l.baseIndex)) {
+	for _, entry := range l.after(max(index, l.baseIndex)) {
 		if len(ends) > 0 && ends[len(ends)-1].Epoch == entry.Epoch {
 			ends[len(ends)-1].LastIndex = entry.Index
 			continue
@@ -87,9 +87,9 @@
 
 // commonIndex returns the newest index up to which this log is certain to equal the log of a member that has
 // committed up to the commit index and has the given epoch ends after it.
-func (l *memoryLog) commonIndex(committed uint64, ends []EpochEnd) uint64 {
+func (l *memoryLog) commonIndex(commitIndex uint64, ends []EpochEnd) uint64 {
 	for i := len(ends) - 1; i >= 0; i-- {
-		first := committed + 1
+		first := commitIndex + 1
 		if i > 0 {
 			first = ends[i-1].LastIndex + 1
 		}
@@ -106,5 +106,5 @@
 			}
 		}
 	}
-	return committed
+	return commitIndex
 }
--- a/coordination/chain/log_test.go
+++ b/coordination/chain/log_test.go
@@ -21,8 +21,8 @@
 	return log
 }
 
-// The newest common entry is found from the summary alone, as far as the log still knows it.
-func TestCommon(t *testing.T) {
+// The newest common entry is found from the epoch ends alone, as far as the log still has it.
+func TestCommonIndexIsFoundFromEpochEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shared := drawLog(t, nil, rapid.Uint64Range(1, 3))
 		// An entry of one index and epoch is the same everywhere, so the two go on with different epochs.
@@ -36,7 +36,7 @@
 			want = committed
 		}
 		if got != want {
-			t.Fatalf("common %d, want %d", got, want)
+			t.Fatalf("got common index %d, want %d", got, want)
 		}
 	})
 }
@@ -63,37 +63,37 @@
 	}
 }
 
-// A state comes back from its records as it was.
-func TestStateComesBack(t *testing.T) {
+// A state is restored from its records unchanged.
+func TestStateIsRestoredFromItsRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := drawState(t)
-		loaded, err := Restore(state.Records())
+		restored, err := Restore(state.Records())
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("got error %v, want none", err)
 		}
-		if !reflect.DeepEqual(state, loaded) {
-			t.Fatalf("got %+v, want %+v", loaded, state)
+		if !reflect.DeepEqual(state, restored) {
+			t.Fatalf("got %+v, want %+v", restored, state)
 		}
 	})
 }
 
-// Later entries replace earlier ones from their index on; a gap is an error.
-func TestRecordsReplace(t *testing.T) {
+// Later entries replace earlier ones from their index on. A gap, or bytes that are no record, are an error.
+func TestLaterRecordsReplaceEarlierOnes(t *testing.T) {
 	entry := func(index, epoch uint64) []byte {
 		return encodeRecord(record{Entry: &Entry{Index: index, Epoch: epoch}})
 	}
 	state, err := Restore([][]byte{entry(1, 1), entry(2, 1), entry(3, 1), entry(2, 2)})
 	if err != nil || len(state.Entries) != 2 || state.Entries[1].Epoch != 2 {
-		t.Errorf("%+v, %v", state.Entries, err)
+		t.Errorf("got entries %+v and error %v, want 1 and 2, the second of epoch 2", state.Entries, err)
 	}
-	cut := uint64(1)
-	state, err = Restore([][]byte{entry(1, 1), entry(2, 1), encodeRecord(record{TruncateAfter: &cut})})
+	index := uint64(1)
+	state, err = Restore([][]byte{entry(1, 1), entry(2, 1), encodeRecord(record{TruncateAfter: &index})})
 	if err != nil || len(state.Entries) != 1 {
-		t.Errorf("%+v, %v", state.Entries, err)
+		t.Errorf("got entries %+v and error %v, want entry 1 alone", state.Entries, err)
 	}
 	for _, bad := range [][][]byte{{entry(2, 1)}, {{0xff}}} {
 		if _, err := Restore(bad); err == nil {
-			t.Errorf("%x is taken", bad)
+			t.Errorf("records %x: got no error, want one", bad)
 		}
 	}
 }
--- a/coordination/chain/members.go
+++ b/coordination/chain/members.go
@@ -96,14 +96,14 @@
 
 // resolveView returns the view with the most complete descriptions of its members.
 func (n *Node) resolveView(v view.View) view.View {
-	fill := func(members []view.Member) []view.Member {
-		filled := make([]view.Member, 0, len(members))
+	resolveAll := func(members []view.Member) []view.Member {
+		resolved := make([]view.Member, 0, len(members))
 		for _, member := range members {
-			filled = append(filled, n.resolve(member))
+			resolved = append(resolved, n.resolve(member))
 		}
-		return filled
+		return resolved
 	}
-	return view.View{Epoch: v.Epoch, Chain: fill(v.Chain), Voters: fill(v.Voters)}
+	return view.View{Epoch: v.Epoch, Chain: resolveAll(v.Chain), Voters: resolveAll(v.Voters)}
 }
 
 // inView reports whether the identity is in the chain or a voter of the view.
@@ -113,10 +113,10 @@
 
 // expirePeers drops members outside the view that were not heard for long.
 func (n *Node) expirePeers(now time.Duration) {
-	const patience = 10 * time.Second
+	const peerTTL = 10 * time.Second
 	before := len(n.peers)
 	n.peers = slices.DeleteFunc(n.peers, func(p *peer) bool {
-		return !inView(n.view, p.member.Identity) && now-max(p.heardAt, p.helloReceivedAt) > patience
+		return !inView(n.view, p.member.Identity) && now-max(p.heardAt, p.helloReceivedAt) > peerTTL
 	})
 	if len(n.peers) != before {
 		n.membershipVersion++
@@ -133,10 +133,10 @@
 }
 
 // adoptMembership takes in the head's list of members.
-func (n *Node) adoptMembership(now time.Duration, ping Heartbeat) {
-	n.membership = membershipTable{version: ping.MembershipVersion, members: ping.Members, live: ping.Live}
+func (n *Node) adoptMembership(now time.Duration, heartbeat Heartbeat) {
+	n.membership = membershipTable{version: heartbeat.MembershipVersion, members: heartbeat.Members, live: heartbeat.Live}
 	before := len(n.peers)
-	for _, member := range ping.Members {
+	for _, member := range heartbeat.Members {
 		n.learnMember(now, member)
 	}
 	if len(n.peers) != before {
--- a/coordination/chain/node.go
+++ b/coordination/chain/node.go
@@ -132,7 +132,7 @@
 	n.runCatchUp(now)
 	n.runPendingRequests(now)
 	n.nextTick = max(n.nextTick, now+minTickInterval)
-	if n.out.InstallSnapshot != nil { // the whole state takes the place of the step's records
+	if n.out.InstallSnapshot != nil { // the complete state replaces the step's records
 		state := n.State()
 		n.out.InstallSnapshot.Records, n.out.Records = state.Records(), nil
 		n.unsavedProgress = false
--- a/coordination/chain/node_test.go
+++ b/coordination/chain/node_test.go
@@ -11,24 +11,24 @@
 
 var testSeeds = []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
 
-// founder returns a founding node that has just started.
-func founder(t *testing.T, number int) *Node {
+// newFounder returns a founder that has just started.
+func newFounder(t *testing.T, number int) *Node {
 	t.Helper()
-	state, ok := Bootstrap(view.Member{Address: testSeeds[number], Zone: fmt.Sprint("z", number)}, testSeeds)
-	if !ok {
-		t.Fatal("no founder")
+	state, founds := Bootstrap(view.Member{Address: testSeeds[number], Zone: fmt.Sprint("z", number)}, testSeeds)
+	if !founds {
+		t.Fatalf("got no founder for seed %d, want one", number)
 	}
 	return New(time.Second, state, Config{FaultTolerance: 1, Seeds: testSeeds, RandomSeed: uint64(number + 1)})
 }
 
-// later returns the view that follows the founders' one, with another head.
-func later(n *Node) view.View {
+// nextView returns a view that follows the first one, with another head.
+func nextView(n *Node) view.View {
 	first := n.View()
 	return view.View{Epoch: 2, Chain: []view.Member{first.Chain[1], first.Chain[2]}, Voters: first.Voters}
 }
 
-// epochMessages are the messages that belong to an epoch.
-func epochMessages(from view.Member) []Message {
+// epochMessages returns a message of each kind that belongs to an epoch.
+func epochMessages() []Message {
 	return []Message{
 		{Heartbeat: &Heartbeat{Incarnation: 1, SentAt: 1}},
 		{HeartbeatReply: &HeartbeatReply{Incarnation: 1}},
@@ -45,42 +45,43 @@
 	}
 }
 
-// Whatever belongs to an epoch that is over changes nothing; its sender is told of the newer view.
-func TestEarlierEpochIsRefused(t *testing.T) {
-	for _, message := range epochMessages(view.Member{}) {
-		n := founder(t, 1)
+// A message of an earlier epoch changes nothing, and its sender is sent the newer view.
+func TestMessagesOfAnEarlierEpochAreRejected(t *testing.T) {
+	for _, message := range epochMessages() {
+		n := newFounder(t, 1)
 		from := n.View().Chain[0]
-		n.Receive(time.Second, from.Address, Message{From: from.Identity, ViewDecision: &ViewDecision{View: later(n)}})
+		n.Receive(time.Second, from.Address, Message{From: from.Identity, ViewDecision: &ViewDecision{View: nextView(n)}})
 		n.Persisted()
 		before := n.durableState
 		message.From, message.Epoch = from.Identity, 1
 		out := n.Receive(2*time.Second, from.Address, message)
 		if len(out.Records) > 0 || !reflect.DeepEqual(before, n.durableState) {
-			t.Errorf("%+v changes the state", message)
+			t.Errorf("%+v: got %d records and state %+v, want no change of %+v",
+				message, len(out.Records), n.durableState, before)
 		}
-		told := false
+		viewSent := false
 		for _, envelope := range out.Messages {
-			told = told || envelope.Message.ViewDecision != nil && envelope.Address == from.Address
+			viewSent = viewSent || envelope.Message.ViewDecision != nil && envelope.Address == from.Address
 			if m := envelope.Message; m.HeartbeatReply != nil || m.BarrierReply != nil || m.Barrier != nil {
-				t.Errorf("%+v is answered by %+v", message, m)
+				t.Errorf("%+v: got answer %+v, want none", message, m)
 			}
 		}
-		if !told {
-			t.Errorf("the sender of %+v is not told the view", message)
+		if !viewSent {
+			t.Errorf("%+v: got messages %+v, want the view sent to its sender", message, out.Messages)
 		}
 	}
 }
 
-// A voter that has promised the next epoch takes part in its own no more.
-func TestPromiseEndsTheEpoch(t *testing.T) {
-	n := founder(t, 1)
+// A voter that has promised a proposal for the next epoch takes no further part in its own.
+func TestAPromiseSealsTheEpoch(t *testing.T) {
+	n := newFounder(t, 1)
 	head, proposer := n.View().Chain[0], n.View().Chain[2]
-	ballot := view.ProposalNumber{Round: 1, Proposer: proposer.Identity}
+	number := view.ProposalNumber{Round: 1, Proposer: proposer.Identity}
 	out := n.Receive(time.Second, proposer.Address,
-		Message{From: proposer.Identity, Epoch: 1, Prepare: &Prepare{View: n.View(), Number: ballot}})
+		Message{From: proposer.Identity, Epoch: 1, Prepare: &Prepare{View: n.View(), Number: number}})
 	n.Persisted()
 	if len(out.Records) == 0 {
-		t.Fatal("the promise is not kept on disk")
+		t.Fatal("got no record of the promise, want one")
 	}
 	for _, message := range []Message{
 		{Append: &Append{InReplyTo: n.catchUp.lastRequestID, Entries: []Entry{{Index: 1, Epoch: 1}}}},
@@ -88,40 +89,41 @@
 	} {
 		message.From, message.Epoch = head.Identity, 1
 		n.Receive(time.Second, head.Address, message)
-		if n.log.lastIndex() != 0 {
-			t.Errorf("%+v is taken", message)
+		if got := n.log.lastIndex(); got != 0 {
+			t.Errorf("%+v: got last index %d, want 0", message, got)
 		}
 	}
 	out = n.Receive(time.Second, head.Address,
 		Message{From: head.Identity, Epoch: 1, Heartbeat: &Heartbeat{Incarnation: 1, SentAt: time.Second}})
 	for _, envelope := range out.Messages {
-		if pong := envelope.Message.HeartbeatReply; pong != nil && pong.PromisedEpoch != 2 {
-			t.Errorf("the answer to a ping hides the promise: %+v", pong)
+		if reply := envelope.Message.HeartbeatReply; reply != nil && reply.PromisedEpoch != 2 {
+			t.Errorf("got promised epoch %d in the reply, want 2", reply.PromisedEpoch)
 		}
 	}
 }
 
-// Records come before the messages that rest on them: a refused write takes the step back.
-func TestRefusedWriteIsTakenBack(t *testing.T) {
-	n := founder(t, 0)
+// A failed write returns the node to the state on disk, and no command is accepted while the disk rejects writes.
+func TestAFailedWriteIsRolledBack(t *testing.T) {
+	n := newFounder(t, 0)
 	n.Persisted()
 	before := n.durableState
 	_, out := n.Propose(time.Second, []byte("x"))
 	if len(out.Records) == 0 || n.log.lastIndex() != 1 {
-		t.Fatal("the head does not take the command")
+		t.Fatalf("got %d records and last index %d, want the command appended", len(out.Records), n.log.lastIndex())
 	}
 	n.PersistFailed(time.Second)
 	if !reflect.DeepEqual(before.log, n.durableState.log) || !n.DiskFailing() {
-		t.Errorf("log %+v after a refused write", n.log)
+		t.Errorf("got log %+v and disk failing %v after a failed write, want log %+v and true",
+			n.log, n.DiskFailing(), before.log)
 	}
 	if _, out := n.Propose(time.Second, []byte("y")); len(out.Records) > 0 {
-		t.Error("a command is taken while the disk refuses")
+		t.Errorf("got %d records while the disk rejects writes, want 0", len(out.Records))
 	}
 }
 
-// A command that is forwarded twice is in the log once.
-func TestForwardTwice(t *testing.T) {
-	n := founder(t, 0)
+// A command that is forwarded several times is in the log once.
+func TestARepeatedForwardIsAppendedOnce(t *testing.T) {
+	n := newFounder(t, 0)
 	from := n.View().Chain[1]
 	for range 3 {
 		n.Receive(time.Second, from.Address, Message{
@@ -130,7 +132,7 @@
 		})
 		n.Persisted()
 	}
-	if n.log.lastIndex() != 1 {
-		t.Errorf("%d entries", n.log.lastIndex())
+	if got := n.log.lastIndex(); got != 1 {
+		t.Errorf("got %d entries, want 1", got)
 	}
 }
--- a/coordination/chain/outcome.go
+++ b/coordination/chain/outcome.go
@@ -15,27 +15,27 @@
 // TakeUnknownOutcomes returns the numbers of the own commands that a snapshot covers: they were applied with unknown
 // results.
 func (n *Node) TakeUnknownOutcomes() []uint64 {
-	var lost []uint64
+	var unknown []uint64
 	n.pending.commands = slices.DeleteFunc(n.pending.commands, func(c *command) bool {
 		if c.outcomeUnknown {
-			lost = append(lost, c.id)
+			unknown = append(unknown, c.id)
 		}
 		return c.outcomeUnknown
 	})
-	return lost
+	return unknown
 }
 
 // commandApplied ends the care for an own command.
-func (r *pendingRequests) commandApplied(id CommandID, life uint64) {
-	if id.Proposer != life {
+func (r *pendingRequests) commandApplied(id CommandID, incarnation uint64) {
+	if id.Proposer != incarnation {
 		return
 	}
 	r.commands = slices.DeleteFunc(r.commands, func(c *command) bool { return c.id == id.Number })
 }
 
-// markUnknownOutcomes marks the own commands that an installed snapshot covers.
-func (r *pendingRequests) markUnknownOutcomes(life uint64, applied recentCommands) {
+// recordUnknownOutcomes notes the own commands that an installed snapshot covers.
+func (r *pendingRequests) recordUnknownOutcomes(incarnation uint64, applied recentCommands) {
 	for _, c := range r.commands {
-		c.outcomeUnknown = c.outcomeUnknown || applied.has(CommandID{Proposer: life, Number: c.id})
+		c.outcomeUnknown = c.outcomeUnknown || applied.has(CommandID{Proposer: incarnation, Number: c.id})
 	}
 }
--- a/coordination/chain/persistence.go
+++ b/coordination/chain/persistence.go
@@ -36,7 +36,8 @@
 	d := n.durableState
 	return State{
 		Self: d.self, View: d.view, Acceptor: d.acceptor, CompleteEpoch: d.completeEpoch, CommitIndex: d.commitIndex,
-		BaseIndex: d.log.baseIndex, BaseEpoch: d.log.baseEpoch, Entries: d.log.entries, Snapshot: d.snapshot, KnownMembers: d.knownMembers,
+		BaseIndex: d.log.baseIndex, BaseEpoch: d.log.baseEpoch, Entries: d.log.entries, Snapshot: d.snapshot,
+		KnownMembers: d.knownMembers,
 	}
 }
 
@@ -76,9 +77,9 @@
 		base--
 	}
 	state := n.State()
-	trimmed := n.log
-	trimmed.compact(base)
-	state.BaseIndex, state.BaseEpoch, state.Entries = trimmed.baseIndex, trimmed.baseEpoch, trimmed.entries
+	compacted := n.log
+	compacted.compact(base)
+	state.BaseIndex, state.BaseEpoch, state.Entries = compacted.baseIndex, compacted.baseEpoch, compacted.entries
 	state.Snapshot, _ = n.Applied()
 	return state
 }
--- a/coordination/chain/read.go
+++ b/coordination/chain/read.go
@@ -35,27 +35,27 @@
 }
 
 // CancelBarrier gives up a barrier.
-func (n *Node) CancelBarrier(number uint64) {
-	n.pending.barriers = slices.DeleteFunc(n.pending.barriers, func(b *barrier) bool { return b.id == number })
+func (n *Node) CancelBarrier(requestID uint64) {
+	n.pending.barriers = slices.DeleteFunc(n.pending.barriers, func(b *barrier) bool { return b.id == requestID })
 }
 
 // TakeBarrierResults returns the barriers whose index is applied. The owner calls it after TakeCommitted.
 func (n *Node) TakeBarrierResults() []BarrierResult {
-	var passed []BarrierResult
+	var results []BarrierResult
 	n.pending.barriers = slices.DeleteFunc(n.pending.barriers, func(b *barrier) bool {
-		done := b.answered && b.index <= n.appliedIndex
-		if done {
-			passed = append(passed, BarrierResult{RequestID: b.id, Index: b.index})
+		ready := b.answered && b.index <= n.appliedIndex
+		if ready {
+			results = append(results, BarrierResult{RequestID: b.id, Index: b.index})
 		}
-		return done
+		return ready
 	})
-	return passed
+	return results
 }
 
 // barrierAnswered records the tail's answer.
-func (r *pendingRequests) barrierAnswered(number, index uint64) {
+func (r *pendingRequests) barrierAnswered(requestID, index uint64) {
 	for _, b := range r.barriers {
-		if b.id == number && !b.answered {
+		if b.id == requestID && !b.answered {
 			b.answered, b.index = true, index
 		}
 	}
@@ -89,5 +89,6 @@
 		n.pending.barrierAnswered(b.RequestID, n.log.lastIndex())
 		return
 	}
-	n.sendTo(b.RequesterAddress, Message{To: b.Requester, BarrierReply: &BarrierReply{RequestID: b.RequestID, Index: n.log.lastIndex()}})
+	reply := BarrierReply{RequestID: b.RequestID, Index: n.log.lastIndex()}
+	n.sendTo(b.RequesterAddress, Message{To: b.Requester, BarrierReply: &reply})
 }
--- a/coordination/chain/reconfiguration.go
+++ b/coordination/chain/reconfiguration.go
@@ -29,15 +29,15 @@
 // reconfigurationNeeded reports whether the head needs another view than its own.
 func (n *Node) reconfigurationNeeded(now time.Duration) bool {
 	remaining := 0
-	out := false
+	removing := false
 	for _, member := range n.view.Chain {
 		if n.shouldRemove(now, member.Identity) {
-			out = true
+			removing = true
 		} else {
 			remaining++
 		}
 	}
-	if out && remaining+len(n.admissibleVoters(now)) >= n.minChainLength() {
+	if removing && remaining+len(n.admissibleVoters(now)) >= n.minChainLength() {
 		return true
 	}
 	if n.leaving && n.successorReady(now) {
@@ -92,25 +92,27 @@
 // makesNoProgress reports whether a member of the chain has made no progress for too long although its predecessor is
 // ahead. Entries on their way over a slow link extend the time.
 func (n *Node) makesNoProgress(now time.Duration, p *peer) bool {
-	place := n.view.ChainIndex(p.member.Identity)
-	if place <= 0 {
+	position := n.view.ChainIndex(p.member.Identity)
+	if position <= 0 {
 		return false
 	}
-	last, active := n.log.lastIndex(), n.completeEpoch
-	if place > 1 {
-		before := n.findPeer(n.view.Chain[place-1].Identity)
-		if before == nil || !before.replied {
+	aheadIndex, aheadEpoch := n.log.lastIndex(), n.completeEpoch
+	if position > 1 {
+		predecessor := n.findPeer(n.view.Chain[position-1].Identity)
+		if predecessor == nil || !predecessor.replied {
 			return false
 		}
-		last, active = before.lastReply.LastIndex, before.lastReply.CompleteEpoch
+		aheadIndex, aheadEpoch = predecessor.lastReply.LastIndex, predecessor.lastReply.CompleteEpoch
 	}
-	behind := p.lastReply.LastIndex < last || (p.lastReply.CompleteEpoch < n.view.Epoch && active == n.view.Epoch)
+	reply := p.lastReply
+	behind := reply.LastIndex < aheadIndex || (reply.CompleteEpoch < n.view.Epoch && aheadEpoch == n.view.Epoch)
 	if !behind {
 		p.progressAt = now
 		return false
 	}
-	if patience := n.timing.ProgressTimeout + transmissionTime(n.bytesAfter(p.lastReply.LastIndex)); now-p.progressAt < patience {
-		n.wakeBy(p.progressAt + patience)
+	timeout := n.timing.ProgressTimeout + transmissionTime(n.bytesAfter(reply.LastIndex))
+	if now-p.progressAt < timeout {
+		n.wakeBy(p.progressAt + timeout)
 		return false
 	}
 	if p.flappedAt < p.progressAt {
@@ -144,12 +146,12 @@
 	if p.lastReply.LastIndex+maxAdmissionLag < n.commitIndex || p.steadySince == 0 {
 		return false
 	}
-	settle := n.timing.AdmissionWindow
+	window := n.timing.AdmissionWindow
 	if p.flaps > 1 && now-p.flappedAt < flapWindow {
-		settle <<= p.flaps - 1
+		window <<= p.flaps - 1
 	}
-	if now-p.steadySince < settle {
-		n.wakeBy(p.steadySince + settle)
+	if now-p.steadySince < window {
+		n.wakeBy(p.steadySince + window)
 		return false
 	}
 	return true
@@ -157,20 +159,20 @@
 
 // admissibleVoters returns the voters outside the chain that can be admitted to it.
 func (n *Node) admissibleVoters(now time.Duration) []view.Member {
-	var reserves []view.Member
+	var admissible []view.Member
 	for _, voter := range n.view.Voters {
 		p := n.findPeer(voter.Identity)
 		if p != nil && n.view.ChainIndex(voter.Identity) < 0 && n.admissible(now, p) {
-			reserves = append(reserves, voter)
+			admissible = append(admissible, voter)
 		}
 	}
-	return reserves
+	return admissible
 }
 
 // shouldAdmit reports whether a voter should be admitted to the chain, or a learner should get a vote.
 func (n *Node) shouldAdmit(now time.Duration) bool {
-	room := len(n.view.Chain) < view.TargetChainLength(len(n.view.Voters), n.config.FaultTolerance)
-	if room && len(n.admissibleVoters(now)) > 0 {
+	vacant := len(n.view.Chain) < view.TargetChainLength(len(n.view.Voters), n.config.FaultTolerance)
+	if vacant && len(n.admissibleVoters(now)) > 0 {
 		return true
 	}
 	if len(n.admissibleLearners(now)) == 0 {
@@ -178,7 +180,7 @@
 	}
 	voters := len(n.view.Voters)
 	if voters < n.minChainLength() {
-		return true // so few have never committed anything
+		return true // so few voters have never committed anything
 	}
 	if len(n.votersToReplace(now)) > 0 && n.liveCompleteMembers(now) >= n.minChainLength() {
 		return true
@@ -224,23 +226,23 @@
 			zones = append(zones, n.resolve(voter).Zone)
 		}
 	}
-	var first, second []view.Member
+	var newZones, otherZones []view.Member
 	for _, p := range n.peers {
 		switch {
 		case n.view.IsVoter(p.member.Identity) || !n.admissible(now, p):
 		case slices.Contains(zones, p.member.Zone):
-			second = append(second, p.member)
+			otherZones = append(otherZones, p.member)
 		default:
-			first = append(first, p.member)
+			newZones = append(newZones, p.member)
 		}
 	}
-	return append(first, second...)
+	return append(newZones, otherZones...)
 }
 
 // votersToReplace returns the voters that have not answered for long, or at whose address another identity answers
 // now.
 func (n *Node) votersToReplace(now time.Duration) []string {
-	var gone []string
+	var replace []string
 	for _, voter := range n.view.Voters {
 		p := n.findPeer(voter.Identity)
 		if p == nil || n.isLive(now, p) {
@@ -250,34 +252,38 @@
 			return other != p && other.member.Address == p.member.Address && other.replied && n.isLive(now, other)
 		})
 		if replaced || now-p.heardAt > n.timing.VoterReplaceTimeout {
-			gone = append(gone, voter.Identity)
+			replace = append(replace, voter.Identity)
 			continue
 		}
 		n.wakeBy(p.heardAt + n.timing.VoterReplaceTimeout + time.Millisecond)
 	}
-	return gone
+	return replace
 }
 
 // reconfiguration returns what the next view should be, as far as this node knows. A voter that is not the head knows
 // only who promises.
 func (n *Node) reconfiguration(now time.Duration) view.Reconfiguration {
-	wish := view.Reconfiguration{FaultTolerance: n.config.FaultTolerance, TargetVoters: len(n.view.Voters), Mutation: n.config.Mutation}
+	change := view.Reconfiguration{
+		FaultTolerance: n.config.FaultTolerance,
+		TargetVoters:   len(n.view.Voters),
+		Mutation:       n.config.Mutation,
+	}
 	if !n.isHead() {
-		return wish
+		return change
 	}
-	wish.TargetVoters = n.targetVoterCount(now)
+	change.TargetVoters = n.targetVoterCount(now)
 	for _, member := range n.view.Chain {
 		if n.shouldRemove(now, member.Identity) {
-			wish.RemoveFromChain = append(wish.RemoveFromChain, member.Identity)
+			change.RemoveFromChain = append(change.RemoveFromChain, member.Identity)
 		}
 	}
 	for _, voter := range n.view.Voters {
 		p := n.findPeer(voter.Identity)
 		if n.view.ChainIndex(voter.Identity) < 0 && p != nil && !n.admissible(now, p) {
-			wish.RemoveFromChain = append(wish.RemoveFromChain, voter.Identity)
+			change.RemoveFromChain = append(change.RemoveFromChain, voter.Identity)
 		}
 	}
-	wish.ReplaceVoters = n.votersToReplace(now)
-	wish.Learners = n.admissibleLearners(now)
-	return wish
+	change.ReplaceVoters = n.votersToReplace(now)
+	change.Learners = n.admissibleLearners(now)
+	return change
 }
--- a/coordination/chain/record.go
+++ b/coordination/chain/record.go
@@ -12,10 +12,10 @@
 // The cbor numbers below are the format on disk. A number never changes its meaning.
 //
 // Invariant: replaying the records of a log in their order, beginning with a checkpoint, gives the state that Records
-// would write. Restore rejects a log with gaps or with entries cut off below its base.
+// would write. Restore rejects a log with gaps, or with a truncation below its base.
 
-// ErrInvalidRecord marks a record on disk that can't be decoded or does not fit its position in the log.
-var ErrInvalidRecord = errors.New("chain: bad record")
+// ErrInvalidRecord is the error of a record on disk that can't be decoded or does not fit its position in the log.
+var ErrInvalidRecord = errors.New("chain: invalid record")
 
 // record is one change of the durable state. A field that is set replaces the former value.
 type record struct {
@@ -40,7 +40,7 @@
 func encodeRecord(r record) []byte {
 	body, err := cbor.Marshal(r)
 	if err != nil {
-		panic(fmt.Sprintf("chain: a record can't be encoded: %v", err)) // only plain fields: a fault of the program
+		panic(fmt.Sprintf("chain: encoding a record: %v", err)) // a record has plain fields only: a programming error
 	}
 	return body
 }
@@ -85,7 +85,7 @@
 	}
 	if r.TruncateAfter != nil {
 		if *r.TruncateAfter < log.baseIndex {
-			return fmt.Errorf("cut after %d lies before the log's base %d", *r.TruncateAfter, log.baseIndex)
+			return fmt.Errorf("truncation after entry %d is below the log's base %d", *r.TruncateAfter, log.baseIndex)
 		}
 		log.truncate(*r.TruncateAfter)
 	}
@@ -93,7 +93,7 @@
 		return nil
 	}
 	if r.Entry.Index <= log.baseIndex || r.Entry.Index > log.lastIndex()+1 {
-		return fmt.Errorf("entry %d does not follow %d", r.Entry.Index, log.lastIndex())
+		return fmt.Errorf("entry %d does not follow entry %d", r.Entry.Index, log.lastIndex())
 	}
 	log.truncate(r.Entry.Index - 1)
 	log.append(*r.Entry)
--- a/coordination/chain/replication.go
+++ b/coordination/chain/replication.go
@@ -12,7 +12,7 @@
 //     their upstream member sends in the same epoch, without gaps, after the logs were compared once in it
 //     (logMatched).
 //   - A member passes an entry on only after it has it on disk, because the messages of a step are sent after its
-//     records are synced. A member whose disk rejects writes passes nothing on.
+//     records are synced. A member whose disk rejects writes passes nothing down the chain.
 //   - An entry commits when it is on the disk of every member of the chain: when the tail, complete in the epoch, has
 //     synced it, and the chain has at least minChainLength members.
 //   - The commit index that a member learns is true of its own log only as far as that has been compared, so a member
@@ -49,10 +49,13 @@
 }
 
 // sendEntries sends the peer the next entries, and returns the size of their commands.
-func (n *Node) sendEntries(p *peer, answer uint64, snapshot bool) (bytes int) {
-	a := Append{InReplyTo: answer, PreviousIndex: p.nextIndex - 1, CommitIndex: n.commitIndex, EpochStartIndex: n.epochStartIndex}
+func (n *Node) sendEntries(p *peer, inReplyTo uint64, snapshot bool) (bytes int) {
+	a := Append{
+		InReplyTo: inReplyTo, PreviousIndex: p.nextIndex - 1, CommitIndex: n.commitIndex,
+		EpochStartIndex: n.epochStartIndex,
+	}
 	if snapshot {
-		a.More = n.sendLimit(p) >= p.nextIndex // by itself it is large enough
+		a.More = n.sendLimit(p) >= p.nextIndex // the snapshot alone is large enough
 	} else if n.sendLimit(p) >= p.nextIndex && p.nextIndex > n.log.baseIndex {
 		for _, entry := range n.log.after(p.nextIndex - 1)[:n.sendLimit(p)-p.nextIndex+1] {
 			if bytes > 0 && bytes+len(entry.Command) > maxAppendBytes {
@@ -63,7 +66,8 @@
 			a.Entries = append(a.Entries, entry)
 		}
 	}
-	if bytes > smallAnswerBytes && p.inFlight.afterIndex == a.PreviousIndex { // it has asked for this before there was anything
+	if bytes > smallAnswerBytes && p.inFlight.afterIndex == a.PreviousIndex {
+		// The peer fetched these entries before they existed.
 		p.inFlight.until = n.lastStep + transmissionTime(bytes)
 	}
 	p.nextIndex += uint64(len(a.Entries))
@@ -90,13 +94,13 @@
 			return
 		}
 	}
-	// Any question of this epoch will do: until one is answered the log does not change.
-	asked := a.InReplyTo > n.catchUp.answeredUpTo && a.InReplyTo <= n.catchUp.lastRequestID
+	// The answer to any fetch of this epoch will do: until one is answered the log does not change.
+	answersFetch := a.InReplyTo > n.catchUp.answeredUpTo && a.InReplyTo <= n.catchUp.lastRequestID
 	if n.config.Mutation.NewestFetchOnly {
-		asked = a.InReplyTo != 0 && a.InReplyTo == n.catchUp.lastRequestID
+		answersFetch = a.InReplyTo != 0 && a.InReplyTo == n.catchUp.lastRequestID
 	}
 	switch {
-	case asked:
+	case answersFetch:
 		n.catchUp.answeredUpTo = n.catchUp.lastRequestID
 		n.catchUp.requestedAt, n.catchUp.attempts = 0, 0
 		if !n.matchLog(a) {
@@ -110,10 +114,10 @@
 		}
 		return
 	}
-	n.scheduleNextFetch(now, asked, n.appendEntries(a))
+	n.scheduleNextFetch(now, answersFetch, n.appendEntries(a))
 	n.becomeComplete(a)
 	n.advanceCommitIndex(a.CommitIndex)
-	if a.More && asked {
+	if a.More && answersFetch {
 		n.sendFetch(now)
 	}
 	n.replicate()
@@ -166,8 +170,11 @@
 
 // commitAtTail commits at the tail: every member before it has synced what the tail syncs in this step.
 func (n *Node) commitAtTail() {
-	last := n.isTail() || n.config.Mutation.CommitShortChain && n.successor() == n.view.Tail()
-	if !last || !n.complete() || n.sealed() || !n.chainMayCommit() || n.diskFailing || n.commitIndex >= n.log.lastIndex() {
+	commits := n.isTail() || n.config.Mutation.CommitShortChain && n.successor() == n.view.Tail()
+	if !commits || !n.complete() || n.sealed() || !n.chainMayCommit() || n.diskFailing {
+		return
+	}
+	if n.commitIndex >= n.log.lastIndex() {
 		return
 	}
 	n.commitIndex, n.unsavedProgress = n.log.lastIndex(), true
--- a/coordination/chain/roles.go
+++ b/coordination/chain/roles.go
@@ -25,19 +25,19 @@
 // upstream returns the member from which this one takes entries: its predecessor in the chain, or for a learner the
 // head.
 func (n *Node) upstream() view.Member {
-	if place := n.view.ChainIndex(n.self.Identity); place > 0 {
-		return n.view.Chain[place-1]
+	if position := n.view.ChainIndex(n.self.Identity); position > 0 {
+		return n.view.Chain[position-1]
 	}
 	return n.view.Head()
 }
 
 // successor returns the next member down the chain, or the zero Member at the tail and outside the chain.
 func (n *Node) successor() view.Member {
-	place := n.view.ChainIndex(n.self.Identity)
-	if place < 0 || place+1 >= len(n.view.Chain) {
+	position := n.view.ChainIndex(n.self.Identity)
+	if position < 0 || position+1 >= len(n.view.Chain) {
 		return view.Member{}
 	}
-	return n.view.Chain[place+1]
+	return n.view.Chain[position+1]
 }
 
 // sealed reports whether the node has promised a proposal for a later epoch. It takes no further part in the
--- a/coordination/chain/snapshot.go
+++ b/coordination/chain/snapshot.go
@@ -18,7 +18,7 @@
 func (s Snapshot) Encode() []byte {
 	body, err := cbor.Marshal(s)
 	if err != nil {
-		panic(fmt.Sprintf("chain: a snapshot can't be encoded: %v", err)) // only plain fields: a fault of the program
+		panic(fmt.Sprintf("chain: encoding a snapshot: %v", err)) // a snapshot has plain fields only: a programming error
 	}
 	return body
 }
@@ -27,7 +27,7 @@
 func DecodeSnapshot(body []byte) (Snapshot, error) {
 	var s Snapshot
 	if err := cbor.Unmarshal(body, &s); err != nil {
-		return Snapshot{}, fmt.Errorf("chain: reading a snapshot: %w", err)
+		return Snapshot{}, fmt.Errorf("chain: decoding a snapshot: %w", err)
 	}
 	return s, nil
 }
--- a/coordination/chain/state.go
+++ b/coordination/chain/state.go
@@ -4,7 +4,7 @@
 	"raventrestle/coordination/view"
 )
 
-// State is what a member keeps on disk. The zero State with Self set is that of a learner that looks for the group.
+// State is what a member keeps on disk. The zero State with Self set is that of a learner that searches for the group.
 type State struct {
 	Self          view.Member
 	View          view.View
--- a/coordination/chain/status.go
+++ b/coordination/chain/status.go
@@ -26,8 +26,12 @@
 // Status returns what the node knows of itself and the group at the given time.
 func (n *Node) Status(now time.Duration) Status {
 	status := Status{
-		Self: n.self, View: n.resolveView(n.view), CommitIndex: n.commitIndex, PreviousLeaseExpiry: n.detector.previousLeaseExpiry,
-		LiveMembers: n.liveMembers(now), ConfirmedAt: n.ConfirmedAt(now),
+		Self:                n.self,
+		View:                n.resolveView(n.view),
+		CommitIndex:         n.commitIndex,
+		LiveMembers:         n.liveMembers(now),
+		PreviousLeaseExpiry: n.detector.previousLeaseExpiry,
+		ConfirmedAt:         n.ConfirmedAt(now),
 	}
 	if n.IsLeader(now) {
 		status.IsLeader = true
@@ -105,22 +109,23 @@
 		}
 		return strings.Join(list, ",")
 	}
-	marks := ""
-	for _, mark := range []struct {
+	flags := ""
+	for _, flag := range []struct {
 		set  bool
 		name string
 	}{
-		{n.sealed(), " promised"},
-		{n.complete(), " whole"},
+		{n.sealed(), " sealed"},
+		{n.complete(), " complete"},
 		{n.logMatched, " matched"},
-		{n.diskFailing, " refusing"},
+		{n.diskFailing, " disk-failing"},
 		{n.leaving, " leaving"},
 		{n.detector.leaderSince > 0, " leader"},
 	} {
-		if mark.set {
-			marks += mark.name
+		if flag.set {
+			flags += flag.name
 		}
 	}
-	return fmt.Sprintf("epoch %d chain %s voters %s: log %d-%d committed %d active %d%s",
-		n.view.Epoch, names(n.view.Chain), names(n.view.Voters), n.log.baseIndex, n.log.lastIndex(), n.commitIndex, n.completeEpoch, marks)
+	return fmt.Sprintf("epoch %d chain %s voters %s: log %d-%d committed %d complete-epoch %d%s",
+		n.view.Epoch, names(n.view.Chain), names(n.view.Voters),
+		n.log.baseIndex, n.log.lastIndex(), n.commitIndex, n.completeEpoch, flags)
 }
--- a/coordination/chain/takeover.go
+++ b/coordination/chain/takeover.go
@@ -8,9 +8,9 @@
 // Takeover when the head is suspected.
 //
 // A voter that suspects the head first asks the others for a pre-vote, and starts a proposal only when a majority
-// suspects the head as well. A voter that is cut off from the head alone therefore ends no epoch, because its promise
-// would seal it. Pre-votes have no bearing on safety; they promise nothing (compare the pre-vote of Raft, D. Ongaro,
-// 2014, section 9.6).
+// grants it: when the others miss the head as well. A voter that is partitioned from the head alone would otherwise end
+// the epoch with its proposal, because a promise seals whoever gives it. Pre-votes have no bearing on safety; they
+// promise nothing (compare the pre-vote of Raft: D. Ongaro, dissertation, 2014, section 9.6).
 
 // runReconfiguration starts a proposal when the head needs another membership and enough voters answer it to decide
 // one.
@@ -52,19 +52,19 @@
 
 // takeoverDelay returns the voter's delay by its rank: the chain after its head first, the head last.
 func (n *Node) takeoverDelay() time.Duration {
-	turn := 0
+	rank := 0
 	for i, member := range n.view.Chain {
 		if member.Identity == n.self.Identity {
-			turn = i - 1
+			rank = i - 1
 		}
 	}
 	switch {
 	case n.isHead():
-		turn = len(n.view.Chain) - 1
+		rank = len(n.view.Chain) - 1
 	case !n.inChain():
-		turn = len(n.view.Chain)
+		rank = len(n.view.Chain)
 	}
-	return time.Duration(turn)*n.timing.RankBackoff + n.jitter(n.timing.RankBackoff/2)
+	return time.Duration(rank)*n.timing.RankBackoff + n.jitter(n.timing.RankBackoff/2)
 }
 
 // startPreVote asks all voters whether they would support a view change.
@@ -79,26 +79,29 @@
 }
 
 // handlePreVote grants a pre-vote when this voter misses the head too, or a proposal was left unfinished.
-func (n *Node) handlePreVote(now time.Duration, address, from string, poll PreVote) {
+func (n *Node) handlePreVote(now time.Duration, address, from string, request PreVote) {
 	if !n.view.IsVoter(n.self.Identity) || n.diskFailing {
 		return
 	}
-	support := n.sealed() || from == n.view.Head().Identity
+	grant := n.sealed() || from == n.view.Head().Identity
 	switch {
 	case n.isHead():
-		support = support || !n.majorityIsLive(now)
+		grant = grant || !n.majorityIsLive(now)
 	default:
-		support = support || n.headUnresponsive(now, n.timing.PreVoteTimeout)
+		grant = grant || n.headUnresponsive(now, n.timing.PreVoteTimeout)
 	}
-	if support {
-		n.sendTo(address, Message{To: from, PreVoteReply: &PreVoteReply{RequestID: poll.RequestID}})
+	if grant {
+		n.sendTo(address, Message{To: from, PreVoteReply: &PreVoteReply{RequestID: request.RequestID}})
 	}
 }
 
 // handlePreVoteReply counts a granted pre-vote.
 func (n *Node) handlePreVoteReply(now time.Duration, from string, reply PreVoteReply) {
 	c := &n.viewChange
-	if reply.RequestID != c.preVoteID || c.proposer != nil || slices.Contains(c.supporters, from) || !n.view.IsVoter(from) {
+	if reply.RequestID != c.preVoteID || c.proposer != nil {
+		return
+	}
+	if slices.Contains(c.supporters, from) || !n.view.IsVoter(from) {
 		return
 	}
 	c.supporters = append(c.supporters, from)
--- a/coordination/chain/view_change.go
+++ b/coordination/chain/view_change.go
@@ -72,26 +72,26 @@
 	}
 }
 
-// promisesGathered reports whether no more promises are worth waiting for. The more voters promise, the more of them
+// promisesGathered reports whether waiting for further promises is of no use. The more voters promise, the more of them
 // stay in the chain.
 func (n *Node) promisesGathered(now time.Duration) bool {
 	c := &n.viewChange
 	if c.proposer.PromiseCount() == len(n.view.Voters) {
 		return true
 	}
-	patience := n.timing.PromiseWindow
+	window := n.timing.PromiseWindow
 	if n.isHead() {
-		patience = livePromiseWindow
-		waits := slices.ContainsFunc(n.view.Voters, func(voter view.Member) bool {
+		window = livePromiseWindow
+		awaited := slices.ContainsFunc(n.view.Voters, func(voter view.Member) bool {
 			p := n.findPeer(voter.Identity)
 			return p != nil && n.isLive(now, p) && !p.lastReply.DiskFailing && !c.proposer.HasPromiseFrom(voter.Identity)
 		})
-		if !waits {
+		if !awaited {
 			return true
 		}
 	}
-	n.wakeBy(c.preparedAt + patience)
-	return now-c.preparedAt >= patience
+	n.wakeBy(c.preparedAt + window)
+	return now-c.preparedAt >= window
 }
 
 // startProposal opens a proposal above all that this voter has seen, beginning with its own promise.
@@ -102,32 +102,39 @@
 		c.highestRound = max(c.highestRound, n.acceptor.Promised.Round)
 	}
 	c.highestRound++
-	ballot := view.ProposalNumber{Round: c.highestRound, Proposer: n.self.Identity}
-	c.proposer = &view.Proposer{Current: n.view, Number: ballot}
+	number := view.ProposalNumber{Round: c.highestRound, Proposer: n.self.Identity}
+	c.proposer = &view.Proposer{Current: n.view, Number: number}
 	c.startedAt, c.preparedAt = now, 0
 	n.wakeBy(now + n.timing.ProposalTimeout + time.Millisecond)
-	if promise, ok := n.makePromise(ballot); ok {
+	if promise, ok := n.makePromise(number); ok {
 		c.proposer.AddPromise(promise)
 	}
 	for _, voter := range n.view.Voters {
-		n.send(n.resolve(voter), Message{Prepare: &Prepare{View: n.view, Number: ballot}})
+		n.send(n.resolve(voter), Message{Prepare: &Prepare{View: n.view, Number: number}})
 	}
 	n.runProposal(now)
 }
 
 // makePromise lets the own acceptor answer a proposal for the next epoch, and reports whether it was promised.
-func (n *Node) makePromise(ballot view.ProposalNumber) (view.Promise, bool) {
+func (n *Node) makePromise(number view.ProposalNumber) (view.Promise, bool) {
 	next := n.view.Epoch + 1
 	before := n.acceptor
-	if !n.acceptor.Prepare(next, ballot) {
-		return view.Promise{Number: ballot, Promised: before.Promised}, false
+	if !n.acceptor.Prepare(next, number) {
+		return view.Promise{Number: number, Promised: before.Promised}, false
 	}
 	acceptor := n.acceptor
 	n.persist(record{Acceptor: &acceptor})
 	return view.Promise{
-		Number: ballot, Granted: true, Accepted: acceptor.Accepted, Value: acceptor.Value,
+		Number:   number,
+		Granted:  true,
+		Accepted: acceptor.Accepted,
+		Value:    acceptor.Value,
 		Report: view.Report{
-			Member: n.self, CompleteEpoch: n.completeEpoch, LastIndex: n.log.lastIndex(), LastEpoch: n.log.lastEpoch(), Leaving: n.leaving,
+			Member:        n.self,
+			CompleteEpoch: n.completeEpoch,
+			LastIndex:     n.log.lastIndex(),
+			LastEpoch:     n.log.lastEpoch(),
+			Leaving:       n.leaving,
 		},
 	}, true
 }
@@ -175,26 +182,26 @@
 // proposeView begins the second phase: with a value that may already be decided, else with a planned view.
 func (n *Node) proposeView(now time.Duration) {
 	c := &n.viewChange
-	value, bound := c.proposer.RequiredValue()
-	if !bound {
+	value, required := c.proposer.RequiredValue()
+	if !required {
 		value = n.resolveView(view.Plan(n.view, c.proposer.Reports(), n.reconfiguration(now)))
 		if n.config.Mutation.HeadIgnoresLog {
 			slices.Reverse(value.Chain)
 		}
 	}
 	c.proposer.Value = value
-	ballot := c.proposer.Number
+	number := c.proposer.Number
 	for _, voter := range n.view.Voters {
-		n.send(n.resolve(voter), Message{Accept: &Accept{Number: ballot, Value: value}})
+		n.send(n.resolve(voter), Message{Accept: &Accept{Number: number, Value: value}})
 	}
-	if n.acceptView(ballot, value) {
-		n.handleAccepted(now, n.self.Identity, Accepted{Number: ballot})
+	if n.acceptView(number, value) {
+		n.handleAccepted(now, n.self.Identity, Accepted{Number: number})
 	}
 }
 
 // acceptView lets the own acceptor accept a value and reports whether it did.
-func (n *Node) acceptView(ballot view.ProposalNumber, value view.View) bool {
-	if value.Epoch != n.view.Epoch+1 || !n.acceptor.Accept(ballot, value, n.config.Mutation) {
+func (n *Node) acceptView(number view.ProposalNumber, value view.View) bool {
+	if value.Epoch != n.view.Epoch+1 || !n.acceptor.Accept(number, value, n.config.Mutation) {
 		return false
 	}
 	acceptor := n.acceptor
@@ -215,14 +222,13 @@
 
 // handleAccepted enters the view once a majority has accepted it, and announces it to all members.
 func (n *Node) handleAccepted(now time.Duration, from string, m Accepted) {
-	c := &n.viewChange
-	if c.proposer == nil || c.proposer.Number != m.Number || c.proposer.Value.Epoch == 0 || !c.proposer.AddAcceptance(from) {
+	proposer := n.viewChange.proposer
+	if proposer == nil || proposer.Number != m.Number || proposer.Value.Epoch == 0 || !proposer.AddAcceptance(from) {
 		return
 	}
-	decided := ViewDecision{View: c.proposer.Value, PriorLeasesExpired: n.previousLeasesExpired(now)}
-	proposer := c.proposer
+	decided := ViewDecision{View: proposer.Value, PriorLeasesExpired: n.previousLeasesExpired(now)}
 	n.enterView(now, decided.View, decided.PriorLeasesExpired)
-	for _, voter := range proposer.Current.Voters { // who did not promise counts as silent until it is heard
+	for _, voter := range proposer.Current.Voters { // a voter that has not promised counts as failed until it is heard
 		if p := n.findPeer(voter.Identity); p != nil && !proposer.HasPromiseFrom(voter.Identity) {
 			p.heardAt = min(p.heardAt, now-n.timing.SuspectTimeout-time.Millisecond)
 		}
--- a/coordination/internal/mutation/mutation.go
+++ b/coordination/internal/mutation/mutation.go
@@ -17,7 +17,7 @@
 	EarlyComplete     bool // a log counts as complete before it has reached the beginning of the epoch
 
 	ProofAtReceipt     bool // a follower dates the head's proof by the receipt of the heartbeat, not by the echo
-	ProofWithoutIndex  bool // a proof holds before its index is applied
+	ProofWithoutIndex  bool // a proof is valid before its index is applied
 	ProofByClock       bool // the head proves by its own clock, without replies
 	ProofOutlivesEpoch bool // proofs are kept beyond the end of their epoch
 }
--- a/coordination/replica/options.go
+++ b/coordination/replica/options.go
@@ -12,8 +12,8 @@
 	"raventrestle/coordination/wal"
 )
 
-// Config sets up a replica.
-type Config struct {
+// Options sets up a replica.
+type Options struct {
 	// Self is the member; its Identity is ignored, because the disk has it.
 	Self Member
 	// Seeds are transport addresses by which the group is founded or found.
@@ -21,47 +21,47 @@
 	// Bootstrap is true only at the first start of the whole group: then the seeds are the first view.
 	Bootstrap bool
 	// Faults is how many disks may be lost at once.
-	FaultTolerance int
+	Faults int
 	// Folder is where the log is kept. FS takes its place when it is set.
-	Directory string
-	FS        wal.FS
+	Folder string
+	FS     wal.FS
 	// Transport carries the messages.
 	Transport Transport
 	// Machine is the replicated state.
-	StateMachine StateMachine
+	Machine Machine
 	// Clock tells the time; only its monotonic reading is used. Nil means time.Now.
 	Clock func() time.Time
 	// Random seeds all random choices; 0 means a seed from the system. It must differ at each start.
-	RandomSeed uint64
+	Random uint64
 	// Timing holds the intervals; the zero value means chain.DefaultTiming.
 	Timing chain.Timing
 	// CompactBytes is how much log is written before a snapshot replaces it; 0 means 4 MiB.
 	CompactBytes int64
 	// Log takes events for people: a fixed name, then keys and values. Nil means none.
-	RecordEvent func(event string, pairs ...any)
+	Log func(event string, pairs ...any)
 }
 
 // The kinds of failure of Propose and Barrier.
 var (
 	// ErrUnclear says that the command may or may not be applied, now or later.
-	ErrOutcomeUnknown = engine.ErrOutcomeUnknown
+	ErrUnclear = engine.ErrUnclear
 	// ErrUnavailable says that the command was not sent on, or that the barrier was not answered.
 	ErrUnavailable = errors.New("no member of the group could take the call")
 	// ErrNeeded says that the replica was stopped although the group still needs it: too few others hold everything.
-	ErrStillNeeded = errors.New("the member is still needed")
+	ErrNeeded = errors.New("the member is still needed")
 	// ErrStopped says that the replica was stopped.
 	ErrStopped = errors.New("the replica is stopped")
 )
 
-// OperationError tells at which step and with which peer a call failed.
-type OperationError struct {
+// Error tells at which step and with which peer a call failed.
+type Error struct {
 	Step string
 	Peer string // address of the head as this member knows it; empty when it knows none
 	Err  error
 }
 
 // Error implements error.
-func (e *OperationError) Error() string {
+func (e *Error) Error() string {
 	if e.Peer == "" {
 		return fmt.Sprintf("replica: %s: %v", e.Step, e.Err)
 	}
@@ -69,13 +69,13 @@
 }
 
 // Unwrap returns the cause.
-func (e *OperationError) Unwrap() error { return e.Err }
+func (e *Error) Unwrap() error { return e.Err }
 
-func (o *Config) complete() error {
+func (o *Options) complete() error {
 	switch {
 	case o.Transport == nil:
 		return errors.New("replica: Options.Transport is missing")
-	case o.StateMachine == nil:
+	case o.Machine == nil:
 		return errors.New("replica: Options.Machine is missing")
 	case o.Self.Address == "":
 		return errors.New("replica: Options.Self.Address is missing")
@@ -83,23 +83,23 @@
 	if o.Clock == nil {
 		o.Clock = time.Now
 	}
-	if o.RecordEvent == nil {
-		o.RecordEvent = func(string, ...any) {}
+	if o.Log == nil {
+		o.Log = func(string, ...any) {}
 	}
-	if o.RandomSeed == 0 {
+	if o.Random == 0 {
 		var seed [8]byte
 		if _, err := rand.Read(seed[:]); err != nil {
 			return fmt.Errorf("replica: drawing a seed: %w", err)
 		}
-		o.RandomSeed = binary.BigEndian.Uint64(seed[:])
+		o.Random = binary.BigEndian.Uint64(seed[:])
 	}
 	if o.FS != nil {
 		return nil
 	}
-	if o.Directory == "" {
+	if o.Folder == "" {
 		return errors.New("replica: Options.Folder is missing")
 	}
-	folder, err := wal.OpenDirectory(o.Directory)
+	folder, err := wal.OpenDirectory(o.Folder)
 	if err != nil {
 		return fmt.Errorf("replica: %w", err)
 	}
--- a/coordination/view/acceptor.go
+++ b/coordination/view/acceptor.go
@@ -2,8 +2,8 @@
 
 import "raventrestle/coordination/internal/mutation"
 
-// ProposalNumber orders the proposals of one epoch. The higher round wins; the proposer's identity breaks ties, so that
-// two proposers never use the same number.
+// ProposalNumber orders the proposals of one epoch. The higher round wins; the proposer's identity breaks ties, so
+// that two proposers never use the same number.
 type ProposalNumber struct {
 	Round    uint64 `cbor:"1,keyasint"` // 0: no proposal
 	Proposer string `cbor:"2,keyasint"` // identity of the proposing voter
@@ -22,8 +22,8 @@
 
 // Acceptor is the durable state of one voter in the decision of one epoch: the acceptor of Paxos.
 //
-// Invariants: Promised never falls within an epoch, and Accepted is never above it. They hold across restarts only if the
-// owner has the changed state on disk before any answer leaves.
+// Invariants: Promised never falls within an epoch, and Accepted is never above it. They hold across restarts only if
+// the owner has the changed state on disk before any answer leaves.
 type Acceptor struct {
 	Epoch    uint64         `cbor:"1,keyasint"` // the epoch that is being decided
 	Promised ProposalNumber `cbor:"2,keyasint"` // nothing below it is accepted any more
@@ -31,8 +31,8 @@
 	Value    View           `cbor:"4,keyasint"` // value of the accepted proposal
 }
 
-// Prepare handles the first phase of a proposal and reports whether it is promised. If so, the acceptor has changed and
-// must be persisted before the promise is sent.
+// Prepare handles the first phase of a proposal and reports whether it is promised. If so, the acceptor has changed
+// and must be persisted before the promise is sent.
 func (a *Acceptor) Prepare(epoch uint64, number ProposalNumber) bool {
 	if a.Epoch != epoch {
 		*a = Acceptor{Epoch: epoch}
--- a/coordination/view/golden_test.go
+++ b/coordination/view/golden_test.go
@@ -31,16 +31,19 @@
 	member, v := goldenMember("m"), goldenView(101)
 	number := ProposalNumber{Round: 102, Proposer: "proposer"}
 	acceptor := Acceptor{
-		Epoch: 103, Promised: ProposalNumber{Round: 104, Proposer: "promised"}, Accepted: ProposalNumber{Round: 105, Proposer: "accepted"},
-		Value: goldenView(106),
+		Epoch: 103, Promised: ProposalNumber{Round: 104, Proposer: "promised"},
+		Accepted: ProposalNumber{Round: 105, Proposer: "accepted"},
+		Value:    goldenView(106),
 	}
 	report := Report{Member: goldenMember("r"), CompleteEpoch: 107, LastIndex: 108, LastEpoch: 109, Leaving: true}
 	promise := Promise{
-		Number: ProposalNumber{Round: 110, Proposer: "asked"}, Granted: true, Promised: ProposalNumber{Round: 111, Proposer: "promised"},
+		Number: ProposalNumber{Round: 110, Proposer: "asked"}, Granted: true,
+		Promised: ProposalNumber{Round: 111, Proposer: "promised"},
 		Accepted: ProposalNumber{Round: 112, Proposer: "accepted"}, Value: goldenView(113), Report: report,
 	}
 	return []any{
-		&member, &Member{}, &v, &View{}, &number, &ProposalNumber{}, &acceptor, &Acceptor{}, &report, &Report{}, &promise, &Promise{},
+		&member, &Member{}, &v, &View{}, &number, &ProposalNumber{}, &acceptor, &Acceptor{}, &report, &Report{},
+		&promise, &Promise{},
 	}
 }
 
--- a/coordination/view/plan.go
+++ b/coordination/view/plan.go
@@ -11,8 +11,8 @@
 //   - its head is one of the reports with the newest CompleteEpoch, so its log has everything that was committed;
 //   - each member of the chain is a voter and is in the chain once;
 //   - if the voters change, at least MinChainLength of the new voters have everything that was committed, so that any
-//     majority of them includes one, also after the tolerated number of lost disks. A group with too few voters to have
-//     ever committed is exempt, but may only grow.
+//     majority of them includes one, also after the tolerated number of lost disks. A group with too few voters to
+//     have ever committed is exempt, but may only grow.
 
 // Reconfiguration is what a proposer asks of the next view. Plan grants what is safe.
 type Reconfiguration struct {
@@ -25,8 +25,8 @@
 	Mutation        mutation.Set
 }
 
-// Plan computes the next view from the reports of a majority of the voters. See the package comment for why the chosen
-// head has everything that was ever committed.
+// Plan computes the next view from the reports of a majority of the voters. See the package comment for why the
+// chosen head has everything that was ever committed.
 func Plan(current View, reports []Report, change Reconfiguration) View {
 	complete := completeReports(reports)
 	next := View{Epoch: current.Epoch + 1}
@@ -51,8 +51,8 @@
 	return complete
 }
 
-// planHead prefers members that stay, then the longest log, so that entries in flight are kept, then the order of
-// the chain.
+// planHead prefers members that stay, then the longest log, so that entries in flight are kept, then the order of the
+// chain.
 func planHead(current View, complete []Report, change Reconfiguration) Report {
 	best := complete[0]
 	for _, report := range complete[1:] {
@@ -91,8 +91,8 @@
 	return len(v.Chain) + indexOf(v.Voters, identity)
 }
 
-// planVoters gives the votes of the voters to replace, and then further votes, to learners, one at a time and as long as
-// enough of the resulting voters have everything that was committed. A voter that has promised keeps its vote.
+// planVoters gives the votes of the voters to replace, and then further votes, to learners, one at a time and as long
+// as enough of the resulting voters have everything that was committed. A voter that has promised keeps its vote.
 func planVoters(current View, reports, complete []Report, change Reconfiguration) []Member {
 	voters := current.Voters
 	learners := slices.Clone(change.Learners)
@@ -142,9 +142,9 @@
 	return true
 }
 
-// planChain puts the head first, then the members that stay in the order of the current chain, then learners that have
-// become voters, up to the target length. Members that should leave stay as long as the chain would be too short to
-// commit without them.
+// planChain puts the head first, then the members that stay in the order of the current chain, then learners that
+// have become voters, up to the target length. Members that should leave stay as long as the chain would be too short
+// to commit without them.
 func planChain(current View, voters []Member, reports []Report, head Report, change Reconfiguration) []Member {
 	chain := []Member{head.Member}
 	target := TargetChainLength(len(voters), change.FaultTolerance)
--- a/coordination/view/proposer.go
+++ b/coordination/view/proposer.go
@@ -1,7 +1,7 @@
 package view
 
-// Report is what a voter states about its log in a promise. A voter that has promised a proposal for a later epoch takes
-// no more entries in the earlier one, so the report stays true until the later epoch has begun.
+// Report is what a voter states about its log in a promise. A voter that has promised a proposal for a later epoch
+// takes no more entries in the earlier one, so the report stays true until the later epoch has begun.
 type Report struct {
 	Member        Member `cbor:"1,keyasint"`
 	CompleteEpoch uint64 `cbor:"2,keyasint"` // newest epoch in whose chain its log was complete
@@ -20,11 +20,12 @@
 	Report   Report         `cbor:"6,keyasint"`
 }
 
-// Proposer drives one proposal: the proposer of Paxos. It is volatile: when it is lost, a higher proposal replaces it.
+// Proposer drives one proposal: the proposer of Paxos. It is volatile: when it is lost, a higher proposal replaces
+// it.
 //
 // Invariants: only voters of Current count, each of them once, and the owner sets Value only once a majority has
-// promised. If one of these promises reports an accepted proposal, Value is RequiredValue, because that value may already
-// be decided.
+// promised. If one of these promises reports an accepted proposal, Value is RequiredValue, because that value may
+// already be decided.
 type Proposer struct {
 	Current View           // the view whose voters decide
 	Number  ProposalNumber // of this proposal
@@ -68,8 +69,8 @@
 	return false
 }
 
-// RequiredValue returns the value of the highest accepted proposal among the promises. It may already be decided, so the
-// proposer must propose it. It returns false when the proposer is free to choose.
+// RequiredValue returns the value of the highest accepted proposal among the promises. It may already be decided, so
+// the proposer must propose it. It returns false when the proposer is free to choose.
 func (p *Proposer) RequiredValue() (View, bool) {
 	var highest Promise
 	for _, promise := range p.promises {
--- a/coordination/view/quorum.go
+++ b/coordination/view/quorum.go
@@ -3,7 +3,8 @@
 // Invariants that the sizes below keep, for any number of voters and any tolerated number f of lost disks:
 //
 //   - two majorities of the voters have a voter in common;
-//   - a chain that may commit has a member in every majority, so that the reports of any majority show what was committed;
+//   - a chain that may commit has a member in every majority, so that the reports of any majority show what was
+//     committed;
 //   - a chain that may commit has at least f+1 members, so that f lost disks leave a replica.
 
 // maxVoters bounds the voters of a large group, because every proposal asks all of them.
@@ -15,8 +16,8 @@
 // MinChainLength returns the length of the shortest chain that may commit in the view.
 func (v View) MinChainLength(faults int) int { return MinChainLength(len(v.Voters), faults) }
 
-// MinChainLength returns the length of the shortest chain that may commit among that many voters, when that many disks
-// may be lost.
+// MinChainLength returns the length of the shortest chain that may commit among that many voters, when that many
+// disks may be lost.
 func MinChainLength(voters, faults int) int {
 	majority := voters/2 + 1
 	meetsEveryMajority := voters - majority + 1
@@ -30,8 +31,8 @@
 	return max(2*faults+1, 3, min(odd, maxVoters))
 }
 
-// TargetChainLength returns how long the chain should be among that many voters: one member can fail before another one
-// must be admitted.
+// TargetChainLength returns how long the chain should be among that many voters: one member can fail before another
+// one must be admitted.
 func TargetChainLength(voters, faults int) int {
 	return max(2*faults+1, MinChainLength(voters, faults)+1)
 }
--- a/coordination/view/view_test.go
+++ b/coordination/view/view_test.go
@@ -110,7 +110,7 @@
 }
 
 // An epoch decides one view whatever the order of the messages. An acceptor that forgets its promise breaks that.
-func TestAnEpochDecidesAtMostOneView(t *testing.T) {
+func TestEachEpochDecidesOneViewOnly(t *testing.T) {
 	detected := false
 	for seed := uint64(0); seed < 3000; seed++ {
 		voters := 3 + 2*int(seed%2)
@@ -173,8 +173,8 @@
 				t.Fatalf("got %v in the chain at %d and %d, want it once", member, first, i)
 			}
 		}
-		if most := max(change.TargetVoters, len(current.Voters)); len(next.Voters) > most {
-			t.Fatalf("got %d voters, want %d at most", len(next.Voters), most)
+		if limit := max(change.TargetVoters, len(current.Voters)); len(next.Voters) > limit {
+			t.Fatalf("got %d voters, want %d at most", len(next.Voters), limit)
 		}
 		if slices.Equal(next.Voters, current.Voters) {
 			return
@@ -198,7 +198,10 @@
 	voters := members(3)
 	current := View{Epoch: 5, Voters: voters, Chain: voters[:2]}
 	reports := []Report{{Member: voters[0], CompleteEpoch: 5}, {Member: voters[1], CompleteEpoch: 4}}
-	change := Reconfiguration{FaultTolerance: 1, TargetVoters: 3, ReplaceVoters: []string{voters[2].Identity}, Learners: []Member{member(20)}}
+	change := Reconfiguration{
+		FaultTolerance: 1, TargetVoters: 3,
+		ReplaceVoters: []string{voters[2].Identity}, Learners: []Member{member(20)},
+	}
 	if next := Plan(current, reports, change); next.IsVoter(member(20).Identity) {
 		t.Errorf("got voters %v, want no change with one complete member", next.Voters)
 	}
--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return bad(faultsOf(err)), nil
 	}
-	return good("%s, role %s, zone %s, serves %v", settings.NodeName, settings.Role, settings.Zone, settings.ServedInterfaces), nil
+	return good("%s, role %s, zone %s, serves %v", settings.NodeName, settings.Role, settings.Zone, settings.Serves), nil
 }
 
 // faultsOf takes an error of the settings apart.
@@ -59,8 +59,8 @@
 		}
 		return faults
 	}
-	var fault *nodeconfig.KeyError
-	if direct, is := err.(*nodeconfig.KeyError); is {
+	var fault *nodeconfig.Fault
+	if direct, is := err.(*nodeconfig.Fault); is {
 		return []Fault{{Item: place(direct), Reason: direct.Reason}}
 	}
 	if inner := errors.Unwrap(err); inner != nil && errors.As(err, &fault) {
@@ -70,7 +70,7 @@
 }
 
 // place names a key and its line; a missing key has none.
-func place(fault *nodeconfig.KeyError) string {
+func place(fault *nodeconfig.Fault) string {
 	if fault.Line == 0 {
 		return fault.Key
 	}
@@ -85,13 +85,13 @@
 	}
 	document, err := configuration.ParseDocument(body)
 	if err == nil {
-		err = configuration.Validate(document.Configuration(), nil)
+		err = configuration.Check(document.Configuration(), nil)
 	}
-	var invalid *configuration.InvalidError
+	var invalid *configuration.Invalid
 	switch {
 	case errors.As(err, &invalid):
 		var faults []Fault
-		for _, fault := range invalid.Items {
+		for _, fault := range invalid.Faults {
 			faults = append(faults, Fault{Item: fault.Item, Reason: fault.Reason})
 		}
 		return bad(faults), nil
--- a/internal/configuration/check.go
+++ b/internal/configuration/check.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// Validate says whether next may follow current, which is nil before the first. The error is an *Invalid that
+// Check says whether next may follow current, which is nil before the first. The error is an *Invalid that
 // lists all faults.
-func Validate(next, current *Configuration) error {
+func Check(next, current *Configuration) error {
 	var found faults
 	checkGeneration(next, current, &found)
 	services := make(map[string]bool, len(next.Services))
--- a/internal/control/quota/quota.go
+++ b/internal/control/quota/quota.go
@@ -165,16 +165,16 @@
 func (a *Allocator) configure(now time.Time, tenants []configuration.Tenant) {
 	seen := map[string]bool{}
 	for _, told := range tenants {
-		if told.RatePerSecond <= 0 {
+		if told.RatePerS <= 0 {
 			continue
 		}
 		seen[told.Name] = true
 		t := a.tenants[told.Name]
 		if t == nil {
-			t = newTenant(now, told.Name, told.RatePerSecond, a.options)
+			t = newTenant(now, told.Name, told.RatePerS, a.options)
 			a.tenants[told.Name] = t
 		}
-		t.rate, t.burst = told.RatePerSecond, told.Burst
+		t.rate, t.burst = told.RatePerS, told.Burst
 	}
 	a.order = a.order[:0]
 	for name, t := range a.tenants {
@@ -220,7 +220,7 @@
 	id := Router{report.Node, report.Incarnation}
 	for _, row := range report.Tenants {
 		if t := a.tenants[row.Tenant]; t != nil {
-			t.report(now, id, row, report.Window)
+			t.report(now, id, row, report.Over)
 		}
 	}
 }
@@ -258,7 +258,7 @@
 	if a.floors == 0 {
 		return
 	}
-	floor := t.rate * protocol.UngrantedRateShare / float64(a.floors)
+	floor := t.rate * protocol.QuotaFloorShare / float64(a.floors)
 	asking := t.asking(now, a.routers, floor)
 	if len(asking) == 0 {
 		return
@@ -278,7 +278,7 @@
 		}
 		p.lacking = 0
 		lists[p.router] = append(lists[p.router], protocol.QuotaGrant{
-			Tenant: t.name, RatePerSecond: floor + p.extra, Burst: p.depth, TTL: t.goodFor(), Credit: lent,
+			Tenant: t.name, RatePerS: floor + p.extra, Burst: p.depth, For: t.goodFor(), Credit: lent,
 		})
 	}
 }
--- a/internal/control/quota/tenant.go
+++ b/internal/control/quota/tenant.go
@@ -112,28 +112,28 @@
 	}
 	elapsed := now.Sub(p.lastAt).Seconds()
 	by := math.Exp(-elapsed / demandTime.Seconds())
-	p.demand = p.demand*by + row.Requested/demandTime.Seconds()
-	p.lastAt, p.lacking = now, row.Shortfall
-	t.asked += row.Requested
-	if row.Shortfall > 0 {
-		t.lack += (row.Shortfall - t.lack) * lackBy
+	p.demand = p.demand*by + row.Asked/demandTime.Seconds()
+	p.lastAt, p.lacking = now, row.Lacking
+	t.asked += row.Asked
+	if row.Lacking > 0 {
+		t.lack += (row.Lacking - t.lack) * lackBy
 		t.pulled = true
 	}
-	if row.Requested > 0 || row.Shortfall > 0 {
+	if row.Asked > 0 || row.Lacking > 0 {
 		p.askedAt = now
 	}
-	p.settle(row.Admitted)
+	p.settle(row.Granted)
 	if now.Sub(t.began) < pulledFor {
-		p.foreign = credit{amount: math.Max(0, row.RemainingCredit-p.lent()), until: t.began.Add(pulledFor)}
+		p.foreign = credit{amount: math.Max(0, row.Credit-p.lent()), until: t.began.Add(pulledFor)}
 	}
-	t.spent[len(t.spent)-1] += row.Admitted
+	t.spent[len(t.spent)-1] += row.Granted
 }
 
 // allowed is what a window may hold, less the buckets' debts and a reserve.
 func (t *tenant) allowed(options Config) float64 {
 	whole := t.rate*options.Window.Seconds() + t.burst
 	tolerance := whole*options.OvershootFraction + options.OvershootSlack
-	return (whole + tolerance*(1-protocol.OverdraftShare)) * (1 - reserve)
+	return (whole + tolerance*(1-protocol.QuotaDebtShare)) * (1 - reserve)
 }
 
 // depth is what the buckets of all routers may hold together.
@@ -216,7 +216,7 @@
 	until := now.Add(t.goodFor() + options.DeliveryTimeout)
 	least := 2 * t.rate
 	t.windows(now, options, func(end time.Time, spent float64) {
-		left := t.allowed(options) - spent - depth - t.rate*protocol.UngrantedRateShare*end.Sub(from).Seconds()
+		left := t.allowed(options) - spent - depth - t.rate*protocol.QuotaFloorShare*end.Sub(from).Seconds()
 		if end.After(until) {
 			end = until
 		}
@@ -235,7 +235,7 @@
 	}
 	least := math.Inf(1)
 	t.windows(now, options, func(end time.Time, spent float64) {
-		left := t.allowed(options) - spent - depth - t.rate*protocol.UngrantedRateShare*end.Sub(from).Seconds()
+		left := t.allowed(options) - spent - depth - t.rate*protocol.QuotaFloorShare*end.Sub(from).Seconds()
 		if end.After(until) {
 			end = until
 		}
@@ -359,13 +359,13 @@
 func (t *tenant) sent(now time.Time, id Router, batch uint64, told protocol.QuotaGrant, options Config) {
 	p := t.parts[id]
 	p.possible = append(p.possible, grant{
-		batch: batch, rate: told.RatePerSecond, depth: told.Burst, extra: p.extra,
-		sent: now, lasts: told.TTL, until: now.Add(told.TTL + options.DeliveryTimeout),
+		batch: batch, rate: told.RatePerS, depth: told.Burst, extra: p.extra,
+		sent: now, lasts: told.For, until: now.Add(told.For + options.DeliveryTimeout),
 	})
 	if told.Credit > 0 {
 		p.credits = append(p.credits, credit{batch: batch, amount: told.Credit})
 	}
 	for i := range p.credits { // every grant prolongs them
-		p.credits[i].until = now.Add(told.TTL + options.DeliveryTimeout)
+		p.credits[i].until = now.Add(told.For + options.DeliveryTimeout)
 	}
 }
--- a/internal/control/quota/world_test.go
+++ b/internal/control/quota/world_test.go
@@ -174,7 +174,7 @@
 	w.later(w.delay(), func() {
 		for _, g := range message.Grants {
 			b := n.buckets[g.Tenant]
-			b.rate, b.depth, b.ends = g.RatePerSecond, g.Burst, w.now+g.TTL
+			b.rate, b.depth, b.ends = g.RatePerS, g.Burst, w.now+g.For
 			b.level = math.Min(b.level, b.depth)
 			if w.credits {
 				b.credit += g.Credit
@@ -244,9 +244,9 @@
 func (w *world) refill(n *node) {
 	for _, p := range w.parties {
 		b := n.buckets[p.tenant.Name]
-		rate, depth := p.tenant.RatePerSecond*protocol.UngrantedRateShare/float64(len(w.nodes)), p.tenant.Burst/float64(len(w.nodes))
+		rate, depth := p.tenant.RatePerS*protocol.QuotaFloorShare/float64(len(w.nodes)), p.tenant.Burst/float64(len(w.nodes))
 		if w.now < b.ends {
-			rate, depth = math.Min(b.rate, p.tenant.RatePerSecond), b.depth
+			rate, depth = math.Min(b.rate, p.tenant.RatePerS), b.depth
 		}
 		if b.level < depth {
 			b.level = math.Min(depth, b.level+rate*tick.Seconds())
@@ -258,8 +258,8 @@
 }
 
 func (w *world) debt(p *party) float64 {
-	whole := p.tenant.RatePerSecond*w.window.Seconds() + p.tenant.Burst
-	return (whole*w.options.OvershootFraction + w.options.OvershootSlack) * protocol.OverdraftShare / float64(len(w.nodes))
+	whole := p.tenant.RatePerS*w.window.Seconds() + p.tenant.Burst
+	return (whole*w.options.OvershootFraction + w.options.OvershootSlack) * protocol.QuotaDebtShare / float64(len(w.nodes))
 }
 
 // serve spends for those who wait; without credits a request is refused at once.
@@ -304,7 +304,7 @@
 }
 
 func (w *world) judge(p *party) {
-	most := (p.tenant.RatePerSecond*w.window.Seconds()+p.tenant.Burst)*(1+w.options.OvershootFraction) + w.options.OvershootSlack
+	most := (p.tenant.RatePerS*w.window.Seconds()+p.tenant.Burst)*(1+w.options.OvershootFraction) + w.options.OvershootSlack
 	sum := 0.0
 	for i := len(p.spent) - 1; i >= 0 && w.now-p.spent[i].at <= w.window; i-- {
 		sum += p.spent[i].amount
@@ -320,7 +320,7 @@
 	for i := len(p.asks) - 1; i >= 0 && w.now-p.asks[i].at <= w.window; i-- {
 		sum += p.asks[i].amount
 	}
-	return sum <= p.tenant.RatePerSecond*w.window.Seconds()+p.tenant.Burst
+	return sum <= p.tenant.RatePerS*w.window.Seconds()+p.tenant.Burst
 }
 
 func (w *world) report(n *node) {
@@ -334,14 +334,14 @@
 	n.next, n.urgent = w.now+500*time.Millisecond, w.now+50*time.Millisecond
 	n.sequence++
 	told := protocol.Report{Node: n.id.Node, Incarnation: n.id.Incarnation, Sequence: n.sequence}
-	told.Window = 500 * time.Millisecond
+	told.Over = 500 * time.Millisecond
 	for _, p := range w.parties {
 		b := n.buckets[p.tenant.Name]
-		row := protocol.TenantDemand{Tenant: p.tenant.Name, Requested: b.asked, Admitted: b.given}
+		row := protocol.TenantDemand{Tenant: p.tenant.Name, Asked: b.asked, Granted: b.given}
 		if w.credits {
-			row.Shortfall, row.RemainingCredit = b.lacking, b.credit
+			row.Lacking, row.Credit = b.lacking, b.credit
 		}
-		if row.Requested == 0 && row.Admitted == 0 && row.Shortfall == 0 {
+		if row.Asked == 0 && row.Granted == 0 && row.Lacking == 0 {
 			continue
 		}
 		told.Tenants = append(told.Tenants, row)
@@ -372,7 +372,7 @@
 		w.parties = append(w.parties, &party{
 			demand: rate * usual, size: 1400,
 			tenant: configuration.Tenant{
-				Name: fmt.Sprintf("t%d", i), Unit: configuration.UnitTokens, RatePerSecond: rate,
+				Name: fmt.Sprintf("t%d", i), Unit: configuration.TokenCount, RatePerS: rate,
 				Burst: rate,
 			},
 		})
