--- a/cmd/raventrestle-control/instance.go
+++ b/cmd/raventrestle-control/instance.go
@@ -237,6 +237,5 @@
 		OvershootFraction: settings.Bounds.QuotaOver,
 		OvershootSlack:    settings.Bounds.QuotaSlack,
 		IdleBefore:        quiet,
-		Confirms:          true,
 	})
 }
--- a/internal/control/quota/golden_test.go
+++ b/internal/control/quota/golden_test.go
@@ -22,43 +22,43 @@
 
 // goldenCase is one sequence of inputs, drawn from its seed alone.
 type goldenCase struct {
-	name      string
-	seed      uint64
-	routers   int
-	credits   bool // routers say what they lack, and what they have left of credits
-	gathers   int  // steps before the allocator may grant
-	pressing  bool // tenants ask for much more than their limits
-	lost      bool // a router is out of reach for a while, another ends
-	restart   int  // the step in which the first router starts again; 0: never
-	length    int  // steps
-	configure bool // the limits, tenants and the number of floors change on the way
-	options   Config
+	name        string
+	seed        uint64
+	routers     int
+	credits     bool // routers report their shortfall and the credit they have left
+	observes    int  // steps before the allocator may grant
+	pressing    bool // demand is far above the limits
+	unreachable bool // one router is out of reach for a while, another ends
+	restart     int  // the step in which the first router starts again; 0: never
+	length      int  // steps
+	configure   bool // limits, tenants and the number of routers change on the way
+	options     Config
 }
 
 var goldenCases = []goldenCase{
 	{name: "pushed", seed: 1, routers: 2, length: 440,
-		options: Config{OvershootFraction: 0.1, OvershootSlack: 11000, IdleBefore: time.Minute, Confirms: true}},
+		options: Config{OvershootFraction: 0.1, OvershootSlack: 11000, IdleBefore: time.Minute}},
 	{name: "credits", seed: 2, routers: 2, length: 440, credits: true,
-		options: Config{OvershootFraction: 0.1, OvershootSlack: 11000, IdleBefore: time.Minute, Confirms: true}},
-	{name: "takeover-pressing", seed: 3, routers: 2, length: 440, credits: true, pressing: true, gathers: 50,
-		options: Config{OvershootFraction: 0.1, OvershootSlack: 9000, IdleBefore: time.Second, Confirms: true}},
-	{name: "takeover-idle", seed: 4, routers: 2, length: 440, credits: true, gathers: 50,
+		options: Config{OvershootFraction: 0.1, OvershootSlack: 11000, IdleBefore: time.Minute}},
+	{name: "takeover-pressing", seed: 3, routers: 2, length: 440, credits: true, pressing: true, observes: 50,
+		options: Config{OvershootFraction: 0.1, OvershootSlack: 9000, IdleBefore: time.Second}},
+	{name: "takeover-idle", seed: 4, routers: 2, length: 440, credits: true, observes: 50,
 		options: Config{OvershootFraction: 0.05, OvershootSlack: 3000, IdleBefore: 500 * time.Millisecond, DeliveryTimeout: time.Second, Window: 6 * time.Second}},
-	{name: "lost-router", seed: 5, routers: 2, length: 1050, restart: 400, credits: true, lost: true,
-		options: Config{OvershootFraction: 0.1, OvershootSlack: 11000, IdleBefore: time.Minute, Confirms: true}},
+	{name: "lost-router", seed: 5, routers: 2, length: 1050, restart: 400, credits: true, unreachable: true,
+		options: Config{OvershootFraction: 0.1, OvershootSlack: 11000, IdleBefore: time.Minute}},
 	{name: "reconfigured", seed: 6, routers: 2, length: 440, credits: true, configure: true,
-		options: Config{OvershootFraction: 0.1, OvershootSlack: 11000, IdleBefore: time.Minute, Confirms: true}},
-	{name: "takeover-late", seed: 9, routers: 2, length: 440, credits: true, pressing: true, gathers: 250,
-		options: Config{OvershootFraction: 0.1, OvershootSlack: 11000, IdleBefore: time.Second, Confirms: true}},
-	{name: "many-routers", seed: 7, routers: 7, length: 440, restart: 170, credits: true, lost: true, configure: true, gathers: 30,
-		options: Config{OvershootFraction: 0.1, OvershootSlack: 20000, IdleBefore: 800 * time.Millisecond, Confirms: true}},
-	{name: "many-routers-pushed", seed: 8, routers: 5, length: 440, restart: 170, lost: true,
-		options: Config{OvershootFraction: 0.2, OvershootSlack: 5000, IdleBefore: 2 * time.Second, Confirms: true}},
+		options: Config{OvershootFraction: 0.1, OvershootSlack: 11000, IdleBefore: time.Minute}},
+	{name: "takeover-late", seed: 9, routers: 2, length: 440, credits: true, pressing: true, observes: 250,
+		options: Config{OvershootFraction: 0.1, OvershootSlack: 11000, IdleBefore: time.Second}},
+	{name: "many-routers", seed: 7, routers: 7, length: 440, restart: 170, credits: true, unreachable: true, configure: true, observes: 30,
+		options: Config{OvershootFraction: 0.1, OvershootSlack: 20000, IdleBefore: 800 * time.Millisecond}},
+	{name: "many-routers-pushed", seed: 8, routers: 5, length: 440, restart: 170, unreachable: true,
+		options: Config{OvershootFraction: 0.2, OvershootSlack: 5000, IdleBefore: 2 * time.Second}},
 }
 
 const goldenStepTime = 50 * time.Millisecond
 
-// goldenPlay is the state of a sequence of inputs.
+// goldenPlay generates the inputs of a case, step by step.
 type goldenPlay struct {
 	goldenCase
 	random    *rand.Rand
@@ -86,12 +86,12 @@
 	return c
 }
 
-// present says which routers are there in this step.
-func (g *goldenPlay) present() []Router {
+// connected returns the routers that are connected in this step.
+func (g *goldenPlay) connected() []Router {
 	var ids []Router
 	for i, id := range g.ids {
-		away := g.lost && i == 1 && g.step >= 130 && g.step < 230
-		if away || g.lost && i == 2 && g.step >= 200 {
+		away := g.unreachable && i == 1 && g.step >= 130 && g.step < 230
+		if away || g.unreachable && i == 2 && g.step >= 200 {
 			continue
 		}
 		ids = append(ids, id)
@@ -101,7 +101,7 @@
 
 // input draws what is new in this step. What is drawn does not depend on what the allocator granted.
 func (g *goldenPlay) input() Input {
-	in := Input{ObserveOnly: g.step < g.gathers, MinRouterCount: g.routers, Confirmations: g.confirms[g.step]}
+	in := Input{ObserveOnly: g.step < g.observes, MinRouterCount: g.routers, Confirmations: g.confirms[g.step]}
 	switch {
 	case g.step == 0:
 		in.Configuration = g.tenants(0)
@@ -111,14 +111,14 @@
 		in.Configuration = g.tenants(2)
 	}
 	if g.configure && g.step >= 100 && g.step < 200 {
-		in.MinRouterCount = 0 // as many as there are routers
+		in.MinRouterCount = 0 // the number of connected routers
 	}
 	if g.restart > 0 && g.step == g.restart {
 		g.ids[0].Incarnation++
 		g.sequences[0] = 0
 	}
-	if !g.configure || g.step != 110 { // then nobody is there for a step
-		in.Routers = g.present()
+	if !g.configure || g.step != 110 { // at which no router is connected
+		in.Routers = g.connected()
 	}
 	for i := range g.ids {
 		if urgent := g.random.IntN(25) == 0; (g.step+3*i)%10 != 0 && !urgent {
@@ -127,7 +127,7 @@
 		report := g.report(i)
 		in.Reports = append(in.Reports, report)
 		if g.random.IntN(12) == 0 {
-			in.Reports = append(in.Reports, report) // it comes twice, and must count once
+			in.Reports = append(in.Reports, report) // repeated, must count once
 		}
 	}
 	return in
@@ -138,20 +138,20 @@
 	report := protocol.Report{Node: g.ids[router].Node, Incarnation: g.ids[router].Incarnation,
 		Sequence: g.sequences[router], Over: 500 * time.Millisecond}
 	for i, rate := range g.rates {
-		usual := rate / float64(g.routers) * 0.5 * 1.6 * g.random.Float64()
+		demand := rate / float64(g.routers) * 0.5 * 1.6 * g.random.Float64()
 		if g.pressing || g.step >= 300 && g.step < 360 && i == 0 {
-			usual *= 4
+			demand *= 4
 		}
 		if i == 1 && g.step >= 240 && g.step < 340 {
-			usual = 0 // it rests
+			demand = 0 // no demand for a while
 		}
-		part := 0.6 + 0.4*g.random.Float64()
+		grantedFraction := 0.6 + 0.4*g.random.Float64()
 		if g.pressing {
-			part = 0.2 + 0.4*g.random.Float64()
+			grantedFraction = 0.2 + 0.4*g.random.Float64()
 		}
-		row := protocol.TenantDemand{Tenant: fmt.Sprintf("t%d", i), Asked: usual, Granted: usual * part}
-		lacks, left := g.random.IntN(3) == 0, g.random.Float64()*2000
-		if g.credits && lacks && usual > 0 {
+		row := protocol.TenantDemand{Tenant: fmt.Sprintf("t%d", i), Asked: demand, Granted: demand * grantedFraction}
+		hasShortfall, left := g.random.IntN(3) == 0, g.random.Float64()*2000
+		if g.credits && hasShortfall && demand > 0 {
 			row.Lacking = 100 + 3000*g.random.Float64()
 		}
 		if g.credits {
@@ -163,7 +163,7 @@
 	return report
 }
 
-// goldenDecisions plays a case and returns every grant as a line of text.
+// goldenDecisions runs a case and returns every grant as a line of text.
 func goldenDecisions(c goldenCase) []string {
 	g := &goldenPlay{goldenCase: c, random: rand.New(rand.NewPCG(c.seed, 73)), now: time.Unix(1_000_000, 0),
 		confirms: map[int][]Confirmation{}, rates: []float64{35285, 9100, 2600}, sequences: make([]uint64, c.routers)}
@@ -194,7 +194,7 @@
 }
 
 // sameDecision compares two lines. Sums over three routers and more are made in the order of a map, so their last bits
-// are no decision.
+// vary from run to run.
 func sameDecision(got, want string, exact bool) bool {
 	if got == want || exact {
 		return got == want
@@ -253,31 +253,31 @@
 	}{
 		{"window", DefaultWindow},
 		{"delivery", DefaultDeliveryTimeout},
-		{"credits: grant lasts", pulledFor},
-		{"no credits: grant lasts", pushedFor},
-		{"renewed after this part", renewPart},
+		{"credits: grant lasts", creditGrantTTL},
+		{"no credits: grant lasts", rateGrantTTL},
+		{"renewed after this part", renewFraction},
 		{"report lag", reportLag},
-		{"idle after", idleAfter},
-		{"demand averaged over", demandTime},
-		{"span of the record", bucketSpan},
-		{"resent after this change", changePart},
-		{"credits: rate of demand", pulledAmple},
-		{"no credits: rate of demand", pushedAmple},
-		{"stock of demand", stockTime},
-		{"stock is low below", stockLow},
-		{"least stock in lacks", stockLacks},
-		{"weight of a new lack", lackBy},
-		{"out of reach until ended", goneAfter},
-		{"stocks of what may be lent", stockPart},
-		{"reserve", reserve},
-		{"depth of what is beyond", depthPart},
-		{"evenly divided depth", evenPart},
-		{"between two grants", betweenSends},
-		{"wakes", wakeEvery},
-		{"assumed spent before", assumedPart},
-		{"gathered at least", judgedOver},
-		{"pressing above", pressedPart},
-		{"pressing, lacks on top", pressedMore},
+		{"idle after", idleTimeout},
+		{"demand averaged over", demandTimeConstant},
+		{"span of the record", recordInterval},
+		{"resent after this change", resendFraction},
+		{"credits: rate of demand", creditRateFactor},
+		{"no credits: rate of demand", rateDemandFactor},
+		{"stock of demand", creditReserveWindow},
+		{"stock is low below", lowReserveFraction},
+		{"least stock in lacks", minReserveShortfalls},
+		{"weight of a new lack", shortfallSmoothing},
+		{"out of reach until ended", unreachableTimeout},
+		{"stocks of what may be lent", maxReserveFraction},
+		{"reserve", withheldFraction},
+		{"depth of what is beyond", depthFraction},
+		{"evenly divided depth", evenDepthFraction},
+		{"between two grants", minSendInterval},
+		{"wakes", wakeInterval},
+		{"assumed spent before", assumedSpendingFactor},
+		{"gathered at least", minObservationTime},
+		{"pressing above", pressingDemandFactor},
+		{"pressing, lacks on top", pressingShortfalls},
 	} {
 		fmt.Fprintf(&got, "%s\t%v\n", constant.meaning, constant.value)
 	}
--- a/internal/control/quota/quota_test.go
+++ b/internal/control/quota/quota_test.go
@@ -2,120 +2,131 @@
 
 import (
 	"math"
+	"slices"
 	"testing"
 	"time"
 
 	"pgregory.net/rapid"
 )
 
-// way is a way to divide limits.
-type way struct {
-	name          string
-	idle, credits bool
+// strategy is a way to divide limits.
+type strategy struct {
+	name             string
+	withoutAllocator bool
+	usesCredits      bool
 }
 
-// losses plays days and returns what each tenant lost though it was within its limit, and what the largest
-// requests lost, both as parts of what was asked.
-func losses(t *testing.T, w way, days uint64, usual float64, gap bool) (byTenant []float64, large float64, count int) {
+// measureLosses simulates runs and returns which fraction of its requests each tenant lost though it was below its
+// limit, and which fraction of the large requests was rejected.
+func measureLosses(t *testing.T, w strategy, runs uint64, demandFraction float64, changeLeader bool) (byTenant []float64, large float64, messages int) {
 	t.Helper()
 	const tenants = 5
-	asked, refused := make([]float64, tenants), make([]float64, tenants)
-	largeAsked, largeRefused, messages := 0, 0, 0
-	for seed := range days {
-		town := town(seed, 9, tenants, usual, w.credits)
-		town.idle = w.idle
-		if gap {
-			town.later(24*time.Second, func() { town.changeHolder(time.Second, 4*time.Second) })
+	requested, rejected := make([]float64, tenants), make([]float64, tenants)
+	largeRequests, largeRejected := 0, 0
+	for seed := range runs {
+		s := newSimulation(seed, 9, tenants, demandFraction, w.usesCredits)
+		s.withoutAllocator = w.withoutAllocator
+		if changeLeader {
+			s.schedule(24*time.Second, func() { s.changeLeader(time.Second, 4*time.Second) })
 		}
-		town.run(quietLead + 34*time.Second)
-		if town.broken != "" {
-			t.Errorf("%s seed %d: %s", w.name, seed, town.broken)
+		s.run(warmUpTime + 34*time.Second)
+		if s.violation != "" {
+			t.Errorf("%s, seed %d: %s", w.name, seed, s.violation)
 		}
-		for i, p := range town.parties {
-			asked[i] += p.asked
-			refused[i] += p.owed
-			largeAsked += p.largeAsk
-			largeRefused += p.largeNo
+		for i, c := range s.clients {
+			requested[i] += c.requested
+			rejected[i] += c.wronglyRejected
+			largeRequests += c.largeRequests
+			largeRejected += c.largeRejected
 		}
-		messages += town.messages
+		messages += s.messages
 	}
-	for i := range asked {
-		refused[i] /= asked[i]
+	for i := range requested {
+		rejected[i] /= requested[i]
 	}
-	return refused, float64(largeRefused) / math.Max(1, float64(largeAsked)), messages / int(days)
+	return rejected, float64(largeRejected) / math.Max(1, float64(largeRequests)), messages / int(runs)
 }
 
-// TestTenantsWithinTheirLimitsAreServed plays days with uneven shares of the routers.
-func TestTenantsWithinTheirLimitsAreServed(t *testing.T) {
+// TestTenantsBelowTheirLimitsAreServed simulates tenants whose traffic is spread unevenly over the routers.
+func TestTenantsBelowTheirLimitsAreServed(t *testing.T) {
 	t.Parallel()
-	credits := way{name: "credits", credits: true}
-	for _, w := range []way{{name: "floors only", idle: true}, {name: "rates only"}, credits} {
-		days := uint64(1)
+	credits := strategy{name: "credits", usesCredits: true}
+	for _, w := range []strategy{{name: "floors only", withoutAllocator: true}, {name: "rates only"}, credits} {
+		runs := uint64(1)
 		if w == credits {
-			days = 10
+			runs = 10
 		}
-		refused, large, messages := losses(t, w, days, 0.77, false)
-		t.Logf("%-12s refused of what was owed, by tenant: %.3f; of the largest: %.3f; %d messages", w.name, refused, large,
-			messages)
+		rejected, large, messages := measureLosses(t, w, runs, 0.77, false)
+		t.Logf("%-12s rejected though below the limit, by tenant: %.3f; of large requests: %.3f; %d messages", w.name,
+			rejected, large, messages)
 		if w != credits {
 			continue
 		}
-		for i, part := range refused {
-			if part > 0.06 {
-				t.Errorf("tenant %d loses %.3f", i, part)
+		for i, fraction := range rejected {
+			if fraction > 0.06 {
+				t.Errorf("tenant %d loses %.3f of its requests, want no more than 0.06", i, fraction)
 			}
 		}
 	}
 }
 
-// TestHolderChanges has nobody divide for four seconds.
-func TestHolderChanges(t *testing.T) {
+// TestTenantsAreServedWhenTheLeaderChanges has no allocator act for four seconds.
+func TestTenantsAreServedWhenTheLeaderChanges(t *testing.T) {
 	t.Parallel()
-	refused, large, _ := losses(t, way{name: "credits", credits: true}, 10, 0.77, true)
-	t.Logf("refused of what was owed, by tenant: %.3f; of the largest: %.3f", refused, large)
-	if refused[0] > 0.08 {
-		t.Errorf("the largest tenant loses %.3f", refused[0])
+	rejected, large, _ := measureLosses(t, strategy{name: "credits", usesCredits: true}, 10, 0.77, true)
+	t.Logf("rejected though below the limit, by tenant: %.3f; of large requests: %.3f", rejected, large)
+	if rejected[0] > 0.08 {
+		t.Errorf("the largest tenant loses %.3f of its requests, want no more than 0.08", rejected[0])
 	}
 }
 
-// TestNoWindowIsPassed presses tenants far beyond their limits while routers are cut off, restart and the holder
-// changes.
-func TestNoWindowIsPassed(t *testing.T) {
+// TestNoWindowExceedsItsAllowance has tenants request far more than their limits while routers are partitioned and the
+// leader changes.
+func TestNoWindowExceedsItsAllowance(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		w := town(rapid.Uint64Range(0, 1<<40).Draw(t, "seed"), rapid.IntRange(1, 9).Draw(t, "routers"),
+		s := newSimulation(rapid.Uint64Range(0, 1<<40).Draw(t, "seed"), rapid.IntRange(1, 9).Draw(t, "routers"),
 			rapid.IntRange(1, 2).Draw(t, "tenants"), 0.77, rapid.Bool().Draw(t, "credits"))
-		hot := rapid.Float64Range(1, 12).Draw(t, "hot")
-		second := func(from, to int, name string) time.Duration {
+		factor := rapid.Float64Range(1, 12).Draw(t, "surge factor")
+		seconds := func(from, to int, name string) time.Duration {
 			return time.Duration(rapid.IntRange(from*10, to*10).Draw(t, name)) * 100 * time.Millisecond
 		}
-		for _, p := range w.parties {
-			p.hot, p.hotFrom = hot, second(11, 16, "from")
-			p.hotUntil = p.hotFrom + second(2, 10, "for")
+		for _, c := range s.clients {
+			c.surgeFactor, c.surgeFrom = factor, seconds(11, 16, "surge from")
+			c.surgeUntil = c.surgeFrom + seconds(2, 10, "surge for")
 		}
-		for i := range rapid.IntRange(0, 2).Draw(t, "cuts") {
-			n := w.nodes[i%len(w.nodes)]
-			length := second(1, 8, "cut for")
-			w.later(second(11, 20, "cut at"), func() { n.cutUntil = w.now + length })
+		for i := range rapid.IntRange(0, 2).Draw(t, "partitions") {
+			r := s.routers[i%len(s.routers)]
+			length := seconds(1, 8, "partitioned for")
+			s.schedule(seconds(11, 20, "partitioned at"), func() { r.partitionedUntil = s.now + length })
 		}
-		if rapid.Bool().Draw(t, "changes") {
-			w.later(second(11, 18, "change at"), func() { w.changeHolder(time.Second, 4*time.Second) })
+		if rapid.Bool().Draw(t, "leader changes") {
+			s.schedule(seconds(11, 18, "change at"), func() { s.changeLeader(time.Second, 4*time.Second) })
 		}
-		w.run(28 * time.Second)
-		if w.broken != "" {
-			t.Fatal(w.broken)
+		s.run(28 * time.Second)
+		if s.violation != "" {
+			t.Fatal(s.violation)
 		}
 	})
 }
 
-// TestShareIsMaxMinFair fills small wants whole and divides the rest evenly.
-func TestShareIsMaxMinFair(t *testing.T) {
-	parts, rest := maxMin([]float64{5, 1, 10}, 9)
-	if parts[0] != 4 || parts[1] != 1 || parts[2] != 4 || rest != 0 {
-		t.Errorf("parts %v, rest %v", parts, rest)
-	}
-	parts, rest = maxMin([]float64{1, 2}, 5)
-	if parts[0] != 1 || parts[1] != 2 || rest != 2 {
-		t.Errorf("parts %v, rest %v", parts, rest)
+// TestSharesAreMaxMinFair satisfies small demands completely and divides the rest evenly.
+func TestSharesAreMaxMinFair(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		demands  []float64
+		capacity float64
+		shares   []float64
+		rest     float64
+	}{
+		{"capacity exhausted", []float64{5, 1, 10}, 9, []float64{4, 1, 4}, 0},
+		{"all demands satisfied", []float64{1, 2}, 5, []float64{1, 2}, 2},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			shares, rest := maxMinFairShares(c.demands, c.capacity)
+			if !slices.Equal(shares, c.shares) || rest != c.rest {
+				t.Errorf("shares %v and rest %v, want %v and %v", shares, rest, c.shares, c.rest)
+			}
+		})
 	}
 }
--- a/internal/control/quota/size_test.go
+++ b/internal/control/quota/size_test.go
@@ -9,14 +9,14 @@
 	"raventrestle/internal/sizetest"
 )
 
-const stepsPerS = 20 // at most: a step takes place no sooner than 50 ms after the one before
+const stepsPerS = 20 // upper bound: steps are 50 ms apart or more
 
-// BenchmarkStepAtSize is one of 20 steps in a second, with its part of all routers' reports, each of which asks for a
-// few of 200 tenants.
+// BenchmarkStepAtSize is one of 20 steps in a second, with its part of all routers' reports, each of which has
+// demand for a few of 200 tenants.
 func BenchmarkStepAtSize(b *testing.B) {
 	random := rand.New(rand.NewPCG(1, 1))
 	now := time.Unix(0, 0)
-	a := New(Config{OvershootSlack: 11000, OvershootFraction: 0.1, IdleBefore: time.Minute, Confirms: true})
+	a := New(Config{OvershootSlack: 11000, OvershootFraction: 0.1, IdleBefore: time.Minute})
 	var routers []Router
 	for i := range sizetest.Routers {
 		routers = append(routers, Router{Node: sizetest.RouterName(i), Incarnation: uint64(i) + 1})
