--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -12,24 +12,24 @@
 	"raventrestle/internal/nodeconfig"
 )
 
-// Fault is one thing that is wrong.
-type Fault struct {
+// Finding is one thing that is wrong.
+type Finding struct {
 	Item   string `json:"item"`
 	Reason string `json:"reason"`
 }
 
 // Report is what a check found.
 type Report struct {
-	Good    bool    `json:"good"`
-	Summary string  `json:"summary,omitempty"` // of something good
-	Faults  []Fault `json:"faults,omitempty"`
+	Good     bool      `json:"good"`
+	Summary  string    `json:"summary,omitempty"` // of something good
+	Findings []Finding `json:"faults,omitempty"`
 }
 
-func good(format string, arguments ...any) Report {
+func passed(format string, arguments ...any) Report {
 	return Report{Good: true, Summary: fmt.Sprintf(format, arguments...)}
 }
 
-func bad(faults []Fault) Report { return Report{Faults: faults} }
+func failed(faults []Finding) Report { return Report{Findings: faults} }
 
 // Settings checks a settings file. An empty path stands for the one that the environment names.
 func Settings(path string) (Report, error) {
@@ -45,32 +45,32 @@
 	}
 	settings, err := nodeconfig.Parse(path, body)
 	if err != nil {
-		return bad(faultsOf(err)), nil
+		return failed(findingsOf(err)), nil
 	}
-	return good("%s, role %s, zone %s, serves %v", settings.NodeName, settings.Role, settings.Zone, settings.Serves), nil
+	return passed("%s, role %s, zone %s, serves %v", settings.NodeName, settings.Role, settings.Zone, settings.Serves), nil
 }
 
-// faultsOf takes an error of the settings apart.
-func faultsOf(err error) []Fault {
+// findingsOf takes an error of the settings apart.
+func findingsOf(err error) []Finding {
 	if joined, many := err.(interface{ Unwrap() []error }); many {
-		var faults []Fault
+		var faults []Finding
 		for _, part := range joined.Unwrap() {
-			faults = append(faults, faultsOf(part)...)
+			faults = append(faults, findingsOf(part)...)
 		}
 		return faults
 	}
 	var fault *nodeconfig.Fault
 	if direct, is := err.(*nodeconfig.Fault); is {
-		return []Fault{{Item: place(direct), Reason: direct.Reason}}
+		return []Finding{{Item: location(direct), Reason: direct.Reason}}
 	}
 	if inner := errors.Unwrap(err); inner != nil && errors.As(err, &fault) {
-		return faultsOf(inner)
+		return findingsOf(inner)
 	}
-	return []Fault{{Item: "file", Reason: err.Error()}}
+	return []Finding{{Item: "file", Reason: err.Error()}}
 }
 
-// place names a key and its line; a missing key has none.
-func place(fault *nodeconfig.Fault) string {
+// location names a key and its line; a missing key has none.
+func location(fault *nodeconfig.Fault) string {
 	if fault.Line == 0 {
 		return fault.Key
 	}
@@ -90,16 +90,16 @@
 	var invalid *configuration.Invalid
 	switch {
 	case errors.As(err, &invalid):
-		var faults []Fault
+		var faults []Finding
 		for _, fault := range invalid.Faults {
-			faults = append(faults, Fault{Item: fault.Item, Reason: fault.Reason})
+			faults = append(faults, Finding{Item: fault.Item, Reason: fault.Reason})
 		}
-		return bad(faults), nil
+		return failed(faults), nil
 	case err != nil:
-		return bad([]Fault{{Item: "file", Reason: err.Error()}}), nil
+		return failed([]Finding{{Item: "file", Reason: err.Error()}}), nil
 	}
 	read := document.Configuration()
-	return good("generation %d: %d routes, %d services, %d tenants", read.Generation, len(read.Routes),
+	return passed("generation %d: %d routes, %d services, %d tenants", read.Generation, len(read.Routes),
 		len(read.Services), len(read.Tenants)), nil
 }
 
--- a/internal/check/command.go
+++ b/internal/check/command.go
@@ -84,7 +84,7 @@
 		_, err := fmt.Fprintln(out, "good:", report.Summary)
 		return err
 	}
-	for _, fault := range report.Faults {
+	for _, fault := range report.Findings {
 		if _, err := fmt.Fprintf(out, "%s: %s\n", fault.Item, fault.Reason); err != nil {
 			return err
 		}
--- a/internal/check/deploy.go
+++ b/internal/check/deploy.go
@@ -14,8 +14,8 @@
 
 // What a deploy file may name.
 var (
-	classes = []string{"edge", "core"}
-	served  = []string{"edge", "control_plane"}
+	knownClasses    = []string{"edge", "core"}
+	knownInterfaces = []string{"edge", "control_plane"}
 )
 
 // deployFile says how the system is built and which program runs on which machines.
@@ -26,12 +26,12 @@
 }
 
 type role struct {
-	Run    string   `toml:"run"`
-	On     string   `toml:"on"`
-	Share  *float64 `toml:"share"`
-	Count  *int     `toml:"count"`
-	Apart  bool     `toml:"apart"`
-	Serves []string `toml:"serves"`
+	Run     string   `toml:"run"`
+	Class   string   `toml:"on"`
+	Share   *float64 `toml:"share"`
+	Count   *int     `toml:"count"`
+	FromEnd bool     `toml:"apart"`
+	Serves  []string `toml:"serves"`
 }
 
 // Deploy checks a deploy file.
@@ -43,41 +43,41 @@
 	var file deployFile
 	decoder := toml.NewDecoder(bytes.NewReader(body)).DisallowUnknownFields()
 	if err := decoder.Decode(&file); err != nil {
-		return bad(faultsOfTOML(body, err)), nil
+		return failed(findingsOfTOML(body, err)), nil
 	}
-	if faults := file.faults(); len(faults) > 0 {
-		return bad(faults), nil
+	if faults := file.findings(); len(faults) > 0 {
+		return failed(faults), nil
 	}
-	return good("roles %s", strings.Join(slices.Sorted(maps.Keys(file.Roles)), ", ")), nil
+	return passed("roles %s", strings.Join(slices.Sorted(maps.Keys(file.Roles)), ", ")), nil
 }
 
-// faultsOfTOML names the line of each unknown or malformed key.
-func faultsOfTOML(body []byte, err error) []Fault {
+// findingsOfTOML names the line of each unknown or malformed key.
+func findingsOfTOML(body []byte, err error) []Finding {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) {
-		var faults []Fault
+		var faults []Finding
 		for i := range unknown.Errors {
-			faults = append(faults, faultOfTOML(body, &unknown.Errors[i], "is not known"))
+			faults = append(faults, findingOfTOML(body, &unknown.Errors[i], "is not known"))
 		}
 		return faults
 	}
 	var malformed *toml.DecodeError
 	if errors.As(err, &malformed) {
-		return []Fault{faultOfTOML(body, malformed, goField.ReplaceAllString(malformed.Error(), ""))}
+		return []Finding{findingOfTOML(body, malformed, goField.ReplaceAllString(malformed.Error(), ""))}
 	}
-	return []Fault{{Item: "file", Reason: err.Error()}}
+	return []Finding{{Item: "file", Reason: err.Error()}}
 }
 
 // goField is how the library names a field of this program, which is nothing to the reader of a deploy file.
 var goField = regexp.MustCompile(`struct field \S+ of type `)
 
-func faultOfTOML(body []byte, err *toml.DecodeError, reason string) Fault {
+func findingOfTOML(body []byte, err *toml.DecodeError, reason string) Finding {
 	line, _ := err.Position()
 	item := strings.Join(err.Key(), ".")
 	if item == "" {
 		item = keyOfLine(body, line)
 	}
-	return Fault{Item: strings.TrimSuffix(fmt.Sprintf("line %d: %s", line, item), ": "), Reason: reason}
+	return Finding{Item: strings.TrimSuffix(fmt.Sprintf("line %d: %s", line, item), ": "), Reason: reason}
 }
 
 // keyOfLine gives the key that a line sets, if it sets one: the library doesn't name the key of a wrong type.
@@ -93,15 +93,15 @@
 	return strings.TrimSpace(key)
 }
 
-func (d *deployFile) faults() []Fault {
-	var found []Fault
+func (d *deployFile) findings() []Finding {
+	var found []Finding
 	add := func(item, format string, arguments ...any) {
-		found = append(found, Fault{Item: item, Reason: fmt.Sprintf(format, arguments...)})
+		found = append(found, Finding{Item: item, Reason: fmt.Sprintf(format, arguments...)})
 	}
 	if d.Build == "" {
 		add("build", "is missing")
 	}
-	for _, reason := range packageFaults(d.Packages) {
+	for _, reason := range packageNameFaults(d.Packages) {
 		add("packages", "%s", reason)
 	}
 	if len(d.Roles) == 0 {
@@ -114,14 +114,14 @@
 		item := "role " + name
 		role.check(func(format string, arguments ...any) { add(item, format, arguments...) })
 		for _, what := range role.Serves {
-			key := role.On + " " + what
+			key := role.Class + " " + what
 			if other, twice := taken[key]; twice {
-				add(item, "serves %s on %s, as role %s does", what, role.On, other)
+				add(item, "serves %s on %s, as role %s does", what, role.Class, other)
 			}
 			taken[key] = name
 		}
-		if perClass[role.On]++; perClass[role.On] == mostRoles+1 {
-			add(item, "is one of more than %d roles on %s", mostRoles, role.On)
+		if perClass[role.Class]++; perClass[role.Class] == maxRolesPerMachine+1 {
+			add(item, "is one of more than %d roles on %s", maxRolesPerMachine, role.Class)
 		}
 	}
 	return found
@@ -130,8 +130,8 @@
 // packageName is what Debian allows as the name of a package.
 var packageName = regexp.MustCompile(`^[a-z0-9][a-z0-9+.-]+$`)
 
-// packageFaults tells which entries are no names of packages, and which come twice.
-func packageFaults(packages []string) []string {
+// packageNameFaults tells which entries are no names of packages, and which come twice.
+func packageNameFaults(packages []string) []string {
 	var found []string
 	seen := make(map[string]bool)
 	for _, name := range packages {
@@ -147,14 +147,14 @@
 }
 
 // mostRoles run on one machine.
-const mostRoles = 2
+const maxRolesPerMachine = 2
 
 func (r *role) check(add func(format string, arguments ...any)) {
 	if strings.TrimSpace(r.Run) == "" {
 		add("run is missing")
 	}
-	if !slices.Contains(classes, r.On) {
-		add("on is %q and none of %s", r.On, strings.Join(classes, ", "))
+	if !slices.Contains(knownClasses, r.Class) {
+		add("on is %q and none of %s", r.Class, strings.Join(knownClasses, ", "))
 	}
 	switch {
 	case r.Share != nil && r.Count != nil:
@@ -167,8 +167,8 @@
 		add("count is %d and below 1", *r.Count)
 	}
 	for _, what := range r.Serves {
-		if !slices.Contains(served, what) {
-			add("serves %q, which is none of %s", what, strings.Join(served, ", "))
+		if !slices.Contains(knownInterfaces, what) {
+			add("serves %q, which is none of %s", what, strings.Join(knownInterfaces, ", "))
 		}
 	}
 }
--- a/internal/check/golden_test.go
+++ b/internal/check/golden_test.go
@@ -26,8 +26,8 @@
 		{filepath.Join("testdata", "golden", "every-key.toml"), deployFile{
 			Build: "make everything", Packages: []string{"gcc", "libc6-dev"},
 			Roles: map[string]role{
-				"router": {Run: "target/router run", On: "edge", Share: pointerTo(0.75), Serves: []string{"edge"}},
-				"control": {Run: "target/control run", On: "core", Count: pointerTo(3), Apart: true,
+				"router": {Run: "target/router run", Class: "edge", Share: pointerTo(0.75), Serves: []string{"edge"}},
+				"control": {Run: "target/control run", Class: "core", Count: pointerTo(3), FromEnd: true,
 					Serves: []string{"control_plane"}},
 			},
 		}},
@@ -36,8 +36,8 @@
 				"./cmd/raventrestle-control",
 			Packages: []string{"gcc", "libc6-dev", "ca-certificates"},
 			Roles: map[string]role{
-				"router": {Run: "target/raventrestle-router run", On: "edge", Share: pointerTo(1.0), Serves: []string{"edge"}},
-				"control": {Run: "target/raventrestle-control run", On: "core", Share: pointerTo(0.5),
+				"router": {Run: "target/raventrestle-router run", Class: "edge", Share: pointerTo(1.0), Serves: []string{"edge"}},
+				"control": {Run: "target/raventrestle-control run", Class: "core", Share: pointerTo(0.5),
 					Serves: []string{"control_plane"}},
 			},
 		}},
