--- a/cmd/raventrestle-control/client.go
+++ b/cmd/raventrestle-control/client.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	callWithin   = 5 * time.Second
-	answerLimit  = 16 << 20
-	tablePadding = 2
+	callTimeout      = 5 * time.Second
+	maxResponseBytes = 16 << 20
+	tablePadding     = 2
 )
 
 // client is what all commands that ask an instance have in common.
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	ask := sling.New().Base(base).Path(path)
 	ask = withMethod(ask, method, path)
@@ -89,30 +89,30 @@
 		return nil, fmt.Errorf("%s %s: %w", method, path, err)
 	}
 	defer func() { _ = answer.Body.Close() }() // it has been read
-	text, err := io.ReadAll(io.LimitReader(answer.Body, answerLimit))
+	text, err := io.ReadAll(io.LimitReader(answer.Body, maxResponseBytes))
 	if err != nil {
 		return nil, fmt.Errorf("%s %s: read the answer: %w", method, path, err)
 	}
 	if answer.StatusCode != http.StatusOK {
-		return nil, &refusedError{call: method + " " + path, status: answer.StatusCode, reason: reasonIn(text)}
+		return nil, &statusError{call: method + " " + path, status: answer.StatusCode, reason: reasonIn(text)}
 	}
 	return text, nil
 }
 
-// refusedError is an answer other than 200.
-type refusedError struct {
+// statusError is an answer other than 200.
+type statusError struct {
 	call   string
 	status int
 	reason string
 }
 
-func (r *refusedError) Error() string {
+func (r *statusError) Error() string {
 	return fmt.Sprintf("%s: %d %s: %s", r.call, r.status, http.StatusText(r.status), r.reason)
 }
 
-// answered says whether an error is the answer with this status.
-func answered(err error, status int) bool {
-	var refused *refusedError
+// hasStatus says whether an error is the answer with this status.
+func hasStatus(err error, status int) bool {
+	var refused *statusError
 	return errors.As(err, &refused) && refused.status == status
 }
 
--- a/cmd/raventrestle-control/config.go
+++ b/cmd/raventrestle-control/config.go
@@ -97,7 +97,7 @@
 // newest asks for the newest version, which the chain is asked for; 0 before the first.
 func (c *configCommand) newest(ctx context.Context) (int64, error) {
 	text, err := c.call(ctx, http.MethodGet, configPath, -1, nil)
-	if answered(err, http.StatusNotFound) {
+	if hasStatus(err, http.StatusNotFound) {
 		return 0, nil
 	}
 	if err != nil {
@@ -125,7 +125,7 @@
 		if err := json.Unmarshal(text, &told); err != nil {
 			return fmt.Errorf("answer can't be read: %w", err)
 		}
-		warnOld(w, told.AsOfMS)
+		warnStale(w, told.AsOfMS)
 		fmt.Fprintln(w, "GENERATION\tINDEX\tBY\tBYTES")
 		for _, version := range told.Versions {
 			fmt.Fprintf(w, "%d\t%d\t%s\t%d\n", version.Generation, version.Index, version.Method, version.Bytes)
--- a/cmd/raventrestle-control/events.go
+++ b/cmd/raventrestle-control/events.go
@@ -10,34 +10,34 @@
 	"raventrestle/internal/control/placer"
 )
 
-// events writes one line for each thing that people may want to know, under fixed names. Nothing is written on
+// eventLog writes one line for each thing that people may want to know, under fixed names. Nothing is written on
 // the ordinary path.
-type events struct{ logger *log.Logger }
+type eventLog struct{ logger *log.Logger }
 
-func newEvents(level string) *events {
-	return &events{logger: &log.Logger{
+func newEventLog(level string) *eventLog {
+	return &eventLog{logger: &log.Logger{
 		Level:      log.ParseLevel(level),
 		TimeFormat: time.RFC3339Nano,
 		Writer:     &log.IOWriter{Writer: os.Stderr},
 	}}
 }
 
-func (e *events) setLevel(level string) { e.logger.SetLevel(log.ParseLevel(level)) }
+func (e *eventLog) setLevel(level string) { e.logger.SetLevel(log.ParseLevel(level)) }
 
-func (e *events) started(node, address, control string, bootstrap bool) {
+func (e *eventLog) started(node, address, control string, bootstrap bool) {
 	e.logger.Info().Str("event", "started").Str("node", node).Str("address", address).Str("control", control).
 		Bool("bootstrap", bootstrap).Msg("")
 }
 
-func (e *events) stopping(signal string) {
+func (e *eventLog) stopping(signal string) {
 	e.logger.Info().Str("event", "stopping").Str("signal", signal).Msg("")
 }
 
-func (e *events) stopped(err error) {
+func (e *eventLog) stopped(err error) {
 	e.logger.Info().Str("event", "stopped").Err(err).Msg("")
 }
 
-func (e *events) reloaded(err error) {
+func (e *eventLog) reloaded(err error) {
 	if err != nil {
 		e.logger.Warn().Str("event", "settings_refused").Err(err).Msg("")
 		return
@@ -46,34 +46,34 @@
 }
 
 // RouterSubscribed implements host.EventRecorder.
-func (e *events) RouterSubscribed(node, zone string, generation int64) {
+func (e *eventLog) RouterSubscribed(node, zone string, generation int64) {
 	e.logger.Info().Str("event", "router_subscribed").Str("router", node).Str("zone", zone).
 		Int64("generation", generation).Msg("")
 }
 
 // RouterClosed implements host.EventRecorder.
-func (e *events) RouterClosed(node, reason string) {
+func (e *eventLog) RouterClosed(node, reason string) {
 	e.logger.Info().Str("event", "router_closed").Str("router", node).Str("reason", reason).Msg("")
 }
 
 // Isolated implements host.EventRecorder.
-func (e *events) Isolated(isolated bool, live, voters int) {
+func (e *eventLog) Isolated(isolated bool, live, voters int) {
 	e.logger.Warn().Str("event", "isolated").Bool("isolated", isolated).Int("live", live).Int("voters", voters).
 		Msg("")
 }
 
 // LeadershipBegan implements roles.Events.
-func (e *events) LeadershipBegan(epoch uint64, late time.Duration) {
+func (e *eventLog) LeadershipBegan(epoch uint64, late time.Duration) {
 	e.logger.Info().Str("event", "role_began").Uint64("epoch", epoch).Dur("late", late).Msg("")
 }
 
 // LeadershipEnded implements roles.Events.
-func (e *events) LeadershipEnded(epoch uint64) {
+func (e *eventLog) LeadershipEnded(epoch uint64) {
 	e.logger.Info().Str("event", "role_ended").Uint64("epoch", epoch).Msg("")
 }
 
 // OrderCompleted implements roles.Events.
-func (e *events) OrderCompleted(epoch uint64, order placer.Order, outcome placer.Outcome, err error) {
+func (e *eventLog) OrderCompleted(epoch uint64, order placer.Order, outcome placer.Outcome, err error) {
 	e.logger.Info().Str("event", "order").Uint64("epoch", epoch).Str("endpoint", order.Endpoint).
 		Str("model", order.Model).Str("adapter", order.Adapter).Bool("unload", order.Unload).
 		Str("reason", order.Reason).Str("outcome", outcomeName(outcome)).Err(err).Msg("")
@@ -93,8 +93,8 @@
 	return "unknown"
 }
 
-// replica writes an event of the replica: a name, then keys and values.
-func (e *events) replica(event string, pairs ...any) {
+// replicaEvent writes an event of the replica: a name, then keys and values.
+func (e *eventLog) replicaEvent(event string, pairs ...any) {
 	entry := e.logger.Info().Str("event", "replica_"+event)
 	for i := 0; i+1 < len(pairs); i += 2 {
 		entry = entry.Str(fmt.Sprint(pairs[i]), fmt.Sprint(pairs[i+1]))
--- a/cmd/raventrestle-control/golden_test.go
+++ b/cmd/raventrestle-control/golden_test.go
@@ -64,14 +64,14 @@
 		what      string
 		got, want any
 	}{
-		{"ms to answer what is under way", answerWithin.Milliseconds(), int64(700)},
+		{"ms to answer what is under way", shutdownTimeout.Milliseconds(), int64(700)},
 		{"ms left before SIGKILL", killMargin.Milliseconds(), int64(800)},
-		{"ms to hand over without a grace", usualHandOver.Milliseconds(), int64(2000)},
-		{"ms of a call by a command", callWithin.Milliseconds(), int64(5000)},
-		{"bytes of an answer to a command", answerLimit, 16 << 20},
-		{"descriptors kept for files", reservedFiles, 200},
-		{"fewest connections", leastConnections, 256},
-		{"ms from which a table is old", oldMS, 1000},
+		{"ms to hand over without a grace", defaultHandoverTimeout.Milliseconds(), int64(2000)},
+		{"ms of a call by a command", callTimeout.Milliseconds(), int64(5000)},
+		{"bytes of an answer to a command", maxResponseBytes, 16 << 20},
+		{"descriptors kept for files", reservedFileDescriptors, 200},
+		{"fewest connections", minConnections, 256},
+		{"ms from which a table is old", staleAgeMS, 1000},
 	} {
 		if test.got != test.want {
 			t.Errorf("%s: got %v, want %v", test.what, test.got, test.want)
--- a/cmd/raventrestle-control/handover_test.go
+++ b/cmd/raventrestle-control/handover_test.go
@@ -8,12 +8,12 @@
 // A member that is needed stays for nearly all of its grace, and its last answers fit in before SIGKILL.
 func TestHandOverTakesTheGrace(t *testing.T) {
 	for grace, want := range map[time.Duration]time.Duration{
-		0:                      usualHandOver,
+		0:                      defaultHandoverTimeout,
 		8 * time.Second:        6500 * time.Millisecond,
 		2 * time.Second:        time.Second,
 		100 * time.Millisecond: 50 * time.Millisecond,
 	} {
-		if got := handOverTime(grace); got != want {
+		if got := handoverTimeout(grace); got != want {
 			t.Errorf("grace %v: %v, want %v", grace, got, want)
 		}
 	}
--- a/cmd/raventrestle-control/instance.go
+++ b/cmd/raventrestle-control/instance.go
@@ -27,16 +27,16 @@
 )
 
 const (
-	answerWithin = 700 * time.Millisecond // calls under way at the end
+	shutdownTimeout = 700 * time.Millisecond // calls under way at the end
 
-	reservedFiles    = 200 // of the descriptors
-	leastConnections = 256
+	reservedFileDescriptors = 200 // of the descriptors
+	minConnections          = 256
 )
 
 // instance is a running control instance.
 type instance struct {
 	replica replica.Interface
-	holder  *roles.Leader
+	leader  *roles.Leader
 	mesh    *transport.Mesh
 	peers   *transport.Server
 	http    *api.Server
@@ -44,19 +44,19 @@
 	tasks   sync.WaitGroup
 	failed  chan error
 
-	handOver time.Duration // that it may wait at its end for others to hold what it holds
+	handoverTimeout time.Duration // that it may wait at its end for others to hold what it holds
 }
 
-// gate hands what arrives to the host, once there is one.
-type gate struct{ host atomic.Pointer[host.Host] }
+// deferredHandler hands what arrives to the host, once there is one.
+type deferredHandler struct{ host atomic.Pointer[host.Host] }
 
-func (g *gate) Message(c *transport.Connection, message any) {
+func (g *deferredHandler) Message(c *transport.Connection, message any) {
 	if h := g.host.Load(); h != nil {
 		h.Message(c, message)
 	}
 }
 
-func (g *gate) Closed(c *transport.Connection, err error) {
+func (g *deferredHandler) Closed(c *transport.Connection, err error) {
 	if h := g.host.Load(); h != nil {
 		h.Closed(c, err)
 	}
@@ -73,7 +73,7 @@
 }
 
 // start brings an instance up. Nothing here waits for another machine.
-func start(ctx context.Context, settings *nodeconfig.Settings, events *events) (*instance, error) {
+func start(ctx context.Context, settings *nodeconfig.Settings, events *eventLog) (*instance, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	codec := protocol.NewCodec()
 	protocol.RegisterPeerMessages(codec)
@@ -84,10 +84,10 @@
 		return nil, err
 	}
 	origin := protocol.Origin{Address: self, Incarnation: incarnation}
-	entrance := &gate{}
+	entrance := &deferredHandler{}
 	i := &instance{
 		cancel: cancel, failed: make(chan error, 1), mesh: transport.NewMesh(codec, self, entrance),
-		handOver: handOverTime(settings.Bounds.Grace),
+		handoverTimeout: handoverTimeout(settings.Bounds.Grace),
 	}
 	machine := state.New()
 	group, err := openReplica(settings, self, replicaTransport{mesh: i.mesh, self: self}, machine, events)
@@ -97,18 +97,18 @@
 	}
 	i.replica = group
 	configurations := configstore.New(group, machine)
-	newPlacer := func(quiet time.Duration) roles.Placer { return makePlacer(settings, quiet) }
-	newAllocator := func(quiet time.Duration) roles.Allocator { return makeAllocator(settings, quiet) }
-	reports := &lateReports{}
+	newPlacer := func(quiet time.Duration) roles.Placer { return newPlacer(settings, quiet) }
+	newAllocator := func(quiet time.Duration) roles.Allocator { return newAllocator(settings, quiet) }
+	reports := &deferredReports{}
 	table := host.New(host.Config{Origin: origin, Heartbeat: settings.Heartbeat, Codec: codec}, host.Dependencies{
 		Replica: group, Configurations: configurations, Mesh: i.mesh, Roles: reports, Events: events,
 	})
-	i.holder = roles.New(roles.Config{Origin: origin, NodeName: settings.NodeName, Lease: settings.Bounds.Lease},
+	i.leader = roles.New(roles.Config{Origin: origin, NodeName: settings.NodeName, Lease: settings.Bounds.Lease},
 		roles.Dependencies{
 			Replica: group, Endpoints: table, Configurations: configurations, Mesh: i.mesh,
 			NewPlacer: newPlacer, NewAllocator: newAllocator, EventRecorder: events,
 		})
-	reports.holder = i.holder
+	reports.holder = i.leader
 	entrance.host.Store(table)
 	i.peers, err = transport.Listen(self, codec, entrance)
 	if err != nil {
@@ -123,7 +123,7 @@
 	i.http = api.New(table, configurations, statusView(group, machine, table.ConfirmedAt)).
 		Server(connectionsOf(settings.Limits))
 	i.spawn(func() { table.Run(ctx) })
-	i.spawn(func() { i.holder.Run(ctx) })
+	i.spawn(func() { i.leader.Run(ctx) })
 	i.spawn(func() { i.serve(public) })
 	events.started(settings.NodeName, self, settings.ListenControl, settings.Bootstrap)
 	return i, nil
@@ -131,13 +131,13 @@
 
 // connectionsOf is how many connections the public interface may have: the others' transports need some too.
 func connectionsOf(limits nodeconfig.Limits) int {
-	return max(leastConnections, (limits.MaxFDs-reservedFiles)/2)
+	return max(minConnections, (limits.MaxFDs-reservedFileDescriptors)/2)
 }
 
-// lateReports breaks the circle between the host and the holder.
-type lateReports struct{ holder *roles.Leader }
+// deferredReports breaks the circle between the host and the holder.
+type deferredReports struct{ holder *roles.Leader }
 
-func (l *lateReports) HandleReports(batch *protocol.ReportBatch) { l.holder.HandleReports(batch) }
+func (l *deferredReports) HandleReports(batch *protocol.ReportBatch) { l.holder.HandleReports(batch) }
 
 func (i *instance) spawn(task func()) {
 	i.tasks.Add(1)
@@ -162,11 +162,11 @@
 
 // stop hands the roles over, answers what is under way and ends.
 func (i *instance) stop(ctx context.Context) error {
-	i.holder.StepDown()
-	handOver, cancel := context.WithTimeout(ctx, i.handOver)
+	i.leader.StepDown()
+	handOver, cancel := context.WithTimeout(ctx, i.handoverTimeout)
 	defer cancel()
 	stopped := i.replica.Stop(handOver)
-	answer, cancelAnswer := context.WithTimeout(ctx, answerWithin)
+	answer, cancelAnswer := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancelAnswer()
 	if err := i.http.Shutdown(answer); err != nil {
 		_ = i.http.Close() // callers that were not answered in time ask another instance
@@ -181,7 +181,7 @@
 }
 
 func openReplica(
-	settings *nodeconfig.Settings, self string, carrier replica.Transport, machine replica.Machine, events *events,
+	settings *nodeconfig.Settings, self string, carrier replica.Transport, machine replica.Machine, events *eventLog,
 ) (replica.Interface, error) {
 	seeds, err := seedAddresses(settings)
 	if err != nil {
@@ -195,7 +195,7 @@
 		Folder:    settings.DataDir,
 		Transport: carrier,
 		Machine:   machine,
-		Log:       events.replica,
+		Log:       events.replicaEvent,
 	})
 }
 
@@ -222,7 +222,7 @@
 	return binary.LittleEndian.Uint64(bytes[:]), nil
 }
 
-func makePlacer(settings *nodeconfig.Settings, quiet time.Duration) *placer.Placer {
+func newPlacer(settings *nodeconfig.Settings, quiet time.Duration) *placer.Placer {
 	return placer.New(placer.Config{
 		LoadRateWindow:   settings.Bounds.CeilingWindow,
 		LoadRateFactor:   settings.Bounds.CeilingOver,
@@ -231,7 +231,7 @@
 	})
 }
 
-func makeAllocator(settings *nodeconfig.Settings, quiet time.Duration) *quota.Allocator {
+func newAllocator(settings *nodeconfig.Settings, quiet time.Duration) *quota.Allocator {
 	return quota.New(quota.Config{
 		Window:            settings.Bounds.QuotaWindow,
 		OvershootFraction: settings.Bounds.QuotaOver,
--- a/cmd/raventrestle-control/instance_test.go
+++ b/cmd/raventrestle-control/instance_test.go
@@ -16,7 +16,7 @@
 	"raventrestle/internal/transport"
 )
 
-const patience = 15 * time.Second // of a test for what must come
+const testTimeout = 15 * time.Second // of a test for what must come
 
 // group is three instances on loopback, each with an address of its own and the same ports.
 type group struct {
@@ -64,7 +64,7 @@
 
 func (g *group) start(n int) {
 	g.t.Helper()
-	running, err := start(context.Background(), g.settings[n], newEvents("error"))
+	running, err := start(context.Background(), g.settings[n], newEventLog("error"))
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 func (g *group) call(n int, method, path, ifMatch, body string, statuses ...int) string {
 	g.t.Helper()
 	var last string
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); {
 		status, text := g.once(n, method, path, ifMatch, body)
 		last = strconv.Itoa(status) + " " + text
 		for _, wanted := range statuses {
@@ -155,7 +155,7 @@
 
 func (r *router) await(t *testing.T, what string, fits func(u *protocol.Update) bool) {
 	t.Helper()
-	deadline := time.After(patience)
+	deadline := time.After(testTimeout)
 	for {
 		select {
 		case update := <-r.updates:
@@ -173,9 +173,9 @@
 		state, sequence)
 }
 
-// TestWholeGroup takes a configuration, brings it and an endpoint to a router of another instance, and goes on after
+// TestGroupServesAndSurvivesItsHead takes a configuration, brings it and an endpoint to a router of another instance, and goes on after
 // the head has left.
-func TestWholeGroup(t *testing.T) {
+func TestGroupServesAndSurvivesItsHead(t *testing.T) {
 	g := startGroup(t)
 	g.call(1, http.MethodPut, "/-/config", "0", document(5), http.StatusOK)
 	g.call(2, http.MethodPut, "/-/config", "0", document(5), http.StatusOK)
@@ -211,7 +211,7 @@
 		EphemeralFirst: freePort(t), Seeds: []string{"127.0.0.22:1", "127.0.0.23:1"}, DataDir: t.TempDir(),
 		Heartbeat: time.Second, LogLevel: "error",
 	}
-	running, err := start(t.Context(), settings, newEvents("error"))
+	running, err := start(t.Context(), settings, newEventLog("error"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/raventrestle-control/run.go
+++ b/cmd/raventrestle-control/run.go
@@ -40,7 +40,7 @@
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	settings.Limits.ApplyMachineLimits()
-	events := newEvents(settings.LogLevel)
+	events := newEventLog(settings.LogLevel)
 	instance, err := start(ctx, settings, events)
 	if err != nil {
 		return err
@@ -62,7 +62,7 @@
 }
 
 // reload takes in what of the settings may change while the instance runs.
-func reload(events *events) {
+func reload(events *eventLog) {
 	settings, err := nodeconfig.FromEnvironment()
 	if err == nil {
 		events.setLevel(settings.LogLevel)
--- a/cmd/raventrestle-control/tables.go
+++ b/cmd/raventrestle-control/tables.go
@@ -15,7 +15,7 @@
 )
 
 // oldMS is the age, in milliseconds, above which people are warned of what they read.
-const oldMS = 1000
+const staleAgeMS = 1000
 
 // tableCommand prints one of an instance's tables.
 type tableCommand struct {
@@ -73,9 +73,9 @@
 	return fmt.Sprintf("contact with a majority %d ms ago", *ageMS)
 }
 
-// warnOld says above a table that it is old, where it is.
-func warnOld(w io.Writer, ageMS int64) {
-	if ageMS > oldMS {
+// warnStale says above a table that it is old, where it is.
+func warnStale(w io.Writer, ageMS int64) {
+	if ageMS > staleAgeMS {
 		fmt.Fprintf(w, "OLD: %s\n", contactText(&ageMS))
 	}
 }
@@ -99,16 +99,16 @@
 	if err := json.Unmarshal(text, &told); err != nil {
 		return fmt.Errorf("answer can't be read: %w", err)
 	}
-	warnOld(w, told.AsOfMS)
+	warnStale(w, told.AsOfMS)
 	fmt.Fprintln(w, "BACKEND\tID\tADDRESS\tZONE\tSTATE\tSLOTS\tSEQ\tMODELS")
 	for _, e := range told.Endpoints {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\n", e.Service, e.ID, e.Address, e.Zone, e.State, e.Slots,
-			e.Sequence, heldModels(e))
+			e.Sequence, modelNames(e))
 	}
 	return nil
 }
 
-func heldModels(e api.EndpointView) string {
+func modelNames(e api.EndpointView) string {
 	var names []string
 	for _, held := range e.Models {
 		names = append(names, held.Name)
@@ -134,7 +134,7 @@
 	if err := json.Unmarshal(text, &told); err != nil {
 		return fmt.Errorf("answer can't be read: %w", err)
 	}
-	warnOld(w, told.AsOfMS)
+	warnStale(w, told.AsOfMS)
 	fmt.Fprintln(w, "BACKEND\tMODEL\tHELD BY\tLOADING AT")
 	for _, model := range told.Models {
 		var holders []string
