--- a/cmd/raventrestle-control/client.go
+++ b/cmd/raventrestle-control/client.go
@@ -55,8 +55,8 @@
 	if err != nil {
 		return "", fmt.Errorf("no -control given, and no settings to take it from: %w", err)
 	}
-	if settings.ListenControl != "" {
-		return "http://" + settings.ListenControl, nil
+	if settings.ControlAddress != "" {
+		return "http://" + settings.ControlAddress, nil
 	}
 	if len(settings.Seeds) > 0 {
 		return "http://" + settings.Seeds[0], nil
--- a/cmd/raventrestle-control/instance.go
+++ b/cmd/raventrestle-control/instance.go
@@ -73,11 +73,11 @@
 }
 
 // start brings an instance up. Nothing here waits for another machine.
-func start(ctx context.Context, settings *nodeconfig.Settings, events *eventLog) (*instance, error) {
+func start(ctx context.Context, settings *nodeconfig.Config, events *eventLog) (*instance, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	codec := protocol.NewCodec()
 	protocol.RegisterPeerMessages(codec)
-	self := address(settings.IP, settings.EphemeralFirst)
+	self := address(settings.IP, settings.FirstEphemeralPort)
 	incarnation, err := drawIncarnation()
 	if err != nil {
 		cancel()
@@ -87,7 +87,7 @@
 	entrance := &deferredHandler{}
 	i := &instance{
 		cancel: cancel, failed: make(chan error, 1), mesh: transport.NewMesh(codec, self, entrance),
-		handoverTimeout: handoverTimeout(settings.Bounds.Grace),
+		handoverTimeout: handoverTimeout(settings.Bounds.GracePeriod),
 	}
 	machine := state.New()
 	group, err := openReplica(settings, self, replicaTransport{mesh: i.mesh, self: self}, machine, events)
@@ -100,10 +100,10 @@
 	newPlacer := func(quiet time.Duration) roles.Placer { return newPlacer(settings, quiet) }
 	newAllocator := func(quiet time.Duration) roles.Allocator { return newAllocator(settings, quiet) }
 	reports := &deferredReports{}
-	table := host.New(host.Config{Origin: origin, Heartbeat: settings.Heartbeat, Codec: codec}, host.Dependencies{
+	table := host.New(host.Config{Origin: origin, Heartbeat: settings.HeartbeatInterval, Codec: codec}, host.Dependencies{
 		Replica: group, Configurations: configurations, Mesh: i.mesh, Roles: reports, Events: events,
 	})
-	i.leader = roles.New(roles.Config{Origin: origin, NodeName: settings.NodeName, Lease: settings.Bounds.Lease},
+	i.leader = roles.New(roles.Config{Origin: origin, NodeName: settings.NodeName, Lease: settings.Bounds.LeaseTTL},
 		roles.Dependencies{
 			Replica: group, Endpoints: table, Configurations: configurations, Mesh: i.mesh,
 			NewPlacer: newPlacer, NewAllocator: newAllocator, EventRecorder: events,
@@ -115,7 +115,7 @@
 		cancel()
 		return nil, err
 	}
-	public, err := listenControl(ctx, settings.ListenControl)
+	public, err := listenControl(ctx, settings.ControlAddress)
 	if err != nil {
 		cancel()
 		return nil, fmt.Errorf("listen for endpoints and the operator: %w", err)
@@ -125,7 +125,7 @@
 	i.spawn(func() { table.Run(ctx) })
 	i.spawn(func() { i.leader.Run(ctx) })
 	i.spawn(func() { i.serve(public) })
-	events.started(settings.NodeName, self, settings.ListenControl, settings.Bootstrap)
+	events.started(settings.NodeName, self, settings.ControlAddress, settings.Bootstrap)
 	return i, nil
 }
 
@@ -181,33 +181,33 @@
 }
 
 func openReplica(
-	settings *nodeconfig.Settings, self string, carrier replica.Transport, machine replica.Machine, events *eventLog,
+	settings *nodeconfig.Config, self string, carrier replica.Transport, machine replica.StateMachine, events *eventLog,
 ) (replica.Interface, error) {
 	seeds, err := seedAddresses(settings)
 	if err != nil {
 		return nil, err
 	}
-	return replica.Open(replica.Options{
-		Self:      replica.Member{Address: self, Zone: settings.Zone, Tag: settings.ListenControl},
-		Seeds:     seeds,
-		Bootstrap: settings.Bootstrap,
-		Faults:    settings.FaultToleranceMachines,
-		Folder:    settings.DataDir,
-		Transport: carrier,
-		Machine:   machine,
-		Log:       events.replicaEvent,
+	return replica.Open(replica.Config{
+		Self:           replica.Member{Address: self, Zone: settings.Zone, Tag: settings.ControlAddress},
+		Seeds:          seeds,
+		Bootstrap:      settings.Bootstrap,
+		FaultTolerance: settings.FaultToleranceMachines,
+		Directory:      settings.DataDir,
+		Transport:      carrier,
+		StateMachine:   machine,
+		RecordEvent:    events.replicaEvent,
 	})
 }
 
 // seedAddresses turns the control addresses of the seeds into those of their transports.
-func seedAddresses(settings *nodeconfig.Settings) ([]string, error) {
+func seedAddresses(settings *nodeconfig.Config) ([]string, error) {
 	seeds := make([]string, 0, len(settings.Seeds))
 	for _, seed := range settings.Seeds {
 		ip, _, err := net.SplitHostPort(seed)
 		if err != nil {
 			return nil, fmt.Errorf("seed %q: %w", seed, err)
 		}
-		seeds = append(seeds, address(ip, settings.EphemeralFirst))
+		seeds = append(seeds, address(ip, settings.FirstEphemeralPort))
 	}
 	return seeds, nil
 }
@@ -222,19 +222,19 @@
 	return binary.LittleEndian.Uint64(bytes[:]), nil
 }
 
-func newPlacer(settings *nodeconfig.Settings, quiet time.Duration) *placer.Placer {
+func newPlacer(settings *nodeconfig.Config, quiet time.Duration) *placer.Placer {
 	return placer.New(placer.Config{
-		LoadRateWindow:   settings.Bounds.CeilingWindow,
-		LoadRateFactor:   settings.Bounds.CeilingOver,
+		LoadRateWindow:   settings.Bounds.LoadRateWindow,
+		LoadRateFactor:   settings.Bounds.LoadRateOverrunRatio,
 		HandoverGap:      quiet,
 		InspectEndpoints: true,
 	})
 }
 
-func newAllocator(settings *nodeconfig.Settings, quiet time.Duration) *quota.Allocator {
+func newAllocator(settings *nodeconfig.Config, quiet time.Duration) *quota.Allocator {
 	return quota.New(quota.Config{
 		Window:            settings.Bounds.QuotaWindow,
-		OvershootFraction: settings.Bounds.QuotaOver,
+		OvershootFraction: settings.Bounds.QuotaOverrunRatio,
 		OvershootSlack:    settings.Bounds.QuotaSlack,
 		IdleBefore:        quiet,
 	})
--- a/cmd/raventrestle-control/instance_test.go
+++ b/cmd/raventrestle-control/instance_test.go
@@ -21,7 +21,7 @@
 // group is three instances on loopback, each with an address of its own and the same ports.
 type group struct {
 	t         *testing.T
-	settings  []*nodeconfig.Settings
+	settings  []*nodeconfig.Config
 	instances []*instance
 }
 
@@ -45,11 +45,11 @@
 	}
 	for n, seed := range seeds {
 		ip, _, _ := net.SplitHostPort(seed)
-		g.settings = append(g.settings, &nodeconfig.Settings{
-			NodeName: fmt.Sprintf("core-%d", n+1), IP: ip, Zone: fmt.Sprintf("z%d", n+1), ListenControl: seed,
-			EphemeralFirst: internal, Seeds: seeds, Bootstrap: true, DataDir: t.TempDir(),
-			Heartbeat: 300 * time.Millisecond, LogLevel: "error", FaultToleranceMachines: 1,
-			Bounds: nodeconfig.Bounds{Lease: 300 * time.Millisecond},
+		g.settings = append(g.settings, &nodeconfig.Config{
+			NodeName: fmt.Sprintf("core-%d", n+1), IP: ip, Zone: fmt.Sprintf("z%d", n+1), ControlAddress: seed,
+			FirstEphemeralPort: internal, Seeds: seeds, Bootstrap: true, DataDir: t.TempDir(),
+			HeartbeatInterval: 300 * time.Millisecond, LogLevel: "error", FaultToleranceMachines: 1,
+			Bounds: nodeconfig.Bounds{LeaseTTL: 300 * time.Millisecond},
 		})
 		g.instances = append(g.instances, nil)
 		g.start(n)
@@ -100,7 +100,7 @@
 }
 
 func (g *group) once(n int, method, path, ifMatch, body string) (status int, text string) {
-	url := "http://" + g.settings[n].ListenControl + path
+	url := "http://" + g.settings[n].ControlAddress + path
 	request, err := http.NewRequestWithContext(g.t.Context(), method, url, strings.NewReader(body))
 	if err != nil {
 		g.t.Fatal(err)
@@ -206,10 +206,10 @@
 
 func TestStartNeedsNobody(t *testing.T) {
 	port := freePort(t)
-	settings := &nodeconfig.Settings{
-		NodeName: "core-1", IP: "127.0.0.21", Zone: "z", ListenControl: fmt.Sprintf("127.0.0.21:%d", port),
-		EphemeralFirst: freePort(t), Seeds: []string{"127.0.0.22:1", "127.0.0.23:1"}, DataDir: t.TempDir(),
-		Heartbeat: time.Second, LogLevel: "error",
+	settings := &nodeconfig.Config{
+		NodeName: "core-1", IP: "127.0.0.21", Zone: "z", ControlAddress: fmt.Sprintf("127.0.0.21:%d", port),
+		FirstEphemeralPort: freePort(t), Seeds: []string{"127.0.0.22:1", "127.0.0.23:1"}, DataDir: t.TempDir(),
+		HeartbeatInterval: time.Second, LogLevel: "error",
 	}
 	running, err := start(t.Context(), settings, newEventLog("error"))
 	if err != nil {
--- a/cmd/raventrestle-control/members_golden_test.go
+++ b/cmd/raventrestle-control/members_golden_test.go
@@ -31,7 +31,7 @@
 		return replica.Member{Identity: "id-" + name, Address: name + ":7500", Tag: name + ":8080", Zone: zone}
 	}
 	a, b, c, d := member("a", "z1"), member("b", "z2"), member("c", "z3"), member("d", "z1")
-	status := replica.Status{Self: b, Committed: 41, Live: []replica.Member{b, d, a}, Leader: true}
+	status := replica.Status{Self: b, CommitIndex: 41, LiveMembers: []replica.Member{b, d, a}, IsLeader: true}
 	status.View.Epoch = 7
 	status.View.Chain = []replica.Member{b, a}
 	status.View.Voters = []replica.Member{a, b, c}
@@ -67,7 +67,7 @@
 	withContact := func() time.Time { return time.Now().Add(-goldenAge * time.Millisecond) }
 	without := func() time.Time { return time.Time{} }
 	follower := goldenStatus()
-	follower.Self, follower.Leader = follower.View.Chain[1], false
+	follower.Self, follower.IsLeader = follower.View.Chain[1], false
 	cases := []struct {
 		name        string
 		status      replica.Status
@@ -79,7 +79,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			c.status.LeaseUntil = time.Now().Add(goldenLease * time.Millisecond)
+			c.status.LeaseExpiry = time.Now().Add(goldenLease * time.Millisecond)
 			machine := state.New()
 			double := replicatest.New(machine, c.status)
 			if c.name != "alone" {
--- a/cmd/raventrestle-control/status.go
+++ b/cmd/raventrestle-control/status.go
@@ -39,13 +39,13 @@
 		view := groupView{
 			Self:       status.Self.Identity,
 			Epoch:      status.View.Epoch,
-			Committed:  status.Committed,
+			Committed:  status.CommitIndex,
 			Generation: generation,
-			Leader:     status.Leader,
+			Leader:     status.IsLeader,
 			Members:    membersOf(status),
 		}
-		if status.Leader {
-			view.LeaseMS = max(0, time.Until(status.LeaseUntil)).Milliseconds()
+		if status.IsLeader {
+			view.LeaseMS = max(0, time.Until(status.LeaseExpiry)).Milliseconds()
 		}
 		if newest := confirmedAt(); !newest.IsZero() {
 			age := max(0, time.Since(newest)).Milliseconds()
@@ -76,7 +76,7 @@
 	for _, member := range status.View.Voters {
 		add(member).Voter = true
 	}
-	for _, member := range status.Live {
+	for _, member := range status.LiveMembers {
 		add(member).Live = true
 	}
 	return views
--- a/coordination/engine/golden_test.go
+++ b/coordination/engine/golden_test.go
@@ -26,18 +26,18 @@
 	goldenTick    = 10 * time.Millisecond
 )
 
-// goldenWords is a replicated machine that keeps the commands.
-type goldenWords struct{ list []string }
+// goldenCommands is a replicated machine that keeps the commands.
+type goldenCommands struct{ list []string }
 
-func (w *goldenWords) Apply(_ uint64, command []byte) []byte {
-	w.list = append(w.list, string(command))
+func (c *goldenCommands) Apply(_ uint64, command []byte) []byte {
+	c.list = append(c.list, string(command))
 	return command
 }
 
-func (w *goldenWords) Snapshot() []byte { return []byte(strings.Join(w.list, " ")) }
+func (c *goldenCommands) Snapshot() []byte { return []byte(strings.Join(c.list, " ")) }
 
-func (w *goldenWords) Restore(snapshot []byte) error {
-	w.list = strings.Fields(string(snapshot))
+func (c *goldenCommands) Restore(snapshot []byte) error {
+	c.list = strings.Fields(string(snapshot))
 	return nil
 }
 
@@ -50,10 +50,10 @@
 }
 
 type goldenMember struct {
-	fs     wal.FS
-	engine *engine.Engine
-	words  *goldenWords
-	inbox  []engine.Input
+	fs       wal.FS
+	engine   *engine.Engine
+	commands *goldenCommands
+	inbox    []engine.Input
 }
 
 func goldenAddress(number int) string { return fmt.Sprintf("10.0.%d.1:7500", number) }
@@ -62,13 +62,13 @@
 func (g *goldenGroup) start(number int, random uint64, bootstrap bool) {
 	g.t.Helper()
 	m := g.members[number]
-	m.words, m.inbox = &goldenWords{}, nil
-	opened, err := engine.Open(g.now, engine.Options{
+	m.commands, m.inbox = &goldenCommands{}, nil
+	opened, err := engine.Open(g.now, engine.Config{
 		Self: view.Member{
 			Address: goldenAddress(number), Zone: fmt.Sprint("zone", number), Tag: fmt.Sprint("tag", number),
 		},
 		Seeds:     []string{goldenAddress(0), goldenAddress(1), goldenAddress(2)},
-		Bootstrap: bootstrap, Faults: 1, FS: m.fs, Machine: m.words, Random: random,
+		Bootstrap: bootstrap, FaultTolerance: 1, FS: m.fs, StateMachine: m.commands, RandomSeed: random,
 		CompactBytes: 2500, KeepBytes: 300, SegmentBytes: 1200,
 	})
 	if err != nil {
@@ -77,18 +77,18 @@
 	m.engine = opened
 }
 
-func (g *goldenGroup) propose(number int, word string) {
+func (g *goldenGroup) propose(number int, command string) {
 	g.calls++
 	m := g.members[number]
-	m.inbox = append(m.inbox, engine.Input{Token: g.calls, Command: []byte(word)})
+	m.inbox = append(m.inbox, engine.Input{CallID: g.calls, Command: []byte(command)})
 }
 
-// run plays until the time has passed; every so often a member proposes a word.
-func (g *goldenGroup) run(length, every time.Duration, prefix string) {
+// run plays until the time has passed; at each interval a member proposes a command.
+func (g *goldenGroup) run(length, interval time.Duration, prefix string) {
 	end := g.now + length
 	for number := 0; g.now < end; {
 		g.now += goldenTick
-		if every > 0 && g.now%every == 0 {
+		if interval > 0 && g.now%interval == 0 {
 			for proposer := number; ; proposer++ {
 				if g.members[proposer%goldenMembers].engine != nil {
 					g.propose(proposer%goldenMembers, fmt.Sprintf("%s%d%s", prefix, number, strings.Repeat("w", number%20)))
@@ -110,11 +110,11 @@
 		}
 		inputs := m.inbox
 		m.inbox = nil
-		effects := m.engine.Step(g.now, inputs)
-		if effects.DiskError != nil {
-			g.t.Fatalf("member %d: %v", number, effects.DiskError)
+		output := m.engine.Step(g.now, inputs)
+		if output.DiskError != nil {
+			g.t.Fatalf("member %d: %v", number, output.DiskError)
 		}
-		for _, envelope := range effects.Messages {
+		for _, envelope := range output.Messages {
 			sent, senders = append(sent, envelope), append(senders, goldenAddress(number))
 		}
 		if err := m.engine.Maintain(g.now); err != nil {
@@ -139,7 +139,7 @@
 	}
 }
 
-// playGolden plays the fixed script: a group starts, loses its head while it goes on, gets it back, restarts as a whole.
+// playGolden plays the fixed script: a group starts, loses its head and goes on, gets it back, restarts completely.
 func playGolden(t *testing.T) *goldenGroup {
 	t.Helper()
 	g := &goldenGroup{t: t, now: time.Second}
@@ -223,7 +223,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer log.Close()
+	defer closeLog(t, log)
 	state, err := chain.Restore(recovered.Records)
 	if err != nil {
 		t.Fatal(err)
@@ -254,6 +254,13 @@
 	return out.String()
 }
 
+func closeLog(t *testing.T, log *wal.Log) {
+	t.Helper()
+	if err := log.Close(); err != nil {
+		t.Errorf("close: %v, want nil", err)
+	}
+}
+
 func describeMember(member view.Member) string {
 	return strings.Join([]string{member.Identity, member.Address, member.Zone, member.Tag}, "|")
 }
@@ -288,7 +295,7 @@
 	return disks
 }
 
-func TestGoldenDisksHoldTheirState(t *testing.T) {
+func TestGoldenDisksAreRecovered(t *testing.T) {
 	for number, fs := range copyGolden(t) {
 		want := goldenText(t, fmt.Sprintf("state-%d.txt", number))
 		if got := goldenState(t, fs); got != want {
@@ -309,18 +316,20 @@
 			g.start(number, uint64(100+10*restart+number), false)
 		}
 		g.run(2*time.Second, 0, "")
-		word := fmt.Sprint("later", restart)
-		g.propose(restart, word)
-		want += " " + word
+		command := fmt.Sprint("later", restart)
+		g.propose(restart, command)
+		want += " " + command
 		g.run(time.Second, 0, "")
 		for number, m := range g.members {
-			if got := string(m.words.Snapshot()); got != want {
+			if got := string(m.commands.Snapshot()); got != want {
 				t.Errorf("restart %d: member %d has %q, want %q", restart, number, got, want)
 			}
 			if got, want := m.engine.Status(g.now).Self.Identity, goldenIdentity(t, number); got != want {
 				t.Errorf("restart %d: member %d is %q, want %q", restart, number, got, want)
 			}
-			m.engine.Close()
+			if err := m.engine.Close(); err != nil {
+				t.Errorf("restart %d: member %d: close: %v, want nil", restart, number, err)
+			}
 		}
 	}
 }
--- a/coordination/replica/calls.go
+++ b/coordination/replica/calls.go
@@ -52,7 +52,7 @@
 	}
 	o := r.call(ctx, command)
 	if o.err != nil {
-		return nil, &Error{Step: "propose", Peer: r.headAddress(), Err: o.err}
+		return nil, &OperationError{Step: "propose", Peer: r.headAddress(), Err: o.err}
 	}
 	return o.value, nil
 }
@@ -61,7 +61,7 @@
 func (r *Replica) Barrier(ctx context.Context) (uint64, error) {
 	o := r.call(ctx, nil)
 	if o.err != nil {
-		return 0, &Error{Step: "barrier", Peer: r.headAddress(), Err: o.err}
+		return 0, &OperationError{Step: "barrier", Peer: r.headAddress(), Err: o.err}
 	}
 	return o.index, nil
 }
@@ -91,7 +91,7 @@
 	case <-r.done:
 		return r.afterEnd(w)
 	case <-timer.C:
-		return outcome{err: fmt.Errorf("%w: %w", ErrUnclear, ctx.Err())}
+		return outcome{err: fmt.Errorf("%w: %w", ErrOutcomeUnknown, ctx.Err())}
 	}
 }
 
@@ -104,6 +104,6 @@
 	case o := <-w.outcome:
 		return o
 	default:
-		return outcome{err: fmt.Errorf("%w: %w", ErrUnclear, ErrStopped)}
+		return outcome{err: fmt.Errorf("%w: %w", ErrOutcomeUnknown, ErrStopped)}
 	}
 }
--- a/coordination/replica/example_test.go
+++ b/coordination/replica/example_test.go
@@ -81,14 +81,14 @@
 	machines := map[string]*words{}
 	for _, address := range seeds {
 		machines[address] = &words{}
-		member, err := replica.Open(replica.Options{
-			Self:      replica.Member{Address: address},
-			Seeds:     seeds,
-			Bootstrap: true,
-			Faults:    1,
-			Folder:    filepath.Join(folder, address[:8]),
-			Transport: port{network: net, address: address},
-			Machine:   machines[address],
+		member, err := replica.Open(replica.Config{
+			Self:           replica.Member{Address: address},
+			Seeds:          seeds,
+			Bootstrap:      true,
+			FaultTolerance: 1,
+			Directory:      filepath.Join(folder, address[:8]),
+			Transport:      port{network: net, address: address},
+			StateMachine:   machines[address],
 		})
 		if err != nil {
 			panic(err)
--- a/coordination/replica/golden_frames_test.go
+++ b/coordination/replica/golden_frames_test.go
@@ -50,7 +50,7 @@
 // goldenReplica returns a replica that only sends and takes in messages.
 func goldenReplica(sent *goldenSent) *Replica {
 	r := &Replica{
-		options: Options{Transport: sent, Clock: time.Now, Log: func(string, ...any) {}},
+		options: Config{Transport: sent, Clock: time.Now, RecordEvent: func(string, ...any) {}},
 		sent:    0x0102030405060706,
 	}
 	r.outbox = newOutbox(sent.Send)
--- a/coordination/replica/golden_group_test.go
+++ b/coordination/replica/golden_group_test.go
@@ -114,10 +114,10 @@
 	g.t.Helper()
 	at := address(number)
 	g.machines[at] = &words{}
-	member, err := replica.Open(replica.Options{
+	member, err := replica.Open(replica.Config{
 		Self:  replica.Member{Address: at, Zone: fmt.Sprint("zone", number), Tag: fmt.Sprint("tag", number)},
-		Seeds: g.seeds, Bootstrap: bootstrap, Faults: 1, Folder: g.directory(number), Random: random,
-		Transport: port{network: g.net, address: at}, Machine: g.machines[at], CompactBytes: 6000,
+		Seeds: g.seeds, Bootstrap: bootstrap, FaultTolerance: 1, Directory: g.directory(number), RandomSeed: random,
+		Transport: port{network: g.net, address: at}, StateMachine: g.machines[at], CompactBytes: 6000,
 	})
 	if err != nil {
 		g.t.Fatal(err)
--- a/coordination/replica/replica.go
+++ b/coordination/replica/replica.go
@@ -16,7 +16,7 @@
 
 // Replica is a running member. One goroutine owns the engine and works through the queue.
 type Replica struct {
-	options Options
+	options Config
 	base    time.Time // of the clock that the engine sees
 	queue   queue
 	published
@@ -41,7 +41,7 @@
 const clockStart = time.Second
 
 // Open recovers or begins the member on its disk and starts it.
-func Open(options Options) (*Replica, error) {
+func Open(options Config) (*Replica, error) {
 	if err := options.complete(); err != nil {
 		return nil, err
 	}
@@ -53,11 +53,11 @@
 		left:    make(chan struct{}),
 		quit:    make(chan struct{}),
 		done:    make(chan struct{}),
-		sent:    options.Random, // numbers must differ from those of the life before
+		sent:    options.RandomSeed, // numbers must differ from those of the life before
 	}
-	opened, err := engine.Open(r.now(), engine.Options{
-		Self: options.Self, Seeds: options.Seeds, Bootstrap: options.Bootstrap, Faults: options.Faults,
-		FS: options.FS, Machine: options.Machine, Random: options.Random, Timing: options.Timing,
+	opened, err := engine.Open(r.now(), engine.Config{
+		Self: options.Self, Seeds: options.Seeds, Bootstrap: options.Bootstrap, FaultTolerance: options.FaultTolerance,
+		FS: options.FS, StateMachine: options.StateMachine, RandomSeed: options.RandomSeed, Timing: options.Timing,
 		CompactBytes: options.CompactBytes,
 	})
 	if err != nil {
@@ -89,7 +89,7 @@
 	defer timer.Stop()
 	for {
 		r.step(r.queue.take())
-		timer.Reset(max(0, r.engine.Wake()-r.now()))
+		timer.Reset(max(0, r.engine.NextStep()-r.now()))
 		select {
 		case <-r.quit:
 			r.end()
@@ -125,7 +125,7 @@
 
 // leave tells that the member may go, or keeps why it may not.
 func (r *Replica) leave() {
-	why := r.engine.Staying()
+	why := r.engine.LeaveBlocker()
 	r.staying.Store(why)
 	if why == "" {
 		r.leaving = false
@@ -135,7 +135,7 @@
 
 func (r *Replica) logRefusal(err error) {
 	if err != nil {
-		r.options.Log("disk_refused", "error", err.Error())
+		r.options.RecordEvent("disk_refused", "error", err.Error())
 	}
 }
 
@@ -149,12 +149,12 @@
 			return engine.Input{}, false
 		}
 		r.waiters[it.token] = it.waiter
-		return engine.Input{Token: it.token, Command: it.command, Barrier: it.command == nil}, true
+		return engine.Input{CallID: it.token, Command: it.command, Barrier: it.command == nil}, true
 	case it.leave:
 		r.leaving = true
 		return engine.Input{Leave: true}, true
 	}
-	return engine.Input{Token: it.token, Withdraw: true}, true
+	return engine.Input{CallID: it.token, Cancel: true}, true
 }
 
 // message puts a message together and reads it.
@@ -177,7 +177,7 @@
 		err = cbor.Unmarshal(body, &message)
 	}
 	if err != nil {
-		r.options.Log("bad_message", "peer", it.address, "error", err.Error())
+		r.options.RecordEvent("bad_message", "peer", it.address, "error", err.Error())
 		return engine.Input{}, false
 	}
 	return engine.Input{Message: &message, Address: it.address}, true
@@ -187,7 +187,7 @@
 	var body bytes.Buffer
 	body.WriteByte(wholeMark)
 	if err := cbor.NewEncoder(&body).Encode(envelope.Message); err != nil {
-		r.options.Log("message_lost", "peer", envelope.Address, "error", err.Error())
+		r.options.RecordEvent("message_lost", "peer", envelope.Address, "error", err.Error())
 		return
 	}
 	r.sent++
@@ -195,24 +195,24 @@
 }
 
 // answer ends the calls that are decided.
-func (r *Replica) answer(effects engine.Effects) {
+func (r *Replica) answer(effects engine.Output) {
 	for _, result := range effects.Results {
-		if w := r.waiters[result.Token]; w != nil {
-			delete(r.waiters, result.Token)
+		if w := r.waiters[result.CallID]; w != nil {
+			delete(r.waiters, result.CallID)
 			w.end(outcome{value: result.Value, index: result.Index, err: result.Err})
 		}
 	}
-	for _, withdrawn := range effects.Withdrawn {
-		if w := r.waiters[withdrawn.Token]; w != nil {
-			delete(r.waiters, withdrawn.Token)
-			w.end(outcome{err: fateOf(withdrawn.Sent)})
+	for _, withdrawn := range effects.Cancellations {
+		if w := r.waiters[withdrawn.CallID]; w != nil {
+			delete(r.waiters, withdrawn.CallID)
+			w.end(outcome{err: fateOf(withdrawn.MaybeSent)})
 		}
 	}
 }
 
 func fateOf(sent bool) error {
 	if sent {
-		return ErrUnclear
+		return ErrOutcomeUnknown
 	}
 	return ErrUnavailable
 }
@@ -225,7 +225,7 @@
 	}
 	slices.Sort(tokens)
 	for _, token := range tokens {
-		r.waiters[token].end(outcome{err: fmt.Errorf("%w: %w", ErrUnclear, ErrStopped)})
+		r.waiters[token].end(outcome{err: fmt.Errorf("%w: %w", ErrOutcomeUnknown, ErrStopped)})
 	}
 	r.engine.Close()
 }
@@ -247,7 +247,7 @@
 	case <-r.left:
 	case <-ctx.Done():
 		why, _ := r.staying.Load().(string)
-		err = &Error{Step: "leave", Peer: r.headAddress(), Err: fmt.Errorf("%w: %s: %w", ErrNeeded, why, ctx.Err())}
+		err = &OperationError{Step: "leave", Peer: r.headAddress(), Err: fmt.Errorf("%w: %s: %w", ErrStillNeeded, why, ctx.Err())}
 	}
 	close(r.quit)
 	<-r.done
--- a/coordination/replica/replica_test.go
+++ b/coordination/replica/replica_test.go
@@ -60,10 +60,10 @@
 		g.disks[at] = modeldisk.New()
 	}
 	g.machines[at] = &words{}
-	member, err := replica.Open(replica.Options{
+	member, err := replica.Open(replica.Config{
 		Self:  replica.Member{Address: at, Zone: fmt.Sprint("zone", number), Tag: fmt.Sprint("tag", number)},
-		Seeds: g.seeds, Bootstrap: bootstrap, Faults: 1, FS: g.disks[at],
-		Transport: port{network: g.net, address: at}, Machine: g.machines[at],
+		Seeds: g.seeds, Bootstrap: bootstrap, FaultTolerance: 1, FS: g.disks[at],
+		Transport: port{network: g.net, address: at}, StateMachine: g.machines[at],
 	})
 	if err != nil {
 		g.t.Fatal(err)
@@ -138,10 +138,10 @@
 	for i := range 4 {
 		g.expect(i, want[:len(want)-1])
 	}
-	g.wait(g.member(0), "the head leads", func(s replica.Status) bool { return s.Leader })
+	g.wait(g.member(0), "the head leads", func(s replica.Status) bool { return s.IsLeader })
 	g.wait(g.member(3), "all are known", func(s replica.Status) bool {
 		tags := map[string]bool{}
-		for _, member := range s.Live {
+		for _, member := range s.LiveMembers {
 			tags[member.Tag] = true
 		}
 		return len(tags) == 4 && s.View.Head().Zone == "zone0"
@@ -164,11 +164,11 @@
 func TestPlannedLeave(t *testing.T) {
 	g := newGroup(t, 3)
 	g.propose(0, "one")
-	g.wait(g.member(0), "the head leads", func(s replica.Status) bool { return s.Leader })
+	g.wait(g.member(0), "the head leads", func(s replica.Status) bool { return s.IsLeader })
 	if err := g.member(0).Stop(within(t)); err != nil {
 		t.Fatal(err)
 	}
-	g.wait(g.member(1), "the next one leads", func(s replica.Status) bool { return s.Leader })
+	g.wait(g.member(1), "the next one leads", func(s replica.Status) bool { return s.IsLeader })
 	g.propose(2, "two")
 	g.expect(1, "one two")
 	if _, err := g.member(0).Propose(within(t), []byte("three")); !errors.Is(err, replica.ErrStopped) {
@@ -185,7 +185,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
 	err := g.member(1).Stop(ctx)
-	if !errors.Is(err, replica.ErrNeeded) || !strings.Contains(err.Error(), "the chain needs it") {
+	if !errors.Is(err, replica.ErrStillNeeded) || !strings.Contains(err.Error(), "the chain needs it") {
 		t.Errorf("%v", err)
 	}
 }
@@ -231,8 +231,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	_, err := g.member(2).Propose(ctx, []byte("two"))
-	var failure *replica.Error
-	if !errors.Is(err, replica.ErrUnclear) || !errors.Is(err, context.DeadlineExceeded) || !errors.As(err, &failure) {
+	var failure *replica.OperationError
+	if !errors.Is(err, replica.ErrOutcomeUnknown) || !errors.Is(err, context.DeadlineExceeded) || !errors.As(err, &failure) {
 		t.Errorf("a command on its way: %v", err)
 	}
 	if _, err := g.member(2).Barrier(ctx); !errors.Is(err, replica.ErrUnavailable) {
@@ -243,7 +243,7 @@
 	delete(g.net.members, address(2)) // is no longer reached
 	g.net.lock.Unlock()
 	_, err = lonely.Propose(ctx, []byte("three"))
-	if !errors.Is(err, replica.ErrUnavailable) && !errors.Is(err, replica.ErrUnclear) {
+	if !errors.Is(err, replica.ErrUnavailable) && !errors.Is(err, replica.ErrOutcomeUnknown) {
 		t.Errorf("a command without a group: %v", err)
 	}
 }
--- a/coordination/replica/status.go
+++ b/coordination/replica/status.go
@@ -22,8 +22,8 @@
 // Status implements Interface.
 func (r *Replica) Status() Status {
 	status := *r.status.Load()
-	if status.Leader && !r.options.Clock().Before(status.LeaseUntil) {
-		status.Leader = false
+	if status.IsLeader && !r.options.Clock().Before(status.LeaseExpiry) {
+		status.IsLeader = false
 	}
 	return status
 }
@@ -41,31 +41,31 @@
 		return
 	}
 	if before.View.Epoch != next.View.Epoch {
-		r.options.Log("view_changed", "epoch", next.View.Epoch, "head", next.View.Head().Address,
+		r.options.RecordEvent("view_changed", "epoch", next.View.Epoch, "head", next.View.Head().Address,
 			"chain", len(next.View.Chain), "voters", len(next.View.Voters))
 	}
-	if before.Leader != next.Leader {
-		r.options.Log("leadership_changed", "epoch", next.View.Epoch, "leader", next.Leader)
+	if before.IsLeader != next.IsLeader {
+		r.options.RecordEvent("leadership_changed", "epoch", next.View.Epoch, "leader", next.IsLeader)
 	}
 	close(r.changed.Swap(newSignal()).closed)
 }
 
 func (r *Replica) statusOf(s chain.Status) Status {
 	return Status{
-		Self:           s.Self,
-		View:           s.View,
-		Committed:      s.CommitIndex,
-		Live:           s.LiveMembers,
-		Leader:         s.IsLeader,
-		LeaseUntil:     r.instant(s.LeaseExpiry),
-		LeaderSince:    r.instant(s.LeaderSince),
-		PreviousMayAct: r.instant(s.PreviousLeaseExpiry),
-		ConfirmedAt:    r.instant(s.ConfirmedAt),
+		Self:                s.Self,
+		View:                s.View,
+		CommitIndex:         s.CommitIndex,
+		LiveMembers:         s.LiveMembers,
+		IsLeader:            s.IsLeader,
+		LeaseExpiry:         r.instant(s.LeaseExpiry),
+		LeaderSince:         r.instant(s.LeaderSince),
+		PreviousLeaseExpiry: r.instant(s.PreviousLeaseExpiry),
+		ConfirmedAt:         r.instant(s.ConfirmedAt),
 	}
 }
 
 // differs tells whether the change is one that Changed promises to tell. Who is live belongs to it too.
 func differs(a, b Status) bool {
-	return a.View.Epoch != b.View.Epoch || a.Committed != b.Committed || a.Leader != b.Leader ||
-		!slices.Equal(a.Live, b.Live) || !slices.Equal(a.View.Chain, b.View.Chain)
+	return a.View.Epoch != b.View.Epoch || a.CommitIndex != b.CommitIndex || a.IsLeader != b.IsLeader ||
+		!slices.Equal(a.LiveMembers, b.LiveMembers) || !slices.Equal(a.View.Chain, b.View.Chain)
 }
--- a/coordination/replica/types.go
+++ b/coordination/replica/types.go
@@ -7,9 +7,9 @@
 	"raventrestle/coordination/view"
 )
 
-// Machine is the replicated state. Apply must be deterministic: the same commands in the same order give
+// StateMachine is the replicated state. Apply must be deterministic: the same commands in the same order give
 // the same results on every member. The replica calls it from one goroutine.
-type Machine interface {
+type StateMachine interface {
 	Apply(index uint64, command []byte) (result []byte)
 	Snapshot() []byte
 	Restore(snapshot []byte) error
@@ -23,21 +23,21 @@
 
 // Status is what a member knows of itself and the group, for hosts and for people.
 type Status struct {
-	Self      Member
-	View      View
-	Committed uint64   // index of the newest entry known as committed here
-	Live      []Member // members heard from lately, self included, also those outside the chain
+	Self        Member
+	View        View
+	CommitIndex uint64   // index of the newest entry known as committed here
+	LiveMembers []Member // members heard from lately, self included, also those outside the chain
 	// Leader is true while this member is the head of the newest view and a majority of the voters has
 	// confirmed so within the lease: it may act alone until LeaseUntil (steady clock).
-	Leader      bool
-	LeaseUntil  time.Time
+	IsLeader    bool
+	LeaseExpiry time.Time
 	LeaderSince time.Time // start of this member's own tenure in this epoch
 	// ConfirmedAt is the newest moment (steady clock) of which this member can prove two things: a majority of the
 	// voters was in View's epoch then, and everything that was acknowledged anywhere before it is applied here. Zero:
 	// there was none in this epoch and life.
 	ConfirmedAt time.Time
 	// PreviousMayAct is until when a leader of an earlier epoch may still believe in its lease.
-	PreviousMayAct time.Time
+	PreviousLeaseExpiry time.Time
 }
 
 // Interface is what embedders use. Both calls work on every member, in the chain or not.
--- a/coordination/simnet/catchup_test.go
+++ b/coordination/simnet/catchup_test.go
@@ -71,10 +71,10 @@
 
 // stormy is a group of three under a storm of changes, with logs of the usual sizes.
 func stormy(seed uint64, of weather) *World {
-	w := NewWorld(Setup{
-		Seed: seed, Machines: 3, Seeds: 3, Faults: 1, Rate: of.rate, Loss: of.loss,
-		Sizes:      Sizes{Compact: engine.DefaultCompactBytes, Keep: engine.DefaultKeepBytes, Segment: 4 << 20},
-		Replicated: func() engine.Machine { return &document{} },
+	w := NewWorld(Config{
+		Seed: seed, Machines: 3, Seeds: 3, FaultTolerance: 1, LinkRate: of.rate, LossProbability: of.loss,
+		LogSizes:        LogSizes{CompactBytes: engine.DefaultCompactBytes, KeepBytes: engine.DefaultKeepBytes, SegmentBytes: 4 << 20},
+		NewStateMachine: func() engine.StateMachine { return &document{} },
 	})
 	_ = w.Run(time.Second)
 	w.storm(stormEvery, of.bytes, of.large, of.largeEvery)
@@ -160,7 +160,7 @@
 // the state of these tests, which is all commands, too large to travel in the time that a history ends with.)
 func slowHistory(seed uint64) (*World, error) {
 	setup := setupOf(seed)
-	setup.Rate, setup.Sizes = slowLink, Sizes{Compact: 200 << 10, Keep: 20 << 10, Segment: 100 << 10}
+	setup.LinkRate, setup.LogSizes = slowLink, LogSizes{CompactBytes: 200 << 10, KeepBytes: 20 << 10, SegmentBytes: 100 << 10}
 	w := NewWorld(setup)
 	_ = w.Run(settling)
 	var next func()
@@ -226,10 +226,10 @@
 		// what is kept for others may pass; the same begun anew.
 		bound = 2*change + 2*(change+compact+keep)
 	)
-	w := NewWorld(Setup{
-		Seed: 1, Machines: 3, Seeds: 3, Faults: 1,
-		Sizes:      Sizes{Compact: compact, Keep: keep, Segment: compact},
-		Replicated: func() engine.Machine { return &document{} },
+	w := NewWorld(Config{
+		Seed: 1, Machines: 3, Seeds: 3, FaultTolerance: 1,
+		LogSizes:        LogSizes{CompactBytes: compact, KeepBytes: keep, SegmentBytes: compact},
+		NewStateMachine: func() engine.StateMachine { return &document{} },
 	})
 	_ = w.Run(time.Second)
 	w.storm(stormEvery, 2<<10, change, 20)
@@ -253,15 +253,15 @@
 // time after which it asks again.
 func TestLateAnswersAreTaken(t *testing.T) {
 	play := func(planted mutation.Set) error {
-		w := NewWorld(Setup{
-			Seed: 1, Machines: 3, Seeds: 3, Faults: 1, Mutation: planted,
-			Sizes:      Sizes{Compact: engine.DefaultCompactBytes, Keep: engine.DefaultKeepBytes, Segment: 4 << 20},
-			Replicated: func() engine.Machine { return &document{} },
+		w := NewWorld(Config{
+			Seed: 1, Machines: 3, Seeds: 3, FaultTolerance: 1, Mutation: planted,
+			LogSizes:        LogSizes{CompactBytes: engine.DefaultCompactBytes, KeepBytes: engine.DefaultKeepBytes, SegmentBytes: 4 << 20},
+			NewStateMachine: func() engine.StateMachine { return &document{} },
 		})
 		_ = w.Run(time.Second)
 		w.propose(w.head(), string(make([]byte, 400<<10)))
 		_ = w.Run(time.Second)
-		w.Rate = 100 << 10 // 4 s for a snapshot
+		w.LinkRate = 100 << 10 // 4 s for a snapshot
 		m := w.machines[2]
 		m.wipe()
 		m.start(false)
--- a/coordination/simnet/contact_test.go
+++ b/coordination/simnet/contact_test.go
@@ -20,7 +20,7 @@
 	for _, machines := range []int{1, 3, 4, 5, 7} {
 		var ages figures
 		eachSeed(1, scenarioSeeds, func(seed uint64) {
-			w := NewWorld(Setup{Seed: seed, Machines: machines, Seeds: min(machines, 3), Faults: min(machines/2, 1)})
+			w := NewWorld(Config{Seed: seed, Machines: machines, Seeds: min(machines, 3), FaultTolerance: min(machines/2, 1)})
 			_ = w.Run(2 * settling)
 			w.clients(w.now+5*time.Second, 5*time.Millisecond, 50*time.Millisecond)
 			for range 5 * time.Second / sampling {
@@ -135,7 +135,7 @@
 	}
 	for w.now-began < length && w.failure == nil {
 		_ = w.Run(sampling)
-		if m.confirmedAfter(began + c.unheard() + 2*w.Delay) {
+		if m.confirmedAfter(began + c.unheard() + 2*w.MinLinkDelay) {
 			t.Errorf("seed %d: cut off at %v, confirmed after it at %v", seed, began, w.now)
 			return
 		}
--- a/coordination/simnet/embed.go
+++ b/coordination/simnet/embed.go
@@ -9,34 +9,34 @@
 
 // PlayEmbedded plays the history of a seed, with all faults, around machines of the caller's, whose clients begin calls
 // through the Site until it is over.
-func PlayEmbedded(seed uint64, replicated func() engine.Machine, clients func(site *Site)) (*World, error) {
+func PlayEmbedded(seed uint64, replicated func() engine.StateMachine, clients func(site *Cluster)) (*World, error) {
 	setup := setupOf(seed)
-	setup.Replicated = replicated
+	setup.NewStateMachine = replicated
 	w := NewWorld(setup)
 	if err := w.Run(settling); err != nil {
 		return w, err
 	}
-	site := &Site{world: w, Until: w.now + troubled}
+	site := &Cluster{world: w, ClientsUntil: w.now + troubled}
 	clients(site)
-	w.faults(site.Until)
+	w.faults(site.ClientsUntil)
 	if err := w.Run(troubled); err != nil {
 		return w, err
 	}
 	return w, w.Finish()
 }
 
-// PlayHeads is like PlayEmbedded, but for a minute whose troubles meet the head alone: it is frozen, cut off, restarted,
+// PlayHeadFaults is like PlayEmbedded, but for a minute whose troubles meet the head alone: it is frozen, cut off, restarted,
 // or leaves, and is well again some time later.
-func PlayHeads(seed uint64, replicated func() engine.Machine, clients func(site *Site)) (*World, error) {
+func PlayHeadFaults(seed uint64, replicated func() engine.StateMachine, clients func(site *Cluster)) (*World, error) {
 	setup := setupOf(seed)
-	setup.Replicated = replicated
+	setup.NewStateMachine = replicated
 	w := NewWorld(setup)
 	if err := w.Run(settling); err != nil {
 		return w, err
 	}
-	site := &Site{world: w, Until: w.now + time.Minute}
+	site := &Cluster{world: w, ClientsUntil: w.now + time.Minute}
 	clients(site)
-	w.troubleHeads(site.Until)
+	w.troubleHeads(site.ClientsUntil)
 	if err := w.Run(time.Minute); err != nil {
 		return w, err
 	}
@@ -94,23 +94,23 @@
 // Steps is how many steps all machines have made.
 func (w *World) Steps() int { return w.steps }
 
-// Site is the world as clients of embedded machines see it. All of it is called from within the world's own events.
-type Site struct {
-	world *World
-	Until time.Duration // clients begin no calls any more
+// Cluster is the world as clients of embedded machines see it. All of it is called from within the world's own events.
+type Cluster struct {
+	world        *World
+	ClientsUntil time.Duration // clients begin no calls any more
 }
 
 // Now is the world's time.
-func (s *Site) Now() time.Duration { return s.world.now }
+func (s *Cluster) Now() time.Duration { return s.world.now }
 
 // After runs something later.
-func (s *Site) After(delay time.Duration, run func()) { s.world.after(delay, run) }
+func (s *Cluster) After(delay time.Duration, run func()) { s.world.after(delay, run) }
 
-// Draw returns a random number below the bound.
-func (s *Site) Draw(bound int) int { return s.world.random.IntN(bound) }
+// RandomInt returns a random number below the bound.
+func (s *Cluster) RandomInt(bound int) int { return s.world.random.IntN(bound) }
 
 // Propose has a machine drawn at random propose the command. Where that machine ends first, done is never called.
-func (s *Site) Propose(command []byte, done func(result []byte, err error)) {
+func (s *Cluster) Propose(command []byte, done func(result []byte, err error)) {
 	w := s.world
 	m := w.pick()
 	m.call(engine.Input{Command: command}, func(result engine.Result) {
@@ -123,13 +123,13 @@
 }
 
 // Read hands over what a machine drawn at random holds after a barrier. Where it ends first, done is never called.
-func (s *Site) Read(done func(machine engine.Machine)) {
+func (s *Cluster) Read(done func(machine engine.StateMachine)) {
 	m := s.world.pick()
 	s.world.barrier(m, func() { done(m.state.embedded) })
 }
 
-// Machine returns what a machine drawn at random holds, without asking the others; nil where it is down.
-func (s *Site) Machine() engine.Machine {
+// AnyStateMachine returns what a machine drawn at random holds, without asking the others; nil where it is down.
+func (s *Cluster) AnyStateMachine() engine.StateMachine {
 	if m := s.world.pick(); m.engine != nil {
 		return m.state.embedded
 	}
@@ -137,26 +137,26 @@
 }
 
 // Machines is how many machines there are, removed ones included.
-func (s *Site) Machines() int { return len(s.world.machines) }
+func (s *Cluster) Machines() int { return len(s.world.machines) }
 
 // Process is what a running process knows of itself.
 type Process struct {
-	Life   int           // differs at each start
-	Now    time.Duration // on its own clock
-	Status chain.Status  // on the same clock
+	Incarnation int           // differs at each start
+	Now         time.Duration // on its own clock
+	Status      chain.Status  // on the same clock
 }
 
 // Process returns what the machine's process knows. It tells false while that can do nothing: down or frozen.
-func (s *Site) Process(machine int) (Process, bool) {
+func (s *Cluster) Process(machine int) (Process, bool) {
 	m := s.world.machines[machine]
 	if m.engine == nil || m.frozen {
 		return Process{}, false
 	}
-	return Process{Life: m.life, Now: m.local(), Status: m.engine.Status(m.local())}, true
+	return Process{Incarnation: m.life, Now: m.local(), Status: m.engine.Status(m.local())}, true
 }
 
 // Running tells whether that life of the machine's process still has its sockets, also while it is frozen.
-func (s *Site) Running(machine, life int) bool {
+func (s *Cluster) Running(machine, life int) bool {
 	m := s.world.machines[machine]
 	return m.engine != nil && m.life == life
 }
--- a/coordination/simnet/explore.go
+++ b/coordination/simnet/explore.go
@@ -117,7 +117,7 @@
 // explore plays two commands and a barrier on three calm machines with the deviations, heals and reads back. It
 // returns how many messages were delivered until all was answered or a second had passed.
 func explore(planted mutation.Set, deviations ...deviation) (messages int, err error) {
-	w := NewWorld(Setup{Seed: 1, Machines: 3, Seeds: 3, Faults: 1, Mutation: planted})
+	w := NewWorld(Config{Seed: 1, Machines: 3, Seeds: 3, FaultTolerance: 1, Mutation: planted})
 	if err := w.Run(settling); err != nil {
 		return 0, err
 	}
--- a/coordination/simnet/faults.go
+++ b/coordination/simnet/faults.go
@@ -152,7 +152,7 @@
 		switch {
 		case m.life != life || m.engine == nil:
 			then()
-		case m.engine.Left() && m.busy <= w.now || w.now-asked > time.Second:
+		case m.engine.SafeToLeave() && m.busy <= w.now || w.now-asked > time.Second:
 			m.kill()
 			then()
 		default:
@@ -197,8 +197,8 @@
 		}
 		if w.now-since >= catchUp {
 			w.ledger.waiting = false
-			if err := w.bears(w.Faults); err != nil {
-				w.fail("calm for %v: the loss of %d disks is not borne: %v", catchUp, w.Faults, err)
+			if err := w.bears(w.FaultTolerance); err != nil {
+				w.fail("calm for %v: the loss of %d disks is not borne: %v", catchUp, w.FaultTolerance, err)
 				return
 			}
 			act()
@@ -220,7 +220,7 @@
 			m := w.machines[i]
 			switch {
 			case m.removed:
-			case lost < w.Faults:
+			case lost < w.FaultTolerance:
 				lost++
 				m.wipe()
 				w.back(m)
@@ -234,7 +234,7 @@
 
 // replaceOne removes a machine for good and adds an empty one at another address.
 func (w *World) replaceOne(until time.Duration) {
-	if w.Faults == 0 {
+	if w.FaultTolerance == 0 {
 		return // no disk may be lost
 	}
 	w.whenCalm(until, func() {
--- a/coordination/simnet/history.go
+++ b/coordination/simnet/history.go
@@ -14,8 +14,8 @@
 	catchUp    = 4 * time.Second  // between losses of disks
 )
 
-// Play plays the history of a seed and returns the world and what was broken first.
-func Play(seed uint64, planted mutation.Set, trace func(string)) (*World, error) {
+// PlayHistory plays the history of a seed and returns the world and what was broken first.
+func PlayHistory(seed uint64, planted mutation.Set, trace func(string)) (*World, error) {
 	setup := setupOf(seed)
 	setup.Mutation, setup.Trace = planted, trace
 	w := NewWorld(setup)
@@ -31,22 +31,22 @@
 }
 
 // setupOf returns the sizes of the history of a seed.
-func setupOf(seed uint64) Setup {
-	setup := Setup{Seed: seed, Machines: 3, Seeds: 3, Faults: 1}
+func setupOf(seed uint64) Config {
+	setup := Config{Seed: seed, Machines: 3, Seeds: 3, FaultTolerance: 1}
 	switch seed % 6 {
 	case 1:
 		setup.Machines = 4
 	case 2:
 		setup.Machines = 5
 	case 3:
-		setup.Machines, setup.Faults = 6, 2
+		setup.Machines, setup.FaultTolerance = 6, 2
 	case 4:
 		setup.Machines = 7
 	case 5:
-		setup.Machines, setup.Faults = 4, 0
+		setup.Machines, setup.FaultTolerance = 4, 0
 	}
 	if seed%5 == 0 {
-		setup.Loss = 0.01
+		setup.LossProbability = 0.01
 	}
 	return setup
 }
@@ -113,7 +113,7 @@
 func (w *World) heal() {
 	w.tracef("all heals")
 	w.joinAll()
-	w.Loss = 0
+	w.LossProbability = 0
 	for _, m := range w.machines {
 		m.disk.PowerLossAt, m.disk.FailWrites, m.disk.FailSyncs, m.stall = 0, false, 0, 0
 		m.thaw()
--- a/coordination/simnet/history_test.go
+++ b/coordination/simnet/history_test.go
@@ -49,7 +49,7 @@
 	}
 	var steps, acked atomic.Int64
 	eachSeed(first, count, func(seed uint64) {
-		w, err := Play(seed, mutation.Set{}, trace)
+		w, err := PlayHistory(seed, mutation.Set{}, trace)
 		if err != nil {
 			t.Errorf("%v", err)
 		}
--- a/coordination/simnet/ledger.go
+++ b/coordination/simnet/ledger.go
@@ -42,7 +42,7 @@
 	if w.Mutation.NoSync {
 		return // the count below trusts the disks
 	}
-	if copies := w.copies(m, index, command); copies < w.Faults+1 {
+	if copies := w.copies(m, index, command); copies < w.FaultTolerance+1 {
 		w.fail("%q at %d is applied with %d copies", command, index, copies)
 	}
 }
@@ -115,7 +115,7 @@
 			w.ledger.entered(w, node)
 		}
 		w.ledger.epochs[identity] = epoch
-		if !m.engine.Leads(m.local()) {
+		if !m.engine.IsLeader(m.local()) {
 			continue
 		}
 		if leader != nil {
@@ -132,13 +132,13 @@
 	commands []string
 	index    map[string]uint64
 	last     uint64
-	embedded engine.Machine
+	embedded engine.StateMachine
 }
 
 func newMachineState(m *machine) *machineState {
 	s := &machineState{machine: m, index: map[string]uint64{}}
-	if m.world.Replicated != nil {
-		s.embedded = m.world.Replicated()
+	if m.world.NewStateMachine != nil {
+		s.embedded = m.world.NewStateMachine()
 	}
 	return s
 }
--- a/coordination/simnet/machine.go
+++ b/coordination/simnet/machine.go
@@ -96,10 +96,10 @@
 	m.disk.NoSync = w.Mutation.NoSync
 	m.state = newMachineState(m)
 	defer m.powerCut()
-	opened, err := engine.Open(m.local(), engine.Options{
+	opened, err := engine.Open(m.local(), engine.Config{
 		Self: view.Member{Address: m.address, Zone: m.zone, Tag: m.address}, Seeds: m.seeds,
-		Bootstrap: bootstrap, Faults: w.Faults, FS: m.disk, Machine: m.state, Random: w.random.Uint64(),
-		CompactBytes: w.Sizes.Compact, KeepBytes: w.Sizes.Keep, SegmentBytes: w.Sizes.Segment, Mutation: w.Mutation,
+		Bootstrap: bootstrap, FaultTolerance: w.FaultTolerance, FS: m.disk, StateMachine: m.state, RandomSeed: w.random.Uint64(),
+		CompactBytes: w.LogSizes.CompactBytes, KeepBytes: w.LogSizes.KeepBytes, SegmentBytes: w.LogSizes.SegmentBytes, Mutation: w.Mutation,
 	})
 	if err != nil {
 		w.fail("%s does not start: %v", m.address, err)
@@ -171,7 +171,7 @@
 	}
 	e := m.engine
 	effects := e.Step(m.local(), inputs)
-	took := time.Duration(m.disk.Syncs-syncs) * w.Sync
+	took := time.Duration(m.disk.Syncs-syncs) * w.SyncDuration
 	if took > 0 {
 		took += m.stall
 	}
@@ -187,8 +187,8 @@
 	if err := e.Maintain(m.local()); err != nil {
 		w.tracef("%s: %v", m.address, err)
 	}
-	m.busy += time.Duration(m.disk.Syncs-syncs) * w.Sync
-	m.plan(e.Wake() - m.local())
+	m.busy += time.Duration(m.disk.Syncs-syncs) * w.SyncDuration
+	m.plan(e.NextStep() - m.local())
 	m.show()
 	w.check()
 	w.checkContact(m)
@@ -239,13 +239,13 @@
 	m.losePower()
 }
 
-func (m *machine) carryOut(effects engine.Effects) {
+func (m *machine) carryOut(effects engine.Output) {
 	for _, envelope := range effects.Messages {
 		m.world.send(m, envelope)
 	}
 	for _, result := range effects.Results {
-		if done := m.calls[result.Token]; done != nil {
-			delete(m.calls, result.Token)
+		if done := m.calls[result.CallID]; done != nil {
+			delete(m.calls, result.CallID)
 			done(result)
 		}
 	}
@@ -260,7 +260,7 @@
 		return
 	}
 	m.token++
-	input.Token = m.token
+	input.CallID = m.token
 	m.calls[m.token] = done
 	m.put(input)
 }
--- a/coordination/simnet/membership.go
+++ b/coordination/simnet/membership.go
@@ -128,7 +128,7 @@
 func (w *World) untilBorne(bound time.Duration) time.Duration {
 	began := w.now
 	for w.failure == nil {
-		err := w.bears(w.Faults)
+		err := w.bears(w.FaultTolerance)
 		if err == nil {
 			break
 		}
--- a/coordination/simnet/membership_test.go
+++ b/coordination/simnet/membership_test.go
@@ -21,7 +21,7 @@
 
 // sized starts a group of that size with clients that go on until it is finished.
 func sized(seed uint64, s size, planted mutation.Set) *World {
-	w := NewWorld(Setup{Seed: seed, Machines: s.machines, Seeds: 3, Faults: s.faults, Mutation: planted})
+	w := NewWorld(Config{Seed: seed, Machines: s.machines, Seeds: 3, FaultTolerance: s.faults, Mutation: planted})
 	_ = w.Run(time.Second)
 	w.clients(w.now+time.Hour, 5*time.Millisecond, 60*time.Millisecond)
 	return w
@@ -71,7 +71,7 @@
 		t.Run(s.String(), func(t *testing.T) {
 			var taken figures
 			eachSeed(1, membershipSeeds(t), func(seed uint64) {
-				w := NewWorld(Setup{Seed: seed, Machines: s.machines, Seeds: 3, Faults: s.faults})
+				w := NewWorld(Config{Seed: seed, Machines: s.machines, Seeds: 3, FaultTolerance: s.faults})
 				_ = w.Run(300 * time.Millisecond) // all have started
 				w.clients(w.now+time.Hour, 5*time.Millisecond, 60*time.Millisecond)
 				taken.add(w.untilBorne(catchUp))
@@ -146,7 +146,7 @@
 	leaving.put(leaveInput())
 	for began := w.now; w.now-began < 2*time.Second && w.failure == nil; {
 		_ = w.Run(2 * time.Millisecond)
-		if gone = leaving.engine.Left() && leaving.busy <= w.now; gone {
+		if gone = leaving.engine.SafeToLeave() && leaving.busy <= w.now; gone {
 			break
 		}
 	}
@@ -206,18 +206,18 @@
 	_ = w.Run(2 * time.Second)
 	others[1].put(leaveInput())
 	_ = w.Run(3 * time.Second)
-	if others[1].engine.Left() {
+	if others[1].engine.SafeToLeave() {
 		t.Error("it goes although one other is left")
 	}
-	if why := others[1].engine.Staying(); why == "" {
+	if why := others[1].engine.LeaveBlocker(); why == "" {
 		t.Error("it does not say why it stays")
 	} else {
 		t.Log(why)
 	}
 	others[0].start(false)
 	_ = w.Run(3 * time.Second)
-	if !others[1].engine.Left() {
-		t.Errorf("the other is back: %s", others[1].engine.Staying())
+	if !others[1].engine.SafeToLeave() {
+		t.Errorf("the other is back: %s", others[1].engine.LeaveBlocker())
 	}
 	if err := w.Finish(); err != nil {
 		t.Error(err)
--- a/coordination/simnet/mutants_test.go
+++ b/coordination/simnet/mutants_test.go
@@ -25,7 +25,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(1); seed <= mutantSeeds; seed++ {
-				if _, err := Play(seed, planted, nil); err != nil {
+				if _, err := PlayHistory(seed, planted, nil); err != nil {
 					t.Logf("found: %v", err)
 					return
 				}
--- a/coordination/simnet/network.go
+++ b/coordination/simnet/network.go
@@ -32,7 +32,7 @@
 	}
 	w.carry(from.address, envelope)
 	again, late := w.random.IntN(200) == 0, w.random.IntN(500) == 0
-	if w.Rate > 0 && sizeOf(envelope.Message) > largeBytes {
+	if w.LinkRate > 0 && sizeOf(envelope.Message) > largeBytes {
 		return
 	}
 	if again {
@@ -44,11 +44,11 @@
 }
 
 func (w *World) lostOnTheWay(from, to string) bool {
-	return w.links.cut[pair{from, to}] || w.random.Float64() < w.Loss+w.links.loss
+	return w.links.cut[pair{from, to}] || w.random.Float64() < w.LossProbability+w.links.loss
 }
 
 func (w *World) carry(from string, envelope chain.Envelope) {
-	delay := w.between(w.Delay, 2*w.Delay)
+	delay := w.between(w.MinLinkDelay, 2*w.MinLinkDelay)
 	if w.links.slow > 0 {
 		delay += w.between(0, w.links.slow)
 	}
@@ -98,7 +98,7 @@
 
 // transmission is how long a message takes to leave, behind those before it.
 func (w *World) transmission(link pair, message chain.Message) time.Duration {
-	if w.Rate == 0 {
+	if w.LinkRate == 0 {
 		return 0
 	}
 	size := sizeOf(message)
@@ -112,7 +112,7 @@
 }
 
 func (w *World) taking(bytes int) time.Duration {
-	return time.Duration(bytes) * time.Second / time.Duration(w.Rate)
+	return time.Duration(bytes) * time.Second / time.Duration(w.LinkRate)
 }
 
 func sizeOf(message chain.Message) int {
--- a/coordination/simnet/scenario_test.go
+++ b/coordination/simnet/scenario_test.go
@@ -40,7 +40,7 @@
 
 // calmWorld starts a group and lets it settle.
 func calmWorld(t *testing.T, seed uint64, machines int, planted mutation.Set) *World {
-	w := NewWorld(Setup{Seed: seed, Machines: machines, Seeds: 3, Faults: 1, Mutation: planted})
+	w := NewWorld(Config{Seed: seed, Machines: machines, Seeds: 3, FaultTolerance: 1, Mutation: planted})
 	if err := w.Run(settling); err != nil {
 		t.Error(err)
 	}
@@ -164,7 +164,7 @@
 		w.leave(head, func() { w.after(500*time.Millisecond, func() { head.start(false) }) })
 		for w.now-began < 3*time.Second && w.failure == nil {
 			_ = w.Run(2 * time.Millisecond)
-			if next := w.head(); next != head && next.engine != nil && next.engine.Leads(next.local()) {
+			if next := w.head(); next != head && next.engine != nil && next.engine.IsLeader(next.local()) {
 				led.add(w.now - began)
 				return
 			}
--- a/coordination/simnet/timeline.go
+++ b/coordination/simnet/timeline.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// Timeline is virtual time: what was planned runs in the order of its times, and of planning where these are equal.
-type Timeline struct {
+// Scheduler is virtual time: what was planned runs in the order of its times, and of planning where these are equal.
+type Scheduler struct {
 	now      time.Duration
 	events   events
 	sequence uint64
 }
 
-// NewTimeline returns a timeline that begins at a time.
-func NewTimeline(begin time.Duration) *Timeline { return &Timeline{now: begin} }
+// NewScheduler returns a timeline that begins at a time.
+func NewScheduler(begin time.Duration) *Scheduler { return &Scheduler{now: begin} }
 
 // Now returns the time that has been reached.
-func (t *Timeline) Now() time.Duration { return t.now }
+func (t *Scheduler) Now() time.Duration { return t.now }
 
 // After plans to run something after a delay.
-func (t *Timeline) After(delay time.Duration, run func()) {
+func (t *Scheduler) After(delay time.Duration, run func()) {
 	t.sequence++
 	heap.Push(&t.events, event{at: t.now + delay, sequence: t.sequence, run: run})
 }
 
 // RunUntil runs what is planned up to a time, or until stop holds.
-func (t *Timeline) RunUntil(end time.Duration, stop func() bool) {
+func (t *Scheduler) RunUntil(end time.Duration, stop func() bool) {
 	for len(t.events) > 0 && t.events[0].at <= end && !stop() {
 		next := heap.Pop(&t.events).(event)
 		t.now = next.at
--- a/coordination/simnet/world.go
+++ b/coordination/simnet/world.go
@@ -9,34 +9,34 @@
 	"raventrestle/coordination/internal/mutation"
 )
 
-// Setup describes a world.
-type Setup struct {
-	Seed     uint64
-	Machines int // that exist from the start; the first Seeds of them found the group
-	Seeds    int
-	Faults   int
-	Mutation mutation.Set
-	Loss     float64       // share of the messages that are lost on healthy links
-	Delay    time.Duration // one way, at least
-	Sync     time.Duration // of a disk
-	Rate     int           // bytes a second from one machine to another; 0: without bound
-	Sizes    Sizes         // of the log; the zero value means small ones, so that short histories compact often
-	Trace    func(line string)
+// Config describes a world.
+type Config struct {
+	Seed            uint64
+	Machines        int // that exist from the start; the first Seeds of them found the group
+	Seeds           int
+	FaultTolerance  int
+	Mutation        mutation.Set
+	LossProbability float64       // share of the messages that are lost on healthy links
+	MinLinkDelay    time.Duration // one way, at least
+	SyncDuration    time.Duration // of a disk
+	LinkRate        int           // bytes a second from one machine to another; 0: without bound
+	LogSizes        LogSizes      // of the log; the zero value means small ones, so that short histories compact often
+	Trace           func(line string)
 	// Replicated makes the machine that a process replicates, where it is not the tests' own.
-	Replicated func() engine.Machine
+	NewStateMachine func() engine.StateMachine
 }
 
-// Sizes are those of engine.Options.
-type Sizes struct {
-	Compact int64
-	Keep    int
-	Segment int64
+// LogSizes are those of engine.Options.
+type LogSizes struct {
+	CompactBytes int64
+	KeepBytes    int
+	SegmentBytes int64
 }
 
 // World is one simulated history.
 type World struct {
-	Setup
-	*Timeline
+	Config
+	*Scheduler
 	random    *rand.Rand
 	machines  []*machine
 	links     links
@@ -51,17 +51,17 @@
 }
 
 // NewWorld starts all machines of the setup within 0.3 s of each other.
-func NewWorld(setup Setup) *World {
-	if setup.Delay == 0 {
-		setup.Delay = 500 * time.Microsecond
+func NewWorld(setup Config) *World {
+	if setup.MinLinkDelay == 0 {
+		setup.MinLinkDelay = 500 * time.Microsecond
 	}
-	if setup.Sync == 0 {
-		setup.Sync = 5 * time.Millisecond
+	if setup.SyncDuration == 0 {
+		setup.SyncDuration = 5 * time.Millisecond
 	}
-	if setup.Sizes == (Sizes{}) {
-		setup.Sizes = Sizes{Compact: 3000, Keep: 500, Segment: 2000}
+	if setup.LogSizes == (LogSizes{}) {
+		setup.LogSizes = LogSizes{CompactBytes: 3000, KeepBytes: 500, SegmentBytes: 2000}
 	}
-	w := &World{Setup: setup, random: rand.New(rand.NewPCG(setup.Seed, 77)), Timeline: NewTimeline(time.Second)}
+	w := &World{Config: setup, random: rand.New(rand.NewPCG(setup.Seed, 77)), Scheduler: NewScheduler(time.Second)}
 	w.links = links{cut: map[pair]bool{}, free: map[pair]time.Duration{}}
 	w.ledger = newLedger()
 	for i := range setup.Machines {
--- /dev/null
+++ b/coordination/wal/directory.go
@@ -0,0 +1,127 @@
+package wal
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+
+	"golang.org/x/sys/unix"
+)
+
+// FS is one directory of files. Package modeldisk implements it in memory.
+type FS interface {
+	// List returns the names in the directory in any order.
+	List() ([]string, error)
+	// Read returns the complete content of a file.
+	Read(name string) ([]byte, error)
+	// Create creates an empty file and replaces one of that name.
+	Create(name string) (File, error)
+	// Rename gives a file another name and replaces one of that name.
+	Rename(from, to string) error
+	// Remove removes a file.
+	Remove(name string) error
+	// SyncDirectory makes the directory's entries durable: created, renamed and removed names.
+	SyncDirectory() error
+}
+
+// File is a file that is written from its start to its end.
+type File interface {
+	// Write appends the bytes. They are durable after the next Sync.
+	Write(body []byte) (int, error)
+	// Sync makes everything written so far durable.
+	Sync() error
+	// Close releases the file without syncing it.
+	Close() error
+}
+
+// ErrCorrupt marks data that was synced and can't be read back.
+var ErrCorrupt = errors.New("wal: corrupt")
+
+// DiskError names the step and the file at which the disk failed.
+type DiskError struct {
+	Step string // such as "write" or "sync"
+	File string // name in the directory
+	Err  error  // of the disk
+}
+
+// Error implements error.
+func (e *DiskError) Error() string { return fmt.Sprintf("wal: %s %s: %v", e.Step, e.File, e.Err) }
+
+// Unwrap returns the disk's own error.
+func (e *DiskError) Unwrap() error { return e.Err }
+
+// directory implements FS with the files of the operating system.
+type directory struct{ path string }
+
+// OpenDirectory returns the directory at the path as an FS and creates it if it is missing.
+func OpenDirectory(path string) (FS, error) {
+	if err := os.MkdirAll(path, 0o755); err != nil {
+		return nil, fmt.Errorf("wal: creating the directory: %w", err)
+	}
+	return directory{path: path}, nil
+}
+
+// List implements FS.
+func (d directory) List() ([]string, error) {
+	entries, err := os.ReadDir(d.path)
+	if err != nil {
+		return nil, fmt.Errorf("listing: %w", err)
+	}
+	var names []string
+	for _, entry := range entries {
+		if !entry.IsDir() {
+			names = append(names, entry.Name())
+		}
+	}
+	return names, nil
+}
+
+// Read implements FS.
+func (d directory) Read(name string) ([]byte, error) { return os.ReadFile(filepath.Join(d.path, name)) }
+
+// Create implements FS.
+func (d directory) Create(name string) (File, error) {
+	file, err := os.Create(filepath.Join(d.path, name))
+	if err != nil {
+		return nil, err
+	}
+	return osFile{file}, nil
+}
+
+// Rename implements FS.
+func (d directory) Rename(from, to string) error {
+	return os.Rename(filepath.Join(d.path, from), filepath.Join(d.path, to))
+}
+
+// Remove implements FS.
+func (d directory) Remove(name string) error { return os.Remove(filepath.Join(d.path, name)) }
+
+// SyncDirectory implements FS.
+func (d directory) SyncDirectory() error {
+	handle, err := os.Open(d.path)
+	if err != nil {
+		return err
+	}
+	defer handle.Close()
+	return handle.Sync()
+}
+
+// osFile implements File. It syncs with fdatasync, which writes the length of a file that has grown but not its times.
+type osFile struct{ file *os.File }
+
+// Write implements File.
+func (f osFile) Write(body []byte) (int, error) { return f.file.Write(body) }
+
+// Sync implements File.
+func (f osFile) Sync() error {
+	for {
+		err := unix.Fdatasync(int(f.file.Fd()))
+		if err != unix.EINTR {
+			return err
+		}
+	}
+}
+
+// Close implements File.
+func (f osFile) Close() error { return f.file.Close() }
--- a/coordination/wal/frame.go
+++ b/coordination/wal/frame.go
@@ -1,40 +1,45 @@
 package wal
 
 import (
+	"bytes"
 	"encoding/binary"
 	"hash/crc32"
 )
 
-// A frame is magic, kind, length of the body, checksum over kind, length and body, then the body.
+// A frame is the unit of checksumming: magic, kind, length of the body, CRC-32C over kind, length and body, then the
+// body. Integers are big-endian. This layout is stored on the disks in service and must not change.
 const (
-	frameMagic  = "RTw1"
-	frameHeader = len(frameMagic) + 1 + 4 + 4
+	frameMagic        = "RTw1"
+	frameHeaderLength = len(frameMagic) + 1 + 4 + 4
 )
 
+// frameKind says what the body of a frame contains. The numbers are stored.
 type frameKind byte
 
-// The kinds of frames.
 const (
-	kindBegin      frameKind = iota + 1 // first of a segment
-	kindCheckpoint                      // first of a segment that stands for all before it
-	kindRecords
-	kindSnapshot
+	kindSegment    frameKind = iota + 1 // header and first records of a segment that continues another one
+	kindCheckpoint                      // header and first records of a segment that replaces all before it
+	kindRecords                         // further records
+	kindSnapshot                        // the only frame of a snapshot file
 )
 
-// pieces is a body in parts, so that large records need not be copied.
-type pieces [][]byte
+// maxJoinedFrame is up to which size, in bytes, a frame is joined in memory so that it takes a single write.
+const maxJoinedFrame = 64 << 10
 
-func (p pieces) length() int {
+// buffers is a body in several slices, so that large records need not be copied.
+type buffers [][]byte
+
+func (b buffers) length() int {
 	length := 0
-	for _, piece := range p {
-		length += len(piece)
+	for _, buffer := range b {
+		length += len(buffer)
 	}
 	return length
 }
 
-// frame returns the header of a frame with that body.
-func frame(kind frameKind, body pieces) []byte {
-	header := make([]byte, 0, frameHeader)
+// encodeFrameHeader returns the header of a frame with that body.
+func encodeFrameHeader(kind frameKind, body buffers) []byte {
+	header := make([]byte, 0, frameHeaderLength)
 	header = append(header, frameMagic...)
 	header = append(header, byte(kind))
 	header = binary.BigEndian.AppendUint32(header, uint32(body.length()))
@@ -42,82 +47,75 @@
 	return binary.BigEndian.AppendUint32(header, sum)
 }
 
-func checksum(head []byte, body pieces) uint32 {
+// checksum covers kind and length, which are the covered part of the header, and the body.
+func checksum(covered []byte, body buffers) uint32 {
 	table := crc32.MakeTable(crc32.Castagnoli)
-	sum := crc32.Update(0, table, head)
-	for _, piece := range body {
-		sum = crc32.Update(sum, table, piece)
+	sum := crc32.Update(0, table, covered)
+	for _, buffer := range body {
+		sum = crc32.Update(sum, table, buffer)
 	}
 	return sum
 }
 
-// readFrame reads the frame at the beginning of data. It tells false when there is no whole frame.
-func readFrame(data []byte) (kind frameKind, body, rest []byte, ok bool) {
-	if len(data) < frameHeader || string(data[:len(frameMagic)]) != frameMagic {
+// decodeFrame decodes the frame at the beginning of data. It reports false when there is no complete, intact frame.
+func decodeFrame(data []byte) (kind frameKind, body, rest []byte, ok bool) {
+	if len(data) < frameHeaderLength || string(data[:len(frameMagic)]) != frameMagic {
 		return 0, nil, nil, false
 	}
-	head := data[len(frameMagic) : frameHeader-4]
-	length := int(binary.BigEndian.Uint32(head[1:]))
-	if length > len(data)-frameHeader {
+	covered := data[len(frameMagic) : frameHeaderLength-4]
+	length := int(binary.BigEndian.Uint32(covered[1:]))
+	if length > len(data)-frameHeaderLength {
 		return 0, nil, nil, false
 	}
-	body = data[frameHeader : frameHeader+length]
-	if checksum(head, pieces{body}) != binary.BigEndian.Uint32(data[frameHeader-4:]) {
+	body = data[frameHeaderLength : frameHeaderLength+length]
+	if checksum(covered, buffers{body}) != binary.BigEndian.Uint32(data[frameHeaderLength-4:]) {
 		return 0, nil, nil, false
 	}
-	return frameKind(head[0]), body, data[frameHeader+length:], true
+	return frameKind(covered[0]), body, data[frameHeaderLength+length:], true
 }
 
-// laterFrame tells whether a whole frame begins anywhere in data behind its first byte.
-func laterFrame(data []byte) bool {
-	for at := 1; at+frameHeader <= len(data); at++ {
-		if string(data[at:at+len(frameMagic)]) != frameMagic {
+// containsLaterFrame reports whether a complete frame begins anywhere in data after its first byte.
+func containsLaterFrame(data []byte) bool {
+	for offset := 1; offset+frameHeaderLength <= len(data); offset++ {
+		if string(data[offset:offset+len(frameMagic)]) != frameMagic {
 			continue
 		}
-		if _, _, _, ok := readFrame(data[at:]); ok {
+		if _, _, _, ok := decodeFrame(data[offset:]); ok {
 			return true
 		}
 	}
 	return false
 }
 
-// begin is what the first frame of a segment tells before its records.
-type begin struct {
-	previous uint64 // number of the segment before; 0 when there is none
-	bytes    uint64 // of that segment that count
-	snapshot uint64 // number of the snapshot that a checkpoint builds on; 0 when there is none
-}
-
-const beginLength = 3 * 8
-
-func (b begin) encode() []byte {
-	body := make([]byte, 0, beginLength)
-	body = binary.BigEndian.AppendUint64(body, b.previous)
-	body = binary.BigEndian.AppendUint64(body, b.bytes)
-	return binary.BigEndian.AppendUint64(body, b.snapshot)
-}
-
-func decodeBegin(body []byte) (begin, []byte, bool) {
-	if len(body) < beginLength {
-		return begin{}, nil, false
+// writeFrame writes one frame to the file and syncs the file. It returns the length of the frame in bytes.
+func writeFrame(file File, name string, kind frameKind, body buffers) (int, error) {
+	frame := append(buffers{encodeFrameHeader(kind, body)}, body...)
+	length := frame.length()
+	if length <= maxJoinedFrame {
+		frame = buffers{bytes.Join(frame, nil)}
+	}
+	for _, buffer := range frame {
+		if _, err := file.Write(buffer); err != nil {
+			return 0, &DiskError{Step: "write", File: name, Err: err}
+		}
+	}
+	if err := file.Sync(); err != nil {
+		return 0, &DiskError{Step: "sync", File: name, Err: err}
 	}
-	return begin{
-		previous: binary.BigEndian.Uint64(body),
-		bytes:    binary.BigEndian.Uint64(body[8:]),
-		snapshot: binary.BigEndian.Uint64(body[16:]),
-	}, body[beginLength:], true
+	return length, nil
 }
 
-// packed puts the length before each record.
-func packed(records [][]byte) pieces {
-	body := make(pieces, 0, 2*len(records))
+// encodeRecords puts the length before each record.
+func encodeRecords(records [][]byte) buffers {
+	body := make(buffers, 0, 2*len(records))
 	for _, record := range records {
 		body = append(body, binary.BigEndian.AppendUint32(nil, uint32(len(record))), record)
 	}
 	return body
 }
 
-func unpack(body []byte) ([][]byte, bool) {
+// decodeRecords is the inverse of encodeRecords. It reports false when a length doesn't fit the body.
+func decodeRecords(body []byte) ([][]byte, bool) {
 	var records [][]byte
 	for len(body) > 0 {
 		if len(body) < 4 {
--- a/coordination/wal/golden_test.go
+++ b/coordination/wal/golden_test.go
@@ -26,7 +26,7 @@
 	t.Helper()
 	fs, err := wal.OpenDirectory(directory)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("open the directory: %v, want nil", err)
 	}
 	number := 0
 	appendSome := func(log *wal.Log, calls int) {
@@ -45,7 +45,7 @@
 	}
 	appendSome(log, 9)
 	keep("appended")
-	log.Close()
+	closeLog(t, log)
 
 	if log, _, err = wal.Open(fs, smallSegments); err != nil {
 		t.Fatal(err)
@@ -67,7 +67,14 @@
 	}
 	appendSome(log, 3)
 	keep("checkpointed-again")
-	log.Close()
+	closeLog(t, log)
+}
+
+func closeLog(t *testing.T, log *wal.Log) {
+	t.Helper()
+	if err := log.Close(); err != nil {
+		t.Fatalf("close: %v, want nil", err)
+	}
 }
 
 // readFiles returns the contents of the files of a directory by name.
@@ -139,7 +146,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer log.Close()
+	defer closeLog(t, log)
 	if err := log.Append(records(strings.Repeat("large", 20<<10), "small")); err != nil {
 		t.Fatal(err)
 	}
@@ -189,17 +196,17 @@
 				t.Fatalf("recovered\n%s, want\n%s", got, want)
 			}
 			if recovered.WriteError != nil {
-				t.Fatalf("refused: %v, want nil", recovered.WriteError)
+				t.Fatalf("write error %v, want nil", recovered.WriteError)
 			}
 			if err := log.Append(records("later")); err != nil {
 				t.Fatal(err)
 			}
-			log.Close()
+			closeLog(t, log)
 			log, after, err := wal.Open(fs, smallSegments)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer log.Close()
+			defer closeLog(t, log)
 			wantAfter := append(texts(recovered.Records), "later")
 			if got := texts(after.Records); !slices.Equal(got, wantAfter) {
 				t.Errorf("after an append: %q, want %q", got, wantAfter)
--- a/coordination/wal/modeldisk/disk.go
+++ b/coordination/wal/modeldisk/disk.go
@@ -1,59 +1,69 @@
-// Package modeldisk is a disk in memory that can lose power. After a loss each unsynced write is there, missing
-// or torn, and each unsynced name is there or not, independently; all is drawn from the caller's random numbers.
+// Package modeldisk is a model of a disk: it implements wal.FS in memory and can lose power, fail writes and syncs, and
+// be corrupted. After a power loss each write that was not synced is there, missing or torn, and each directory entry
+// that was not synced is there or not, independently of each other, as drawn from the caller's random numbers. What was
+// synced is always there.
 package modeldisk
 
 import (
 	"errors"
 	"io/fs"
-	"math/rand/v2"
+	"maps"
 	"slices"
 	"sync/atomic"
 
 	"raventrestle/coordination/wal"
 )
 
-// ErrRefused is what a refusing disk answers to every write and sync.
+// ErrNoSpace is the error of every operation that writes while FailWrites or SetFull is in force, and of the syncs that
+// FailSyncs makes fail.
 var ErrNoSpace = errors.New("modeldisk: no space left on device")
 
-// PowerLoss is the value that the disk panics with at the step at which the power is set to fail.
+// PowerLoss is the value that the disk panics with at the operation at which the power is set to fail.
 type PowerLoss struct{}
 
-// Disk is one folder. It is used by one goroutine at a time.
+// Disk is one directory. It is used by one goroutine at a time, apart from SetFull.
 type Disk struct {
-	names   map[string]*content
-	durable map[string]*content
+	entries        map[string]*file // the directory as a running process sees it
+	durableEntries map[string]*file // the directory as of its last sync
 
-	FailWrites   bool // every write, sync, creation and rename fails; Fill sets it from another goroutine
-	NoSync       bool // a planted fault: syncs do nothing
-	Operations   int  // changes of the disk so far
-	Syncs        int
-	BytesWritten int64
-	PowerLossAt  int // the power fails at this step, before it takes effect; 0 means never
-	full         atomic.Bool
-	// Failing makes that many of the next syncs fail although the bytes may be on the disk.
+	// FailWrites makes every write, sync, creation and rename fail.
+	FailWrites bool
+	// FailSyncs makes that many of the next syncs fail although the bytes may be on the disk.
 	FailSyncs int
+	// NoSync is an injected fault: syncs report success and do nothing.
+	NoSync bool
+	// PowerLossAt makes the power fail at this operation, before that takes effect; 0 means never.
+	PowerLossAt int
+
+	Operations   int   // that change the disk, so far
+	Syncs        int   // so far, failed ones included
+	BytesWritten int64 // so far
+
+	full atomic.Bool
 }
 
-// content is a file. Pending writes are those since its last sync.
-type content struct {
-	body    []byte
-	synced  []byte
-	pending []span
-	spoiled bool // a sync failed: what was written before it is never surely on the disk
+// file is the content under a name.
+type file struct {
+	body       []byte
+	synced     []byte
+	unsynced   []span // writes since the last sync
+	syncFailed bool   // a sync failed: what was written before it is never durable
 }
 
+// span is a range of bytes in a file.
 type span struct{ from, to int }
 
 // New returns an empty disk.
 func New() *Disk {
-	return &Disk{names: map[string]*content{}, durable: map[string]*content{}}
+	return &Disk{entries: map[string]*file{}, durableEntries: map[string]*file{}}
 }
 
-// SetFull makes the disk refuse, or ends that. Unlike all else it may be called from any goroutine.
+// SetFull makes the disk full, as FailWrites does, or ends that. Unlike all else it may be called from any goroutine.
 func (d *Disk) SetFull(full bool) { d.full.Store(full) }
 
-// step counts a change of the disk.
-func (d *Disk) step() error {
+// change registers an operation that changes the disk. It panics with PowerLoss if the power is to fail at it, and returns
+// the error with which it fails.
+func (d *Disk) change() error {
 	d.Operations++
 	if d.PowerLossAt > 0 && d.Operations == d.PowerLossAt {
 		panic(PowerLoss{})
@@ -64,64 +74,68 @@
 	return nil
 }
 
-// List implements wal.FS.
-func (d *Disk) List() ([]string, error) { return sortedNames(d.names), nil }
-
-func sortedNames(names map[string]*content) []string {
-	list := make([]string, 0, len(names))
-	for name := range names {
-		list = append(list, name)
+// sync registers a sync of a file or of the directory, and returns the error with which it fails.
+func (d *Disk) sync() error {
+	if err := d.change(); err != nil {
+		return err
 	}
-	slices.Sort(list)
-	return list
+	d.Syncs++
+	if d.FailSyncs > 0 {
+		d.FailSyncs--
+		return ErrNoSpace
+	}
+	return nil
 }
 
+// List implements wal.FS.
+func (d *Disk) List() ([]string, error) { return slices.Sorted(maps.Keys(d.entries)), nil }
+
 // Read implements wal.FS.
 func (d *Disk) Read(name string) ([]byte, error) {
-	file, ok := d.names[name]
+	f, ok := d.entries[name]
 	if !ok {
 		return nil, fs.ErrNotExist
 	}
-	return slices.Clone(file.body), nil
+	return slices.Clone(f.body), nil
 }
 
 // Create implements wal.FS.
 func (d *Disk) Create(name string) (wal.File, error) {
-	if err := d.step(); err != nil {
+	if err := d.change(); err != nil {
 		return nil, err
 	}
-	file := &content{}
-	d.names[name] = file
-	return &handle{disk: d, file: file}, nil
+	f := &file{}
+	d.entries[name] = f
+	return &handle{disk: d, file: f}, nil
 }
 
 // Rename implements wal.FS.
 func (d *Disk) Rename(from, to string) error {
-	if err := d.step(); err != nil {
+	if err := d.change(); err != nil {
 		return err
 	}
-	file, ok := d.names[from]
+	f, ok := d.entries[from]
 	if !ok {
 		return fs.ErrNotExist
 	}
-	delete(d.names, from)
-	d.names[to] = file
+	delete(d.entries, from)
+	d.entries[to] = f
 	return nil
 }
 
-// Remove implements wal.FS.
+// Remove implements wal.FS. It works while FailWrites is set, because removing a file needs no space.
 func (d *Disk) Remove(name string) error {
-	if d.FailWrites { // a full disk can still remove
+	if d.FailWrites {
 		d.FailWrites = false
 		defer func() { d.FailWrites = true }()
 	}
-	if err := d.step(); err != nil {
+	if err := d.change(); err != nil {
 		return err
 	}
-	if _, ok := d.names[name]; !ok {
+	if _, ok := d.entries[name]; !ok {
 		return fs.ErrNotExist
 	}
-	delete(d.names, name)
+	delete(d.entries, name)
 	return nil
 }
 
@@ -130,150 +144,75 @@
 	if err := d.sync(); err != nil || d.NoSync {
 		return err
 	}
-	d.durable = map[string]*content{}
-	for name, file := range d.names {
-		d.durable[name] = file
-	}
-	return nil
-}
-
-func (d *Disk) sync() error {
-	if err := d.step(); err != nil {
-		return err
-	}
-	d.Syncs++
-	if d.FailSyncs > 0 {
-		d.FailSyncs--
-		return ErrNoSpace
-	}
+	d.durableEntries = maps.Clone(d.entries)
 	return nil
 }
 
+// handle implements wal.File.
 type handle struct {
 	disk *Disk
-	file *content
+	file *file
 }
 
+// Write implements wal.File.
 func (h *handle) Write(body []byte) (int, error) {
-	if err := h.disk.step(); err != nil {
+	if err := h.disk.change(); err != nil {
 		return 0, err
 	}
 	from := len(h.file.body)
 	h.file.body = append(h.file.body, body...)
-	h.file.pending = append(h.file.pending, span{from: from, to: from + len(body)})
+	h.file.unsynced = append(h.file.unsynced, span{from: from, to: from + len(body)})
 	h.disk.BytesWritten += int64(len(body))
 	return len(body), nil
 }
 
+// Sync implements wal.File.
 func (h *handle) Sync() error {
 	failing := h.disk.FailSyncs > 0
 	if err := h.disk.sync(); err != nil {
-		h.file.spoiled = h.file.spoiled || failing
+		h.file.syncFailed = h.file.syncFailed || failing
 		return err
 	}
-	if h.disk.NoSync || h.file.spoiled {
+	if h.disk.NoSync || h.file.syncFailed {
 		return nil
 	}
-	h.file.synced, h.file.pending = h.file.body[:len(h.file.body):len(h.file.body)], nil
+	h.file.synced, h.file.unsynced = h.file.body[:len(h.file.body):len(h.file.body)], nil
 	return nil
 }
 
+// Close implements wal.File.
 func (h *handle) Close() error { return nil }
 
-// AfterKill returns the disk as the next process finds it when only the process died.
-func (d *Disk) AfterKill() *Disk {
-	return &Disk{names: d.names, durable: d.durable, FailWrites: d.FailWrites, NoSync: d.NoSync}
-}
-
-// AfterPowerLoss returns the disk as it may be found after a loss of power.
-func (d *Disk) AfterPowerLoss(random *rand.Rand) *Disk {
-	after := New()
-	after.NoSync, after.FailWrites = d.NoSync, d.FailWrites
-	none := random.IntN(4) == 0 // at some losses nothing unsynced remains
-	all := map[string]*content{}
-	for name, file := range d.durable {
-		all[name] = file
-	}
-	for name, file := range d.names {
-		all[name] = file
-	}
-	lost := map[*content]*content{}
-	for _, name := range sortedNames(all) {
-		file := d.survivor(name, none, random)
-		if file == nil {
-			continue
-		}
-		if lost[file] == nil {
-			lost[file] = file.lose(none, random)
-		}
-		after.names[name] = lost[file]
-		after.durable[name] = lost[file]
-	}
-	return after
-}
-
-// survivor picks the file that stands under the name after a loss.
-func (d *Disk) survivor(name string, none bool, random *rand.Rand) *content {
-	durable, current := d.durable[name], d.names[name]
-	if durable == current || (!none && random.IntN(2) == 0) {
-		return current
-	}
-	return durable
-}
-
-// lose returns what a loss leaves of the file.
-func (c *content) lose(none bool, random *rand.Rand) *content {
-	body := slices.Clone(c.synced)
-	keepAll := !none && random.IntN(4) == 0
-	for _, write := range c.pending {
-		end := write.to
-		switch {
-		case none:
-			continue
-		case keepAll:
-		case random.IntN(3) == 0: // missing
-			continue
-		case random.IntN(2) == 0: // torn
-			end = write.from + random.IntN(write.to-write.from+1)
-		}
-		if end > len(body) {
-			body = append(body, make([]byte, end-len(body))...)
-		}
-		copy(body[write.from:end], c.body[write.from:end])
-	}
-	return &content{body: body, synced: body}
-}
-
-// Corrupt flips a bit of a file's byte.
-func (d *Disk) Corrupt(name string, at int) {
-	file := d.names[name]
-	file.body = slices.Clone(file.body)
-	file.body[at] ^= 0x10
+// Corrupt flips one bit of the byte at the offset.
+func (d *Disk) Corrupt(name string, offset int) {
+	f := d.entries[name]
+	f.body = slices.Clone(f.body)
+	f.body[offset] ^= 0x10
 }
 
-// Truncate cuts a file to that length, as if the rest had never been written.
+// Truncate shortens a file to the length, as if the rest had never been written.
 func (d *Disk) Truncate(name string, length int) {
-	body := slices.Clone(d.names[name].body[:length])
-	d.names[name] = &content{body: body, synced: body}
+	body := slices.Clone(d.entries[name].body[:length])
+	d.entries[name] = &file{body: body, synced: body}
 }
 
-// Copy returns an independent copy.
+// Copy returns an independent copy, which fails no writes or syncs.
 func (d *Disk) Copy() *Disk {
 	after := New()
-	copies := map[*content]*content{}
-	clone := func(from map[string]*content, to map[string]*content) {
-		for name, file := range from {
-			if copies[file] == nil {
-				copies[file] = &content{
-					body: slices.Clone(file.body), synced: slices.Clone(file.synced), pending: slices.Clone(file.pending),
-					spoiled: file.spoiled,
+	copies := map[*file]*file{}
+	copyEntries := func(from, to map[string]*file) {
+		for name, f := range from {
+			if copies[f] == nil {
+				copies[f] = &file{
+					body: slices.Clone(f.body), synced: slices.Clone(f.synced), unsynced: slices.Clone(f.unsynced),
+					syncFailed: f.syncFailed,
 				}
 			}
-			to[name] = copies[file]
+			to[name] = copies[f]
 		}
 	}
-	clone(d.names, after.names)
-	clone(d.durable, after.durable)
+	copyEntries(d.entries, after.entries)
+	copyEntries(d.durableEntries, after.durableEntries)
 	after.NoSync = d.NoSync
 	return after
 }
--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return failed(findingsOf(err)), nil
 	}
-	return passed("%s, role %s, zone %s, serves %v", settings.NodeName, settings.Role, settings.Zone, settings.Serves), nil
+	return passed("%s, role %s, zone %s, serves %v", settings.NodeName, settings.Role, settings.Zone, settings.ServedInterfaces), nil
 }
 
 // findingsOf takes an error of the settings apart.
@@ -59,8 +59,8 @@
 		}
 		return faults
 	}
-	var fault *nodeconfig.Fault
-	if direct, is := err.(*nodeconfig.Fault); is {
+	var fault *nodeconfig.KeyError
+	if direct, is := err.(*nodeconfig.KeyError); is {
 		return []Finding{{Item: location(direct), Reason: direct.Reason}}
 	}
 	if inner := errors.Unwrap(err); inner != nil && errors.As(err, &fault) {
@@ -70,7 +70,7 @@
 }
 
 // location names a key and its line; a missing key has none.
-func location(fault *nodeconfig.Fault) string {
+func location(fault *nodeconfig.KeyError) string {
 	if fault.Line == 0 {
 		return fault.Key
 	}
@@ -85,13 +85,13 @@
 	}
 	document, err := configuration.ParseDocument(body)
 	if err == nil {
-		err = configuration.Check(document.Configuration(), nil)
+		err = configuration.Validate(document.Configuration(), nil)
 	}
-	var invalid *configuration.Invalid
+	var invalid *configuration.InvalidError
 	switch {
 	case errors.As(err, &invalid):
 		var faults []Finding
-		for _, fault := range invalid.Faults {
+		for _, fault := range invalid.Items {
 			faults = append(faults, Finding{Item: fault.Item, Reason: fault.Reason})
 		}
 		return failed(faults), nil
--- a/internal/configuration/check.go
+++ b/internal/configuration/check.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// Check says whether next may follow current, which is nil before the first. The error is an *Invalid that
+// Validate says whether next may follow current, which is nil before the first. The error is an *Invalid that
 // lists all faults.
-func Check(next, current *Configuration) error {
+func Validate(next, current *Configuration) error {
 	var found faults
 	checkGeneration(next, current, &found)
 	services := make(map[string]bool, len(next.Services))
--- a/internal/configuration/check_test.go
+++ b/internal/configuration/check_test.go
@@ -44,7 +44,7 @@
 func TestSampleIsTaken(t *testing.T) {
 	d := mustParse(t, sample)
 	view := d.Configuration()
-	if err := Check(view, &Configuration{Generation: 6}); err != nil {
+	if err := Validate(view, &Configuration{Generation: 6}); err != nil {
 		t.Fatal(err)
 	}
 	if string(d.Encode()) != sample {
@@ -63,7 +63,7 @@
 
 func TestSmallestIsTaken(t *testing.T) {
 	view := mustParse(t, `{"generation":1,"routes":[],"services":[]}`).Configuration()
-	if err := Check(view, nil); err != nil {
+	if err := Validate(view, nil); err != nil {
 		t.Error(err)
 	}
 }
@@ -142,15 +142,15 @@
 	if err != nil {
 		return err
 	}
-	return Check(view, current)
+	return Validate(view, current)
 }
 
 func hasFault(err error, item, reason string) bool {
-	var invalid *Invalid
+	var invalid *InvalidError
 	if !errors.As(err, &invalid) {
 		return false
 	}
-	for _, fault := range invalid.Faults {
+	for _, fault := range invalid.Items {
 		if fault.Item == item && strings.Contains(fault.Reason, reason) {
 			return strings.Contains(err.Error(), item)
 		}
@@ -168,8 +168,8 @@
 func TestAllFaultsAreListed(t *testing.T) {
 	text := `{"generation":1,"routes":[` + strings.Repeat(`{"name":"r"},`, 30) + `{"name":"r"}],"services":[]}`
 	err := parseAndCheck(text, nil)
-	var invalid *Invalid
-	if !errors.As(err, &invalid) || len(invalid.Faults) < 4*31 {
+	var invalid *InvalidError
+	if !errors.As(err, &invalid) || len(invalid.Items) < 4*31 {
 		t.Fatalf("got %v", err)
 	}
 	if !strings.Contains(err.Error(), "more") || len(err.Error()) > 4000 {
@@ -199,7 +199,7 @@
 		if err != nil {
 			return
 		}
-		_ = Check(d.Configuration(), nil)
+		_ = Validate(d.Configuration(), nil)
 		NewIndex(d.Configuration())
 		if string(d.Encode()) != string(text) {
 			t.Fatalf("%q came back as %q", text, d.Encode())
--- a/internal/configuration/golden_test.go
+++ b/internal/configuration/golden_test.go
@@ -30,9 +30,9 @@
 		Generation: 7,
 		Routes: []Route{
 			{Name: "r-1", Hostname: "Ficu95.example", PathPrefix: "/lohu930/", Type: Streaming, TimeoutMS: 15000,
-				TargetLatencyMS: 500, Priority: 11, Backend: "huvo11a",
+				LatencyTargetMS: 500, Priority: 11, Backend: "huvo11a",
 				TrafficSplit: []Split{{Backend: "huvo11a", Weight: 90}, {Backend: "wuno96b", Weight: 10}},
-				MaxRetries:   2, Public: true, SessionAffinity: true, Resumable: true, GapAimMS: 300},
+				MaxRetries:   2, Public: true, SessionAffinity: true, Resumable: true, EventGapTargetMS: 300},
 			{Name: "r-2", Hostname: "ficu95.example", PathPrefix: "/a/", Type: Idempotent, TimeoutMS: 30000,
 				Backend: "wuno96b", Public: true},
 			{Name: "r-3", Hostname: "ficu95.example", PathPrefix: "/b/", Type: NonIdempotent, TimeoutMS: 1,
@@ -41,16 +41,16 @@
 				Backend: "wuno96b", Resumable: true},
 		},
 		Services: []Service{
-			{Name: "huvo11a", HealthCheck: "/healthz", MaxConnections: 370, Protocol: "h1", TLS: true, ColdPerS: 0.75,
-				Engine: &Engine{Slots: 64, KVTokens: 132037, KVBytes: 163840, LinkMbps: 88000.5, Stride: 3,
-					Models:    []Model{{Name: "daka510000", WeightsMB: 72700.25, LoadTimeS: 6.5, Adapters: 37, AdapterMB: 66.5}},
-					WeightsMB: 230000.75, AdapterSlots: 8, LoadsPerS: 2.8}},
+			{Name: "huvo11a", HealthCheck: "/healthz", MaxConnections: 370, Protocol: "h1", TLS: true, WarmUpRate: 0.75,
+				Engine: &Engine{Slots: 64, KVTokens: 132037, KVBytesPerToken: 163840, LinkMbps: 88000.5, TokensPerEvent: 3,
+					Models:         []Model{{Name: "daka510000", WeightsMB: 72700.25, LoadTimeSeconds: 6.5, AdapterCount: 37, AdapterSizeMB: 66.5}},
+					WeightMemoryMB: 230000.75, AdapterSlots: 8, LoadsPerSecond: 2.8}},
 			{Name: "wuno96b", HealthCheck: "/healthz", MaxConnections: 110, Protocol: "h1"},
 		},
 		Limits: Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 4194304, HeaderTimeoutMS: 3000, IdleTimeoutMS: 15001},
 		Tenants: []Tenant{
 			{Name: "huka270", APIKeys: []string{"3d3zji9n73hh2b9wu3fe", "xd9dnn2ctnfzs989anu6"}, Priority: 12,
-				Unit: "token_count", PlainTokens: 200, RatePerS: 35285.5, Burst: 35286.5},
+				Unit: "token_count", DefaultTokens: 200, RatePerSecond: 35285.5, Burst: 35286.5},
 			{Name: "t-2", APIKeys: []string{"k3"}},
 		},
 	}
@@ -68,7 +68,7 @@
 	if got := document.Encode(); string(got) != string(text) {
 		t.Errorf("encode: got %s, want the text as it was sent", got)
 	}
-	if err := Check(document.Configuration(), &Configuration{Generation: 6}); err != nil {
+	if err := Validate(document.Configuration(), &Configuration{Generation: 6}); err != nil {
 		t.Errorf("check: got %v, want no error", err)
 	}
 }
@@ -226,13 +226,13 @@
 	if err == nil {
 		return nil
 	}
-	invalid, is := err.(*Invalid)
+	invalid, is := err.(*InvalidError)
 	if !is {
 		t.Errorf("got %T, want an error of faults", err)
 		return nil
 	}
 	var items, texts []string
-	for _, fault := range invalid.Faults {
+	for _, fault := range invalid.Items {
 		items = append(items, fault.Item)
 		texts = append(texts, fault.Item+": "+fault.Reason)
 		if fault.Reason == "" {
@@ -248,13 +248,13 @@
 // TestGoldenFaultIsEncoded pins how a fault is written in the results that control instances keep and send: by the
 // names of its fields, as it has no tags.
 func TestGoldenFaultIsEncoded(t *testing.T) {
-	fault := Fault{Item: `route "r"`, Reason: "is there twice"}
+	fault := ItemError{Item: `route "r"`, Reason: "is there twice"}
 	const want = "a2644974656d69726f757465202272226652656173" + "6f6e6e6973207468657265207477696365"
 	got, err := cbor.Marshal(fault)
 	if err != nil || hex.EncodeToString(got) != want {
 		t.Errorf("got %x, %v, want %s", got, err, want)
 	}
-	var back Fault
+	var back ItemError
 	if err := cbor.Unmarshal(got, &back); err != nil || back != fault {
 		t.Errorf("got %+v, %v, want %+v", back, err, fault)
 	}
@@ -265,7 +265,7 @@
 		{string(Idempotent), "idempotent"},
 		{string(NonIdempotent), "non_idempotent"},
 		{string(Streaming), "streaming"},
-		{TokenCount, "token_count"},
+		{UnitTokens, "token_count"},
 	} {
 		if test.got != test.want {
 			t.Errorf("got %q, want %q", test.got, test.want)
--- a/internal/configuration/patch.go
+++ b/internal/configuration/patch.go
@@ -113,7 +113,7 @@
 	if err := found.err(); err != nil {
 		return nil, err
 	}
-	if err := Check(next.view, before); err != nil {
+	if err := Validate(next.view, before); err != nil {
 		return nil, err
 	}
 	next.encode()
--- a/internal/control/configstore/store.go
+++ b/internal/control/configstore/store.go
@@ -62,7 +62,7 @@
 }
 
 // reasonOf names all items in fault.
-func reasonOf(faults []configuration.Fault) string {
+func reasonOf(faults []configuration.ItemError) string {
 	reasons := make([]string, len(faults))
 	for i, fault := range faults {
 		reasons[i] = fault.String()
--- a/internal/control/controller/connections.go
+++ b/internal/control/controller/connections.go
@@ -63,10 +63,10 @@
 		c.toHub(distribution.Subscribed{Connection: c.connections.identify(in.Connection), Router: *message})
 	case *protocol.UpdateAck:
 		if id, known := c.connections.id(in.Connection); known {
-			c.toHub(distribution.Confirmed{Connection: id, Sequence: message.Sequence, Mark: message.EchoSequence})
+			c.toHub(distribution.UpdateConfirmed{Connection: id, Sequence: message.Sequence, Echo: message.EchoSequence})
 		}
 	case *protocol.Probe:
-		c.toHub(distribution.Probed{Connection: c.connections.identify(in.Connection), Mark: message.EchoSequence})
+		c.toHub(distribution.Probed{Connection: c.connections.identify(in.Connection), Echo: message.EchoSequence})
 	case *protocol.Report:
 		c.takeReport(message)
 	case *protocol.ReportBatch:
@@ -87,5 +87,5 @@
 		return
 	}
 	c.connections.remove(connection)
-	c.toHub(distribution.Closed{Connection: id})
+	c.toHub(distribution.ConnectionClosed{Connection: id})
 }
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -100,16 +100,16 @@
 // stepParts steps the hub, then the registry, and the hub once more with what the registry changed.
 func (c *Controller) stepParts(now time.Time) {
 	subscriptions := c.hub.Step(now, c.tableAt(now), c.hubInputs...)
-	if subscriptions.Routers {
+	if subscriptions.RoutersChanged {
 		c.toRegistry(registry.Routers{Connected: c.routerHashes()})
 	}
-	c.toRegistry(registry.RoutersConfirmed{Revision: subscriptions.Floor})
+	c.toRegistry(registry.RoutersConfirmed{Revision: subscriptions.MinConfirmedRevision})
 	endpoints := c.registry.Step(now, c.registryInputs...)
 	c.collectSubscriptions(subscriptions)
-	barrier, wakeAt := subscriptions.Barrier, subscriptions.WakeAt
+	barrier, wakeAt := subscriptions.StartBarrier, subscriptions.WakeAt
 	if c.mustAdvertise(endpoints) {
 		advertised := c.advertise(now, endpoints)
-		barrier, wakeAt = advertised.Barrier, advertised.WakeAt
+		barrier, wakeAt = advertised.StartBarrier, advertised.WakeAt
 	}
 	c.collectEndpoints(now, endpoints)
 	c.startBarrier(now, barrier)
@@ -128,8 +128,8 @@
 
 // mustAdvertise says whether the hub must take in the registry's output. It notes that it does.
 func (c *Controller) mustAdvertise(out registry.Output) bool {
-	summary := distribution.Endpoints{Routers: out.RouterCount, Whole: out.Complete}
-	changed := summary.Routers != c.advertised.Routers || summary.Whole != c.advertised.Whole
+	summary := distribution.Endpoints{RouterCount: out.RouterCount, Complete: out.Complete}
+	changed := summary.RouterCount != c.advertised.RouterCount || summary.Complete != c.advertised.Complete
 	c.advertised = summary
 	return changed || len(out.Changed) > 0
 }
@@ -137,11 +137,11 @@
 // advertise has the hub send the registry's changes to the routers.
 func (c *Controller) advertise(now time.Time, out registry.Output) distribution.Output {
 	sent := c.hub.Step(now, c.tableAt(now), distribution.Endpoints{
-		Changed:  out.Changed,
-		Revision: out.Revision,
-		Urgent:   out.Urgent,
-		Routers:  out.RouterCount,
-		Whole:    out.Complete,
+		Changed:     out.Changed,
+		Revision:    out.Revision,
+		Urgent:      out.Urgent,
+		RouterCount: out.RouterCount,
+		Complete:    out.Complete,
 	})
 	c.collectMessages(sent)
 	return sent
@@ -150,16 +150,16 @@
 // collectSubscriptions puts what the hub decided into the output.
 func (c *Controller) collectSubscriptions(out distribution.Output) {
 	c.collectMessages(out)
-	c.out.Subscribed = out.Joined
-	c.reports.confirmed = append(c.reports.confirmed, out.Granted...)
+	c.out.Subscribed = out.Subscribed
+	c.reports.confirmed = append(c.reports.confirmed, out.GrantsConfirmed...)
 }
 
 // collectMessages puts the hub's messages and closings into the output.
 func (c *Controller) collectMessages(out distribution.Output) {
-	for _, message := range out.Send {
+	for _, message := range out.Messages {
 		if connection, open := c.connections.connection(message.Connection); open {
 			c.out.RouterMessages = append(c.out.RouterMessages,
-				RouterMessage{Connection: connection, Message: message.Message})
+				RouterMessage{Connection: connection, Message: message.Content})
 		}
 	}
 	for _, closing := range out.Close {
@@ -207,7 +207,7 @@
 	switch {
 	case hub.IsZero():
 		return out.WakeAt
-	case out.WakeDeferrable && out.WakeAt.Before(hub) && hub.Sub(out.WakeAt) <= distribution.BeaconEvery:
+	case out.WakeDeferrable && out.WakeAt.Before(hub) && hub.Sub(out.WakeAt) <= distribution.BeaconInterval:
 		return hub
 	case out.WakeAt.Before(hub):
 		return out.WakeAt
--- a/internal/control/controller/grants.go
+++ b/internal/control/controller/grants.go
@@ -32,7 +32,7 @@
 			continue
 		}
 		c.grantEpoch = router.Epoch
-		c.toHub(distribution.Granted{Router: router})
+		c.toHub(distribution.GrantIssued{Router: router})
 	}
 }
 
--- a/internal/control/controller/grants_test.go
+++ b/internal/control/controller/grants_test.go
@@ -16,7 +16,7 @@
 	}
 	var passed []uint64
 	for _, input := range c.hubInputs {
-		passed = append(passed, input.(distribution.Granted).Router.Epoch)
+		passed = append(passed, input.(distribution.GrantIssued).Router.Epoch)
 	}
 	if len(passed) != 4 || passed[0] != 4 || passed[1] != 5 || passed[2] != 5 || passed[3] != 7 {
 		t.Errorf("passed on grants of epochs %v, want [4 5 5 7]", passed)
--- a/internal/control/controller/replica.go
+++ b/internal/control/controller/replica.go
@@ -34,7 +34,7 @@
 func (c *Controller) observeCommitted(state ReplicatedState) {
 	if state.Generation > c.replica.generation {
 		c.replica.generation = state.Generation
-		document := protocol.PackDocument(state.Document)
+		document := protocol.CompressDocument(state.Document)
 		c.toHub(distribution.Configuration{Generation: state.Generation, Document: document})
 	}
 	contact := newestContact(c.replica.contact, state.Status)
@@ -93,7 +93,7 @@
 		return
 	}
 	if c.replica.peersGiven && isolationChanged {
-		c.out.Isolation = &Isolation{Isolated: isolated, Live: len(status.Live), Voters: len(status.View.Voters)}
+		c.out.Isolation = &Isolation{Isolated: isolated, Live: len(status.LiveMembers), Voters: len(status.View.Voters)}
 	}
 	c.replica.peersGiven = true
 	c.replica.peers, c.replica.isolated = peers, isolated
@@ -102,8 +102,8 @@
 
 // livePeers returns the transport addresses of the live instances but this one, sorted.
 func livePeers(status replica.Status, self string) []string {
-	peers := make([]string, 0, len(status.Live))
-	for _, member := range status.Live {
+	peers := make([]string, 0, len(status.LiveMembers))
+	for _, member := range status.LiveMembers {
 		if member.Address != self {
 			peers = append(peers, member.Address)
 		}
@@ -125,7 +125,7 @@
 // knownMembers returns the voters, the chain, the live members and this one, each once, by identity.
 func knownMembers(status replica.Status) []protocol.Member {
 	known := make(map[string]replica.Member)
-	for _, members := range [][]replica.Member{status.View.Voters, status.View.Chain, status.Live, {status.Self}} {
+	for _, members := range [][]replica.Member{status.View.Voters, status.View.Chain, status.LiveMembers, {status.Self}} {
 		for _, member := range members {
 			known[member.Identity] = member
 		}
--- a/internal/control/controller/replica_test.go
+++ b/internal/control/controller/replica_test.go
@@ -124,7 +124,7 @@
 	c := newTestController(start)
 	live := []replica.Member{{Identity: "1", Address: "self"}, {Identity: "2", Address: "c2"}}
 	observe := func(now time.Time, members []replica.Member, events ...Event) {
-		status := replica.Status{View: replica.View{Epoch: 1}, Live: members, ConfirmedAt: now}
+		status := replica.Status{View: replica.View{Epoch: 1}, LiveMembers: members, ConfirmedAt: now}
 		c.Step(now, Input{Replicated: ReplicatedState{Status: status}, Events: events})
 	}
 	observe(start, nil)
--- a/internal/control/controller/reports.go
+++ b/internal/control/controller/reports.go
@@ -42,10 +42,10 @@
 
 // takeReport keeps a router's report for the leader and gives the registry what it says of endpoints.
 func (c *Controller) takeReport(report *protocol.Report) {
-	if len(report.Unreachable)+len(report.Reached) > 0 {
-		c.toRegistry(registry.RouterReport{Unreachable: report.Unreachable, Reached: report.Reached})
+	if len(report.Unreachable)+len(report.Reachable) > 0 {
+		c.toRegistry(registry.RouterReport{Unreachable: report.Unreachable, Reached: report.Reachable})
 	}
-	c.reports.starved = c.reports.starved || report.Lacks()
+	c.reports.starved = c.reports.starved || report.HasShortfall()
 	c.reports.reports = append(c.reports.reports, *report)
 }
 
--- a/internal/control/controller/state.go
+++ b/internal/control/controller/state.go
@@ -13,7 +13,7 @@
 func (c *Controller) Routers() []string { return c.hub.Connected() }
 
 // RouterCount returns how many routers all instances have, 0 while unknown.
-func (c *Controller) RouterCount() int { return c.advertised.Routers }
+func (c *Controller) RouterCount() int { return c.advertised.RouterCount }
 
 // Members returns all control instances that are known, by identity. They must not be changed.
 func (c *Controller) Members() []protocol.Member { return c.replica.members }
--- a/internal/control/controller/world_test.go
+++ b/internal/control/controller/world_test.go
@@ -196,7 +196,7 @@
 			status.Self = member
 		}
 		if other == i || slices.Contains(i.reach, other.address) {
-			status.Live = append(status.Live, member)
+			status.LiveMembers = append(status.LiveMembers, member)
 		}
 	}
 	status.View.Chain = status.View.Voters
--- a/internal/control/distribution/standing.go
+++ b/internal/control/distribution/standing.go
@@ -6,9 +6,16 @@
 	"raventrestle/internal/protocol"
 )
 
-// fresh says whether this instance has had contact with a majority of the voters lately.
+const (
+	// ContactTTL is how long a contact with a majority counts as fresh.
+	ContactTTL = time.Second
+
+	contactPollInterval = 50 * time.Millisecond // between steps while routers wait for a fresh contact
+)
+
+// fresh says whether this instance has had contact with a majority of the voters within ContactTTL.
 func (h *Hub) fresh(now time.Time) bool {
-	return !h.contact.ConfirmedAt.IsZero() && now.Sub(h.contact.ConfirmedAt) <= FreshFor
+	return !h.contact.ConfirmedAt.IsZero() && now.Sub(h.contact.ConfirmedAt) <= ContactTTL
 }
 
 // standing is what a message that is decided now states on a connection.
@@ -17,7 +24,7 @@
 		Epoch:              h.contact.Epoch,
 		HasMajorityContact: !h.contact.ConfirmedAt.IsZero(),
 		SentAt:             now.Sub(h.started),
-		EchoedSequence:     h.marks[connection],
+		EchoedSequence:     h.echoes[connection],
 	}
 	if standing.HasMajorityContact {
 		standing.MajorityContactAge = max(0, now.Sub(h.contact.ConfirmedAt))
@@ -25,26 +32,26 @@
 	return standing
 }
 
-// noteMark keeps the newest mark of a connection: marks only rise.
-func (h *Hub) noteMark(connection ConnectionID, mark uint64) {
-	if mark > h.marks[connection] {
-		h.marks[connection] = mark
+// noteEcho keeps the newest echo of a connection: echoes only rise.
+func (h *Hub) noteEcho(connection ConnectionID, echo uint64) {
+	if echo > h.echoes[connection] {
+		h.echoes[connection] = echo
 	}
 }
 
-// probed answers at once, whoever asks.
-func (h *Hub) probed(now time.Time, in Probed) {
-	h.noteMark(in.Connection, in.Mark)
+// answerProbe answers at once, whoever asks.
+func (h *Hub) answerProbe(now time.Time, in Probed) {
+	h.noteEcho(in.Connection, in.Echo)
 	answer := &protocol.ProbeReply{Generation: h.generation, Freshness: h.standing(now, in.Connection)}
-	h.out.Send = append(h.out.Send, Send{Connection: in.Connection, Message: answer})
+	h.out.Messages = append(h.out.Messages, Message{Connection: in.Connection, Content: answer})
 }
 
-// tellContact has routers know at once that the contact is fresh, where they were last told otherwise, or where it
-// has just become so and nothing was sent to them in this step.
-func (h *Hub) tellContact(now time.Time, wasStale bool) {
-	for _, s := range h.order {
-		if s.toldStale || wasStale && s.lastSent.Before(now) {
-			h.beacon(now, s)
+// advertiseContact sends beacons at once where the contact has become fresh: to routers whose newest message stated
+// otherwise, and, where it became fresh in this step, to all that were sent nothing in it.
+func (h *Hub) advertiseContact(now time.Time, wasStale bool) {
+	for _, s := range h.sorted {
+		if s.advertisedStale || wasStale && s.sentAt.Before(now) {
+			h.sendBeacon(now, s)
 		}
 	}
 }
--- a/internal/control/distribution/standing_test.go
+++ b/internal/control/distribution/standing_test.go
@@ -17,9 +17,9 @@
 // standingsTo returns what all messages to a connection state.
 func standingsTo(out Output, connection ConnectionID) []protocol.FreshnessProof {
 	var standings []protocol.FreshnessProof
-	for _, message := range out.Send {
+	for _, message := range out.Messages {
 		if message.Connection == connection {
-			standings = append(standings, standingOf(message.Message))
+			standings = append(standings, standingOf(message.Content))
 		}
 	}
 	return standings
@@ -37,10 +37,10 @@
 	panic("a message without standing")
 }
 
-// oneGone is a table in which an endpoint that is gone shows only where that was asked for.
-func oneGone(withGone bool) []protocol.Endpoint {
-	table := oneEndpoint(withGone)
-	if withGone {
+// oneTombstone is a table of an endpoint and, where tombstones are asked for, that of another.
+func oneTombstone(includeTombstones bool) []protocol.Endpoint {
+	table := oneEndpoint(includeTombstones)
+	if includeTombstones {
 		table = append(table, protocol.Endpoint{ID: "e1", State: protocol.Departed})
 	}
 	return table
@@ -56,12 +56,12 @@
 	if got := standingsTo(out, 1); len(got) != 1 || got[0] != want {
 		t.Errorf("first update states %+v, want %+v", got, want)
 	}
-	out = h.Step(at.Add(BeaconEvery), noTable)
-	want.MajorityContactAge, want.SentAt = 30*time.Millisecond+BeaconEvery, at.Add(BeaconEvery).Sub(begin)
+	out = h.Step(at.Add(BeaconInterval), noTable)
+	want.MajorityContactAge, want.SentAt = 30*time.Millisecond+BeaconInterval, at.Add(BeaconInterval).Sub(begin)
 	if got := standingsTo(out, 1); beaconsTo(out, 1) != 1 || got[0] != want {
 		t.Errorf("beacon states %+v, want %+v", got, want)
 	}
-	out = h.Step(at.Add(BeaconEvery), noTable, Probed{Connection: 2, Mark: 9})
+	out = h.Step(at.Add(BeaconInterval), noTable, Probed{Connection: 2, Echo: 9})
 	want.EchoedSequence = 9
 	if got := standingsTo(out, 2); len(got) != 1 || got[0] != want {
 		t.Errorf("answer to a probe states %+v, want %+v", got, want)
@@ -73,7 +73,7 @@
 	out := h.Step(begin.Add(time.Second), noTable, Contact{Epoch: epoch}, subscribed(1, "r1", 0))
 	want := protocol.FreshnessProof{Epoch: epoch, SentAt: time.Second}
 	if got := standingsTo(out, 1); len(got) != 1 || got[0] != want {
-		t.Errorf("states %+v, want %+v", got, want)
+		t.Errorf("the update states %+v, want %+v", got, want)
 	}
 }
 
@@ -81,160 +81,163 @@
 	h := New(begin)
 	out := h.Step(begin, noTable, contactAt(begin.Add(time.Millisecond)), subscribed(1, "r1", 0))
 	if got := standingsTo(out, 1); !got[0].HasMajorityContact || got[0].MajorityContactAge != 0 {
-		t.Errorf("states %+v", got)
+		t.Errorf("the update states %+v, want a known age of 0", got)
 	}
 }
 
 func TestProbeIsAnsweredWithoutSubscription(t *testing.T) {
 	h := New(begin)
 	h.Step(begin, noTable, Configuration{Generation: 4, Document: []byte("four")})
-	out := h.Step(begin, noTable, Probed{Connection: 1, Mark: 5})
-	if len(out.Send) != 1 {
-		t.Fatalf("%d messages", len(out.Send))
+	out := h.Step(begin, noTable, Probed{Connection: 1, Echo: 5})
+	if len(out.Messages) != 1 {
+		t.Fatalf("%d messages, want 1", len(out.Messages))
 	}
-	answer, isAnswer := out.Send[0].Message.(*protocol.ProbeReply)
+	answer, isAnswer := out.Messages[0].Content.(*protocol.ProbeReply)
 	if !isAnswer || answer.Generation != 4 || answer.Freshness.EchoedSequence != 5 {
-		t.Errorf("answer %+v", out.Send[0].Message)
+		t.Errorf("answer %+v, want version 4 and number 5", out.Messages[0].Content)
 	}
-	if len(h.Connected()) != 0 || len(out.Joined) != 0 || out.Barrier != 0 {
-		t.Error("a probe was taken for a subscription")
+	if len(h.Connected()) != 0 || len(out.Subscribed) != 0 || out.StartBarrier != 0 {
+		t.Errorf("routers %v, subscribed %v, barrier %d after a probe; want none", h.Connected(), out.Subscribed, out.StartBarrier)
 	}
 }
 
-func TestMarksAreKeptByConnection(t *testing.T) {
+func TestEchoesAreKeptByConnection(t *testing.T) {
 	h := New(begin)
-	h.Step(begin, noTable, Probed{Connection: 1, Mark: 5}, Probed{Connection: 2, Mark: 50})
+	h.Step(begin, noTable, Probed{Connection: 1, Echo: 5}, Probed{Connection: 2, Echo: 50})
 	out := h.Step(begin, noTable, subscribed(1, "r1", 0))
 	if got := standingsTo(out, 1); got[0].EchoedSequence != 5 {
-		t.Errorf("the mark of the probe is forgotten: %+v", got)
+		t.Errorf("the update states %+v, want echo 5 of the probe", got)
 	}
-	h.Step(begin, noTable, Confirmed{Connection: 1, Sequence: 1, Mark: 7}, Probed{Connection: 1, Mark: 6})
-	h.Step(begin, noTable, Confirmed{Connection: 1, Sequence: 1})
-	if got := standingsTo(h.Step(begin.Add(BeaconEvery), noTable), 1); got[0].EchoedSequence != 7 {
-		t.Errorf("a mark fell: %+v", got)
+	h.Step(begin, noTable, UpdateConfirmed{Connection: 1, Sequence: 1, Echo: 7}, Probed{Connection: 1, Echo: 6})
+	h.Step(begin, noTable, UpdateConfirmed{Connection: 1, Sequence: 1})
+	if got := standingsTo(h.Step(begin.Add(BeaconInterval), noTable), 1); got[0].EchoedSequence != 7 {
+		t.Errorf("the beacon states %+v, want echo 7: echoes only rise", got)
 	}
 	router := subscribed(3, "r3", 0)
 	router.Router.EchoSequence = 11
 	if got := standingsTo(h.Step(begin, noTable, router), 3); got[0].EchoedSequence != 11 {
-		t.Errorf("the mark of the subscription does not come back: %+v", got)
+		t.Errorf("the update states %+v, want echo 11 of the subscription", got)
 	}
-	h.Step(begin, noTable, Closed{Connection: 1}, Closed{Connection: 2}, Closed{Connection: 3})
-	if len(h.marks) != 0 {
-		t.Errorf("marks of closed connections are kept: %v", h.marks)
+	h.Step(begin, noTable, ConnectionClosed{Connection: 1}, ConnectionClosed{Connection: 2}, ConnectionClosed{Connection: 3})
+	if len(h.echoes) != 0 {
+		t.Errorf("echoes of closed connections are kept: %v", h.echoes)
 	}
 }
 
-func TestClosingForgetsTheMark(t *testing.T) {
+func TestClosingForgetsTheEcho(t *testing.T) {
 	h := New(begin)
 	first := subscribed(1, "r1", 0)
 	first.Router.EchoSequence = 1
 	h.Step(begin, noTable, first)
 	h.Step(begin, noTable, subscribed(2, "r1", 0)) // closes the first, of which no Closed comes
-	if _, kept := h.marks[1]; kept {
-		t.Error("the mark of a connection that was closed here is kept")
+	if _, kept := h.echoes[1]; kept {
+		t.Error("the echo of a connection that was closed here is kept")
 	}
 }
 
-// TestRouterIsTakenWithAndWithoutContact: nobody is sent away or refused for the age of the contact, however old.
-func TestRouterIsTakenWithAndWithoutContact(t *testing.T) {
+// TestRouterIsSubscribedWithAndWithoutContact: no connection is closed or subscription rejected for the age of the
+// contact, however old.
+func TestRouterIsSubscribedWithAndWithoutContact(t *testing.T) {
 	for _, contact := range []Contact{{}, {Epoch: epoch}, contactAt(begin), contactAt(begin.Add(-time.Hour))} {
 		h := New(begin)
 		out := h.Step(begin, noTable, contact, subscribed(1, "r1", 0))
 		if len(out.Close) != 0 || len(updatesTo(out, 1)) != 1 {
-			t.Fatalf("%+v: not taken at its first try", contact)
+			t.Fatalf("%+v: closed %v, %d updates; want none closed, 1 update", contact, out.Close, len(updatesTo(out, 1)))
 		}
 		for now := begin; now.Before(begin.Add(time.Minute)); now = out.WakeAt {
-			out = h.Step(now, noTable, Confirmed{Connection: 1, Sequence: 1 << 40})
+			out = h.Step(now, noTable, UpdateConfirmed{Connection: 1, Sequence: 1 << 40})
 			if len(out.Close) != 0 {
-				t.Fatalf("%+v: sent away as %s after %v", contact, out.Close[0].Reason, now.Sub(begin))
+				t.Fatalf("%+v: closed as %s after %v, want never", contact, out.Close[0].Reason, now.Sub(begin))
 			}
 		}
 	}
 }
 
-// TestTableReplacesOnlyWithAFreshContact: an instance that was cut off lets routers merge, and makes up for it.
-func TestTableReplacesOnlyWithAFreshContact(t *testing.T) {
+// TestSnapshotIsSentOnlyWithAFreshContact: an instance that is isolated has routers merge its table, and sends a
+// snapshot later.
+func TestSnapshotIsSentOnlyWithAFreshContact(t *testing.T) {
 	h := New(begin)
-	h.Step(begin, oneGone, contactAt(begin), Endpoints{Revision: 3, Routers: 2, Whole: true})
-	at := begin.Add(FreshFor + time.Millisecond)
-	first := updatesTo(h.Step(at, oneGone, subscribed(1, "r1", 0)), 1)[0]
+	h.Step(begin, oneTombstone, contactAt(begin), Endpoints{Revision: 3, RouterCount: 2, Complete: true})
+	at := begin.Add(ContactTTL + time.Millisecond)
+	first := updatesTo(h.Step(at, oneTombstone, subscribed(1, "r1", 0)), 1)[0]
 	if first.Snapshot || len(first.Endpoints) != 2 {
-		t.Fatalf("a table of %d that replaces (%v) without a fresh contact", len(first.Endpoints), first.Snapshot)
+		t.Fatalf("%d endpoints, snapshot: %v without a fresh contact; want 2, false", len(first.Endpoints), first.Snapshot)
 	}
 	at = at.Add(time.Millisecond)
-	stale := h.Step(at, oneGone, Endpoints{Changed: oneEndpoint(false), Revision: 4, Routers: 2, Whole: true, Urgent: true})
+	change := Endpoints{Changed: oneEndpoint(false), Revision: 4, RouterCount: 2, Complete: true, Urgent: true}
+	stale := h.Step(at, oneTombstone, change)
 	if slices.ContainsFunc(updatesTo(stale, 1), isFull) {
-		t.Fatal("replaced without a fresh contact")
+		t.Fatal("a snapshot without a fresh contact")
 	}
 	at = at.Add(time.Millisecond)
-	fresh := updatesTo(h.Step(at, oneGone, contactAt(at)), 1)
+	fresh := updatesTo(h.Step(at, oneTombstone, contactAt(at)), 1)
 	if len(fresh) != 1 || !fresh[0].Snapshot || len(fresh[0].Endpoints) != 1 {
-		t.Fatalf("with a fresh contact again: %+v", fresh)
+		t.Fatalf("with a fresh contact again: %+v, want a snapshot of 1 endpoint", fresh)
 	}
-	again := h.Step(at.Add(time.Millisecond), oneGone, contactAt(at))
-	if len(again.Send) != 0 {
-		t.Errorf("sent twice: %+v", again.Send)
+	again := h.Step(at.Add(time.Millisecond), oneTombstone, contactAt(at))
+	if len(again.Messages) != 0 {
+		t.Errorf("sent again: %+v, want nothing", again.Messages)
 	}
 }
 
-func TestTableOfAYoungInstanceReplacesOnceItIsWhole(t *testing.T) {
+func TestSnapshotFollowsOnceTheTableIsComplete(t *testing.T) {
 	h := New(begin)
-	first := updatesTo(h.Step(begin, oneGone, contactAt(begin), subscribed(1, "r1", 0)), 1)[0]
+	first := updatesTo(h.Step(begin, oneTombstone, contactAt(begin), subscribed(1, "r1", 0)), 1)[0]
 	if first.Snapshot || len(first.Endpoints) != 2 {
-		t.Fatalf("first: %+v", first)
+		t.Fatalf("first: %+v, want 2 endpoints to be merged", first)
 	}
-	whole := updatesTo(h.Step(begin, oneGone, Endpoints{Revision: 1, Whole: true}), 1)
-	if len(whole) != 1 || !whole[0].Snapshot {
-		t.Errorf("whole: %+v", whole)
+	complete := updatesTo(h.Step(begin, oneTombstone, Endpoints{Revision: 1, Complete: true}), 1)
+	if len(complete) != 1 || !complete[0].Snapshot {
+		t.Errorf("once complete: %+v, want one snapshot", complete)
 	}
 }
 
-// TestFreshContactIsToldAtOnce: routers don't wait for the next beacon.
-func TestFreshContactIsToldAtOnce(t *testing.T) {
+// TestFreshContactIsAdvertisedAtOnce: routers don't wait for the next beacon interval.
+func TestFreshContactIsAdvertisedAtOnce(t *testing.T) {
 	h := New(begin)
-	h.Step(begin, noTable, contactAt(begin.Add(-FreshFor)), subscribed(1, "r1", 0))
+	h.Step(begin, noTable, contactAt(begin.Add(-ContactTTL)), subscribed(1, "r1", 0))
 	at := begin.Add(10 * time.Millisecond)
-	out := h.Step(at, noTable, contactAt(at)) // it was told a fresh one that is none any more
+	out := h.Step(at, noTable, contactAt(at)) // the router was sent one that is fresh no longer
 	if got := standingsTo(out, 1); len(got) != 1 || got[0].MajorityContactAge != 0 {
-		t.Fatalf("told %+v", got)
+		t.Fatalf("messages state %+v, want one of age 0", got)
 	}
 	at = at.Add(time.Millisecond)
-	if out = h.Step(at, noTable, contactAt(at)); len(out.Send) != 0 {
-		t.Errorf("told again: %+v", out.Send)
+	if out = h.Step(at, noTable, contactAt(at)); len(out.Messages) != 0 {
+		t.Errorf("sent again: %+v, want nothing", out.Messages)
 	}
 	out = h.Step(at, noTable, subscribed(2, "r2", 0), Contact{}, subscribed(3, "r3", 0), contactAt(at))
 	if got := standingsTo(out, 2); len(got) != 1 {
-		t.Errorf("a router that knows of the contact is told again: %+v", got)
+		t.Errorf("to a router that knows of the contact: %+v, want one message", got)
 	}
 	if got := standingsTo(out, 3); len(got) != 2 || !got[1].HasMajorityContact {
-		t.Errorf("a router that was told of none in this step is left with it: %+v", got)
+		t.Errorf("to a router that was sent none in this step: %+v, want a second message that states it", got)
 	}
 }
 
-// TestContactIsLookedForWhileRoutersLackIt: the host reads the contact at each step, so there must be one soon.
-func TestContactIsLookedForWhileRoutersLackIt(t *testing.T) {
+// TestContactIsPolledWhileRoutersLackIt: the host reads the contact at each step, so there must be one soon.
+func TestContactIsPolledWhileRoutersLackIt(t *testing.T) {
 	h := New(begin)
 	if out := h.Step(begin, noTable); !out.WakeAt.IsZero() {
-		t.Error("awake without a router")
+		t.Errorf("a wake-up at %v without a router, want none", out.WakeAt)
 	}
 	out := h.Step(begin, noTable, subscribed(1, "r1", 0))
-	if wait := out.WakeAt.Sub(begin); wait > contactEvery {
-		t.Errorf("looks again after %v", wait)
+	if wait := out.WakeAt.Sub(begin); wait > contactPollInterval {
+		t.Errorf("steps again after %v, want %v at the latest", wait, contactPollInterval)
 	}
 	out = h.Step(begin, noTable, contactAt(begin))
-	if wait := out.WakeAt.Sub(begin); wait != BeaconEvery {
-		t.Errorf("with a fresh contact it wakes after %v", wait)
+	if wait := out.WakeAt.Sub(begin); wait != BeaconInterval {
+		t.Errorf("with a fresh contact it steps again after %v, want %v", wait, BeaconInterval)
 	}
 }
 
-// TestStandingsAreTrue plays random contacts, marks and news: no message claims what is not so.
+// TestStandingsAreTrue draws random contacts, echoes and changes: no message states what is not so.
 func TestStandingsAreTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := New(begin)
 		now := begin
 		contact := Contact{}
-		mark := uint64(0)
-		marks := make(map[ConnectionID]uint64)
+		echo := uint64(0)
+		echoes := make(map[ConnectionID]uint64)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 700).Draw(t, "wait")) * time.Millisecond)
 			connection := ConnectionID(rapid.IntRange(1, 4).Draw(t, "connection"))
@@ -244,37 +247,37 @@
 				contact = contactAt(now.Add(-time.Duration(rapid.IntRange(0, 1500).Draw(t, "age")) * time.Millisecond))
 				in = contact
 			case "probe":
-				mark++
-				marks[connection] = mark
-				in = Probed{Connection: connection, Mark: mark}
+				echo++
+				echoes[connection] = echo
+				in = Probed{Connection: connection, Echo: echo}
 			case "subscribe":
-				mark++
-				marks[connection] = mark
-				router := protocol.Subscribe{Node: string(rune('a' + connection)), EchoSequence: mark}
+				echo++
+				echoes[connection] = echo
+				router := protocol.Subscribe{Node: string(rune('a' + connection)), EchoSequence: echo}
 				in = Subscribed{Connection: connection, Router: router}
 			case "confirm":
-				in = Confirmed{Connection: connection, Sequence: 1}
+				in = UpdateConfirmed{Connection: connection, Sequence: 1}
 			case "change":
-				in = Endpoints{Changed: oneEndpoint(false), Revision: h.revision + 1, Whole: true}
+				in = Endpoints{Changed: oneEndpoint(false), Revision: h.revision + 1, Complete: true}
 			}
 			var inputs []Input
 			if in != nil {
 				inputs = append(inputs, in)
 			}
-			for _, message := range h.Step(now, oneGone, inputs...).Send {
-				standing := standingOf(message.Message)
-				if standing.SentAt != now.Sub(begin) || standing.EchoedSequence != marks[message.Connection] {
-					t.Fatalf("%+v at %v with mark %d", standing, now.Sub(begin), marks[message.Connection])
+			for _, message := range h.Step(now, oneTombstone, inputs...).Messages {
+				standing := standingOf(message.Content)
+				if standing.SentAt != now.Sub(begin) || standing.EchoedSequence != echoes[message.Connection] {
+					t.Fatalf("states %+v, want time %v and echo %d", standing, now.Sub(begin), echoes[message.Connection])
 				}
 				if standing.HasMajorityContact == contact.ConfirmedAt.IsZero() {
-					t.Fatalf("known: %v of %+v", standing.HasMajorityContact, contact)
+					t.Fatalf("states known: %v, the contact is %+v", standing.HasMajorityContact, contact)
 				}
 				if standing.HasMajorityContact && now.Add(-standing.MajorityContactAge).After(contact.ConfirmedAt) {
-					t.Fatalf("states an age of %v, it is %v", standing.MajorityContactAge, now.Sub(contact.ConfirmedAt))
+					t.Fatalf("states an age of %v, want %v at least", standing.MajorityContactAge, now.Sub(contact.ConfirmedAt))
 				}
-				update, isUpdate := message.Message.(*protocol.Update)
-				if isUpdate && update.Snapshot && (!standing.HasMajorityContact || standing.MajorityContactAge > FreshFor) {
-					t.Fatalf("replaces with a contact of %+v", standing)
+				update, isUpdate := message.Content.(*protocol.Update)
+				if isUpdate && update.Snapshot && (!standing.HasMajorityContact || standing.MajorityContactAge > ContactTTL) {
+					t.Fatalf("a snapshot with a contact of %+v, want a fresh one", standing)
 				}
 			}
 		}
--- a/internal/control/host/commands.go
+++ b/internal/control/host/commands.go
@@ -88,13 +88,13 @@
 	}
 }
 
-// ShowLoading gives routers and instances the placer's model loads that are in progress.
-func (h *Host) ShowLoading(table protocol.LoadingTable) {
+// PublishLoading gives routers and other instances the placer's model loads that are in progress.
+func (h *Host) PublishLoading(table protocol.LoadingTable) {
 	h.post(context.Background(), controller.LoadingChanged{Table: table})
 }
 
-// Grant sends quota grants to the instances that have the routers. Batches are keyed by transport address.
-func (h *Host) Grant(batches map[string][]protocol.RouterGrants) {
+// DistributeGrants sends quota grants to the instances that have the routers. Batches are keyed by transport address.
+func (h *Host) DistributeGrants(batches map[string][]protocol.RouterGrants) {
 	h.post(context.Background(), controller.GrantsIssued{Batches: batches})
 }
 
--- a/internal/control/host/frames.go
+++ b/internal/control/host/frames.go
@@ -11,16 +11,16 @@
 
 // encodedUpdate is protocol.Update with the endpoints encoded before: many routers get the same ones.
 type encodedUpdate struct {
-	Sequence   uint64                  `cbor:"1,keyasint"`
-	Generation int64                   `cbor:"2,keyasint"`
-	Document   []byte                  `cbor:"3,keyasint,omitempty"`
-	Full       bool                    `cbor:"4,keyasint,omitempty"`
-	Endpoints  cbor.RawMessage         `cbor:"5,keyasint,omitempty"`
-	Members    []protocol.Member       `cbor:"6,keyasint,omitempty"`
-	Routers    int                     `cbor:"7,keyasint,omitempty"`
-	Quotas     []protocol.QuotaGrant   `cbor:"8,keyasint,omitempty"`
-	Confirmed  bool                    `cbor:"9,keyasint,omitempty"`
-	Freshness  protocol.FreshnessProof `cbor:"10,keyasint,omitzero"`
+	Sequence            uint64                  `cbor:"1,keyasint"`
+	Generation          int64                   `cbor:"2,keyasint"`
+	Document            []byte                  `cbor:"3,keyasint,omitempty"`
+	Snapshot            bool                    `cbor:"4,keyasint,omitempty"`
+	Endpoints           cbor.RawMessage         `cbor:"5,keyasint,omitempty"`
+	Members             []protocol.Member       `cbor:"6,keyasint,omitempty"`
+	RouterCount         int                     `cbor:"7,keyasint,omitempty"`
+	Quotas              []protocol.QuotaGrant   `cbor:"8,keyasint,omitempty"`
+	GenerationConfirmed bool                    `cbor:"9,keyasint,omitempty"`
+	Freshness           protocol.FreshnessProof `cbor:"10,keyasint,omitzero"`
 }
 
 // frames makes frames of updates and encodes a list of endpoints once, however many routers get it in a row.
@@ -47,8 +47,8 @@
 		return nil, fmt.Errorf("update %d: %w", u.Sequence, err)
 	}
 	return f.codec.EncodeAs(protocol.KindUpdate, encodedUpdate{
-		Sequence: u.Sequence, Generation: u.Generation, Document: u.Document, Full: u.Snapshot, Endpoints: endpoints,
-		Members: u.Members, Routers: u.RouterCount, Quotas: u.Quotas, Confirmed: u.GenerationConfirmed,
+		Sequence: u.Sequence, Generation: u.Generation, Document: u.Document, Snapshot: u.Snapshot, Endpoints: endpoints,
+		Members: u.Members, RouterCount: u.RouterCount, Quotas: u.Quotas, GenerationConfirmed: u.GenerationConfirmed,
 		Freshness: u.Freshness,
 	})
 }
--- a/internal/control/host/frames_test.go
+++ b/internal/control/host/frames_test.go
@@ -23,7 +23,7 @@
 			Sequence: 1, Generation: 2, Document: []byte("{}"), Snapshot: true, Endpoints: list,
 			Members: []protocol.Member{{Identity: "m"}}, RouterCount: 4, GenerationConfirmed: true,
 			Freshness: protocol.FreshnessProof{Epoch: 3, HasMajorityContact: true, MajorityContactAge: time.Second, SentAt: time.Hour, EchoedSequence: 8},
-			Quotas:    []protocol.QuotaGrant{{Tenant: "t", RatePerS: 5, Burst: 6, For: time.Second}},
+			Quotas:    []protocol.QuotaGrant{{Tenant: "t", RatePerSecond: 5, Burst: 6, TTL: time.Second}},
 		},
 		{Sequence: 2, Endpoints: list},
 		{Sequence: 3},
@@ -46,15 +46,15 @@
 
 // TestEncodedUpdateHasAllFields fails when protocol.Update gets a field that frames leave out.
 func TestEncodedUpdateHasAllFields(t *testing.T) {
-	whole, encoded := reflect.TypeFor[protocol.Update](), reflect.TypeFor[encodedUpdate]()
-	for i := range whole.NumField() {
-		field := whole.Field(i)
+	update, encoded := reflect.TypeFor[protocol.Update](), reflect.TypeFor[encodedUpdate]()
+	for i := range update.NumField() {
+		field := update.Field(i)
 		same, present := encoded.FieldByName(field.Name)
 		if !present || same.Tag != field.Tag {
 			t.Errorf("field %s: %q in the update, %q in the frame", field.Name, field.Tag, same.Tag)
 		}
 	}
-	if whole.NumField() != encoded.NumField() {
-		t.Errorf("%d fields, %d in the frame", whole.NumField(), encoded.NumField())
+	if update.NumField() != encoded.NumField() {
+		t.Errorf("%d fields, %d in the frame", update.NumField(), encoded.NumField())
 	}
 }
--- a/internal/control/host/host_test.go
+++ b/internal/control/host/host_test.go
@@ -13,43 +13,43 @@
 	"raventrestle/internal/transport"
 )
 
-const patience = 10 * time.Second // of a test for what must come
+const testTimeout = 10 * time.Second // for what must happen
 
-// standIn is what the host works with in these tests.
-type standIn struct {
+// fakeDependencies stands in for the host's collaborators, beside the replica.
+type fakeDependencies struct {
 	mutex      sync.Mutex
 	generation int64
 	document   []byte
 	reports    chan protocol.Report
 }
 
-func (s *standIn) Newest() (int64, []byte) {
+func (s *fakeDependencies) Newest() (int64, []byte) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.generation, s.document
 }
 
-func (s *standIn) set(generation int64, document string) {
+func (s *fakeDependencies) set(generation int64, document string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.generation, s.document = generation, []byte(document)
 }
 
-func (s *standIn) HandleReports(batch *protocol.ReportBatch) {
+func (s *fakeDependencies) HandleReports(batch *protocol.ReportBatch) {
 	for _, report := range batch.Reports {
 		s.reports <- report
 	}
 }
 
-func (s *standIn) RouterSubscribed(string, string, int64) {}
-func (s *standIn) RouterClosed(string, string)            {}
-func (s *standIn) Isolated(bool, int, int)                {}
+func (s *fakeDependencies) RouterSubscribed(string, string, int64) {}
+func (s *fakeDependencies) RouterClosed(string, string)            {}
+func (s *fakeDependencies) Isolated(bool, int, int)                {}
 
-// node is a host with its transport on loopback.
+// node is a host with its transport on the loopback interface.
 type node struct {
 	host    *Host
-	double  *replicatest.Double
-	stand   *standIn
+	replica *replicatest.Double
+	fake    *fakeDependencies
 	address string
 }
 
@@ -59,42 +59,42 @@
 	return codec
 }
 
-// entrance lets a server listen before its host is there.
-type entrance struct{ host *Host }
+// lateHandler lets a server listen before its host is made.
+type lateHandler struct{ host *Host }
 
-func (e *entrance) Message(c *transport.Connection, message any) { e.host.Message(c, message) }
-func (e *entrance) Closed(c *transport.Connection, err error)    { e.host.Closed(c, err) }
+func (l *lateHandler) Message(c *transport.Connection, message any) { l.host.Message(c, message) }
+func (l *lateHandler) Closed(c *transport.Connection, err error)    { l.host.Closed(c, err) }
 
 func startNodes(t *testing.T, count int) []*node {
 	t.Helper()
 	var nodes []*node
 	var members []replica.Member
-	var entrances []*entrance
+	var handlers []*lateHandler
 	for range count {
-		door := &entrance{}
-		server, err := transport.Listen("127.0.0.1:0", testCodec(), door)
+		handler := &lateHandler{}
+		server, err := transport.Listen("127.0.0.1:0", testCodec(), handler)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _ = server.Close() })
-		entrances = append(entrances, door)
-		nodes = append(nodes, &node{address: server.Address(), stand: &standIn{reports: make(chan protocol.Report, 16)}})
+		handlers = append(handlers, handler)
+		nodes = append(nodes, &node{address: server.Address(), fake: &fakeDependencies{reports: make(chan protocol.Report, 16)}})
 		members = append(members, replica.Member{Identity: server.Address(), Address: server.Address(), Zone: "z"})
 	}
 	for n, self := range nodes {
-		self.double = replicatest.New(nil, replica.Status{
-			Self: members[n],
-			View: replica.View{Epoch: 1, Chain: members, Voters: members},
-			Live: members,
+		self.replica = replicatest.New(nil, replica.Status{
+			Self:        members[n],
+			View:        replica.View{Epoch: 1, Chain: members, Voters: members},
+			LiveMembers: members,
 		})
-		mesh := transport.NewMesh(testCodec(), self.address, entrances[n])
+		mesh := transport.NewMesh(testCodec(), self.address, handlers[n])
 		t.Cleanup(mesh.Close)
 		self.host = New(Config{
 			Origin:    protocol.Origin{Address: self.address, Incarnation: uint64(n + 1)},
 			Heartbeat: 200 * time.Millisecond,
 			Codec:     testCodec(),
-		}, Dependencies{Replica: self.double, Configurations: self.stand, Mesh: mesh, Roles: self.stand, Events: self.stand})
-		entrances[n].host = self.host
+		}, Dependencies{Replica: self.replica, Configurations: self.fake, Mesh: mesh, Roles: self.fake, Events: self.fake})
+		handlers[n].host = self.host
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var tasks sync.WaitGroup
@@ -114,18 +114,18 @@
 
 // client is a router's end of a subscription.
 type client struct {
-	t          *testing.T
-	connection *transport.Connection
-	updates    chan *protocol.Update
-	beacons    chan *protocol.Beacon
-	closed     chan struct{}
-	mute       bool // it confirms nothing
+	t               *testing.T
+	connection      *transport.Connection
+	updates         chan *protocol.Update
+	beacons         chan *protocol.Beacon
+	closed          chan struct{}
+	confirmsNothing bool // it confirms nothing
 }
 
 func (c *client) Message(connection *transport.Connection, message any) {
 	switch message := message.(type) {
 	case *protocol.Update:
-		if !c.mute {
+		if !c.confirmsNothing {
 			_ = connection.Send(protocol.UpdateAck{Sequence: message.Sequence})
 		}
 		c.updates <- message
@@ -143,7 +143,7 @@
 	t.Helper()
 	c := &client{
 		t: t, updates: make(chan *protocol.Update, 64), beacons: make(chan *protocol.Beacon, 1),
-		closed: make(chan struct{}), mute: mute,
+		closed: make(chan struct{}), confirmsNothing: mute,
 	}
 	connection, err := transport.Dial(t.Context(), to.address, testCodec(), c)
 	if err != nil {
@@ -160,7 +160,7 @@
 // await returns the first update that fits.
 func (c *client) await(what string, fits func(update *protocol.Update) bool) *protocol.Update {
 	c.t.Helper()
-	deadline := time.After(patience)
+	deadline := time.After(testTimeout)
 	for {
 		select {
 		case update := <-c.updates:
@@ -168,7 +168,7 @@
 				return update
 			}
 		case <-deadline:
-			c.t.Fatalf("no update: %s", what)
+			c.t.Fatalf("no update after %v, want: %s", testTimeout, what)
 		}
 	}
 }
@@ -182,17 +182,17 @@
 	return false
 }
 
-func beat(id string, sequence uint64, state protocol.EndpointState) protocol.Endpoint {
+func endpointAs(id string, sequence uint64, state protocol.EndpointState) protocol.Endpoint {
 	return protocol.Endpoint{
 		ID: id, Service: "s", Address: id + ":1", Zone: "z", Slots: 4, State: state,
 		Sequence: sequence,
 	}
 }
 
-// call repeats a heartbeat until the instance takes it: a young one refuses farewells.
+// call repeats a heartbeat until the instance accepts it: one that has just started rejects those of draining endpoints.
 func call(t *testing.T, to *node, endpoint protocol.Endpoint) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(testTimeout)
 	for {
 		err := to.host.Heartbeat(t.Context(), endpoint)
 		if err == nil {
@@ -206,18 +206,18 @@
 
 func TestRouterFollowsTheOtherInstance(t *testing.T) {
 	nodes := startNodes(t, 2)
-	nodes[0].stand.set(7, "seven")
+	nodes[0].fake.set(7, "seven")
 	c := subscribe(t, nodes[0], protocol.Subscribe{Node: "r1"}, false)
 	first := c.await("first", func(u *protocol.Update) bool { return u.Sequence == 1 })
 	if first.Generation != 7 || string(first.Document) != "seven" {
-		t.Errorf("first: %+v", first)
+		t.Errorf("first update %+v, want version 7 with its document", first)
 	}
 	if !first.GenerationConfirmed {
 		c.await("confirmed", func(u *protocol.Update) bool { return u.GenerationConfirmed && u.Generation == 7 })
 	}
-	call(t, nodes[1], beat("e1", 1, protocol.Ready))
+	call(t, nodes[1], endpointAs("e1", 1, protocol.Ready))
 	c.await("ready", func(u *protocol.Update) bool { return has(u, "e1", protocol.Ready) })
-	call(t, nodes[1], beat("e1", 2, protocol.Draining))
+	call(t, nodes[1], endpointAs("e1", 2, protocol.Draining))
 	// It was acknowledged, so the router has confirmed it: the update must be here.
 	for {
 		select {
@@ -227,21 +227,21 @@
 			}
 			continue
 		default:
-			t.Fatal("acknowledged before the router had it")
+			t.Fatal("the drain is acknowledged, but the router has no update with it")
 		}
 	}
 }
 
-func TestNewVersionComesAtOnceAndBeaconsFollow(t *testing.T) {
+func TestNewConfigurationIsSentAtOnceAndInBeacons(t *testing.T) {
 	nodes := startNodes(t, 1)
 	c := subscribe(t, nodes[0], protocol.Subscribe{Node: "r1"}, false)
 	c.await("confirmed", func(u *protocol.Update) bool { return u.GenerationConfirmed })
-	nodes[0].stand.set(9, "nine")
-	status := nodes[0].double.Status()
-	status.Committed++
-	nodes[0].double.SetStatus(status)
+	nodes[0].fake.set(9, "nine")
+	status := nodes[0].replica.Status()
+	status.CommitIndex++
+	nodes[0].replica.SetStatus(status)
 	c.await("version 9", func(u *protocol.Update) bool { return u.Generation == 9 && string(u.Document) == "nine" })
-	deadline := time.After(patience)
+	deadline := time.After(testTimeout)
 	for {
 		select {
 		case beacon := <-c.beacons:
@@ -249,38 +249,38 @@
 				return
 			}
 		case <-deadline:
-			t.Fatal("no beacon of version 9")
+			t.Fatalf("no beacon of version 9 after %v", testTimeout)
 		}
 	}
 }
 
 func TestConfirmedWaitsForTheBarrier(t *testing.T) {
 	nodes := startNodes(t, 1)
-	nodes[0].double.SetRejecting(true)
+	nodes[0].replica.SetRejecting(true)
 	c := subscribe(t, nodes[0], protocol.Subscribe{Node: "r1"}, false)
 	c.await("first", func(u *protocol.Update) bool { return u.Sequence == 1 && !u.GenerationConfirmed })
-	nodes[0].double.SetRejecting(false)
+	nodes[0].replica.SetRejecting(false)
 	c.await("confirmed", func(u *protocol.Update) bool { return u.GenerationConfirmed })
-	if nodes[0].double.BarrierCount() == 0 {
-		t.Error("confirmed without a barrier")
+	if nodes[0].replica.BarrierCount() == 0 {
+		t.Error("confirmed after 0 barriers, want 1 at least")
 	}
 }
 
-func TestMuteRouterDelaysFarewellsButNotForLong(t *testing.T) {
+func TestRouterThatConfirmsNothingIsClosedAndDelaysDrainsNoLonger(t *testing.T) {
 	nodes := startNodes(t, 1)
 	c := subscribe(t, nodes[0], protocol.Subscribe{Node: "r1"}, true)
 	c.await("first", func(u *protocol.Update) bool { return u.Sequence == 1 })
-	call(t, nodes[0], beat("e1", 1, protocol.Ready))
-	call(t, nodes[0], beat("e0", 1, protocol.Ready))
-	call(t, nodes[0], beat("e1", 2, protocol.Draining))
+	call(t, nodes[0], endpointAs("e1", 1, protocol.Ready))
+	call(t, nodes[0], endpointAs("e0", 1, protocol.Ready))
+	call(t, nodes[0], endpointAs("e1", 2, protocol.Draining))
 	select {
 	case <-c.closed: // it confirmed nothing for seconds
-	case <-time.After(patience):
-		t.Error("the mute router stays")
+	case <-time.After(testTimeout):
+		t.Errorf("the connection of a router that confirms nothing is open after %v, want it closed", testTimeout)
 	}
 }
 
-func TestReportsReachTheHolder(t *testing.T) {
+func TestReportsReachTheLeader(t *testing.T) {
 	nodes := startNodes(t, 2)
 	c := subscribe(t, nodes[1], protocol.Subscribe{Node: "r1"}, false)
 	c.await("first", func(u *protocol.Update) bool { return u.Sequence == 1 })
@@ -288,27 +288,27 @@
 		t.Fatal(err)
 	}
 	select {
-	case report := <-nodes[0].stand.reports:
+	case report := <-nodes[0].fake.reports:
 		if report.Node != "r1" || report.Sequence != 4 {
-			t.Errorf("%+v", report)
+			t.Errorf("report %+v, want number 4 of r1", report)
 		}
-	case <-time.After(patience):
-		t.Error("no report at the head")
+	case <-time.After(testTimeout):
+		t.Errorf("no report at the chain's head after %v, want one", testTimeout)
 	}
 }
 
-func TestIsolatedInstanceRefuses(t *testing.T) {
+func TestIsolatedInstanceRejectsHeartbeats(t *testing.T) {
 	nodes := startNodes(t, 3)
-	call(t, nodes[0], beat("e1", 1, protocol.Ready))
-	nodes[0].double.SetPartitioned(true)
-	deadline := time.Now().Add(patience)
+	call(t, nodes[0], endpointAs("e1", 1, protocol.Ready))
+	nodes[0].replica.SetPartitioned(true)
+	deadline := time.Now().Add(testTimeout)
 	for sequence := uint64(2); ; sequence++ {
-		err := nodes[0].host.Heartbeat(t.Context(), beat("e1", sequence, protocol.Ready))
+		err := nodes[0].host.Heartbeat(t.Context(), endpointAs("e1", sequence, protocol.Ready))
 		if errors.Is(err, ErrIsolated) {
 			return
 		}
 		if err != nil || time.Now().After(deadline) {
-			t.Fatalf("not refused: %v", err)
+			t.Fatalf("heartbeat to an isolated instance: error %v, want %v", err, ErrIsolated)
 		}
 	}
 }
@@ -317,12 +317,12 @@
 	nodes := startNodes(t, 1)
 	one := subscribe(t, nodes[0], protocol.Subscribe{Node: "r1", Incarnation: 3}, false)
 	one.await("first", func(u *protocol.Update) bool { return u.Sequence == 1 })
-	nodes[0].host.Grant(map[string][]protocol.RouterGrants{nodes[0].address: {
+	nodes[0].host.DistributeGrants(map[string][]protocol.RouterGrants{nodes[0].address: {
 		{Node: "r1", Incarnation: 2, Grants: []protocol.QuotaGrant{{Tenant: "old"}}},
-		{Node: "r1", Incarnation: 3, Grants: []protocol.QuotaGrant{{Tenant: "t", RatePerS: 5}}},
+		{Node: "r1", Incarnation: 3, Grants: []protocol.QuotaGrant{{Tenant: "t", RatePerSecond: 5}}},
 	}})
 	update := one.await("grant", func(u *protocol.Update) bool { return len(u.Quotas) > 0 })
 	if update.Quotas[0].Tenant != "t" {
-		t.Errorf("%+v", update.Quotas)
+		t.Errorf("grants %+v, want that of tenant t", update.Quotas)
 	}
 }
--- a/internal/control/host/standing_test.go
+++ b/internal/control/host/standing_test.go
@@ -16,8 +16,8 @@
 // before holds on, for whoever asks the host.
 func TestConfirmedMomentOutlivesTheEpoch(t *testing.T) {
 	double := replicatest.New(nil, replica.Status{View: replica.View{Epoch: 4}})
-	stand := &standIn{}
-	h := New(Config{Codec: testCodec()}, Dependencies{Replica: double, Configurations: stand, Events: stand})
+	fake := &fakeDependencies{}
+	h := New(Config{Codec: testCodec()}, Dependencies{Replica: double, Configurations: fake, Events: fake})
 	double.NeverReachMajority()
 	h.step(time.Now())
 	if confirmedAt := h.ConfirmedAt(); !confirmedAt.IsZero() {
@@ -36,7 +36,7 @@
 		t.Errorf("in a new epoch: confirmed at %v, isolated %v; want %v, false", confirmedAt, h.view().Isolated, known)
 	}
 	if h.step(known.Add(registry.QuorumContactTTL + 1)); !h.view().Isolated {
-		t.Error("the earlier epoch's contact is believed for ever")
+		t.Errorf("not isolated %v after the earlier epoch's contact, want isolated", registry.QuorumContactTTL+1)
 	}
 	double.SetPartitioned(false)
 	h.step(time.Now())
@@ -45,7 +45,7 @@
 	}
 }
 
-// prober keeps the answers to probes.
+// prober is a client that keeps the answers to its probes.
 type prober struct {
 	client
 	probed chan *protocol.ProbeReply
@@ -59,12 +59,12 @@
 	p.client.Message(connection, message)
 }
 
-// TestProbeThenSubscription: both come on one connection, and the mark of the first is in the answers to both.
+// TestProbeThenSubscription: both are sent on one connection, and the answers to both return the number of the first.
 func TestProbeThenSubscription(t *testing.T) {
 	nodes := startNodes(t, 1)
-	nodes[0].stand.set(7, "seven")
+	nodes[0].fake.set(7, "seven")
 	p := &prober{probed: make(chan *protocol.ProbeReply, 4), client: client{
-		t: t, mute: true,
+		t: t, confirmsNothing: true,
 		updates: make(chan *protocol.Update, 64), beacons: make(chan *protocol.Beacon, 1), closed: make(chan struct{}),
 	}}
 	connection, err := transport.Dial(t.Context(), nodes[0].address, testCodec(), p)
@@ -79,46 +79,46 @@
 	case answer := <-p.probed:
 		standing := answer.Freshness
 		if answer.Generation != 7 || standing.EchoedSequence != 6 || standing.Epoch != 1 || !standing.HasMajorityContact {
-			t.Errorf("%+v", answer)
+			t.Errorf("answer %+v, want version 7, number 6 returned, epoch 1, a known contact", answer)
 		}
-	case <-time.After(patience):
-		t.Fatal("no answer to a probe")
+	case <-time.After(testTimeout):
+		t.Fatalf("no answer to a probe after %v", testTimeout)
 	}
 	if err := connection.Send(protocol.Subscribe{Node: "r1"}); err != nil {
 		t.Fatal(err)
 	}
 	first := p.await("first", func(u *protocol.Update) bool { return u.Sequence == 1 })
 	if first.Freshness.EchoedSequence != 6 || !first.Freshness.HasMajorityContact {
-		t.Errorf("first: %+v", first.Freshness)
+		t.Errorf("first update states %+v, want number 6 returned and a known contact", first.Freshness)
 	}
 }
 
-// TestPartedInstanceTellsItsAge: a router stays, and sees the contact's age grow.
-func TestPartedInstanceTellsItsAge(t *testing.T) {
+// TestIsolatedInstanceStatesTheAgeOfItsContact: a router stays subscribed and sees the age grow.
+func TestIsolatedInstanceStatesTheAgeOfItsContact(t *testing.T) {
 	nodes := startNodes(t, 1)
 	c := subscribe(t, nodes[0], protocol.Subscribe{Node: "r1"}, false)
 	c.await("first", func(u *protocol.Update) bool { return u.Sequence == 1 })
-	nodes[0].double.SetPartitioned(true)
-	deadline := time.After(patience)
-	for age := time.Duration(0); age < distribution.FreshFor; {
+	nodes[0].replica.SetPartitioned(true)
+	deadline := time.After(testTimeout)
+	for age := time.Duration(0); age < distribution.ContactTTL; {
 		select {
 		case beacon := <-c.beacons:
 			age = beacon.Freshness.MajorityContactAge
 		case <-c.closed:
-			t.Fatal("sent away")
+			t.Fatal("the connection is closed, want it open")
 		case <-deadline:
-			t.Fatal("no age over a second was told")
+			t.Fatalf("no age of %v stated after %v", distribution.ContactTTL, testTimeout)
 		}
 	}
-	nodes[0].double.SetPartitioned(false)
+	nodes[0].replica.SetPartitioned(false)
 	for {
 		select {
 		case beacon := <-c.beacons:
-			if beacon.Freshness.HasMajorityContact && beacon.Freshness.MajorityContactAge < distribution.FreshFor {
+			if beacon.Freshness.HasMajorityContact && beacon.Freshness.MajorityContactAge < distribution.ContactTTL {
 				return
 			}
 		case <-deadline:
-			t.Fatal("no fresh contact was told")
+			t.Fatalf("no fresh contact stated after %v", testTimeout)
 		}
 	}
 }
--- a/internal/control/placer/adapters.go
+++ b/internal/control/placer/adapters.go
@@ -153,7 +153,7 @@
 		if e.find(need.model) == nil || e.find(need.model).has(need.adapter) || !p.quiet(now, e) {
 			continue
 		}
-		if f.places(e) > 0 && f.room(e) >= f.models[need.model].AdapterMB && e.keepsFor(now, need) {
+		if f.places(e) > 0 && f.room(e) >= f.models[need.model].AdapterSizeMB && e.keepsFor(now, need) {
 			if free == nil || e.used < free.used {
 				free = e
 			}
@@ -262,7 +262,7 @@
 // them. Each adapter gets one place this way.
 func (p *Placer) fillPlaces(now time.Time, f *fleet, b *book, out *Output) {
 	for _, l := range b.loads {
-		if f.models[l.model].Adapters > 0 {
+		if f.models[l.model].AdapterCount > 0 {
 			p.fillPlacesOf(now, f, l, out)
 		}
 	}
@@ -271,17 +271,17 @@
 // fillPlacesOf does so for one model. What has no place yet changes with an order only.
 func (p *Placer) fillPlacesOf(now time.Time, f *fleet, l *load, out *Output) {
 	spec := f.models[l.model]
-	name := l.unplaced(spec.Adapters)
+	name := l.unplaced(spec.AdapterCount)
 	for _, s := range l.sites {
 		e := s.at
 		if name == "" {
 			return
 		}
-		if e.find(l.model) == nil || !p.quiet(now, e) || f.places(e) < 1 || f.room(e) < spec.AdapterMB {
+		if e.find(l.model) == nil || !p.quiet(now, e) || f.places(e) < 1 || f.room(e) < spec.AdapterSizeMB {
 			continue
 		}
 		if p.issue(now, f, e, Order{Model: l.model, Adapter: name, Reason: "a place is free"}, out) {
-			name = l.unplaced(spec.Adapters)
+			name = l.unplaced(spec.AdapterCount)
 		}
 	}
 }
--- a/internal/control/placer/capacity.go
+++ b/internal/control/placer/capacity.go
@@ -84,7 +84,7 @@
 	age := p.demand.age(now)
 	whole := p.demand.wholeOf(f.name)
 	for name, model := range f.models {
-		ahead := time.Duration(model.LoadTimeS * float64(time.Second))
+		ahead := time.Duration(model.LoadTimeSeconds * float64(time.Second))
 		l := &load{model: name, demand: p.demand.models[f.name][name], steady: priorRate}
 		if d := l.demand; d != nil {
 			l.rate = d.projected(whole.fast, whole.slow, age, ahead)
--- a/internal/control/placer/demand.go
+++ b/internal/control/placer/demand.go
@@ -67,17 +67,17 @@
 const usualWorth = 9
 
 func (d *demand) count(now time.Time, row protocol.ModelDemand) {
-	asked := float64(row.Asked)
+	asked := float64(row.Requests)
 	d.fast.add(asked)
 	d.slow.add(asked)
 	d.long.add(asked)
 	d.tokens.add(float64(row.Tokens))
 	d.unmet += float64(row.Unserved)
-	if row.Asked > 0 || row.Unserved > 0 {
+	if row.Requests > 0 || row.Unserved > 0 {
 		d.askedAt = now
 	}
-	if row.Asked > 0 && row.Worth > 0 {
-		seen := float64(row.Worth) / asked / usualWorth
+	if row.Requests > 0 && row.Value > 0 {
+		seen := float64(row.Value) / asked / usualWorth
 		d.worth += (seen - d.worth) * math.Min(1, asked/10)
 	}
 }
@@ -206,7 +206,7 @@
 // take counts one router's report.
 func (t *tally) take(now time.Time, report protocol.Report) {
 	if t.start.IsZero() || now.Sub(t.heard) > unheardTime {
-		t.start = now.Add(-report.Over)
+		t.start = now.Add(-report.Window)
 		t.startAnew()
 	}
 	t.heard = now
@@ -220,7 +220,7 @@
 		}
 		key := rowKey{row.Service, row.Model, row.Adapter}
 		seen := rows[key]
-		rows[key] = rowGauge{seen.waiting + row.Waiting, seen.running + row.Running}
+		rows[key] = rowGauge{seen.waiting + row.Queued, seen.running + row.InFlight}
 	}
 	t.gauge(t.routers[report.Node].rows, -1)
 	t.gauge(rows, 1)
--- a/internal/control/placer/gate.go
+++ b/internal/control/placer/gate.go
@@ -64,7 +64,7 @@
 	if !exists || e.find(order.Model) == nil {
 		return errAbsent
 	}
-	if f.room(e) < model.AdapterMB {
+	if f.room(e) < model.AdapterSizeMB {
 		return errRoom
 	}
 	if f.places(e) < 1 {
@@ -75,7 +75,7 @@
 
 // room is what is surely free of weights_mb: everything counts that may be there or may be arriving.
 func (f *fleet) room(e *endpoint) float64 {
-	room := f.engine.WeightsMB
+	room := f.engine.WeightMemoryMB
 	for i := range e.copies {
 		room -= f.weight(&e.copies[i])
 	}
@@ -92,15 +92,15 @@
 func (f *fleet) weight(c *copyOf) float64 {
 	model, exists := f.models[c.model]
 	if !exists {
-		return f.engine.WeightsMB
+		return f.engine.WeightMemoryMB
 	}
-	return model.WeightsMB + float64(len(c.adapters))*model.AdapterMB
+	return model.WeightsMB + float64(len(c.adapters))*model.AdapterSizeMB
 }
 
 func (f *fleet) ordered(order Order) float64 {
 	model := f.models[order.Model]
 	if order.Adapter != "" {
-		return model.AdapterMB
+		return model.AdapterSizeMB
 	}
 	return model.WeightsMB
 }
@@ -122,7 +122,7 @@
 
 // reserve is the room that a model's adapters may take beside its weights.
 func (f *fleet) reserve(model configuration.Model) float64 {
-	return float64(min(model.Adapters, f.engine.AdapterSlots)) * model.AdapterMB
+	return float64(min(model.AdapterCount, f.engine.AdapterSlots)) * model.AdapterSizeMB
 }
 
 // issue sends an order through the gate; false if it was held back.
@@ -180,7 +180,7 @@
 const warmShare = 0.23
 
 func (p *Placer) loadTime(f *fleet, e *endpoint, model string) time.Duration {
-	seconds := f.models[model].LoadTimeS
+	seconds := f.models[model].LoadTimeSeconds
 	if p.likelyWarm(f, e, model) {
 		seconds *= warmShare
 	}
--- a/internal/control/placer/gate_test.go
+++ b/internal/control/placer/gate_test.go
@@ -32,13 +32,13 @@
 		{"an unload of an adapter that is not there", nil, Order{Model: "big", Adapter: "a2", Unload: true}, errAbsent},
 		{"an adapter of a model that is not there", nil, Order{Model: "small", Adapter: "a1"}, errAbsent},
 		{"an adapter of a model without a configuration", nil, Order{Model: "old", Adapter: "a1"}, errAbsent},
-		{"an adapter without room", func(_ *Placer, f *fleet, _ *endpoint) { f.engine.WeightsMB = 61.5 },
+		{"an adapter without room", func(_ *Placer, f *fleet, _ *endpoint) { f.engine.WeightMemoryMB = 61.5 },
 			Order{Model: "big", Adapter: "a2"}, errRoom},
 		{"an adapter without a place", func(_ *Placer, f *fleet, _ *endpoint) { f.engine.AdapterSlots = 1 },
 			Order{Model: "big", Adapter: "a2"}, errPlaces},
 		{"a load of a model without a configuration", nil, Order{Model: "old"}, errAbsent},
 		{"a load of a model that is there", nil, Order{Model: "big"}, errHeld},
-		{"a load without room", func(_ *Placer, f *fleet, _ *endpoint) { f.engine.WeightsMB = 90.9 },
+		{"a load without room", func(_ *Placer, f *fleet, _ *endpoint) { f.engine.WeightMemoryMB = 90.9 },
 			Order{Model: "small"}, errRoom},
 		{"a load beyond the rate limit", func(p *Placer, _ *fleet, _ *endpoint) { p.ledger.limit = 0 },
 			Order{Model: "small"}, errCeiling},
@@ -48,9 +48,9 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			p := New(Config{InspectEndpoints: true, HandoverGap: time.Minute})
-			engine := &configuration.Engine{Slots: 8, WeightsMB: 100, AdapterSlots: 2, LoadsPerS: 2,
-				Models: []configuration.Model{{Name: "big", WeightsMB: 60, LoadTimeS: 5, Adapters: 4, AdapterMB: 1},
-					{Name: "small", WeightsMB: 30, LoadTimeS: 5, Adapters: 4, AdapterMB: 1}}}
+			engine := &configuration.Engine{Slots: 8, WeightMemoryMB: 100, AdapterSlots: 2, LoadsPerSecond: 2,
+				Models: []configuration.Model{{Name: "big", WeightsMB: 60, LoadTimeSeconds: 5, AdapterCount: 4, AdapterSizeMB: 1},
+					{Name: "small", WeightsMB: 30, LoadTimeSeconds: 5, AdapterCount: 4, AdapterSizeMB: 1}}}
 			held := []protocol.LoadedModel{{Name: "big", Generation: 1, Adapters: []string{"a1"}}}
 			table := []protocol.Endpoint{{ID: "i-1", Service: "lm", Address: "10.0.0.1:80", Sequence: 1, Models: held}}
 			p.Step(now, Input{Configuration: &configuration.Configuration{Generation: 1,
--- a/internal/control/placer/golden_fleet_test.go
+++ b/internal/control/placer/golden_fleet_test.go
@@ -139,7 +139,7 @@
 
 // fill puts a few models on an endpoint before the run.
 func (f *goldenFleet) fill(e *goldenEndpoint, engine *configuration.Engine, from int) {
-	room := engine.WeightsMB * 0.8
+	room := engine.WeightMemoryMB * 0.8
 	for i := range engine.Models {
 		model := engine.Models[(i+from)%len(engine.Models)]
 		if model.WeightsMB <= room {
@@ -254,10 +254,10 @@
 		if service.Name != e.service || service.Engine == nil {
 			continue
 		}
-		room := service.Engine.WeightsMB
+		room := service.Engine.WeightMemoryMB
 		for _, model := range service.Engine.Models {
 			if adapters, there := e.models[model.Name]; there {
-				room -= model.WeightsMB + float64(len(adapters))*model.AdapterMB
+				room -= model.WeightsMB + float64(len(adapters))*model.AdapterSizeMB
 			}
 		}
 		model := service.Engine.Models[f.random.IntN(len(service.Engine.Models))]
@@ -392,17 +392,17 @@
 
 func (f *goldenFleet) arrive(s goldenService, model configuration.Model) {
 	key := goldenKey{router: f.random.IntN(goldenRouters), service: s.name, model: model.Name}
-	if model.Adapters > 0 && f.chance(0.5) {
-		key.adapter = fmt.Sprintf("a%d", 1+int(float64(model.Adapters)*math.Pow(f.random.Float64(), 1.5)))
+	if model.AdapterCount > 0 && f.chance(0.5) {
+		key.adapter = fmt.Sprintf("a%d", 1+int(float64(model.AdapterCount)*math.Pow(f.random.Float64(), 1.5)))
 	}
 	d := f.demand[key]
 	if d == nil {
 		d = &goldenDemand{}
 		f.demand[key] = d
 	}
-	d.row.Asked++
+	d.row.Requests++
 	d.row.Tokens += int64(200 + f.random.IntN(1500))
-	d.row.Worth += int64(1 + f.random.IntN(10))
+	d.row.Value += int64(1 + f.random.IntN(10))
 	switch {
 	case f.served(key):
 		d.running++
@@ -434,7 +434,7 @@
 		if (f.now+time.Duration(router)*3*goldenTick)%(500*time.Millisecond) != 0 {
 			continue
 		}
-		report := protocol.Report{Node: fmt.Sprintf("r%d", router), Sequence: uint64(f.now), Over: 500 * time.Millisecond}
+		report := protocol.Report{Node: fmt.Sprintf("r%d", router), Sequence: uint64(f.now), Window: 500 * time.Millisecond}
 		for _, key := range slices.SortedFunc(maps.Keys(f.demand), goldenKey.compare) {
 			if key.router != router {
 				continue
@@ -442,9 +442,9 @@
 			d := f.demand[key]
 			row := d.row
 			row.Service, row.Model, row.Adapter = key.service, key.model, key.adapter
-			row.Waiting, row.Running = d.waiting, d.running
+			row.Queued, row.InFlight = d.waiting, d.running
 			d.row = protocol.ModelDemand{}
-			if row.Asked+row.Unserved+row.Waiting+row.Running > 0 {
+			if row.Requests+row.Unserved+row.Queued+row.InFlight > 0 {
 				report.Models = append(report.Models, row)
 			}
 		}
@@ -579,7 +579,7 @@
 			if service.Name == e.service && service.Engine != nil {
 				for _, model := range service.Engine.Models {
 					if model.Name == order.Model {
-						seconds = model.LoadTimeS
+						seconds = model.LoadTimeSeconds
 					}
 				}
 			}
--- a/internal/control/placer/golden_test.go
+++ b/internal/control/placer/golden_test.go
@@ -25,15 +25,15 @@
 }
 
 func goldenEngine(weightsMB float64, adapterSlots int, loadsPerS float64, models ...[]configuration.Model) configuration.Engine {
-	return configuration.Engine{Slots: 16, WeightsMB: weightsMB, AdapterSlots: adapterSlots, LoadsPerS: loadsPerS,
+	return configuration.Engine{Slots: 16, WeightMemoryMB: weightsMB, AdapterSlots: adapterSlots, LoadsPerSecond: loadsPerS,
 		Models: slices.Concat(models...)}
 }
 
 // goldenScenarios are the runs whose decisions are recorded.
 func goldenScenarios() []goldenScenario {
-	heavy := configuration.Model{WeightsMB: 72700, LoadTimeS: 5.7, Adapters: 9, AdapterMB: 66}
-	light := configuration.Model{WeightsMB: 30100, LoadTimeS: 2.9}
-	small := configuration.Model{WeightsMB: 9700, LoadTimeS: 1.3, Adapters: 3, AdapterMB: 40}
+	heavy := configuration.Model{WeightsMB: 72700, LoadTimeSeconds: 5.7, AdapterCount: 9, AdapterSizeMB: 66}
+	light := configuration.Model{WeightsMB: 30100, LoadTimeSeconds: 2.9}
+	small := configuration.Model{WeightsMB: 9700, LoadTimeSeconds: 1.3, AdapterCount: 3, AdapterSizeMB: 40}
 	chat := goldenService{name: "chat", endpoints: 9, zones: 3, perSecond: 240, hot: 2, never: 2, phase: 17 * time.Second,
 		engine: goldenEngine(150000, 4, 1.5, goldenModels("heavy", 4, heavy), goldenModels("light", 6, light))}
 	embed := goldenService{name: "embed", endpoints: 3, zones: 2, perSecond: 12, hot: 1, never: 1, phase: 31 * time.Second,
@@ -43,18 +43,18 @@
 	scarce := goldenService{name: "scarce", endpoints: 16, zones: 4, perSecond: 200, hot: 2, never: 0, phase: 13 * time.Second,
 		engine: goldenEngine(110000, 3, 0.6, goldenModels("heavy", 8, heavy), goldenModels("light", 8, light))}
 	lent := goldenService{name: "lent", endpoints: 24, zones: 3, perSecond: 120, hot: 2, never: 0, phase: 19 * time.Second,
-		engine: goldenEngine(30000, 2, 2, goldenModels("small", 2, configuration.Model{WeightsMB: 9700, LoadTimeS: 1.3,
-			Adapters: 25, AdapterMB: 40}), goldenModels("light", 3, light))}
+		engine: goldenEngine(30000, 2, 2, goldenModels("small", 2, configuration.Model{WeightsMB: 9700, LoadTimeSeconds: 1.3,
+			AdapterCount: 25, AdapterSizeMB: 40}), goldenModels("light", 3, light))}
 	changes := map[time.Duration]func(c *configuration.Configuration){
 		50 * time.Second: func(c *configuration.Configuration) { // one model ends, one is new, one has grown
 			models := c.Services[0].Engine.Models[1:]
 			models[2].WeightsMB *= 1.2
-			c.Services[0].Engine.Models = append(models, configuration.Model{Name: "new", WeightsMB: 51000, LoadTimeS: 4})
+			c.Services[0].Engine.Models = append(models, configuration.Model{Name: "new", WeightsMB: 51000, LoadTimeSeconds: 4})
 		},
 		95 * time.Second: func(c *configuration.Configuration) { // the second service ends
 			c.Services = append(c.Services[:1:1], c.Services[2:]...)
 		},
-		110 * time.Second: func(c *configuration.Configuration) { c.Services[0].Engine.LoadsPerS = 0.7 },
+		110 * time.Second: func(c *configuration.Configuration) { c.Services[0].Engine.LoadsPerSecond = 0.7 },
 	}
 	var scenarios []goldenScenario
 	for seed := range uint64(2) {
--- a/internal/control/placer/order_test.go
+++ b/internal/control/placer/order_test.go
@@ -13,8 +13,8 @@
 	t.Helper()
 	p := New(Config{InspectEndpoints: true})
 	engine := &configuration.Engine{
-		Slots: 8, WeightsMB: 100, AdapterSlots: 2, LoadsPerS: 2,
-		Models: []configuration.Model{{Name: "big", WeightsMB: 60, LoadTimeS: 5, Adapters: 4, AdapterMB: 1}},
+		Slots: 8, WeightMemoryMB: 100, AdapterSlots: 2, LoadsPerSecond: 2,
+		Models: []configuration.Model{{Name: "big", WeightsMB: 60, LoadTimeSeconds: 5, AdapterCount: 4, AdapterSizeMB: 1}},
 	}
 	e := protocol.Endpoint{
 		ID: "i-1", Service: "lm", Address: "10.0.0.1:80", Zone: "z", Slots: 8, Sequence: 1,
@@ -34,8 +34,8 @@
 // unserved is a router's report of two requests for big, or an adapter of it, that found no endpoint.
 func unserved(adapter string) []protocol.Report {
 	return []protocol.Report{{
-		Node: "r", Sequence: 1, Over: 500 * time.Millisecond,
-		Models: []protocol.ModelDemand{{Service: "lm", Model: "big", Adapter: adapter, Asked: 2, Unserved: 2}},
+		Node: "r", Sequence: 1, Window: 500 * time.Millisecond,
+		Models: []protocol.ModelDemand{{Service: "lm", Model: "big", Adapter: adapter, Requests: 2, Unserved: 2}},
 	}}
 }
 
@@ -151,9 +151,9 @@
 		in := Input{Endpoints: []protocol.Endpoint{e}, Results: results, Inspections: looks}
 		results, looks = nil, nil
 		if at%(500*time.Millisecond) == 0 {
-			told := protocol.Report{Node: "r", Sequence: uint64(at), Over: 500 * time.Millisecond}
+			told := protocol.Report{Node: "r", Sequence: uint64(at), Window: 500 * time.Millisecond}
 			for _, name := range []string{"a1", "a2", "a3", "a4"} {
-				row := protocol.ModelDemand{Service: "lm", Model: "big", Adapter: name, Asked: 1, Worth: 9, Tokens: 1000}
+				row := protocol.ModelDemand{Service: "lm", Model: "big", Adapter: name, Requests: 1, Value: 9, Tokens: 1000}
 				if !held[name] {
 					row.Unserved = 1
 				}
--- a/internal/control/placer/placer.go
+++ b/internal/control/placer/placer.go
@@ -134,8 +134,8 @@
 			f.models[model.Name] = model
 			f.heaviest = max(f.heaviest, model.WeightsMB)
 		}
-		if perSecond == 0 || service.Engine.LoadsPerS < perSecond {
-			perSecond = service.Engine.LoadsPerS
+		if perSecond == 0 || service.Engine.LoadsPerSecond < perSecond {
+			perSecond = service.Engine.LoadsPerSecond
 		}
 	}
 	for name := range p.fleets {
@@ -290,7 +290,7 @@
 func (f *fleet) shortestLoad(models []protocol.LoadedModel) time.Duration {
 	shortest := time.Duration(math.MaxInt64)
 	for _, held := range models {
-		lasts := time.Duration(leastLoad * f.models[held.Name].LoadTimeS * float64(time.Second))
+		lasts := time.Duration(leastLoad * f.models[held.Name].LoadTimeSeconds * float64(time.Second))
 		shortest = min(shortest, lasts)
 	}
 	return shortest
@@ -325,7 +325,7 @@
 	if order.Unload {
 		return 30 * time.Second
 	}
-	return time.Duration(loadLate*f.models[order.Model].LoadTimeS*float64(time.Second)) + answerTime
+	return time.Duration(loadLate*f.models[order.Model].LoadTimeSeconds*float64(time.Second)) + answerTime
 }
 
 // assume ends an order that nothing more will be heard of.
--- a/internal/control/placer/plan.go
+++ b/internal/control/placer/plan.go
@@ -112,7 +112,7 @@
 }
 
 func (f *fleet) mostLoads(window time.Duration) int {
-	return max(2, int(f.engine.LoadsPerS*window.Seconds()*concurrentPart))
+	return max(2, int(f.engine.LoadsPerSecond*window.Seconds()*concurrentPart))
 }
 
 func (p *Placer) bestFor(now time.Time, f *fleet, b *book, l *load) *choice {
@@ -207,7 +207,7 @@
 	for _, victim := range victims {
 		left += f.weight(e.find(victim))
 	}
-	return fitBonus * (1 - left/f.engine.WeightsMB)
+	return fitBonus * (1 - left/f.engine.WeightMemoryMB)
 }
 
 // adopt makes the choice the endpoint's plan and takes it into the book.
--- a/internal/control/placer/takeover_test.go
+++ b/internal/control/placer/takeover_test.go
@@ -12,11 +12,11 @@
 // takeover is a fleet of six endpoints, each with a copy of "busy" and room for one model more, as a new holder finds
 // it.
 func takeover() (*configuration.Configuration, []protocol.Endpoint) {
-	models := []configuration.Model{{Name: "busy", WeightsMB: 60, LoadTimeS: 6}}
+	models := []configuration.Model{{Name: "busy", WeightsMB: 60, LoadTimeSeconds: 6}}
 	for _, name := range []string{"m1", "m2", "m3", "m4", "m5", "m6"} {
-		models = append(models, configuration.Model{Name: name, WeightsMB: 60, LoadTimeS: 6})
+		models = append(models, configuration.Model{Name: name, WeightsMB: 60, LoadTimeSeconds: 6})
 	}
-	engine := &configuration.Engine{Slots: 64, WeightsMB: 150, AdapterSlots: 2, LoadsPerS: 2.8, Models: models}
+	engine := &configuration.Engine{Slots: 64, WeightMemoryMB: 150, AdapterSlots: 2, LoadsPerSecond: 2.8, Models: models}
 	services := []configuration.Service{{Name: "lm", Engine: engine}}
 	var table []protocol.Endpoint
 	for _, id := range []string{"i-1", "i-2", "i-3", "i-4", "i-5", "i-6"} {
@@ -37,14 +37,14 @@
 }
 
 func wantedModels(unserved int, names ...string) []protocol.Report {
-	told := protocol.Report{Node: "r", Sequence: 1, Over: 500 * time.Millisecond}
+	told := protocol.Report{Node: "r", Sequence: 1, Window: 500 * time.Millisecond}
 	for _, name := range names {
 		told.Models = append(told.Models, protocol.ModelDemand{
-			Service: "lm", Model: name, Asked: 5, Unserved: unserved,
-			Worth: 40, Tokens: 5000,
+			Service: "lm", Model: name, Requests: 5, Unserved: unserved,
+			Value: 40, Tokens: 5000,
 		})
 	}
-	told.Models = append(told.Models, protocol.ModelDemand{Service: "lm", Model: "busy", Asked: 1, Worth: 9, Tokens: 1000})
+	told.Models = append(told.Models, protocol.ModelDemand{Service: "lm", Model: "busy", Requests: 1, Value: 9, Tokens: 1000})
 	return []protocol.Report{told}
 }
 
@@ -100,7 +100,7 @@
 func TestNewHolderTakesNoCopyAwayUnheard(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := takeover()
-	c.Services[0].Engine.WeightsMB = 100 // no room beside the copy that is there
+	c.Services[0].Engine.WeightMemoryMB = 100 // no room beside the copy that is there
 	p := New(Config{InspectEndpoints: true, HandoverGap: time.Second})
 	p.Step(now, Input{Configuration: c, Endpoints: table})
 	out := p.Step(now.Add(100*time.Millisecond), Input{
@@ -120,7 +120,7 @@
 func TestHolderThatHeardNothingForSecondsTakesNoCopyAway(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := takeover()
-	c.Services[0].Engine.WeightsMB = 100
+	c.Services[0].Engine.WeightMemoryMB = 100
 	p := New(Config{InspectEndpoints: true, HandoverGap: time.Second})
 	p.Step(now, Input{Configuration: c, Endpoints: table})
 	p.Step(now.Add(100*time.Millisecond), Input{Endpoints: table, Inspections: looksAt(table, false), Reports: wantedModels(0)})
@@ -151,9 +151,9 @@
 		in := Input{Endpoints: table, Inspections: looks, Recovering: true}
 		if i%10 == 0 {
 			in.Reports = []protocol.Report{{
-				Node: "r", Sequence: uint64(i), Over: 500 * time.Millisecond,
+				Node: "r", Sequence: uint64(i), Window: 500 * time.Millisecond,
 				Models: []protocol.ModelDemand{{
-					Service: "lm", Model: "busy", Asked: 50, Running: 60, Waiting: 5, Worth: 450,
+					Service: "lm", Model: "busy", Requests: 50, InFlight: 60, Queued: 5, Value: 450,
 					Tokens: 50000,
 				}},
 			}}
@@ -174,7 +174,7 @@
 func TestAnUnloadThatDragsHasAnotherPlaceChosen(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := takeover()
-	c.Services[0].Engine.WeightsMB = 100
+	c.Services[0].Engine.WeightMemoryMB = 100
 	p := New(Config{InspectEndpoints: true, HandoverGap: time.Minute})
 	p.Step(now, Input{Configuration: c, Endpoints: table})
 	p.Step(now.Add(50*time.Millisecond), Input{Endpoints: table, Inspections: looksAt(table, false), Reports: wantedModels(0)})
@@ -202,7 +202,7 @@
 func TestTheCopyWithFewerRunsMakesWay(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := takeover()
-	c.Services[0].Engine.WeightsMB = 100
+	c.Services[0].Engine.WeightMemoryMB = 100
 	for i := range table {
 		table[i].Models = []protocol.LoadedModel{{Name: "busy", Generation: 1}}
 		if i >= 3 {
@@ -214,14 +214,14 @@
 	looks := looksAt(table, false)
 	for at := 500 * time.Millisecond; at < 7*time.Second; at += 500 * time.Millisecond {
 		told := protocol.Report{
-			Node: "r", Sequence: uint64(at), Over: 500 * time.Millisecond,
+			Node: "r", Sequence: uint64(at), Window: 500 * time.Millisecond,
 			Models: []protocol.ModelDemand{
-				{Service: "lm", Model: "busy", Asked: 1, Running: 30, Worth: 9, Tokens: 1000},
-				{Service: "lm", Model: "m2", Asked: 1, Running: 3, Worth: 9, Tokens: 1000},
+				{Service: "lm", Model: "busy", Requests: 1, InFlight: 30, Value: 9, Tokens: 1000},
+				{Service: "lm", Model: "m2", Requests: 1, InFlight: 3, Value: 9, Tokens: 1000},
 			},
 		}
 		if at > 6*time.Second {
-			told.Models = append(told.Models, protocol.ModelDemand{Service: "lm", Model: "m1", Asked: 3, Unserved: 3, Worth: 27})
+			told.Models = append(told.Models, protocol.ModelDemand{Service: "lm", Model: "m1", Requests: 3, Unserved: 3, Value: 27})
 		}
 		out := p.Step(now.Add(at), Input{Endpoints: table, Inspections: looks, Reports: []protocol.Report{told}})
 		looks = nil
@@ -240,7 +240,7 @@
 func TestAnUnloadThatDragsTakesNoOtherCopyInUse(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := takeover()
-	c.Services[0].Engine.WeightsMB = 100
+	c.Services[0].Engine.WeightMemoryMB = 100
 	p := New(Config{InspectEndpoints: true, HandoverGap: time.Minute})
 	p.Step(now, Input{Configuration: c, Endpoints: table})
 	looks := looksAt(table, false)
@@ -250,7 +250,7 @@
 		in := Input{Endpoints: table, Results: results, Inspections: looks}
 		if at%(500*time.Millisecond) == 0 {
 			in.Reports = wantedModels(2, "m1")
-			in.Reports[0].Models[1].Running = 30
+			in.Reports[0].Models[1].InFlight = 30
 		}
 		results, looks = nil, nil
 		for _, order := range p.Step(now.Add(at), in).Orders {
--- a/internal/control/placer/world_test.go
+++ b/internal/control/placer/world_test.go
@@ -68,10 +68,10 @@
 		lookSupport: true,
 	}
 	heavy := func(adapters int) shapeModel {
-		return shapeModel{configuration.Model{WeightsMB: 72700, LoadTimeS: 5.7, Adapters: adapters, AdapterMB: 66}, 1.3, 1}
+		return shapeModel{configuration.Model{WeightsMB: 72700, LoadTimeSeconds: 5.7, AdapterCount: adapters, AdapterSizeMB: 66}, 1.3, 1}
 	}
-	light := shapeModel{configuration.Model{WeightsMB: 42700, LoadTimeS: 3.3, AdapterMB: 66}, 0.89, 0.6}
-	fast := shapeModel{configuration.Model{WeightsMB: 65100, LoadTimeS: 5.1, AdapterMB: 12}, 1.2, 0.11}
+	light := shapeModel{configuration.Model{WeightsMB: 42700, LoadTimeSeconds: 3.3, AdapterSizeMB: 66}, 0.89, 0.6}
+	fast := shapeModel{configuration.Model{WeightsMB: 65100, LoadTimeSeconds: 5.1, AdapterSizeMB: 12}, 1.2, 0.11}
 	s.models = []shapeModel{heavy(37), heavy(0), heavy(20), heavy(0), heavy(20)}
 	for _, kind := range "lhhfhhlhhlhlhllflf" {
 		s.models = append(s.models, map[rune]shapeModel{'l': light, 'h': heavy(0), 'f': fast}[kind])
@@ -89,9 +89,9 @@
 	s.name, s.zones, s.routers, s.memory, s.atOnce, s.resident = "wallet", 4, 8, 230000, 16, 3
 	s.prefill, s.step = 20.4, 11
 	heavy := func(adapters int) shapeModel {
-		return shapeModel{configuration.Model{WeightsMB: 72700, LoadTimeS: 6, Adapters: adapters, AdapterMB: 66}, 1.2, 1}
+		return shapeModel{configuration.Model{WeightsMB: 72700, LoadTimeSeconds: 6, AdapterCount: adapters, AdapterSizeMB: 66}, 1.2, 1}
 	}
-	fast := shapeModel{configuration.Model{WeightsMB: 65100, LoadTimeS: 5.4, AdapterMB: 12}, 1.1, 0.13}
+	fast := shapeModel{configuration.Model{WeightsMB: 65100, LoadTimeSeconds: 5.4, AdapterSizeMB: 12}, 1.1, 0.13}
 	s.models = []shapeModel{heavy(37), heavy(0), heavy(20), heavy(0), heavy(20)}
 	for _, kind := range "fffffhffffhhhhfhffffffhhfhfhffhfhhh"[:34] {
 		s.models = append(s.models, map[rune]shapeModel{'h': heavy(0), 'f': fast}[kind])
@@ -112,7 +112,7 @@
 }
 
 func (s shape) configuration() *configuration.Configuration {
-	engine := &configuration.Engine{Slots: s.slots, WeightsMB: s.memory, AdapterSlots: s.places, LoadsPerS: s.perSecond}
+	engine := &configuration.Engine{Slots: s.slots, WeightMemoryMB: s.memory, AdapterSlots: s.places, LoadsPerSecond: s.perSecond}
 	for _, model := range s.models {
 		engine.Models = append(engine.Models, model.spec)
 	}
@@ -331,7 +331,7 @@
 	sum := 0.0
 	for name, adapters := range e.models {
 		spec := w.shape.models[w.byModel[name]].spec
-		sum += spec.WeightsMB + float64(len(adapters))*spec.AdapterMB
+		sum += spec.WeightsMB + float64(len(adapters))*spec.AdapterSizeMB
 	}
 	return sum
 }
@@ -490,7 +490,7 @@
 		class: c, model: model, arrived: w.now, router: r.IntN(w.shape.routers),
 		prompt: math.Max(20, size(c.prompt)), output: math.Max(4, size(c.output)),
 	}
-	if count := w.shape.models[model].spec.Adapters; count > 0 && r.Float64() < c.adapters {
+	if count := w.shape.models[model].spec.AdapterCount; count > 0 && r.Float64() < c.adapters {
 		request.adapter = fmt.Sprintf("a%d", 1+int(float64(count)*math.Pow(r.Float64(), 1.2)))
 	}
 	name := w.shape.models[model].spec.Name
@@ -504,9 +504,9 @@
 		w.stats.rareAsked++
 	}
 	row := w.row(request)
-	row.Asked++
+	row.Requests++
 	row.Tokens += int64(request.prompt + request.output)
-	row.Worth += int64(10 - c.priority)
+	row.Value += int64(10 - c.priority)
 	w.held = append(w.held, request)
 }
 
@@ -707,17 +707,17 @@
 		w.sentUp[node]++
 		for _, c := range w.held {
 			if c.router == i {
-				w.row(c).Waiting++
+				w.row(c).Queued++
 			}
 		}
 		for _, e := range w.engines {
 			for _, c := range append(slices.Clone(e.prefills), e.decodes...) {
 				if c.router == i {
-					w.row(c).Running++
+					w.row(c).InFlight++
 				}
 			}
 		}
-		told := protocol.Report{Node: node, Sequence: w.sentUp[node], Over: 500 * time.Millisecond}
+		told := protocol.Report{Node: node, Sequence: w.sentUp[node], Window: 500 * time.Millisecond}
 		for _, row := range w.asked[i] {
 			told.Models = append(told.Models, *row)
 		}
@@ -860,7 +860,7 @@
 		for _, adapters := range e.models {
 			count += len(adapters)
 		}
-		if count+1 > w.shape.places || w.used(e)+spec.spec.AdapterMB > w.shape.memory {
+		if count+1 > w.shape.places || w.used(e)+spec.spec.AdapterSizeMB > w.shape.memory {
 			w.stats.limit = fmt.Sprintf("%v: %s gets adapter %+v beyond its limits", w.now, e.id, order)
 		}
 		return
@@ -869,7 +869,7 @@
 		w.stats.limit = fmt.Sprintf("%v: %s gets %+v beyond its memory", w.now, e.id, order)
 	}
 	w.stats.loads++
-	seconds := spec.spec.LoadTimeS * (1 + 0.3*float64(len(e.decodes))/float64(w.shape.slots))
+	seconds := spec.spec.LoadTimeSeconds * (1 + 0.3*float64(len(e.decodes))/float64(w.shape.slots))
 	if e.disk[order.Model] {
 		seconds = spec.warm
 		w.stats.warm++
--- a/internal/control/quota/allocator.go
+++ b/internal/control/quota/allocator.go
@@ -120,16 +120,16 @@
 func (a *Allocator) configure(now time.Time, tenants []configuration.Tenant) {
 	limited := map[string]bool{}
 	for _, configured := range tenants {
-		if configured.RatePerS <= 0 {
+		if configured.RatePerSecond <= 0 {
 			continue
 		}
 		limited[configured.Name] = true
 		t := a.tenants[configured.Name]
 		if t == nil {
-			t = newTenant(now, configured.Name, configured.RatePerS, a.config)
+			t = newTenant(now, configured.Name, configured.RatePerSecond, a.config)
 			a.tenants[configured.Name] = t
 		}
-		t.rate, t.burst = configured.RatePerS, configured.Burst
+		t.rate, t.burst = configured.RatePerSecond, configured.Burst
 	}
 	maps.DeleteFunc(a.tenants, func(name string, _ *tenant) bool { return !limited[name] })
 	a.sortedTenants = slices.SortedFunc(maps.Values(a.tenants), func(x, y *tenant) int { return cmp.Compare(x.name, y.name) })
@@ -162,7 +162,7 @@
 	}
 	for _, row := range report.Tenants {
 		if t := a.tenants[row.Tenant]; t != nil {
-			t.report(now, id, row, report.Over)
+			t.report(now, id, row, report.Window)
 		}
 	}
 }
@@ -199,7 +199,7 @@
 	if a.minRouterCount == 0 {
 		return
 	}
-	floor := t.rate * protocol.QuotaFloorShare / float64(a.minRouterCount)
+	floor := t.rate * protocol.UngrantedRateShare / float64(a.minRouterCount)
 	active := t.active(now, a.routers, floor)
 	if len(active) == 0 {
 		return
@@ -218,11 +218,11 @@
 		}
 		allocation.shortfall = 0
 		due[allocation.router] = append(due[allocation.router], protocol.QuotaGrant{
-			Tenant:   t.name,
-			RatePerS: floor + allocation.extraRate,
-			Burst:    allocation.depth,
-			For:      t.grantTTL(),
-			Credit:   credits[i],
+			Tenant:        t.name,
+			RatePerSecond: floor + allocation.extraRate,
+			Burst:         allocation.depth,
+			TTL:           t.grantTTL(),
+			Credit:        credits[i],
 		})
 	}
 }
--- a/internal/control/quota/doc.go
+++ b/internal/control/quota/doc.go
@@ -7,9 +7,9 @@
 // # Model
 //
 // A router has a token bucket for each tenant. Without a grant it refills the bucket at the floor, an even part of
-// protocol.QuotaFloorShare of the tenant's rate, and its depth is an even part of the burst. A grant replaces both for
+// protocol.UngrantedRateShare of the tenant's rate, and its depth is an even part of the burst. A grant replaces both for
 // a limited time: the floor plus an extra rate, and another depth. Beyond its bucket a router may incur a debt: an even
-// part of protocol.QuotaDebtShare of the tolerance. Routers that report a shortfall (what their waiting requests lack)
+// part of protocol.OverdraftShare of the tolerance. Routers that report a shortfall (what their waiting requests lack)
 // are granted credit as well: tokens added once, spent first, and lost when the grant ends.
 //
 // Extra rate, depth and credit are divided max-min fairly or in proportion to averaged demand (division.go, fair.go). How
--- a/internal/control/quota/golden_test.go
+++ b/internal/control/quota/golden_test.go
@@ -79,8 +79,8 @@
 		case change == 1 && i == 1, change == 2 && i == 2:
 			continue // removed
 		}
-		c.Tenants = append(c.Tenants, configuration.Tenant{Name: fmt.Sprintf("t%d", i), Unit: configuration.TokenCount,
-			RatePerS: rate, Burst: rate * 0.8})
+		c.Tenants = append(c.Tenants, configuration.Tenant{Name: fmt.Sprintf("t%d", i), Unit: configuration.UnitTokens,
+			RatePerSecond: rate, Burst: rate * 0.8})
 	}
 	c.Tenants = append(c.Tenants, configuration.Tenant{Name: "unlimited"})
 	return c
@@ -136,7 +136,7 @@
 func (g *goldenPlay) report(router int) protocol.Report {
 	g.sequences[router]++
 	report := protocol.Report{Node: g.ids[router].Node, Incarnation: g.ids[router].Incarnation,
-		Sequence: g.sequences[router], Over: 500 * time.Millisecond}
+		Sequence: g.sequences[router], Window: 500 * time.Millisecond}
 	for i, rate := range g.rates {
 		demand := rate / float64(g.routers) * 0.5 * 1.6 * g.random.Float64()
 		if g.pressing || g.step >= 300 && g.step < 360 && i == 0 {
@@ -149,17 +149,17 @@
 		if g.pressing {
 			grantedFraction = 0.2 + 0.4*g.random.Float64()
 		}
-		row := protocol.TenantDemand{Tenant: fmt.Sprintf("t%d", i), Asked: demand, Granted: demand * grantedFraction}
+		row := protocol.TenantDemand{Tenant: fmt.Sprintf("t%d", i), Requested: demand, Admitted: demand * grantedFraction}
 		hasShortfall, left := g.random.IntN(3) == 0, g.random.Float64()*2000
 		if g.credits && hasShortfall && demand > 0 {
-			row.Lacking = 100 + 3000*g.random.Float64()
+			row.Shortfall = 100 + 3000*g.random.Float64()
 		}
 		if g.credits {
-			row.Credit = left
+			row.RemainingCredit = left
 		}
 		report.Tenants = append(report.Tenants, row)
 	}
-	report.Tenants = append(report.Tenants, protocol.TenantDemand{Tenant: "unknown", Asked: 5, Granted: 5})
+	report.Tenants = append(report.Tenants, protocol.TenantDemand{Tenant: "unknown", Requested: 5, Admitted: 5})
 	return report
 }
 
@@ -180,8 +180,8 @@
 		for _, grants := range out.Batches {
 			lines = append(lines, fmt.Sprintf("to %s %d batch %d", grants.Node, grants.Incarnation, grants.ID))
 			for _, grant := range grants.Grants {
-				lines = append(lines, fmt.Sprintf("%s rate %s burst %s for %v credit %s", grant.Tenant, number(grant.RatePerS),
-					number(grant.Burst), grant.For, number(grant.Credit)))
+				lines = append(lines, fmt.Sprintf("%s rate %s burst %s for %v credit %s", grant.Tenant, number(grant.RatePerSecond),
+					number(grant.Burst), grant.TTL, number(grant.Credit)))
 			}
 			if late := g.random.IntN(10); late < 9 { // else it is lost
 				at := g.step + 1 + late/3
--- a/internal/control/quota/headroom.go
+++ b/internal/control/quota/headroom.go
@@ -8,7 +8,7 @@
 )
 
 // The invariant of this package is kept here: for every tenant and every window, spending is bounded by the window's
-// allowance plus the debt of the routers (protocol.QuotaDebtShare of the tolerance), which together are the rule's bound.
+// allowance plus the debt of the routers (protocol.OverdraftShare of the tolerance), which together are the rule's bound.
 //
 // A router spends at most its bucket's depth, its debt, its credit, and over time the larger of its floor and its
 // granted rate. So for each window that is still open this must hold whenever a grant leaves:
@@ -29,7 +29,7 @@
 func (t *tenant) windowAllowance(config Config) float64 {
 	limit := t.rate*config.Window.Seconds() + t.burst
 	tolerance := limit*config.OvershootFraction + config.OvershootSlack
-	return (limit + tolerance*(1-protocol.QuotaDebtShare)) * (1 - withheldFraction)
+	return (limit + tolerance*(1-protocol.OverdraftShare)) * (1 - withheldFraction)
 }
 
 // totalDepth is what the buckets of all routers may contain together.
@@ -72,7 +72,7 @@
 	until := now.Add(t.grantTTL() + config.DeliveryTimeout)
 	rate := 2 * t.rate
 	t.forEachOpenWindow(now, config, func(end time.Time, spent float64) {
-		left := t.windowAllowance(config) - spent - depth - t.rate*protocol.QuotaFloorShare*end.Sub(from).Seconds()
+		left := t.windowAllowance(config) - spent - depth - t.rate*protocol.UngrantedRateShare*end.Sub(from).Seconds()
 		if end.After(until) {
 			end = until
 		}
@@ -92,7 +92,7 @@
 	}
 	grantable := math.Inf(1)
 	t.forEachOpenWindow(now, config, func(end time.Time, spent float64) {
-		left := t.windowAllowance(config) - spent - depth - t.rate*protocol.QuotaFloorShare*end.Sub(from).Seconds()
+		left := t.windowAllowance(config) - spent - depth - t.rate*protocol.UngrantedRateShare*end.Sub(from).Seconds()
 		if end.After(until) {
 			end = until
 		}
--- a/internal/control/quota/simulated_router_test.go
+++ b/internal/control/quota/simulated_router_test.go
@@ -41,9 +41,9 @@
 	count := float64(len(s.routers))
 	for _, c := range s.clients {
 		b := r.buckets[c.tenant.Name]
-		rate, depth := c.tenant.RatePerS*protocol.QuotaFloorShare/count, c.tenant.Burst/count
+		rate, depth := c.tenant.RatePerSecond*protocol.UngrantedRateShare/count, c.tenant.Burst/count
 		if s.now < b.grantUntil {
-			rate, depth = math.Min(b.rate, c.tenant.RatePerS), b.depth
+			rate, depth = math.Min(b.rate, c.tenant.RatePerSecond), b.depth
 		}
 		if b.level < depth {
 			b.level = math.Min(depth, b.level+rate*tick.Seconds())
@@ -55,9 +55,9 @@
 }
 
 func (s *simulation) allowedDebt(c *client) float64 {
-	limit := c.tenant.RatePerS*s.window.Seconds() + c.tenant.Burst
+	limit := c.tenant.RatePerSecond*s.window.Seconds() + c.tenant.Burst
 	tolerance := limit*s.config.OvershootFraction + s.config.OvershootSlack
-	return tolerance * protocol.QuotaDebtShare / float64(len(s.routers))
+	return tolerance * protocol.OverdraftShare / float64(len(s.routers))
 }
 
 // serve spends for the waiting requests. One that lacks tokens waits for credit, and without credits is rejected at once.
@@ -113,14 +113,14 @@
 	r.nextReport, r.nextUrgentReport = s.now+500*time.Millisecond, s.now+50*time.Millisecond
 	r.sequence++
 	report := protocol.Report{Node: r.id.Node, Incarnation: r.id.Incarnation, Sequence: r.sequence}
-	report.Over = 500 * time.Millisecond
+	report.Window = 500 * time.Millisecond
 	for _, c := range s.clients {
 		b := r.buckets[c.tenant.Name]
-		row := protocol.TenantDemand{Tenant: c.tenant.Name, Asked: b.requested, Granted: b.granted}
+		row := protocol.TenantDemand{Tenant: c.tenant.Name, Requested: b.requested, Admitted: b.granted}
 		if s.usesCredits {
-			row.Lacking, row.Credit = b.shortfall, b.credit
+			row.Shortfall, row.RemainingCredit = b.shortfall, b.credit
 		}
-		if row.Asked == 0 && row.Granted == 0 && row.Lacking == 0 {
+		if row.Requested == 0 && row.Admitted == 0 && row.Shortfall == 0 {
 			continue
 		}
 		report.Tenants = append(report.Tenants, row)
--- a/internal/control/quota/simulation_test.go
+++ b/internal/control/quota/simulation_test.go
@@ -86,7 +86,7 @@
 			demand: rate * demandFraction,
 			size:   1400,
 			tenant: configuration.Tenant{
-				Name: fmt.Sprintf("t%d", i), Unit: configuration.TokenCount, RatePerS: rate, Burst: rate,
+				Name: fmt.Sprintf("t%d", i), Unit: configuration.UnitTokens, RatePerSecond: rate, Burst: rate,
 			},
 		})
 	}
@@ -191,7 +191,7 @@
 	s.schedule(s.delay(), func() {
 		for _, g := range batch.Grants {
 			b := r.buckets[g.Tenant]
-			b.rate, b.depth, b.grantUntil = g.RatePerS, g.Burst, s.now+g.For
+			b.rate, b.depth, b.grantUntil = g.RatePerSecond, g.Burst, s.now+g.TTL
 			b.level = math.Min(b.level, b.depth)
 			if s.usesCredits {
 				b.credit += g.Credit
@@ -262,7 +262,7 @@
 
 // checkWindow compares what was spent in the window that ends now with the bound of the rule QUOTA.
 func (s *simulation) checkWindow(c *client) {
-	bound := (c.tenant.RatePerS*s.window.Seconds()+c.tenant.Burst)*(1+s.config.OvershootFraction) + s.config.OvershootSlack
+	bound := (c.tenant.RatePerSecond*s.window.Seconds()+c.tenant.Burst)*(1+s.config.OvershootFraction) + s.config.OvershootSlack
 	sum := 0.0
 	for i := len(c.spent) - 1; i >= 0 && s.now-c.spent[i].at <= s.window; i-- {
 		sum += c.spent[i].amount
@@ -278,7 +278,7 @@
 	for i := len(c.requests) - 1; i >= 0 && s.now-c.requests[i].at <= s.window; i-- {
 		sum += c.requests[i].amount
 	}
-	return sum <= c.tenant.RatePerS*s.window.Seconds()+c.tenant.Burst
+	return sum <= c.tenant.RatePerSecond*s.window.Seconds()+c.tenant.Burst
 }
 
 // changeLeader ends the leader's allocator; the next leader's observes after one delay and may grant after the other.
--- a/internal/control/quota/tenant.go
+++ b/internal/control/quota/tenant.go
@@ -68,24 +68,24 @@
 	}
 	elapsed := now.Sub(a.reportedAt).Seconds()
 	decay := math.Exp(-elapsed / demandTimeConstant.Seconds())
-	a.demand = a.demand*decay + row.Asked/demandTimeConstant.Seconds()
-	a.reportedAt, a.shortfall = now, row.Lacking
-	t.observedDemand += row.Asked
-	if row.Lacking > 0 {
-		t.typicalShortfall += (row.Lacking - t.typicalShortfall) * shortfallSmoothing
+	a.demand = a.demand*decay + row.Requested/demandTimeConstant.Seconds()
+	a.reportedAt, a.shortfall = now, row.Shortfall
+	t.observedDemand += row.Requested
+	if row.Shortfall > 0 {
+		t.typicalShortfall += (row.Shortfall - t.typicalShortfall) * shortfallSmoothing
 		t.usesCredits = true
 	}
-	if row.Asked > 0 || row.Lacking > 0 {
+	if row.Requested > 0 || row.Shortfall > 0 {
 		a.demandedAt = now
 	}
-	a.spendCredits(row.Granted)
+	a.spendCredits(row.Admitted)
 	if now.Sub(t.observedSince) < creditGrantTTL { // credit of an earlier leader may still be in force
 		a.inheritedCredit = credit{
-			amount:    math.Max(0, row.Credit-a.outstandingCredit()),
+			amount:    math.Max(0, row.RemainingCredit-a.outstandingCredit()),
 			expiresAt: t.observedSince.Add(creditGrantTTL),
 		}
 	}
-	t.spentPerInterval[len(t.spentPerInterval)-1] += row.Granted
+	t.spentPerInterval[len(t.spentPerInterval)-1] += row.Admitted
 }
 
 // grantTTL is how long a grant is in force.
@@ -135,14 +135,14 @@
 // recordGrant takes in that a grant is being sent. From now on it counts as in force.
 func (t *tenant) recordGrant(now time.Time, id Router, batch uint64, sent protocol.QuotaGrant, config Config) {
 	a := t.allocations[id]
-	expiresAt := now.Add(sent.For + config.DeliveryTimeout)
+	expiresAt := now.Add(sent.TTL + config.DeliveryTimeout)
 	a.outstandingGrants = append(a.outstandingGrants, grant{
 		batch:     batch,
-		rate:      sent.RatePerS,
+		rate:      sent.RatePerSecond,
 		depth:     sent.Burst,
 		extraRate: a.extraRate,
 		sentAt:    now,
-		ttl:       sent.For,
+		ttl:       sent.TTL,
 		expiresAt: expiresAt,
 	})
 	if sent.Credit > 0 {
--- a/internal/control/registry/deregistration_test.go
+++ b/internal/control/registry/deregistration_test.go
@@ -84,7 +84,7 @@
 // TestContactDoesNotMakeUpForRouters: what is not in force waits for its time, with contact or without.
 func TestContactDoesNotMakeUpForRouters(t *testing.T) {
 	x := newTable(t)
-	x.step(RoutersConfirmed{Revision: x.Revision()})
+	x.step(RoutersConfirmed{Revision: x.updates.revision})
 	x.parted = x.now.Add(-time.Millisecond)
 	x.leave("e")
 	x.wait(100 * time.Millisecond)
@@ -127,7 +127,7 @@
 // TestDeleteOfAnUnknownEndpointReachesEverybody: it may never have said anything here.
 func TestDeleteOfAnUnknownEndpointReachesEverybody(t *testing.T) {
 	x := newTable(t)
-	x.step(Peers{Reachable: []string{"other"}}, RoutersConfirmed{Revision: x.Revision()})
+	x.step(Peers{Reachable: []string{"other"}}, RoutersConfirmed{Revision: x.updates.revision})
 	out := x.leave("stranger")
 	if len(out.Replies) != 0 {
 		t.Fatal("acknowledged before routers have it")
@@ -185,14 +185,14 @@
 func TestRepeatedDeleteWaitsAgain(t *testing.T) {
 	x := newTable(t)
 	x.beat(beat("e", 1, protocol.Ready))
-	x.step(RoutersConfirmed{Revision: x.Revision()})
+	x.step(RoutersConfirmed{Revision: x.updates.revision})
 	x.leave("e")
 	for _, out := range []Output{x.leave("e"), x.beat(beat("e", 2, protocol.Draining))} {
 		if len(out.Replies) != 0 {
 			t.Fatalf("acknowledged before routers have it: %+v", out)
 		}
 	}
-	out := x.step(RoutersConfirmed{Revision: x.Revision()})
+	out := x.step(RoutersConfirmed{Revision: x.updates.revision})
 	if len(out.Replies) != 3 || !out.Replies[2].InForce {
 		t.Errorf("%+v", out.Replies)
 	}
