--- a/internal/control/api/connections_test.go
+++ b/internal/control/api/connection_limiter_test.go
@@ -42,7 +42,7 @@
 		if _, err := dialAndAsk(t, address); err != nil {
 			t.Fatal(err)
 		}
-		if open := server.valve.open.Load(); open > most {
+		if open := server.limiter.open.Load(); open > most {
 			t.Fatalf("%d connections", open)
 		}
 	}
--- a/internal/control/api/instances.go
+++ b/internal/control/api/instances.go
@@ -2,89 +2,84 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
-	"io"
 	"net/http"
 	"time"
 
 	"raventrestle/internal/protocol"
 )
 
-// heartbeat is the body of an endpoint's call.
+// heartbeat is the body of an endpoint's PUT. Fields that are not listed are ignored.
 type heartbeat struct {
-	Backend         string                 `json:"backend"`
-	Address         string                 `json:"address"`
-	Zone            string                 `json:"zone"`
-	Generation      string                 `json:"generation"`
-	Slots           int                    `json:"slots"`
-	State           string                 `json:"state"`
-	ColdRemainingMS float64                `json:"cold_remaining_ms"`
-	Models          []protocol.LoadedModel `json:"models"`
-	Sequence        uint64                 `json:"seq"`
+	Service           string                 `json:"backend"`
+	Address           string                 `json:"address"`
+	Zone              string                 `json:"zone"`
+	SoftwareVersion   string                 `json:"generation"`
+	Slots             int                    `json:"slots"`
+	State             string                 `json:"state"`
+	WarmUpRemainingMS float64                `json:"cold_remaining_ms"`
+	Models            []protocol.LoadedModel `json:"models"`
+	Sequence          uint64                 `json:"seq"`
 }
 
-// The states that an endpoint says it is in.
+// States of an endpoint on the wire. The last two appear only in tables.
 const (
-	stateReady    = "ready"
-	stateDraining = "draining"
+	stateReady        = "ready"
+	stateDraining     = "draining"
+	stateUnresponsive = "silent"
+	stateDeparted     = "gone"
 )
 
-// ErrField names the part of a call that is malformed.
-var ErrMalformed = errors.New("malformed")
+const maxWarmUp = time.Hour
 
-func (a *API) putInstance(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maximumHeartbeatBytes))
-	switch {
-	case tooLarge(err):
-		fail(w, http.StatusRequestEntityTooLarge, "heartbeat is over "+byteCount(maximumHeartbeatBytes))
-		return
-	case err != nil:
-		fail(w, http.StatusRequestTimeout, "body can't be read whole: "+err.Error())
-		return
+// putInstance takes in a heartbeat. One that reports draining is answered once no router chooses the endpoint any more.
+func (a *API) putInstance(w http.ResponseWriter, r *http.Request) error {
+	body, err := readHeartbeatBody(w, r)
+	if err != nil {
+		return err
 	}
-	endpoint, err := readHeartbeat(r.PathValue("id"), body)
+	endpoint, err := parseHeartbeat(r.PathValue("id"), body)
 	if err != nil {
-		fail(w, http.StatusBadRequest, err.Error())
-		return
+		return err
 	}
 	if err := a.instances.Heartbeat(r.Context(), endpoint); err != nil {
-		fail(w, http.StatusServiceUnavailable, err.Error())
-		return
+		return &UnavailableError{Err: err}
 	}
-	write(w, http.StatusOK, []byte("{}"))
+	writeBody(w, http.StatusOK, []byte("{}"))
+	return nil
 }
 
-func (a *API) deleteInstance(w http.ResponseWriter, r *http.Request) {
+// deleteInstance deregisters an endpoint.
+func (a *API) deleteInstance(w http.ResponseWriter, r *http.Request) error {
 	if err := a.instances.Deregister(r.Context(), r.PathValue("id")); err != nil {
-		fail(w, http.StatusServiceUnavailable, err.Error())
-		return
+		return &UnavailableError{Err: err}
 	}
-	write(w, http.StatusOK, []byte("{}"))
+	writeBody(w, http.StatusOK, []byte("{}"))
+	return nil
 }
 
-// readHeartbeat turns a call into an endpoint. The error names what is wrong.
-func readHeartbeat(id string, body []byte) (protocol.Endpoint, error) {
-	var told heartbeat
-	if err := json.Unmarshal(body, &told); err != nil {
+// parseHeartbeat returns the endpoint that a heartbeat describes. The error wraps ErrMalformed and names the field.
+func parseHeartbeat(id string, body []byte) (protocol.Endpoint, error) {
+	var report heartbeat
+	if err := json.Unmarshal(body, &report); err != nil {
 		return protocol.Endpoint{}, fmt.Errorf("heartbeat of %s: %w: %w", id, ErrMalformed, err)
 	}
-	if err := told.check(); err != nil {
+	if err := report.check(); err != nil {
 		return protocol.Endpoint{}, fmt.Errorf("heartbeat of %s: %w", id, err)
 	}
 	endpoint := protocol.Endpoint{
 		ID:              id,
-		Service:         told.Backend,
-		Address:         told.Address,
-		Zone:            told.Zone,
-		SoftwareVersion: told.Generation,
-		Slots:           told.Slots,
+		Service:         report.Service,
+		Address:         report.Address,
+		Zone:            report.Zone,
+		SoftwareVersion: report.SoftwareVersion,
+		Slots:           report.Slots,
 		State:           protocol.Ready,
-		Sequence:        told.Sequence,
-		WarmUpRemaining: time.Duration(told.ColdRemainingMS * float64(time.Millisecond)),
-		Models:          told.Models,
+		Sequence:        report.Sequence,
+		WarmUpRemaining: time.Duration(report.WarmUpRemainingMS * float64(time.Millisecond)),
+		Models:          report.Models,
 	}
-	if told.State == stateDraining {
+	if report.State == stateDraining {
 		endpoint.State = protocol.Draining
 	}
 	return endpoint, nil
@@ -92,7 +87,7 @@
 
 func (h *heartbeat) check() error {
 	switch {
-	case h.Backend == "":
+	case h.Service == "":
 		return fmt.Errorf("backend: %w: empty", ErrMalformed)
 	case !validAddress(h.Address):
 		return fmt.Errorf("address: %w: %q is not host:port", ErrMalformed, h.Address)
@@ -100,10 +95,21 @@
 		return fmt.Errorf("state: %w: %q is neither %s nor %s", ErrMalformed, h.State, stateReady, stateDraining)
 	case h.Slots < 0:
 		return fmt.Errorf("slots: %w: %d is below 0", ErrMalformed, h.Slots)
-	case h.ColdRemainingMS < 0 || h.ColdRemainingMS > float64(time.Hour/time.Millisecond):
-		return fmt.Errorf("cold_remaining_ms: %w: %v is not between 0 and an hour", ErrMalformed, h.ColdRemainingMS)
+	case h.WarmUpRemainingMS < 0 || h.WarmUpRemainingMS > float64(maxWarmUp/time.Millisecond):
+		return fmt.Errorf("cold_remaining_ms: %w: %v is not between 0 and an hour", ErrMalformed, h.WarmUpRemainingMS)
 	}
 	return nil
 }
 
-func byteCount(bytes int64) string { return fmt.Sprintf("%d bytes", bytes) }
+// stateName returns a state as it is written on the wire.
+func stateName(state protocol.EndpointState) string {
+	switch state {
+	case protocol.Ready:
+		return stateReady
+	case protocol.Draining:
+		return stateDraining
+	case protocol.Unresponsive:
+		return stateUnresponsive
+	}
+	return stateDeparted
+}
--- a/internal/control/api/views.go
+++ b/internal/control/api/tables.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"context"
 	"net/http"
 	"slices"
 	"time"
@@ -9,13 +10,13 @@
 	"raventrestle/internal/protocol"
 )
 
-// EndpointView is an endpoint as people see it.
+// EndpointView is an endpoint in the table of endpoints.
 type EndpointView struct {
 	ID                string                 `json:"id"`
 	Service           string                 `json:"backend"`
 	Address           string                 `json:"address"`
 	Zone              string                 `json:"zone"`
-	Generation        string                 `json:"generation"`
+	SoftwareVersion   string                 `json:"generation"`
 	Slots             int                    `json:"slots"`
 	State             string                 `json:"state"`
 	Sequence          uint64                 `json:"seq"`
@@ -24,15 +25,15 @@
 	Loading           []LoadView             `json:"loading,omitempty"`
 }
 
-// LoadView is an order under way.
+// LoadView is an order in flight: a load or an unload of a model or an adapter.
 type LoadView struct {
 	Model       string `json:"model"`
 	Adapter     string `json:"adapter,omitempty"`
 	Unload      bool   `json:"unload,omitempty"`
-	RemainingMS int64  `json:"within_ms"`
+	RemainingMS int64  `json:"within_ms"` // expected time until it is done
 }
 
-// ModelView says where a model is held.
+// ModelView says where a model is loaded.
 type ModelView struct {
 	Service   string              `json:"backend"`
 	Model     string              `json:"model"`
@@ -40,10 +41,10 @@
 	Loading   []string            `json:"loading,omitempty"` // IDs of endpoints that were ordered to load it
 }
 
-// ModelEndpointView is one endpoint that holds a model.
+// ModelEndpointView is one endpoint with a model loaded.
 type ModelEndpointView struct {
 	ID         string   `json:"id"`
-	Generation int64    `json:"generation"`
+	Generation int64    `json:"generation"` // of the model's weights
 	Adapters   []string `json:"adapters"`
 }
 
@@ -52,80 +53,83 @@
 	Generation int64  `json:"generation"`
 	Index      uint64 `json:"index"` // of the command that made it
 	Method     string `json:"method"`
-	Bytes      int    `json:"bytes"` // of the whole configuration
+	Bytes      int    `json:"bytes"` // of the complete configuration
 }
 
-// asOf returns the age in milliseconds of the newest moment of which this instance knows everything. It is asked
-// before what it covers is read. An instance that knows of none has answered so.
-func (a *API) asOf(w http.ResponseWriter) (age int64, ok bool) {
+// tableAge returns the age in milliseconds of the newest moment of which this instance has everything. It has to be
+// called before the table is read, so that the table is not older than it states. The error is ErrNoQuorumContact.
+func (a *API) tableAge() (int64, error) {
 	confirmedAt := a.instances.ConfirmedAt()
 	if confirmedAt.IsZero() {
-		fail(w, http.StatusServiceUnavailable, "instance has had no contact with a majority of the others yet")
-		return 0, false
+		return 0, ErrNoQuorumContact
 	}
-	return max(0, time.Since(confirmedAt).Milliseconds()), true
+	return max(0, time.Since(confirmedAt).Milliseconds()), nil
 }
 
-func (a *API) getHistory(w http.ResponseWriter, _ *http.Request) {
-	age, known := a.asOf(w)
-	if !known {
-		return
+// getHistory shows the versions of the configuration that this instance remembers.
+func (a *API) getHistory(w http.ResponseWriter, _ *http.Request) error {
+	age, err := a.tableAge()
+	if err != nil {
+		return err
 	}
 	versions := a.configurations.History()
 	if versions == nil {
 		versions = []VersionView{}
 	}
-	answer(w, http.StatusOK, map[string]any{"as_of_ms": age, "versions": versions})
-}
-
-func stateName(state protocol.EndpointState) string {
-	switch state {
-	case protocol.Ready:
-		return stateReady
-	case protocol.Draining:
-		return stateDraining
-	case protocol.Unresponsive:
-		return "silent"
-	}
-	return "gone"
+	writeJSON(w, http.StatusOK, map[string]any{"as_of_ms": age, "versions": versions})
+	return nil
 }
 
-func (a *API) getMembers(w http.ResponseWriter, _ *http.Request) {
-	answer(w, http.StatusOK, a.status())
+// getMembers shows the replicated group. It answers without contact with a majority too: then it is needed most.
+func (a *API) getMembers(w http.ResponseWriter, _ *http.Request) error {
+	writeJSON(w, http.StatusOK, a.status())
+	return nil
 }
 
-func (a *API) getEndpoints(w http.ResponseWriter, r *http.Request) {
-	age, endpoints, ok := a.table(w, r)
-	if !ok {
-		return
+// getEndpoints shows the endpoints.
+func (a *API) getEndpoints(w http.ResponseWriter, r *http.Request) error {
+	age, endpoints, err := a.readEndpoints(r.Context())
+	if err != nil {
+		return err
 	}
 	views := make([]EndpointView, len(endpoints))
 	for i := range endpoints {
-		views[i] = viewOf(&endpoints[i])
+		views[i] = endpointView(&endpoints[i])
 	}
-	answer(w, http.StatusOK, map[string]any{"as_of_ms": age, "endpoints": views})
+	writeJSON(w, http.StatusOK, map[string]any{"as_of_ms": age, "endpoints": views})
+	return nil
 }
 
-func (a *API) table(w http.ResponseWriter, r *http.Request) (age int64, endpoints []protocol.Endpoint, ok bool) {
-	age, known := a.asOf(w)
-	if !known {
-		return 0, nil, false
+// getModels shows which endpoint has which model loaded.
+func (a *API) getModels(w http.ResponseWriter, r *http.Request) error {
+	age, endpoints, err := a.readEndpoints(r.Context())
+	if err != nil {
+		return err
 	}
-	view, err := a.instances.View(r.Context())
+	writeJSON(w, http.StatusOK, map[string]any{"as_of_ms": age, "models": modelViews(endpoints)})
+	return nil
+}
+
+// readEndpoints returns the endpoints by service and ID, and the age of the table.
+func (a *API) readEndpoints(ctx context.Context) (age int64, endpoints []protocol.Endpoint, err error) {
+	age, err = a.tableAge()
+	if err != nil {
+		return 0, nil, err
+	}
+	view, err := a.instances.View(ctx)
 	if err != nil {
-		fail(w, http.StatusServiceUnavailable, err.Error())
-		return 0, nil, false
+		return 0, nil, &UnavailableError{Err: err}
 	}
-	endpoints = slices.Clone(view.Endpoints) // the table is everybody's
+	endpoints = slices.Clone(view.Endpoints) // the table is shared with other readers
 	slices.SortFunc(endpoints, func(a, b protocol.Endpoint) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.ID, b.ID))
 	})
-	return age, endpoints, true
+	return age, endpoints, nil
 }
 
-func viewOf(e *protocol.Endpoint) EndpointView {
+func endpointView(e *protocol.Endpoint) EndpointView {
 	view := EndpointView{
-		ID: e.ID, Service: e.Service, Address: e.Address, Zone: e.Zone, Generation: e.SoftwareVersion,
+		ID: e.ID, Service: e.Service, Address: e.Address, Zone: e.Zone, SoftwareVersion: e.SoftwareVersion,
 		Slots: e.Slots, State: stateName(e.State), Sequence: e.Sequence,
 		WarmUpRemainingMS: e.WarmUpRemaining.Milliseconds(), Models: e.Models,
 	}
@@ -140,40 +144,32 @@
 	return view
 }
 
-func (a *API) getModels(w http.ResponseWriter, r *http.Request) {
-	age, endpoints, ok := a.table(w, r)
-	if !ok {
-		return
-	}
-	answer(w, http.StatusOK, map[string]any{"as_of_ms": age, "models": modelViews(endpoints)})
-}
-
-// modelViews turns the table of endpoints into one of models.
+// modelViews turns a table of endpoints into one of models, by service and name.
 func modelViews(endpoints []protocol.Endpoint) []ModelView {
 	type key struct{ service, model string }
-	found := make(map[key]*ModelView)
-	of := func(service, model string) *ModelView {
+	byModel := make(map[key]*ModelView)
+	findOrAdd := func(service, model string) *ModelView {
 		at := key{service, model}
-		if found[at] == nil {
-			found[at] = &ModelView{Service: service, Model: model, Endpoints: []ModelEndpointView{}}
+		if byModel[at] == nil {
+			byModel[at] = &ModelView{Service: service, Model: model, Endpoints: []ModelEndpointView{}}
 		}
-		return found[at]
+		return byModel[at]
 	}
 	for _, e := range endpoints {
-		for _, held := range e.Models {
-			view := of(e.Service, held.Name)
+		for _, loaded := range e.Models {
+			view := findOrAdd(e.Service, loaded.Name)
 			view.Endpoints = append(view.Endpoints,
-				ModelEndpointView{ID: e.ID, Generation: held.Generation, Adapters: held.Adapters})
+				ModelEndpointView{ID: e.ID, Generation: loaded.Generation, Adapters: loaded.Adapters})
 		}
 		for _, load := range e.Loading {
 			if !load.Unload && load.Adapter == "" {
-				view := of(e.Service, load.Model)
+				view := findOrAdd(e.Service, load.Model)
 				view.Loading = append(view.Loading, e.ID)
 			}
 		}
 	}
-	views := make([]ModelView, 0, len(found))
-	for _, view := range found {
+	views := make([]ModelView, 0, len(byModel))
+	for _, view := range byModel {
 		views = append(views, *view)
 	}
 	slices.SortFunc(views, func(a, b ModelView) int {
--- a/internal/control/configstore/store.go
+++ b/internal/control/configstore/store.go
@@ -1,4 +1,6 @@
-// Package configstore joins the replicated state with those who change and read the configuration.
+// Package configstore changes and reads the replicated configuration on behalf of the public API and of the instance's
+// other parts. It turns requests into commands of package state, submits them to the replica, and turns the results into
+// decisions. Its own state is none: everything is in the replica and its machine.
 package configstore
 
 import (
@@ -13,88 +15,98 @@
 	"raventrestle/internal/control/state"
 )
 
-// Store changes and reads the configuration by the replica.
+// Store changes and reads the configuration. It is safe for concurrent use.
 type Store struct {
 	replica replica.Interface
 	machine *state.Machine
 }
 
-// New joins a replica and the machine that it applies commands to.
+// New returns a store over a replica and the machine that the replica applies commands to.
 func New(group replica.Interface, machine *state.Machine) *Store {
 	return &Store{replica: group, machine: machine}
 }
 
-// ErrForgotten means that a change builds on a version so old that it is not known any more whether it was taken.
+// ErrForgotten says that a change builds on a version so old that the machine can't tell any more whether the change was
+// accepted. The API answers it 503: a rejection could be wrong. Its text is part of that answer.
 var ErrForgotten = errors.New("it builds on a version whose successor is not remembered; it may have been taken")
 
-// Change has a change decided by the chain. After an error it may be decided either way, now or later.
-func (c *Store) Change(
-	ctx context.Context, method string, base int64, body []byte,
-) (api.ChangeResult, error) {
-	command, err := state.NewCommand(method, base, body)
+// Change implements api.Configurations. A change that was accepted before is accepted again, whichever instance it is
+// submitted to. After an error the change may be decided either way, now or later.
+func (s *Store) Change(ctx context.Context, method string, base int64, body []byte) (api.ChangeResult, error) {
+	result, err := s.submit(ctx, method, base, body)
 	if err != nil {
 		return api.ChangeResult{}, fmt.Errorf("change of version %d: %w", base, err)
 	}
-	encoded, err := c.replica.Propose(ctx, command)
+	return changeResult(result), nil
+}
+
+func (s *Store) submit(ctx context.Context, method string, base int64, body []byte) (state.Result, error) {
+	command, err := state.NewCommand(method, base, body)
+	if err != nil {
+		return nil, err
+	}
+	encoded, err := s.replica.Propose(ctx, command)
 	if err != nil {
-		return api.ChangeResult{}, fmt.Errorf("change of version %d: %w", base, err)
+		return nil, err
 	}
 	result, err := state.DecodeResult(encoded)
 	if err != nil {
-		return api.ChangeResult{}, fmt.Errorf("change of version %d: %w", base, err)
+		return nil, err
 	}
-	if _, is := result.(state.Forgotten); is {
-		return api.ChangeResult{}, fmt.Errorf("change of version %d: %w", base, ErrForgotten)
+	if _, forgotten := result.(state.Forgotten); forgotten {
+		return nil, ErrForgotten
 	}
-	return resultOf(result), nil
+	return result, nil
 }
 
-func resultOf(result state.Result) api.ChangeResult {
+// changeResult turns a result of the state machine other than Forgotten into the API's.
+func changeResult(result state.Result) api.ChangeResult {
 	switch result := result.(type) {
 	case state.Accepted:
 		return api.ChangeResult{Kind: api.Accepted, Generation: result.Generation}
 	case state.VersionMismatch:
 		return api.ChangeResult{Kind: api.VersionMismatch, Generation: result.Current}
 	case state.Rejected:
-		return api.ChangeResult{Kind: api.Rejected, Reason: reasonOf(result.Faults)}
+		return api.ChangeResult{Kind: api.Rejected, Reason: joinFaults(result.Faults)}
 	}
 	return api.ChangeResult{Kind: api.Rejected, Reason: "refused"}
 }
 
-// reasonOf names all items in fault.
-func reasonOf(faults []configuration.ItemError) string {
-	reasons := make([]string, len(faults))
+// joinFaults names all invalid items in one line.
+func joinFaults(faults []configuration.ItemError) string {
+	texts := make([]string, len(faults))
 	for i, fault := range faults {
-		reasons[i] = fault.String()
+		texts[i] = fault.String()
 	}
-	return strings.Join(reasons, "; ")
+	return strings.Join(texts, "; ")
 }
 
-// Read returns the newest version. Everything acknowledged before the call is in it.
-func (c *Store) Read(ctx context.Context) (int64, []byte, error) {
-	if _, err := c.replica.Barrier(ctx); err != nil {
+// Read implements api.Configurations: it returns the newest version. Everything that was acknowledged before the call is
+// in it, because a barrier passes the chain first.
+func (s *Store) Read(ctx context.Context) (int64, []byte, error) {
+	if _, err := s.replica.Barrier(ctx); err != nil {
 		return 0, nil, fmt.Errorf("read of the configuration: %w", err)
 	}
-	generation, document := c.machine.Current()
+	generation, document := s.machine.Current()
 	return generation, document, nil
 }
 
-// Newest returns the newest version that is committed here, without asking the others.
-func (c *Store) Newest() (int64, []byte) { return c.machine.Current() }
+// Newest returns the newest version that is committed here, without asking the other instances; 0 and nil before the
+// first. The document must not be changed.
+func (s *Store) Newest() (int64, []byte) { return s.machine.Current() }
 
-// Current returns the same, read; nil before the first.
-func (c *Store) Current() *configuration.Configuration {
-	return c.machine.View().Configuration
+// Current returns the same version parsed; nil before the first. It must not be changed.
+func (s *Store) Current() *configuration.Configuration {
+	return s.machine.View().Configuration
 }
 
-// History returns the versions that were taken, oldest first.
-func (c *Store) History() []api.VersionView {
-	history := c.machine.History()
+// History implements api.Configurations.
+func (s *Store) History() []api.VersionView {
+	history := s.machine.History()
 	views := make([]api.VersionView, len(history))
 	for i, version := range history {
 		views[i] = api.VersionView{
-			Generation: version.Generation, Index: version.Index, Method: version.Method,
-			Bytes: version.Bytes,
+			Generation: version.Generation, Index: version.Index, Method: version.Method, Bytes: version.Bytes,
 		}
 	}
 	return views
