--- a/internal/systemsim/reach.go
+++ b/internal/systemsim/connectivity.go
@@ -8,32 +8,32 @@
 	"raventrestle/coordination/view"
 )
 
-// inTouch tells whether a router is bound by the rules with a time bound.
-func (w *World) inTouch(r *router) bool {
-	since := max(r.trouble, r.pathSince, w.network.badAt, w.coreTrouble())
-	return since != never && w.Now()-since >= liveness && w.truth.major != never
+// isBound tells whether a router is bound by the rules with a time bound.
+func (w *World) isBound(r *router) bool {
+	since := max(r.faultAt, r.pathSince, w.network.degradedAt, w.newestInstanceFault())
+	return since != never && w.Now()-since >= livenessBound && w.model.majoritySince != never
 }
 
-// coreTrouble is when the instances and their links were disturbed last.
-func (w *World) coreTrouble() time.Duration {
-	at := w.network.coreAt
+// newestInstanceFault is when the instances and their links were disturbed last.
+func (w *World) newestInstanceFault() time.Duration {
+	at := w.network.instanceLinksAt
 	for _, i := range w.instances {
-		at = max(at, i.trouble)
+		at = max(at, i.faultAt)
 	}
 	return at
 }
 
-// observe works out anew who reaches whom.
-func (w *World) observe() {
+// observeConnectivity works out anew who reaches whom.
+func (w *World) observeConnectivity() {
 	now := w.Now()
 	for _, i := range w.instances {
-		i.major = w.reachesMajority(i)
-		r := w.reachOf(i)
-		i.apartSince = since(i.apartSince, now, i.running && !r.majority)
-		i.cutSince = since(i.cutSince, now, i.running && !r.majority && !r.chain)
-		i.deafSince = since(i.deafSince, now, i.running && !r.anybody)
+		i.reachesMajority = w.reachesMajority(i)
+		r := w.reachabilityOf(i)
+		i.isolatedSince = since(i.isolatedSince, now, i.running && !r.majority)
+		i.partitionedSince = since(i.partitionedSince, now, i.running && !r.majority && !r.chain)
+		i.hearsNobodySince = since(i.hearsNobodySince, now, i.running && !r.anybody)
 	}
-	w.truth.major = since(w.truth.major, now, w.stable())
+	w.model.majoritySince = since(w.model.majoritySince, now, w.stable())
 	for _, r := range w.routers {
 		r.pathSince = since(r.pathSince, now, w.reachesAll(r))
 	}
@@ -68,27 +68,27 @@
 		return false
 	}
 	return !slices.ContainsFunc(w.instances, func(i *instance) bool {
-		return i.major && !w.network.path(&r.process, &i.process)
+		return i.reachesMajority && !w.network.path(&r.process, &i.process)
 	})
 }
 
-// reach is which part of the group messages can go to and come back from, by any detour. A frozen process counts: it
+// reachability is which part of the group messages can go to and come back from, by any detour. A frozen process counts: it
 // answers once it thaws.
-type reach struct {
+type reachability struct {
 	majority bool // of the voters
 	chain    bool // all its members, also those that may start again: they alone commit, whatever other voters do
 	anybody  bool // is heard
 }
 
-func (w *World) reachOf(i *instance) reach {
-	there := w.spread(i, func(a, b *instance) bool { return b.running && w.network.passes(&a.process, &b.process) })
-	back := w.spread(i, func(a, b *instance) bool { return b.running && w.network.passes(&b.process, &a.process) })
+func (w *World) reachabilityOf(i *instance) reachability {
+	there := w.reachableFrom(i, func(a, b *instance) bool { return b.running && w.network.passes(&a.process, &b.process) })
+	back := w.reachableFrom(i, func(a, b *instance) bool { return b.running && w.network.passes(&b.process, &a.process) })
 	both := func(other *instance) bool { return there[other] && back[other] }
-	linkedThere := w.spread(i, func(a, b *instance) bool { return w.network.linked(&a.process, &b.process) })
-	linkedBack := w.spread(i, func(a, b *instance) bool { return w.network.linked(&b.process, &a.process) })
+	linkedThere := w.reachableFrom(i, func(a, b *instance) bool { return w.network.unblocked(&a.process, &b.process) })
+	linkedBack := w.reachableFrom(i, func(a, b *instance) bool { return w.network.unblocked(&b.process, &a.process) })
 	linked := func(other *instance) bool { return linkedThere[other] && linkedBack[other] }
 	newest := w.newestView()
-	return reach{
+	return reachability{
 		majority: w.isMajority(newest.Voters, both),
 		chain:    w.countMembers(newest.Chain, linked) == len(newest.Chain),
 		anybody:  len(back) > 1 || len(newest.Voters) < 2,
@@ -147,8 +147,8 @@
 	return true
 }
 
-// spread gathers who is reached from one instance over others.
-func (w *World) spread(from *instance, passes func(a, b *instance) bool) map[*instance]bool {
+// reachableFrom gathers who is reached from one instance over others.
+func (w *World) reachableFrom(from *instance, passes func(a, b *instance) bool) map[*instance]bool {
 	reached := map[*instance]bool{from: true}
 	list := []*instance{from}
 	for len(list) > 0 {
--- a/internal/systemsim/history.go
+++ b/internal/systemsim/history.go
@@ -4,9 +4,9 @@
 
 // Times of a history.
 const (
-	settling   = 4 * time.Second
-	troubled   = 25 * time.Second
-	recovering = 7 * time.Second // after all has healed
+	startupTime  = 4 * time.Second
+	faultTime    = 25 * time.Second
+	recoveryTime = 7 * time.Second // after all has healed
 )
 
 // SetupOf is the setup of a seed's history.
@@ -14,14 +14,14 @@
 	return Setup{Seed: seed, Instances: 3 + int(seed%3), Routers: 4, Endpoints: 4, Operators: 2}
 }
 
-// Play plays a history and returns the world and what was broken first.
-func Play(setup Setup) (*World, error) {
+// Simulate plays a history and returns the world and what was broken first.
+func Simulate(setup Setup) (*World, error) {
 	w := NewWorld(setup)
-	if err := w.Run(settling); err != nil {
+	if err := w.Run(startupTime); err != nil {
 		return w, err
 	}
-	w.faults(w.Now() + troubled)
-	if err := w.Run(troubled); err != nil {
+	w.injectFaults(w.Now() + faultTime)
+	if err := w.Run(faultTime); err != nil {
 		return w, err
 	}
 	return w, w.Finish()
@@ -29,12 +29,12 @@
 
 // Finish heals everything and checks that all processes come to what was acknowledged.
 func (w *World) Finish() error {
-	w.quiet = true
-	w.heal()
-	if err := w.Run(recovering); err != nil {
+	w.finishing = true
+	w.healAll()
+	if err := w.Run(recoveryTime); err != nil {
 		return err
 	}
-	newest := w.truth.newestBefore(never)
+	newest := w.model.newestBefore(never)
 	for _, r := range w.routers {
 		if r.generation < newest {
 			w.fail(ruleReadBack, "%s has version %d at the end, %d was acknowledged", r.address, r.generation, newest)
@@ -51,7 +51,7 @@
 	answered := false
 	i.read(func(result any) {
 		answer, _ := result.(changeAnswer)
-		answered = answer.code == codeTaken
+		answered = answer.code == codeAccepted
 		if answered && answer.generation < newest {
 			w.fail(ruleReadBack, "%s reads version %d, %d was acknowledged", i.address, answer.generation, newest)
 		}
--- a/internal/systemsim/history_test.go
+++ b/internal/systemsim/history_test.go
@@ -13,22 +13,22 @@
 )
 
 var (
-	firstSeed   = flag.Uint64("first-seed", 1, "the first seed that is played")
-	seedCount   = flag.Int("seeds", seedsPlayed, "how many seeds are played")
-	courseCount = flag.Int("course-seeds", courseSeeds, "how often each course is played")
-	measured    = flag.Int("measured", measuredSeeds, "over how many seeds times are measured")
-	rules       = flag.String("rules", "", "the rules that are looked at, with commas; all if empty")
-	traced      = flag.Bool("tell", false, "tell what happens in the histories")
+	firstSeed      = flag.Uint64("first-seed", 1, "the first seed that is played")
+	seedCount      = flag.Int("seeds", historySeeds, "how many seeds are played")
+	scenarioCount  = flag.Int("course-seeds", scenarioSeeds, "how often each course is played")
+	measuredCount  = flag.Int("measured", measuredSeeds, "over how many seeds times are measured")
+	rules          = flag.String("rules", "", "the rules that are looked at, with commas; all if empty")
+	traceHistories = flag.Bool("tell", false, "tell what happens in the histories")
 )
 
 // players is how many histories are played at once.
-const players = 8
+const parallelHistories = 8
 
 // eachSeed plays seeds from first on, some at once.
 func eachSeed(first uint64, count int, play func(seed uint64)) {
 	var next atomic.Int64
 	var group sync.WaitGroup
-	for range players {
+	for range parallelHistories {
 		group.Go(func() {
 			for at := next.Add(1) - 1; at < int64(count); at = next.Add(1) - 1 {
 				play(first + uint64(at))
@@ -38,18 +38,18 @@
 	group.Wait()
 }
 
-// played plays a seed's history as the flags say.
-func played(seed uint64, mutant Mutant) (*World, error) {
+// simulated plays a seed's history as the flags say.
+func simulated(seed uint64, mutant Mutant) (*World, error) {
 	setup := SetupOf(seed)
 	setup.Mutant, setup.Trace = mutant, tracer(seed)
 	if *rules != "" {
 		setup.Rules = strings.Split(*rules, ",")
 	}
-	return Play(setup)
+	return Simulate(setup)
 }
 
 func tracer(seed uint64) func(string) {
-	if !*traced {
+	if !*traceHistories {
 		return nil
 	}
 	return func(line string) { fmt.Println(seed, line) }
@@ -60,10 +60,10 @@
 	var lock sync.Mutex
 	broken := map[string]int{}
 	eachSeed(*firstSeed, *seedCount, func(seed uint64) {
-		w, err := played(seed, NoMutant)
+		w, err := simulated(seed, NoMutant)
 		if err != nil {
 			t.Error(err)
-			var found *Broken
+			var found *Violation
 			if errors.As(err, &found) {
 				lock.Lock()
 				broken[found.Rule]++
@@ -71,10 +71,10 @@
 			}
 		}
 		steps.Add(int64(w.steps))
-		acks.Add(int64(len(w.truth.acks)))
-		drains.Add(int64(len(w.truth.drained)))
-		looks.Add(int64(w.truth.looks))
-		looksApart.Add(int64(w.truth.looksApart))
+		acks.Add(int64(len(w.model.acks)))
+		drains.Add(int64(len(w.model.drained)))
+		looks.Add(int64(w.model.checks))
+		looksApart.Add(int64(w.model.checksIsolated))
 	})
 	t.Logf("%d histories, %d steps, %d acknowledgements of versions, %d of endpoints' ends, %d looks at routers in touch, "+
 		"%d of them with an instance cut off, broken: %v",
--- a/internal/systemsim/host.go
+++ b/internal/systemsim/host.go
@@ -16,26 +16,26 @@
 	owner      *instance
 	controller *controller.Controller
 	events     []controller.Event
-	wakesAt    time.Duration // world time of the planned step; zero: none is planned
+	stepAt     time.Duration // world time of the planned step; zero: none is planned
 }
 
 func newHost(i *instance) host {
-	endpoints := registry.New(registry.Config{Origin: i.origin(), Heartbeat: heartbeatEvery}, i.clock())
+	endpoints := registry.New(registry.Config{Origin: i.origin(), Heartbeat: heartbeatInterval}, i.clock())
 	config := controller.Config{Origin: i.origin()}
 	return host{owner: i, controller: controller.New(config, i.world.mutateRegistry(endpoints), i.clock())}
 }
 
-// wake plans a step after the delay at the latest.
-func (h *host) wake(delay time.Duration) {
+// scheduleStep plans a step after the delay at the latest.
+func (h *host) scheduleStep(delay time.Duration) {
 	now := h.owner.world.Now()
 	at := now + max(0, delay)
-	if h.wakesAt > now && h.wakesAt <= at {
+	if h.stepAt > now && h.stepAt <= at {
 		return
 	}
-	h.wakesAt = at
+	h.stepAt = at
 	h.owner.after(at-now, func() {
-		if h.wakesAt == at {
-			h.wakesAt = 0
+		if h.stepAt == at {
+			h.stepAt = 0
 			h.step()
 		}
 	})
@@ -44,7 +44,7 @@
 // post queues an event. It waits for a moment, as in the queue of the real host.
 func (h *host) post(event controller.Event) {
 	h.events = append(h.events, event)
-	h.wake(h.owner.world.between(10*time.Microsecond, 500*time.Microsecond))
+	h.scheduleStep(h.owner.world.between(10*time.Microsecond, 500*time.Microsecond))
 }
 
 func (h *host) step() {
@@ -58,7 +58,7 @@
 		Events:     events,
 	})
 	h.carryOut(output)
-	h.wake(output.WakeAt.Sub(now))
+	h.scheduleStep(output.WakeAt.Sub(now))
 }
 
 // carryOut carries out a step's output in the order of its fields. No router of the simulated system reports anything
@@ -88,7 +88,7 @@
 type waitingCall func(accepted bool)
 
 func (h *host) startBarrier(number uint64) {
-	h.owner.ask(engine.Input{Barrier: true}, controller.BarrierTimeout, func(result engine.Result) {
+	h.owner.submit(engine.Input{Barrier: true}, controller.BarrierTimeout, func(result engine.Result) {
 		h.post(controller.BarrierFinished{Number: number, Succeeded: result.Err == nil})
 	})
 }
--- a/internal/systemsim/instance.go
+++ b/internal/systemsim/instance.go
@@ -17,35 +17,35 @@
 
 // Times of an instance's process.
 const (
-	syncTime     = 5 * time.Millisecond
-	decideWithin = 800 * time.Millisecond
-	roleEvery    = 50 * time.Millisecond
-	readyGrace   = 2 * time.Second // until an instance without a majority acknowledges no heartbeat of a ready endpoint
+	syncDuration    = 5 * time.Millisecond
+	proposalTimeout = 800 * time.Millisecond
+	roleInterval    = 50 * time.Millisecond
+	readyGrace      = 2 * time.Second // until an instance without a majority acknowledges no heartbeat of a ready endpoint
 )
 
 // instance is one control instance: a replica with its disk, the controller for routers and endpoints, and the roles.
 type instance struct {
 	process
-	disk    *modeldisk.Disk
-	engine  *engine.Engine
-	machine *state.Machine
-	status  replica.Status // as the replica published it last
-	tenure  *roles.Leadership
-	turn    roles.LeadershipOutput
-	host    host
-	mesh    mesh
-
-	inbox []engine.Input
-	due   time.Duration // of the planned step, world time; zero: none is planned
-	busy  time.Duration // until then the replica waits for its disk
-	stall time.Duration // what a step's syncs take longer
-	calls map[uint64]func(engine.Result)
-	token uint64
-
-	major      bool          // it reaches more than half of all instances
-	apartSince time.Duration // since when it has no way to a majority of the voters and back; never: it has
-	cutSince   time.Duration // since when it has none to the whole chain either; never: it has
-	deafSince  time.Duration // since when no other instance is heard; never: one is
+	disk       *modeldisk.Disk
+	engine     *engine.Engine
+	machine    *state.Machine
+	status     replica.Status // as the replica published it last
+	leadership *roles.Leadership
+	role       roles.LeadershipOutput
+	host       host
+	mesh       mesh
+
+	inbox     []engine.Input
+	stepAt    time.Duration // of the planned step, world time; zero: none is planned
+	busyUntil time.Duration // until then the replica waits for its disk
+	syncDelay time.Duration // what a step's syncs take longer
+	calls     map[uint64]func(engine.Result)
+	token     uint64
+
+	reachesMajority  bool          // it reaches more than half of all instances
+	isolatedSince    time.Duration // since when it has no way to a majority of the voters and back; never: it has
+	partitionedSince time.Duration // since when it has none to the whole chain either; never: it has
+	hearsNobodySince time.Duration // since when no other instance is heard; never: one is
 }
 
 // replicaMessage is a message between replicas.
@@ -55,12 +55,12 @@
 }
 
 func newInstance(w *World, number int) *instance {
-	i := &instance{disk: modeldisk.New(), apartSince: never, cutSince: never, deafSince: never}
+	i := &instance{disk: modeldisk.New(), isolatedSince: never, partitionedSince: never, hearsNobodySince: never}
 	i.process = process{
 		world: w, address: fmt.Sprintf("10.%d.0.%d:7500", number%zones, number), zone: number % zones,
-		takes: i.take, opened: i.streamOpened, ended: i.streamEnded,
+		receive: i.receive, opened: i.streamOpened, ended: i.streamEnded,
 	}
-	i.thawed = func() { i.plan(0) }
+	i.thawed = func() { i.scheduleStep(0) }
 	return i
 }
 
@@ -71,7 +71,7 @@
 
 func (w *World) seedAddresses() []string {
 	var list []string
-	for _, i := range w.instances[:min(seeds, len(w.instances))] {
+	for _, i := range w.instances[:min(seedInstances, len(w.instances))] {
 		list = append(list, i.address)
 	}
 	return list
@@ -84,12 +84,12 @@
 		return
 	}
 	i.begin()
-	i.inbox, i.due, i.busy = nil, 0, 0
+	i.inbox, i.stepAt, i.busyUntil = nil, 0, 0
 	i.calls = make(map[uint64]func(engine.Result))
 	i.machine = state.New()
 	opened, err := engine.Open(i.local(), engine.Config{
 		Self:  view.Member{Address: i.address, Zone: zoneName(i.zone), Tag: i.address},
-		Seeds: w.seedAddresses(), Bootstrap: bootstrap, FaultTolerance: faults, FS: i.disk, StateMachine: i.machine,
+		Seeds: w.seedAddresses(), Bootstrap: bootstrap, FaultTolerance: faultTolerance, FS: i.disk, StateMachine: i.machine,
 		RandomSeed: w.random.Uint64(), CompactBytes: 6000, KeepBytes: 1000, SegmentBytes: 4000,
 	})
 	if err != nil {
@@ -98,12 +98,12 @@
 	}
 	i.engine = opened
 	i.status = statusOf(opened.Status(i.local()))
-	i.tenure, i.turn = roles.NewLeadership(lease, i.clock()), roles.LeadershipOutput{}
+	i.leadership, i.role = roles.NewLeadership(lease, i.clock()), roles.LeadershipOutput{}
 	i.mesh = newMesh(i)
 	i.host = newHost(i)
-	i.plan(0)
-	i.host.wake(0)
-	i.watchRoles()
+	i.scheduleStep(0)
+	i.host.scheduleStep(0)
+	i.stepRolePeriodically()
 }
 
 func (i *instance) down(power bool) {
@@ -114,9 +114,9 @@
 	i.engine = nil
 }
 
-// kill ends the process; the files stand.
-func (i *instance) kill() {
-	if i.running && !i.world.quiet {
+// crash ends the process; the files stand.
+func (i *instance) crash() {
+	if i.running && !i.world.finishing {
 		i.world.tracef("%s is killed", i.address)
 		i.down(true)
 		i.disk = i.disk.AfterKill()
@@ -139,24 +139,24 @@
 	i.disk = modeldisk.New()
 }
 
-// plan sees that the replica's next step comes after the delay at the latest.
-func (i *instance) plan(delay time.Duration) {
-	at := max(i.world.Now()+delay, i.busy)
-	if i.due > i.world.Now() && i.due <= at {
+// scheduleStep sees that the replica's next step comes after the delay at the latest.
+func (i *instance) scheduleStep(delay time.Duration) {
+	at := max(i.world.Now()+delay, i.busyUntil)
+	if i.stepAt > i.world.Now() && i.stepAt <= at {
 		return
 	}
-	i.due = at
+	i.stepAt = at
 	i.after(at-i.world.Now(), func() {
-		if i.due == at {
-			i.due = 0
+		if i.stepAt == at {
+			i.stepAt = 0
 			i.step()
 		}
 	})
 }
 
-func (i *instance) put(input engine.Input) {
+func (i *instance) enqueue(input engine.Input) {
 	i.inbox = append(i.inbox, input)
-	i.plan(0)
+	i.scheduleStep(0)
 }
 
 // step lets the replica work. What follows from it leaves once its disk is done.
@@ -168,16 +168,16 @@
 	now := i.local()
 	effects := i.engine.Step(now, inputs)
 	status := statusOf(i.engine.Status(now))
-	took := time.Duration(i.disk.Syncs-syncs) * syncTime
+	took := time.Duration(i.disk.Syncs-syncs) * syncDuration
 	if took > 0 {
-		took += i.stall
+		took += i.syncDelay
 	}
-	i.busy = w.Now() + took
+	i.busyUntil = w.Now() + took
 	i.after(took, func() { i.carryOut(effects, status) })
 	syncs = i.disk.Syncs
 	_ = i.engine.Maintain(now) // a disk that refuses is told of by the engine
-	i.busy += time.Duration(i.disk.Syncs-syncs) * syncTime
-	i.plan(i.engine.NextStep() - now)
+	i.busyUntil += time.Duration(i.disk.Syncs-syncs) * syncDuration
+	i.scheduleStep(i.engine.NextStep() - now)
 }
 
 func (i *instance) carryOut(effects engine.Output, status replica.Status) {
@@ -186,14 +186,14 @@
 	}
 	i.publish(status)
 	for _, result := range effects.Results {
-		i.finish(result)
+		i.complete(result)
 	}
 	for _, withdrawn := range effects.Cancellations {
-		i.finish(engine.Result{CallID: withdrawn.CallID, Err: engine.ErrOutcomeUnknown})
+		i.complete(engine.Result{CallID: withdrawn.CallID, Err: engine.ErrOutcomeUnknown})
 	}
 }
 
-func (i *instance) finish(result engine.Result) {
+func (i *instance) complete(result engine.Result) {
 	if done := i.calls[result.CallID]; done != nil {
 		delete(i.calls, result.CallID)
 		done(result)
@@ -209,28 +209,28 @@
 		before.IsLeader != status.IsLeader || len(before.LiveMembers) != len(status.LiveMembers)
 	if moved {
 		i.host.post(controller.ReplicaChanged{})
-		i.lookAtRole()
+		i.stepRole()
 	}
 }
 
-// ask has the replica work on a call and gives it up after a time.
-func (i *instance) ask(input engine.Input, within time.Duration, done func(engine.Result)) {
+// submit has the replica work on a call and gives it up after a time.
+func (i *instance) submit(input engine.Input, within time.Duration, done func(engine.Result)) {
 	i.token++
 	token := i.token
 	input.CallID = token
 	i.calls[token] = done
-	i.put(input)
+	i.enqueue(input)
 	i.after(within, func() {
 		if i.calls[token] != nil {
-			i.put(engine.Input{CallID: token, Cancel: true})
+			i.enqueue(engine.Input{CallID: token, Cancel: true})
 		}
 	})
 }
 
-// take takes what came on a stream.
-func (i *instance) take(s *stream, message any) {
+// receive takes what came on a stream.
+func (i *instance) receive(s *stream, message any) {
 	if m, isReplica := message.(replicaMessage); isReplica {
-		i.put(engine.Input{Message: &m.content, Address: m.from})
+		i.enqueue(engine.Input{Message: &m.content, Address: m.from})
 		return
 	}
 	i.host.post(controller.MessageReceived{Connection: s, Message: message})
@@ -246,17 +246,17 @@
 // newest is the committed configuration as this instance has it.
 func (i *instance) newest() (int64, []byte) { return i.machine.Current() }
 
-// watchRoles looks at the role as its holder's loop does: now and then, and when the replica's status moves.
-func (i *instance) watchRoles() {
-	i.lookAtRole()
-	i.after(roleEvery, i.watchRoles)
+// stepRolePeriodically looks at the role as its holder's loop does: now and then, and when the replica's status moves.
+func (i *instance) stepRolePeriodically() {
+	i.stepRole()
+	i.after(roleInterval, i.stepRolePeriodically)
 }
 
-// lookAtRole stands in for the holder of the roles: it notes that it acts whenever it may.
-func (i *instance) lookAtRole() {
-	i.turn = i.tenure.Step(i.clock(), i.currentStatus())
-	if i.turn.MayAct {
-		i.world.acted(i)
+// stepRole stands in for the holder of the roles: it notes that it acts whenever it may.
+func (i *instance) stepRole() {
+	i.role = i.leadership.Step(i.clock(), i.currentStatus())
+	if i.role.MayAct {
+		i.world.recordRoleAction(i)
 	}
 }
 
@@ -269,49 +269,49 @@
 	return status
 }
 
-// acts tells whether the instance may act in a role at this moment.
-func (i *instance) acts() bool {
-	return i.running && !i.frozen && i.turn.MayAct && i.currentStatus().IsLeader
+// mayAct tells whether the instance may act in a role at this moment.
+func (i *instance) mayAct() bool {
+	return i.running && !i.frozen && i.role.MayAct && i.currentStatus().IsLeader
 }
 
-// change carries out an operator's call.
-func (i *instance) change(o *order, answer func(any)) {
+// applyChange carries out an operator's call.
+func (i *instance) applyChange(o *change, answer func(any)) {
 	w, came := i.world, i.world.Now()
 	command, err := state.NewCommand(state.Replace, o.base, o.body)
 	if err != nil {
-		w.fail(ruleRefused, "order %s: %v", o.name, err)
+		w.fail(ruleRejected, "order %s: %v", o.name, err)
 		return
 	}
-	i.ask(engine.Input{Command: command}, decideWithin, func(result engine.Result) {
+	i.submit(engine.Input{Command: command}, proposalTimeout, func(result engine.Result) {
 		decided, err := state.DecodeResult(result.Value)
 		if result.Err != nil || err != nil {
 			answer(changeAnswer{code: codeUnavailable})
 			return
 		}
-		w.checkAnswered(i, came, i.cutSince, "order "+o.name)
+		w.checkAnswered(i, came, i.partitionedSince, "order "+o.name)
 		switch decided := decided.(type) {
 		case state.Accepted:
-			w.acknowledged(i, o, decided.Generation)
-			answer(changeAnswer{code: codeTaken, generation: decided.Generation})
+			w.recordAcknowledgement(i, o, decided.Generation)
+			answer(changeAnswer{code: codeAccepted, generation: decided.Generation})
 		case state.VersionMismatch:
-			w.refused(i, o, codeMismatch)
+			w.checkRejection(i, o, codeMismatch)
 			answer(changeAnswer{code: codeMismatch, generation: decided.Current})
 		default:
-			w.refused(i, o, codeBad)
-			answer(changeAnswer{code: codeBad})
+			w.checkRejection(i, o, codeInvalid)
+			answer(changeAnswer{code: codeInvalid})
 		}
 	})
 }
 
 // read carries out an operator's call for the newest version.
 func (i *instance) read(answer func(any)) {
-	i.ask(engine.Input{Barrier: true}, decideWithin, func(result engine.Result) {
+	i.submit(engine.Input{Barrier: true}, proposalTimeout, func(result engine.Result) {
 		if result.Err != nil {
 			answer(changeAnswer{code: codeUnavailable})
 			return
 		}
 		generation, _ := i.newest()
-		answer(changeAnswer{code: codeTaken, generation: generation})
+		answer(changeAnswer{code: codeAccepted, generation: generation})
 	})
 }
 
@@ -328,18 +328,18 @@
 
 // checkHeartbeat: those of ready endpoints, which bind nobody, are acknowledged for a while without a majority.
 func (i *instance) checkHeartbeat(told protocol.Endpoint, came time.Duration) {
-	apart := i.apartSince
+	apart := i.isolatedSince
 	if told.State == protocol.Ready && apart != never {
 		apart += readyGrace
 	}
 	i.world.checkAnswered(i, came, apart, "a heartbeat of "+told.ID)
 }
 
-func (i *instance) left(id string, answer func(any)) {
+func (i *instance) deregister(id string, answer func(any)) {
 	came := i.world.Now()
 	i.host.deregister(id, func(taken bool) {
 		if taken {
-			i.world.checkAnswered(i, came, i.apartSince, "the end of "+id)
+			i.world.checkAnswered(i, came, i.isolatedSince, "the end of "+id)
 		}
 		answer(taken)
 	})
@@ -354,5 +354,5 @@
 }
 
 func (i *instance) origin() protocol.Origin {
-	return protocol.Origin{Address: i.address, Incarnation: uint64(i.life)}
+	return protocol.Origin{Address: i.address, Incarnation: uint64(i.incarnation)}
 }
--- a/internal/systemsim/mesh.go
+++ b/internal/systemsim/mesh.go
@@ -4,10 +4,10 @@
 
 // Times of the connections between instances, as those of package transport.
 const (
-	meshDial       = time.Second
-	messageLasts   = time.Second // that waits for a connection
-	firstMeshPause = 50 * time.Millisecond
-	mostMeshPause  = 500 * time.Millisecond
+	meshDialTimeout = time.Second
+	messageTTL      = time.Second // that waits for a connection
+	minMeshBackoff  = 50 * time.Millisecond
+	maxMeshBackoff  = 500 * time.Millisecond
 )
 
 // mesh sends to other instances over one outgoing stream each.
@@ -17,17 +17,17 @@
 }
 
 type meshLink struct {
-	to      *instance
-	stream  *stream
-	up      bool
-	waiting []waitingMessage
-	pause   time.Duration
-	resting bool
+	to         *instance
+	stream     *stream
+	up         bool
+	pending    []pendingMessage
+	backoff    time.Duration
+	backingOff bool
 }
 
-type waitingMessage struct {
-	since   time.Duration
-	message any
+type pendingMessage struct {
+	queuedAt time.Duration
+	message  any
 }
 
 func newMesh(owner *instance) mesh { return mesh{owner: owner, links: make(map[string]*meshLink)} }
@@ -39,22 +39,22 @@
 		if to == nil {
 			return
 		}
-		link = &meshLink{to: to, pause: firstMeshPause}
+		link = &meshLink{to: to, backoff: minMeshBackoff}
 		m.links[address] = link
 	}
 	if link.up {
 		link.stream.endOf(&m.owner.process).send(message)
 		return
 	}
-	link.waiting = append(link.waiting, waitingMessage{since: m.owner.world.Now(), message: message})
+	link.pending = append(link.pending, pendingMessage{queuedAt: m.owner.world.Now(), message: message})
 	m.dial(link)
 }
 
 func (m *mesh) dial(link *meshLink) {
-	if link.stream != nil || link.resting {
+	if link.stream != nil || link.backingOff {
 		return
 	}
-	link.stream = m.owner.world.network.dial(&m.owner.process, &link.to.process, meshDial)
+	link.stream = m.owner.world.network.dial(&m.owner.process, &link.to.process, meshDialTimeout)
 }
 
 func (m *mesh) opened(s *stream) {
@@ -62,13 +62,13 @@
 		if link.stream != s {
 			continue
 		}
-		link.up, link.pause = true, firstMeshPause
-		for _, w := range link.waiting {
-			if m.owner.world.Now()-w.since < messageLasts {
+		link.up, link.backoff = true, minMeshBackoff
+		for _, w := range link.pending {
+			if m.owner.world.Now()-w.queuedAt < messageTTL {
 				s.endOf(&m.owner.process).send(w.message)
 			}
 		}
-		link.waiting = nil
+		link.pending = nil
 	}
 }
 
@@ -77,12 +77,12 @@
 		if link.stream != s {
 			continue
 		}
-		link.stream, link.up, link.resting = nil, false, true
-		pause := link.pause
-		link.pause = min(mostMeshPause, 2*link.pause)
+		link.stream, link.up, link.backingOff = nil, false, true
+		pause := link.backoff
+		link.backoff = min(maxMeshBackoff, 2*link.backoff)
 		m.owner.after(pause, func() {
-			link.resting = false
-			if len(link.waiting) > 0 {
+			link.backingOff = false
+			if len(link.pending) > 0 {
 				m.dial(link)
 			}
 		})
--- a/internal/systemsim/mutant.go
+++ b/internal/systemsim/mutant.go
@@ -19,29 +19,29 @@
 // The planted faults.
 const (
 	NoMutant            Mutant = ""
-	SettleFirst         Mutant = "router settles with whoever answers first"
-	BelieveBeacons      Mutant = "router believes every beacon"
+	FollowFirst         Mutant = "router settles with whoever answers first"
+	TrustAllBeacons     Mutant = "router believes every beacon"
 	StampFresh          Mutant = "instance states the age 0 always"
 	DrainWithoutContact Mutant = "drain acknowledged without contact"
 )
 
 // newDecider returns what decides for a router.
 func (w *World) newDecider(r *router) decider {
-	if w.Mutant == SettleFirst {
-		return newBeliever(r)
+	if w.Mutant == FollowFirst {
+		return newNaiveDecider(r)
 	}
-	identity := subscription.Identity{Node: r.address, Zone: zoneName(r.zone), Incarnation: uint64(r.life)}
+	identity := subscription.Identity{Node: r.address, Zone: zoneName(r.zone), Incarnation: uint64(r.incarnation)}
 	own := netip.MustParseAddrPort(r.address).Addr()
-	random := rand.New(rand.NewPCG(w.random.Uint64(), uint64(r.life)))
+	random := rand.New(rand.NewPCG(w.random.Uint64(), uint64(r.incarnation)))
 	course := subscription.NewCourse(identity.Zone, own, random)
 	course.SetSeeds(w.seedAddresses())
 	return subscription.NewDecider(identity, course, subscription.Limits{Stale: min(configBound, drainBound) / 2})
 }
 
-// heard is a message as the router's decider gets it. Each router gets a copy, as from the wire.
-func (w *World) heard(message any) any {
+// mutateMessage is a message as the router's decider gets it. Each router gets a copy, as from the wire.
+func (w *World) mutateMessage(message any) any {
 	believe := func(s *protocol.FreshnessProof) {
-		if w.Mutant == BelieveBeacons {
+		if w.Mutant == TrustAllBeacons {
 			s.HasMajorityContact, s.MajorityContactAge, s.Epoch = true, 0, math.MaxInt64
 		}
 	}
--- a/internal/systemsim/believer.go
+++ b/internal/systemsim/naive_decider.go
@@ -9,33 +9,33 @@
 	"raventrestle/internal/router/subscription"
 )
 
-var errEnded = errors.New("the connection has ended")
+var errConnectionEnded = errors.New("the connection has ended")
 
 const (
-	believerSilence = 750 * time.Millisecond
-	believerPause   = 100 * time.Millisecond
+	naiveBeaconTimeout = 750 * time.Millisecond
+	naiveInterval      = 100 * time.Millisecond
 )
 
-// believer is a router that settles with whoever answers first and never asks how old that is: as routers did before
+// naiveDecider is a router that settles with whoever answers first and never asks how old that is: as routers did before
 // ages were stated. The checks must find it.
-type believer struct {
+type naiveDecider struct {
 	router      *router
 	addresses   []string
 	next        int
 	connection  subscription.ConnectionID // zero: none
-	heard       time.Time
+	receivedAt  time.Time
 	dialAt      time.Time
 	sequence    uint64
 	generation  int64
 	applying    bool
-	waiting     []*protocol.Update
+	pending     []*protocol.Update
 	out         subscription.Output
 	now         time.Time
 	connections subscription.ConnectionID
 }
 
-func newBeliever(r *router) *believer {
-	b := &believer{router: r, addresses: r.world.seedAddresses()}
+func newNaiveDecider(r *router) *naiveDecider {
+	b := &naiveDecider{router: r, addresses: r.world.seedAddresses()}
 	r.world.random.Shuffle(len(b.addresses), func(i, j int) {
 		b.addresses[i], b.addresses[j] = b.addresses[j], b.addresses[i]
 	})
@@ -43,44 +43,44 @@
 }
 
 // Step implements decider.
-func (b *believer) Step(now time.Time, inputs ...subscription.Input) subscription.Output {
+func (b *naiveDecider) Step(now time.Time, inputs ...subscription.Input) subscription.Output {
 	b.out, b.now = subscription.Output{}, now
 	for _, input := range inputs {
-		b.take(input)
+		b.apply(input)
 	}
 	switch {
 	case b.connection == 0 && !now.Before(b.dialAt):
 		b.dial()
-	case b.connection != 0 && now.Sub(b.heard) > believerSilence:
+	case b.connection != 0 && now.Sub(b.receivedAt) > naiveBeaconTimeout:
 		b.leave()
 	}
 	b.applyNext()
-	b.out.WakeAt = now.Add(believerPause)
+	b.out.WakeAt = now.Add(naiveInterval)
 	b.out.Ready = b.generation > 0
 	return b.out
 }
 
-func (b *believer) dial() {
+func (b *naiveDecider) dial() {
 	b.connections++
 	b.connection = b.connections
-	b.heard, b.sequence = b.now, 0
+	b.receivedAt, b.sequence = b.now, 0
 	b.out.Dial = append(b.out.Dial,
 		subscription.Dial{Connection: b.connection, Address: b.addresses[b.next%len(b.addresses)]})
 	b.next++
 }
 
-func (b *believer) leave() {
+func (b *naiveDecider) leave() {
 	b.out.Close = append(b.out.Close, b.connection)
-	b.connection, b.waiting = 0, nil
-	b.dialAt = b.now.Add(believerPause / 2)
+	b.connection, b.pending = 0, nil
+	b.dialAt = b.now.Add(naiveInterval / 2)
 }
 
-func (b *believer) take(input subscription.Input) {
+func (b *naiveDecider) apply(input subscription.Input) {
 	switch in := input.(type) {
 	case subscription.Opened:
 		b.send(in.Connection, protocol.Subscribe{
 			Node: b.router.address, Zone: zoneName(b.router.zone),
-			Incarnation: uint64(b.router.life), Generation: b.generation, Ready: b.generation > 0,
+			Incarnation: uint64(b.router.incarnation), Generation: b.generation, Ready: b.generation > 0,
 		})
 	case subscription.Ended:
 		if in.Connection == b.connection {
@@ -90,9 +90,9 @@
 		if in.Connection != b.connection {
 			return
 		}
-		b.heard = b.now
+		b.receivedAt = b.now
 		if update, isUpdate := in.Message.(*protocol.Update); isUpdate {
-			b.waiting = append(b.waiting, update)
+			b.pending = append(b.pending, update)
 		}
 	case subscription.Applied:
 		b.applying = false
@@ -102,18 +102,18 @@
 	}
 }
 
-func (b *believer) send(to subscription.ConnectionID, message any) {
+func (b *naiveDecider) send(to subscription.ConnectionID, message any) {
 	b.out.Send = append(b.out.Send, subscription.Send{Connection: to, Message: message})
 }
 
-func (b *believer) applyNext() {
-	if b.applying || len(b.waiting) == 0 {
+func (b *naiveDecider) applyNext() {
+	if b.applying || len(b.pending) == 0 {
 		return
 	}
-	update := b.waiting[0]
-	b.waiting = b.waiting[1:]
+	update := b.pending[0]
+	b.pending = b.pending[1:]
 	b.sequence = update.Sequence
-	b.learn(update.Members)
+	b.addMembers(update.Members)
 	change := &subscription.Change{
 		View: dispatch.ViewChanged{Full: update.Snapshot, Endpoints: update.Endpoints, Routers: update.RouterCount},
 	}
@@ -125,7 +125,7 @@
 	b.out.Apply = change
 }
 
-func (b *believer) learn(members []protocol.Member) {
+func (b *naiveDecider) addMembers(members []protocol.Member) {
 	for _, member := range members {
 		known := false
 		for _, address := range b.addresses {
--- a/internal/systemsim/network.go
+++ b/internal/systemsim/network.go
@@ -7,93 +7,93 @@
 
 // Times of links and of the kernels at their ends.
 const (
-	leastDelay  = 300 * time.Microsecond
-	mostDelay   = 900 * time.Microsecond
-	farDelay    = 2 * time.Millisecond // between zones, at least
-	lostDelay   = 250 * time.Millisecond
-	afterHeal   = 300 * time.Millisecond  // what was held up comes within this time
-	userTimeout = 1500 * time.Millisecond // a kernel ends a connection whose bytes are unacknowledged for so long
+	minDelay            = 300 * time.Microsecond
+	maxDelay            = 900 * time.Microsecond
+	zoneDelay           = 2 * time.Millisecond // between zones, at least
+	retransmissionDelay = 250 * time.Millisecond
+	maxHealDelay        = 300 * time.Millisecond  // what was held up comes within this time
+	userTimeout         = 1500 * time.Millisecond // a kernel ends a connection whose bytes are unacknowledged for so long
 )
 
-// pair is one direction between two machines.
-type pair struct{ from, to *process }
+// direction is one direction between two machines.
+type direction struct{ from, to *process }
 
 // network is the links between all machines.
 type network struct {
-	world   *World
-	cuts    map[pair]int  // how many faults cut it
-	slow    time.Duration // added at random
-	loss    float64       // share of the messages that come late because a packet was lost
-	badAt   time.Duration // links were slow or lossy; never: they are
-	coreAt  time.Duration // newest cut or join between instances
-	streams []*stream
+	world           *World
+	blocked         map[direction]int // how many faults cut it
+	jitter          time.Duration     // added at random
+	loss            float64           // share of the messages that come late because a packet was lost
+	degradedAt      time.Duration     // links were slow or lossy; never: they are
+	instanceLinksAt time.Duration     // newest cut or join between instances
+	streams         []*stream
 }
 
-func newNetwork(w *World) *network { return &network{world: w, cuts: make(map[pair]int)} }
+func newNetwork(w *World) *network { return &network{world: w, blocked: make(map[direction]int)} }
 
-// harm makes all links slow and lossy; zeros make them good again.
-func (n *network) harm(slow time.Duration, loss float64) {
-	n.slow, n.loss, n.badAt = slow, loss, never
+// degrade makes all links slow and lossy; zeros make them good again.
+func (n *network) degrade(slow time.Duration, loss float64) {
+	n.jitter, n.loss, n.degradedAt = slow, loss, never
 	if slow == 0 && loss == 0 {
-		n.badAt = n.world.Now()
+		n.degradedAt = n.world.Now()
 	}
 }
 
-// cut takes a direction away, join gives it back.
-func (n *network) cut(from, to *process) {
-	n.cuts[pair{from, to}]++
-	n.noteCore(from, to)
+// block takes a direction away, join gives it back.
+func (n *network) block(from, to *process) {
+	n.blocked[direction{from, to}]++
+	n.noteInstanceLink(from, to)
 }
 
-func (n *network) join(from, to *process) {
-	key := pair{from, to}
-	if n.cuts[key]--; n.cuts[key] <= 0 {
-		delete(n.cuts, key)
+func (n *network) unblock(from, to *process) {
+	key := direction{from, to}
+	if n.blocked[key]--; n.blocked[key] <= 0 {
+		delete(n.blocked, key)
 	}
-	n.noteCore(from, to)
+	n.noteInstanceLink(from, to)
 }
 
-func (n *network) noteCore(from, to *process) {
-	if n.isCore(from) && n.isCore(to) {
-		n.coreAt = n.world.Now()
+func (n *network) noteInstanceLink(from, to *process) {
+	if n.isInstance(from) && n.isInstance(to) {
+		n.instanceLinksAt = n.world.Now()
 	}
 }
 
-func (n *network) isCore(p *process) bool {
+func (n *network) isInstance(p *process) bool {
 	return slices.ContainsFunc(n.world.instances, func(i *instance) bool { return &i.process == p })
 }
 
 // passes tells whether a packet gets from one machine to the other now.
 func (n *network) passes(from, to *process) bool {
-	return n.cuts[pair{from, to}] == 0 && from.powered && to.powered
+	return n.blocked[direction{from, to}] == 0 && from.powered && to.powered
 }
 
-// linked tells whether nothing but an end's own state keeps packets from passing.
-func (n *network) linked(from, to *process) bool { return n.cuts[pair{from, to}] == 0 }
+// unblocked tells whether nothing but an end's own state keeps packets from passing.
+func (n *network) unblocked(from, to *process) bool { return n.blocked[direction{from, to}] == 0 }
 
 // path tells whether packets pass in both directions.
 func (n *network) path(a, b *process) bool { return a == b || n.passes(a, b) && n.passes(b, a) }
 
 func (n *network) delay(from, to *process) time.Duration {
 	w := n.world
-	delay := w.between(leastDelay, mostDelay)
+	delay := w.between(minDelay, maxDelay)
 	if from.zone != to.zone {
-		delay += farDelay
+		delay += zoneDelay
 	}
-	if n.slow > 0 {
-		delay += w.between(0, n.slow)
+	if n.jitter > 0 {
+		delay += w.between(0, n.jitter)
 	}
 	if n.loss > 0 && w.random.Float64() < n.loss {
-		delay += lostDelay
+		delay += retransmissionDelay
 	}
 	return delay
 }
 
-// changed has streams go on that were held up, and the truth be told anew.
-func (n *network) changed() {
+// topologyChanged has streams go on that were held up, and the truth be told anew.
+func (n *network) topologyChanged() {
 	open := n.streams[:0]
 	for _, s := range n.streams {
-		if s.over() {
+		if s.finished() {
 			continue
 		}
 		open = append(open, s)
@@ -102,7 +102,7 @@
 		}
 	}
 	n.streams = open
-	n.world.observe()
+	n.world.observeConnectivity()
 }
 
 // stream is a connection of two processes: messages of one direction keep their order.
@@ -114,24 +114,24 @@
 
 // end is one process's side of a stream, with what it has sent.
 type end struct {
-	stream  *stream
-	process *process
-	life    int // of the process
-	other   *end
-	closed  bool // the process has no use for it any more, or knows that it is over
-	queue   []any
-	moving  bool          // an arrival is planned
-	held    bool          // by a cut
-	unacked time.Duration // since when bytes that were sent are unacknowledged; zero: none are
-	due     time.Duration // of the newest arrival
+	stream           *stream
+	process          *process
+	incarnation      int // of the process
+	other            *end
+	closed           bool // the process has no use for it any more, or knows that it is over
+	queue            []any
+	arrivalScheduled bool          // an arrival is planned
+	heldBack         bool          // by a cut
+	unackedSince     time.Duration // since when bytes that were sent are unacknowledged; zero: none are
+	arrivesAt        time.Duration // of the newest arrival
 }
 
-type finish struct{}
+type fin struct{}
 
 // dial opens a stream; the caller hears of it by opened or ended.
 func (n *network) dial(from, to *process, patience time.Duration) *stream {
 	s := &stream{network: n}
-	a, b := &end{stream: s, process: from, life: from.life}, &end{stream: s, process: to}
+	a, b := &end{stream: s, process: from, incarnation: from.incarnation}, &end{stream: s, process: to}
 	a.other, b.other = b, a
 	s.ends = [2]*end{a, b}
 	n.streams = append(n.streams, s)
@@ -141,28 +141,28 @@
 			a.fail()
 		}
 	})
-	n.world.After(n.delay(from, to), func() { s.called(n) })
+	n.world.After(n.delay(from, to), func() { s.accept(n) })
 	return s
 }
 
-// called is the caller's first packet at the other machine.
-func (s *stream) called(n *network) {
+// accept is the caller's first packet at the other machine.
+func (s *stream) accept(n *network) {
 	a, b := s.ends[0], s.ends[1]
 	if !n.passes(a.process, b.process) {
 		return
 	}
 	refused := !b.process.running
 	if !refused {
-		b.life = b.process.life
+		b.incarnation = b.process.incarnation
 		b.process.streams = append(b.process.streams, s)
 	}
 	n.world.After(n.delay(b.process, a.process), func() {
 		switch {
 		case a.closed || !n.passes(b.process, a.process):
 		case refused:
-			a.process.do(a.life, a.fail)
+			a.process.do(a.incarnation, a.fail)
 		default:
-			a.process.do(a.life, func() {
+			a.process.do(a.incarnation, func() {
 				if !a.closed && !s.open {
 					s.open = true
 					a.process.opened(s)
@@ -179,21 +179,21 @@
 	return s.ends[1]
 }
 
-// over tells whether nobody is left who could notice anything.
-func (s *stream) over() bool {
-	return s.ends[0].gone() && s.ends[1].gone() && !s.ends[0].moving && !s.ends[1].moving
+// finished tells whether nobody is left who could notice anything.
+func (s *stream) finished() bool {
+	return s.ends[0].detached() && s.ends[1].detached() && !s.ends[0].arrivalScheduled && !s.ends[1].arrivalScheduled
 }
 
-// gone tells whether no process is behind this end any more.
-func (e *end) gone() bool { return e.closed || e.life != e.process.life }
+// detached tells whether no process is behind this end any more.
+func (e *end) detached() bool { return e.closed || e.incarnation != e.process.incarnation }
 
 // send queues a message for the process at the other end.
 func (e *end) send(message any) {
-	if e.gone() {
+	if e.detached() {
 		return
 	}
 	e.queue = append(e.queue, message)
-	e.move()
+	e.scheduleArrival()
 }
 
 // close ends the stream; what was sent before still arrives.
@@ -201,13 +201,13 @@
 	if e.closed {
 		return
 	}
-	e.send(finish{})
+	e.send(fin{})
 	e.closed = true
 }
 
 // fail tells the own process that the stream is over.
 func (e *end) fail() {
-	if e.gone() {
+	if e.detached() {
 		return
 	}
 	e.closed = true
@@ -216,50 +216,50 @@
 }
 
 // abandoned: the process has ended. Its kernel says so, if it still runs.
-func (e *end) abandoned(power bool) {
+func (e *end) processEnded(power bool) {
 	if e.closed {
 		return
 	}
 	e.closed = true
 	e.queue = nil
 	if power {
-		e.queue = append(e.queue, finish{})
-		e.move()
+		e.queue = append(e.queue, fin{})
+		e.scheduleArrival()
 	}
 }
 
-// move plans the arrival of the first message that waits.
-func (e *end) move() {
-	if e.moving || len(e.queue) == 0 {
+// scheduleArrival plans the arrival of the first message that waits.
+func (e *end) scheduleArrival() {
+	if e.arrivalScheduled || len(e.queue) == 0 {
 		return
 	}
 	n := e.stream.network
-	e.moving = true
+	e.arrivalScheduled = true
 	now := n.world.Now()
-	e.due = max(e.due, now+n.delay(e.process, e.other.process))
-	n.world.After(e.due-now, e.arrive)
+	e.arrivesAt = max(e.arrivesAt, now+n.delay(e.process, e.other.process))
+	n.world.After(e.arrivesAt-now, e.arrive)
 }
 
 // arrive brings what has been sent to the other machine, or holds it up.
 func (e *end) arrive() {
-	e.moving = false
+	e.arrivalScheduled = false
 	n := e.stream.network
 	if len(e.queue) == 0 {
 		return
 	}
 	if !n.passes(e.process, e.other.process) {
-		e.held = true
-		e.unacknowledged()
+		e.heldBack = true
+		e.startUserTimeout()
 		return
 	}
-	if e.other.gone() {
+	if e.other.detached() {
 		e.reset()
 		return
 	}
 	batch := e.queue
 	e.queue = nil
 	if !n.passes(e.other.process, e.process) {
-		e.unacknowledged()
+		e.startUserTimeout()
 	}
 	for _, message := range batch {
 		e.deliver(message)
@@ -268,13 +268,13 @@
 
 func (e *end) deliver(message any) {
 	to := e.other
-	if _, over := message.(finish); over {
-		to.process.do(to.life, to.fail)
+	if _, over := message.(fin); over {
+		to.process.do(to.incarnation, to.fail)
 		return
 	}
-	to.process.do(to.life, func() {
+	to.process.do(to.incarnation, func() {
 		if !to.closed {
-			to.process.takes(to.stream, message)
+			to.process.receive(to.stream, message)
 		}
 	})
 }
@@ -285,26 +285,26 @@
 	n := e.stream.network
 	n.world.After(n.delay(e.other.process, e.process), func() {
 		if n.passes(e.other.process, e.process) {
-			e.process.do(e.life, e.fail)
+			e.process.do(e.incarnation, e.fail)
 		} else {
-			e.unacknowledged()
+			e.startUserTimeout()
 		}
 	})
 }
 
-// unacknowledged has the kernel end the stream where nothing comes back for long.
-func (e *end) unacknowledged() {
-	if e.unacked > 0 {
+// startUserTimeout has the kernel end the stream where nothing comes back for long.
+func (e *end) startUserTimeout() {
+	if e.unackedSince > 0 {
 		return
 	}
 	since := e.stream.network.world.Now()
-	e.unacked = since
+	e.unackedSince = since
 	e.stream.network.world.After(userTimeout, func() {
-		if e.unacked != since {
+		if e.unackedSince != since {
 			return
 		}
 		e.queue = nil
-		e.process.do(e.life, e.fail)
+		e.process.do(e.incarnation, e.fail)
 	})
 }
 
@@ -312,12 +312,12 @@
 func (e *end) resume() {
 	n := e.stream.network
 	if n.path(e.process, e.other.process) {
-		e.unacked = 0
+		e.unackedSince = 0
 	}
-	if e.held && n.passes(e.process, e.other.process) {
-		e.held = false
-		e.due = max(e.due, n.world.Now()+n.world.between(0, afterHeal))
-		e.move()
+	if e.heldBack && n.passes(e.process, e.other.process) {
+		e.heldBack = false
+		e.arrivesAt = max(e.arrivesAt, n.world.Now()+n.world.between(0, maxHealDelay))
+		e.scheduleArrival()
 	}
 }
 
@@ -338,7 +338,7 @@
 				w.After(n.delay(to, from), func() { finishWith(nil) })
 				return
 			}
-			to.do(to.life, func() {
+			to.do(to.incarnation, func() {
 				ask(func(result any) {
 					w.After(n.delay(to, from), func() {
 						if n.passes(to, from) {
--- a/internal/systemsim/plain_test.go
+++ b/internal/systemsim/plain_test.go
@@ -2,11 +2,11 @@
 
 package systemsim
 
-// seedsPlayed is how many histories are played; -seeds plays more, -first-seed sets the first.
-const seedsPlayed = 300
+// historySeeds is how many histories are played; -seeds plays more, -first-seed sets the first.
+const historySeeds = 300
 
-// courseSeeds is how often each course is played.
-const courseSeeds = 12
+// scenarioSeeds is how often each course is played.
+const scenarioSeeds = 12
 
 // measuredSeeds is over how many worlds times are measured.
 const measuredSeeds = 20
--- a/internal/systemsim/process.go
+++ b/internal/systemsim/process.go
@@ -7,49 +7,49 @@
 	world   *World
 	address string
 	zone    int
-	takes   func(s *stream, message any) // a message came
+	receive func(s *stream, message any) // a message came
 	opened  func(s *stream)              // a dialled stream is up
 	ended   func(s *stream)              // a stream has ended, or could not be made
 	thawed  func()
 
-	life    int // rises with each start and each end
-	running bool
-	powered bool
-	frozen  bool
-	offset  time.Duration // of the clock of this life
-	drift   time.Duration // parts of a million by which it runs faster
-	began   time.Duration // world time
-	trouble time.Duration // newest start, end, freeze or thaw
-	backlog []func()      // what waits while it is frozen
-	stepsAt time.Duration // begin of the span in which steps are counted
-	steps   int
-	streams []*stream // that it has an end of
+	incarnation     int // rises with each start and each end
+	running         bool
+	powered         bool
+	frozen          bool
+	offset          time.Duration // of the clock of this life
+	drift           time.Duration // parts of a million by which it runs faster
+	startedAt       time.Duration // world time
+	faultAt         time.Duration // newest start, end, freeze or thaw
+	backlog         []func()      // what waits while it is frozen
+	stepWindowStart time.Duration // begin of the span in which steps are counted
+	steps           int
+	streams         []*stream // that it has an end of
 }
 
 func (p *process) begin() {
 	w := p.world
-	p.life++
+	p.incarnation++
 	p.running, p.powered, p.frozen = true, true, false
 	p.offset = w.between(time.Second, time.Hour)
-	p.drift = w.between(-mostDrift, mostDrift)
-	p.began, p.trouble = w.Now(), w.Now()
+	p.drift = w.between(-maxDrift, maxDrift)
+	p.startedAt, p.faultAt = w.Now(), w.Now()
 	p.backlog, p.streams = nil, nil
 	w.tracef("%s starts", p.address)
-	w.network.changed()
+	w.network.topologyChanged()
 }
 
 // end ends the process. Its kernel tells its peers, unless the machine lost power.
 func (p *process) end(power bool) {
 	w := p.world
-	p.life++
+	p.incarnation++
 	p.running, p.frozen, p.powered = false, false, power
-	p.trouble = w.Now()
+	p.faultAt = w.Now()
 	p.backlog = nil
 	for _, s := range p.streams {
-		s.endOf(p).abandoned(power)
+		s.endOf(p).processEnded(power)
 	}
 	p.streams = nil
-	w.network.changed()
+	w.network.topologyChanged()
 }
 
 func (p *process) freeze() {
@@ -57,8 +57,8 @@
 		return
 	}
 	p.world.tracef("%s freezes", p.address)
-	p.frozen, p.trouble = true, p.world.Now()
-	p.world.network.changed()
+	p.frozen, p.faultAt = true, p.world.Now()
+	p.world.network.topologyChanged()
 }
 
 func (p *process) thaw() {
@@ -66,14 +66,14 @@
 		return
 	}
 	p.world.tracef("%s thaws", p.address)
-	p.frozen, p.trouble = false, p.world.Now()
-	p.world.network.changed()
-	waiting, life := p.backlog, p.life
+	p.frozen, p.faultAt = false, p.world.Now()
+	p.world.network.topologyChanged()
+	waiting, life := p.backlog, p.incarnation
 	p.backlog = nil
 	for _, run := range waiting {
 		run()
 	}
-	if p.life == life {
+	if p.incarnation == life {
 		p.thawed()
 	}
 }
@@ -92,9 +92,9 @@
 }
 
 const (
-	million   = 1_000_000
-	mostDrift = 200                   // parts of a million
-	rounding  = 10 * time.Microsecond // of times that were turned back
+	million           = 1_000_000
+	maxDrift          = 200                   // parts of a million
+	roundingTolerance = 10 * time.Microsecond // of times that were turned back
 )
 
 // clockBase is the zero of all steady clocks.
@@ -110,13 +110,13 @@
 
 // after runs something in this life of the process, once it is not frozen.
 func (p *process) after(delay time.Duration, run func()) {
-	life := p.life
+	life := p.incarnation
 	p.world.After(delay, func() { p.do(life, run) })
 }
 
 func (p *process) do(life int, run func()) {
 	switch {
-	case p.life != life || p.world.failure != nil:
+	case p.incarnation != life || p.world.failure != nil:
 	case p.frozen:
 		p.backlog = append(p.backlog, func() { p.do(life, run) })
 	default:
@@ -127,8 +127,8 @@
 // mostSteps is how often a process may step within stepSpan. One that asks to be woken at once, again and again, would
 // stop the world's time.
 const (
-	mostSteps = 20_000
-	stepSpan  = 100 * time.Millisecond
+	maxSteps   = 20_000
+	stepWindow = 100 * time.Millisecond
 )
 
 // countStep notes a step of one of the process's loops.
@@ -136,10 +136,10 @@
 	w := p.world
 	w.steps++
 	p.steps++
-	if w.Now()-p.stepsAt > stepSpan {
-		p.stepsAt, p.steps = w.Now(), 0
+	if w.Now()-p.stepWindowStart > stepWindow {
+		p.stepWindowStart, p.steps = w.Now(), 0
 	}
-	if p.steps > mostSteps {
-		w.fail(ruleBusy, "%s has stepped %d times in %v", p.address, p.steps, w.Now()-p.stepsAt)
+	if p.steps > maxSteps {
+		w.fail(ruleBusy, "%s has stepped %d times in %v", p.address, p.steps, w.Now()-p.stepWindowStart)
 	}
 }
--- a/internal/systemsim/race_test.go
+++ b/internal/systemsim/race_test.go
@@ -4,7 +4,7 @@
 
 // The race detector makes histories ten times as slow and finds nothing in them: one goroutine plays each.
 const (
-	seedsPlayed   = 40
-	courseSeeds   = 2
+	historySeeds  = 40
+	scenarioSeeds = 2
 	measuredSeeds = 4
 )
--- a/internal/systemsim/router.go
+++ b/internal/systemsim/router.go
@@ -9,7 +9,7 @@
 	"raventrestle/internal/router/subscription"
 )
 
-const dialPatience = 350 * time.Millisecond
+const dialTimeout = 350 * time.Millisecond
 
 // decider is what decides for a router whom it follows; *subscription.Decider is one.
 type decider interface {
@@ -21,7 +21,7 @@
 	process
 	decider decider
 	inputs  []subscription.Input
-	due     time.Duration
+	stepAt  time.Duration
 	streams map[subscription.ConnectionID]*stream
 	ids     map[*stream]subscription.ConnectionID
 
@@ -37,9 +37,9 @@
 	r := &router{pathSince: never}
 	r.process = process{
 		world: w, address: fmt.Sprintf("10.%d.1.%d:7500", number%zones, number), zone: number % zones,
-		takes: r.take, opened: r.streamOpened, ended: r.streamEnded,
+		receive: r.receive, opened: r.streamOpened, ended: r.streamEnded,
 	}
-	r.thawed = func() { r.wake(0) }
+	r.thawed = func() { r.scheduleStep(0) }
 	return r
 }
 
@@ -49,40 +49,40 @@
 	}
 	r.begin()
 	r.decider = r.world.newDecider(r)
-	r.inputs, r.due = nil, 0
+	r.inputs, r.stepAt = nil, 0
 	r.streams = make(map[subscription.ConnectionID]*stream)
 	r.ids = make(map[*stream]subscription.ConnectionID)
 	r.table = newTable()
 	r.generation, r.confirmedAt, r.ready = 0, 0, false
-	r.wake(0)
+	r.scheduleStep(0)
 }
 
-func (r *router) kill() {
+func (r *router) crash() {
 	if r.running {
 		r.world.tracef("%s is killed", r.address)
 		r.end(true)
 	}
 }
 
-// wake has the decider step after the delay at the latest.
-func (r *router) wake(delay time.Duration) {
+// scheduleStep has the decider step after the delay at the latest.
+func (r *router) scheduleStep(delay time.Duration) {
 	now := r.world.Now()
 	at := now + max(0, delay)
-	if r.due > now && r.due <= at {
+	if r.stepAt > now && r.stepAt <= at {
 		return
 	}
-	r.due = at
+	r.stepAt = at
 	r.after(at-now, func() {
-		if r.due == at {
-			r.due = 0
+		if r.stepAt == at {
+			r.stepAt = 0
 			r.step()
 		}
 	})
 }
 
-func (r *router) put(input subscription.Input) {
+func (r *router) enqueue(input subscription.Input) {
 	r.inputs = append(r.inputs, input)
-	r.wake(r.world.between(10*time.Microsecond, 300*time.Microsecond))
+	r.scheduleStep(r.world.between(10*time.Microsecond, 300*time.Microsecond))
 }
 
 func (r *router) step() {
@@ -96,7 +96,7 @@
 	}
 	for _, send := range out.Send {
 		if s := r.streams[send.Connection]; s != nil {
-			s.endOf(&r.process).send(carried(send.Message))
+			s.endOf(&r.process).send(copyOfRequest(send.Message))
 		}
 	}
 	for _, id := range out.Close {
@@ -111,7 +111,7 @@
 		r.after(w.between(50*time.Microsecond, 2*time.Millisecond), func() { r.apply(change) })
 	}
 	if out.ReadSeeds {
-		r.put(subscription.SeedsRead{Addresses: w.seedAddresses()})
+		r.enqueue(subscription.SeedsRead{Addresses: w.seedAddresses()})
 	}
 	for _, event := range out.Events {
 		w.tracef("%s: %T%+v", r.address, event, event)
@@ -119,7 +119,7 @@
 	r.ready = out.Ready
 	r.claim(out.ConfirmedAt)
 	if !out.WakeAt.IsZero() {
-		r.wake(out.WakeAt.Sub(r.clock()))
+		r.scheduleStep(out.WakeAt.Sub(r.clock()))
 	}
 }
 
@@ -135,15 +135,15 @@
 func (r *router) dial(dial subscription.Dial) {
 	to := r.world.instanceAt(dial.Address)
 	if to == nil {
-		r.put(subscription.Ended{Connection: dial.Connection})
+		r.enqueue(subscription.Ended{Connection: dial.Connection})
 		return
 	}
-	s := r.world.network.dial(&r.process, &to.process, dialPatience)
+	s := r.world.network.dial(&r.process, &to.process, dialTimeout)
 	r.streams[dial.Connection], r.ids[s] = s, dial.Connection
 }
 
-// carried is a message as it comes out at the other end.
-func carried(message any) any {
+// copyOfRequest is a message as it comes out at the other end.
+func copyOfRequest(message any) any {
 	switch m := message.(type) {
 	case protocol.Subscribe:
 		return &m
@@ -157,15 +157,15 @@
 	return message
 }
 
-func (r *router) take(s *stream, message any) {
+func (r *router) receive(s *stream, message any) {
 	if id, known := r.ids[s]; known {
-		r.put(subscription.Received{Connection: id, Message: r.world.heard(message)})
+		r.enqueue(subscription.Received{Connection: id, Message: r.world.mutateMessage(message)})
 	}
 }
 
 func (r *router) streamOpened(s *stream) {
 	if id, known := r.ids[s]; known {
-		r.put(subscription.Opened{Connection: id})
+		r.enqueue(subscription.Opened{Connection: id})
 	}
 }
 
@@ -173,14 +173,14 @@
 	if id, known := r.ids[s]; known {
 		delete(r.ids, s)
 		delete(r.streams, id)
-		r.put(subscription.Ended{Connection: id, Err: errEnded})
+		r.enqueue(subscription.Ended{Connection: id, Err: errConnectionEnded})
 	}
 }
 
 // apply puts a change in force.
 func (r *router) apply(change *subscription.Change) {
 	if change.Document != nil {
-		content := r.read(change)
+		content := r.parse(change)
 		generation := content.Generation
 		if generation < r.generation {
 			r.world.fail("monotone", "%s goes back from version %d to %d", r.address, r.generation, generation)
@@ -189,12 +189,12 @@
 		r.generation = generation
 		r.world.tracef("%s has version %d in force", r.address, generation)
 	}
-	r.table.take(&change.View)
-	r.put(subscription.Applied{})
+	r.table.merge(&change.View)
+	r.enqueue(subscription.Applied{})
 }
 
-// read reads the configuration of a change.
-func (r *router) read(change *subscription.Change) *configuration.Configuration {
+// parse reads the configuration of a change.
+func (r *router) parse(change *subscription.Change) *configuration.Configuration {
 	document, err := protocol.DecompressDocument(change.Document)
 	if err == nil {
 		var content *configuration.Configuration
--- a/internal/systemsim/world.go
+++ b/internal/systemsim/world.go
@@ -23,37 +23,37 @@
 
 // Bounds of the deployment, as its settings give them.
 const (
-	configBound    = 2 * time.Second // config_ms
-	drainBound     = 2 * time.Second // drain_ms
-	liveness       = 3 * time.Second // liveness_ms
-	partitionBound = 5 * time.Second // partition_ms
-	lease          = 3 * time.Second // lease_ms
-	heartbeatEvery = 1200 * time.Millisecond
-	faults         = 1 // disks that may be lost at once
-	seeds          = 3
+	configBound       = 2 * time.Second // config_ms
+	drainBound        = 2 * time.Second // drain_ms
+	livenessBound     = 3 * time.Second // liveness_ms
+	partitionBound    = 5 * time.Second // partition_ms
+	lease             = 3 * time.Second // lease_ms
+	heartbeatInterval = 1200 * time.Millisecond
+	faultTolerance    = 1 // disks that may be lost at once
+	seedInstances     = 3
 )
 
 // World is one simulated history.
 type World struct {
 	Setup
 	*simnet.Scheduler
-	random    *rand.Rand
-	network   *network
-	instances []*instance
-	routers   []*router
-	endpoints []*endpoint
-	callers   []*caller     // operators and endpoints
-	quiet     bool          // nothing new is called for
-	heals     []func()      // of the cuts that were made
-	repaired  time.Duration // no fault begins before: a lost disk is made up for
-	linkCut   bool          // a single link is cut
-	truth     truth
-	steps     int
-	failure   error
+	random          *rand.Rand
+	network         *network
+	instances       []*instance
+	routers         []*router
+	endpoints       []*endpoint
+	clients         []*client     // operators and endpoints
+	finishing       bool          // nothing new is called for
+	healPartitions  []func()      // of the cuts that were made
+	noFaultBefore   time.Duration // no fault begins before: a lost disk is made up for
+	linkPartitioned bool          // a single link is cut
+	model           model
+	steps           int
+	failure         error
 }
 
 // lookEvery is how often the world holds the routers against the truth, apart from their own steps.
-const lookEvery = 25 * time.Millisecond
+const checkInterval = 25 * time.Millisecond
 
 // NewWorld starts all processes of the setup within 0.3 s of each other.
 func NewWorld(setup Setup) *World {
@@ -63,7 +63,7 @@
 		random:    rand.New(rand.NewPCG(setup.Seed, 39)),
 	}
 	w.network = newNetwork(w)
-	w.truth = newTruth()
+	w.model = newModel()
 	for n := range setup.Instances {
 		w.instances = append(w.instances, newInstance(w, n))
 	}
@@ -82,7 +82,7 @@
 	for n := range setup.Operators {
 		w.addOperator(n)
 	}
-	w.look()
+	w.checkPeriodically()
 	return w
 }
 
@@ -92,9 +92,9 @@
 	return w.failure
 }
 
-func (w *World) look() {
+func (w *World) checkPeriodically() {
 	w.checkRouters()
-	w.After(lookEvery, w.look)
+	w.After(checkInterval, w.checkPeriodically)
 }
 
 func (w *World) between(low, high time.Duration) time.Duration {
@@ -114,19 +114,19 @@
 // fail notes the first broken rule.
 func (w *World) fail(rule, format string, values ...any) {
 	if w.failure == nil && (w.Rules == nil || slices.Contains(w.Rules, rule)) {
-		w.failure = &Broken{Rule: rule, Seed: w.Seed, At: w.Now(), What: fmt.Sprintf(format, values...)}
+		w.failure = &Violation{Rule: rule, Seed: w.Seed, At: w.Now(), Detail: fmt.Sprintf(format, values...)}
 		w.tracef("BROKEN %v", w.failure)
 	}
 }
 
-// Broken is a rule that a history broke.
-type Broken struct {
-	Rule string
-	Seed uint64
-	At   time.Duration
-	What string
+// Violation is a rule that a history broke.
+type Violation struct {
+	Rule   string
+	Seed   uint64
+	At     time.Duration
+	Detail string
 }
 
-func (b *Broken) Error() string {
-	return fmt.Sprintf("seed %d at %.3f s: %s: %s", b.Seed, b.At.Seconds(), b.Rule, b.What)
+func (b *Violation) Error() string {
+	return fmt.Sprintf("seed %d at %.3f s: %s: %s", b.Seed, b.At.Seconds(), b.Rule, b.Detail)
 }
