--- a/coordination/replica/calls.go
+++ b/coordination/replica/calls.go
@@ -7,40 +7,41 @@
 	"time"
 )
 
-// patience is how long a call that was given up waits to hear whether it had been sent on. The owner may be held
-// by its disk for longer; then the answer is unclear.
-const patience = 20 * time.Millisecond
+// cancelTimeout is how long a cancelled call waits for the loop to say whether the command had been forwarded. The loop
+// may be blocked by its disk for longer; then the outcome is unknown.
+const cancelTimeout = 20 * time.Millisecond
 
-// The states of a call.
+// The states of a call. The caller and the loop race for the first change; the loser accepts the winner's.
 const (
-	callQueued int32 = iota
-	callBegun
-	callGivenUp
+	callQueued    int32 = iota
+	callStarted         // the loop has passed it to the engine
+	callCancelled       // the caller has given it up before that
 )
 
-// waiter is a call that waits for its outcome.
-type waiter struct {
+// pendingCall is a call that waits for its outcome. The loop completes it at most once.
+type pendingCall struct {
 	state   atomic.Int32
-	outcome chan outcome
+	outcome chan outcome // of capacity 1, so that the loop never waits for the caller
 }
 
+// outcome is what a call returns: the result of a command, or the index of a barrier.
 type outcome struct {
 	value []byte
 	index uint64
 	err   error
 }
 
-func newWaiter() *waiter { return &waiter{outcome: make(chan outcome, 1)} }
+func newPendingCall() *pendingCall { return &pendingCall{outcome: make(chan outcome, 1)} }
 
-// begin tells whether the owner may begin the call.
-func (w *waiter) begin() bool { return w.state.CompareAndSwap(callQueued, callBegun) }
+// start reports whether the loop may start the call. It reports false when the call was cancelled.
+func (c *pendingCall) start() bool { return c.state.CompareAndSwap(callQueued, callStarted) }
 
-// giveUp tells whether the call will never begin.
-func (w *waiter) giveUp() bool { return w.state.CompareAndSwap(callQueued, callGivenUp) }
+// cancel reports whether the call will never be started. It reports false when it was started already.
+func (c *pendingCall) cancel() bool { return c.state.CompareAndSwap(callQueued, callCancelled) }
 
-func (w *waiter) end(o outcome) {
+func (c *pendingCall) complete(o outcome) {
 	select {
-	case w.outcome <- o:
+	case c.outcome <- o:
 	default:
 	}
 }
@@ -66,42 +67,48 @@
 	return o.index, nil
 }
 
+// call passes a command, or a barrier where the command is nil, to the loop and waits for its outcome.
 func (r *Replica) call(ctx context.Context, command []byte) outcome {
-	w, token := newWaiter(), r.nextToken.Add(1)
-	r.queue.put(item{token: token, command: command, waiter: w})
+	call, id := newPendingCall(), r.nextCallID.Add(1)
+	r.inbox.put(inboxItem{callID: id, command: command, call: call})
 	select {
-	case o := <-w.outcome:
+	case o := <-call.outcome:
 		return o
 	case <-r.done:
-		return r.afterEnd(w)
+		return r.outcomeAfterEnd(call)
 	case <-ctx.Done():
+		return r.cancelCall(ctx, call, id)
 	}
-	if w.giveUp() {
+}
+
+// cancelCall gives up a call whose context has ended, and returns what is known of its outcome.
+func (r *Replica) cancelCall(ctx context.Context, call *pendingCall, id uint64) outcome {
+	if call.cancel() {
 		return outcome{err: fmt.Errorf("%w: %w", ErrUnavailable, ctx.Err())}
 	}
-	r.queue.put(item{token: token})
-	timer := time.NewTimer(patience)
+	r.inbox.put(inboxItem{callID: id})
+	timer := time.NewTimer(cancelTimeout)
 	defer timer.Stop()
 	select {
-	case o := <-w.outcome:
+	case o := <-call.outcome:
 		if o.err != nil {
 			o.err = fmt.Errorf("%w: %w", o.err, ctx.Err())
 		}
 		return o
 	case <-r.done:
-		return r.afterEnd(w)
+		return r.outcomeAfterEnd(call)
 	case <-timer.C:
 		return outcome{err: fmt.Errorf("%w: %w", ErrOutcomeUnknown, ctx.Err())}
 	}
 }
 
-// afterEnd returns the outcome of a call whose replica has ended.
-func (r *Replica) afterEnd(w *waiter) outcome {
-	if w.giveUp() {
+// outcomeAfterEnd returns the outcome of a call whose replica has ended.
+func (r *Replica) outcomeAfterEnd(call *pendingCall) outcome {
+	if call.cancel() {
 		return outcome{err: fmt.Errorf("%w: %w", ErrUnavailable, ErrStopped)}
 	}
 	select {
-	case o := <-w.outcome:
+	case o := <-call.outcome:
 		return o
 	default:
 		return outcome{err: fmt.Errorf("%w: %w", ErrOutcomeUnknown, ErrStopped)}
--- a/coordination/replica/example_test.go
+++ b/coordination/replica/example_test.go
@@ -13,49 +13,49 @@
 	"raventrestle/coordination/replica"
 )
 
-// words is a replicated list of words.
-type words struct {
+// commandList is a replicated list of commands.
+type commandList struct {
 	lock sync.Mutex
 	list []string
 }
 
-func (w *words) Apply(_ uint64, command []byte) []byte {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	w.list = append(w.list, string(command))
-	return []byte(fmt.Sprintf("word %d", len(w.list)))
+func (l *commandList) Apply(_ uint64, command []byte) []byte {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	l.list = append(l.list, string(command))
+	return []byte(fmt.Sprintf("command %d", len(l.list)))
 }
 
-func (w *words) Snapshot() []byte { return []byte(w.String()) }
+func (l *commandList) Snapshot() []byte { return []byte(l.String()) }
 
-func (w *words) Restore(snapshot []byte) error {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	w.list = strings.Fields(string(snapshot))
+func (l *commandList) Restore(snapshot []byte) error {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	l.list = strings.Fields(string(snapshot))
 	return nil
 }
 
-func (w *words) String() string {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	return strings.Join(w.list, " ")
+func (l *commandList) String() string {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	return strings.Join(l.list, " ")
 }
 
 // network carries messages within the process.
 type network struct {
-	lock     sync.Mutex
+	lock     sync.Mutex // of members
 	members  map[string]*replica.Replica
 	messages atomic.Int64
 	bytes    atomic.Int64
 }
 
-// port is one member's access to the network.
-type port struct {
+// transport is one member's access to the network.
+type transport struct {
 	network *network
 	address string
 }
 
-func (p port) Send(address string, message []byte) {
+func (p transport) Send(address string, message []byte) {
 	p.network.messages.Add(1)
 	p.network.bytes.Add(int64(len(message)))
 	p.network.lock.Lock()
@@ -68,26 +68,26 @@
 
 // Three members in one process: a command enters at any of them, and after a barrier every other one has it.
 func Example() {
-	folder, err := os.MkdirTemp("", "replica")
+	directory, err := os.MkdirTemp("", "replica")
 	if err != nil {
 		panic(err)
 	}
-	defer os.RemoveAll(folder)
+	defer os.RemoveAll(directory)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 
 	seeds := []string{"10.0.0.1:7500", "10.0.1.1:7500", "10.0.2.1:7500"}
 	net := &network{members: map[string]*replica.Replica{}}
-	machines := map[string]*words{}
+	machines := map[string]*commandList{}
 	for _, address := range seeds {
-		machines[address] = &words{}
+		machines[address] = &commandList{}
 		member, err := replica.Open(replica.Config{
 			Self:           replica.Member{Address: address},
 			Seeds:          seeds,
 			Bootstrap:      true,
 			FaultTolerance: 1,
-			Directory:      filepath.Join(folder, address[:8]),
-			Transport:      port{network: net, address: address},
+			Directory:      filepath.Join(directory, address[:8]),
+			Transport:      transport{network: net, address: address},
 			StateMachine:   machines[address],
 		})
 		if err != nil {
@@ -109,7 +109,7 @@
 		net.members[address].Kill()
 	}
 	// Output:
-	// word 1 <nil>
-	// word 2 <nil>
+	// command 1 <nil>
+	// command 2 <nil>
 	// hello world <nil>
 }
--- a/coordination/replica/golden_frames_test.go
+++ b/coordination/replica/golden_frames_test.go
@@ -50,8 +50,8 @@
 // goldenReplica returns a replica that only sends and takes in messages.
 func goldenReplica(sent *goldenSent) *Replica {
 	r := &Replica{
-		options: Config{Transport: sent, Clock: time.Now, RecordEvent: func(string, ...any) {}},
-		sent:    0x0102030405060706,
+		config:      Config{Transport: sent, Clock: time.Now, RecordEvent: func(string, ...any) {}},
+		lastMessage: 0x0102030405060706,
 	}
 	r.outbox = newOutbox(sent.Send)
 	return r
@@ -68,15 +68,15 @@
 	received := 0
 	for i := 0; i < len(there.frames); i++ {
 		names, frames = append(names, fmt.Sprint("sent", i)), append(frames, there.frames[i])
-		input, complete := receiver.message(item{address: "sender", message: there.frames[i]})
+		input, complete := receiver.receive("sender", there.frames[i])
 		if complete {
 			received++
 			checkGoldenMessage(t, input)
 		}
 		for _, answer := range back.frames {
 			names, frames = append(names, fmt.Sprint("answered", i)), append(frames, answer)
-			if _, complete := sender.message(item{address: "receiver", message: answer}); complete {
-				t.Errorf("the answer to frame %d is taken for a message", i)
+			if _, complete := sender.receive("receiver", answer); complete {
+				t.Errorf("the answer to frame %d completes a message, want none", i)
 			}
 		}
 		back.frames = nil
@@ -164,7 +164,7 @@
 			continue
 		}
 		sent.frames = nil
-		input, complete := receiver.message(item{address: "sender", message: frames[i]})
+		input, complete := receiver.receive("sender", frames[i])
 		if complete {
 			received++
 			checkGoldenMessage(t, input)
--- a/coordination/replica/golden_group_test.go
+++ b/coordination/replica/golden_group_test.go
@@ -43,7 +43,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer log.Close()
+	defer func() {
+		if err := log.Close(); err != nil {
+			t.Errorf("close: %v, want nil", err)
+		}
+	}()
 	state, err := chain.Restore(recovered.Records)
 	if err != nil {
 		t.Fatal(err)
@@ -113,11 +117,11 @@
 func (g *goldenNetwork) open(number int, random uint64, bootstrap bool) *replica.Replica {
 	g.t.Helper()
 	at := address(number)
-	g.machines[at] = &words{}
+	g.machines[at] = &commandList{}
 	member, err := replica.Open(replica.Config{
 		Self:  replica.Member{Address: at, Zone: fmt.Sprint("zone", number), Tag: fmt.Sprint("tag", number)},
 		Seeds: g.seeds, Bootstrap: bootstrap, FaultTolerance: 1, Directory: g.directory(number), RandomSeed: random,
-		Transport: port{network: g.net, address: at}, StateMachine: g.machines[at], CompactBytes: 6000,
+		Transport: transport{network: g.net, address: at}, StateMachine: g.machines[at], CompactBytes: 6000,
 	})
 	if err != nil {
 		g.t.Fatal(err)
@@ -140,7 +144,7 @@
 }
 
 // Each data directory of the earlier release holds what that release found in it.
-func TestGoldenDirectoriesHoldTheirState(t *testing.T) {
+func TestGoldenDirectoriesAreRecovered(t *testing.T) {
 	g := copyGolden(t)
 	for number := range goldenMembers {
 		want := goldenText(t, fmt.Sprintf("state-%d.txt", number))
@@ -167,9 +171,9 @@
 			g.expect(number, want)
 		}
 		for number := range goldenMembers {
-			word := fmt.Sprintf("later-%d-%d", restart, number)
-			g.propose(number, word)
-			want += " " + word
+			command := fmt.Sprintf("later-%d-%d", restart, number)
+			g.propose(number, command)
+			want += " " + command
 		}
 		for number := range goldenMembers {
 			g.expect(number, want)
--- a/coordination/replica/idle_test.go
+++ b/coordination/replica/idle_test.go
@@ -7,16 +7,15 @@
 	"time"
 )
 
-// TestIdleCost measures what an idle group of four costs, where IDLE_SECONDS is set.
-func TestIdleCost(t *testing.T) {
+// TestCostOfAnIdleGroup measures the processor time and the messages of an idle group of four, where IDLE_SECONDS is set.
+func TestCostOfAnIdleGroup(t *testing.T) {
 	length, err := time.ParseDuration(os.Getenv("IDLE_SECONDS") + "s")
 	if err != nil {
 		t.Skip("IDLE_SECONDS is not set")
 	}
 	g := newGroup(t, 4)
 	g.propose(0, "one")
-	settle := time.NewTimer(3 * time.Second)
-	<-settle.C
+	<-time.NewTimer(3 * time.Second).C // until the membership is stable
 	used := func() time.Duration {
 		var usage syscall.Rusage
 		if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/coordination/replica/outbox.go
+++ b/coordination/replica/outbox.go
@@ -1,102 +1,90 @@
 package replica
 
-import (
-	"encoding/binary"
-	"time"
-)
+import "time"
 
-// A message in fragments goes out piece by piece: windowPieces are on their way at once, so that what is sent after it,
-// a ping above all, waits for no more than these. One of which nothing arrives for parcelPatience is given up, as one
-// that the transport has lost; whoever lacks it asks again.
 const (
-	windowPieces   = 2
-	parcelsWaiting = 4 // for one address; more are dropped
-	parcelPatience = time.Second
+	// maxInFlightFragments is how many fragments to one address are sent and not acknowledged at once, so that what is
+	// sent after them, pings above all, waits for no more than these.
+	maxInFlightFragments = 2
+	// maxQueuedMessages is how many fragmented messages for one address are queued; further ones are dropped.
+	maxQueuedMessages = 4
+	// fragmentAckTimeout is after which time without an acknowledgement a fragmented message is dropped, like one that
+	// the transport has lost; a peer that lacks its content asks for it again.
+	fragmentAckTimeout = time.Second
 )
 
-// outbox holds the messages in fragments until they have arrived. It is pure but for send.
+// outbox sends messages, and keeps those in fragments until they are acknowledged. It is owned by the loop and has no
+// effects but calls of transmit.
 type outbox struct {
-	lanes map[string][]*parcel // by address, the first one is under way
-	send  func(address string, piece []byte)
+	queues   map[string][]*outboundMessage // by address; the first one is being sent
+	transmit func(address string, frame []byte)
 }
 
-type parcel struct {
-	number  uint64
-	pieces  [][]byte
-	sent    int
-	arrived int
-	movedAt time.Duration
+// outboundMessage is a message in fragments.
+type outboundMessage struct {
+	number         uint64
+	fragments      [][]byte
+	sent           int // how many fragments were sent
+	acknowledged   int // one more than the highest index that was acknowledged
+	lastProgressAt time.Duration
 }
 
-func newOutbox(send func(address string, piece []byte)) *outbox {
-	return &outbox{lanes: map[string][]*parcel{}, send: send}
+func newOutbox(transmit func(address string, frame []byte)) *outbox {
+	return &outbox{queues: map[string][]*outboundMessage{}, transmit: transmit}
 }
 
-// put sends a message, or begins to.
-func (o *outbox) put(now time.Duration, address string, number uint64, marked []byte) {
-	o.expire(now)
-	pieces := split(number, marked)
-	if len(pieces) == 1 {
-		o.send(address, pieces[0])
+// send sends a message, given as a complete frame, or queues its fragments.
+func (o *outbox) send(now time.Duration, address string, number uint64, frame []byte) {
+	o.dropExpired(now)
+	fragments := fragment(number, frame)
+	if len(fragments) == 1 {
+		o.transmit(address, fragments[0])
 		return
 	}
-	if len(o.lanes[address]) >= parcelsWaiting {
+	if len(o.queues[address]) >= maxQueuedMessages {
 		return
 	}
-	o.lanes[address] = append(o.lanes[address], &parcel{number: number, pieces: pieces})
+	o.queues[address] = append(o.queues[address], &outboundMessage{number: number, fragments: fragments})
 	o.advance(now, address)
 }
 
-// advance sends as much of the message under way as the window allows.
+// advance sends as many fragments of the first queued message as may be in flight.
 func (o *outbox) advance(now time.Duration, address string) {
-	lane := o.lanes[address]
-	if len(lane) == 0 {
-		delete(o.lanes, address)
+	queue := o.queues[address]
+	if len(queue) == 0 {
+		delete(o.queues, address)
 		return
 	}
-	first := lane[0]
+	first := queue[0]
 	if first.sent == 0 {
-		first.movedAt = now
+		first.lastProgressAt = now
 	}
-	for first.sent < len(first.pieces) && first.sent < first.arrived+windowPieces {
-		o.send(address, first.pieces[first.sent])
+	for first.sent < len(first.fragments) && first.sent < first.acknowledged+maxInFlightFragments {
+		o.transmit(address, first.fragments[first.sent])
 		first.sent++
 	}
 }
 
-// arrived takes in what a receiver tells of a piece.
-func (o *outbox) arrived(now time.Duration, address string, number uint64, place int) {
-	lane := o.lanes[address]
-	if len(lane) == 0 || lane[0].number != number || place >= lane[0].sent {
+// acknowledge takes in the acknowledgement of a fragment. One that is late or duplicated is ignored.
+func (o *outbox) acknowledge(now time.Duration, address string, number uint64, index int) {
+	queue := o.queues[address]
+	if len(queue) == 0 || queue[0].number != number || index >= queue[0].sent {
 		return
 	}
-	first := lane[0]
-	first.arrived, first.movedAt = max(first.arrived, place+1), now
-	if first.arrived == len(first.pieces) {
-		o.lanes[address] = lane[1:]
+	first := queue[0]
+	first.acknowledged, first.lastProgressAt = max(first.acknowledged, index+1), now
+	if first.acknowledged == len(first.fragments) {
+		o.queues[address] = queue[1:]
 	}
 	o.advance(now, address)
 }
 
-// expire gives up messages that do not arrive.
-func (o *outbox) expire(now time.Duration) {
-	for address, lane := range o.lanes {
-		if now-lane[0].movedAt > parcelPatience {
-			o.lanes[address] = lane[1:]
+// dropExpired drops messages whose fragments are not acknowledged in time.
+func (o *outbox) dropExpired(now time.Duration) {
+	for address, queue := range o.queues {
+		if now-queue[0].lastProgressAt > fragmentAckTimeout {
+			o.queues[address] = queue[1:]
 			o.advance(now, address)
 		}
 	}
 }
-
-// receipt tells that a piece has arrived.
-func receipt(piece []byte) []byte {
-	told := []byte{receiptMark}
-	return append(told, piece[1:1+8+2]...)
-}
-
-func readReceipt(body []byte) (number uint64, place int, ok bool) {
-	if len(body) != 1+8+2 {
-		return 0, 0, false
-	}
-	return binary.BigEndian.Uint64(body[1:]), int(binary.BigEndian.Uint16(body[9:])), true
-}
--- a/coordination/replica/outbox_test.go
+++ b/coordination/replica/outbox_test.go
@@ -6,83 +6,92 @@
 	"time"
 )
 
-// carried is what an outbox has sent.
-type carried struct{ pieces [][]byte }
+// transmitted collects the frames that an outbox transmits.
+type transmitted struct{ frames [][]byte }
 
-func (c *carried) send(_ string, piece []byte) { c.pieces = append(c.pieces, piece) }
+func (s *transmitted) transmit(_ string, frame []byte) { s.frames = append(s.frames, frame) }
 
-// deliver has the pieces arrive in order, each told to the outbox, and returns the messages.
-func (c *carried) deliver(t *testing.T, o *outbox, now time.Duration) (messages [][]byte, most int) {
+// deliver has the frames arrive in order, each acknowledged to the outbox, and returns the messages and how many frames
+// were in flight at most.
+func (s *transmitted) deliver(t *testing.T, o *outbox, now time.Duration) (messages [][]byte, maxInFlight int) {
 	t.Helper()
-	var f fragments
-	for len(c.pieces) > 0 {
-		most = max(most, len(c.pieces))
-		piece := c.pieces[0]
-		c.pieces = c.pieces[1:]
-		message, err := f.join("peer", piece)
+	var r reassembler
+	for len(s.frames) > 0 {
+		maxInFlight = max(maxInFlight, len(s.frames))
+		frame := s.frames[0]
+		s.frames = s.frames[1:]
+		message, err := r.add("peer", frame)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("add: %v, want nil", err)
 		}
 		if message != nil {
 			messages = append(messages, message)
 		}
-		if piece[0] != fragmentMark {
+		if frame[0] != frameFragment {
 			continue
 		}
-		number, place, ok := readReceipt(receipt(piece))
+		number, index, ok := decodeAck(encodeAck(frame))
 		if !ok {
-			t.Fatal("a receipt can't be read")
+			t.Fatalf("decode the acknowledgement of %x: got false, want true", frame[:fragmentHeaderLength])
 		}
-		o.arrived(now, "peer", number, place)
-		o.arrived(now, "peer", number, place) // receipts may come twice
+		o.acknowledge(now, "peer", number, index)
+		o.acknowledge(now, "peer", number, index) // acknowledgements may be duplicated
 	}
-	return messages, most
+	return messages, maxInFlight
 }
 
-func marked(size int, fill byte) []byte {
-	return append([]byte{wholeMark}, bytes.Repeat([]byte{fill}, size)...)
+// completeFrame returns a complete frame of a message of that size.
+func completeFrame(size int, fill byte) []byte {
+	return append([]byte{frameComplete}, bytes.Repeat([]byte{fill}, size)...)
 }
 
-// Large messages go out in order and a few pieces at once; what is small passes them.
-func TestLargeMessagesLeaveRoom(t *testing.T) {
-	c := &carried{}
-	o := newOutbox(c.send)
-	o.put(0, "peer", 1, marked(20*fragmentBytes, 'a'))
-	o.put(0, "peer", 2, marked(3*fragmentBytes, 'b'))
-	o.put(0, "peer", 3, marked(10, 'c'))
-	if len(c.pieces) != windowPieces+1 {
-		t.Errorf("%d pieces are on their way", len(c.pieces))
+func TestSmallMessagesOvertakeFragmentedOnes(t *testing.T) {
+	sent := &transmitted{}
+	o := newOutbox(sent.transmit)
+	o.send(0, "peer", 1, completeFrame(20*maxFragmentBytes, 'a'))
+	o.send(0, "peer", 2, completeFrame(3*maxFragmentBytes, 'b'))
+	o.send(0, "peer", 3, completeFrame(10, 'c'))
+	if got, want := len(sent.frames), maxInFlightFragments+1; got != want {
+		t.Errorf("%d frames are in flight, want %d", got, want)
 	}
-	messages, most := c.deliver(t, o, 0)
+	messages, maxInFlight := sent.deliver(t, o, 0)
 	if len(messages) != 3 || messages[0][0] != 'c' || messages[1][0] != 'a' || messages[2][0] != 'b' {
-		t.Errorf("%d messages", len(messages))
+		t.Errorf("got %d messages, beginning with %q, want 3, beginning with c, a, b", len(messages), firstBytes(messages))
 	}
-	if most > windowPieces+1 {
-		t.Errorf("%d pieces were on their way", most)
+	if want := maxInFlightFragments + 1; maxInFlight > want {
+		t.Errorf("%d frames were in flight, want at most %d", maxInFlight, want)
 	}
-	if len(o.lanes) != 0 {
-		t.Errorf("%d lanes are open", len(o.lanes))
+	if len(o.queues) != 0 {
+		t.Errorf("%d queues are left, want 0", len(o.queues))
 	}
 }
 
-// A message whose pieces are lost is given up, and the next one goes.
-func TestLostMessageIsGivenUp(t *testing.T) {
-	c := &carried{}
-	o := newOutbox(c.send)
-	for number := range uint64(2 * parcelsWaiting) {
-		o.put(0, "peer", number, marked(4*fragmentBytes, byte('a'+number)))
+func TestUnacknowledgedMessageIsDroppedAndTheNextOneSent(t *testing.T) {
+	sent := &transmitted{}
+	o := newOutbox(sent.transmit)
+	for number := range uint64(2 * maxQueuedMessages) {
+		o.send(0, "peer", number, completeFrame(4*maxFragmentBytes, byte('a'+number)))
 	}
-	if waiting := len(o.lanes["peer"]); waiting != parcelsWaiting {
-		t.Errorf("%d messages wait", waiting)
+	if got := len(o.queues["peer"]); got != maxQueuedMessages {
+		t.Errorf("%d messages are queued, want %d", got, maxQueuedMessages)
 	}
-	c.pieces = nil // lost with the connection
-	o.expire(parcelPatience)
-	if len(c.pieces) != 0 {
-		t.Error("it is given up too early")
+	sent.frames = nil // lost with the connection
+	o.dropExpired(fragmentAckTimeout)
+	if got := len(sent.frames); got != 0 {
+		t.Errorf("%d frames are sent at the timeout, want 0: the first message is dropped too early", got)
 	}
-	o.expire(parcelPatience + time.Millisecond)
-	messages, _ := c.deliver(t, o, parcelPatience)
-	if len(messages) != parcelsWaiting-1 || messages[0][0] != 'b' {
-		t.Errorf("%d messages arrive", len(messages))
+	o.dropExpired(fragmentAckTimeout + time.Millisecond)
+	messages, _ := sent.deliver(t, o, fragmentAckTimeout)
+	if len(messages) != maxQueuedMessages-1 || messages[0][0] != 'b' {
+		t.Errorf("got %d messages, beginning with %q, want %d, the first beginning with b",
+			len(messages), firstBytes(messages), maxQueuedMessages-1)
 	}
 }
+
+func firstBytes(messages [][]byte) string {
+	var first []byte
+	for _, message := range messages {
+		first = append(first, message[0])
+	}
+	return string(first)
+}
--- a/coordination/replica/replica.go
+++ b/coordination/replica/replica.go
@@ -1,238 +1,89 @@
 package replica
 
 import (
-	"bytes"
 	"context"
 	"fmt"
-	"slices"
 	"sync/atomic"
 	"time"
 
-	"github.com/fxamacker/cbor/v2"
-
-	"raventrestle/coordination/chain"
 	"raventrestle/coordination/engine"
 )
 
-// Replica is a running member. One goroutine owns the engine and works through the queue.
+// Replica is a running member.
 type Replica struct {
-	options Config
-	base    time.Time // of the clock that the engine sees
-	queue   queue
+	config    Config
+	clockBase time.Time // the moment at which the engine's clock showed clockStart
+	inbox     inbox
 	published
-	engine *engine.Engine
+	nextCallID atomic.Uint64
+
+	// Owned by the loop:
+	engine       *engine.Engine
+	pendingCalls map[uint64]*pendingCall // by call ID
+	reassembler  reassembler
+	outbox       *outbox
+	lastMessage  uint64 // number of the newest message that was sent
+	leaving      bool
 
-	waiters   map[uint64]*waiter // by token, owned by the loop
-	nextToken atomic.Uint64
-	fragments fragments // owned by the loop, as all that follows
-	outbox    *outbox
-	sent      uint64 // messages
-	leaving   bool
-	left      chan struct{} // closed when the member may go after Leave
-	staying   atomic.Value  // string: why it may not go yet
-	quit      chan struct{}
-	done      chan struct{} // closed when the loop has ended
-	stopping  atomic.Bool
+	// The end of the replica:
+	stopping     atomic.Bool   // Stop or Kill was called
+	mayLeave     chan struct{} // closed when the member may end after Stop
+	leaveBlocker atomic.Value  // string: why it may not end yet
+	quit         chan struct{} // closed to end the loop
+	done         chan struct{} // closed when the loop has ended
 }
 
 var _ Interface = (*Replica)(nil)
 
-// clockStart keeps the engine's times above zero, which it takes for never.
+// clockStart keeps the engine's times above zero, which means never.
 const clockStart = time.Second
 
-// Open recovers or begins the member on its disk and starts it.
-func Open(options Config) (*Replica, error) {
-	if err := options.complete(); err != nil {
+// Open recovers the member from its disk, or begins a new one on an empty disk, and starts it. The caller ends it by Stop
+// or Kill.
+func Open(config Config) (*Replica, error) {
+	config, err := config.withDefaults()
+	if err != nil {
 		return nil, err
 	}
 	r := &Replica{
-		options: options,
-		base:    options.Clock(),
-		queue:   newQueue(),
-		waiters: map[uint64]*waiter{},
-		left:    make(chan struct{}),
-		quit:    make(chan struct{}),
-		done:    make(chan struct{}),
-		sent:    options.RandomSeed, // numbers must differ from those of the life before
-	}
-	opened, err := engine.Open(r.now(), engine.Config{
-		Self: options.Self, Seeds: options.Seeds, Bootstrap: options.Bootstrap, FaultTolerance: options.FaultTolerance,
-		FS: options.FS, StateMachine: options.StateMachine, RandomSeed: options.RandomSeed, Timing: options.Timing,
-		CompactBytes: options.CompactBytes,
+		config:       config,
+		clockBase:    config.Clock(),
+		inbox:        newInbox(),
+		pendingCalls: map[uint64]*pendingCall{},
+		mayLeave:     make(chan struct{}),
+		quit:         make(chan struct{}),
+		done:         make(chan struct{}),
+		lastMessage:  config.RandomSeed, // numbers must differ from those of the incarnation before
+	}
+	r.engine, err = engine.Open(r.now(), engine.Config{
+		Self: config.Self, Seeds: config.Seeds, Bootstrap: config.Bootstrap, FaultTolerance: config.FaultTolerance,
+		FS: config.FS, StateMachine: config.StateMachine, RandomSeed: config.RandomSeed, Timing: config.Timing,
+		CompactBytes: config.CompactBytes,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("replica: %w", err)
 	}
-	r.engine = opened
-	r.outbox = newOutbox(options.Transport.Send)
-	r.changed.Store(newSignal())
+	r.outbox = newOutbox(config.Transport.Send)
+	r.changed.Store(newChangeSignal())
 	r.publish(r.now())
 	go r.run()
 	return r, nil
 }
 
 // now is the time on the engine's clock.
-func (r *Replica) now() time.Duration { return r.options.Clock().Sub(r.base) + clockStart }
+func (r *Replica) now() time.Duration { return r.config.Clock().Sub(r.clockBase) + clockStart }
 
-// instant turns a time of the engine's clock into one of the steady clock.
-func (r *Replica) instant(at time.Duration) time.Time {
+// clockTime turns a time on the engine's clock into one of Config.Clock; zero stays zero.
+func (r *Replica) clockTime(at time.Duration) time.Time {
 	if at == 0 {
 		return time.Time{}
 	}
-	return r.base.Add(at - clockStart)
-}
-
-// run is the loop of the owner.
-func (r *Replica) run() {
-	defer close(r.done)
-	timer := time.NewTimer(0)
-	defer timer.Stop()
-	for {
-		r.step(r.queue.take())
-		timer.Reset(max(0, r.engine.NextStep()-r.now()))
-		select {
-		case <-r.quit:
-			r.end()
-			return
-		case <-r.queue.ready:
-		case <-timer.C:
-		}
-	}
-}
-
-// step has the engine take all that is queued and carries out what follows.
-func (r *Replica) step(items []item) {
-	inputs := make([]engine.Input, 0, len(items))
-	for _, it := range items {
-		if input, ok := r.input(it); ok {
-			inputs = append(inputs, input)
-		}
-	}
-	now := r.now()
-	r.outbox.expire(now)
-	effects := r.engine.Step(now, inputs)
-	r.logRefusal(effects.DiskError)
-	for _, envelope := range effects.Messages {
-		r.send(envelope)
-	}
-	r.publish(now)
-	r.answer(effects)
-	if r.leaving {
-		r.leave()
-	}
-	r.logRefusal(r.engine.Maintain(now))
-}
-
-// leave tells that the member may go, or keeps why it may not.
-func (r *Replica) leave() {
-	why := r.engine.LeaveBlocker()
-	r.staying.Store(why)
-	if why == "" {
-		r.leaving = false
-		close(r.left)
-	}
-}
-
-func (r *Replica) logRefusal(err error) {
-	if err != nil {
-		r.options.RecordEvent("disk_refused", "error", err.Error())
-	}
-}
-
-// input turns a queued item into the engine's. A call that was given up before this moment was never begun.
-func (r *Replica) input(it item) (engine.Input, bool) {
-	switch {
-	case it.message != nil:
-		return r.message(it)
-	case it.waiter != nil:
-		if !it.waiter.begin() {
-			return engine.Input{}, false
-		}
-		r.waiters[it.token] = it.waiter
-		return engine.Input{CallID: it.token, Command: it.command, Barrier: it.command == nil}, true
-	case it.leave:
-		r.leaving = true
-		return engine.Input{Leave: true}, true
-	}
-	return engine.Input{CallID: it.token, Cancel: true}, true
-}
-
-// message puts a message together and reads it.
-func (r *Replica) message(it item) (engine.Input, bool) {
-	if len(it.message) > 0 && it.message[0] == receiptMark {
-		if number, place, ok := readReceipt(it.message); ok {
-			r.outbox.arrived(r.now(), it.address, number, place)
-		}
-		return engine.Input{}, false
-	}
-	body, err := r.fragments.join(it.address, it.message)
-	if len(it.message) > fragmentHeader && it.message[0] == fragmentMark {
-		r.options.Transport.Send(it.address, receipt(it.message))
-	}
-	if err == nil && body == nil {
-		return engine.Input{}, false // more of it is to come
-	}
-	var message chain.Message
-	if err == nil {
-		err = cbor.Unmarshal(body, &message)
-	}
-	if err != nil {
-		r.options.RecordEvent("bad_message", "peer", it.address, "error", err.Error())
-		return engine.Input{}, false
-	}
-	return engine.Input{Message: &message, Address: it.address}, true
-}
-
-func (r *Replica) send(envelope chain.Envelope) {
-	var body bytes.Buffer
-	body.WriteByte(wholeMark)
-	if err := cbor.NewEncoder(&body).Encode(envelope.Message); err != nil {
-		r.options.RecordEvent("message_lost", "peer", envelope.Address, "error", err.Error())
-		return
-	}
-	r.sent++
-	r.outbox.put(r.now(), envelope.Address, r.sent, body.Bytes())
-}
-
-// answer ends the calls that are decided.
-func (r *Replica) answer(effects engine.Output) {
-	for _, result := range effects.Results {
-		if w := r.waiters[result.CallID]; w != nil {
-			delete(r.waiters, result.CallID)
-			w.end(outcome{value: result.Value, index: result.Index, err: result.Err})
-		}
-	}
-	for _, withdrawn := range effects.Cancellations {
-		if w := r.waiters[withdrawn.CallID]; w != nil {
-			delete(r.waiters, withdrawn.CallID)
-			w.end(outcome{err: fateOf(withdrawn.MaybeSent)})
-		}
-	}
-}
-
-func fateOf(sent bool) error {
-	if sent {
-		return ErrOutcomeUnknown
-	}
-	return ErrUnavailable
-}
-
-// end closes what is open when the loop ends.
-func (r *Replica) end() {
-	tokens := make([]uint64, 0, len(r.waiters))
-	for token := range r.waiters {
-		tokens = append(tokens, token)
-	}
-	slices.Sort(tokens)
-	for _, token := range tokens {
-		r.waiters[token].end(outcome{err: fmt.Errorf("%w: %w", ErrOutcomeUnknown, ErrStopped)})
-	}
-	r.engine.Close()
+	return r.clockBase.Add(at - clockStart)
 }
 
 // Deliver implements Interface.
 func (r *Replica) Deliver(fromAddress string, message []byte) {
-	r.queue.put(item{address: fromAddress, message: message})
+	r.inbox.put(inboxItem{address: fromAddress, message: message})
 }
 
 // Stop implements Interface.
@@ -241,20 +92,22 @@
 		<-r.done
 		return nil
 	}
-	r.queue.put(item{leave: true})
+	r.inbox.put(inboxItem{leave: true})
 	var err error
 	select {
-	case <-r.left:
+	case <-r.mayLeave:
 	case <-ctx.Done():
-		why, _ := r.staying.Load().(string)
-		err = &OperationError{Step: "leave", Peer: r.headAddress(), Err: fmt.Errorf("%w: %s: %w", ErrStillNeeded, why, ctx.Err())}
+		blocker, _ := r.leaveBlocker.Load().(string)
+		err = &OperationError{
+			Step: "leave", Peer: r.headAddress(), Err: fmt.Errorf("%w: %s: %w", ErrStillNeeded, blocker, ctx.Err()),
+		}
 	}
 	close(r.quit)
 	<-r.done
 	return err
 }
 
-// Kill ends the replica at once, as the end of its process would.
+// Kill ends the replica at once, as the end of its process would, and waits for the end of its goroutine.
 func (r *Replica) Kill() {
 	if r.stopping.CompareAndSwap(false, true) {
 		close(r.quit)
--- a/coordination/replica/replica_test.go
+++ b/coordination/replica/replica_test.go
@@ -14,8 +14,8 @@
 	"raventrestle/coordination/wal/modeldisk"
 )
 
-// deadline bounds each wait of a test.
-const deadline = 20 * time.Second
+// waitTimeout bounds each wait of a test.
+const waitTimeout = 20 * time.Second
 
 // group is some members in one process, on modelled disks.
 type group struct {
@@ -23,13 +23,15 @@
 	net      *network
 	seeds    []string
 	disks    map[string]*modeldisk.Disk
-	machines map[string]*words
+	machines map[string]*commandList
 }
 
+// newGroup starts that many members, of which the first three found the group.
 func newGroup(t *testing.T, count int) *group {
+	t.Helper()
 	g := &group{
 		t: t, net: &network{members: map[string]*replica.Replica{}},
-		disks: map[string]*modeldisk.Disk{}, machines: map[string]*words{},
+		disks: map[string]*modeldisk.Disk{}, machines: map[string]*commandList{},
 	}
 	for i := range 3 {
 		g.seeds = append(g.seeds, address(i))
@@ -53,20 +55,21 @@
 	return g.net.members[address(number)]
 }
 
+// start starts a member on its disk, or on an empty one.
 func (g *group) start(number int, bootstrap bool) *replica.Replica {
 	g.t.Helper()
 	at := address(number)
 	if g.disks[at] == nil {
 		g.disks[at] = modeldisk.New()
 	}
-	g.machines[at] = &words{}
+	g.machines[at] = &commandList{}
 	member, err := replica.Open(replica.Config{
 		Self:  replica.Member{Address: at, Zone: fmt.Sprint("zone", number), Tag: fmt.Sprint("tag", number)},
 		Seeds: g.seeds, Bootstrap: bootstrap, FaultTolerance: 1, FS: g.disks[at],
-		Transport: port{network: g.net, address: at}, StateMachine: g.machines[at],
+		Transport: transport{network: g.net, address: at}, StateMachine: g.machines[at],
 	})
 	if err != nil {
-		g.t.Fatal(err)
+		g.t.Fatalf("open member %d: %v, want nil", number, err)
 	}
 	g.net.lock.Lock()
 	g.net.members[at] = member
@@ -87,48 +90,50 @@
 	g.disks[address(number)] = g.disks[address(number)].AfterKill()
 }
 
-// wait waits until the member's status is as asked for.
-func (g *group) wait(member *replica.Replica, what string, holds func(replica.Status) bool) {
+// waitUntil waits until the condition on the member's status is met.
+func (g *group) waitUntil(member *replica.Replica, what string, met func(replica.Status) bool) {
 	g.t.Helper()
-	late := time.After(deadline)
+	timeout := time.After(waitTimeout)
 	for {
 		changed := member.Changed()
-		if holds(member.Status()) {
+		if met(member.Status()) {
 			return
 		}
 		select {
 		case <-changed:
-		case <-late:
-			g.t.Fatalf("%s: not in %v; status %+v", what, deadline, member.Status())
+		case <-timeout:
+			g.t.Fatalf("%s: not within %v; status %+v", what, waitTimeout, member.Status())
 		}
 	}
 }
 
-func within(t *testing.T) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), deadline)
+// testContext returns a context that bounds one call.
+func testContext(t *testing.T) context.Context {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
 func (g *group) propose(number int, command string) {
 	g.t.Helper()
-	if _, err := g.member(number).Propose(within(g.t), []byte(command)); err != nil {
-		g.t.Fatalf("propose %q at %d: %v", command, number, err)
+	if _, err := g.member(number).Propose(testContext(g.t), []byte(command)); err != nil {
+		g.t.Fatalf("propose %q at member %d: %v, want nil", command, number, err)
 	}
 }
 
-// expect checks what a member has after a barrier.
+// expect checks the state of a member after a barrier.
 func (g *group) expect(number int, want string) {
 	g.t.Helper()
-	if _, err := g.member(number).Barrier(within(g.t)); err != nil {
-		g.t.Fatalf("barrier at %d: %v", number, err)
+	if _, err := g.member(number).Barrier(testContext(g.t)); err != nil {
+		g.t.Fatalf("barrier at member %d: %v, want nil", number, err)
 	}
 	if got := g.machines[address(number)].String(); got != want {
 		g.t.Errorf("member %d has %q, want %q", number, got, want)
 	}
 }
 
-func TestEveryMemberTakesCalls(t *testing.T) {
+func TestEveryMemberServesCalls(t *testing.T) {
 	g := newGroup(t, 4)
 	want := ""
 	for i := range 4 {
@@ -138,8 +143,8 @@
 	for i := range 4 {
 		g.expect(i, want[:len(want)-1])
 	}
-	g.wait(g.member(0), "the head leads", func(s replica.Status) bool { return s.IsLeader })
-	g.wait(g.member(3), "all are known", func(s replica.Status) bool {
+	g.waitUntil(g.member(0), "the head is the leader", func(s replica.Status) bool { return s.IsLeader })
+	g.waitUntil(g.member(3), "all are known", func(s replica.Status) bool {
 		tags := map[string]bool{}
 		for _, member := range s.LiveMembers {
 			tags[member.Tag] = true
@@ -148,7 +153,7 @@
 	})
 }
 
-func TestHeadDiesAndComesBack(t *testing.T) {
+func TestKilledHeadRejoinsTheChain(t *testing.T) {
 	g := newGroup(t, 3)
 	g.propose(1, "before")
 	g.kill(0)
@@ -156,42 +161,42 @@
 	g.start(0, false)
 	g.propose(0, "after")
 	g.expect(0, "before during after")
-	g.wait(g.member(0), "it is in the chain again", func(s replica.Status) bool {
+	g.waitUntil(g.member(0), "the member is in the chain again", func(s replica.Status) bool {
 		return s.View.ChainIndex(s.Self.Identity) >= 0 && len(s.View.Chain) == 3
 	})
 }
 
-func TestPlannedLeave(t *testing.T) {
+func TestStoppedHeadHandsOverLeadership(t *testing.T) {
 	g := newGroup(t, 3)
 	g.propose(0, "one")
-	g.wait(g.member(0), "the head leads", func(s replica.Status) bool { return s.IsLeader })
-	if err := g.member(0).Stop(within(t)); err != nil {
-		t.Fatal(err)
+	g.waitUntil(g.member(0), "the head is the leader", func(s replica.Status) bool { return s.IsLeader })
+	if err := g.member(0).Stop(testContext(t)); err != nil {
+		t.Fatalf("stop: %v, want nil", err)
 	}
-	g.wait(g.member(1), "the next one leads", func(s replica.Status) bool { return s.IsLeader })
+	g.waitUntil(g.member(1), "the next member is the leader", func(s replica.Status) bool { return s.IsLeader })
 	g.propose(2, "two")
 	g.expect(1, "one two")
-	if _, err := g.member(0).Propose(within(t), []byte("three")); !errors.Is(err, replica.ErrStopped) {
-		t.Errorf("a stopped replica answers %v", err)
+	if _, err := g.member(0).Propose(testContext(t), []byte("three")); !errors.Is(err, replica.ErrStopped) {
+		t.Errorf("propose at a stopped replica: %v, want %v", err, replica.ErrStopped)
 	}
 }
 
-// With one of three away, a second one is needed, and says why it goes all the same.
-func TestNeededMemberSaysWhy(t *testing.T) {
+// With one of three down, a second one is still needed: it stops all the same and says why it should not have.
+func TestStopOfANeededMemberSaysWhy(t *testing.T) {
 	g := newGroup(t, 3)
 	g.propose(0, "one")
 	g.kill(2)
-	g.wait(g.member(0), "two are left", func(s replica.Status) bool { return len(s.View.Chain) == 2 })
+	g.waitUntil(g.member(0), "two members are left in the chain", func(s replica.Status) bool { return len(s.View.Chain) == 2 })
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
 	err := g.member(1).Stop(ctx)
 	if !errors.Is(err, replica.ErrStillNeeded) || !strings.Contains(err.Error(), "the chain needs it") {
-		t.Errorf("%v", err)
+		t.Errorf("stop: %v, want %v and that the chain needs it", err, replica.ErrStillNeeded)
 	}
 }
 
-// A wiped member comes back with a new identity and gets entries of several MiB through a snapshot.
-func TestLargeEntriesReachAWipedMember(t *testing.T) {
+// A wiped member restarts with a new identity and receives entries of several MiB in a snapshot.
+func TestWipedMemberReceivesLargeEntries(t *testing.T) {
 	g := newGroup(t, 3)
 	large := string(bytes.Repeat([]byte("x"), 5<<20))
 	want := large
@@ -205,12 +210,12 @@
 	g.disks[address(2)] = nil
 	g.start(2, false)
 	g.expect(2, want)
-	g.wait(g.member(2), "it votes", func(s replica.Status) bool {
+	g.waitUntil(g.member(2), "the new identity votes", func(s replica.Status) bool {
 		return s.View.IsVoter(s.Self.Identity) && !s.View.IsVoter(before) && s.Self.Identity != before
 	})
 }
 
-func TestAllAreKilledAtOnce(t *testing.T) {
+func TestGroupRecoversAfterAllMembersAreKilled(t *testing.T) {
 	g := newGroup(t, 3)
 	g.propose(0, "kept")
 	for i := range 3 {
@@ -223,7 +228,7 @@
 	g.expect(1, "kept more")
 }
 
-func TestCallsThatCannotBeServed(t *testing.T) {
+func TestCallsWithoutAGroupFail(t *testing.T) {
 	g := newGroup(t, 3)
 	g.propose(0, "one")
 	g.kill(0)
@@ -233,80 +238,82 @@
 	_, err := g.member(2).Propose(ctx, []byte("two"))
 	var failure *replica.OperationError
 	if !errors.Is(err, replica.ErrOutcomeUnknown) || !errors.Is(err, context.DeadlineExceeded) || !errors.As(err, &failure) {
-		t.Errorf("a command on its way: %v", err)
+		t.Errorf("propose with the others down: %v, want an OperationError with %v and %v",
+			err, replica.ErrOutcomeUnknown, context.DeadlineExceeded)
 	}
 	if _, err := g.member(2).Barrier(ctx); !errors.Is(err, replica.ErrUnavailable) {
-		t.Errorf("a barrier: %v", err)
+		t.Errorf("barrier with the others down: %v, want %v", err, replica.ErrUnavailable)
 	}
-	lonely := g.start(5, false) // has no view to send anything by
+	learner := g.start(5, false) // has no view yet
 	g.net.lock.Lock()
 	delete(g.net.members, address(2)) // is no longer reached
 	g.net.lock.Unlock()
-	_, err = lonely.Propose(ctx, []byte("three"))
+	_, err = learner.Propose(ctx, []byte("three"))
 	if !errors.Is(err, replica.ErrUnavailable) && !errors.Is(err, replica.ErrOutcomeUnknown) {
-		t.Errorf("a command without a group: %v", err)
+		t.Errorf("propose at a learner without a view: %v, want %v or %v",
+			err, replica.ErrUnavailable, replica.ErrOutcomeUnknown)
 	}
 }
 
-func TestFullDiskIsLeftAndComesBack(t *testing.T) {
+func TestMemberWithAFullDiskLeavesAndRejoinsTheChain(t *testing.T) {
 	g := newGroup(t, 3)
 	g.propose(0, "one")
 	g.disks[address(1)].SetFull(true)
 	g.propose(0, "two")
 	g.expect(1, "one two")
 	g.disks[address(1)].SetFull(false)
-	g.wait(g.member(0), "it is in the chain again", func(s replica.Status) bool {
+	g.waitUntil(g.member(0), "the member is in the chain again", func(s replica.Status) bool {
 		return len(s.View.Chain) == 3 && s.View.Epoch > 2
 	})
 	g.propose(1, "three")
 	g.expect(1, "one two three")
 }
 
-// Many callers at many members: every acknowledged command is there once, in the same order everywhere.
-func TestManyCallers(t *testing.T) {
+// Every acknowledged command of concurrent callers is applied once, in the same order on every member.
+func TestConcurrentCommandsAreAppliedOnceInOneOrder(t *testing.T) {
 	g := newGroup(t, 4)
-	var group sync.WaitGroup
+	var running sync.WaitGroup
 	const callers, calls = 8, 20
 	for caller := range callers {
-		group.Go(func() {
+		running.Go(func() {
 			for call := range calls {
-				word := fmt.Sprintf("w%d.%d", caller, call)
-				if _, err := g.member(caller%4).Propose(within(t), []byte(word)); err != nil {
-					t.Errorf("%s: %v", word, err)
+				command := fmt.Sprintf("w%d.%d", caller, call)
+				if _, err := g.member(caller%4).Propose(testContext(t), []byte(command)); err != nil {
+					t.Errorf("propose %q: %v, want nil", command, err)
 				}
 			}
 		})
 	}
-	group.Wait()
+	running.Wait()
 	for i := range 4 {
-		if _, err := g.member(i).Barrier(within(t)); err != nil {
-			t.Fatal(err)
+		if _, err := g.member(i).Barrier(testContext(t)); err != nil {
+			t.Fatalf("barrier at member %d: %v, want nil", i, err)
 		}
 		if first, other := g.machines[address(0)].String(), g.machines[address(i)].String(); first != other {
-			t.Errorf("members 0 and %d differ", i)
+			t.Errorf("member %d has %q, want %q as member 0", i, other, first)
 		}
 	}
 	if got := len(g.machines[address(0)].list); got != callers*calls {
-		t.Errorf("%d words, want %d", got, callers*calls)
+		t.Errorf("%d commands are applied, want %d", got, callers*calls)
 	}
 }
 
-// Every member proves a fresh contact with the majority, and goes on doing so without a change that it would tell.
-func TestEveryMemberProvesItsContact(t *testing.T) {
+// Every member's majority contact is renewed without any other change of its status.
+func TestMajorityContactIsRenewedOnEveryMember(t *testing.T) {
 	g := newGroup(t, 4)
 	for i := range 4 {
 		g.propose(i, fmt.Sprint("w", i))
 	}
-	const often = 50 * time.Millisecond
+	const pollInterval = 50 * time.Millisecond
 	for i := range 4 {
 		member := g.member(i)
 		began := time.Now()
-		late := time.After(deadline)
+		timeout := time.After(waitTimeout)
 		for !member.Status().ConfirmedAt.After(began) {
 			select {
-			case <-time.After(often):
-			case <-late:
-				t.Fatalf("member %d: confirmed at %v, asked at %v", i, member.Status().ConfirmedAt, began)
+			case <-time.After(pollInterval):
+			case <-timeout:
+				t.Fatalf("member %d: newest contact at %v, want one after %v", i, member.Status().ConfirmedAt, began)
 			}
 		}
 	}
--- a/coordination/replica/status.go
+++ b/coordination/replica/status.go
@@ -8,22 +8,22 @@
 	"raventrestle/coordination/chain"
 )
 
-// published is what readers see without asking the owner.
+// published is what callers read without asking the loop, which writes it.
 type published struct {
 	status  atomic.Pointer[Status]
-	changed atomic.Pointer[signal]
+	changed atomic.Pointer[changeSignal]
 }
 
-// signal is closed once.
-type signal struct{ closed chan struct{} }
+// changeSignal is a channel that is closed once, at the next change of the status.
+type changeSignal struct{ closed chan struct{} }
 
-func newSignal() *signal { return &signal{closed: make(chan struct{})} }
+func newChangeSignal() *changeSignal { return &changeSignal{closed: make(chan struct{})} }
 
 // Status implements Interface.
 func (r *Replica) Status() Status {
 	status := *r.status.Load()
-	if status.IsLeader && !r.options.Clock().Before(status.LeaseExpiry) {
-		status.IsLeader = false
+	if status.IsLeader && !r.config.Clock().Before(status.LeaseExpiry) {
+		status.IsLeader = false // the lease has ended since the loop published the status
 	}
 	return status
 }
@@ -33,39 +33,39 @@
 
 func (r *Replica) headAddress() string { return r.status.Load().View.Head().Address }
 
-// publish stores the newest status and wakes those who wait for a change.
+// publish stores the newest status, and wakes those who wait for a change.
 func (r *Replica) publish(now time.Duration) {
-	next := r.statusOf(r.engine.Status(now))
+	next := r.convertStatus(r.engine.Status(now))
 	before := r.status.Swap(&next)
-	if before == nil || !differs(*before, next) {
+	if before == nil || !isChange(*before, next) {
 		return
 	}
 	if before.View.Epoch != next.View.Epoch {
-		r.options.RecordEvent("view_changed", "epoch", next.View.Epoch, "head", next.View.Head().Address,
+		r.config.RecordEvent("view_changed", "epoch", next.View.Epoch, "head", next.View.Head().Address,
 			"chain", len(next.View.Chain), "voters", len(next.View.Voters))
 	}
 	if before.IsLeader != next.IsLeader {
-		r.options.RecordEvent("leadership_changed", "epoch", next.View.Epoch, "leader", next.IsLeader)
+		r.config.RecordEvent("leadership_changed", "epoch", next.View.Epoch, "leader", next.IsLeader)
 	}
-	close(r.changed.Swap(newSignal()).closed)
+	close(r.changed.Swap(newChangeSignal()).closed)
 }
 
-func (r *Replica) statusOf(s chain.Status) Status {
+func (r *Replica) convertStatus(s chain.Status) Status {
 	return Status{
 		Self:                s.Self,
 		View:                s.View,
 		CommitIndex:         s.CommitIndex,
 		LiveMembers:         s.LiveMembers,
 		IsLeader:            s.IsLeader,
-		LeaseExpiry:         r.instant(s.LeaseExpiry),
-		LeaderSince:         r.instant(s.LeaderSince),
-		PreviousLeaseExpiry: r.instant(s.PreviousLeaseExpiry),
-		ConfirmedAt:         r.instant(s.ConfirmedAt),
+		LeaseExpiry:         r.clockTime(s.LeaseExpiry),
+		LeaderSince:         r.clockTime(s.LeaderSince),
+		PreviousLeaseExpiry: r.clockTime(s.PreviousLeaseExpiry),
+		ConfirmedAt:         r.clockTime(s.ConfirmedAt),
 	}
 }
 
-// differs tells whether the change is one that Changed promises to tell. Who is live belongs to it too.
-func differs(a, b Status) bool {
+// isChange reports whether two statuses differ in what Changed signals. A newer majority contact alone is no change.
+func isChange(a, b Status) bool {
 	return a.View.Epoch != b.View.Epoch || a.CommitIndex != b.CommitIndex || a.IsLeader != b.IsLeader ||
 		!slices.Equal(a.LiveMembers, b.LiveMembers) || !slices.Equal(a.View.Chain, b.View.Chain)
 }
--- a/coordination/replica/status_test.go
+++ b/coordination/replica/status_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// A newer proof comes with each ping and is no change that anybody waits for.
-func TestNewerProofIsNoChange(t *testing.T) {
+// A newer majority contact comes with each ping: callers who wait for changes are not woken by it.
+func TestNewerMajorityContactIsNoChange(t *testing.T) {
 	before := Status{CommitIndex: 1}
 	after := before
 	after.ConfirmedAt = time.Now()
-	if differs(before, after) {
-		t.Error("a newer proof counts as a change")
+	if isChange(before, after) {
+		t.Error("a newer majority contact is a change, want none")
 	}
 	after.CommitIndex = 2
-	if !differs(before, after) {
-		t.Error("a newer commit doesn't count as a change")
+	if !isChange(before, after) {
+		t.Error("a newer commit index is no change, want one")
 	}
 }
