--- a/internal/control/registry/golden_test.go
+++ b/internal/control/registry/golden_test.go
@@ -80,7 +80,7 @@
 
 func (h *goldenHistory) start(i int) {
 	origin := protocol.Origin{Address: goldenAddress(i), Incarnation: h.incarnations[i]}
-	h.registries[i] = New(Config{Origin: origin, Heartbeat: heartbeatEvery}, h.now)
+	h.registries[i] = New(Config{Origin: origin, Heartbeat: heartbeatInterval}, h.now)
 }
 
 func (h *goldenHistory) hashValue(value any) {
--- a/internal/control/registry/partition_recovery_test.go
+++ b/internal/control/registry/partition_recovery_test.go
@@ -8,237 +8,193 @@
 	"raventrestle/internal/protocol"
 )
 
-// apart lets the instance be without contact for a while; endpoints that are named go on calling it.
-func (x *table) apart(span time.Duration, calling ...string) {
-	x.parted = x.now
-	for end := x.now.Add(span); x.now.Before(end); {
-		x.wait(time.Second)
-		for _, id := range calling {
-			x.beat(beat(id, x.ticket, protocol.Ready))
-		}
-	}
-}
-
-func (x *table) shows(id string) bool {
-	return slices.ContainsFunc(x.EndpointsAndTombstones(x.now), func(e protocol.Endpoint) bool {
-		return e.ID == id && e.State != protocol.Departed
-	})
-}
-
-// tells says whether another instance that knows nothing would be told of an endpoint.
-func (x *table) tells(id string) bool {
-	out := x.step(PeerMessage{Content: &protocol.RegistrySummary{
-		Origin: protocol.Origin{Address: "other", Incarnation: 1}, IsReply: true,
-	}})
-	for _, sent := range out.Send {
-		delta, isDelta := sent.Message.(*protocol.RegistryDelta)
-		if isDelta && slices.ContainsFunc(delta.Records, func(r protocol.Record) bool { return r.Endpoint.ID == id }) {
-			return true
-		}
-	}
-	return false
-}
-
-// TestReunitedInstanceGivesUpWhoIsNotHeard: endpoints may have said elsewhere that they end.
-func TestReunitedInstanceGivesUpWhoIsNotHeard(t *testing.T) {
-	x := newTable(t)
-	x.beat(beat("left", 1, protocol.Ready))
-	x.beat(beat("lives", 2, protocol.Ready))
-	x.apart(6*time.Second, "lives")
-	if x.shows("left") || x.tells("left") {
-		t.Error("told of, without contact and unheard")
-	}
-	if !x.shows("lives") || !x.tells("lives") {
-		t.Error("not told of, though it calls")
-	}
-	x.parted = time.Time{}
-	x.step()
-	if x.shows("left") || x.tells("left") || x.complete {
-		t.Error("the table is not taken for stale with the first contact")
-	}
-	x.wait(x.syncWindow() / 2)
-	x.beat(beat("lives", x.ticket, protocol.Ready))
-	x.wait(x.syncWindow() / 2)
-	x.want("left", protocol.Departed)
-	x.want("lives", protocol.Ready)
+// TestRejoinedInstanceEvictsWhoIsNotHeardOf: endpoints may have announced their end elsewhere.
+func TestRejoinedInstanceEvictsWhoIsNotHeardOf(t *testing.T) {
+	x := newTestRegistry(t)
+	x.heartbeat(report("departed", 1, protocol.Ready))
+	x.heartbeat(report("alive", 2, protocol.Ready))
+	x.loseContactFor(6*time.Second, "alive")
+	if x.routersSee("departed") || x.peerWouldLearn("departed") {
+		t.Error("without contact: got an unheard endpoint shown, want it hidden and withheld")
+	}
+	if !x.routersSee("alive") || !x.peerWouldLearn("alive") {
+		t.Error("without contact: got an endpoint that sends heartbeats hidden, want it shown")
+	}
+	x.regainContact()
+	if x.routersSee("departed") || x.peerWouldLearn("departed") || x.complete {
+		t.Error("at the first contact: got a table that counts as fresh, want it possibly stale")
+	}
+	x.advance(x.syncWindow() / 2)
+	x.heartbeat(report("alive", x.requestID, protocol.Ready))
+	x.advance(x.syncWindow() / 2)
+	x.wantState("departed", protocol.Departed)
+	x.wantState("alive", protocol.Ready)
 	if !x.complete || x.possiblyStale(x.now) {
-		t.Error("it is still taken for stale")
+		t.Errorf("after the window: got complete %v, stale %v, want true, false", x.complete, x.possiblyStale(x.now))
 	}
-	x.beat(beat("left", x.ticket, protocol.Ready))
-	x.want("left", protocol.Ready)
+	x.heartbeat(report("departed", x.requestID, protocol.Ready))
+	x.wantState("departed", protocol.Ready)
 }
 
-// TestEndpointHeardElsewhereOutlivesTheStaleTable: the others tell who has called them.
-func TestEndpointHeardElsewhereOutlivesTheStaleTable(t *testing.T) {
-	x := newTable(t)
+func TestEndpointHeardByAPeerSurvivesTheRejoin(t *testing.T) {
+	x := newTestRegistry(t)
 	x.step(Peers{Reachable: []string{"other"}})
-	x.beat(beat("e", 1, protocol.Ready))
-	x.apart(6 * time.Second)
-	x.parted = time.Time{}
+	x.heartbeat(report("e", 1, protocol.Ready))
+	x.loseContactFor(6 * time.Second)
+	x.lastContact = time.Time{}
 	x.step(PeerMessage{Content: &protocol.RegistryDigest{
 		Origin: protocol.Origin{Address: "other", Incarnation: 1}, AliveHashes: []uint32{NameHash("e")},
 	}})
-	if !x.shows("e") {
-		t.Error("still kept back")
+	if !x.routersSee("e") {
+		t.Error("after a peer's digest: got the endpoint hidden, want it shown")
 	}
-	x.wait(x.syncWindow())
-	x.want("e", protocol.Ready)
+	x.advance(x.syncWindow())
+	x.wantState("e", protocol.Ready)
 }
 
-// TestSilentEndpointIsKeptWithContact: one that can't reach the control plane serves on.
-func TestSilentEndpointIsKeptWithContact(t *testing.T) {
-	x := newTable(t)
-	x.beat(beat("e", 1, protocol.Ready))
-	x.wait(x.unresponsiveTimeout() + x.syncWindow() + time.Second)
-	x.want("e", protocol.Unresponsive)
-	if !x.shows("e") || !x.tells("e") {
-		t.Error("withheld though the table is fresh")
+// TestUnresponsiveEndpointIsShownWhileTheTableIsFresh: one that can't reach the control plane may still serve.
+func TestUnresponsiveEndpointIsShownWhileTheTableIsFresh(t *testing.T) {
+	x := newTestRegistry(t)
+	x.heartbeat(report("e", 1, protocol.Ready))
+	x.advance(x.unresponsiveTimeout() + x.syncWindow() + time.Second)
+	x.wantState("e", protocol.Unresponsive)
+	if !x.routersSee("e") || !x.peerWouldLearn("e") {
+		t.Error("fresh table: got an unresponsive endpoint hidden or withheld, want it shown")
 	}
 }
 
-// TestNewEpochIsNoLossOfContact: there is no proof in it yet.
+// TestNewEpochIsNoLossOfContact: there is no proof in it yet, and the former one still counts.
 func TestNewEpochIsNoLossOfContact(t *testing.T) {
-	x := newTable(t)
-	out := x.Step(x.now, QuorumContact{}, Heartbeat{RequestID: 77, Endpoint: beat("e", 1, protocol.Ready)})
+	x := newTestRegistry(t)
+	out := x.Step(x.now, QuorumContact{}, Heartbeat{RequestID: 77, Endpoint: report("e", 1, protocol.Ready)})
 	if !acknowledged(out) {
-		t.Errorf("%+v", out)
+		t.Errorf("got %+v, want an acknowledgement", out)
 	}
 }
 
-// TestTableIsWholeInTime: routers wait for it, so it does not wait for the next tick.
-func TestTableIsWholeInTime(t *testing.T) {
-	settings := Config{Origin: protocol.Origin{Address: "self", Incarnation: 1}, Heartbeat: heartbeatEvery}
-	x := &table{t: t, Registry: New(settings, begin), now: begin}
+// TestTableIsCompleteInTime: routers wait for it, so it does not wait for the next tick.
+func TestTableIsCompleteInTime(t *testing.T) {
+	x := newStartingRegistry(t, epochStart)
 	x.step()
 	for !x.complete {
 		x.now = x.wakeAt()
 		x.step()
 	}
-	if took := x.now.Sub(begin); took != x.syncWindow() {
-		t.Errorf("whole after %v, want %v", took, x.syncWindow())
+	if took := x.now.Sub(epochStart); took != x.syncWindow() {
+		t.Errorf("complete: got after %v, want after %v", took, x.syncWindow())
 	}
 }
 
-// TestSilenceWhileStaleIsNoNews: a router that has dropped the endpoint would take it for one that is there; that it is
-// given up is news all the same.
-func TestSilenceWhileStaleIsNoNews(t *testing.T) {
-	x := newTable(t)
-	x.beat(beat("e", 1, protocol.Ready))
-	x.parted = x.now
-	var told []protocol.EndpointState
+// TestUnresponsivenessIsNotPublishedWhileStale: a router that has dropped the endpoint would take the update for an
+// endpoint that exists. Its eviction is published all the same.
+func TestUnresponsivenessIsNotPublishedWhileStale(t *testing.T) {
+	x := newTestRegistry(t)
+	x.heartbeat(report("e", 1, protocol.Ready))
+	x.lastContact = x.now
+	var published []protocol.EndpointState
 	for end := x.now.Add(evictionTimeout + 3*time.Second); x.now.Before(end); {
 		x.now = x.wakeAt()
 		for _, changed := range x.step().Changed {
-			told = append(told, changed.State)
+			published = append(published, changed.State)
 		}
 	}
-	if !slices.Equal(told, []protocol.EndpointState{protocol.Departed}) {
-		t.Errorf("routers are told the states %v", told)
+	if want := []protocol.EndpointState{protocol.Departed}; !slices.Equal(published, want) {
+		t.Errorf("published states: got %v, want %v", published, want)
 	}
 }
 
-// TestHintsOfSilentEndpointsAreKeptBack: what it heard while the others were out of reach is old by now.
-func TestHintsOfSilentEndpointsAreKeptBack(t *testing.T) {
-	x := newTable(t)
+// TestHintsOfUnresponsiveEndpointsAreWithheld: what was heard while the peers were out of reach is outdated by now.
+func TestHintsOfUnresponsiveEndpointsAreWithheld(t *testing.T) {
+	x := newTestRegistry(t)
 	x.step(Peers{Reachable: []string{"other"}})
 	x.step(Peers{})
-	x.beat(beat("e", 1, protocol.Ready))
-	x.apart(6 * time.Second)
-	x.parted = time.Time{}
+	x.heartbeat(report("e", 1, protocol.Ready))
+	x.loseContactFor(6 * time.Second)
+	x.lastContact = time.Time{}
 	x.step(Peers{Reachable: []string{"other"}})
-	for _, sent := range x.out.Send {
-		if delta, isDelta := sent.Message.(*protocol.RegistryDelta); isDelta && len(delta.Records) > 0 {
-			t.Errorf("tells of %+v", delta.Records)
+	for _, delta := range deltas(x.out) {
+		if len(delta.Records) > 0 {
+			t.Errorf("sent: got %+v, want no record", delta.Records)
 		}
 	}
 }
 
-// TestReunitedInstanceTellsOthersOfThoseItHearsOnly: after a short time without contact nobody is silent yet, but the
-// others may have restarted, and would keep an endpoint that has left for as long as a silent one.
-func TestReunitedInstanceTellsOthersOfThoseItHearsOnly(t *testing.T) {
-	x := newTable(t)
-	x.beat(beat("left", 1, protocol.Ready))
-	x.beat(beat("lives", 2, protocol.Ready))
-	x.apart(2 * time.Second)
-	x.parted = time.Time{}
-	x.step()
-	if x.tells("left") || x.tellsWhole() {
-		t.Error("the others are told of one that nobody has heard since, or that nobody is missing")
-	}
-	if !x.shows("left") {
-		t.Error("routers lose one that may live")
-	}
-	x.beat(beat("lives", x.ticket, protocol.Ready))
-	if !x.tells("lives") {
-		t.Error("the others are not told of one that has called since")
+// TestRejoinedInstanceSendsPeersOnlyWhoIsHeardOf: after a short time without contact nobody is unresponsive yet, but the
+// peers may have restarted, and would keep a departed endpoint for as long as an unresponsive one.
+func TestRejoinedInstanceSendsPeersOnlyWhoIsHeardOf(t *testing.T) {
+	x := newTestRegistry(t)
+	x.heartbeat(report("departed", 1, protocol.Ready))
+	x.heartbeat(report("alive", 2, protocol.Ready))
+	x.loseContactFor(2 * time.Second)
+	x.regainContact()
+	if x.peerWouldLearn("departed") || x.claimsCompleteTable() {
+		t.Error("peers: got an endpoint unheard since, or a claim to be complete, want neither")
+	}
+	if !x.routersSee("departed") {
+		t.Error("routers: got an endpoint hidden that may be alive, want it shown")
+	}
+	x.heartbeat(report("alive", x.requestID, protocol.Ready))
+	if !x.peerWouldLearn("alive") {
+		t.Error("peers: got an endpoint withheld that was heard since, want it sent")
+	}
+	x.advance(x.rejoinWindow())
+	x.wantState("departed", protocol.Departed)
+	x.wantState("alive", protocol.Ready)
+	if !x.claimsCompleteTable() {
+		t.Error("fresh table: got no claim to be complete, want one")
 	}
-	x.wait(x.rejoinWindow())
-	x.want("left", protocol.Departed)
-	x.want("lives", protocol.Ready)
-	if !x.tellsWhole() {
-		t.Error("the table is not told to be whole once it is fresh")
-	}
-}
-
-func (x *table) tellsWhole() bool {
-	out := x.step(PeerMessage{Content: &protocol.RegistrySummary{Origin: protocol.Origin{Address: "other", Incarnation: 1}}})
-	return slices.ContainsFunc(out.Send, func(sent Send) bool {
-		delta, isDelta := sent.Message.(*protocol.RegistryDelta)
-		return isDelta && delta.FromCompleteTable
-	})
 }
 
-// TestEndpointThatRoutersReachIsToldOnceTheTableIsFresh: it is silent, but there.
-func TestEndpointThatRoutersReachIsToldOnceTheTableIsFresh(t *testing.T) {
-	x := newTable(t)
-	x.beat(beat("e", 1, protocol.Ready))
-	x.apart(6 * time.Second)
-	x.parted = time.Time{}
-	x.step()
-	x.wait(time.Second)
+// TestEndpointThatRoutersReachIsPublishedOnceTheTableIsFresh: it is unresponsive, but exists.
+func TestEndpointThatRoutersReachIsPublishedOnceTheTableIsFresh(t *testing.T) {
+	x := newTestRegistry(t)
+	x.heartbeat(report("e", 1, protocol.Ready))
+	x.loseContactFor(6 * time.Second)
+	x.regainContact()
+	x.advance(time.Second)
 	x.step(RouterReport{Reached: []string{"e"}})
 	published := false
 	for x.possiblyStale(x.now) {
 		x.now = x.wakeAt()
-		published = slices.ContainsFunc(x.step().Changed, func(e protocol.Endpoint) bool { return e.State == protocol.Unresponsive })
+		published = slices.ContainsFunc(x.step().Changed, func(e protocol.Endpoint) bool {
+			return e.State == protocol.Unresponsive
+		})
 	}
-	if !published || !x.shows("e") {
-		t.Errorf("published: %v, shown: %v", published, x.shows("e"))
+	if !published || !x.routersSee("e") {
+		t.Errorf("got published %v, shown %v, want true, true", published, x.routersSee("e"))
 	}
 }
 
-// TestFirstContactThatComesLateLeavesAStaleTableToo: a process may start while it is cut off, and hear endpoints.
-func TestFirstContactThatComesLateLeavesAStaleTableToo(t *testing.T) {
-	settings := Config{Origin: protocol.Origin{Address: "self", Incarnation: 1}, Heartbeat: heartbeatEvery}
-	x := &table{t: t, Registry: New(settings, begin), now: begin}
-	step := func(inputs ...Input) { x.Step(x.now, append([]Input{QuorumContact{}}, inputs...)...) }
-	step(Heartbeat{RequestID: 1, Endpoint: beat("e", 1, protocol.Ready)})
+// TestLateFirstContactLeavesAStaleTable: a process may start while it is partitioned, and receive heartbeats.
+func TestLateFirstContactLeavesAStaleTable(t *testing.T) {
+	x := newStartingRegistry(t, epochStart)
+	x.Step(x.now, QuorumContact{}, Heartbeat{RequestID: 1, Endpoint: report("e", 1, protocol.Ready)})
 	for range 6 {
 		x.now = x.now.Add(time.Second)
-		step()
+		x.Step(x.now, QuorumContact{})
 	}
 	x.step()
-	if x.shows("e") || x.complete {
-		t.Error("the table is not taken for stale with the first contact")
+	if x.routersSee("e") || x.complete {
+		t.Errorf("at the first contact: got shown %v, complete %v, want false, false", x.routersSee("e"), x.complete)
 	}
-	x.wait(x.rejoinWindow())
-	x.want("e", protocol.Departed)
+	x.advance(x.rejoinWindow())
+	x.wantState("e", protocol.Departed)
 }
 
-// TestInstanceWithoutContactTellsOthersOfThoseItHearsOnly: an instance that restarts may be the first to be reached, before
-// there is a majority again, and has forgotten whose end it was told.
-func TestInstanceWithoutContactTellsOthersOfThoseItHearsOnly(t *testing.T) {
-	x := newTable(t)
-	x.beat(beat("left", 1, protocol.Ready))
-	x.beat(beat("lives", 2, protocol.Ready))
-	x.apart(3*time.Second, "lives")
+// TestInstanceWithoutQuorumSendsPeersOnlyWhoIsHeardOf: a peer that restarts may reach this instance first, before there
+// is a majority again, and has lost which deregistrations it received.
+func TestInstanceWithoutQuorumSendsPeersOnlyWhoIsHeardOf(t *testing.T) {
+	x := newTestRegistry(t)
+	x.heartbeat(report("departed", 1, protocol.Ready))
+	x.heartbeat(report("alive", 2, protocol.Ready))
+	x.loseContactFor(3*time.Second, "alive")
 	if !x.quorumLost(x.now) {
-		t.Fatal("it has contact")
+		t.Fatal("quorum: got contact, want it lost")
 	}
-	if x.tells("left") {
-		t.Error("the others are told of one that was not heard for longer than a heartbeat")
+	if x.peerWouldLearn("departed") {
+		t.Error("peers: got an endpoint that has missed a heartbeat, want it withheld")
 	}
-	if !x.tells("lives") {
-		t.Error("the others are not told of one that calls")
+	if !x.peerWouldLearn("alive") {
+		t.Error("peers: got an endpoint withheld that sends heartbeats, want it sent")
 	}
 }
--- a/internal/control/registry/size_test.go
+++ b/internal/control/registry/size_test.go
@@ -12,43 +12,44 @@
 
 const perInstance = sizetest.Endpoints / sizetest.Instances
 
-// atSize is the table of one of 15 instances with 2,900 endpoints, of which it hears its part.
-func atSize() (*Registry, time.Time, []protocol.Endpoint) {
-	now := time.Unix(0, 0)
-	r := New(Config{Origin: origin(0), Heartbeat: sizetest.Heartbeat}, now)
-	var others []string
+// atSize returns the registry of one of 15 instances with 2,900 endpoints, of which it receives its share of heartbeats.
+func atSize() (r *Registry, now time.Time, endpoints []protocol.Endpoint) {
+	now = time.Unix(0, 0)
+	r = New(Config{Origin: origin(0), Heartbeat: sizetest.Heartbeat}, now)
+	var peers []string
 	for i := 1; i < sizetest.Instances; i++ {
-		others = append(others, instanceAddress(i))
+		peers = append(peers, instanceAddress(i))
 		r.Step(now, PeerMessage{Content: &protocol.RegistryDigest{Origin: origin(i)}})
 	}
-	r.Step(now, Peers{Reachable: others})
-	table := sizetest.Table()
-	for i := range table {
+	r.Step(now, Peers{Reachable: peers})
+	endpoints = sizetest.Table()
+	for i := range endpoints {
 		if i < perInstance {
-			r.Step(now, Heartbeat{RequestID: uint64(i), Endpoint: table[i]})
+			r.Step(now, Heartbeat{RequestID: uint64(i), Endpoint: endpoints[i]})
 			continue
 		}
 		r.Step(now, PeerMessage{Content: &protocol.RegistryDelta{
 			Origin:  origin(1 + i%(sizetest.Instances-1)),
-			Records: []protocol.Record{{Endpoint: table[i]}},
+			Records: []protocol.Record{{Endpoint: endpoints[i]}},
 		}})
 	}
-	confirmDeltas(r, r.Step(now.Add(ordinaryFlushDelay)), now)
-	return r, now, table
+	acknowledgeDeltas(r, r.Step(now.Add(ordinaryFlushDelay)), now)
+	return r, now, endpoints
 }
 
-// confirmDeltas has the other instances confirm what they were sent.
-func confirmDeltas(r *Registry, out Output, now time.Time) {
+// acknowledgeDeltas has the peers acknowledge the deltas that they were sent.
+func acknowledgeDeltas(r *Registry, out Output, now time.Time) {
 	for _, send := range out.Send {
-		delta, is := send.Message.(*protocol.RegistryDelta)
-		if !is || delta.Sequence == 0 {
+		delta, isDelta := send.Message.(*protocol.RegistryDelta)
+		if !isDelta || delta.Sequence == 0 {
 			continue
 		}
 		for i := 1; i < sizetest.Instances; i++ {
 			if send.To == instanceAddress(i) {
 				r.Step(now, PeerMessage{Content: &protocol.RegistryAck{
 					Origin:            origin(i),
-					SenderIncarnation: r.config.Origin.Incarnation, Received: []uint64{delta.Sequence},
+					SenderIncarnation: r.config.Origin.Incarnation,
+					Received:          []uint64{delta.Sequence},
 				}})
 			}
 		}
@@ -61,23 +62,23 @@
 	return protocol.Origin{Address: instanceAddress(number), Incarnation: uint64(number) + 1}
 }
 
-// BenchmarkSecondAtSize is one calm second: the heartbeats of the own part, a digest of each other instance, the tick.
-// Its time in ns is the part of a core in thousand millionths. Bytes are those of the messages sent.
+// BenchmarkSecondAtSize is one second without changes: the heartbeats of the instance's share, a digest of each peer, and
+// the tick. ns/op is the share of a core in thousand millionths; B-sent/s counts encoded messages.
 func BenchmarkSecondAtSize(b *testing.B) {
-	r, now, table := atSize()
+	r, now, endpoints := atSize()
 	codec := protocol.NewCodec()
 	protocol.RegisterPeerMessages(codec)
 	var alive [sizetest.Instances][]uint32
-	for i := range table[perInstance:] {
+	for i := range endpoints[perInstance:] {
 		at := 1 + i%(sizetest.Instances-1)
-		alive[at] = append(alive[at], NameHash(table[perInstance+i].ID))
+		alive[at] = append(alive[at], NameHash(endpoints[perInstance+i].ID))
 	}
-	bytes, messages, beat := 0, 0, 0
+	bytes, messages, sequence := 0, 0, 0
 	count := func(out Output) {
 		for _, send := range out.Send {
 			frame, err := codec.Encode(send.Message)
 			if err != nil {
-				b.Fatal(err)
+				b.Fatalf("encode: got %v, want no error", err)
 			}
 			messages++
 			bytes += len(frame)
@@ -85,13 +86,13 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		const beats = int(perInstance * time.Second / sizetest.Heartbeat)
-		for range beats {
-			beat++
-			now = now.Add(time.Second / time.Duration(beats))
-			e := table[beat%perInstance]
-			e.Sequence = uint64(beat)
-			count(r.Step(now, Heartbeat{RequestID: uint64(beat), Endpoint: e}))
+		const heartbeats = int(perInstance * time.Second / sizetest.Heartbeat)
+		for range heartbeats {
+			sequence++
+			now = now.Add(time.Second / time.Duration(heartbeats))
+			e := endpoints[sequence%perInstance]
+			e.Sequence = uint64(sequence)
+			count(r.Step(now, Heartbeat{RequestID: uint64(sequence), Endpoint: e}))
 		}
 		for i := 1; i < sizetest.Instances; i++ {
 			digest := &protocol.RegistryDigest{Origin: origin(i), AliveHashes: alive[i], TableHash: r.table.contentHash()}
@@ -102,23 +103,23 @@
 	b.ReportMetric(float64(messages)/float64(b.N), "messages/s")
 }
 
-// BenchmarkChangeAtSize is one endpoint whose models change: told to all other instances.
+// BenchmarkChangeAtSize is one endpoint whose models change, with the deltas to all peers.
 func BenchmarkChangeAtSize(b *testing.B) {
-	r, now, table := atSize()
+	r, now, endpoints := atSize()
 	b.ReportAllocs()
 	sequence := uint64(1)
 	for b.Loop() {
 		sequence++
-		e := table[sequence%perInstance]
+		e := endpoints[sequence%perInstance]
 		e.Sequence = sequence
 		e.Models = []protocol.LoadedModel{{Name: sizetest.ModelName(int(sequence % sizetest.Models)), Generation: 1}}
 		r.Step(now, Heartbeat{RequestID: sequence, Endpoint: e})
-		confirmDeltas(r, r.Step(now.Add(ordinaryFlushDelay)), now)
+		acknowledgeDeltas(r, r.Step(now.Add(ordinaryFlushDelay)), now)
 	}
 }
 
-// BenchmarkWholeTableAtSize is what a router that subscribes is sent, and what the placer looks at in each step.
-func BenchmarkWholeTableAtSize(b *testing.B) {
+// BenchmarkFullTableAtSize is the table that a router gets when it subscribes and the placer reads in each step.
+func BenchmarkFullTableAtSize(b *testing.B) {
 	r, now, _ := atSize()
 	b.ReportAllocs()
 	for b.Loop() {
@@ -126,7 +127,7 @@
 	}
 }
 
-// BenchmarkMemoryAtSize tells the heap of the table.
+// BenchmarkMemoryAtSize reports the heap of the table.
 func BenchmarkMemoryAtSize(b *testing.B) {
 	var before, after runtime.MemStats
 	for b.Loop() {
