--- a/internal/router/node/force.go
+++ b/internal/router/node/force.go
@@ -18,8 +18,8 @@
 	node  *Node
 }
 
-// Prepare reads a configuration.
-func (f *force) Prepare(document []byte) (*configuration.Configuration, error) {
+// ParseConfiguration reads a configuration.
+func (f *force) ParseConfiguration(document []byte) (*configuration.Configuration, error) {
 	read, err := configuration.ParseDocument(document)
 	if err != nil {
 		return nil, err
@@ -38,32 +38,32 @@
 	return nil
 }
 
-// Seeds reads the settings' seeds.
-func (f *force) Seeds() []string { return f.node.seeds() }
+// ReadSeeds reads the settings' seeds.
+func (f *force) ReadSeeds() []string { return f.node.seeds() }
 
 func (n *Node) report(report protocol.Report) { n.subscription.Report(report) }
 
-// Following, Left, Unreachable, ConfigurationInForce and Ready are the subscription's log.
+// Node records the events of the subscription: see subscription.EventRecorder.
 
-// Following: updates of this instance come.
-func (n *Node) Following(instance string) {
+// InstanceFollowed logs that the first update of this instance is applied.
+func (n *Node) InstanceFollowed(instance string) {
 	n.log.Info().Str("instance", instance).Msg("control.followed")
 }
 
-// Left: this instance is not followed any more.
-func (n *Node) Left(instance string, err error) {
+// InstanceLeft logs that this instance is no longer followed.
+func (n *Node) InstanceLeft(instance string, err error) {
 	n.log.Warn().Str("instance", instance).Err(err).Msg("control.left")
 }
 
-// Unreachable: no instance could be followed.
-func (n *Node) Unreachable(instance string, err error) {
+// ControlPlaneUnreachable logs that no instance can be followed.
+func (n *Node) ControlPlaneUnreachable(instance string, err error) {
 	n.log.Warn().Str("instance", instance).Err(err).Msg("control.unreachable")
 }
 
-// ConfigurationInForce: requests are handled by this version from now on.
-func (n *Node) ConfigurationInForce(generation int64) {
+// ConfigurationApplied logs that requests are handled by this version from now on.
+func (n *Node) ConfigurationApplied(generation int64) {
 	n.log.Info().Int64("generation", generation).Msg("configuration.in_force")
 }
 
-// Ready: the probe is answered with 200 from now on.
-func (n *Node) Ready() { n.log.Info().Msg("router.ready") }
+// RouterReady logs that the readiness probe is answered with 200 from now on.
+func (n *Node) RouterReady() { n.log.Info().Msg("router.ready") }
--- a/internal/router/node/node.go
+++ b/internal/router/node/node.go
@@ -68,9 +68,11 @@
 	})
 	force := &force{actor: n.actor, view: view, node: n}
 	own, _ := netip.ParseAddr(settings.IP) // checked with the settings; it only orders the seeds
-	course := subscription.NewCourse(settings.Zone, own, rand.New(rand.NewPCG(seed, 0)))
-	identity := subscription.Identity{Node: settings.NodeName, Zone: settings.Zone, Incarnation: seed}
-	n.subscription = subscription.New(identity, course, limits(settings), force, n)
+	n.subscription = subscription.New(subscriptionConfig(settings, seed), subscription.Dependencies{
+		Candidates: subscription.NewCandidates(settings.Zone, own, rand.New(rand.NewPCG(seed, 0))),
+		Applier:    force,
+		Events:     n,
+	})
 	return n, n.listen()
 }
 
@@ -90,15 +92,20 @@
 	}
 }
 
-// limits are those of the age of what the router goes by: there is as much time again to find another instance and to
-// take what it has.
-func limits(s *nodeconfig.Config) subscription.Limits {
-	return subscription.Limits{Stale: max(leastStale, min(s.Bounds.ConfigPropagationTimeout, s.Bounds.DrainTimeout)/2)}
+// subscriptionConfig trusts a control instance for half of the shorter bound: there is as much time again to find another
+// instance and to apply what it has.
+func subscriptionConfig(s *nodeconfig.Config, incarnation uint64) subscription.Config {
+	return subscription.Config{
+		Node:        s.NodeName,
+		Zone:        s.Zone,
+		Incarnation: incarnation,
+		TrustTTL:    max(leastStale, min(s.Bounds.ConfigPropagationTimeout, s.Bounds.DrainTimeout)/2),
+	}
 }
 
 // fresh says whether what is in force here is young enough to tell a client that something is not there.
 func (n *Node) fresh(now time.Time) bool {
-	return now.Sub(n.subscription.ConfirmedAt()) <= max(leastStale, n.settings.Bounds.ConfigPropagationTimeout*3/4)
+	return now.Sub(n.subscription.FreshAsOf()) <= max(leastStale, n.settings.Bounds.ConfigPropagationTimeout*3/4)
 }
 
 // connections is how many clients may be connected: each may have a call out, which needs a connection as well.
--- a/internal/router/readiness/readiness.go
+++ b/internal/router/readiness/readiness.go
@@ -15,9 +15,9 @@
 const Path = "/-/readyz"
 
 const (
-	headerTimeout = 2 * time.Second
-	idleTimeout   = 10 * time.Second
-	mostHeader    = 4 << 10
+	headerTimeout  = 2 * time.Second
+	idleTimeout    = 10 * time.Second
+	maxHeaderBytes = 4 << 10
 )
 
 // Server answers the probe.
@@ -38,7 +38,7 @@
 		Handler:           handler(ready),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    mostHeader,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          errorLog,
 	}
 	return s, nil
--- a/internal/router/subscription/connection.go
+++ b/internal/router/subscription/connection.go
@@ -8,20 +8,23 @@
 	"raventrestle/internal/transport"
 )
 
-// dialSlack is how much later than the decider the host gives up a dial: the decider's word comes first.
-const dialSlack = 100 * time.Millisecond
+// dialTimeoutMargin is how much later than the decider the host gives up a dial, so that the decider decides first.
+const dialTimeoutMargin = 100 * time.Millisecond
 
 // connection is one connection of the host, from its dial on. It is the transport's handler for it.
+//
+// Run owns it. It reads transport only after ConnectionOpened has come as an input, which the dialing goroutine sends after
+// it has set the field.
 type connection struct {
-	id     ConnectionID
-	inputs chan<- Input
-	ctx    context.Context // done: nobody takes its inputs any more
-	stop   context.CancelFunc
-	opened chan struct{} // closed once the decider is being told that it is up
-	up     *transport.Connection
+	id        ConnectionID
+	inputs    chan<- Input
+	ctx       context.Context // done once Run has given the connection up and takes none of its inputs
+	stop      context.CancelFunc
+	opened    chan struct{} // closed once ConnectionOpened is queued
+	transport *transport.Connection
 }
 
-// dial begins a connection. Its outcome comes as an input.
+// dial starts to establish a connection. The outcome comes as an input.
 func (s *Subscription) dial(ctx context.Context, dial Dial) {
 	c := &connection{id: dial.Connection, inputs: s.inputs, opened: make(chan struct{})}
 	c.ctx, c.stop = context.WithCancel(ctx)
@@ -30,20 +33,20 @@
 }
 
 func (c *connection) dial(address string, codec *transport.Codec) {
-	dialling, stop := context.WithTimeout(c.ctx, dialTimeout+dialSlack)
+	dialing, stop := context.WithTimeout(c.ctx, dialTimeout+dialTimeoutMargin)
 	defer stop()
-	up, err := transport.Dial(dialling, address, codec, c)
+	established, err := transport.Dial(dialing, address, codec, c)
 	if err != nil {
-		c.input(Ended{Connection: c.id, Err: fmt.Errorf("subscribe: %w", err)})
+		c.input(ConnectionClosed{Connection: c.id, Err: fmt.Errorf("subscription: %w", err)})
 		return
 	}
-	context.AfterFunc(c.ctx, up.Close)
-	c.up = up
-	c.input(Opened{Connection: c.id})
+	context.AfterFunc(c.ctx, established.Close)
+	c.transport = established
+	c.input(ConnectionOpened{Connection: c.id})
 	close(c.opened)
 }
 
-// input hands something to the owner, unless that has given the connection up.
+// input passes an input to Run, unless Run has given the connection up.
 func (c *connection) input(in Input) {
 	select {
 	case c.inputs <- in:
@@ -51,22 +54,23 @@
 	}
 }
 
-// Message passes on what comes. The connection's goroutine waits where the owner is behind.
+// Message passes a message to Run. It blocks the transport's goroutine while Run is behind, and so the sender.
 func (c *connection) Message(_ *transport.Connection, message any) {
-	if c.isOpened() {
-		c.input(Received{Connection: c.id, Message: message})
+	if c.awaitOpened() {
+		c.input(MessageReceived{Connection: c.id, Message: message})
 	}
 }
 
-// Closed passes on the end.
+// Closed passes the end of the connection to Run.
 func (c *connection) Closed(_ *transport.Connection, err error) {
-	if c.isOpened() {
-		c.input(Ended{Connection: c.id, Err: err})
+	if c.awaitOpened() {
+		c.input(ConnectionClosed{Connection: c.id, Err: err})
 	}
 }
 
-// isOpened waits until the owner knows of the connection. It is false where that does not want it any more.
-func (c *connection) isOpened() bool {
+// awaitOpened waits until ConnectionOpened is queued, so that inputs keep their order. It is false if Run has given the
+// connection up.
+func (c *connection) awaitOpened() bool {
 	select {
 	case <-c.opened:
 		return true
@@ -75,10 +79,10 @@
 	}
 }
 
-// send passes a message on. One that can't be sent is lost: the connection is about to end.
+// send sends a message. One that can't be sent is lost: the connection is about to end, which comes as an input.
 func (s *Subscription) send(send Send) {
-	if c := s.connections[send.Connection]; c != nil && c.up != nil {
-		_ = c.up.Send(send.Message)
+	if c := s.connections[send.Connection]; c != nil && c.transport != nil {
+		_ = c.transport.Send(send.Message)
 	}
 }
 
--- a/internal/router/subscription/decider.go
+++ b/internal/router/subscription/decider.go
@@ -7,147 +7,162 @@
 )
 
 const (
-	mostLate    = 100 * time.Millisecond // a Step that is later shows that this process slept
-	afterSleep  = 250 * time.Millisecond // then instances have so long to be heard
-	mostReports = 8                      // that wait while nobody is followed
+	// maxStepDelay is how much later than Output.WakeAt a Step may come. One that is later shows that this process was
+	// paused, not that the instances were.
+	maxStepDelay = 100 * time.Millisecond
+	// resumeGrace is how long the instances then have to be heard: what they sent meanwhile has yet to be read.
+	resumeGrace = 250 * time.Millisecond
+
+	maxQueuedReports = 8 // while no instance is followed
 )
 
-// Decider decides which instance a router follows, and what of it is put in force. It is pure: its host passes in what
-// happened with the time, and carries out what comes back. It is not safe for concurrent use.
+// Config holds the values of a subscription. All are required.
+type Config struct {
+	Node        string // name of this router
+	Zone        string // failure domain of this router
+	Incarnation uint64 // random, one for each start of the process
+	// TrustTTL is how long an instance is trusted after its newest proven contact with a majority. Then the router looks
+	// for another instance. See trust.go.
+	TrustTTL time.Duration
+}
+
+// Decider decides which instance a router follows, and which of its updates are applied. It is pure: its host passes in
+// what has happened with the time, and carries out what is returned. It is not safe for concurrent use.
 //
-// It follows one instance and knows how old that one's newest contact with a majority is. When that is older than
-// Limits.Stale, or the connection ends or is silent, it probes all instances at once and moves to one that proves a fresh
-// contact. Where none does, it follows the best of the others provisionally and goes on probing.
+// It follows one instance and knows how old that one's newest contact with a majority is. When trust in it has expired, or its
+// connection ends or is silent, it probes all instances at once and moves to one that proves a fresh contact. If none
+// does, it follows the best of them provisionally and goes on probing.
 type Decider struct {
-	identity Identity
-	course   *Course
-	limits   Limits
-
-	knowledge knowledge
-	followed  *following // nil: none
-	search    *search    // nil: nothing is probed
-	updates   []queued   // of the instance that is followed, not in force yet
-	applying  *queued    // is being put in force; nil: none
-	reports   []protocol.Report
-
-	epoch       uint64          // the newest that was seen
-	mute        map[string]bool // instances that don't answer probes: older ones, or frozen
-	connections ConnectionID    // the last number used
-	marks       uint64          // the last number used
-	reported    uint64
-	nearer      time.Duration // before the next look for an instance of the own zone
-	alone       bool          // no instance is followed, and that was told
-	roundAt     time.Time     // start of the last round of probes
-	wakeAt      time.Time
-
-	out Output
-}
-
-// NewDecider returns a decider that follows nobody yet.
-func NewDecider(identity Identity, course *Course, limits Limits) *Decider {
+	config     Config
+	candidates *Candidates
+
+	applied        appliedState
+	followed       *followedInstance // nil: none
+	search         *search           // nil: nothing is probed
+	pendingUpdates []pendingUpdate   // of the followed instance, received and not applied yet
+	applying       *pendingUpdate    // requested by Output.Apply; nil: none
+	queuedReports  []protocol.Report // oldest first, until an instance is followed
+
+	newestEpoch          uint64          // newest epoch that any instance has stated
+	unresponsiveToProbes map[string]bool // by address: an older program, or a paused process
+	lastConnection       ConnectionID    // number used last
+	lastEcho             uint64          // number used last
+	lastReport           uint64          // sequence number used last
+	zoneLocalBackoff     time.Duration   // until the next search for an instance in the own zone
+	unreachableRecorded  bool            // ControlPlaneUnreachable is recorded, and no instance was followed since
+	lastRoundAt          time.Time       // start of the newest round of probes
+	wakeAt               time.Time       // as returned last
+
+	out Output // of the current Step
+}
+
+// NewDecider returns a decider that follows no instance yet. The candidates are the decider's from then on.
+func NewDecider(config Config, candidates *Candidates) *Decider {
 	return &Decider{
-		identity: identity,
-		course:   course,
-		limits:   limits,
-		mute:     make(map[string]bool),
-		nearer:   leastNearer,
+		config:               config,
+		candidates:           candidates,
+		unresponsiveToProbes: make(map[string]bool),
+		zoneLocalBackoff:     minZoneLocalBackoff,
 	}
 }
 
-// Step takes in what happened.
+// Step takes in what has happened up to now, in that order, and returns what the host is to carry out. Now must not go
+// back.
 func (d *Decider) Step(now time.Time, inputs ...Input) Output {
 	d.out = Output{}
-	d.forgive(now)
+	d.extendDeadlinesAfterPause(now)
 	for _, in := range inputs {
-		d.take(now, in)
+		d.handle(now, in)
 	}
-	d.watch(now)
-	d.probe(now)
-	d.markAgain(now)
+	d.checkFollowed(now)
+	d.continueSearch(now)
+	d.renewClockSync(now)
 	d.applyNext()
-	return d.output(now)
+	return d.completeOutput(now)
 }
 
-// forgive gives the instances time where this process was the one that slept: what they have sent waits to be read.
-func (d *Decider) forgive(now time.Time) {
-	if d.wakeAt.IsZero() || now.Sub(d.wakeAt) < mostLate {
+// extendDeadlinesAfterPause gives the instances time if this process was the one that paused: what they sent meanwhile
+// waits to be read.
+func (d *Decider) extendDeadlinesAfterPause(now time.Time) {
+	if d.wakeAt.IsZero() || now.Sub(d.wakeAt) < maxStepDelay {
 		return
 	}
-	until := now.Add(afterSleep)
+	until := now.Add(resumeGrace)
 	if d.followed != nil {
-		d.followed.silentAt = later(d.followed.silentAt, until)
+		d.followed.unresponsiveAt = laterOf(d.followed.unresponsiveAt, until)
 	}
 	if d.search != nil {
-		d.search.extend(until)
+		d.search.extendDeadlines(until)
 	}
 }
 
-func (d *Decider) take(now time.Time, in Input) {
+func (d *Decider) handle(now time.Time, in Input) {
 	switch in := in.(type) {
-	case Opened:
-		d.opened(now, in.Connection)
-	case Ended:
-		d.ended(now, in.Connection, in.Err)
-	case Received:
-		d.received(now, in.Connection, in.Message)
-	case Applied:
-		d.applied(now, in.Err)
+	case ConnectionOpened:
+		d.connectionOpened(now, in.Connection)
+	case ConnectionClosed:
+		d.connectionClosed(now, in.Connection, in.Err)
+	case MessageReceived:
+		d.messageReceived(now, in.Connection, in.Message)
+	case ChangeApplied:
+		d.changeApplied(now, in.Err)
 	case SeedsRead:
 		d.seedsRead(in.Addresses)
-	case Demand:
-		d.report(in.Report)
+	case DemandReported:
+		d.demandReported(in.Report)
 	}
 }
 
-func (d *Decider) ended(now time.Time, id ConnectionID, err error) {
+func (d *Decider) connectionClosed(now time.Time, id ConnectionID, err error) {
 	if f := d.followed; f != nil && f.id == id {
 		d.leave(now, err)
 		return
 	}
-	if p := d.search.find(id); p != nil {
-		d.failed(p, err)
+	if p := d.search.probeOn(id); p != nil {
+		d.probeFailed(p, err)
 	}
 }
 
-func (d *Decider) received(now time.Time, id ConnectionID, message any) {
+// messageReceived ignores what comes on a connection that was given up.
+func (d *Decider) messageReceived(now time.Time, id ConnectionID, message any) {
 	if f := d.followed; f != nil && f.id == id {
-		d.listen(now, f, message)
+		d.followedMessage(now, f, message)
 		return
 	}
-	probed, isProbed := message.(*protocol.ProbeReply)
-	if p := d.search.find(id); p != nil && isProbed {
-		d.probed(now, p, probed)
+	reply, isReply := message.(*protocol.ProbeReply)
+	if p := d.search.probeOn(id); p != nil && isReply {
+		d.probeReplied(now, p, reply)
 	}
 }
 
-// seedsRead takes the addresses of the settings. New ones are asked at once where nobody is followed.
+// seedsRead takes in the addresses of the settings. New ones are probed at once if no instance is followed.
 func (d *Decider) seedsRead(addresses []string) {
-	if !d.course.SetSeeds(addresses) || d.followed != nil {
+	if !d.candidates.SetSeeds(addresses) || d.followed != nil {
 		return
 	}
-	d.course.Anew("")
+	d.candidates.Restart("")
 	if d.search != nil {
-		d.search.anew()
+		d.search.restartRound()
 	}
 }
 
-// report passes demand up. While nobody is followed the oldest is lost.
-func (d *Decider) report(report protocol.Report) {
+// demandReported sends demand to the control plane. While no instance is followed the oldest reports are dropped.
+func (d *Decider) demandReported(report protocol.Report) {
 	if d.followed != nil {
 		d.sendReport(report)
 		return
 	}
-	if len(d.reports) == mostReports {
-		d.reports = d.reports[1:]
+	if len(d.queuedReports) == maxQueuedReports {
+		d.queuedReports = d.queuedReports[1:]
 	}
-	d.reports = append(d.reports, report)
+	d.queuedReports = append(d.queuedReports, report)
 }
 
 func (d *Decider) sendReport(report protocol.Report) {
-	d.reported++
-	report.Node = d.identity.Node
-	report.Incarnation = d.identity.Incarnation
-	report.Sequence = d.reported
+	d.lastReport++
+	report.Node = d.config.Node
+	report.Incarnation = d.config.Incarnation
+	report.Sequence = d.lastReport
 	d.send(d.followed.id, report)
 }
 
@@ -155,76 +170,71 @@
 	d.out.Send = append(d.out.Send, Send{Connection: id, Message: message})
 }
 
-func (d *Decider) tell(event Event) { d.out.Events = append(d.out.Events, event) }
+func (d *Decider) record(event Event) { d.out.Events = append(d.out.Events, event) }
 
-// mark draws the number of a mark that goes out on a connection now.
-func (d *Decider) mark(now time.Time, l *link) uint64 {
-	d.marks++
-	l.anchor.mark(d.marks, now)
-	return d.marks
+// nextEcho draws the sequence number of an echo that is sent on a connection now.
+func (d *Decider) nextEcho(now time.Time, c *instanceConnection) uint64 {
+	d.lastEcho++
+	c.clock.echoSent(d.lastEcho, now)
+	return d.lastEcho
 }
 
-// state takes in what an instance can prove of itself and of a generation.
-func (d *Decider) state(now time.Time, l *link, s protocol.FreshnessProof, generation int64) {
-	if s == (protocol.FreshnessProof{}) { // an older instance
+// proofReceived takes in what an instance proves about its freshness, and about a version of the configuration: all that were
+// acknowledged anywhere before its contact with a majority are at or below that version.
+func (d *Decider) proofReceived(now time.Time, c *instanceConnection, proof protocol.FreshnessProof, generation int64) {
+	if proof == (protocol.FreshnessProof{}) { // an older program, which proves nothing
 		return
 	}
-	d.epoch = max(d.epoch, s.Epoch)
-	l.epoch, l.states = s.Epoch, true
-	contact, ok := l.anchor.take(now, s)
+	d.newestEpoch = max(d.newestEpoch, proof.Epoch)
+	c.epoch, c.provesFreshness = proof.Epoch, true
+	contact, ok := c.clock.majorityContact(now, proof)
 	if !ok {
 		return
 	}
-	l.contactAt = later(l.contactAt, contact)
-	d.knowledge.claim(claim{generation: generation, moment: contact})
+	c.majorityContactAt = laterOf(c.majorityContactAt, contact)
+	d.applied.addClaim(freshnessClaim{generation: generation, asOf: contact})
 }
 
-// output completes what the host carries out.
-func (d *Decider) output(now time.Time) Output {
+// completeOutput adds the state after the Step and the time of the next one.
+func (d *Decider) completeOutput(now time.Time) Output {
 	if d.followed != nil {
-		d.out.Follows = d.followed.address
-		d.out.Settled = d.fresh(now, &d.followed.link)
+		d.out.Following = d.followed.address
+		d.out.Trusted = d.trusted(now, &d.followed.instanceConnection)
 	}
-	d.out.ConfirmedAt = d.knowledge.confirmedAt
-	d.out.Ready = d.knowledge.ready
-	var next wake
-	next.now = now
+	d.out.FreshAsOf = d.applied.freshAsOf
+	d.out.Ready = d.applied.ready
+	next := earliestDeadline{now: now}
 	if d.followed != nil {
-		d.followingWakes(&next, d.followed)
+		d.addFollowedDeadlines(&next, d.followed)
 	}
 	if d.search != nil {
-		d.searchWakes(&next, d.search)
+		d.addSearchDeadlines(&next, d.search)
 	}
 	d.wakeAt = next.at
 	d.out.WakeAt = next.at
 	return d.out
 }
 
-// link is a connection to an instance and what came on it.
-type link struct {
-	id        ConnectionID
-	address   string
-	anchor    anchor
-	states    bool // the instance tells its standing: it is no older one
-	epoch     uint64
-	contactAt time.Time // newest moment at which the instance is known to have had contact with a majority
-}
-
-// fresh says whether an instance has proved a contact that is young enough.
-func (d *Decider) fresh(now time.Time, l *link) bool {
-	return !l.contactAt.IsZero() && now.Before(l.contactAt.Add(d.limits.Stale))
+// instanceConnection is a connection to an instance and what the instance has proved on it.
+type instanceConnection struct {
+	id                ConnectionID
+	address           string
+	clock             remoteClock
+	provesFreshness   bool // false: nothing was received yet, or the program is an older one
+	epoch             uint64
+	majorityContactAt time.Time // newest moment at which the instance is proven to have had contact with a majority
 }
 
-// wake finds the earliest of some times that are still to come.
-type wake struct{ now, at time.Time }
+// earliestDeadline is the earliest of the deadlines that are still to come; zero: there is none.
+type earliestDeadline struct{ now, at time.Time }
 
-func (w *wake) add(at time.Time) {
-	if at.After(w.now) && (w.at.IsZero() || at.Before(w.at)) {
-		w.at = at
+func (e *earliestDeadline) add(deadline time.Time) {
+	if deadline.After(e.now) && (e.at.IsZero() || deadline.Before(e.at)) {
+		e.at = deadline
 	}
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
 	}
--- a/internal/router/subscription/decider_test.go
+++ b/internal/router/subscription/decider_test.go
@@ -13,10 +13,10 @@
 func TestFollowsTheNearestAndIsReady(t *testing.T) {
 	n := newNetwork(t, three...)
 	n.run(100 * time.Millisecond)
-	if n.out.Follows != three[0] || !n.out.Settled || !n.out.Ready {
+	if n.out.Following != three[0] || !n.out.Trusted || !n.out.Ready {
 		t.Errorf("%+v after %v", n.out, n.events)
 	}
-	if age := n.now.Sub(n.out.ConfirmedAt); age < 0 || age > 100*time.Millisecond {
+	if age := n.now.Sub(n.out.FreshAsOf); age < 0 || age > 100*time.Millisecond {
 		t.Errorf("confirmed %v ago", age)
 	}
 }
@@ -25,12 +25,12 @@
 	n := settled(t, three...)
 	cut := n.followed()
 	cut.cut = true
-	if took := n.leaves(cut, 3*stale); took > stale+100*time.Millisecond {
+	if took := n.leaves(cut, 3*trustTTL); took > trustTTL+100*time.Millisecond {
 		t.Errorf("left after %v", took)
 	}
 	n.run(20 * time.Millisecond)
-	if !n.out.Settled || !slices.Equal(n.left(), []error{ErrStale}) {
-		t.Errorf("settled %v, left because of %v", n.out.Settled, n.left())
+	if !n.out.Trusted || !slices.Equal(n.left(), []error{ErrTrustExpired}) {
+		t.Errorf("settled %v, left because of %v", n.out.Trusted, n.left())
 	}
 }
 
@@ -46,26 +46,26 @@
 	last := n.now
 	for range 600 {
 		n.run(time.Millisecond)
-		if n.out.Settled && n.out.Follows == cut.address {
+		if n.out.Trusted && n.out.Following == cut.address {
 			t.Fatal("settled with the one that is cut off")
 		}
 	}
-	if n.out.Follows != cut.address {
-		t.Errorf("follows %q, not even provisionally the one that answers", n.out.Follows)
+	if n.out.Following != cut.address {
+		t.Errorf("follows %q, not even provisionally the one that answers", n.out.Following)
 	}
-	if n.out.ConfirmedAt.After(last) {
-		t.Errorf("confirmed %v after all others had gone", n.out.ConfirmedAt.Sub(last))
+	if n.out.FreshAsOf.After(last) {
+		t.Errorf("confirmed %v after all others had gone", n.out.FreshAsOf.Sub(last))
 	}
 	for _, p := range n.others(cut) {
 		p.refuses = false
 	}
-	if took := n.leaves(cut, time.Second); took > mostPause+100*time.Millisecond {
+	if took := n.leaves(cut, time.Second); took > maxRoundBackoff+100*time.Millisecond {
 		t.Errorf("left %v after the others came back", took)
 	}
 	n.commit()
 	n.run(50 * time.Millisecond)
-	if !n.out.Settled || n.inForce != n.newest {
-		t.Errorf("settled %v, version %d of %d", n.out.Settled, n.inForce, n.newest)
+	if !n.out.Trusted || n.inForce != n.newest {
+		t.Errorf("settled %v, version %d of %d", n.out.Trusted, n.inForce, n.newest)
 	}
 }
 
@@ -79,18 +79,18 @@
 		p.gone = true
 	}
 	n.check = func() {
-		if n.out.Settled || n.out.Ready || !n.out.ConfirmedAt.IsZero() && n.out.ConfirmedAt.After(cut.contact) {
+		if n.out.Trusted || n.out.Ready || !n.out.FreshAsOf.IsZero() && n.out.FreshAsOf.After(cut.contact) {
 			t.Fatalf("%+v", n.out)
 		}
 	}
 	n.run(2 * time.Second)
-	if n.out.Follows != cut.address || n.inForce != 4 {
-		t.Errorf("follows %q, version %d in force", n.out.Follows, n.inForce)
+	if n.out.Following != cut.address || n.inForce != 4 {
+		t.Errorf("follows %q, version %d in force", n.out.Following, n.inForce)
 	}
 	n.check = nil
 	n.peers[three[2]].gone = false
-	n.run(dialTimeout + mostPause + 100*time.Millisecond)
-	if n.out.Follows != three[2] || !n.out.Settled || !n.out.Ready {
+	n.run(dialTimeout + maxRoundBackoff + 100*time.Millisecond)
+	if n.out.Following != three[2] || !n.out.Trusted || !n.out.Ready {
 		t.Errorf("%+v after %v", n.out, n.events)
 	}
 }
@@ -108,11 +108,11 @@
 				slow.heldUp += 200 * time.Millisecond
 				n.run(beacon) // the network checks ConfirmedAt against the times of sending
 			}
-			if age := n.now.Sub(n.out.ConfirmedAt); alone && age < 2*time.Second {
+			if age := n.now.Sub(n.out.FreshAsOf); alone && age < 2*time.Second {
 				t.Errorf("messages are up to %v late, confirmed %v ago", slow.heldUp, age)
 			}
-			if alone != (n.out.Follows == slow.address) || n.out.Settled == alone {
-				t.Errorf("follows %q, settled %v: %v", n.out.Follows, n.out.Settled, n.events)
+			if alone != (n.out.Following == slow.address) || n.out.Trusted == alone {
+				t.Errorf("follows %q, settled %v: %v", n.out.Following, n.out.Trusted, n.events)
 			}
 		})
 	}
@@ -123,23 +123,23 @@
 	n := settled(t, three...)
 	first := n.followedWire()
 	first.peer.cut = true
-	n.leaves(first.peer, 2*stale)
+	n.leaves(first.peer, 2*trustTTL)
 	n.run(time.Second)
-	follows, generation := n.out.Follows, n.inForce
+	follows, generation := n.out.Following, n.inForce
 	late := n.standing(first)
 	late.Epoch, late.HasMajorityContact, late.MajorityContactAge = 9, true, 0
 	n.step(
-		Received{Connection: first.id, Message: &protocol.Update{
+		MessageReceived{Connection: first.id, Message: &protocol.Update{
 			Sequence: first.sequence + 1, Generation: 9, Document: []byte("nine"), Freshness: late,
 		}},
-		Received{Connection: first.id, Message: &protocol.Beacon{Sequence: 77, Generation: 9, Freshness: late}},
-		Received{Connection: first.id, Message: &protocol.ProbeReply{Generation: 9, Freshness: late}},
-		Opened{Connection: first.id},
-		Ended{Connection: first.id, Err: errors.New("late")},
-		Applied{},
+		MessageReceived{Connection: first.id, Message: &protocol.Beacon{Sequence: 77, Generation: 9, Freshness: late}},
+		MessageReceived{Connection: first.id, Message: &protocol.ProbeReply{Generation: 9, Freshness: late}},
+		ConnectionOpened{Connection: first.id},
+		ConnectionClosed{Connection: first.id, Err: errors.New("late")},
+		ChangeApplied{},
 	)
 	n.run(time.Second)
-	if n.out.Follows != follows || !n.out.Settled || n.inForce != generation {
+	if n.out.Following != follows || !n.out.Trusted || n.inForce != generation {
 		t.Errorf("%+v: %v", n.out, n.events)
 	}
 }
@@ -156,12 +156,12 @@
 		n.stop(p)
 	}
 	n.run(5 * time.Second)
-	if n.out.Follows != "" {
-		t.Errorf("follows %q in an earlier epoch", n.out.Follows)
+	if n.out.Following != "" {
+		t.Errorf("follows %q in an earlier epoch", n.out.Following)
 	}
 	last.epoch = 3
 	n.run(time.Second)
-	if n.out.Follows != last.address || n.out.Settled {
+	if n.out.Following != last.address || n.out.Trusted {
 		t.Errorf("does not follow %q provisionally in the newest epoch: %+v", last.address, n.out)
 	}
 }
@@ -175,17 +175,17 @@
 		p.cut, p.epoch, p.contact = true, 2, n.begin.Add(-time.Duration(10-i)*time.Second)
 	}
 	n.run(time.Second)
-	if n.out.Follows != three[2] {
-		t.Errorf("follows %q, not the one with the youngest contact", n.out.Follows)
+	if n.out.Following != three[2] {
+		t.Errorf("follows %q, not the one with the youngest contact", n.out.Following)
 	}
-	n.peers[three[0]].contact = n.now.Add(-stale)
+	n.peers[three[0]].contact = n.now.Add(-trustTTL)
 	n.run(time.Second)
 	if !slices.Equal(n.moves, []string{three[2]}) {
 		t.Errorf("moves %v though none is in a higher epoch", n.moves)
 	}
 	n.peers[three[1]].epoch = 3
 	n.run(time.Second)
-	if !slices.Equal(n.moves, []string{three[2], three[1]}) || !slices.Contains(n.left(), ErrEpoch) {
+	if !slices.Equal(n.moves, []string{three[2], three[1]}) || !slices.Contains(n.left(), ErrOlderEpoch) {
 		t.Errorf("moves %v, left because of %v", n.moves, n.left())
 	}
 }
@@ -201,8 +201,8 @@
 		p.cut = false
 	}
 	n.run(beacon + 10*time.Millisecond)
-	if len(n.moves) != 1 || !n.out.Settled || n.decider.search != nil {
-		t.Errorf("moves %v, settled %v", n.moves, n.out.Settled)
+	if len(n.moves) != 1 || !n.out.Trusted || n.decider.search != nil {
+		t.Errorf("moves %v, settled %v", n.moves, n.out.Trusted)
 	}
 }
 
@@ -214,7 +214,7 @@
 	}
 	for i := range 200 {
 		p := n.peers[three[i%3]]
-		p.contact = n.now.Add(-stale*9/10 + time.Duration(i%7)*stale/100)
+		p.contact = n.now.Add(-trustTTL*9/10 + time.Duration(i%7)*trustTTL/100)
 		n.run(100 * time.Millisecond)
 	}
 	if len(n.moves) > 3 {
@@ -226,16 +226,16 @@
 	n := settled(t, three...)
 	dials, probes := n.dials, n.probes
 	n.check = func() {
-		if sent := n.now.Sub(n.decider.followed.anchor.sentAt); sent > 30*time.Second {
+		if sent := n.now.Sub(n.decider.followed.clock.lastEchoAt); sent > 30*time.Second {
 			t.Fatalf("the last mark was sent %v ago", sent)
 		}
 	}
 	n.run(10 * time.Minute)
-	marks := int(10 * time.Minute / markEvery) // to the instance that is followed
+	marks := int(10 * time.Minute / echoInterval) // to the instance that is followed
 	if n.dials != dials || n.probes-probes > marks || len(n.moves) != 1 {
 		t.Errorf("%d dials, %d probes, moves %v", n.dials-dials, n.probes-probes, n.moves)
 	}
-	if age := n.now.Sub(n.out.ConfirmedAt); age > beacon+100*time.Millisecond {
+	if age := n.now.Sub(n.out.FreshAsOf); age > beacon+100*time.Millisecond {
 		t.Errorf("confirmed %v ago: anchors were not kept up", age)
 	}
 }
@@ -246,10 +246,10 @@
 	n.followed().lag = 760 * time.Millisecond
 	dials, probes := n.dials, n.probes
 	n.run(20 * time.Second)
-	if n.dials != dials || len(n.moves) != 1 || !n.out.Settled {
-		t.Errorf("%d dials, moves %v, settled %v", n.dials-dials, n.moves, n.out.Settled)
+	if n.dials != dials || len(n.moves) != 1 || !n.out.Trusted {
+		t.Errorf("%d dials, moves %v, settled %v", n.dials-dials, n.moves, n.out.Trusted)
 	}
-	if asked := n.probes - probes; asked > 20*int(time.Second/leastPause) {
+	if asked := n.probes - probes; asked > 20*int(time.Second/minRoundBackoff) {
 		t.Errorf("asked %d times in 20 s", asked)
 	}
 }
@@ -273,11 +273,11 @@
 			}
 			n.hangUp(followed)
 			n.check = func() {
-				if s := n.decider.search; s != nil && s.pending() > mostProbes {
-					t.Fatalf("%d probes at once", s.pending())
+				if s := n.decider.search; s != nil && s.inFlight() > maxConcurrentProbes {
+					t.Fatalf("%d probes at once", s.inFlight())
 				}
 			}
-			n.run(stale)
+			n.run(trustTTL)
 			dials, probes := n.dials, n.probes
 			const seconds = 20
 			n.run(seconds * time.Second)
@@ -296,14 +296,14 @@
 	n := settled(t, three...)
 	silent := n.followed()
 	silent.mute = true
-	if took := n.leaves(silent, 2*time.Second); took > mostSilence+100*time.Millisecond {
+	if took := n.leaves(silent, 2*time.Second); took > beaconTimeout+100*time.Millisecond {
 		t.Errorf("left after %v", took)
 	}
-	if !slices.Equal(n.left(), []error{ErrSilent}) {
+	if !slices.Equal(n.left(), []error{ErrUnresponsive}) {
 		t.Errorf("left because of %v", n.left())
 	}
 	n.run(100 * time.Millisecond)
-	if !n.out.Settled {
+	if !n.out.Trusted {
 		t.Errorf("not settled: %v", n.events)
 	}
 }
@@ -320,8 +320,8 @@
 			n.run(5*time.Second - time.Millisecond)
 			followed.mute = false
 			n.run(time.Second)
-			if len(n.moves) != 1 || !n.out.Settled {
-				t.Errorf("moves %v, settled %v: %v", n.moves, n.out.Settled, n.events)
+			if len(n.moves) != 1 || !n.out.Trusted {
+				t.Errorf("moves %v, settled %v: %v", n.moves, n.out.Trusted, n.events)
 			}
 		})
 	}
@@ -335,13 +335,13 @@
 	for _, p := range n.others(behind) {
 		p.generation = 5
 	}
-	n.run(beacon + mostBehind + 10*time.Millisecond)
-	if !slices.Equal(n.left(), []error{ErrBehind}) {
+	n.run(beacon + announcedConfigurationTimeout + 10*time.Millisecond)
+	if !slices.Equal(n.left(), []error{ErrConfigurationWithheld}) {
 		t.Errorf("left because of %v", n.left())
 	}
 	n.run(50 * time.Millisecond)
-	if n.inForce != 5 || n.out.Follows == behind.address {
-		t.Errorf("version %d from %q", n.inForce, n.out.Follows)
+	if n.inForce != 5 || n.out.Following == behind.address {
+		t.Errorf("version %d from %q", n.inForce, n.out.Following)
 	}
 }
 
@@ -350,13 +350,13 @@
 		amiss func(n *network, w *wire)
 		want  error
 	}{
-		"gap":      {func(n *network, w *wire) { w.sequence++; n.update(w, protocol.Update{}, 4) }, ErrSequence},
-		"repeated": {func(n *network, w *wire) { w.sequence--; n.update(w, protocol.Update{}, 4) }, ErrSequence},
+		"gap":      {func(n *network, w *wire) { w.sequence++; n.update(w, protocol.Update{}, 4) }, ErrSequenceGap},
+		"repeated": {func(n *network, w *wire) { w.sequence--; n.update(w, protocol.Update{}, 4) }, ErrSequenceGap},
 		"beacon of others": {func(n *network, w *wire) {
 			n.post(w, &protocol.Beacon{Sequence: w.sequence + 1, Generation: 4, Freshness: n.standing(w)})
-		}, ErrSequence},
-		"document": {func(n *network, w *wire) { n.refuse = ErrDocument; n.commit() }, ErrDocument},
-		"epoch":    {func(n *network, w *wire) { w.peer.epoch = 0 }, ErrEpoch},
+		}, ErrSequenceGap},
+		"document": {func(n *network, w *wire) { n.refuse = ErrInvalidConfiguration; n.commit() }, ErrInvalidConfiguration},
+		"epoch":    {func(n *network, w *wire) { w.peer.epoch = 0 }, ErrOlderEpoch},
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := settled(t, three...)
@@ -367,8 +367,8 @@
 			if !slices.Equal(n.left(), []error{c.want}) {
 				t.Errorf("left because of %v", n.left())
 			}
-			n.run(2 * mostPause)
-			if !n.out.Settled || n.out.Follows == w.peer.address {
+			n.run(2 * maxRoundBackoff)
+			if !n.out.Trusted || n.out.Following == w.peer.address {
 				t.Errorf("%+v", n.out)
 			}
 		})
@@ -378,15 +378,15 @@
 // An instance whose first update is lost, while its beacons come, is left as well.
 func TestFirstUpdateIsMissing(t *testing.T) {
 	n := newNetwork(t, three...)
-	for n.out.Follows == "" {
+	for n.out.Following == "" {
 		n.run(time.Millisecond)
 	}
-	first := n.peers[n.out.Follows]
+	first := n.peers[n.out.Following]
 	first.mute = true
 	n.run(10 * time.Millisecond)
 	first.mute = false
-	n.run(beacon + 2*mostPause)
-	if n.out.Follows == first.address || !n.out.Ready {
+	n.run(beacon + 2*maxRoundBackoff)
+	if n.out.Following == first.address || !n.out.Ready {
 		t.Errorf("%+v after %v", n.out, n.events)
 	}
 }
@@ -401,14 +401,14 @@
 	acknowledged := n.now
 	confirms := len(followed.confirms)
 	n.run(n.slow)
-	if len(followed.confirms) != confirms || n.out.ConfirmedAt.After(acknowledged) {
-		t.Errorf("confirms %v, confirmed at %v", followed.confirms, n.out.ConfirmedAt.Sub(acknowledged))
+	if len(followed.confirms) != confirms || n.out.FreshAsOf.After(acknowledged) {
+		t.Errorf("confirms %v, confirmed at %v", followed.confirms, n.out.FreshAsOf.Sub(acknowledged))
 	}
 	n.run(n.slow + 10*time.Millisecond)
-	if len(n.moves) != 1 || !n.out.Settled || !slices.Equal(followed.confirms[confirms:], []uint64{2, 3}) {
-		t.Errorf("moves %v, settled %v, confirms %v", n.moves, n.out.Settled, followed.confirms)
+	if len(n.moves) != 1 || !n.out.Trusted || !slices.Equal(followed.confirms[confirms:], []uint64{2, 3}) {
+		t.Errorf("moves %v, settled %v, confirms %v", n.moves, n.out.Trusted, followed.confirms)
 	}
-	if age := n.now.Sub(n.out.ConfirmedAt); n.inForce != 6 || age > beacon+100*time.Millisecond {
+	if age := n.now.Sub(n.out.FreshAsOf); n.inForce != 6 || age > beacon+100*time.Millisecond {
 		t.Errorf("version %d, confirmed %v ago", n.inForce, age)
 	}
 }
@@ -430,19 +430,19 @@
 		t.Errorf("%d looks in 3 minutes, moves %v", looked, n.moves)
 	}
 	near.refuses, near.cut = false, true
-	n.run(2 * mostNearer)
+	n.run(2 * maxZoneLocalBackoff)
 	if len(n.moves) != 1 {
 		t.Errorf("moves %v, the last one without proof", n.moves)
 	}
-	near.cut, near.lag = false, stale*9/10
-	n.run(2 * mostNearer)
+	near.cut, near.lag = false, trustTTL*9/10
+	n.run(2 * maxZoneLocalBackoff)
 	if len(n.moves) != 1 {
 		t.Errorf("moves %v, the last one by a proof that is nearly too old", n.moves)
 	}
 	near.lag = 0
-	n.run(mostNearer + time.Second)
-	if n.out.Follows != near.address || !n.out.Settled || !slices.Equal(n.left(), []error{ErrNearer}) {
-		t.Errorf("follows %q, left because of %v", n.out.Follows, n.left())
+	n.run(maxZoneLocalBackoff + time.Second)
+	if n.out.Following != near.address || !n.out.Trusted || !slices.Equal(n.left(), []error{ErrZoneLocalAlternative}) {
+		t.Errorf("follows %q, left because of %v", n.out.Following, n.left())
 	}
 }
 
@@ -458,7 +458,7 @@
 	for range 360 {
 		near.refuses = false
 		n.run(500 * time.Millisecond)
-		if n.out.Follows == near.address {
+		if n.out.Following == near.address {
 			returns++
 			n.stop(near)
 			n.run(500 * time.Millisecond)
@@ -475,8 +475,8 @@
 		n := newNetwork(t, three[0], three[1])
 		n.peers[three[0]].heldUp = late
 		n.run(100 * time.Millisecond)
-		if n.out.Follows != want {
-			t.Errorf("nearest %v late: follows %q", late, n.out.Follows)
+		if n.out.Following != want {
+			t.Errorf("nearest %v late: follows %q", late, n.out.Following)
 		}
 	}
 }
@@ -484,27 +484,27 @@
 // An instance whose contact is nearly too old is not moved to while another one may answer with a younger one.
 func TestWaitsALittleForYoungerProof(t *testing.T) {
 	n := newNetwork(t, three[0], three[1])
-	n.peers[three[0]].lag = stale * 95 / 100
+	n.peers[three[0]].lag = trustTTL * 95 / 100
 	n.peers[three[1]].heldUp = 10 * time.Millisecond
 	n.run(time.Second)
-	if !slices.Equal(n.moves, three[1:2]) || !n.out.Settled {
-		t.Errorf("moves %v, settled %v", n.moves, n.out.Settled)
+	if !slices.Equal(n.moves, three[1:2]) || !n.out.Trusted {
+		t.Errorf("moves %v, settled %v", n.moves, n.out.Trusted)
 	}
 }
 
 func TestReportsWaitWhileNobodyIsFollowed(t *testing.T) {
 	n := newNetwork(t, three...)
-	for i := range mostReports + 2 {
-		n.step(Demand{Report: protocol.Report{Window: time.Duration(i)}})
+	for i := range maxQueuedReports + 2 {
+		n.step(DemandReported{Report: protocol.Report{Window: time.Duration(i)}})
 	}
 	n.run(100 * time.Millisecond)
-	n.step(Demand{Report: protocol.Report{Window: 100}})
+	n.step(DemandReported{Report: protocol.Report{Window: 100}})
 	n.run(10 * time.Millisecond)
 	reports := n.followed().reports
-	if len(reports) != mostReports+1 {
+	if len(reports) != maxQueuedReports+1 {
 		t.Fatalf("%d reports", len(reports))
 	}
-	for i, report := range reports[:mostReports] {
+	for i, report := range reports[:maxQueuedReports] {
 		if report.Window != time.Duration(i+2) || report.Sequence != uint64(i+1) || report.Node != "n" || report.Incarnation != 7 {
 			t.Errorf("report %d: %+v", i, report)
 		}
@@ -518,7 +518,7 @@
 		p.old = true
 	}
 	n.run(time.Second)
-	if !n.out.Ready || n.out.Settled || !n.out.ConfirmedAt.IsZero() || n.inForce != 4 {
+	if !n.out.Ready || n.out.Trusted || !n.out.FreshAsOf.IsZero() || n.inForce != 4 {
 		t.Errorf("%+v", n.out)
 	}
 	n.run(10 * time.Second)
@@ -528,7 +528,7 @@
 	newer := n.others(n.followed())[0]
 	newer.old = false
 	n.run(time.Second)
-	if n.out.Follows != newer.address || !n.out.Settled {
+	if n.out.Following != newer.address || !n.out.Trusted {
 		t.Errorf("%+v", n.out)
 	}
 }
@@ -554,8 +554,8 @@
 	n.run(time.Second)
 	n.peers["10.9.0.1:1"] = &peer{address: "10.9.0.1:1", epoch: 1, generation: 4}
 	n.seeds = []string{"10.9.0.1:1"}
-	n.run(mostPause + 100*time.Millisecond)
-	if n.out.Follows != "10.9.0.1:1" {
-		t.Errorf("follows %q", n.out.Follows)
+	n.run(maxRoundBackoff + 100*time.Millisecond)
+	if n.out.Following != "10.9.0.1:1" {
+		t.Errorf("follows %q", n.out.Following)
 	}
 }
--- a/internal/router/subscription/network_test.go
+++ b/internal/router/subscription/network_test.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	stale  = time.Second
-	hop    = time.Millisecond // a message's time on its way
-	beacon = 250 * time.Millisecond
+	trustTTL = time.Second
+	hop      = time.Millisecond // a message's time on its way
+	beacon   = 250 * time.Millisecond
 )
 
 // tester is what a network complains to: a test, or one of rapid's.
@@ -94,15 +94,15 @@
 func newNetwork(t tester, addresses ...string) *network {
 	t.Helper()
 	begin := time.Unix(1_000_000, 0)
-	course := NewCourse("z1", netip.MustParseAddr("10.1.0.9"), rand.New(rand.NewPCG(1, 1)))
+	candidates := NewCandidates("z1", netip.MustParseAddr("10.1.0.9"), rand.New(rand.NewPCG(1, 1)))
 	n := &network{
 		t: t, begin: begin, now: begin, beaconAt: begin, newest: 4, peers: make(map[string]*peer), seeds: addresses,
 	}
 	for i, address := range addresses {
 		n.peers[address] = &peer{address: address, clock: time.Duration(i+1) * time.Hour, epoch: 1, generation: 4}
 	}
-	course.SetSeeds(addresses)
-	n.decider = NewDecider(Identity{Node: "n", Zone: "z1", Incarnation: 7}, course, Limits{Stale: stale})
+	candidates.SetSeeds(addresses)
+	n.decider = NewDecider(Config{Node: "n", Zone: "z1", Incarnation: 7, TrustTTL: trustTTL}, candidates)
 	return n
 }
 
@@ -123,7 +123,7 @@
 // touch keeps a peer's contact up.
 func (n *network) touch(p *peer) {
 	if !p.cut && p.generation == n.newest {
-		p.contact = later(p.contact, n.now.Add(-p.lag))
+		p.contact = laterOf(p.contact, n.now.Add(-p.lag))
 	}
 }
 
@@ -137,8 +137,8 @@
 	if w.peer.mute || w.broken {
 		return
 	}
-	w.arrives = later(w.arrives, n.now.Add(hop+w.peer.heldUp))
-	n.at(w.arrives, occurrence{input: Received{Connection: w.id, Message: message}, contact: w.peer.contact})
+	w.arrives = laterOf(w.arrives, n.now.Add(hop+w.peer.heldUp))
+	n.at(w.arrives, occurrence{input: MessageReceived{Connection: w.id, Message: message}, contact: w.peer.contact})
 }
 
 func (n *network) after(d time.Duration, in Input) { n.at(n.now.Add(d), occurrence{input: in}) }
@@ -156,17 +156,17 @@
 
 func (n *network) step(inputs ...Input) {
 	n.t.Helper()
-	before := n.out.Follows
+	before := n.out.Following
 	n.out = n.decider.Step(n.now, inputs...)
 	if !n.out.WakeAt.After(n.now) {
 		n.t.Fatalf("wake at %v, now %v", n.out.WakeAt, n.now)
 	}
-	if n.out.ConfirmedAt.After(n.told) {
-		n.t.Fatalf("confirmed %v later than anybody told", n.out.ConfirmedAt.Sub(n.told))
+	if n.out.FreshAsOf.After(n.told) {
+		n.t.Fatalf("confirmed %v later than anybody told", n.out.FreshAsOf.Sub(n.told))
 	}
 	n.events = append(n.events, n.out.Events...)
-	if n.out.Follows != before {
-		n.moves = append(n.moves, n.out.Follows)
+	if n.out.Following != before {
+		n.moves = append(n.moves, n.out.Following)
 	}
 	for _, dial := range n.out.Dial {
 		n.dial(dial)
@@ -192,16 +192,16 @@
 
 func (n *network) dial(dial Dial) {
 	n.dials++
-	if dial.Address == n.out.Follows {
+	if dial.Address == n.out.Following {
 		n.t.Fatalf("dials %s, which it follows", dial.Address)
 	}
 	p := n.peers[dial.Address]
 	switch {
 	case p == nil || p.refuses:
-		n.after(hop, Ended{Connection: dial.Connection, Err: errors.New("refused")})
+		n.after(hop, ConnectionClosed{Connection: dial.Connection, Err: errors.New("refused")})
 	case !p.gone:
 		n.wires = append(n.wires, &wire{id: dial.Connection, peer: p})
-		n.after(hop, Opened{Connection: dial.Connection})
+		n.after(hop, ConnectionOpened{Connection: dial.Connection})
 	}
 }
 
@@ -213,7 +213,7 @@
 	if _, isProbe := send.Message.(protocol.Probe); isProbe {
 		n.probes++
 	}
-	w.reaches = later(w.reaches, n.now.Add(hop+w.peer.heldDown))
+	w.reaches = laterOf(w.reaches, n.now.Add(hop+w.peer.heldDown))
 	n.at(w.reaches, occurrence{act: func() {
 		if !w.broken {
 			n.reach(w, send.Message)
@@ -253,7 +253,7 @@
 func (n *network) apply(change *Change) {
 	n.applies = append(n.applies, change)
 	err := n.refuse
-	n.at(n.now.Add(n.slow), occurrence{input: Applied{Err: err}})
+	n.at(n.now.Add(n.slow), occurrence{input: ChangeApplied{Err: err}})
 	if err == nil && change.Document != nil {
 		n.at(n.now.Add(n.slow), occurrence{act: func() { n.inForce = max(n.inForce, change.Generation) }})
 	}
@@ -272,7 +272,7 @@
 func (n *network) run(d time.Duration) {
 	n.t.Helper()
 	for end := n.now.Add(d); ; {
-		next := later(later(n.now, n.out.WakeAt), n.frozen)
+		next := laterOf(laterOf(n.now, n.out.WakeAt), n.frozen)
 		if len(n.coming) > 0 && n.coming[0].at.Before(next) {
 			next = n.coming[0].at
 		}
@@ -304,7 +304,7 @@
 			asleep = append(asleep, o)
 		default:
 			inputs = append(inputs, o.input)
-			n.told = later(n.told, o.contact)
+			n.told = laterOf(n.told, o.contact)
 		}
 	}
 	for _, o := range asleep {
@@ -338,7 +338,7 @@
 	for _, w := range n.wires {
 		if w.peer == p && !w.closed && !w.broken {
 			w.broken = true
-			n.after(hop, Ended{Connection: w.id, Err: errors.New("reset")})
+			n.after(hop, ConnectionClosed{Connection: w.id, Err: errors.New("reset")})
 		}
 	}
 }
@@ -368,7 +368,7 @@
 func (n *network) followedWire() *wire {
 	n.t.Helper()
 	for _, w := range n.wires {
-		if w.follows && !w.closed && w.peer.address == n.out.Follows {
+		if w.follows && !w.closed && w.peer.address == n.out.Following {
 			return w
 		}
 	}
@@ -394,7 +394,7 @@
 // left lists why instances were left.
 func (n *network) left() (reasons []error) {
 	for _, event := range n.events {
-		if e, ok := event.(Left); ok {
+		if e, ok := event.(InstanceLeft); ok {
 			reasons = append(reasons, e.Err)
 		}
 	}
@@ -406,7 +406,7 @@
 	t.Helper()
 	n := newNetwork(t, addresses...)
 	n.run(3 * time.Second)
-	if !n.out.Settled || !n.out.Ready {
+	if !n.out.Trusted || !n.out.Ready {
 		t.Fatalf("%+v after %v", n.out, n.events)
 	}
 	return n
@@ -415,7 +415,7 @@
 // leaves waits until an instance is left.
 func (n *network) leaves(p *peer, within time.Duration) (after time.Duration) {
 	n.t.Helper()
-	for begin := n.now; n.out.Follows == p.address; {
+	for begin := n.now; n.out.Following == p.address; {
 		if n.now.Sub(begin) > within {
 			n.t.Fatalf("%s is still followed after %v: %v", p.address, within, n.events)
 		}
--- a/internal/router/subscription/property_test.go
+++ b/internal/router/subscription/property_test.go
@@ -28,12 +28,12 @@
 		}
 		n.check = func() {
 			for _, a := range acknowledged {
-				if a.at.Before(n.out.ConfirmedAt) && a.generation > n.inForce {
+				if a.at.Before(n.out.FreshAsOf) && a.generation > n.inForce {
 					t.Fatalf("version %d acknowledged %v before ConfirmedAt, %d is in force", a.generation,
-						n.out.ConfirmedAt.Sub(a.at), n.inForce)
+						n.out.FreshAsOf.Sub(a.at), n.inForce)
 				}
 			}
-			if p := n.peers[n.out.Follows]; n.out.Settled && n.now.Sub(p.contact) >= stale {
+			if p := n.peers[n.out.Following]; n.out.Trusted && n.now.Sub(p.contact) >= trustTTL {
 				t.Fatalf("settled with %s, whose contact is %v old", p.address, n.now.Sub(p.contact))
 			}
 		}
@@ -45,11 +45,11 @@
 		}
 		heal(n)
 		n.run(6 * time.Second)
-		if !n.out.Settled || !n.out.Ready || n.inForce != n.newest {
+		if !n.out.Trusted || !n.out.Ready || n.inForce != n.newest {
 			t.Fatalf("after all is well: settled %v, ready %v, version %d of %d, follows %q: %v",
-				n.out.Settled, n.out.Ready, n.inForce, n.newest, n.out.Follows, n.events)
+				n.out.Trusted, n.out.Ready, n.inForce, n.newest, n.out.Following, n.events)
 		}
-		most := int(n.now.Sub(n.begin)/leastPause) * len(three) * 2
+		most := int(n.now.Sub(n.begin)/minRoundBackoff) * len(three) * 2
 		if n.dials > most || n.probes > most {
 			t.Fatalf("%d dials, %d probes in %v", n.dials, n.probes, n.now.Sub(n.begin))
 		}
--- a/internal/router/subscription/anchor_test.go
+++ b/internal/router/subscription/remoteclock_test.go
@@ -29,15 +29,15 @@
 		"endless age":           {map[time.Duration]uint64{1 * s: 5}, 2 * s, standing(5, 70*s, 1<<62), 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var a anchor
+			var a remoteClock
 			for sent, number := range c.marks {
-				a.mark(number, at(sent))
+				a.echoSent(number, at(sent))
 			}
-			contact, ok := a.take(at(c.now), c.standing)
+			contact, ok := a.majorityContact(at(c.now), c.standing)
 			if ok != c.proves {
 				t.Fatalf("proves %v", ok)
 			}
-			allowance := c.now / driftPart * 2
+			allowance := c.now / maxDriftDivisor * 2
 			if ok && (contact.After(at(c.want)) || contact.Before(at(c.want-allowance))) {
 				t.Errorf("contact %v, want %v", contact.Sub(begin), c.want)
 			}
@@ -48,16 +48,16 @@
 // What comes later is placed by the instance's clock, not by when it came.
 func TestAnchorPlacesLaterMessages(t *testing.T) {
 	begin := time.Unix(1000, 0)
-	var a anchor
-	a.mark(1, begin)
-	a.take(begin.Add(time.Millisecond), protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 1, SentAt: time.Hour})
+	var a remoteClock
+	a.echoSent(1, begin)
+	a.majorityContact(begin.Add(time.Millisecond), protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 1, SentAt: time.Hour})
 	late := protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 1, SentAt: time.Hour + 2*time.Second, MajorityContactAge: time.Second / 2}
-	contact, ok := a.take(begin.Add(10*time.Second), late)
+	contact, ok := a.majorityContact(begin.Add(10*time.Second), late)
 	if want := begin.Add(1500 * time.Millisecond); !ok || contact.After(want) || want.Sub(contact) > 20*time.Millisecond {
 		t.Errorf("contact %v, %v", contact.Sub(begin), ok)
 	}
 	ahead := protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 1, SentAt: time.Hour + 20*time.Second}
-	if _, ok := a.take(begin.Add(11*time.Second), ahead); ok || a.known || !a.due(begin.Add(11*time.Second)) {
+	if _, ok := a.majorityContact(begin.Add(11*time.Second), ahead); ok || a.synced || !a.echoDue(begin.Add(11*time.Second)) {
 		t.Error("a message from the future proves something")
 	}
 }
@@ -65,21 +65,21 @@
 // An exact anchor is kept for some time; then any newer one is taken, and without one nothing is proved.
 func TestAnchorIsReplaced(t *testing.T) {
 	begin := time.Unix(1000, 0)
-	var a anchor
-	a.mark(1, begin)
-	a.take(begin, protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 1, SentAt: 0})
-	a.mark(2, begin.Add(keepAnchor/2))
-	a.take(begin.Add(keepAnchor/2+time.Second), protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 2, SentAt: keepAnchor/2 + time.Second})
+	var a remoteClock
+	a.echoSent(1, begin)
+	a.majorityContact(begin, protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 1, SentAt: 0})
+	a.echoSent(2, begin.Add(clockSyncRefresh/2))
+	a.majorityContact(begin.Add(clockSyncRefresh/2+time.Second), protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 2, SentAt: clockSyncRefresh/2 + time.Second})
 	if !a.zero.Equal(begin) {
 		t.Errorf("an inexact anchor took the place of an exact one: %v", a.zero.Sub(begin))
 	}
-	a.mark(3, begin.Add(keepAnchor))
-	a.take(begin.Add(keepAnchor+time.Second), protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 3, SentAt: keepAnchor + time.Second})
+	a.echoSent(3, begin.Add(clockSyncRefresh))
+	a.majorityContact(begin.Add(clockSyncRefresh+time.Second), protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 3, SentAt: clockSyncRefresh + time.Second})
 	if a.zero.Equal(begin) {
 		t.Error("an old anchor was kept")
 	}
-	end := begin.Add(keepAnchor + mostAnchor)
-	if _, ok := a.take(end.Add(time.Second), protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 3, SentAt: keepAnchor + mostAnchor}); ok {
+	end := begin.Add(clockSyncRefresh + clockSyncTTL)
+	if _, ok := a.majorityContact(end.Add(time.Second), protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 3, SentAt: clockSyncRefresh + clockSyncTTL}); ok {
 		t.Error("proof without a newer mark")
 	}
 }
--- a/internal/router/subscription/subscription.go
+++ b/internal/router/subscription/subscription.go
@@ -1,6 +1,3 @@
-// Package subscription keeps a router up to date: it follows one control instance, puts in force what that sends,
-// confirms it, knows how old that knowledge is, and moves on to another instance when this one is silent, skips
-// something, or can't prove that it is in touch with a majority.
 package subscription
 
 import (
@@ -16,84 +13,93 @@
 )
 
 const (
-	applyTimeout = 5 * time.Second
-	queuedInputs = 64
+	applyTimeout    = 5 * time.Second
+	maxQueuedInputs = 64
 )
 
-// Force puts things in force in this process.
-type Force interface {
-	// Prepare reads a configuration; it changes nothing yet.
-	Prepare(document []byte) (*configuration.Configuration, error)
-	// Apply returns once the change is in force.
+// Applier makes what the control plane sends take effect in this process.
+type Applier interface {
+	// ParseConfiguration reads a configuration without applying it.
+	ParseConfiguration(document []byte) (*configuration.Configuration, error)
+	// Apply returns once the change is in effect.
 	Apply(ctx context.Context, view dispatch.ViewChanged) error
-	// Seeds reads anew which instances to ask where no other is known.
-	Seeds() []string
+	// ReadSeeds reads the settings again: which instances to ask while no other is known.
+	ReadSeeds() []string
 }
 
-// Log takes the events that an operator should see.
-type Log interface {
-	Following(instance string)
-	Left(instance string, err error)
-	Unreachable(instance string, err error) // no instance has been followed since the last event
-	ConfigurationInForce(generation int64)
-	Ready()
+// EventRecorder takes the events that operators should see. Its methods are called by the goroutine of Run alone.
+type EventRecorder interface {
+	InstanceFollowed(instance string)
+	InstanceLeft(instance string, err error)
+	ControlPlaneUnreachable(instance string, err error) // no instance has been followed since the last event
+	ConfigurationApplied(generation int64)
+	RouterReady()
 }
 
-// Subscription follows the control plane. Its Run is one goroutine, which owns the decider and the connections.
+// Dependencies are what a subscription works with. All are required.
+type Dependencies struct {
+	Candidates *Candidates // the subscription's from then on
+	Applier    Applier
+	Events     EventRecorder
+}
+
+// Subscription follows the control plane. Run is one goroutine, which owns the decider and the connections; the other
+// methods may be called from any.
 type Subscription struct {
 	decider     *Decider
-	force       Force
-	log         Log
+	applier     Applier
+	events      EventRecorder
 	codec       *transport.Codec
 	inputs      chan Input
 	seeds       chan []string
 	reports     chan protocol.Report
 	connections map[ConnectionID]*connection
 
-	ready       atomic.Bool
-	confirmedAt atomic.Pointer[time.Time]
+	ready     atomic.Bool
+	freshAsOf atomic.Pointer[time.Time]
 }
 
-// New returns a subscription.
-func New(identity Identity, course *Course, limits Limits, force Force, log Log) *Subscription {
-	course.SetSeeds(force.Seeds())
+// New returns a subscription that follows no instance until Run.
+func New(config Config, dependencies Dependencies) *Subscription {
+	dependencies.Candidates.SetSeeds(dependencies.Applier.ReadSeeds())
 	return &Subscription{
-		decider:     NewDecider(identity, course, limits),
-		force:       force,
-		log:         log,
+		decider:     NewDecider(config, dependencies.Candidates),
+		applier:     dependencies.Applier,
+		events:      dependencies.Events,
 		codec:       protocol.NewCodec(),
-		inputs:      make(chan Input, queuedInputs),
+		inputs:      make(chan Input, maxQueuedInputs),
 		seeds:       make(chan []string, 1),
-		reports:     make(chan protocol.Report, mostReports),
+		reports:     make(chan protocol.Report, maxQueuedReports),
 		connections: make(map[ConnectionID]*connection),
 	}
 }
 
-// Ready says whether the newest configuration and the endpoints have been in force in this life. It stays so while
-// the control plane is out of reach.
+// Ready says whether the newest configuration and a complete table of endpoints have been applied since the process started. It
+// stays so while the control plane is out of reach.
 func (s *Subscription) Ready() bool { return s.ready.Load() }
 
-// ConfirmedAt is the newest moment before which all versions of the configuration that were acknowledged anywhere are in
-// force here; zero where none is known.
-func (s *Subscription) ConfirmedAt() time.Time {
-	if at := s.confirmedAt.Load(); at != nil {
+// FreshAsOf is the newest moment for which it is proven that every version of the configuration acknowledged anywhere
+// before it is applied here. It is zero while none is known.
+func (s *Subscription) FreshAsOf() time.Time {
+	if at := s.freshAsOf.Load(); at != nil {
 		return *at
 	}
 	return time.Time{}
 }
 
-// SetSeeds replaces the seeds. What is followed now goes on.
+// SetSeeds replaces the seeds. The followed instance stays followed.
 func (s *Subscription) SetSeeds(seeds []string) {
 	for {
 		select {
 		case s.seeds <- seeds:
 			return
-		case <-s.seeds: // not taken yet, and out of date
+		case <-s.seeds: // earlier ones that Run has not taken yet
 		}
 	}
 }
 
-// Report sends demand to the control plane. It never blocks: while nobody is followed, the oldest reports are lost.
+// Report sends demand to the control plane. It never blocks: while no instance is followed, the oldest reports are
+// dropped.
 func (s *Subscription) Report(report protocol.Report) {
 	for {
 		select {
@@ -114,23 +120,23 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		inputs, ok := s.wait(ctx, timer.C)
+		inputs, ok := s.collectInputs(ctx, timer.C)
 		if !ok {
 			return
 		}
 		out := s.decider.Step(time.Now(), inputs...)
 		for out.ReadSeeds {
-			s.carryOut(ctx, out)
-			out = s.decider.Step(time.Now(), SeedsRead{Addresses: s.force.Seeds()})
+			s.execute(ctx, out)
+			out = s.decider.Step(time.Now(), SeedsRead{Addresses: s.applier.ReadSeeds()})
 		}
-		s.carryOut(ctx, out)
+		s.execute(ctx, out)
 		timer.Reset(time.Until(out.WakeAt))
 	}
 }
 
-// wait collects what has happened, or nothing once the timer has fired. What waits goes along: it is not late because
-// this process was.
-func (s *Subscription) wait(ctx context.Context, timer <-chan time.Time) (inputs []Input, ok bool) {
+// collectInputs waits for an input or the timer, then takes all inputs that are queued: the decider must see what came in
+// time, although this process was late, before it checks its deadlines. It is not ok once the context has ended.
+func (s *Subscription) collectInputs(ctx context.Context, timer <-chan time.Time) (inputs []Input, ok bool) {
 	select {
 	case <-ctx.Done():
 		return nil, false
@@ -139,10 +145,10 @@
 	case seeds := <-s.seeds:
 		inputs = append(inputs, SeedsRead{Addresses: seeds})
 	case report := <-s.reports:
-		inputs = append(inputs, Demand{Report: report})
+		inputs = append(inputs, DemandReported{Report: report})
 	case <-timer:
 	}
-	for len(inputs) < queuedInputs {
+	for len(inputs) < maxQueuedInputs {
 		select {
 		case in := <-s.inputs:
 			inputs = append(inputs, in)
@@ -153,11 +159,11 @@
 	return inputs, ctx.Err() == nil
 }
 
-// carryOut does what the decider asks for.
-func (s *Subscription) carryOut(ctx context.Context, out Output) {
+// execute carries out what the decider has returned.
+func (s *Subscription) execute(ctx context.Context, out Output) {
 	s.ready.Store(out.Ready)
-	if !out.ConfirmedAt.IsZero() {
-		s.confirmedAt.Store(&out.ConfirmedAt)
+	if !out.FreshAsOf.IsZero() {
+		s.freshAsOf.Store(&out.FreshAsOf)
 	}
 	for _, dial := range out.Dial {
 		s.dial(ctx, dial)
@@ -172,38 +178,39 @@
 		go s.apply(ctx, out.Apply)
 	}
 	for _, event := range out.Events {
-		s.tell(event)
+		s.record(event)
 	}
 }
 
-// apply puts a change in force.
+// apply applies a change and returns the outcome as an input. It runs in its own goroutine, one at a time, so that Run
+// goes on reading messages meanwhile.
 func (s *Subscription) apply(ctx context.Context, change *Change) {
-	s.input(ctx, Applied{Err: s.tryApply(ctx, change)})
+	s.input(ctx, ChangeApplied{Err: s.applyChange(ctx, change)})
 }
 
-func (s *Subscription) tryApply(ctx context.Context, change *Change) error {
+func (s *Subscription) applyChange(ctx context.Context, change *Change) error {
 	view := change.View
 	if len(change.Document) > 0 {
-		read, err := s.read(change.Document)
+		parsed, err := s.parse(change.Document)
 		if err != nil {
-			return fmt.Errorf("%w: generation %d: %w", ErrDocument, change.Generation, err)
+			return fmt.Errorf("%w: generation %d: %w", ErrInvalidConfiguration, change.Generation, err)
 		}
-		view.Configuration = read
+		view.Configuration = parsed
 	}
 	applying, stop := context.WithTimeout(ctx, applyTimeout)
 	defer stop()
-	return s.force.Apply(applying, view)
+	return s.applier.Apply(applying, view)
 }
 
-func (s *Subscription) read(packed []byte) (*configuration.Configuration, error) {
-	document, err := protocol.DecompressDocument(packed)
+func (s *Subscription) parse(compressed []byte) (*configuration.Configuration, error) {
+	document, err := protocol.DecompressDocument(compressed)
 	if err != nil {
 		return nil, err
 	}
-	return s.force.Prepare(document)
+	return s.applier.ParseConfiguration(document)
 }
 
-// input hands something to Run.
+// input passes an input to Run.
 func (s *Subscription) input(ctx context.Context, in Input) {
 	select {
 	case s.inputs <- in:
@@ -211,17 +218,17 @@
 	}
 }
 
-func (s *Subscription) tell(event Event) {
+func (s *Subscription) record(event Event) {
 	switch e := event.(type) {
-	case Following:
-		s.log.Following(e.Instance)
-	case Left:
-		s.log.Left(e.Instance, e.Err)
-	case Unreachable:
-		s.log.Unreachable(e.Instance, e.Err)
-	case ConfigurationInForce:
-		s.log.ConfigurationInForce(e.Generation)
+	case InstanceFollowed:
+		s.events.InstanceFollowed(e.Instance)
+	case InstanceLeft:
+		s.events.InstanceLeft(e.Instance, e.Err)
+	case ControlPlaneUnreachable:
+		s.events.ControlPlaneUnreachable(e.Instance, e.Err)
+	case ConfigurationApplied:
+		s.events.ConfigurationApplied(e.Generation)
 	case BecameReady:
-		s.log.Ready()
+		s.events.RouterReady()
 	}
 }
--- a/internal/router/subscription/subscription_test.go
+++ b/internal/router/subscription/subscription_test.go
@@ -17,8 +17,6 @@
 
 const patience = 10 * time.Second
 
-var limits = Limits{Stale: time.Second}
-
 // instance is a stand-in for a control instance. It answers probes with proof of a fresh contact; all else that it gets
 // goes to its channel, and the test answers.
 type instance struct {
@@ -81,7 +79,7 @@
 	hold    chan struct{} // Apply waits for it, where set
 }
 
-func (f *force) Prepare(document []byte) (*configuration.Configuration, error) {
+func (f *force) ParseConfiguration(document []byte) (*configuration.Configuration, error) {
 	if string(document) == "bad" {
 		return nil, errors.New("bad")
 	}
@@ -98,7 +96,7 @@
 	return nil
 }
 
-func (f *force) Seeds() []string { return f.seeds }
+func (f *force) ReadSeeds() []string { return f.seeds }
 
 func (f *force) last() dispatch.ViewChanged {
 	f.mutex.Lock()
@@ -108,11 +106,11 @@
 
 type quiet struct{ ready chan struct{} }
 
-func (quiet) Following(string)           {}
-func (quiet) Left(string, error)         {}
-func (quiet) Unreachable(string, error)  {}
-func (quiet) ConfigurationInForce(int64) {}
-func (q quiet) Ready()                   { close(q.ready) }
+func (quiet) InstanceFollowed(string)               {}
+func (quiet) InstanceLeft(string, error)            {}
+func (quiet) ControlPlaneUnreachable(string, error) {}
+func (quiet) ConfigurationApplied(int64)            {}
+func (q quiet) RouterReady()                        { close(q.ready) }
 
 type world struct {
 	*Subscription
@@ -126,8 +124,11 @@
 	for _, i := range instances {
 		w.force.seeds = append(w.force.seeds, i.server.Address())
 	}
-	course := NewCourse("z1", netip.MustParseAddr("127.0.0.1"), rand.New(rand.NewPCG(1, 1)))
-	w.Subscription = New(Identity{Node: "n", Zone: "z1", Incarnation: 7}, course, limits, w.force, w.log)
+	w.Subscription = New(Config{Node: "n", Zone: "z1", Incarnation: 7, TrustTTL: time.Second}, Dependencies{
+		Candidates: NewCandidates("z1", netip.MustParseAddr("127.0.0.1"), rand.New(rand.NewPCG(1, 1))),
+		Applier:    w.force,
+		Events:     w.log,
+	})
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	go w.Run(ctx)
@@ -270,11 +271,11 @@
 }
 
 func TestCourse(t *testing.T) {
-	c := NewCourse("z2", netip.MustParseAddr("10.2.0.9"), rand.New(rand.NewPCG(1, 2)))
+	c := NewCandidates("z2", netip.MustParseAddr("10.2.0.9"), rand.New(rand.NewPCG(1, 2)))
 	c.SetSeeds([]string{"10.1.0.1:1", "10.2.0.1:1", "10.3.0.1:1"})
 	round := func() (list []string, pause time.Duration) {
-		pause = c.Pause()
-		for _, target := range c.Round() {
+		pause = c.NextBackoff()
+		for _, target := range c.NextRound() {
 			list = append(list, target.Address)
 		}
 		return list, pause
@@ -283,9 +284,9 @@
 	if first[0] != "10.2.0.1:1" || len(first) != 3 || pause != 0 {
 		t.Errorf("first round %v after %v", first, pause)
 	}
-	for last := time.Duration(0); last < mostPause/2; {
+	for last := time.Duration(0); last < maxRoundBackoff/2; {
 		_, pause = round()
-		if pause < last/2 || pause > mostPause {
+		if pause < last/2 || pause > maxRoundBackoff {
 			t.Fatalf("pause %v", pause)
 		}
 		last = max(last+1, pause)
@@ -293,14 +294,14 @@
 	c.SetMembers([]protocol.Member{
 		{Address: "far", Zone: "z1"}, {Address: "near", Zone: "z2"}, {Address: "far2", Zone: "z3"},
 	})
-	c.Anew("")
+	c.Restart("")
 	if list, pause := round(); list[0] != "near" || pause != 0 {
 		t.Errorf("with members %v after %v", list, pause)
 	}
-	if !c.Nearer("far") || c.Nearer("near") {
+	if !c.HasZoneLocalAlternative("far") || c.HasZoneLocalAlternative("near") {
 		t.Error("the wrong instance is nearer")
 	}
-	c.Anew("near")
+	c.Restart("near")
 	if list, _ := round(); list[len(list)-1] != "near" || len(list) != 6 {
 		t.Errorf("the one left comes %v", list)
 	}
--- a/internal/router/subscription/types.go
+++ b/internal/router/subscription/types.go
@@ -8,51 +8,52 @@
 	"raventrestle/internal/router/dispatch"
 )
 
-// ConnectionID names a connection within the process; the decider chooses the numbers and uses none twice.
+// ConnectionID names a connection within the process. The decider chooses the numbers and uses none twice.
 type ConnectionID uint64
 
-// Input is something that happened: one of the types below.
+// Input is something that has happened: one of the types below.
 type Input interface{ input() }
 
-// Opened: a connection that was asked for by Dial is up.
-type Opened struct{ Connection ConnectionID }
+// ConnectionOpened reports that a connection requested by Output.Dial is established.
+type ConnectionOpened struct{ Connection ConnectionID }
 
-// Ended: a connection could not be made, or has ended. After a Close by the decider it may come or not.
-type Ended struct {
+// ConnectionClosed reports that a connection could not be established, or has ended. After the decider itself has closed
+// a connection it is optional.
+type ConnectionClosed struct {
 	Connection ConnectionID
 	Err        error
 }
 
-// Received: a message came on a connection: *protocol.Update, *protocol.Beacon or *protocol.Probed.
-type Received struct {
+// MessageReceived carries a message of an instance: *protocol.Update, *protocol.Beacon or *protocol.ProbeReply.
+type MessageReceived struct {
 	Connection ConnectionID
 	Message    any
 }
 
-// Applied: the change that Output.Apply asked for is in force, or failed. An error that is ErrDocument says that its
-// configuration can't be used.
-type Applied struct{ Err error }
+// ChangeApplied reports that the change requested by Output.Apply is in effect, or has failed. An error that is
+// ErrInvalidConfiguration means that its configuration can't be used.
+type ChangeApplied struct{ Err error }
 
-// SeedsRead: the addresses of the settings' seeds.
+// SeedsRead carries the addresses of control instances in the settings.
 type SeedsRead struct{ Addresses []string }
 
-// Demand: a report for the control plane.
-type Demand struct{ Report protocol.Report }
+// DemandReported carries a report of this router's demand for the control plane.
+type DemandReported struct{ Report protocol.Report }
 
-func (Opened) input()    {}
-func (Ended) input()     {}
-func (Received) input()  {}
-func (Applied) input()   {}
-func (SeedsRead) input() {}
-func (Demand) input()    {}
+func (ConnectionOpened) input() {}
+func (ConnectionClosed) input() {}
+func (MessageReceived) input()  {}
+func (ChangeApplied) input()    {}
+func (SeedsRead) input()        {}
+func (DemandReported) input()   {}
 
-// Dial asks for a connection to an instance.
+// Dial requests a connection to an instance.
 type Dial struct {
 	Connection ConnectionID
 	Address    string
 }
 
-// Send is a message for an instance. Messages of one connection keep their order.
+// Send is a message for an instance. Messages on one connection keep their order.
 type Send struct {
 	Connection ConnectionID
 	Message    any
@@ -60,80 +61,67 @@
 
 // Change is what an update changes.
 type Change struct {
-	View       dispatch.ViewChanged // without the configuration, which the host reads from Document
+	View       dispatch.ViewChanged // without the configuration, which the host parses from Document
 	Generation int64                // of Document
-	Document   []byte               // as the update carries it: see protocol.UnpackDocument; nil: unchanged
+	Document   []byte               // compressed, as the update carries it; nil: the configuration is unchanged
 }
 
-// Output is what the host carries out: Dial, Send, then Close.
+// Output is what the host carries out, in the order Dial, Send, Close.
 type Output struct {
 	Dial      []Dial
 	Send      []Send
 	Close     []ConnectionID
-	Apply     *Change // put in force, then return Applied; no further one is asked for until then
-	ReadSeeds bool    // read the settings' seeds and return SeedsRead
+	Apply     *Change // apply it, then return ChangeApplied; until then no further change is requested
+	ReadSeeds bool    // read the seeds of the settings and return SeedsRead
 	Events    []Event
-	Follows   string // address of the instance that is followed; empty: none
-	Settled   bool   // that instance has proved a contact with a majority that is within Limits.Stale
-	// ConfirmedAt is the newest moment before which all versions of the configuration that were acknowledged
-	// anywhere are in force here; zero: none is known.
-	ConfirmedAt time.Time
-	Ready       bool
-	WakeAt      time.Time // Step again then at the latest
+	Following string // address of the instance that is followed; empty: none
+	Trusted   bool   // the followed instance has proved a contact with a majority within Config.TrustTTL
+	// FreshAsOf is the newest moment for which it is proven that every version of the configuration acknowledged
+	// anywhere before it is applied here. Zero: none is known.
+	FreshAsOf time.Time
+	Ready     bool
+	WakeAt    time.Time // call Step again by then at the latest
 }
 
-// Limits bound the age of what a router goes by.
-type Limits struct {
-	// Stale is the age of an instance's newest contact with a majority, from which on the router looks for another
-	// instance.
-	Stale time.Duration
-}
-
-// Identity is what a router tells of itself.
-type Identity struct {
-	Node        string
-	Zone        string
-	Incarnation uint64
-}
-
-// Event is told to people: one of the types below.
+// Event is something that operators should see: one of the types below.
 type Event interface{ event() }
 
-// Following: updates of this instance are in force.
-type Following struct{ Instance string }
+// InstanceFollowed records that the first update of this instance is applied.
+type InstanceFollowed struct{ Instance string }
 
-// Left: this instance is not followed any more.
-type Left struct {
+// InstanceLeft records that this instance is no longer followed.
+type InstanceLeft struct {
 	Instance string
 	Err      error
 }
 
-// Unreachable: no instance has been followed since the last event.
-type Unreachable struct {
-	Instance string // that was tried last
+// ControlPlaneUnreachable records, once, that no instance can be followed. It is recorded again only after an instance
+// has been followed.
+type ControlPlaneUnreachable struct {
+	Instance string // the one tried last
 	Err      error
 }
 
-// ConfigurationInForce: requests are handled by this version from now on.
-type ConfigurationInForce struct{ Generation int64 }
+// ConfigurationApplied records that requests are handled by this version from now on.
+type ConfigurationApplied struct{ Generation int64 }
 
-// BecameReady: the newest configuration and the endpoints are in force.
+// BecameReady records that the newest configuration and a complete table of endpoints are applied.
 type BecameReady struct{}
 
-func (Following) event()            {}
-func (Left) event()                 {}
-func (Unreachable) event()          {}
-func (ConfigurationInForce) event() {}
-func (BecameReady) event()          {}
+func (InstanceFollowed) event()        {}
+func (InstanceLeft) event()            {}
+func (ControlPlaneUnreachable) event() {}
+func (ConfigurationApplied) event()    {}
+func (BecameReady) event()             {}
 
-// Reasons for leaving an instance, or for not following it.
+// Reasons for leaving an instance, or for not following one.
 var (
-	ErrSilent   = errors.New("instance is silent")
-	ErrSequence = errors.New("an update is missing")
-	ErrNearer   = errors.New("an instance of the own zone is there")
-	ErrBehind   = errors.New("instance keeps the newest configuration back")
-	ErrDocument = errors.New("configuration can't be used")
-	ErrStale    = errors.New("instance proves no fresh contact with a majority, another one does")
-	ErrEpoch    = errors.New("instance is in an earlier epoch than another one")
-	ErrTimeout  = errors.New("instance does not answer")
+	ErrUnresponsive          = errors.New("subscription: the instance sends no beacons any more")
+	ErrSequenceGap           = errors.New("subscription: an update of the instance is missing or repeated")
+	ErrZoneLocalAlternative  = errors.New("subscription: an instance in the own zone is available")
+	ErrConfigurationWithheld = errors.New("subscription: the instance announces a newer configuration and does not send it")
+	ErrInvalidConfiguration  = errors.New("subscription: the configuration can't be used")
+	ErrTrustExpired          = errors.New("subscription: the instance proves no fresh contact with a majority, another one does")
+	ErrOlderEpoch            = errors.New("subscription: the instance is in an earlier epoch than another one")
+	ErrProbeTimeout          = errors.New("subscription: the instance does not answer a probe")
 )
--- a/internal/systemsim/mutant.go
+++ b/internal/systemsim/mutant.go
@@ -30,12 +30,14 @@
 	if w.Mutant == FollowFirst {
 		return newNaiveDecider(r)
 	}
-	identity := subscription.Identity{Node: r.address, Zone: zoneName(r.zone), Incarnation: uint64(r.incarnation)}
+	config := subscription.Config{
+		Node: r.address, Zone: zoneName(r.zone), Incarnation: uint64(r.incarnation), TrustTTL: min(configBound, drainBound) / 2,
+	}
 	own := netip.MustParseAddrPort(r.address).Addr()
 	random := rand.New(rand.NewPCG(w.random.Uint64(), uint64(r.incarnation)))
-	course := subscription.NewCourse(identity.Zone, own, random)
-	course.SetSeeds(w.seedAddresses())
-	return subscription.NewDecider(identity, course, subscription.Limits{Stale: min(configBound, drainBound) / 2})
+	candidates := subscription.NewCandidates(config.Zone, own, random)
+	candidates.SetSeeds(w.seedAddresses())
+	return subscription.NewDecider(config, candidates)
 }
 
 // mutateMessage is a message as the router's decider gets it. Each router gets a copy, as from the wire.
--- a/internal/systemsim/naive_decider.go
+++ b/internal/systemsim/naive_decider.go
@@ -77,16 +77,16 @@
 
 func (b *naiveDecider) apply(input subscription.Input) {
 	switch in := input.(type) {
-	case subscription.Opened:
+	case subscription.ConnectionOpened:
 		b.send(in.Connection, protocol.Subscribe{
 			Node: b.router.address, Zone: zoneName(b.router.zone),
 			Incarnation: uint64(b.router.incarnation), Generation: b.generation, Ready: b.generation > 0,
 		})
-	case subscription.Ended:
+	case subscription.ConnectionClosed:
 		if in.Connection == b.connection {
 			b.leave()
 		}
-	case subscription.Received:
+	case subscription.MessageReceived:
 		if in.Connection != b.connection {
 			return
 		}
@@ -94,7 +94,7 @@
 		if update, isUpdate := in.Message.(*protocol.Update); isUpdate {
 			b.pending = append(b.pending, update)
 		}
-	case subscription.Applied:
+	case subscription.ChangeApplied:
 		b.applying = false
 		if b.connection != 0 {
 			b.send(b.connection, protocol.UpdateAck{Sequence: b.sequence})
--- a/internal/systemsim/router.go
+++ b/internal/systemsim/router.go
@@ -117,7 +117,7 @@
 		w.tracef("%s: %T%+v", r.address, event, event)
 	}
 	r.ready = out.Ready
-	r.claim(out.ConfirmedAt)
+	r.claim(out.FreshAsOf)
 	if !out.WakeAt.IsZero() {
 		r.scheduleStep(out.WakeAt.Sub(r.clock()))
 	}
@@ -135,7 +135,7 @@
 func (r *router) dial(dial subscription.Dial) {
 	to := r.world.instanceAt(dial.Address)
 	if to == nil {
-		r.enqueue(subscription.Ended{Connection: dial.Connection})
+		r.enqueue(subscription.ConnectionClosed{Connection: dial.Connection})
 		return
 	}
 	s := r.world.network.dial(&r.process, &to.process, dialTimeout)
@@ -159,13 +159,13 @@
 
 func (r *router) receive(s *stream, message any) {
 	if id, known := r.ids[s]; known {
-		r.enqueue(subscription.Received{Connection: id, Message: r.world.mutateMessage(message)})
+		r.enqueue(subscription.MessageReceived{Connection: id, Message: r.world.mutateMessage(message)})
 	}
 }
 
 func (r *router) streamOpened(s *stream) {
 	if id, known := r.ids[s]; known {
-		r.enqueue(subscription.Opened{Connection: id})
+		r.enqueue(subscription.ConnectionOpened{Connection: id})
 	}
 }
 
@@ -173,7 +173,7 @@
 	if id, known := r.ids[s]; known {
 		delete(r.ids, s)
 		delete(r.streams, id)
-		r.enqueue(subscription.Ended{Connection: id, Err: errConnectionEnded})
+		r.enqueue(subscription.ConnectionClosed{Connection: id, Err: errConnectionEnded})
 	}
 }
 
@@ -190,7 +190,7 @@
 		r.world.tracef("%s has version %d in force", r.address, generation)
 	}
 	r.table.merge(&change.View)
-	r.enqueue(subscription.Applied{})
+	r.enqueue(subscription.ChangeApplied{})
 }
 
 // parse reads the configuration of a change.
