--- /dev/null
+++ b/internal/systemsim/endpoint.go
@@ -0,0 +1,118 @@
+package systemsim
+
+import (
+	"fmt"
+	"time"
+
+	"raventrestle/internal/protocol"
+)
+
+// endpoint is a model server as the control plane sees it.
+type endpoint struct {
+	client
+	id          string
+	sequence    uint64
+	state       protocol.EndpointState
+	ended       bool
+	attempts    int
+	endingSince time.Duration // it says that it ends
+}
+
+func (w *World) addEndpoint() {
+	number := len(w.endpoints)
+	e := &endpoint{
+		client: newClient(w, fmt.Sprintf("10.%d.2.%d:8080", number%zones, number), number%zones),
+		id:     fmt.Sprintf("e%d", number),
+	}
+	w.endpoints = append(w.endpoints, e)
+	w.clients = append(w.clients, &e.client)
+	w.After(w.between(0, heartbeatInterval), e.sendHeartbeat)
+	w.After(w.between(4*time.Second, 25*time.Second), e.end)
+}
+
+// sendHeartbeat says how the endpoint is, and asks another instance where nobody answers.
+func (e *endpoint) sendHeartbeat() {
+	if e.ended {
+		return
+	}
+	w := e.world
+	e.sequence++
+	told := protocol.Endpoint{
+		ID: e.id, Service: "s", Address: e.address, Zone: zoneName(e.zone), State: e.state,
+		Sequence: e.sequence, Slots: 4,
+	}
+	to := e.target(e.attempts)
+	e.attempts++
+	ask := func(answer func(any)) { to.heartbeat(told, answer) }
+	w.network.call(&e.process, &to.process, callTimeout, ask, func(result any) {
+		taken, _ := result.(bool)
+		switch {
+		case e.ended:
+		case taken && told.State == protocol.Draining:
+			e.acknowledged()
+		case taken:
+			e.attempts = 0
+			if e.state == protocol.Draining {
+				e.sendHeartbeat()
+				return
+			}
+			w.After(heartbeatInterval, e.sendHeartbeat)
+		default:
+			w.After(w.between(minRetryBackoff, maxRetryBackoff), e.sendHeartbeat)
+		}
+	})
+}
+
+// end ends the endpoint: it drains, or says at once that it leaves, or crashes. Another one takes its place.
+func (e *endpoint) end() {
+	w := e.world
+	if w.finishing {
+		return
+	}
+	e.endingSince = w.Now()
+	w.After(w.between(0, 2*time.Second), w.addEndpoint)
+	switch w.random.IntN(8) {
+	case 0:
+		e.ended = true
+		w.tracef("%s crashes", e.id)
+	case 1, 2:
+		e.ended = true
+		e.deregister()
+	default:
+		w.tracef("%s drains", e.id)
+		e.state = protocol.Draining
+		e.attempts = 0
+		e.sendHeartbeat()
+		w.After(drainTimeout, func() {
+			if !e.ended {
+				e.ended = true
+				e.deregister()
+			}
+		})
+	}
+}
+
+// acknowledged: the endpoint serves on for a while and then says that it leaves.
+func (e *endpoint) acknowledged() {
+	w := e.world
+	e.ended = true
+	w.recordDrain(e)
+	w.After(w.between(drainBound, drainBound+2*time.Second), e.deregister)
+}
+
+// deregister says that the endpoint ends, until that is acknowledged.
+func (e *endpoint) deregister() {
+	w := e.world
+	to := e.target(e.attempts)
+	e.attempts++
+	ask := func(answer func(any)) { to.deregister(e.id, answer) }
+	w.network.call(&e.process, &to.process, callTimeout, ask, func(result any) {
+		taken, _ := result.(bool)
+		switch {
+		case taken:
+			w.recordDrain(e)
+		case w.Now()-e.endingSince < 2*drainTimeout:
+			w.After(w.between(minRetryBackoff, maxRetryBackoff), e.deregister)
+		}
+	})
+}
--- a/internal/systemsim/history.go
+++ b/internal/systemsim/history.go
@@ -1,6 +1,8 @@
 package systemsim
 
-import "time"
+import (
+	"time"
+)
 
 // Times of a history.
 const (
--- a/internal/systemsim/instance.go
+++ b/internal/systemsim/instance.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"time"
 
-	"raventrestle/coordination/chain"
 	"raventrestle/coordination/engine"
 	"raventrestle/coordination/replica"
 	"raventrestle/coordination/view"
@@ -48,12 +47,6 @@
 	hearsNobodySince time.Duration // since when no other instance is heard; never: one is
 }
 
-// replicaMessage is a message between replicas.
-type replicaMessage struct {
-	from    string
-	content chain.Message
-}
-
 func newInstance(w *World, number int) *instance {
 	i := &instance{disk: modeldisk.New(), isolatedSince: never, partitionedSince: never, hearsNobodySince: never}
 	i.process = process{
@@ -77,6 +70,15 @@
 	return list
 }
 
+func (w *World) instanceAt(address string) *instance {
+	for _, i := range w.instances {
+		if i.address == address {
+			return i
+		}
+	}
+	return nil
+}
+
 // start starts the process on the disk as it is.
 func (i *instance) start(bootstrap bool) {
 	w := i.world
@@ -139,94 +141,6 @@
 	i.disk = modeldisk.New()
 }
 
-// scheduleStep sees that the replica's next step comes after the delay at the latest.
-func (i *instance) scheduleStep(delay time.Duration) {
-	at := max(i.world.Now()+delay, i.busyUntil)
-	if i.stepAt > i.world.Now() && i.stepAt <= at {
-		return
-	}
-	i.stepAt = at
-	i.after(at-i.world.Now(), func() {
-		if i.stepAt == at {
-			i.stepAt = 0
-			i.step()
-		}
-	})
-}
-
-func (i *instance) enqueue(input engine.Input) {
-	i.inbox = append(i.inbox, input)
-	i.scheduleStep(0)
-}
-
-// step lets the replica work. What follows from it leaves once its disk is done.
-func (i *instance) step() {
-	w := i.world
-	i.countStep()
-	inputs, syncs := i.inbox, i.disk.Syncs
-	i.inbox = nil
-	now := i.local()
-	effects := i.engine.Step(now, inputs)
-	status := statusOf(i.engine.Status(now))
-	took := time.Duration(i.disk.Syncs-syncs) * syncDuration
-	if took > 0 {
-		took += i.syncDelay
-	}
-	i.busyUntil = w.Now() + took
-	i.after(took, func() { i.carryOut(effects, status) })
-	syncs = i.disk.Syncs
-	_ = i.engine.Maintain(now) // a disk that refuses is told of by the engine
-	i.busyUntil += time.Duration(i.disk.Syncs-syncs) * syncDuration
-	i.scheduleStep(i.engine.NextStep() - now)
-}
-
-func (i *instance) carryOut(effects engine.Output, status replica.Status) {
-	for _, envelope := range effects.Messages {
-		i.mesh.send(envelope.Address, replicaMessage{from: i.address, content: envelope.Message})
-	}
-	i.publish(status)
-	for _, result := range effects.Results {
-		i.complete(result)
-	}
-	for _, withdrawn := range effects.Cancellations {
-		i.complete(engine.Result{CallID: withdrawn.CallID, Err: engine.ErrOutcomeUnknown})
-	}
-}
-
-func (i *instance) complete(result engine.Result) {
-	if done := i.calls[result.CallID]; done != nil {
-		delete(i.calls, result.CallID)
-		done(result)
-	}
-}
-
-// publish shows the newest status to the rest of the process.
-func (i *instance) publish(status replica.Status) {
-	before := i.status
-	i.status = status
-	i.world.checkInstance(i)
-	moved := before.View.Epoch != status.View.Epoch || before.CommitIndex != status.CommitIndex ||
-		before.IsLeader != status.IsLeader || len(before.LiveMembers) != len(status.LiveMembers)
-	if moved {
-		i.host.post(controller.ReplicaChanged{})
-		i.stepRole()
-	}
-}
-
-// submit has the replica work on a call and gives it up after a time.
-func (i *instance) submit(input engine.Input, within time.Duration, done func(engine.Result)) {
-	i.token++
-	token := i.token
-	input.CallID = token
-	i.calls[token] = done
-	i.enqueue(input)
-	i.after(within, func() {
-		if i.calls[token] != nil {
-			i.enqueue(engine.Input{CallID: token, Cancel: true})
-		}
-	})
-}
-
 // receive takes what came on a stream.
 func (i *instance) receive(s *stream, message any) {
 	if m, isReplica := message.(replicaMessage); isReplica {
@@ -246,113 +160,6 @@
 // newest is the committed configuration as this instance has it.
 func (i *instance) newest() (int64, []byte) { return i.machine.Current() }
 
-// stepRolePeriodically looks at the role as its holder's loop does: now and then, and when the replica's status moves.
-func (i *instance) stepRolePeriodically() {
-	i.stepRole()
-	i.after(roleInterval, i.stepRolePeriodically)
-}
-
-// stepRole stands in for the holder of the roles: it notes that it acts whenever it may.
-func (i *instance) stepRole() {
-	i.role = i.leadership.Step(i.clock(), i.currentStatus())
-	if i.role.MayAct {
-		i.world.recordRoleAction(i)
-	}
-}
-
-// currentStatus is the published status, with the lease looked at now.
-func (i *instance) currentStatus() replica.Status {
-	status := i.status
-	if status.IsLeader && !i.clock().Before(status.LeaseExpiry) {
-		status.IsLeader = false
-	}
-	return status
-}
-
-// mayAct tells whether the instance may act in a role at this moment.
-func (i *instance) mayAct() bool {
-	return i.running && !i.frozen && i.role.MayAct && i.currentStatus().IsLeader
-}
-
-// applyChange carries out an operator's call.
-func (i *instance) applyChange(o *change, answer func(any)) {
-	w, came := i.world, i.world.Now()
-	command, err := state.NewCommand(state.Replace, o.base, o.body)
-	if err != nil {
-		w.fail(ruleRejected, "order %s: %v", o.name, err)
-		return
-	}
-	i.submit(engine.Input{Command: command}, proposalTimeout, func(result engine.Result) {
-		decided, err := state.DecodeResult(result.Value)
-		if result.Err != nil || err != nil {
-			answer(changeAnswer{code: codeUnavailable})
-			return
-		}
-		w.checkAnswered(i, came, i.partitionedSince, "order "+o.name)
-		switch decided := decided.(type) {
-		case state.Accepted:
-			w.recordAcknowledgement(i, o, decided.Generation)
-			answer(changeAnswer{code: codeAccepted, generation: decided.Generation})
-		case state.VersionMismatch:
-			w.checkRejection(i, o, codeMismatch)
-			answer(changeAnswer{code: codeMismatch, generation: decided.Current})
-		default:
-			w.checkRejection(i, o, codeInvalid)
-			answer(changeAnswer{code: codeInvalid})
-		}
-	})
-}
-
-// read carries out an operator's call for the newest version.
-func (i *instance) read(answer func(any)) {
-	i.submit(engine.Input{Barrier: true}, proposalTimeout, func(result engine.Result) {
-		if result.Err != nil {
-			answer(changeAnswer{code: codeUnavailable})
-			return
-		}
-		generation, _ := i.newest()
-		answer(changeAnswer{code: codeAccepted, generation: generation})
-	})
-}
-
-// heartbeat and left carry out endpoints' calls.
-func (i *instance) heartbeat(told protocol.Endpoint, answer func(any)) {
-	came := i.world.Now()
-	i.host.heartbeat(told, func(taken bool) {
-		if taken {
-			i.checkHeartbeat(told, came)
-		}
-		answer(taken)
-	})
-}
-
-// checkHeartbeat: those of ready endpoints, which bind nobody, are acknowledged for a while without a majority.
-func (i *instance) checkHeartbeat(told protocol.Endpoint, came time.Duration) {
-	apart := i.isolatedSince
-	if told.State == protocol.Ready && apart != never {
-		apart += readyGrace
-	}
-	i.world.checkAnswered(i, came, apart, "a heartbeat of "+told.ID)
-}
-
-func (i *instance) deregister(id string, answer func(any)) {
-	came := i.world.Now()
-	i.host.deregister(id, func(taken bool) {
-		if taken {
-			i.world.checkAnswered(i, came, i.isolatedSince, "the end of "+id)
-		}
-		answer(taken)
-	})
-}
-
-func statusOf(s chain.Status) replica.Status {
-	return replica.Status{
-		Self: s.Self, View: s.View, CommitIndex: s.CommitIndex, LiveMembers: s.LiveMembers, IsLeader: s.IsLeader,
-		LeaseExpiry: instant(s.LeaseExpiry), LeaderSince: instant(s.LeaderSince),
-		PreviousLeaseExpiry: instant(s.PreviousLeaseExpiry), ConfirmedAt: instant(s.ConfirmedAt),
-	}
-}
-
 func (i *instance) origin() protocol.Origin {
 	return protocol.Origin{Address: i.address, Incarnation: uint64(i.incarnation)}
 }
--- /dev/null
+++ b/internal/systemsim/machine_faults.go
@@ -0,0 +1,146 @@
+package systemsim
+
+import (
+	"time"
+
+	"raventrestle/coordination/engine"
+)
+
+// restartSoon starts the process again within a second or so.
+func (i *instance) restartSoon() {
+	w := i.world
+	w.After(w.between(20*time.Millisecond, 1200*time.Millisecond), func() { i.start(false) })
+}
+
+// restartOthers restarts all instances but one, in any order, within 0.6 s.
+func (w *World) restartOthers(x *instance) {
+	for _, other := range w.instances {
+		if other == x {
+			continue
+		}
+		w.After(w.between(0, 100*time.Millisecond), func() {
+			other.crash()
+			w.After(w.between(200*time.Millisecond, 500*time.Millisecond), func() { other.start(false) })
+		})
+	}
+}
+
+func (w *World) crashOne() {
+	i := w.headOrAny()
+	i.crash()
+	i.restartSoon()
+}
+
+func (w *World) crashSome() {
+	for _, i := range w.instances {
+		if w.oneIn(2) {
+			i.crash()
+			i.restartSoon()
+		}
+	}
+}
+
+func (w *World) crashAll() {
+	for _, i := range w.instances {
+		i.crash()
+		i.restartSoon()
+	}
+}
+
+func (w *World) losePowerOne() {
+	i := w.headOrAny()
+	i.losePower()
+	i.restartSoon()
+}
+
+func (w *World) losePowerAll() {
+	for _, i := range w.instances {
+		i.losePower()
+		i.restartSoon()
+	}
+}
+
+func (w *World) freezeOne() {
+	i := w.headOrAny()
+	i.freeze()
+	w.After(w.between(100*time.Millisecond, 5*time.Second), i.thaw)
+}
+
+func (w *World) crashRouter() {
+	r := w.randomRouter()
+	r.crash()
+	w.After(w.between(20*time.Millisecond, time.Second), r.start)
+}
+
+func (w *World) freezeRouter() {
+	r := w.randomRouter()
+	r.freeze()
+	w.After(w.between(100*time.Millisecond, 4*time.Second), r.thaw)
+}
+
+// shutDownOne stops an instance in the planned way and starts it again.
+func (w *World) shutDownOne() {
+	i := w.headOrAny()
+	if !i.up() {
+		return
+	}
+	w.tracef("%s leaves", i.address)
+	i.faultAt = w.Now()
+	i.enqueue(engine.Input{Leave: true})
+	asked := w.Now()
+	var wait func()
+	wait = func() {
+		if i.engine.SafeToLeave() && i.busyUntil <= w.Now() || w.Now()-asked > time.Second {
+			i.crash()
+			i.restartSoon()
+			return
+		}
+		i.after(10*time.Millisecond, wait)
+	}
+	i.after(10*time.Millisecond, wait)
+}
+
+func (w *World) slowDisk() {
+	i := w.randomInstance()
+	i.syncDelay = w.between(10*time.Millisecond, time.Second)
+	i.faultAt = w.Now()
+	w.After(w.between(100*time.Millisecond, 2*time.Second), func() {
+		i.syncDelay, i.faultAt = 0, w.Now()
+	})
+}
+
+func (w *World) fillDisk() {
+	i := w.randomInstance()
+	w.tracef("%s: disk full", i.address)
+	i.disk.FailWrites, i.faultAt = true, w.Now()
+	w.After(w.between(100*time.Millisecond, 3*time.Second), func() {
+		i.disk.FailWrites, i.faultAt = false, w.Now()
+	})
+}
+
+// catchUp is how long after the loss of a disk the next fault may come: more at a time than one need not be borne.
+const diskLossInterval = 4 * time.Second
+
+// loseDisk takes one disk, once all instances have been well for long enough to bear that.
+func (w *World) loseDisk() {
+	for _, i := range w.instances {
+		if !i.up() || i.syncDelay > 0 || i.disk.FailWrites {
+			return
+		}
+	}
+	if len(w.network.blocked) > 0 || w.network.degradedAt == never || w.Now()-w.newestInstanceFault() < diskLossInterval {
+		return
+	}
+	i := w.headOrAny()
+	w.noFaultBefore = w.Now() + diskLossInterval
+	i.wipe()
+	i.restartSoon()
+	if w.oneIn(2) {
+		for _, other := range w.instances {
+			if other != i {
+				other.losePower()
+				other.restartSoon()
+			}
+		}
+	}
+}
--- a/internal/systemsim/mesh.go
+++ b/internal/systemsim/mesh.go
@@ -1,6 +1,8 @@
 package systemsim
 
-import "time"
+import (
+	"time"
+)
 
 // Times of the connections between instances, as those of package transport.
 const (
@@ -88,12 +90,3 @@
 		})
 	}
 }
-
-func (w *World) instanceAt(address string) *instance {
-	for _, i := range w.instances {
-		if i.address == address {
-			return i
-		}
-	}
-	return nil
-}
--- a/internal/systemsim/process.go
+++ b/internal/systemsim/process.go
@@ -1,6 +1,8 @@
 package systemsim
 
-import "time"
+import (
+	"time"
+)
 
 // process is what all modelled processes have in common.
 type process struct {
