--- a/internal/control/placer/adapters.go
+++ b/internal/control/placer/adapters.go
@@ -118,7 +118,7 @@
 
 // awayFor is how long the adapter has had no place, as far as it is known to have made way.
 func (f *fleet) awayFor(now time.Time, model, adapter string) time.Duration {
-	if at, known := f.madeWay[adapterKey{model, adapter}]; known {
+	if at, known := f.adapterEvictedAt[adapterKey{model, adapter}]; known {
 		return min(adapterHorizon, now.Sub(at))
 	}
 	return adapterHorizon
@@ -189,14 +189,14 @@
 		return false
 	}
 	least.at.kept = reservation{adapterKey{need.model, need.adapter}, now.Add(adapterHold)}
-	f.madeWay[adapterKey{least.model, least.adapter}] = now
+	f.adapterEvictedAt[adapterKey{least.model, least.adapter}] = now
 	return true
 }
 
 // isKept tells that a place is being made for the adapter.
 func (f *fleet) isKept(now time.Time, need adapterNeed) bool {
 	key := adapterKey{need.model, need.adapter}
-	return slices.ContainsFunc(f.order, func(e *endpoint) bool {
+	return slices.ContainsFunc(f.sortedEndpoints, func(e *endpoint) bool {
 		return now.Before(e.kept.until) && e.kept.adapterKey == key
 	})
 }
@@ -211,7 +211,7 @@
 	if !e.live() || e.plan != nil || e.pending != nil || now.Before(e.pauseUntil) {
 		return false
 	}
-	return e.known || (!p.options.InspectEndpoints && e.settled)
+	return e.known || (!p.config.InspectEndpoints && e.settled)
 }
 
 // leastMissed finds the adapter on the endpoint that may make way and is missed least; one that is in use may only
@@ -239,7 +239,7 @@
 
 // elsewhere tells whether another endpoint has the adapter too.
 func (f *fleet) elsewhere(model, adapter string, but *endpoint) bool {
-	for _, e := range f.order {
+	for _, e := range f.sortedEndpoints {
 		if e == but || !e.live() || e.leaving(model) {
 			continue
 		}
--- a/internal/control/placer/capacity.go
+++ b/internal/control/placer/capacity.go
@@ -69,7 +69,7 @@
 	b.allowed = allowed
 	b.victims = make(map[*endpoint][]victim)
 	b.present = make(map[string]int, len(b.loads))
-	for _, e := range f.order {
+	for _, e := range f.sortedEndpoints {
 		for i := range e.copies {
 			if model := e.copies[i].model; e.offers(model) {
 				b.present[model]++
@@ -95,7 +95,7 @@
 		b.by[name] = l
 	}
 	slices.SortFunc(b.loads, func(x, y *load) int { return cmp.Compare(x.model, y.model) })
-	for _, e := range f.order {
+	for _, e := range f.sortedEndpoints {
 		e.used = 0
 		if e.drags(now) && b.by[e.plan.target] != nil {
 			b.by[e.plan.target].dragging = true
@@ -154,7 +154,7 @@
 	}
 	cost := d.cost
 	if cost == 0 {
-		cost = f.tokenTime
+		cost = f.secondsPerToken
 	}
 	return cost * tokens
 }
@@ -273,21 +273,21 @@
 		}
 		busy += seen
 		tokens += rate
-		cost := min(max(seen/rate, f.tokenTime/learnRange), f.tokenTime*learnRange)
+		cost := min(max(seen/rate, f.secondsPerToken/learnRange), f.secondsPerToken*learnRange)
 		if d.cost == 0 {
-			d.cost = f.tokenTime
+			d.cost = f.secondsPerToken
 		}
 		d.cost += (cost - d.cost) * by
 	}
 	if tokens > 0 {
 		cost := min(max(busy/tokens, priorTokenTime/learnRange), priorTokenTime*learnRange)
-		f.tokenTime += (cost - f.tokenTime) * by
+		f.secondsPerToken += (cost - f.secondsPerToken) * by
 	}
 }
 
 // outPerEndpoint spreads the requests that are out over the endpoints that serve them.
 func (f *fleet) outPerEndpoint(b *book) map[*endpoint]float64 {
-	out := make(map[*endpoint]float64, len(f.order))
+	out := make(map[*endpoint]float64, len(f.sortedEndpoints))
 	for _, l := range b.loads {
 		if l.demand == nil || len(l.sites) == 0 {
 			continue
--- a/internal/control/placer/gate.go
+++ b/internal/control/placer/gate.go
@@ -26,7 +26,7 @@
 	if e.pending != nil || now.Before(e.pauseUntil) {
 		return errBusy
 	}
-	if p.options.InspectEndpoints && !e.known {
+	if p.config.InspectEndpoints && !e.known {
 		return errUnsure
 	}
 	if order.Unload {
@@ -45,7 +45,7 @@
 	if f.room(e) < model.WeightsMB {
 		return errRoom
 	}
-	if !e.held[order.Model] && !p.ledger.allows(now) {
+	if !e.held[order.Model] && !p.loadLimiter.allows(now) {
 		return errCeiling
 	}
 	return nil
@@ -83,7 +83,7 @@
 		room -= f.ordered(e.pending.order)
 	}
 	if !e.known && !e.settled {
-		room -= f.heaviest
+		room -= f.maxModelMB
 	}
 	return room
 }
@@ -131,10 +131,10 @@
 		p.counters.Inadmissible++
 		return false
 	}
-	p.nextOrder++
-	order.ID = p.nextOrder
+	p.lastOrderID++
+	order.ID = p.lastOrderID
 	order.Endpoint, order.Address = e.ID, e.Address
-	if p.options.InspectEndpoints {
+	if p.config.InspectEndpoints {
 		revision := e.revision
 		order.Revision = &revision
 	}
@@ -142,7 +142,7 @@
 	if found := e.find(order.Model); found != nil && order.Unload {
 		e.pending.seen = slices.Contains(found.told, order.Adapter)
 	}
-	p.awaited[order.ID] = e
+	p.unanswered[order.ID] = e
 	p.count(f, e, order)
 	out.Orders = append(out.Orders, order)
 	return true
@@ -160,7 +160,7 @@
 			p.counters.WarmLoads++
 			return
 		}
-		p.ledger.ordered(order.ID)
+		p.loadLimiter.ordered(order.ID)
 	}
 }
 
--- a/internal/control/placer/gate_test.go
+++ b/internal/control/placer/gate_test.go
@@ -40,10 +40,10 @@
 		{"a load of a model that is there", nil, Order{Model: "big"}, errHeld},
 		{"a load without room", func(_ *Placer, f *fleet, _ *endpoint) { f.engine.WeightMemoryMB = 90.9 },
 			Order{Model: "small"}, errRoom},
-		{"a load beyond the rate limit", func(p *Placer, _ *fleet, _ *endpoint) { p.ledger.limit = 0 },
+		{"a load beyond the rate limit", func(p *Placer, _ *fleet, _ *endpoint) { p.loadLimiter.limit = 0 },
 			Order{Model: "small"}, errCeiling},
 		{"a load from the endpoint's own disk beyond the rate limit", func(p *Placer, _ *fleet, e *endpoint) {
-			p.ledger.limit, e.held["small"] = 0, true
+			p.loadLimiter.limit, e.held["small"] = 0, true
 		}, Order{Model: "small"}, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/control/placer/placer.go
+++ b/internal/control/placer/placer.go
@@ -11,20 +11,20 @@
 )
 
 // carefulTime is how long a new holder only does what is urgent: it has not heard from all routers yet.
-const carefulTime = 2 * time.Second
+const urgentOnlyWindow = 2 * time.Second
 
 // hearTime is how long a new holder hears reports before it takes a copy away: all routers have told by then what
 // they have out and were asked for.
-const hearTime = time.Second
+const minObservation = time.Second
 
 // leastLoad is the least time of a load from the store, against load_time_s.
-const leastLoad = 0.9
+const minLoadTimeShare = 0.9
 
 // idleWake is when the next step is due while nothing is under way.
-const idleWake = time.Second
+const idleStepInterval = time.Second
 
 // busyWake is when the next step is due while orders or plans are under way.
-const busyWake = 50 * time.Millisecond
+const busyStepInterval = 50 * time.Millisecond
 
 // Counters count what happened since the start, for people and tests.
 type Counters struct {
@@ -40,39 +40,39 @@
 
 // Placer decides which endpoint holds which models and adapters.
 type Placer struct {
-	options   Config
-	start     time.Time
-	fleets    map[string]*fleet
-	demand    *tally
-	ledger    *ledger
-	nextOrder uint64
-	awaited   map[uint64]*endpoint // orders without a result
-	counters  Counters
-	warm      map[string]map[string]bool // by service and address: models that stand on that disk
+	config      Config
+	startedAt   time.Time
+	fleets      map[string]*fleet
+	demand      *tally
+	loadLimiter *ledger
+	lastOrderID uint64
+	unanswered  map[uint64]*endpoint // orders without a result
+	counters    Counters
+	warmModels  map[string]map[string]bool // by service and address: models that stand on that disk
 }
 
 // New makes a placer that knows nothing yet. The first Step is its start.
 func New(options Config) *Placer {
 	return &Placer{
-		options: options.withDefaults(),
-		fleets:  map[string]*fleet{},
-		demand:  newTally(),
-		awaited: map[uint64]*endpoint{},
-		warm:    map[string]map[string]bool{},
+		config:     options.withDefaults(),
+		fleets:     map[string]*fleet{},
+		demand:     newTally(),
+		unanswered: map[uint64]*endpoint{},
+		warmModels: map[string]map[string]bool{},
 	}
 }
 
 // fleet is one service with an engine, and its endpoints.
 type fleet struct {
-	name      string
-	engine    configuration.Engine
-	models    map[string]configuration.Model
-	endpoints map[string]*endpoint
-	order     []*endpoint              // by ID
-	heaviest  float64                  // model, in MB: the most that an earlier holder's order may be bringing
-	tokenTime float64                  // endpoint seconds of one token over all models, learned
-	decided   time.Time                // last step
-	madeWay   map[adapterKey]time.Time // when adapters last made way for others
+	name             string
+	engine           configuration.Engine
+	models           map[string]configuration.Model
+	endpoints        map[string]*endpoint
+	sortedEndpoints  []*endpoint              // by ID
+	maxModelMB       float64                  // model, in MB: the most that an earlier holder's order may be bringing
+	secondsPerToken  float64                  // endpoint seconds of one token over all models, learned
+	decidedAt        time.Time                // last step
+	adapterEvictedAt map[adapterKey]time.Time // when adapters last made way for others
 }
 
 // Step takes in what is new and returns what is to be done.
@@ -81,33 +81,33 @@
 	if in.Configuration != nil {
 		p.configure(in.Configuration)
 	}
-	p.tableOf(now, in.Endpoints)
+	p.updateEndpoints(now, in.Endpoints)
 	for _, result := range in.Results {
-		p.result(now, result)
+		p.handleResult(now, result)
 	}
 	for _, look := range in.Inspections {
-		p.look(now, look)
+		p.handleInspection(now, look)
 	}
 	p.demand.advance(now)
 	for _, report := range in.Reports {
 		p.demand.take(now, report)
 	}
 	out := Output{}
-	for _, f := range p.sorted() {
-		p.expire(now, f)
+	for _, f := range p.sortedFleets() {
+		p.expireOrders(now, f)
 		p.decide(now, f, &out)
-		p.looks(now, f, &out)
+		p.requestInspections(now, f, &out)
 	}
-	p.wake(now, &out)
+	p.setWakeAt(now, &out)
 	return out
 }
 
 func (p *Placer) begin(now time.Time) {
-	if !p.start.IsZero() {
+	if !p.startedAt.IsZero() {
 		return
 	}
-	p.start = now
-	p.ledger = newLedger(now, p.options.LoadRateWindow, p.options.HandoverGap)
+	p.startedAt = now
+	p.loadLimiter = newLedger(now, p.config.LoadRateWindow, p.config.HandoverGap)
 }
 
 // configure takes a configuration; what endpoints hold stays known.
@@ -122,17 +122,17 @@
 		f := p.fleets[service.Name]
 		if f == nil {
 			f = &fleet{
-				name: service.Name, endpoints: map[string]*endpoint{}, tokenTime: priorTokenTime,
-				madeWay: map[adapterKey]time.Time{},
+				name: service.Name, endpoints: map[string]*endpoint{}, secondsPerToken: priorTokenTime,
+				adapterEvictedAt: map[adapterKey]time.Time{},
 			}
 			p.fleets[service.Name] = f
 		}
 		f.engine = *service.Engine
 		f.models = make(map[string]configuration.Model, len(service.Engine.Models))
-		f.heaviest = 0
+		f.maxModelMB = 0
 		for _, model := range service.Engine.Models {
 			f.models[model.Name] = model
-			f.heaviest = max(f.heaviest, model.WeightsMB)
+			f.maxModelMB = max(f.maxModelMB, model.WeightsMB)
 		}
 		if perSecond == 0 || service.Engine.LoadsPerSecond < perSecond {
 			perSecond = service.Engine.LoadsPerSecond
@@ -143,10 +143,10 @@
 			delete(p.fleets, name)
 		}
 	}
-	p.ledger.setRate(perSecond, p.options.LoadRateFactor, p.options.LoadRateWindow)
+	p.loadLimiter.setRate(perSecond, p.config.LoadRateFactor, p.config.LoadRateWindow)
 }
 
-func (p *Placer) sorted() []*fleet {
+func (p *Placer) sortedFleets() []*fleet {
 	fleets := make([]*fleet, 0, len(p.fleets))
 	for _, f := range p.fleets {
 		fleets = append(fleets, f)
@@ -155,8 +155,8 @@
 	return fleets
 }
 
-// tableOf takes the registry's table.
-func (p *Placer) tableOf(now time.Time, table []protocol.Endpoint) {
+// updateEndpoints takes the registry's table.
+func (p *Placer) updateEndpoints(now time.Time, table []protocol.Endpoint) {
 	present := make(map[string]bool, len(table))
 	for _, told := range table {
 		f := p.fleets[told.Service]
@@ -166,52 +166,52 @@
 		present[told.ID] = true
 		e := f.endpoints[told.ID]
 		if e == nil {
-			e = p.meet(now, f, told)
+			e = p.addEndpoint(now, f, told)
 		}
 		e.beat(now, told)
-		p.remember(f, e)
+		p.recordWarmModels(f, e)
 	}
 	for _, f := range p.fleets {
-		f.dropAbsent(present)
+		f.removeAbsent(present)
 	}
 }
 
-// meet begins to know an endpoint. One that comes later than an earlier holder's last order has had none.
-func (p *Placer) meet(now time.Time, f *fleet, told protocol.Endpoint) *endpoint {
+// addEndpoint begins to know an endpoint. One that comes later than an earlier holder's last order has had none.
+func (p *Placer) addEndpoint(now time.Time, f *fleet, told protocol.Endpoint) *endpoint {
 	e := &endpoint{firstSeen: now, held: map[string]bool{}, lookAt: now}
 	f.endpoints[told.ID] = e
-	f.order = append(f.order, e)
-	fresh := now.Sub(p.start) > answerTime && len(told.Models) == 0
+	f.sortedEndpoints = append(f.sortedEndpoints, e)
+	fresh := now.Sub(p.startedAt) > answerTime && len(told.Models) == 0
 	if !fresh {
-		p.ledger.met(now, told.ID)
+		p.loadLimiter.met(now, told.ID)
 	}
 	if fresh {
 		e.known, e.settled, e.lookAt = true, true, time.Time{}
 	}
 	e.ID = told.ID
-	slices.SortFunc(f.order, func(a, b *endpoint) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(f.sortedEndpoints, func(a, b *endpoint) int { return cmp.Compare(a.ID, b.ID) })
 	return e
 }
 
-// remember notes what an address's disk holds; a later incarnation there may load it faster.
-func (p *Placer) remember(f *fleet, e *endpoint) {
+// recordWarmModels notes what an address's disk holds; a later incarnation there may load it faster.
+func (p *Placer) recordWarmModels(f *fleet, e *endpoint) {
 	key := f.name + " " + e.Address
 	for i := range e.copies {
-		if p.warm[key] == nil {
-			p.warm[key] = map[string]bool{}
+		if p.warmModels[key] == nil {
+			p.warmModels[key] = map[string]bool{}
 		}
-		p.warm[key][e.copies[i].model] = true
+		p.warmModels[key][e.copies[i].model] = true
 	}
 }
 
 // likelyWarm tells whether the endpoint's disk probably has the model. Only held is sure: the address may have
 // been given to a new machine.
 func (p *Placer) likelyWarm(f *fleet, e *endpoint, model string) bool {
-	return e.held[model] || p.warm[f.name+" "+e.Address][model]
+	return e.held[model] || p.warmModels[f.name+" "+e.Address][model]
 }
 
-func (f *fleet) dropAbsent(present map[string]bool) {
-	f.order = slices.DeleteFunc(f.order, func(e *endpoint) bool {
+func (f *fleet) removeAbsent(present map[string]bool) {
+	f.sortedEndpoints = slices.DeleteFunc(f.sortedEndpoints, func(e *endpoint) bool {
 		if present[e.ID] {
 			return false
 		}
@@ -220,16 +220,16 @@
 	})
 }
 
-// result takes the answer to an order.
-func (p *Placer) result(now time.Time, result Result) {
-	e := p.awaited[result.ID]
+// handleResult takes the answer to an order.
+func (p *Placer) handleResult(now time.Time, result Result) {
+	e := p.unanswered[result.ID]
 	if e == nil {
 		return
 	}
-	delete(p.awaited, result.ID)
+	delete(p.unanswered, result.ID)
 	order := e.pending
 	if order == nil || order.order.ID != result.ID {
-		p.ledger.answered(result.ID, now, result.Outcome == Accepted || result.Outcome == Unknown)
+		p.loadLimiter.answered(result.ID, now, result.Outcome == Accepted || result.Outcome == Unknown)
 		return
 	}
 	order.answered, order.sequence = now, e.Sequence
@@ -256,12 +256,12 @@
 			e.doubts(now)
 		}
 	default:
-		p.refused(now, e, result.Outcome)
+		p.handleRejection(now, e, result.Outcome)
 	}
-	p.ledger.answered(result.ID, now, began)
+	p.loadLimiter.answered(result.ID, now, began)
 }
 
-func (p *Placer) refused(now time.Time, e *endpoint, outcome Outcome) {
+func (p *Placer) handleRejection(now time.Time, e *endpoint, outcome Outcome) {
 	p.counters.Rejected++
 	e.pending = nil
 	e.doubts(now)
@@ -273,33 +273,33 @@
 	e.pauseUntil = now.Add(pause)
 }
 
-func (p *Placer) look(now time.Time, told Inspection) {
+func (p *Placer) handleInspection(now time.Time, told Inspection) {
 	for _, f := range p.fleets {
 		if e := f.endpoints[told.Endpoint]; e != nil {
 			if !told.Failed && !told.Busy {
-				p.ledger.idle(now, told.Endpoint, f.shortestLoad(told.Models))
+				p.loadLimiter.idle(now, told.Endpoint, f.minLoadTime(told.Models))
 			}
 			e.look(now, told)
-			p.remember(f, e)
+			p.recordWarmModels(f, e)
 			return
 		}
 	}
 }
 
-// shortestLoad is the least time that a load from the store of one of these models lasts.
-func (f *fleet) shortestLoad(models []protocol.LoadedModel) time.Duration {
+// minLoadTime is the least time that a load from the store of one of these models lasts.
+func (f *fleet) minLoadTime(models []protocol.LoadedModel) time.Duration {
 	shortest := time.Duration(math.MaxInt64)
 	for _, held := range models {
-		lasts := time.Duration(leastLoad * f.models[held.Name].LoadTimeSeconds * float64(time.Second))
+		lasts := time.Duration(minLoadTimeShare * f.models[held.Name].LoadTimeSeconds * float64(time.Second))
 		shortest = min(shortest, lasts)
 	}
 	return shortest
 }
 
-// expire ends what took too long and settles endpoints that no other holder can have orders at.
-func (p *Placer) expire(now time.Time, f *fleet) {
-	for _, e := range f.order {
-		if !e.settled && e.beats > settleBeats && now.Sub(p.start) > settleTime {
+// expireOrders ends what took too long and settles endpoints that no other holder can have orders at.
+func (p *Placer) expireOrders(now time.Time, f *fleet) {
+	for _, e := range f.sortedEndpoints {
+		if !e.settled && e.beats > settleBeats && now.Sub(p.startedAt) > settleTime {
 			e.settled = true
 		}
 		if e.plan != nil && (!e.live() || (e.pending == nil && now.Sub(e.plan.touched) > decidedWithin)) {
@@ -311,25 +311,25 @@
 		}
 		switch {
 		case order.phase == sent && now.Sub(order.issued) > answerTime:
-			p.result(now, Result{ID: order.order.ID, Outcome: Unknown})
+			p.handleResult(now, Result{ID: order.order.ID, Outcome: Unknown})
 		case order.phase == running && order.order.Adapter != "" && now.Sub(order.answered) >= adapterLate:
 			e.done(now)
-		case !p.options.InspectEndpoints && order.phase != sent && now.Sub(order.issued) > f.over(order.order):
-			p.assume(now, e)
+		case !p.config.InspectEndpoints && order.phase != sent && now.Sub(order.issued) > f.orderTimeout(order.order):
+			p.abandonOrder(now, e)
 		}
 	}
 }
 
-// over is when an order that no heartbeat shows as done is taken as done or as never taken.
-func (f *fleet) over(order Order) time.Duration {
+// orderTimeout is when an order that no heartbeat shows as done is taken as done or as never taken.
+func (f *fleet) orderTimeout(order Order) time.Duration {
 	if order.Unload {
 		return 30 * time.Second
 	}
 	return time.Duration(loadLate*f.models[order.Model].LoadTimeSeconds*float64(time.Second)) + answerTime
 }
 
-// assume ends an order that nothing more will be heard of.
-func (p *Placer) assume(now time.Time, e *endpoint) {
+// abandonOrder ends an order that nothing more will be heard of.
+func (p *Placer) abandonOrder(now time.Time, e *endpoint) {
 	if e.pending.order.Unload && e.pending.order.Adapter == "" {
 		e.pending = nil // what is there counts on
 		return
@@ -338,12 +338,12 @@
 	e.doubts(now)
 }
 
-// looks asks for the reports that are due.
-func (p *Placer) looks(now time.Time, f *fleet, out *Output) {
-	if !p.options.InspectEndpoints {
+// requestInspections asks for the reports that are due.
+func (p *Placer) requestInspections(now time.Time, f *fleet, out *Output) {
+	if !p.config.InspectEndpoints {
 		return
 	}
-	for _, e := range f.order {
+	for _, e := range f.sortedEndpoints {
 		if e.State == protocol.Unresponsive || e.lookAt.IsZero() || now.Before(e.lookAt) {
 			continue
 		}
@@ -354,12 +354,12 @@
 	}
 }
 
-func (p *Placer) wake(now time.Time, out *Output) {
-	at := now.Add(idleWake)
+func (p *Placer) setWakeAt(now time.Time, out *Output) {
+	at := now.Add(idleStepInterval)
 	for _, f := range p.fleets {
-		for _, e := range f.order {
+		for _, e := range f.sortedEndpoints {
 			if e.pending != nil || e.plan != nil || !e.lookAt.IsZero() {
-				at = now.Add(busyWake)
+				at = now.Add(busyStepInterval)
 			}
 		}
 	}
--- a/internal/control/placer/plan.go
+++ b/internal/control/placer/plan.go
@@ -34,14 +34,14 @@
 // decide carries on with what is under way and begins what is worth it.
 func (p *Placer) decide(now time.Time, f *fleet, out *Output) {
 	b := p.survey(now, f)
-	p.learn(now, f, b, now.Sub(f.decided))
-	f.decided = now
-	for _, e := range f.order {
+	p.learn(now, f, b, now.Sub(f.decidedAt))
+	f.decidedAt = now
+	for _, e := range f.sortedEndpoints {
 		if e.plan != nil {
 			p.proceed(now, f, b, e, out)
 		}
 	}
-	onlyUrgent := now.Sub(p.start) < carefulTime || p.demand.age(now) < carefulTime
+	onlyUrgent := now.Sub(p.startedAt) < urgentOnlyWindow || p.demand.age(now) < urgentOnlyWindow
 	p.adapters(now, f, b, true, out) // first: these take a moment only, loads seconds
 	for range plansPerStep {
 		if !p.best(now, f, b, onlyUrgent, out) {
@@ -66,11 +66,11 @@
 
 // best makes the most valuable change; false if none is worth it.
 func (p *Placer) best(now time.Time, f *fleet, b *book, onlyUrgent bool, out *Output) bool {
-	if f.loadsUnderWay() >= f.mostLoads(p.options.LoadRateWindow) {
+	if f.loadsUnderWay() >= f.mostLoads(p.config.LoadRateWindow) {
 		return false
 	}
 	var chosen *choice
-	b.prepare(f, p.ledger.allows(now))
+	b.prepare(f, p.loadLimiter.allows(now))
 	for _, l := range b.loads {
 		if !p.candidate(l, onlyUrgent) {
 			continue
@@ -98,12 +98,12 @@
 		return false
 	}
 	most := l.rate*l.demand.worth*(1-worthAt(l.level)) + p.redundant(l) + l.adapterGain
-	return most*horizon+zoneBonus+fitBonus > p.options.LoadCost+p.options.OrderCost+hysteresis
+	return most*horizon+zoneBonus+fitBonus > p.config.LoadCost+p.config.OrderCost+hysteresis
 }
 
 func (f *fleet) loadsUnderWay() int {
 	count := 0
-	for _, e := range f.order {
+	for _, e := range f.sortedEndpoints {
 		if e.target() != "" {
 			count++
 		}
@@ -119,19 +119,19 @@
 	var chosen *choice
 	bases := l.bases(nil)
 	slices.Sort(bases)
-	for _, e := range f.order {
+	for _, e := range f.sortedEndpoints {
 		if !p.takes(now, e, l.model, b.allowed) {
 			continue
 		}
 		c := &choice{load: l, at: e, gain: p.gain(now, l, e, bases)}
-		most := c.gain + fitBonus - p.options.LoadCost - p.options.OrderCost - hysteresis
+		most := c.gain + fitBonus - p.config.LoadCost - p.config.OrderCost - hysteresis
 		if most <= 0 || chosen != nil && most <= chosen.score || !p.victims(now, f, b, c) {
 			continue
 		}
 		if l.dragging && b.waitsToo(c) {
 			continue // one copy in use that leaves for it is enough
 		}
-		price := p.options.LoadCost + p.options.OrderCost*float64(1+len(c.victims))
+		price := p.config.LoadCost + p.config.OrderCost*float64(1+len(c.victims))
 		c.score = c.gain - c.loss - price - hysteresis
 		c.score -= delayLoss * p.loadTime(f, e, l.model).Seconds() * (1 + p.pressing(l))
 		c.score += p.fit(f, e, l, c.victims)
@@ -155,7 +155,7 @@
 	if e.pending != nil && e.pending.order.Adapter == "" {
 		return false // an adapter takes a moment only
 	}
-	if p.options.InspectEndpoints && !e.known {
+	if p.config.InspectEndpoints && !e.known {
 		return false
 	}
 	return allowed || e.held[model]
@@ -179,7 +179,7 @@
 			waited += waitGrowth * now.Sub(d.waitingSince).Seconds()
 		}
 		now := p.pressing(l) * d.worth * waited
-		return now + horizon*math.Max(l.rate, l.steady)*(missLoss*d.worth+p.options.LoadCost)*after
+		return now + horizon*math.Max(l.rate, l.steady)*(missLoss*d.worth+p.config.LoadCost)*after
 	}
 	rate := l.rate * d.worth * (after - worthAt(l.level))
 	sum := horizon * (rate + p.redundant(l) + l.adapterGain)
@@ -216,7 +216,7 @@
 		target: c.load.model, victims: slices.Clone(c.victims), decided: now, touched: now, score: c.score,
 		reason: p.reason(c),
 	}
-	for _, e := range f.order {
+	for _, e := range f.sortedEndpoints {
 		if e != c.at && e.drags(now) && e.plan.target == c.load.model {
 			e.plan = nil // its unload goes on, and the room is for what is best then
 		}
@@ -253,7 +253,7 @@
 
 // proceed sends the next order of an endpoint's plan.
 func (p *Placer) proceed(now time.Time, f *fleet, b *book, e *endpoint, out *Output) {
-	if e.pending != nil || now.Before(e.pauseUntil) || (p.options.InspectEndpoints && !e.known) {
+	if e.pending != nil || now.Before(e.pauseUntil) || (p.config.InspectEndpoints && !e.known) {
 		return
 	}
 	current := e.plan
@@ -263,7 +263,7 @@
 		return
 	}
 	if f.room(e) >= f.models[current.target].WeightsMB {
-		if !e.held[current.target] && !p.ledger.allows(now) {
+		if !e.held[current.target] && !p.loadLimiter.allows(now) {
 			return
 		}
 		e.plan = nil
--- a/internal/control/placer/victims.go
+++ b/internal/control/placer/victims.go
@@ -73,7 +73,7 @@
 	if l == nil { // not in the configuration any more
 		return v, true
 	}
-	if now.Sub(p.start) < hearTime || p.demand.age(now) < hearTime {
+	if now.Sub(p.startedAt) < minObservation || p.demand.age(now) < minObservation {
 		return v, false
 	}
 	last := b.present[held.model] == 0 || b.present[held.model] == 1 && e.offers(held.model)
@@ -90,7 +90,7 @@
 // present counts the endpoints other than this that serve the model now.
 func (f *fleet) present(model string, but *endpoint) int {
 	count := 0
-	for _, e := range f.order {
+	for _, e := range f.sortedEndpoints {
 		if e != but && e.offers(model) {
 			count++
 		}
@@ -117,7 +117,7 @@
 	}
 	for _, name := range held.adapters {
 		if a := d.adapters[name]; a != nil {
-			sum += (adapterMove + p.options.OrderCost) * math.Min(1, a.slow.rate(p.demand.age(now), slowTime)*horizon)
+			sum += (adapterMove + p.config.OrderCost) * math.Min(1, a.slow.rate(p.demand.age(now), slowTime)*horizon)
 		}
 	}
 	return sum
@@ -127,7 +127,7 @@
 // asked for yet nothing is known, except that somebody put it there: it may be the next that is asked for much.
 func (p *Placer) lastLoss(now time.Time, l *load) float64 {
 	if l.demand == nil || l.demand.askedAt.IsZero() {
-		return dormantWorth * math.Exp(-now.Sub(p.start).Seconds()/dormantTime.Seconds())
+		return dormantWorth * math.Exp(-now.Sub(p.startedAt).Seconds()/dormantTime.Seconds())
 	}
-	return horizon * math.Max(l.rate, l.steady) * (missLoss*l.demand.worth + p.options.LoadCost)
+	return horizon * math.Max(l.rate, l.steady) * (missLoss*l.demand.worth + p.config.LoadCost)
 }
