--- a/internal/control/placer/adapters.go
+++ b/internal/control/placer/adapters.go
@@ -86,7 +86,7 @@
 
 // adapterNeeds lists the asked-for adapters that have too few places, the most wanted first.
 func (p *Placer) adapterNeeds(now time.Time, f *fleet, b *book) []adapterNeed {
-	age := p.demand.age(now)
+	age := p.demand.observedFor(now)
 	var needs []adapterNeed
 	for _, l := range b.loads {
 		if l.demand == nil || len(l.sites) == 0 {
@@ -94,10 +94,10 @@
 		}
 		cost := f.requestTime(l.demand, age)
 		for name, d := range l.demand.adapters {
-			if now.Sub(d.askedAt) > adapterHorizon && d.waiting == 0 {
+			if now.Sub(d.lastRequestAt) > adapterHorizon && d.waiting == 0 {
 				continue
 			}
-			rate := d.slow.rate(age, slowTime)
+			rate := d.slowRate.rate(age, slowTimeConstant)
 			wanted := 1 + int(rate*cost/adapterShare)
 			have := l.adapterPlaces(name)
 			if have >= wanted {
@@ -170,7 +170,7 @@
 		}
 		return false
 	}
-	fading := need.demand.waiting == 0 && now.Sub(need.demand.askedAt) >= adapterFade
+	fading := need.demand.waiting == 0 && now.Sub(need.demand.lastRequestAt) >= adapterFade
 	if least.at == nil || !nowhere || fading || f.isKept(now, need) {
 		return false
 	}
@@ -223,7 +223,7 @@
 		for _, adapter := range c.adapters {
 			candidate := place{at: e, model: c.model, adapter: adapter, since: c.adapterSince(adapter)}
 			if d := p.adapterDemand(f, c.model, adapter); d != nil {
-				candidate.asked, candidate.running = d.askedAt, d.running+d.waiting
+				candidate.asked, candidate.running = d.lastRequestAt, d.running+d.waiting
 			}
 			if !candidate.faded(now) && (!turns || now.Sub(candidate.since) < adapterStay) {
 				continue
@@ -301,9 +301,9 @@
 func (p *Placer) adapterWorth(now time.Time, f *fleet, l *load, age time.Duration) float64 {
 	inUse, rate := 0, 0.0
 	for _, d := range l.demand.adapters {
-		if now.Sub(d.askedAt) <= adapterHorizon {
+		if now.Sub(d.lastRequestAt) <= adapterHorizon {
 			inUse++
-			rate += d.slow.rate(age, slowTime)
+			rate += d.slowRate.rate(age, slowTimeConstant)
 		}
 	}
 	if inUse == 0 {
@@ -311,5 +311,5 @@
 	}
 	places := f.engine.AdapterSlots * len(l.sites)
 	more := min(inUse, places+f.engine.AdapterSlots) - min(inUse, places)
-	return adapterLoss * rate * l.demand.worth * float64(more) / float64(inUse)
+	return adapterLoss * rate * l.demand.value * float64(more) / float64(inUse)
 }
--- a/internal/control/placer/capacity.go
+++ b/internal/control/placer/capacity.go
@@ -81,14 +81,14 @@
 // survey makes the book: who serves what, how much is asked, and how busy that makes the endpoints.
 func (p *Placer) survey(now time.Time, f *fleet) *book {
 	b := &book{by: make(map[string]*load, len(f.models))}
-	age := p.demand.age(now)
-	whole := p.demand.wholeOf(f.name)
+	age := p.demand.observedFor(now)
+	whole := p.demand.totalOf(f.name)
 	for name, model := range f.models {
 		ahead := time.Duration(model.LoadTimeSeconds * float64(time.Second))
-		l := &load{model: name, demand: p.demand.models[f.name][name], steady: priorRate}
+		l := &load{model: name, demand: p.demand.models[f.name][name], steady: initialRate}
 		if d := l.demand; d != nil {
-			l.rate = d.projected(whole.fast, whole.slow, age, ahead)
-			l.steady = d.steady(age)
+			l.rate = d.projectedRate(whole.fastRate, whole.slowRate, age, ahead)
+			l.steady = d.longTermRate(age)
 			l.time = l.rate * f.requestTime(d, age)
 		}
 		b.loads = append(b.loads, l)
@@ -149,10 +149,10 @@
 // requestTime is how long one request of the model keeps an endpoint busy.
 func (f *fleet) requestTime(d *demand, age time.Duration) float64 {
 	tokens := usualTokens * 1.0
-	if rate := d.slow.rate(age, slowTime); rate > 0 {
-		tokens = max(1, d.tokens.rate(age, slowTime)/rate)
+	if rate := d.slowRate.rate(age, slowTimeConstant); rate > 0 {
+		tokens = max(1, d.tokenRate.rate(age, slowTimeConstant)/rate)
 	}
-	cost := d.cost
+	cost := d.secondsPerToken
 	if cost == 0 {
 		cost = f.secondsPerToken
 	}
@@ -252,14 +252,14 @@
 
 // learn compares the requests that are out with the rate, and so learns what a request costs.
 func (p *Placer) learn(now time.Time, f *fleet, b *book, elapsed time.Duration) {
-	age := p.demand.age(now)
+	age := p.demand.observedFor(now)
 	r := balance * float64(max(1, f.engine.Slots))
 	out := f.outPerEndpoint(b)
 	by := 1 - math.Exp(-elapsed.Seconds()/learnTime.Seconds())
 	busy, tokens := 0.0, 0.0
 	for _, l := range b.loads {
 		d := l.demand
-		if d == nil || d.running <= 0 || d.slow.rate(age, slowTime) < learnFrom || d.waiting > d.running {
+		if d == nil || d.running <= 0 || d.slowRate.rate(age, slowTimeConstant) < learnFrom || d.waiting > d.running {
 			continue
 		}
 		seen := 0.0
@@ -267,17 +267,17 @@
 			part := float64(d.running) / float64(len(l.sites))
 			seen += part / (out[s.at] + r)
 		}
-		rate := d.tokens.rate(age, slowTime)
+		rate := d.tokenRate.rate(age, slowTimeConstant)
 		if rate <= 0 || seen <= 0 {
 			continue
 		}
 		busy += seen
 		tokens += rate
 		cost := min(max(seen/rate, f.secondsPerToken/learnRange), f.secondsPerToken*learnRange)
-		if d.cost == 0 {
-			d.cost = f.secondsPerToken
+		if d.secondsPerToken == 0 {
+			d.secondsPerToken = f.secondsPerToken
 		}
-		d.cost += (cost - d.cost) * by
+		d.secondsPerToken += (cost - d.secondsPerToken) * by
 	}
 	if tokens > 0 {
 		cost := min(max(busy/tokens, priorTokenTime/learnRange), priorTokenTime*learnRange)
--- a/internal/control/placer/golden_test.go
+++ b/internal/control/placer/golden_test.go
@@ -138,8 +138,8 @@
 			line := fmt.Sprintf("model %s rate %s steady %s time %s level %s adapter gain %.9g", l.model, exact(l.rate),
 				exact(l.steady), exact(l.time), exact(l.level), l.adapterGain)
 			if d := l.demand; d != nil {
-				line += fmt.Sprintf(" value %s unmet %s waiting %d running %d cost %s", exact(d.worth), exact(d.unmet),
-					d.waiting, d.running, exact(d.cost))
+				line += fmt.Sprintf(" value %s unmet %s waiting %d running %d cost %s", exact(d.value), exact(d.unmet),
+					d.waiting, d.running, exact(d.secondsPerToken))
 			}
 			f.record("%s", line)
 		}
--- a/internal/control/placer/placer.go
+++ b/internal/control/placer/placer.go
@@ -43,7 +43,7 @@
 	config      Config
 	startedAt   time.Time
 	fleets      map[string]*fleet
-	demand      *tally
+	demand      *demandTable
 	loadLimiter *ledger
 	lastOrderID uint64
 	unanswered  map[uint64]*endpoint // orders without a result
@@ -56,7 +56,7 @@
 	return &Placer{
 		config:     options.withDefaults(),
 		fleets:     map[string]*fleet{},
-		demand:     newTally(),
+		demand:     newDemandTable(),
 		unanswered: map[uint64]*endpoint{},
 		warmModels: map[string]map[string]bool{},
 	}
@@ -90,7 +90,7 @@
 	}
 	p.demand.advance(now)
 	for _, report := range in.Reports {
-		p.demand.take(now, report)
+		p.demand.addReport(now, report)
 	}
 	out := Output{}
 	for _, f := range p.sortedFleets() {
--- a/internal/control/placer/plan.go
+++ b/internal/control/placer/plan.go
@@ -41,7 +41,7 @@
 			p.proceed(now, f, b, e, out)
 		}
 	}
-	onlyUrgent := now.Sub(p.startedAt) < urgentOnlyWindow || p.demand.age(now) < urgentOnlyWindow
+	onlyUrgent := now.Sub(p.startedAt) < urgentOnlyWindow || p.demand.observedFor(now) < urgentOnlyWindow
 	p.adapters(now, f, b, true, out) // first: these take a moment only, loads seconds
 	for range plansPerStep {
 		if !p.best(now, f, b, onlyUrgent, out) {
@@ -49,7 +49,7 @@
 		}
 	}
 	p.adapters(now, f, b, false, out)
-	if !onlyUrgent || p.demand.start.IsZero() {
+	if !onlyUrgent || p.demand.observedSince.IsZero() {
 		p.fillPlaces(now, f, b, out)
 	}
 }
@@ -92,12 +92,12 @@
 		return false
 	}
 	if len(l.sites) == 0 {
-		return l.demand.wanted() || !onlyUrgent
+		return l.demand.hasUnmetRequests() || !onlyUrgent
 	}
 	if onlyUrgent {
 		return false
 	}
-	most := l.rate*l.demand.worth*(1-worthAt(l.level)) + p.redundant(l) + l.adapterGain
+	most := l.rate*l.demand.value*(1-worthAt(l.level)) + p.redundant(l) + l.adapterGain
 	return most*horizon+zoneBonus+fitBonus > p.config.LoadCost+p.config.OrderCost+hysteresis
 }
 
@@ -178,10 +178,10 @@
 		if !d.waitingSince.IsZero() {
 			waited += waitGrowth * now.Sub(d.waitingSince).Seconds()
 		}
-		now := p.pressing(l) * d.worth * waited
-		return now + horizon*math.Max(l.rate, l.steady)*(missLoss*d.worth+p.config.LoadCost)*after
+		now := p.pressing(l) * d.value * waited
+		return now + horizon*math.Max(l.rate, l.steady)*(missLoss*d.value+p.config.LoadCost)*after
 	}
-	rate := l.rate * d.worth * (after - worthAt(l.level))
+	rate := l.rate * d.value * (after - worthAt(l.level))
 	sum := horizon * (rate + p.redundant(l) + l.adapterGain)
 	if !l.inZone(e.Zone) {
 		sum += zoneBonus
@@ -194,7 +194,7 @@
 	if len(l.sites) != 1 {
 		return 0
 	}
-	return redundancy * l.rate * l.demand.worth
+	return redundancy * l.rate * l.demand.value
 }
 
 func (l *load) inZone(zone string) bool {
@@ -275,7 +275,7 @@
 		return
 	}
 	victim := current.victims[0]
-	if d := p.demand.models[f.name][victim]; d != nil && d.recent(now) && f.present(victim, e) == 0 {
+	if d := p.demand.models[f.name][victim]; d != nil && d.isRecent(now) && f.present(victim, e) == 0 {
 		e.plan = nil
 		return
 	}
--- a/internal/control/placer/victims.go
+++ b/internal/control/placer/victims.go
@@ -73,14 +73,14 @@
 	if l == nil { // not in the configuration any more
 		return v, true
 	}
-	if now.Sub(p.startedAt) < minObservation || p.demand.age(now) < minObservation {
+	if now.Sub(p.startedAt) < minObservation || p.demand.observedFor(now) < minObservation {
 		return v, false
 	}
 	last := b.present[held.model] == 0 || b.present[held.model] == 1 && e.offers(held.model)
 	if now.Sub(held.since) < residence && (last || l.demand == nil) {
 		return v, false
 	}
-	if last && l.demand != nil && l.demand.recent(now) {
+	if last && l.demand != nil && l.demand.isRecent(now) {
 		return v, false
 	}
 	v.loss = p.loss(now, l, e, held, last)
@@ -107,9 +107,9 @@
 	if d == nil {
 		return 0
 	}
-	rate := l.rate * d.worth * (worthAt(l.level) - worthAt(l.levelWithout(e)))
+	rate := l.rate * d.value * (worthAt(l.level) - worthAt(l.levelWithout(e)))
 	if len(l.sites) == 2 {
-		rate += redundancy * l.rate * d.worth
+		rate += redundancy * l.rate * d.value
 	}
 	sum := horizon * rate
 	if out := float64(d.running) / float64(max(1, len(l.sites))); out > 0.5 {
@@ -117,7 +117,7 @@
 	}
 	for _, name := range held.adapters {
 		if a := d.adapters[name]; a != nil {
-			sum += (adapterMove + p.config.OrderCost) * math.Min(1, a.slow.rate(p.demand.age(now), slowTime)*horizon)
+			sum += (adapterMove + p.config.OrderCost) * math.Min(1, a.slowRate.rate(p.demand.observedFor(now), slowTimeConstant)*horizon)
 		}
 	}
 	return sum
@@ -126,8 +126,8 @@
 // lastLoss is what it costs to have no copy of the model: its next requests wait for a load. Of a model that nobody
 // asked for yet nothing is known, except that somebody put it there: it may be the next that is asked for much.
 func (p *Placer) lastLoss(now time.Time, l *load) float64 {
-	if l.demand == nil || l.demand.askedAt.IsZero() {
+	if l.demand == nil || l.demand.lastRequestAt.IsZero() {
 		return dormantWorth * math.Exp(-now.Sub(p.startedAt).Seconds()/dormantTime.Seconds())
 	}
-	return horizon * math.Max(l.rate, l.steady) * (missLoss*l.demand.worth + p.config.LoadCost)
+	return horizon * math.Max(l.rate, l.steady) * (missLoss*l.demand.value + p.config.LoadCost)
 }
