--- a/internal/control/placer/adapters.go
+++ b/internal/control/placer/adapters.go
@@ -136,7 +136,7 @@
 		moving := order != nil && order.order.Model == l.model && order.order.Adapter == adapter
 		switch {
 		case moving && order.order.Unload:
-		case moving, found.has(adapter):
+		case moving, found.hasAdapter(adapter):
 			count++
 		}
 	}
@@ -150,11 +150,11 @@
 	nowhere := l.adapterPlaces(need.adapter) == 0
 	for _, s := range l.sites {
 		e := s.at
-		if e.find(need.model) == nil || e.find(need.model).has(need.adapter) || !p.quiet(now, e) {
+		if e.find(need.model) == nil || e.find(need.model).hasAdapter(need.adapter) || !p.quiet(now, e) {
 			continue
 		}
 		if f.places(e) > 0 && f.room(e) >= f.models[need.model].AdapterSizeMB && e.keepsFor(now, need) {
-			if free == nil || e.used < free.used {
+			if free == nil || e.utilization < free.utilization {
 				free = e
 			}
 			continue
@@ -188,7 +188,7 @@
 	if !p.issue(now, f, least.at, order, out) {
 		return false
 	}
-	least.at.kept = reservation{adapterKey{need.model, need.adapter}, now.Add(adapterHold)}
+	least.at.adapterReservation = reservation{adapterKey{need.model, need.adapter}, now.Add(adapterHold)}
 	f.adapterEvictedAt[adapterKey{least.model, least.adapter}] = now
 	return true
 }
@@ -197,29 +197,29 @@
 func (f *fleet) isKept(now time.Time, need adapterNeed) bool {
 	key := adapterKey{need.model, need.adapter}
 	return slices.ContainsFunc(f.sortedEndpoints, func(e *endpoint) bool {
-		return now.Before(e.kept.until) && e.kept.adapterKey == key
+		return now.Before(e.adapterReservation.until) && e.adapterReservation.adapterKey == key
 	})
 }
 
 // keepsFor tells whether a free place of the endpoint may go to the adapter.
 func (e *endpoint) keepsFor(now time.Time, need adapterNeed) bool {
-	return !now.Before(e.kept.until) || e.kept.adapterKey == adapterKey{need.model, need.adapter}
+	return !now.Before(e.adapterReservation.until) || e.adapterReservation.adapterKey == adapterKey{need.model, need.adapter}
 }
 
 // quiet tells whether an order may be sent to the endpoint that is no part of a plan.
 func (p *Placer) quiet(now time.Time, e *endpoint) bool {
-	if !e.live() || e.plan != nil || e.pending != nil || now.Before(e.pauseUntil) {
+	if !e.isReady() || e.plan != nil || e.pending != nil || now.Before(e.backoffUntil) {
 		return false
 	}
-	return e.known || (!p.config.InspectEndpoints && e.settled)
+	return e.stateKnown || (!p.config.InspectEndpoints && e.inheritedOrdersOver)
 }
 
 // leastMissed finds the adapter on the endpoint that may make way and is missed least; one that is in use may only
 // for an adapter that is nowhere, after its turn.
 func (p *Placer) leastMissed(now time.Time, f *fleet, e *endpoint, turns bool) (place, bool) {
 	least := place{}
-	for i := range e.copies {
-		c := &e.copies[i]
+	for i := range e.models {
+		c := &e.models[i]
 		for _, adapter := range c.adapters {
 			candidate := place{at: e, model: c.model, adapter: adapter, since: c.adapterSince(adapter)}
 			if d := p.adapterDemand(f, c.model, adapter); d != nil {
@@ -240,10 +240,10 @@
 // elsewhere tells whether another endpoint has the adapter too.
 func (f *fleet) elsewhere(model, adapter string, but *endpoint) bool {
 	for _, e := range f.sortedEndpoints {
-		if e == but || !e.live() || e.leaving(model) {
+		if e == but || !e.isReady() || e.isUnloading(model) {
 			continue
 		}
-		if found := e.find(model); found != nil && found.has(adapter) {
+		if found := e.find(model); found != nil && found.hasAdapter(adapter) {
 			return true
 		}
 	}
--- a/internal/control/placer/capacity.go
+++ b/internal/control/placer/capacity.go
@@ -70,8 +70,8 @@
 	b.victims = make(map[*endpoint][]victim)
 	b.present = make(map[string]int, len(b.loads))
 	for _, e := range f.sortedEndpoints {
-		for i := range e.copies {
-			if model := e.copies[i].model; e.offers(model) {
+		for i := range e.models {
+			if model := e.models[i].model; e.isServing(model) {
 				b.present[model]++
 			}
 		}
@@ -96,8 +96,8 @@
 	}
 	slices.SortFunc(b.loads, func(x, y *load) int { return cmp.Compare(x.model, y.model) })
 	for _, e := range f.sortedEndpoints {
-		e.used = 0
-		if e.drags(now) && b.by[e.plan.target] != nil {
+		e.utilization = 0
+		if e.unloadStalled(now) && b.by[e.plan.target] != nil {
 			b.by[e.plan.target].dragging = true
 		}
 		f.eachServed(now, e, func(model string) {
@@ -117,15 +117,15 @@
 
 // eachServed calls with every model that requests may go to the endpoint for, now or soon.
 func (f *fleet) eachServed(now time.Time, e *endpoint, call func(string)) {
-	if !e.live() {
+	if !e.isReady() {
 		return
 	}
-	for i := range e.copies {
-		if e.serves(e.copies[i].model) {
-			call(e.copies[i].model)
+	for i := range e.models {
+		if e.willServe(e.models[i].model) {
+			call(e.models[i].model)
 		}
 	}
-	if target := e.target(); target != "" && e.find(target) == nil && !e.drags(now) {
+	if target := e.target(); target != "" && e.find(target) == nil && !e.unloadStalled(now) {
 		call(target)
 	}
 }
@@ -176,7 +176,7 @@
 // respread takes the load off its endpoints and pours it on them again.
 func (l *load) respread(amount float64) {
 	for i := range l.sites {
-		l.sites[i].at.used -= l.sites[i].share
+		l.sites[i].at.utilization -= l.sites[i].share
 		l.sites[i].share = 0
 	}
 	if len(l.sites) == 0 {
@@ -185,13 +185,13 @@
 	}
 	bases := make([]float64, len(l.sites))
 	for i := range l.sites {
-		bases[i] = l.sites[i].at.used
+		bases[i] = l.sites[i].at.utilization
 	}
 	l.level = waterline(bases, amount)
 	for i := range l.sites {
-		share := max(0, l.level-l.sites[i].at.used)
+		share := max(0, l.level-l.sites[i].at.utilization)
 		l.sites[i].share = share
-		l.sites[i].at.used += share
+		l.sites[i].at.utilization += share
 	}
 }
 
@@ -244,7 +244,7 @@
 	bases := make([]float64, 0, len(l.sites)+1)
 	for _, s := range l.sites {
 		if s.at != but {
-			bases = append(bases, s.at.used-s.share)
+			bases = append(bases, s.at.utilization-s.share)
 		}
 	}
 	return bases
--- a/internal/control/placer/endpoint.go
+++ b/internal/control/placer/endpoint.go
@@ -10,202 +10,202 @@
 
 // Times within which an endpoint's knowledge is refreshed.
 const (
-	lookAgain     = 300 * time.Millisecond // a look is asked again when no answer came or it told nothing new
-	firstLook     = 120 * time.Millisecond // after an order: a report is about 100 ms old
-	adapterTime   = 200 * time.Millisecond // an adapter arrives within some ms, and a heartbeat says so
-	adapterLate   = time.Second            // without one it is taken as there
-	answerTime    = 3 * time.Second        // an order without a result for so long has none
-	doubtTime     = time.Second            // an order without an answer may still arrive for so long
-	refusedPause  = 300 * time.Millisecond // after 409
-	invalidPause  = 2 * time.Second        // after another 4xx
-	settleTime    = 15 * time.Second       // without looks: an earlier holder's order is over by then
-	settleBeats   = 2                      // without looks: heartbeats that must have followed
-	goneBeats     = 2                      // heartbeats without the model after an unload's answer, one may be older
-	forgetBeats   = 4                      // heartbeats without a model that nobody unloaded
-	loadLate      = 3                      // an unanswered load is over after so many load times
-	dragTime      = 700 * time.Millisecond // an unload that lasts longer waits for runs
-	decidedWithin = 4 * time.Second        // a plan that could not begin for so long is decided anew
+	inspectionInterval       = 300 * time.Millisecond // a look is asked again when no answer came or it told nothing new
+	firstInspectionDelay     = 120 * time.Millisecond // after an order: a report is about 100 ms old
+	adapterLoadTime          = 200 * time.Millisecond // an adapter arrives within some ms, and a heartbeat says so
+	adapterLoadTimeout       = time.Second            // without one it is taken as there
+	answerTimeout            = 3 * time.Second        // an order without a result for so long has none
+	lateArrivalWindow        = time.Second            // an order without an answer may still arrive for so long
+	busyBackoff              = 300 * time.Millisecond // after 409
+	invalidBackoff           = 2 * time.Second        // after another 4xx
+	inheritedOrderWindow     = 15 * time.Second       // without looks: an earlier holder's order is over by then
+	inheritedOrderHeartbeats = 2                      // without looks: heartbeats that must have followed
+	unloadHeartbeats         = 2                      // heartbeats without the model after an unload's answer, one may be older
+	missingHeartbeats        = 4                      // heartbeats without a model that nobody unloaded
+	loadTimeoutFactor        = 3                      // an unanswered load is over after so many load times
+	unloadStallTimeout       = 700 * time.Millisecond // an unload that lasts longer waits for runs
+	planTimeout              = 4 * time.Second        // a plan that could not begin for so long is decided anew
 )
 
-// phase says how far an order is.
-type phase uint8
+// orderPhase says how far an order is.
+type orderPhase uint8
 
 const (
-	sent    phase = iota // no result yet
-	running              // accepted
-	doubted              // no answer: it may have been taken
+	orderSent      orderPhase = iota // no result yet
+	orderAccepted                    // accepted
+	orderUncertain                   // no answer: it may have been taken
 )
 
-// pending is the one order that an endpoint may be carrying out.
-type pending struct {
-	order    Order
-	phase    phase
-	issued   time.Time
-	answered time.Time
-	sequence uint64 // of the newest heartbeat when it was answered
-	expected time.Time
-	shown    bool // a heartbeat showed the effect before the answer came
-	seen     bool // of an adapter to be unloaded: a heartbeat had shown it
+// pendingOrder is the one order that an endpoint may be carrying out.
+type pendingOrder struct {
+	order            Order
+	phase            orderPhase
+	sentAt           time.Time
+	answeredAt       time.Time
+	sequenceAtAnswer uint64 // of the newest heartbeat when it was answered
+	expectedAt       time.Time
+	effectSeen       bool // a heartbeat showed the effect before the answer came
+	adapterSeen      bool // of an adapter to be unloaded: a heartbeat had shown it
 }
 
-// copyOf is a model in an endpoint's memory.
-type copyOf struct {
-	model    string
-	adapters []string // sorted
-	since    time.Time
-	missing  int                  // heartbeats in a row that did not show it
-	seen     bool                 // a heartbeat showed it: one without it is newer than its end
-	told     []string             // its adapters in the newest heartbeat that showed it
-	came     map[string]time.Time // when its adapters came, where that was seen
+// loadedModel is a model in an endpoint's memory.
+type loadedModel struct {
+	model            string
+	adapters         []string // sorted
+	loadedAt         time.Time
+	missedHeartbeats int                  // heartbeats in a row that did not show it
+	confirmed        bool                 // a heartbeat showed it: one without it is newer than its end
+	reportedAdapters []string             // its adapters in the newest heartbeat that showed it
+	adapterLoadedAt  map[string]time.Time // when its adapters came, where that was seen
 }
 
 // plan is what is to become of an endpoint in several orders: victims make way, then the target is loaded.
 type plan struct {
-	target  string
-	victims []string
-	decided time.Time
-	touched time.Time // when its last order was sent
-	score   float64
-	reason  string
+	target         string
+	victims        []string
+	decidedAt      time.Time
+	lastProgressAt time.Time // when its last order was sent
+	score          float64
+	reason         string
 }
 
 // endpoint is what the placer believes of one endpoint. It errs on the side of less room: copies holds everything
 // that may be there, pending what may be arriving.
 type endpoint struct {
 	protocol.Endpoint
-	copies     []copyOf // sorted by model
-	pending    *pending
-	plan       *plan
-	firstSeen  time.Time
-	beats      int // heartbeats seen
-	revision   uint64
-	known      bool // revision and copies are exact, but for pending
-	settled    bool // without looks: nobody else's order can be under way
-	lookAt     time.Time
-	looking    bool
-	pauseUntil time.Time
-	held       map[string]bool // models this incarnation has surely held: its own disk has them
-	used       float64         // share of its time in use, as estimated
-	kept       reservation     // a place for an adapter
+	models              []loadedModel // sorted by model
+	pending             *pendingOrder
+	plan                *plan
+	firstSeenAt         time.Time
+	heartbeats          int // heartbeats seen
+	revision            uint64
+	stateKnown          bool // revision and copies are exact, but for pending
+	inheritedOrdersOver bool // without looks: nobody else's order can be under way
+	inspectAt           time.Time
+	inspecting          bool
+	backoffUntil        time.Time
+	onDisk              map[string]bool // models this incarnation has surely held: its own disk has them
+	utilization         float64         // share of its time in use, as estimated
+	adapterReservation  reservation     // a place for an adapter
 }
 
-func (e *endpoint) live() bool { return e.State == protocol.Ready }
+func (e *endpoint) isReady() bool { return e.State == protocol.Ready }
 
-func (e *endpoint) find(model string) *copyOf {
-	for i := range e.copies {
-		if e.copies[i].model == model {
-			return &e.copies[i]
+func (e *endpoint) find(model string) *loadedModel {
+	for i := range e.models {
+		if e.models[i].model == model {
+			return &e.models[i]
 		}
 	}
 	return nil
 }
 
-func (e *endpoint) add(model string, now time.Time) *copyOf {
+func (e *endpoint) add(model string, now time.Time) *loadedModel {
 	if found := e.find(model); found != nil {
 		return found
 	}
-	e.copies = append(e.copies, copyOf{model: model, since: now})
-	slices.SortFunc(e.copies, func(a, b copyOf) int { return strings.Compare(a.model, b.model) })
-	e.held[model] = true
+	e.models = append(e.models, loadedModel{model: model, loadedAt: now})
+	slices.SortFunc(e.models, func(a, b loadedModel) int { return strings.Compare(a.model, b.model) })
+	e.onDisk[model] = true
 	return e.find(model)
 }
 
 func (e *endpoint) remove(model string) {
-	e.copies = slices.DeleteFunc(e.copies, func(c copyOf) bool { return c.model == model })
+	e.models = slices.DeleteFunc(e.models, func(c loadedModel) bool { return c.model == model })
 }
 
-func (c *copyOf) has(adapter string) bool { return slices.Contains(c.adapters, adapter) }
+func (c *loadedModel) hasAdapter(adapter string) bool { return slices.Contains(c.adapters, adapter) }
 
-func (c *copyOf) addAdapter(adapter string) {
-	if c.has(adapter) {
+func (c *loadedModel) addAdapter(adapter string) {
+	if c.hasAdapter(adapter) {
 		return
 	}
 	c.adapters = append(c.adapters, adapter)
 	slices.Sort(c.adapters)
 }
 
-func (c *copyOf) arrived(adapter string, now time.Time) {
-	if c.came == nil {
-		c.came = map[string]time.Time{}
+func (c *loadedModel) setAdapterLoadedAt(adapter string, now time.Time) {
+	if c.adapterLoadedAt == nil {
+		c.adapterLoadedAt = map[string]time.Time{}
 	}
-	c.came[adapter] = now
+	c.adapterLoadedAt[adapter] = now
 }
 
 // adapterSince is when the adapter came, zero if it was always there.
-func (c *copyOf) adapterSince(adapter string) time.Time { return c.came[adapter] }
+func (c *loadedModel) adapterSince(adapter string) time.Time { return c.adapterLoadedAt[adapter] }
 
-func (c *copyOf) removeAdapter(adapter string) {
+func (c *loadedModel) removeAdapter(adapter string) {
 	c.adapters = slices.DeleteFunc(c.adapters, func(a string) bool { return a == adapter })
 }
 
-// serves tells whether requests for the model can go there now or after a load that is under way.
-func (e *endpoint) serves(model string) bool {
-	if !e.live() {
+// willServe tells whether requests for the model can go there now or after a load that is under way.
+func (e *endpoint) willServe(model string) bool {
+	if !e.isReady() {
 		return false
 	}
-	if e.leaving(model) {
+	if e.isUnloading(model) {
 		return false
 	}
-	return e.find(model) != nil || e.arriving(model)
+	return e.find(model) != nil || e.isLoading(model)
 }
 
-// offers tells whether the endpoint has the model and keeps it.
-func (e *endpoint) offers(model string) bool {
-	return e.live() && e.find(model) != nil && !e.leaving(model)
+// isServing tells whether the endpoint has the model and keeps it.
+func (e *endpoint) isServing(model string) bool {
+	return e.isReady() && e.find(model) != nil && !e.isUnloading(model)
 }
 
-// arriving tells whether the model is being loaded or is the target of a plan.
-func (e *endpoint) arriving(model string) bool {
+// isLoading tells whether the model is being loaded or is the target of a plan.
+func (e *endpoint) isLoading(model string) bool {
 	if e.plan != nil && e.plan.target == model {
 		return true
 	}
 	return e.pending != nil && !e.pending.order.Unload && e.pending.order.Model == model && e.pending.order.Adapter == ""
 }
 
-// drags tells that an unload of the endpoint's plan waits for runs: another place may be sooner.
-func (e *endpoint) drags(now time.Time) bool {
-	return e.plan != nil && e.pending != nil && e.pending.order.Unload && now.Sub(e.pending.issued) > dragTime
+// unloadStalled tells that an unload of the endpoint's plan waits for runs: another place may be sooner.
+func (e *endpoint) unloadStalled(now time.Time) bool {
+	return e.plan != nil && e.pending != nil && e.pending.order.Unload && now.Sub(e.pending.sentAt) > unloadStallTimeout
 }
 
-// leaving tells whether the model is being unloaded or is a victim of a plan.
-func (e *endpoint) leaving(model string) bool {
+// isUnloading tells whether the model is being unloaded or is a victim of a plan.
+func (e *endpoint) isUnloading(model string) bool {
 	if e.plan != nil && slices.Contains(e.plan.victims, model) {
 		return true
 	}
 	return e.pending != nil && e.pending.order.Unload && e.pending.order.Model == model && e.pending.order.Adapter == ""
 }
 
-// beat takes a registration that is newer than the last one.
-func (e *endpoint) beat(now time.Time, told protocol.Endpoint) {
-	newer := told.Sequence > e.Sequence || e.beats == 0
+// observeHeartbeat takes a registration that is newer than the last one.
+func (e *endpoint) observeHeartbeat(now time.Time, told protocol.Endpoint) {
+	newer := told.Sequence > e.Sequence || e.heartbeats == 0
 	e.Endpoint = told
 	if !newer {
 		return
 	}
-	e.beats++
+	e.heartbeats++
 	for _, model := range told.Models {
-		e.sees(now, model)
+		e.observeModel(now, model)
 	}
-	for i := range e.copies {
-		e.copies[i].missing++
-		if slices.ContainsFunc(told.Models, func(m protocol.LoadedModel) bool { return m.Name == e.copies[i].model }) {
-			e.copies[i].missing = 0
+	for i := range e.models {
+		e.models[i].missedHeartbeats++
+		if slices.ContainsFunc(told.Models, func(m protocol.LoadedModel) bool { return m.Name == e.models[i].model }) {
+			e.models[i].missedHeartbeats = 0
 		}
 	}
-	e.finishByBeat(now, told)
-	e.forget(now)
+	e.observeUnloadEffect(now, told)
+	e.removeMissingModels(now)
 }
 
-// sees takes in that the model is there.
-func (e *endpoint) sees(now time.Time, told protocol.LoadedModel) {
+// observeModel takes in that the model is there.
+func (e *endpoint) observeModel(now time.Time, told protocol.LoadedModel) {
 	if e.find(told.Name) == nil {
-		if e.beats > 1 && !e.arriving(told.Name) {
-			e.doubts(now)
+		if e.heartbeats > 1 && !e.isLoading(told.Name) {
+			e.invalidateState(now)
 		}
 		e.add(told.Name, now)
 	}
 	found := e.find(told.Name)
-	found.seen, found.told = true, told.Adapters
+	found.confirmed, found.reportedAdapters = true, told.Adapters
 	for _, adapter := range told.Adapters {
 		found.addAdapter(adapter)
 	}
@@ -214,61 +214,61 @@
 		return
 	}
 	if order.order.Adapter == "" || slices.Contains(told.Adapters, order.order.Adapter) {
-		e.shows(now)
+		e.observeEffect(now)
 	}
 }
 
-// shows takes in that a heartbeat shows the pending order's effect. An answer that is still to come counts in the
+// observeEffect takes in that a heartbeat shows the pending order's effect. An answer that is still to come counts in the
 // revision, so the order is not over before it.
-func (e *endpoint) shows(now time.Time) {
-	if e.pending.phase == sent {
-		e.pending.shown = true
+func (e *endpoint) observeEffect(now time.Time) {
+	if e.pending.phase == orderSent {
+		e.pending.effectSeen = true
 		return
 	}
-	e.done(now)
+	e.completeOrder(now)
 }
 
-// finishByBeat ends an unload that a heartbeat shows as done.
-func (e *endpoint) finishByBeat(now time.Time, told protocol.Endpoint) {
+// observeUnloadEffect ends an unload that a heartbeat shows as done.
+func (e *endpoint) observeUnloadEffect(now time.Time, told protocol.Endpoint) {
 	order := e.pending
 	if order == nil || !order.order.Unload {
 		return
 	}
 	at := slices.IndexFunc(told.Models, func(m protocol.LoadedModel) bool { return m.Name == order.order.Model })
 	if order.order.Adapter != "" {
-		if at >= 0 && !slices.Contains(told.Models[at].Adapters, order.order.Adapter) && order.seen {
-			e.shows(now)
+		if at >= 0 && !slices.Contains(told.Models[at].Adapters, order.order.Adapter) && order.adapterSeen {
+			e.observeEffect(now)
 		}
 		return
 	}
 	found := e.find(order.order.Model)
-	if found == nil || (at < 0 && (found.seen || (order.phase != sent && told.Sequence >= order.sequence+goneBeats))) {
-		e.shows(now)
+	if found == nil || (at < 0 && (found.confirmed || (order.phase != orderSent && told.Sequence >= order.sequenceAtAnswer+unloadHeartbeats))) {
+		e.observeEffect(now)
 	}
 }
 
-// forget drops copies that several heartbeats in a row did not show.
-func (e *endpoint) forget(now time.Time) {
-	for _, c := range slices.Clone(e.copies) {
-		if c.missing >= forgetBeats && (e.pending == nil || e.pending.order.Model != c.model) {
+// removeMissingModels drops copies that several heartbeats in a row did not show.
+func (e *endpoint) removeMissingModels(now time.Time) {
+	for _, c := range slices.Clone(e.models) {
+		if c.missedHeartbeats >= missingHeartbeats && (e.pending == nil || e.pending.order.Model != c.model) {
 			e.remove(c.model)
-			e.doubts(now)
+			e.invalidateState(now)
 		}
 	}
 }
 
-// done ends the pending order: its effect is there.
-func (e *endpoint) done(now time.Time) {
+// completeOrder ends the pending order: its effect is there.
+func (e *endpoint) completeOrder(now time.Time) {
 	order := e.pending.order
 	e.pending = nil
-	if e.known {
-		e.lookAt = time.Time{} // nothing is left to ask
+	if e.stateKnown {
+		e.inspectAt = time.Time{} // nothing is left to ask
 	}
 	switch {
 	case order.Adapter == "" && order.Unload:
 		e.remove(order.Model)
 	case order.Adapter == "":
-		e.add(order.Model, now).since = now
+		e.add(order.Model, now).loadedAt = now
 	case order.Unload:
 		if found := e.find(order.Model); found != nil {
 			found.removeAdapter(order.Adapter)
@@ -276,29 +276,29 @@
 	default:
 		if found := e.find(order.Model); found != nil {
 			found.addAdapter(order.Adapter)
-			found.arrived(order.Adapter, now)
+			found.setAdapterLoadedAt(order.Adapter, now)
 		}
 	}
 }
 
-// doubts gives up exact knowledge until the next look.
-func (e *endpoint) doubts(now time.Time) {
-	e.known = false
-	e.lookAt = now
+// invalidateState gives up exact knowledge until the next look.
+func (e *endpoint) invalidateState(now time.Time) {
+	e.stateKnown = false
+	e.inspectAt = now
 }
 
-// look takes the endpoint's own report.
-func (e *endpoint) look(now time.Time, told Inspection) {
-	e.looking = false
-	e.lookAt = now.Add(lookAgain)
-	if told.Failed || (e.pending != nil && e.pending.phase == sent) {
+// observeInspection takes the endpoint's own report.
+func (e *endpoint) observeInspection(now time.Time, told Inspection) {
+	e.inspecting = false
+	e.inspectAt = now.Add(inspectionInterval)
+	if told.Failed || (e.pending != nil && e.pending.phase == orderSent) {
 		return
 	}
-	if e.known && told.Revision < e.revision {
+	if e.stateKnown && told.Revision < e.revision {
 		return // older than an order that was taken
 	}
 	order := e.pending
-	if order != nil && order.phase == doubted && told.Revision == e.revision && now.Sub(order.answered) < doubtTime {
+	if order != nil && order.phase == orderUncertain && told.Revision == e.revision && now.Sub(order.answeredAt) < lateArrivalWindow {
 		return // may still arrive
 	}
 	for _, model := range told.Models {
@@ -307,22 +307,22 @@
 	if told.Busy {
 		return
 	}
-	e.adopt(now, told)
+	e.replaceState(now, told)
 }
 
-// adopt takes a report without an order under way as the truth.
-func (e *endpoint) adopt(now time.Time, told Inspection) {
+// replaceState takes a report without an order under way as the truth.
+func (e *endpoint) replaceState(now time.Time, told Inspection) {
 	e.pending = nil
-	e.known = true
+	e.stateKnown = true
 	e.revision = told.Revision
-	e.lookAt = time.Time{}
-	before := e.copies
-	e.copies = nil
+	e.inspectAt = time.Time{}
+	before := e.models
+	e.models = nil
 	for _, model := range told.Models {
 		found := e.add(model.Name, now)
 		for _, old := range before {
 			if old.model == model.Name {
-				found.since, found.seen, found.told, found.came = old.since, old.seen, old.told, old.came
+				found.loadedAt, found.confirmed, found.reportedAdapters, found.adapterLoadedAt = old.loadedAt, old.confirmed, old.reportedAdapters, old.adapterLoadedAt
 			}
 		}
 		for _, adapter := range model.Adapters {
--- a/internal/control/placer/gate.go
+++ b/internal/control/placer/gate.go
@@ -23,10 +23,10 @@
 // admissible is the last look at an order before it leaves: LIMIT, CEILING, one order at a time. It relies on
 // nothing that the planning concluded.
 func (p *Placer) admissible(now time.Time, f *fleet, e *endpoint, order Order) error {
-	if e.pending != nil || now.Before(e.pauseUntil) {
+	if e.pending != nil || now.Before(e.backoffUntil) {
 		return errBusy
 	}
-	if p.config.InspectEndpoints && !e.known {
+	if p.config.InspectEndpoints && !e.stateKnown {
 		return errUnsure
 	}
 	if order.Unload {
@@ -45,7 +45,7 @@
 	if f.room(e) < model.WeightsMB {
 		return errRoom
 	}
-	if !e.held[order.Model] && !p.loadLimiter.allows(now) {
+	if !e.onDisk[order.Model] && !p.loadLimiter.allows(now) {
 		return errCeiling
 	}
 	return nil
@@ -53,7 +53,7 @@
 
 func (f *fleet) mayUnload(e *endpoint, order Order) error {
 	found := e.find(order.Model)
-	if found == nil || (order.Adapter != "" && !found.has(order.Adapter)) {
+	if found == nil || (order.Adapter != "" && !found.hasAdapter(order.Adapter)) {
 		return errAbsent
 	}
 	return nil
@@ -76,20 +76,20 @@
 // room is what is surely free of weights_mb: everything counts that may be there or may be arriving.
 func (f *fleet) room(e *endpoint) float64 {
 	room := f.engine.WeightMemoryMB
-	for i := range e.copies {
-		room -= f.weight(&e.copies[i])
+	for i := range e.models {
+		room -= f.weight(&e.models[i])
 	}
 	if e.pending != nil && !e.pending.order.Unload {
 		room -= f.ordered(e.pending.order)
 	}
-	if !e.known && !e.settled {
+	if !e.stateKnown && !e.inheritedOrdersOver {
 		room -= f.maxModelMB
 	}
 	return room
 }
 
 // weight is what a copy takes with its adapters. A model that the configuration does not know may take everything.
-func (f *fleet) weight(c *copyOf) float64 {
+func (f *fleet) weight(c *loadedModel) float64 {
 	model, exists := f.models[c.model]
 	if !exists {
 		return f.engine.WeightMemoryMB
@@ -108,13 +108,13 @@
 // places is how many adapters more the endpoint surely takes.
 func (f *fleet) places(e *endpoint) int {
 	free := f.engine.AdapterSlots
-	for i := range e.copies {
-		free -= len(e.copies[i].adapters)
+	for i := range e.models {
+		free -= len(e.models[i].adapters)
 	}
 	if e.pending != nil && !e.pending.order.Unload && e.pending.order.Adapter != "" {
 		free--
 	}
-	if !e.known && !e.settled {
+	if !e.stateKnown && !e.inheritedOrdersOver {
 		free--
 	}
 	return free
@@ -138,9 +138,9 @@
 		revision := e.revision
 		order.Revision = &revision
 	}
-	e.pending = &pending{order: order, issued: now, expected: now.Add(p.expected(f, e, order))}
+	e.pending = &pendingOrder{order: order, sentAt: now, expectedAt: now.Add(p.expected(f, e, order))}
 	if found := e.find(order.Model); found != nil && order.Unload {
-		e.pending.seen = slices.Contains(found.told, order.Adapter)
+		e.pending.adapterSeen = slices.Contains(found.reportedAdapters, order.Adapter)
 	}
 	p.unanswered[order.ID] = e
 	p.count(f, e, order)
@@ -156,7 +156,7 @@
 		p.counters.Unloads++
 	default:
 		p.counters.Loads++
-		if e.held[order.Model] {
+		if e.onDisk[order.Model] {
 			p.counters.WarmLoads++
 			return
 		}
@@ -168,9 +168,9 @@
 func (p *Placer) expected(f *fleet, e *endpoint, order Order) time.Duration {
 	switch {
 	case order.Adapter != "":
-		return adapterTime
+		return adapterLoadTime
 	case order.Unload:
-		return firstLook
+		return firstInspectionDelay
 	default:
 		return p.loadTime(f, e, order.Model)
 	}
--- a/internal/control/placer/gate_test.go
+++ b/internal/control/placer/gate_test.go
@@ -22,11 +22,11 @@
 		{"an unload", nil, Order{Model: "big", Unload: true}, nil},
 		{"a load of an adapter", nil, Order{Model: "big", Adapter: "a2"}, nil},
 		{"an unload of an adapter", nil, Order{Model: "big", Adapter: "a1", Unload: true}, nil},
-		{"while an order is under way", func(_ *Placer, _ *fleet, e *endpoint) { e.pending = &pending{} },
+		{"while an order is under way", func(_ *Placer, _ *fleet, e *endpoint) { e.pending = &pendingOrder{} },
 			Order{Model: "small"}, errBusy},
-		{"within the pause after a rejection", func(_ *Placer, _ *fleet, e *endpoint) { e.pauseUntil = now.Add(1) },
+		{"within the pause after a rejection", func(_ *Placer, _ *fleet, e *endpoint) { e.backoffUntil = now.Add(1) },
 			Order{Model: "small"}, errBusy},
-		{"while the content is not known", func(_ *Placer, _ *fleet, e *endpoint) { e.known = false },
+		{"while the content is not known", func(_ *Placer, _ *fleet, e *endpoint) { e.stateKnown = false },
 			Order{Model: "small"}, errUnsure},
 		{"an unload of a model that is not there", nil, Order{Model: "small", Unload: true}, errAbsent},
 		{"an unload of an adapter that is not there", nil, Order{Model: "big", Adapter: "a2", Unload: true}, errAbsent},
@@ -43,7 +43,7 @@
 		{"a load beyond the rate limit", func(p *Placer, _ *fleet, _ *endpoint) { p.loadLimiter.limit = 0 },
 			Order{Model: "small"}, errCeiling},
 		{"a load from the endpoint's own disk beyond the rate limit", func(p *Placer, _ *fleet, e *endpoint) {
-			p.loadLimiter.limit, e.held["small"] = 0, true
+			p.loadLimiter.limit, e.onDisk["small"] = 0, true
 		}, Order{Model: "small"}, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -57,7 +57,7 @@
 				Services: []configuration.Service{{Name: "lm", Engine: engine}}}, Endpoints: table})
 			f := p.fleets["lm"]
 			e := f.endpoints["i-1"]
-			e.look(now, Inspection{Endpoint: "i-1", Models: held})
+			e.observeInspection(now, Inspection{Endpoint: "i-1", Models: held})
 			if test.change != nil {
 				test.change(p, f, e)
 			}
--- a/internal/control/placer/golden_test.go
+++ b/internal/control/placer/golden_test.go
@@ -120,8 +120,8 @@
 		f.record("service %s token time %s", fleet.name, exact(fleet.secondsPerToken))
 		for _, e := range fleet.sortedEndpoints {
 			var copies []string
-			for i := range e.copies {
-				held := &e.copies[i]
+			for i := range e.models {
+				held := &e.models[i]
 				copies = append(copies, held.model+"("+strings.Join(held.adapters, ",")+")")
 			}
 			pending, plan := "none", "none"
@@ -131,8 +131,8 @@
 			if e.plan != nil {
 				plan = fmt.Sprintf("%s without %v score %.9g", e.plan.target, e.plan.victims, e.plan.score)
 			}
-			f.record("endpoint %s used %s known %v revision %d pending %s plan %s disk %v holds %s", e.ID, exact(e.used),
-				e.known, e.revision, pending, plan, slices.Sorted(maps.Keys(e.held)), strings.Join(copies, " "))
+			f.record("endpoint %s used %s known %v revision %d pending %s plan %s disk %v holds %s", e.ID, exact(e.utilization),
+				e.stateKnown, e.revision, pending, plan, slices.Sorted(maps.Keys(e.onDisk)), strings.Join(copies, " "))
 		}
 		for _, l := range p.survey(now, fleet).loads {
 			line := fmt.Sprintf("model %s rate %s steady %s time %s level %s adapter gain %.9g", l.model, exact(l.rate),
--- a/internal/control/placer/placer.go
+++ b/internal/control/placer/placer.go
@@ -168,7 +168,7 @@
 		if e == nil {
 			e = p.addEndpoint(now, f, told)
 		}
-		e.beat(now, told)
+		e.observeHeartbeat(now, told)
 		p.recordWarmModels(f, e)
 	}
 	for _, f := range p.fleets {
@@ -178,15 +178,15 @@
 
 // addEndpoint begins to know an endpoint. One that comes later than an earlier holder's last order has had none.
 func (p *Placer) addEndpoint(now time.Time, f *fleet, told protocol.Endpoint) *endpoint {
-	e := &endpoint{firstSeen: now, held: map[string]bool{}, lookAt: now}
+	e := &endpoint{firstSeenAt: now, onDisk: map[string]bool{}, inspectAt: now}
 	f.endpoints[told.ID] = e
 	f.sortedEndpoints = append(f.sortedEndpoints, e)
-	fresh := now.Sub(p.startedAt) > answerTime && len(told.Models) == 0
+	fresh := now.Sub(p.startedAt) > answerTimeout && len(told.Models) == 0
 	if !fresh {
 		p.loadLimiter.met(now, told.ID)
 	}
 	if fresh {
-		e.known, e.settled, e.lookAt = true, true, time.Time{}
+		e.stateKnown, e.inheritedOrdersOver, e.inspectAt = true, true, time.Time{}
 	}
 	e.ID = told.ID
 	slices.SortFunc(f.sortedEndpoints, func(a, b *endpoint) int { return cmp.Compare(a.ID, b.ID) })
@@ -196,18 +196,18 @@
 // recordWarmModels notes what an address's disk holds; a later incarnation there may load it faster.
 func (p *Placer) recordWarmModels(f *fleet, e *endpoint) {
 	key := f.name + " " + e.Address
-	for i := range e.copies {
+	for i := range e.models {
 		if p.warmModels[key] == nil {
 			p.warmModels[key] = map[string]bool{}
 		}
-		p.warmModels[key][e.copies[i].model] = true
+		p.warmModels[key][e.models[i].model] = true
 	}
 }
 
 // likelyWarm tells whether the endpoint's disk probably has the model. Only held is sure: the address may have
 // been given to a new machine.
 func (p *Placer) likelyWarm(f *fleet, e *endpoint, model string) bool {
-	return e.held[model] || p.warmModels[f.name+" "+e.Address][model]
+	return e.onDisk[model] || p.warmModels[f.name+" "+e.Address][model]
 }
 
 func (f *fleet) removeAbsent(present map[string]bool) {
@@ -232,28 +232,28 @@
 		p.loadLimiter.answered(result.ID, now, result.Outcome == Accepted || result.Outcome == Unknown)
 		return
 	}
-	order.answered, order.sequence = now, e.Sequence
+	order.answeredAt, order.sequenceAtAnswer = now, e.Sequence
 	began := false
 	switch result.Outcome {
 	case Accepted:
 		began = true
-		order.phase = running
+		order.phase = orderAccepted
 		e.revision++
-		e.lookAt = order.expected
-		if order.shown {
-			e.done(now)
+		e.inspectAt = order.expectedAt
+		if order.effectSeen {
+			e.completeOrder(now)
 		}
 	case AlreadyApplied:
-		e.done(now)
-		e.doubts(now)
+		e.completeOrder(now)
+		e.invalidateState(now)
 	case Unknown:
 		began = true
-		order.phase = doubted
+		order.phase = orderUncertain
 		p.counters.Unanswered++
-		e.lookAt = now.Add(firstLook)
-		if order.shown {
-			e.done(now)
-			e.doubts(now)
+		e.inspectAt = now.Add(firstInspectionDelay)
+		if order.effectSeen {
+			e.completeOrder(now)
+			e.invalidateState(now)
 		}
 	default:
 		p.handleRejection(now, e, result.Outcome)
@@ -264,13 +264,13 @@
 func (p *Placer) handleRejection(now time.Time, e *endpoint, outcome Outcome) {
 	p.counters.Rejected++
 	e.pending = nil
-	e.doubts(now)
-	pause := refusedPause
+	e.invalidateState(now)
+	pause := busyBackoff
 	if outcome == Invalid {
-		pause = invalidPause
+		pause = invalidBackoff
 		e.plan = nil
 	}
-	e.pauseUntil = now.Add(pause)
+	e.backoffUntil = now.Add(pause)
 }
 
 func (p *Placer) handleInspection(now time.Time, told Inspection) {
@@ -279,7 +279,7 @@
 			if !told.Failed && !told.Busy {
 				p.loadLimiter.idle(now, told.Endpoint, f.minLoadTime(told.Models))
 			}
-			e.look(now, told)
+			e.observeInspection(now, told)
 			p.recordWarmModels(f, e)
 			return
 		}
@@ -299,10 +299,10 @@
 // expireOrders ends what took too long and settles endpoints that no other holder can have orders at.
 func (p *Placer) expireOrders(now time.Time, f *fleet) {
 	for _, e := range f.sortedEndpoints {
-		if !e.settled && e.beats > settleBeats && now.Sub(p.startedAt) > settleTime {
-			e.settled = true
+		if !e.inheritedOrdersOver && e.heartbeats > inheritedOrderHeartbeats && now.Sub(p.startedAt) > inheritedOrderWindow {
+			e.inheritedOrdersOver = true
 		}
-		if e.plan != nil && (!e.live() || (e.pending == nil && now.Sub(e.plan.touched) > decidedWithin)) {
+		if e.plan != nil && (!e.isReady() || (e.pending == nil && now.Sub(e.plan.lastProgressAt) > planTimeout)) {
 			e.plan = nil
 		}
 		order := e.pending
@@ -310,11 +310,11 @@
 			continue
 		}
 		switch {
-		case order.phase == sent && now.Sub(order.issued) > answerTime:
+		case order.phase == orderSent && now.Sub(order.sentAt) > answerTimeout:
 			p.handleResult(now, Result{ID: order.order.ID, Outcome: Unknown})
-		case order.phase == running && order.order.Adapter != "" && now.Sub(order.answered) >= adapterLate:
-			e.done(now)
-		case !p.config.InspectEndpoints && order.phase != sent && now.Sub(order.issued) > f.orderTimeout(order.order):
+		case order.phase == orderAccepted && order.order.Adapter != "" && now.Sub(order.answeredAt) >= adapterLoadTimeout:
+			e.completeOrder(now)
+		case !p.config.InspectEndpoints && order.phase != orderSent && now.Sub(order.sentAt) > f.orderTimeout(order.order):
 			p.abandonOrder(now, e)
 		}
 	}
@@ -325,7 +325,7 @@
 	if order.Unload {
 		return 30 * time.Second
 	}
-	return time.Duration(loadLate*f.models[order.Model].LoadTimeSeconds*float64(time.Second)) + answerTime
+	return time.Duration(loadTimeoutFactor*f.models[order.Model].LoadTimeSeconds*float64(time.Second)) + answerTimeout
 }
 
 // abandonOrder ends an order that nothing more will be heard of.
@@ -335,7 +335,7 @@
 		return
 	}
 	e.pending = nil
-	e.doubts(now)
+	e.invalidateState(now)
 }
 
 // requestInspections asks for the reports that are due.
@@ -344,11 +344,11 @@
 		return
 	}
 	for _, e := range f.sortedEndpoints {
-		if e.State == protocol.Unresponsive || e.lookAt.IsZero() || now.Before(e.lookAt) {
+		if e.State == protocol.Unresponsive || e.inspectAt.IsZero() || now.Before(e.inspectAt) {
 			continue
 		}
-		e.lookAt = now.Add(lookAgain)
-		e.looking = true
+		e.inspectAt = now.Add(inspectionInterval)
+		e.inspecting = true
 		p.counters.Inspections++
 		out.Inspect = append(out.Inspect, e.ID)
 	}
@@ -358,7 +358,7 @@
 	at := now.Add(idleStepInterval)
 	for _, f := range p.fleets {
 		for _, e := range f.sortedEndpoints {
-			if e.pending != nil || e.plan != nil || !e.lookAt.IsZero() {
+			if e.pending != nil || e.plan != nil || !e.inspectAt.IsZero() {
 				at = now.Add(busyStepInterval)
 			}
 		}
--- a/internal/control/placer/plan.go
+++ b/internal/control/placer/plan.go
@@ -149,16 +149,16 @@
 
 // takes tells whether a new plan may begin at the endpoint. Allowed: one more load from the store may begin.
 func (p *Placer) takes(now time.Time, e *endpoint, model string, allowed bool) bool {
-	if !e.live() || e.plan != nil || now.Before(e.pauseUntil) || e.find(model) != nil {
+	if !e.isReady() || e.plan != nil || now.Before(e.backoffUntil) || e.find(model) != nil {
 		return false
 	}
 	if e.pending != nil && e.pending.order.Adapter == "" {
 		return false // an adapter takes a moment only
 	}
-	if p.config.InspectEndpoints && !e.known {
+	if p.config.InspectEndpoints && !e.stateKnown {
 		return false
 	}
-	return allowed || e.held[model]
+	return allowed || e.onDisk[model]
 }
 
 // pressing is how much somebody waits for the model's first copy.
@@ -172,7 +172,7 @@
 // gain is what one more copy at the endpoint brings. Bases are those of the load, sorted.
 func (p *Placer) gain(now time.Time, l *load, e *endpoint, bases []float64) float64 {
 	d := l.demand
-	after := worthAt(waterlineWith(bases, e.used, l.time))
+	after := worthAt(waterlineWith(bases, e.utilization, l.time))
 	if len(l.sites) == 0 {
 		waited := 1.0
 		if !d.waitingSince.IsZero() {
@@ -213,11 +213,11 @@
 // adopt makes the choice the endpoint's plan and takes it into the book.
 func (p *Placer) adopt(now time.Time, f *fleet, b *book, c *choice, out *Output) {
 	c.at.plan = &plan{
-		target: c.load.model, victims: slices.Clone(c.victims), decided: now, touched: now, score: c.score,
+		target: c.load.model, victims: slices.Clone(c.victims), decidedAt: now, lastProgressAt: now, score: c.score,
 		reason: p.reason(c),
 	}
 	for _, e := range f.sortedEndpoints {
-		if e != c.at && e.drags(now) && e.plan.target == c.load.model {
+		if e != c.at && e.unloadStalled(now) && e.plan.target == c.load.model {
 			e.plan = nil // its unload goes on, and the room is for what is best then
 		}
 	}
@@ -234,7 +234,7 @@
 func (l *load) leave(e *endpoint) {
 	l.sites = slices.DeleteFunc(l.sites, func(s site) bool {
 		if s.at == e {
-			e.used -= s.share
+			e.utilization -= s.share
 		}
 		return s.at == e
 	})
@@ -253,7 +253,7 @@
 
 // proceed sends the next order of an endpoint's plan.
 func (p *Placer) proceed(now time.Time, f *fleet, b *book, e *endpoint, out *Output) {
-	if e.pending != nil || now.Before(e.pauseUntil) || (p.config.InspectEndpoints && !e.known) {
+	if e.pending != nil || now.Before(e.backoffUntil) || (p.config.InspectEndpoints && !e.stateKnown) {
 		return
 	}
 	current := e.plan
@@ -263,7 +263,7 @@
 		return
 	}
 	if f.room(e) >= f.models[current.target].WeightsMB {
-		if !e.held[current.target] && !p.loadLimiter.allows(now) {
+		if !e.onDisk[current.target] && !p.loadLimiter.allows(now) {
 			return
 		}
 		e.plan = nil
@@ -279,7 +279,7 @@
 		e.plan = nil
 		return
 	}
-	current.touched = now
+	current.lastProgressAt = now
 	reason := "room for " + current.target + ": " + current.reason
 	p.issue(now, f, e, Order{Model: victim, Unload: true, Reason: reason}, out)
 }
--- a/internal/control/placer/victims.go
+++ b/internal/control/placer/victims.go
@@ -53,8 +53,8 @@
 		return known
 	}
 	var possible []victim
-	for i := range e.copies {
-		if v, ok := p.yields(now, f, b, e, &e.copies[i]); ok {
+	for i := range e.models {
+		if v, ok := p.yields(now, f, b, e, &e.models[i]); ok {
 			possible = append(possible, v)
 		}
 	}
@@ -67,7 +67,7 @@
 }
 
 // yields tells what is lost when the copy makes way, and whether it may.
-func (p *Placer) yields(now time.Time, f *fleet, b *book, e *endpoint, held *copyOf) (victim, bool) {
+func (p *Placer) yields(now time.Time, f *fleet, b *book, e *endpoint, held *loadedModel) (victim, bool) {
 	v := victim{model: held.model, size: f.weight(held)}
 	l := b.by[held.model]
 	if l == nil { // not in the configuration any more
@@ -76,8 +76,8 @@
 	if now.Sub(p.startedAt) < minObservation || p.demand.observedFor(now) < minObservation {
 		return v, false
 	}
-	last := b.present[held.model] == 0 || b.present[held.model] == 1 && e.offers(held.model)
-	if now.Sub(held.since) < residence && (last || l.demand == nil) {
+	last := b.present[held.model] == 0 || b.present[held.model] == 1 && e.isServing(held.model)
+	if now.Sub(held.loadedAt) < residence && (last || l.demand == nil) {
 		return v, false
 	}
 	if last && l.demand != nil && l.demand.isRecent(now) {
@@ -91,7 +91,7 @@
 func (f *fleet) present(model string, but *endpoint) int {
 	count := 0
 	for _, e := range f.sortedEndpoints {
-		if e != but && e.offers(model) {
+		if e != but && e.isServing(model) {
 			count++
 		}
 	}
@@ -99,7 +99,7 @@
 }
 
 // loss is what the copy's leaving costs.
-func (p *Placer) loss(now time.Time, l *load, e *endpoint, held *copyOf, last bool) float64 {
+func (p *Placer) loss(now time.Time, l *load, e *endpoint, held *loadedModel, last bool) float64 {
 	if last {
 		return p.lastLoss(now, l)
 	}
