--- a/internal/control/placer/adapters.go
+++ b/internal/control/placer/adapters.go
@@ -69,7 +69,7 @@
 
 // adapters gives places to the adapters that are asked for. The urgent part is those that are nowhere, as far as a
 // place is free or taken by what nobody asks for any more.
-func (p *Placer) adapters(now time.Time, f *fleet, b *book, urgent bool, out *Output) {
+func (p *Placer) adapters(now time.Time, f *fleet, b *placements, urgent bool, out *Output) {
 	count := 0
 	for _, need := range p.adapterNeeds(now, f, b) {
 		if count >= adapterPerStep {
@@ -78,18 +78,18 @@
 		if urgent && !need.nowhere {
 			continue
 		}
-		if p.placeAdapter(now, f, b.by[need.model], need, !urgent, out) {
+		if p.placeAdapter(now, f, b.byModel[need.model], need, !urgent, out) {
 			count++
 		}
 	}
 }
 
 // adapterNeeds lists the asked-for adapters that have too few places, the most wanted first.
-func (p *Placer) adapterNeeds(now time.Time, f *fleet, b *book) []adapterNeed {
+func (p *Placer) adapterNeeds(now time.Time, f *fleet, b *placements) []adapterNeed {
 	age := p.demand.observedFor(now)
 	var needs []adapterNeed
-	for _, l := range b.loads {
-		if l.demand == nil || len(l.sites) == 0 {
+	for _, l := range b.all {
+		if l.demand == nil || len(l.replicas) == 0 {
 			continue
 		}
 		cost := f.requestTime(l.demand, age)
@@ -125,14 +125,14 @@
 }
 
 // adapterPlaces counts where the adapter is or is arriving.
-func (l *load) adapterPlaces(adapter string) int {
+func (l *modelPlacement) adapterPlaces(adapter string) int {
 	count := 0
-	for _, s := range l.sites {
-		found := s.at.find(l.model)
+	for _, s := range l.replicas {
+		found := s.endpoint.find(l.model)
 		if found == nil {
 			continue
 		}
-		order := s.at.pending
+		order := s.endpoint.pending
 		moving := order != nil && order.order.Model == l.model && order.order.Adapter == adapter
 		switch {
 		case moving && order.order.Unload:
@@ -144,12 +144,12 @@
 }
 
 // placeAdapter loads the adapter where a place is free, or unloads the one that is missed least.
-func (p *Placer) placeAdapter(now time.Time, f *fleet, l *load, need adapterNeed, turns bool, out *Output) bool {
+func (p *Placer) placeAdapter(now time.Time, f *fleet, l *modelPlacement, need adapterNeed, turns bool, out *Output) bool {
 	var free *endpoint
 	var least place
 	nowhere := l.adapterPlaces(need.adapter) == 0
-	for _, s := range l.sites {
-		e := s.at
+	for _, s := range l.replicas {
+		e := s.endpoint
 		if e.find(need.model) == nil || e.find(need.model).hasAdapter(need.adapter) || !p.quiet(now, e) {
 			continue
 		}
@@ -260,8 +260,8 @@
 
 // fillPlaces brings adapters that nobody asked for yet to places that are free, so that the first request finds
 // them. Each adapter gets one place this way.
-func (p *Placer) fillPlaces(now time.Time, f *fleet, b *book, out *Output) {
-	for _, l := range b.loads {
+func (p *Placer) fillPlaces(now time.Time, f *fleet, b *placements, out *Output) {
+	for _, l := range b.all {
 		if f.models[l.model].AdapterCount > 0 {
 			p.fillPlacesOf(now, f, l, out)
 		}
@@ -269,11 +269,11 @@
 }
 
 // fillPlacesOf does so for one model. What has no place yet changes with an order only.
-func (p *Placer) fillPlacesOf(now time.Time, f *fleet, l *load, out *Output) {
+func (p *Placer) fillPlacesOf(now time.Time, f *fleet, l *modelPlacement, out *Output) {
 	spec := f.models[l.model]
 	name := l.unplaced(spec.AdapterCount)
-	for _, s := range l.sites {
-		e := s.at
+	for _, s := range l.replicas {
+		e := s.endpoint
 		if name == "" {
 			return
 		}
@@ -287,7 +287,7 @@
 }
 
 // unplaced is the first adapter that has no place anywhere.
-func (l *load) unplaced(count int) string {
+func (l *modelPlacement) unplaced(count int) string {
 	for i := 1; i <= count; i++ {
 		name := "a" + strconv.Itoa(i)
 		if l.adapterPlaces(name) == 0 {
@@ -298,7 +298,7 @@
 }
 
 // adapterWorth is what the places that come with one copy more are worth a second.
-func (p *Placer) adapterWorth(now time.Time, f *fleet, l *load, age time.Duration) float64 {
+func (p *Placer) adapterWorth(now time.Time, f *fleet, l *modelPlacement, age time.Duration) float64 {
 	inUse, rate := 0, 0.0
 	for _, d := range l.demand.adapters {
 		if now.Sub(d.lastRequestAt) <= adapterHorizon {
@@ -309,7 +309,7 @@
 	if inUse == 0 {
 		return 0
 	}
-	places := f.engine.AdapterSlots * len(l.sites)
+	places := f.engine.AdapterSlots * len(l.replicas)
 	more := min(inUse, places+f.engine.AdapterSlots) - min(inUse, places)
 	return adapterLoss * rate * l.demand.value * float64(more) / float64(inUse)
 }
--- a/internal/control/placer/capacity.go
+++ b/internal/control/placer/capacity.go
@@ -11,112 +11,112 @@
 // share u of its time holds x = r·u/(1-u) requests, where r is how many prompts it could read in the time in which one
 // answer is put out undisturbed. Hence u = x/(x+r).
 const (
-	balance        = 0.375      // r by the slots of the engine
-	priorTokenTime = 1.0 / 25e3 // seconds of an endpoint for one token of prompt and answer, before it is learned
-	learnTime      = 4 * time.Second
-	learnFrom      = 1.0 // requests a second: below, the figures are too few
-	learnRange     = 8.0 // a learned cost stays within this factor of the service's
-	usualTokens    = 1000
+	promptsPerSlot          = 0.375      // r by the slots of the engine
+	initialSecondsPerToken  = 1.0 / 25e3 // seconds of an endpoint for one token of prompt and answer, before it is learned
+	learningTimeConstant    = 4 * time.Second
+	minLearningRate         = 1.0 // requests a second: below, the figures are too few
+	maxLearningFactor       = 8.0 // a learned cost stays within this factor of the service's
+	defaultTokensPerRequest = 1000
 )
 
 // The worth of being served, by the share of time in use of the endpoints that serve.
 const (
-	lateLoss  = 0.6 // what a late answer loses
-	lateSlope = 5.0 // objective against the time of reading one prompt: how steeply waiting grows
-	fullWorth = 0.4 // what is left of the worth when everything is late
+	latenessLoss  = 0.6 // what a late answer loses
+	latenessSlope = 5.0 // objective against the time of reading one prompt: how steeply waiting grows
+	overloadValue = 0.4 // what is left of the worth when everything is late
 )
 
-// worthAt is the share of their worth that requests earn at endpoints in use for the share u of their time.
-func worthAt(u float64) float64 {
+// valueAt is the share of their worth that requests earn at endpoints in use for the share u of their time.
+func valueAt(u float64) float64 {
 	if u < 1 {
-		return 1 - lateLoss*u*math.Exp(-lateSlope*(1-u))
+		return 1 - latenessLoss*u*math.Exp(-latenessSlope*(1-u))
 	}
-	return fullWorth / u
+	return overloadValue / u
 }
 
-// site is a model's use of one endpoint.
-type site struct {
-	at    *endpoint
-	share float64 // of the endpoint's time
+// replica is a model's use of one endpoint.
+type replica struct {
+	endpoint *endpoint
+	share    float64 // of the endpoint's time
 }
 
-// load is one model's demand in endpoint seconds a second, and where it goes.
-type load struct {
-	model  string
-	demand *demand // nil: nobody ever asked
-	rate   float64 // projected requests a second
-	steady float64
-	time   float64 // endpoint seconds a second
-	sites  []site  // by endpoint ID
-	level  float64 // share of time in use of the endpoints it uses
+// modelPlacement is one model's demand in endpoint seconds a second, and where it goes.
+type modelPlacement struct {
+	model         string
+	demand        *demand // nil: nobody ever asked
+	projectedRate float64 // projected requests a second
+	longTermRate  float64
+	offeredLoad   float64   // endpoint seconds a second
+	replicas      []replica // by endpoint ID
+	fairLevel     float64   // share of time in use of the endpoints it uses
 
-	dragging    bool    // an unload that makes room for it waits for runs
-	adapterGain float64 // what places for adapters on one copy more are worth a second
+	unloadStalled bool    // an unload that makes room for it waits for runs
+	adapterGain   float64 // what places for adapters on one copy more are worth a second
 }
 
-// book holds all loads of a fleet for one step.
-type book struct {
-	loads []*load // by model
-	by    map[string]*load
+// placements holds all loads of a fleet for one step.
+type placements struct {
+	all     []*modelPlacement // by model
+	byModel map[string]*modelPlacement
 
-	present map[string]int         // endpoints that offer a model now, for one choice
-	victims map[*endpoint][]victim // that may make way, for one choice
-	allowed bool                   // one more load from the store may begin
+	servingReplicas  map[string]int         // endpoints that offer a model now, for one choice
+	evictable        map[*endpoint][]victim // that may make way, for one choice
+	storeLoadAllowed bool                   // one more load from the store may begin
 }
 
-// prepare counts what one choice looks at again and again.
-func (b *book) prepare(f *fleet, allowed bool) {
-	b.allowed = allowed
-	b.victims = make(map[*endpoint][]victim)
-	b.present = make(map[string]int, len(b.loads))
+// beginChoice counts what one choice looks at again and again.
+func (b *placements) beginChoice(f *fleet, allowed bool) {
+	b.storeLoadAllowed = allowed
+	b.evictable = make(map[*endpoint][]victim)
+	b.servingReplicas = make(map[string]int, len(b.all))
 	for _, e := range f.sortedEndpoints {
 		for i := range e.models {
 			if model := e.models[i].model; e.isServing(model) {
-				b.present[model]++
+				b.servingReplicas[model]++
 			}
 		}
 	}
 }
 
-// survey makes the book: who serves what, how much is asked, and how busy that makes the endpoints.
-func (p *Placer) survey(now time.Time, f *fleet) *book {
-	b := &book{by: make(map[string]*load, len(f.models))}
+// currentPlacements makes the book: who serves what, how much is asked, and how busy that makes the endpoints.
+func (p *Placer) currentPlacements(now time.Time, f *fleet) *placements {
+	b := &placements{byModel: make(map[string]*modelPlacement, len(f.models))}
 	age := p.demand.observedFor(now)
 	whole := p.demand.totalOf(f.name)
 	for name, model := range f.models {
 		ahead := time.Duration(model.LoadTimeSeconds * float64(time.Second))
-		l := &load{model: name, demand: p.demand.models[f.name][name], steady: initialRate}
+		l := &modelPlacement{model: name, demand: p.demand.models[f.name][name], longTermRate: initialRate}
 		if d := l.demand; d != nil {
-			l.rate = d.projectedRate(whole.fastRate, whole.slowRate, age, ahead)
-			l.steady = d.longTermRate(age)
-			l.time = l.rate * f.requestTime(d, age)
+			l.projectedRate = d.projectedRate(whole.fastRate, whole.slowRate, age, ahead)
+			l.longTermRate = d.longTermRate(age)
+			l.offeredLoad = l.projectedRate * f.requestTime(d, age)
 		}
-		b.loads = append(b.loads, l)
-		b.by[name] = l
+		b.all = append(b.all, l)
+		b.byModel[name] = l
 	}
-	slices.SortFunc(b.loads, func(x, y *load) int { return cmp.Compare(x.model, y.model) })
+	slices.SortFunc(b.all, func(x, y *modelPlacement) int { return cmp.Compare(x.model, y.model) })
 	for _, e := range f.sortedEndpoints {
 		e.utilization = 0
-		if e.unloadStalled(now) && b.by[e.plan.target] != nil {
-			b.by[e.plan.target].dragging = true
+		if e.unloadStalled(now) && b.byModel[e.plan.target] != nil {
+			b.byModel[e.plan.target].unloadStalled = true
 		}
-		f.eachServed(now, e, func(model string) {
-			if l := b.by[model]; l != nil {
-				l.sites = append(l.sites, site{at: e})
+		f.forEachServedModel(now, e, func(model string) {
+			if l := b.byModel[model]; l != nil {
+				l.replicas = append(l.replicas, replica{endpoint: e})
 			}
 		})
 	}
-	for _, l := range b.loads {
+	for _, l := range b.all {
 		if l.demand != nil {
 			l.adapterGain = p.adapterWorth(now, f, l, age)
 		}
 	}
-	b.level()
+	b.distributeLoads()
 	return b
 }
 
-// eachServed calls with every model that requests may go to the endpoint for, now or soon.
-func (f *fleet) eachServed(now time.Time, e *endpoint, call func(string)) {
+// forEachServedModel calls with every model that requests may go to the endpoint for, now or soon.
+func (f *fleet) forEachServedModel(now time.Time, e *endpoint, call func(string)) {
 	if !e.isReady() {
 		return
 	}
@@ -125,13 +125,13 @@
 			call(e.models[i].model)
 		}
 	}
-	if target := e.target(); target != "" && e.find(target) == nil && !e.unloadStalled(now) {
+	if target := e.incomingModel(); target != "" && e.find(target) == nil && !e.unloadStalled(now) {
 		call(target)
 	}
 }
 
-// target is the model that is on its way, or empty.
-func (e *endpoint) target() string {
+// incomingModel is the model that is on its way, or empty.
+func (e *endpoint) incomingModel() string {
 	if e.plan != nil {
 		return e.plan.target
 	}
@@ -141,14 +141,14 @@
 	return ""
 }
 
-// runs tells that the model's copies have requests out.
-func (l *load) runs() bool {
-	return l.demand != nil && float64(l.demand.running) > 0.5*float64(len(l.sites))
+// hasRunningRequests tells that the model's copies have requests out.
+func (l *modelPlacement) hasRunningRequests() bool {
+	return l.demand != nil && float64(l.demand.running) > 0.5*float64(len(l.replicas))
 }
 
 // requestTime is how long one request of the model keeps an endpoint busy.
 func (f *fleet) requestTime(d *demand, age time.Duration) float64 {
-	tokens := usualTokens * 1.0
+	tokens := defaultTokensPerRequest * 1.0
 	if rate := d.slowRate.rate(age, slowTimeConstant); rate > 0 {
 		tokens = max(1, d.tokenRate.rate(age, slowTimeConstant)/rate)
 	}
@@ -160,43 +160,43 @@
 }
 
 // sweeps is how often the loads are spread anew, each among the others.
-const sweeps = 2
+const distributionPasses = 2
 
-// level spreads all loads so that each fills its least used endpoints.
-func (b *book) level() {
-	order := slices.Clone(b.loads)
-	slices.SortStableFunc(order, func(x, y *load) int { return cmp.Compare(len(x.sites), len(y.sites)) })
-	for range sweeps {
+// distributeLoads spreads all loads so that each fills its least used endpoints.
+func (b *placements) distributeLoads() {
+	order := slices.Clone(b.all)
+	slices.SortStableFunc(order, func(x, y *modelPlacement) int { return cmp.Compare(len(x.replicas), len(y.replicas)) })
+	for range distributionPasses {
 		for _, l := range order {
-			l.respread(l.time)
+			l.distribute(l.offeredLoad)
 		}
 	}
 }
 
-// respread takes the load off its endpoints and pours it on them again.
-func (l *load) respread(amount float64) {
-	for i := range l.sites {
-		l.sites[i].at.utilization -= l.sites[i].share
-		l.sites[i].share = 0
+// distribute takes the load off its endpoints and pours it on them again.
+func (l *modelPlacement) distribute(amount float64) {
+	for i := range l.replicas {
+		l.replicas[i].endpoint.utilization -= l.replicas[i].share
+		l.replicas[i].share = 0
 	}
-	if len(l.sites) == 0 {
-		l.level = math.Inf(1)
+	if len(l.replicas) == 0 {
+		l.fairLevel = math.Inf(1)
 		return
 	}
-	bases := make([]float64, len(l.sites))
-	for i := range l.sites {
-		bases[i] = l.sites[i].at.utilization
+	bases := make([]float64, len(l.replicas))
+	for i := range l.replicas {
+		bases[i] = l.replicas[i].endpoint.utilization
 	}
-	l.level = waterline(bases, amount)
-	for i := range l.sites {
-		share := max(0, l.level-l.sites[i].at.utilization)
-		l.sites[i].share = share
-		l.sites[i].at.utilization += share
+	l.fairLevel = fairLevel(bases, amount)
+	for i := range l.replicas {
+		share := max(0, l.fairLevel-l.replicas[i].endpoint.utilization)
+		l.replicas[i].share = share
+		l.replicas[i].endpoint.utilization += share
 	}
 }
 
-// waterline is the level to which the amount fills vessels with these bases. It sorts the bases.
-func waterline(bases []float64, amount float64) float64 {
+// fairLevel is the level to which the amount fills vessels with these bases. It sorts the bases.
+func fairLevel(bases []float64, amount float64) float64 {
 	slices.Sort(bases)
 	sum := 0.0
 	for i, base := range bases {
@@ -209,8 +209,8 @@
 	return math.Inf(1)
 }
 
-// waterlineWith is waterline with one vessel more, for bases that are sorted already.
-func waterlineWith(bases []float64, more, amount float64) float64 {
+// fairLevelWith is waterline with one vessel more, for bases that are sorted already.
+func fairLevelWith(bases []float64, more, amount float64) float64 {
 	at, _ := slices.BinarySearch(bases, more)
 	base := func(vessel int) float64 {
 		switch {
@@ -231,41 +231,41 @@
 	}
 }
 
-// levelWithout is the level with one endpoint less.
-func (l *load) levelWithout(e *endpoint) float64 {
-	bases := l.bases(e)
+// fairLevelWithout is the level with one endpoint less.
+func (l *modelPlacement) fairLevelWithout(e *endpoint) float64 {
+	bases := l.utilizationByOthers(e)
 	if len(bases) == 0 {
 		return math.Inf(1)
 	}
-	return waterline(bases, l.time)
+	return fairLevel(bases, l.offeredLoad)
 }
 
-func (l *load) bases(but *endpoint) []float64 {
-	bases := make([]float64, 0, len(l.sites)+1)
-	for _, s := range l.sites {
-		if s.at != but {
-			bases = append(bases, s.at.utilization-s.share)
+func (l *modelPlacement) utilizationByOthers(but *endpoint) []float64 {
+	bases := make([]float64, 0, len(l.replicas)+1)
+	for _, s := range l.replicas {
+		if s.endpoint != but {
+			bases = append(bases, s.endpoint.utilization-s.share)
 		}
 	}
 	return bases
 }
 
-// learn compares the requests that are out with the rate, and so learns what a request costs.
-func (p *Placer) learn(now time.Time, f *fleet, b *book, elapsed time.Duration) {
+// learnSecondsPerToken compares the requests that are out with the rate, and so learns what a request costs.
+func (p *Placer) learnSecondsPerToken(now time.Time, f *fleet, b *placements, elapsed time.Duration) {
 	age := p.demand.observedFor(now)
-	r := balance * float64(max(1, f.engine.Slots))
-	out := f.outPerEndpoint(b)
-	by := 1 - math.Exp(-elapsed.Seconds()/learnTime.Seconds())
+	r := promptsPerSlot * float64(max(1, f.engine.Slots))
+	out := f.runningPerEndpoint(b)
+	by := 1 - math.Exp(-elapsed.Seconds()/learningTimeConstant.Seconds())
 	busy, tokens := 0.0, 0.0
-	for _, l := range b.loads {
+	for _, l := range b.all {
 		d := l.demand
-		if d == nil || d.running <= 0 || d.slowRate.rate(age, slowTimeConstant) < learnFrom || d.waiting > d.running {
+		if d == nil || d.running <= 0 || d.slowRate.rate(age, slowTimeConstant) < minLearningRate || d.waiting > d.running {
 			continue
 		}
 		seen := 0.0
-		for _, s := range l.sites {
-			part := float64(d.running) / float64(len(l.sites))
-			seen += part / (out[s.at] + r)
+		for _, s := range l.replicas {
+			part := float64(d.running) / float64(len(l.replicas))
+			seen += part / (out[s.endpoint] + r)
 		}
 		rate := d.tokenRate.rate(age, slowTimeConstant)
 		if rate <= 0 || seen <= 0 {
@@ -273,28 +273,28 @@
 		}
 		busy += seen
 		tokens += rate
-		cost := min(max(seen/rate, f.secondsPerToken/learnRange), f.secondsPerToken*learnRange)
+		cost := min(max(seen/rate, f.secondsPerToken/maxLearningFactor), f.secondsPerToken*maxLearningFactor)
 		if d.secondsPerToken == 0 {
 			d.secondsPerToken = f.secondsPerToken
 		}
 		d.secondsPerToken += (cost - d.secondsPerToken) * by
 	}
 	if tokens > 0 {
-		cost := min(max(busy/tokens, priorTokenTime/learnRange), priorTokenTime*learnRange)
+		cost := min(max(busy/tokens, initialSecondsPerToken/maxLearningFactor), initialSecondsPerToken*maxLearningFactor)
 		f.secondsPerToken += (cost - f.secondsPerToken) * by
 	}
 }
 
-// outPerEndpoint spreads the requests that are out over the endpoints that serve them.
-func (f *fleet) outPerEndpoint(b *book) map[*endpoint]float64 {
+// runningPerEndpoint spreads the requests that are out over the endpoints that serve them.
+func (f *fleet) runningPerEndpoint(b *placements) map[*endpoint]float64 {
 	out := make(map[*endpoint]float64, len(f.sortedEndpoints))
-	for _, l := range b.loads {
-		if l.demand == nil || len(l.sites) == 0 {
+	for _, l := range b.all {
+		if l.demand == nil || len(l.replicas) == 0 {
 			continue
 		}
-		part := float64(l.demand.running) / float64(len(l.sites))
-		for _, s := range l.sites {
-			out[s.at] += part
+		part := float64(l.demand.running) / float64(len(l.replicas))
+		for _, s := range l.replicas {
+			out[s.endpoint] += part
 		}
 	}
 	return out
--- a/internal/control/placer/capacity_test.go
+++ b/internal/control/placer/capacity_test.go
@@ -15,8 +15,8 @@
 		more := base.Draw(t, "more")
 		amount := rapid.Float64Range(0, 10).Draw(t, "amount")
 		slices.Sort(bases)
-		got := waterlineWith(bases, more, amount)
-		if want := waterline(append(slices.Clone(bases), more), amount); got != want {
+		got := fairLevelWith(bases, more, amount)
+		if want := fairLevel(append(slices.Clone(bases), more), amount); got != want {
 			t.Fatalf("level %v, want %v", got, want)
 		}
 	})
--- a/internal/control/placer/golden_test.go
+++ b/internal/control/placer/golden_test.go
@@ -134,9 +134,9 @@
 			f.record("endpoint %s used %s known %v revision %d pending %s plan %s disk %v holds %s", e.ID, exact(e.utilization),
 				e.stateKnown, e.revision, pending, plan, slices.Sorted(maps.Keys(e.onDisk)), strings.Join(copies, " "))
 		}
-		for _, l := range p.survey(now, fleet).loads {
-			line := fmt.Sprintf("model %s rate %s steady %s time %s level %s adapter gain %.9g", l.model, exact(l.rate),
-				exact(l.steady), exact(l.time), exact(l.level), l.adapterGain)
+		for _, l := range p.currentPlacements(now, fleet).all {
+			line := fmt.Sprintf("model %s rate %s steady %s time %s level %s adapter gain %.9g", l.model, exact(l.projectedRate),
+				exact(l.longTermRate), exact(l.offeredLoad), exact(l.fairLevel), l.adapterGain)
 			if d := l.demand; d != nil {
 				line += fmt.Sprintf(" value %s unmet %s waiting %d running %d cost %s", exact(d.value), exact(d.unmet),
 					d.waiting, d.running, exact(d.secondsPerToken))
--- a/internal/control/placer/placer.go
+++ b/internal/control/placer/placer.go
@@ -122,7 +122,7 @@
 		f := p.fleets[service.Name]
 		if f == nil {
 			f = &fleet{
-				name: service.Name, endpoints: map[string]*endpoint{}, secondsPerToken: priorTokenTime,
+				name: service.Name, endpoints: map[string]*endpoint{}, secondsPerToken: initialSecondsPerToken,
 				adapterEvictedAt: map[adapterKey]time.Time{},
 			}
 			p.fleets[service.Name] = f
--- a/internal/control/placer/plan.go
+++ b/internal/control/placer/plan.go
@@ -33,8 +33,8 @@
 
 // decide carries on with what is under way and begins what is worth it.
 func (p *Placer) decide(now time.Time, f *fleet, out *Output) {
-	b := p.survey(now, f)
-	p.learn(now, f, b, now.Sub(f.decidedAt))
+	b := p.currentPlacements(now, f)
+	p.learnSecondsPerToken(now, f, b, now.Sub(f.decidedAt))
 	f.decidedAt = now
 	for _, e := range f.sortedEndpoints {
 		if e.plan != nil {
@@ -56,7 +56,7 @@
 
 // choice is a change that may be made: the target comes to the endpoint, the victims leave.
 type choice struct {
-	load    *load
+	load    *modelPlacement
 	at      *endpoint
 	victims []string
 	gain    float64
@@ -65,13 +65,13 @@
 }
 
 // best makes the most valuable change; false if none is worth it.
-func (p *Placer) best(now time.Time, f *fleet, b *book, onlyUrgent bool, out *Output) bool {
+func (p *Placer) best(now time.Time, f *fleet, b *placements, onlyUrgent bool, out *Output) bool {
 	if f.loadsUnderWay() >= f.mostLoads(p.config.LoadRateWindow) {
 		return false
 	}
 	var chosen *choice
-	b.prepare(f, p.loadLimiter.allows(now))
-	for _, l := range b.loads {
+	b.beginChoice(f, p.loadLimiter.allows(now))
+	for _, l := range b.all {
 		if !p.candidate(l, onlyUrgent) {
 			continue
 		}
@@ -87,24 +87,24 @@
 }
 
 // candidate tells whether one copy more of the model may be worth its load at all.
-func (p *Placer) candidate(l *load, onlyUrgent bool) bool {
+func (p *Placer) candidate(l *modelPlacement, onlyUrgent bool) bool {
 	if l.demand == nil {
 		return false
 	}
-	if len(l.sites) == 0 {
+	if len(l.replicas) == 0 {
 		return l.demand.hasUnmetRequests() || !onlyUrgent
 	}
 	if onlyUrgent {
 		return false
 	}
-	most := l.rate*l.demand.value*(1-worthAt(l.level)) + p.redundant(l) + l.adapterGain
+	most := l.projectedRate*l.demand.value*(1-valueAt(l.fairLevel)) + p.redundant(l) + l.adapterGain
 	return most*horizon+zoneBonus+fitBonus > p.config.LoadCost+p.config.OrderCost+hysteresis
 }
 
 func (f *fleet) loadsUnderWay() int {
 	count := 0
 	for _, e := range f.sortedEndpoints {
-		if e.target() != "" {
+		if e.incomingModel() != "" {
 			count++
 		}
 	}
@@ -115,12 +115,12 @@
 	return max(2, int(f.engine.LoadsPerSecond*window.Seconds()*concurrentPart))
 }
 
-func (p *Placer) bestFor(now time.Time, f *fleet, b *book, l *load) *choice {
+func (p *Placer) bestFor(now time.Time, f *fleet, b *placements, l *modelPlacement) *choice {
 	var chosen *choice
-	bases := l.bases(nil)
+	bases := l.utilizationByOthers(nil)
 	slices.Sort(bases)
 	for _, e := range f.sortedEndpoints {
-		if !p.takes(now, e, l.model, b.allowed) {
+		if !p.takes(now, e, l.model, b.storeLoadAllowed) {
 			continue
 		}
 		c := &choice{load: l, at: e, gain: p.gain(now, l, e, bases)}
@@ -128,7 +128,7 @@
 		if most <= 0 || chosen != nil && most <= chosen.score || !p.victims(now, f, b, c) {
 			continue
 		}
-		if l.dragging && b.waitsToo(c) {
+		if l.unloadStalled && b.waitsToo(c) {
 			continue // one copy in use that leaves for it is enough
 		}
 		price := p.config.LoadCost + p.config.OrderCost*float64(1+len(c.victims))
@@ -143,8 +143,8 @@
 }
 
 // waitsToo tells that a victim of the choice has runs to wait for.
-func (b *book) waitsToo(c *choice) bool {
-	return slices.ContainsFunc(c.victims, func(model string) bool { return b.by[model] != nil && b.by[model].runs() })
+func (b *placements) waitsToo(c *choice) bool {
+	return slices.ContainsFunc(c.victims, func(model string) bool { return b.byModel[model] != nil && b.byModel[model].hasRunningRequests() })
 }
 
 // takes tells whether a new plan may begin at the endpoint. Allowed: one more load from the store may begin.
@@ -162,26 +162,26 @@
 }
 
 // pressing is how much somebody waits for the model's first copy.
-func (p *Placer) pressing(l *load) float64 {
-	if len(l.sites) > 0 {
+func (p *Placer) pressing(l *modelPlacement) float64 {
+	if len(l.replicas) > 0 {
 		return 0
 	}
 	return math.Min(mostUnmet, l.demand.unmet+float64(l.demand.waiting))
 }
 
 // gain is what one more copy at the endpoint brings. Bases are those of the load, sorted.
-func (p *Placer) gain(now time.Time, l *load, e *endpoint, bases []float64) float64 {
+func (p *Placer) gain(now time.Time, l *modelPlacement, e *endpoint, bases []float64) float64 {
 	d := l.demand
-	after := worthAt(waterlineWith(bases, e.utilization, l.time))
-	if len(l.sites) == 0 {
+	after := valueAt(fairLevelWith(bases, e.utilization, l.offeredLoad))
+	if len(l.replicas) == 0 {
 		waited := 1.0
 		if !d.waitingSince.IsZero() {
 			waited += waitGrowth * now.Sub(d.waitingSince).Seconds()
 		}
 		now := p.pressing(l) * d.value * waited
-		return now + horizon*math.Max(l.rate, l.steady)*(missLoss*d.value+p.config.LoadCost)*after
+		return now + horizon*math.Max(l.projectedRate, l.longTermRate)*(missLoss*d.value+p.config.LoadCost)*after
 	}
-	rate := l.rate * d.value * (after - worthAt(l.level))
+	rate := l.projectedRate * d.value * (after - valueAt(l.fairLevel))
 	sum := horizon * (rate + p.redundant(l) + l.adapterGain)
 	if !l.inZone(e.Zone) {
 		sum += zoneBonus
@@ -190,19 +190,19 @@
 }
 
 // redundant is what a second copy is worth a second.
-func (p *Placer) redundant(l *load) float64 {
-	if len(l.sites) != 1 {
+func (p *Placer) redundant(l *modelPlacement) float64 {
+	if len(l.replicas) != 1 {
 		return 0
 	}
-	return redundancy * l.rate * l.demand.value
+	return redundancy * l.projectedRate * l.demand.value
 }
 
-func (l *load) inZone(zone string) bool {
-	return slices.ContainsFunc(l.sites, func(s site) bool { return s.at.Zone == zone })
+func (l *modelPlacement) inZone(zone string) bool {
+	return slices.ContainsFunc(l.replicas, func(s replica) bool { return s.endpoint.Zone == zone })
 }
 
 // fit prefers the endpoint whose room is filled best.
-func (p *Placer) fit(f *fleet, e *endpoint, l *load, victims []string) float64 {
+func (p *Placer) fit(f *fleet, e *endpoint, l *modelPlacement, victims []string) float64 {
 	left := f.room(e) - f.models[l.model].WeightsMB
 	for _, victim := range victims {
 		left += f.weight(e.find(victim))
@@ -211,7 +211,7 @@
 }
 
 // adopt makes the choice the endpoint's plan and takes it into the book.
-func (p *Placer) adopt(now time.Time, f *fleet, b *book, c *choice, out *Output) {
+func (p *Placer) adopt(now time.Time, f *fleet, b *placements, c *choice, out *Output) {
 	c.at.plan = &plan{
 		target: c.load.model, victims: slices.Clone(c.victims), decidedAt: now, lastProgressAt: now, score: c.score,
 		reason: p.reason(c),
@@ -222,37 +222,37 @@
 		}
 	}
 	for _, victim := range c.victims {
-		if l := b.by[victim]; l != nil {
+		if l := b.byModel[victim]; l != nil {
 			l.leave(c.at)
 		}
 	}
-	c.load.sites = append(c.load.sites, site{at: c.at})
-	b.level()
+	c.load.replicas = append(c.load.replicas, replica{endpoint: c.at})
+	b.distributeLoads()
 	p.proceed(now, f, b, c.at, out)
 }
 
-func (l *load) leave(e *endpoint) {
-	l.sites = slices.DeleteFunc(l.sites, func(s site) bool {
-		if s.at == e {
+func (l *modelPlacement) leave(e *endpoint) {
+	l.replicas = slices.DeleteFunc(l.replicas, func(s replica) bool {
+		if s.endpoint == e {
 			e.utilization -= s.share
 		}
-		return s.at == e
+		return s.endpoint == e
 	})
 }
 
 func (p *Placer) reason(c *choice) string {
 	l := c.load
 	d := l.demand
-	if len(l.sites) == 0 {
+	if len(l.replicas) == 0 {
 		return fmt.Sprintf("first copy: %d waiting, %.1f refused, %.2f asked/s; gain %.2f, loss %.2f",
-			d.waiting, d.unmet, math.Max(l.rate, l.steady), c.gain, c.loss)
+			d.waiting, d.unmet, math.Max(l.projectedRate, l.longTermRate), c.gain, c.loss)
 	}
 	return fmt.Sprintf("copy %d: %.1f asked/s expected, endpoints %.0f%% in use; gain %.2f, loss %.2f",
-		len(l.sites)+1, l.rate, 100*l.level, c.gain, c.loss)
+		len(l.replicas)+1, l.projectedRate, 100*l.fairLevel, c.gain, c.loss)
 }
 
 // proceed sends the next order of an endpoint's plan.
-func (p *Placer) proceed(now time.Time, f *fleet, b *book, e *endpoint, out *Output) {
+func (p *Placer) proceed(now time.Time, f *fleet, b *placements, e *endpoint, out *Output) {
 	if e.pending != nil || now.Before(e.backoffUntil) || (p.config.InspectEndpoints && !e.stateKnown) {
 		return
 	}
--- a/internal/control/placer/victims.go
+++ b/internal/control/placer/victims.go
@@ -15,7 +15,7 @@
 }
 
 // victims finds the copies whose loss is least and that make enough room; false if there are none.
-func (p *Placer) victims(now time.Time, f *fleet, b *book, c *choice) bool {
+func (p *Placer) victims(now time.Time, f *fleet, b *placements, c *choice) bool {
 	model := f.models[c.load.model]
 	need := model.WeightsMB + f.reserve(model) - f.room(c.at)
 	if need <= 0 {
@@ -48,8 +48,8 @@
 
 // possible lists the copies on the endpoint that may make way, those that are lost least first where there are many. It
 // is the same for every load that looks for room, and is found once.
-func (p *Placer) possible(now time.Time, f *fleet, b *book, e *endpoint) []victim {
-	if known, found := b.victims[e]; found {
+func (p *Placer) possible(now time.Time, f *fleet, b *placements, e *endpoint) []victim {
+	if known, found := b.evictable[e]; found {
 		return known
 	}
 	var possible []victim
@@ -62,21 +62,21 @@
 		slices.SortFunc(possible, func(x, y victim) int { return cmp.Compare(x.loss/x.size, y.loss/y.size) })
 		possible = possible[:mostVictims]
 	}
-	b.victims[e] = possible
+	b.evictable[e] = possible
 	return possible
 }
 
 // yields tells what is lost when the copy makes way, and whether it may.
-func (p *Placer) yields(now time.Time, f *fleet, b *book, e *endpoint, held *loadedModel) (victim, bool) {
+func (p *Placer) yields(now time.Time, f *fleet, b *placements, e *endpoint, held *loadedModel) (victim, bool) {
 	v := victim{model: held.model, size: f.weight(held)}
-	l := b.by[held.model]
+	l := b.byModel[held.model]
 	if l == nil { // not in the configuration any more
 		return v, true
 	}
 	if now.Sub(p.startedAt) < minObservation || p.demand.observedFor(now) < minObservation {
 		return v, false
 	}
-	last := b.present[held.model] == 0 || b.present[held.model] == 1 && e.isServing(held.model)
+	last := b.servingReplicas[held.model] == 0 || b.servingReplicas[held.model] == 1 && e.isServing(held.model)
 	if now.Sub(held.loadedAt) < residence && (last || l.demand == nil) {
 		return v, false
 	}
@@ -99,7 +99,7 @@
 }
 
 // loss is what the copy's leaving costs.
-func (p *Placer) loss(now time.Time, l *load, e *endpoint, held *loadedModel, last bool) float64 {
+func (p *Placer) loss(now time.Time, l *modelPlacement, e *endpoint, held *loadedModel, last bool) float64 {
 	if last {
 		return p.lastLoss(now, l)
 	}
@@ -107,12 +107,12 @@
 	if d == nil {
 		return 0
 	}
-	rate := l.rate * d.value * (worthAt(l.level) - worthAt(l.levelWithout(e)))
-	if len(l.sites) == 2 {
-		rate += redundancy * l.rate * d.value
+	rate := l.projectedRate * d.value * (valueAt(l.fairLevel) - valueAt(l.fairLevelWithout(e)))
+	if len(l.replicas) == 2 {
+		rate += redundancy * l.projectedRate * d.value
 	}
 	sum := horizon * rate
-	if out := float64(d.running) / float64(max(1, len(l.sites))); out > 0.5 {
+	if out := float64(d.running) / float64(max(1, len(l.replicas))); out > 0.5 {
 		sum += runLoss*math.Min(out, mostRuns) + cacheLoss
 	}
 	for _, name := range held.adapters {
@@ -125,9 +125,9 @@
 
 // lastLoss is what it costs to have no copy of the model: its next requests wait for a load. Of a model that nobody
 // asked for yet nothing is known, except that somebody put it there: it may be the next that is asked for much.
-func (p *Placer) lastLoss(now time.Time, l *load) float64 {
+func (p *Placer) lastLoss(now time.Time, l *modelPlacement) float64 {
 	if l.demand == nil || l.demand.lastRequestAt.IsZero() {
 		return dormantWorth * math.Exp(-now.Sub(p.startedAt).Seconds()/dormantTime.Seconds())
 	}
-	return horizon * math.Max(l.rate, l.steady) * (missLoss*l.demand.value + p.config.LoadCost)
+	return horizon * math.Max(l.projectedRate, l.longTermRate) * (missLoss*l.demand.value + p.config.LoadCost)
 }
