--- a/internal/control/placer/adapters.go
+++ b/internal/control/placer/adapters.go
@@ -311,5 +311,5 @@
 	}
 	places := f.engine.AdapterSlots * len(l.replicas)
 	more := min(inUse, places+f.engine.AdapterSlots) - min(inUse, places)
-	return adapterLoss * rate * l.demand.value * float64(more) / float64(inUse)
+	return adapterMissLoss * rate * l.demand.value * float64(more) / float64(inUse)
 }
--- a/internal/control/placer/plan.go
+++ b/internal/control/placer/plan.go
@@ -9,26 +9,26 @@
 
 // What a copy is worth. All is in requests of usual worth; a rate counts over the horizon.
 const (
-	horizon        = 10.0 // seconds for which the present demand is believed to last
-	missLoss       = 0.4  // what a request loses that finds no copy and waits for one
-	redundancy     = 0.05 // share of a model's demand at stake while a single endpoint serves it
-	adapterLoss    = 0.3  // what a request loses that finds no place with its adapter
-	adapterMove    = 0.15 // bringing an adapter in use elsewhere, besides the order
-	cacheLoss      = 0.2  // prompts kept by a copy in use
-	runLoss        = 0.2  // an unload waits for runs: for each on the copy
-	mostRuns       = 8.0  // that count
-	hysteresis     = 0.4  // a change must bring so much more than it costs
-	delayLoss      = 0.03 // each second until the copy serves
-	fitBonus       = 0.05 // for filling the room whole
-	zoneBonus      = 0.1  // for the first copy in a zone
-	waitGrowth     = 0.5  // each second of waiting makes a request weigh so much more
-	mostUnmet      = 5.0  // refused requests that count as coming back
-	dormantWorth   = 3.0  // the last copy of a model that nobody asked for yet
-	dormantTime    = 10 * time.Minute
-	residence      = 4 * time.Second
-	mostVictims    = 8 // copies on an endpoint that are tried in all combinations
-	plansPerStep   = 8
-	concurrentPart = 0.85 // of loads_per_s × window: loads under way at the same moment
+	planningHorizon     = 10.0 // seconds for which the present demand is believed to last
+	missLoss            = 0.4  // what a request loses that finds no copy and waits for one
+	redundancyShare     = 0.05 // share of a model's demand at stake while a single endpoint serves it
+	adapterMissLoss     = 0.3  // what a request loses that finds no place with its adapter
+	adapterMoveLoss     = 0.15 // bringing an adapter in use elsewhere, besides the order
+	prefixCacheLoss     = 0.2  // prompts kept by a copy in use
+	runningRequestLoss  = 0.2  // an unload waits for runs: for each on the copy
+	maxRunningRequests  = 8.0  // that count
+	minNetGain          = 0.4  // a change must bring so much more than it costs
+	delayLossPerS       = 0.03 // each second until the copy serves
+	packingBonus        = 0.05 // for filling the room whole
+	zoneBonus           = 0.1  // for the first copy in a zone
+	waitingGrowthPerS   = 0.5  // each second of waiting makes a request weigh so much more
+	maxUnmetRequests    = 5.0  // refused requests that count as coming back
+	dormantModelValue   = 3.0  // the last copy of a model that nobody asked for yet
+	dormantTimeConstant = 10 * time.Minute
+	minResidency        = 4 * time.Second
+	maxEvictable        = 8 // copies on an endpoint that are tried in all combinations
+	maxPlansPerStep     = 8
+	concurrentLoadShare = 0.85 // of loads_per_s × window: loads under way at the same moment
 )
 
 // decide carries on with what is under way and begins what is worth it.
@@ -38,13 +38,13 @@
 	f.decidedAt = now
 	for _, e := range f.sortedEndpoints {
 		if e.plan != nil {
-			p.proceed(now, f, b, e, out)
+			p.advancePlan(now, f, b, e, out)
 		}
 	}
 	onlyUrgent := now.Sub(p.startedAt) < urgentOnlyWindow || p.demand.observedFor(now) < urgentOnlyWindow
 	p.adapters(now, f, b, true, out) // first: these take a moment only, loads seconds
-	for range plansPerStep {
-		if !p.best(now, f, b, onlyUrgent, out) {
+	for range maxPlansPerStep {
+		if !p.placeBest(now, f, b, onlyUrgent, out) {
 			break
 		}
 	}
@@ -54,40 +54,40 @@
 	}
 }
 
-// choice is a change that may be made: the target comes to the endpoint, the victims leave.
-type choice struct {
-	load    *modelPlacement
-	at      *endpoint
-	victims []string
-	gain    float64
-	loss    float64
-	score   float64
+// candidate is a change that may be made: the target comes to the endpoint, the victims leave.
+type candidate struct {
+	placement *modelPlacement
+	endpoint  *endpoint
+	victims   []string
+	gain      float64
+	loss      float64
+	score     float64
 }
 
-// best makes the most valuable change; false if none is worth it.
-func (p *Placer) best(now time.Time, f *fleet, b *placements, onlyUrgent bool, out *Output) bool {
-	if f.loadsUnderWay() >= f.mostLoads(p.config.LoadRateWindow) {
+// placeBest makes the most valuable change; false if none is worth it.
+func (p *Placer) placeBest(now time.Time, f *fleet, b *placements, onlyUrgent bool, out *Output) bool {
+	if f.loadsUnderWay() >= f.maxLoadsUnderWay(p.config.LoadRateWindow) {
 		return false
 	}
-	var chosen *choice
+	var chosen *candidate
 	b.beginChoice(f, p.loadLimiter.allows(now))
 	for _, l := range b.all {
-		if !p.candidate(l, onlyUrgent) {
+		if !p.mayGain(l, onlyUrgent) {
 			continue
 		}
-		if found := p.bestFor(now, f, b, l); found != nil && (chosen == nil || found.score > chosen.score) {
+		if found := p.bestCandidate(now, f, b, l); found != nil && (chosen == nil || found.score > chosen.score) {
 			chosen = found
 		}
 	}
 	if chosen == nil {
 		return false
 	}
-	p.adopt(now, f, b, chosen, out)
+	p.bind(now, f, b, chosen, out)
 	return true
 }
 
-// candidate tells whether one copy more of the model may be worth its load at all.
-func (p *Placer) candidate(l *modelPlacement, onlyUrgent bool) bool {
+// mayGain tells whether one copy more of the model may be worth its load at all.
+func (p *Placer) mayGain(l *modelPlacement, onlyUrgent bool) bool {
 	if l.demand == nil {
 		return false
 	}
@@ -97,8 +97,8 @@
 	if onlyUrgent {
 		return false
 	}
-	most := l.projectedRate*l.demand.value*(1-valueAt(l.fairLevel)) + p.redundant(l) + l.adapterGain
-	return most*horizon+zoneBonus+fitBonus > p.config.LoadCost+p.config.OrderCost+hysteresis
+	most := l.projectedRate*l.demand.value*(1-valueAt(l.fairLevel)) + p.redundancyGain(l) + l.adapterGain
+	return most*planningHorizon+zoneBonus+packingBonus > p.config.LoadCost+p.config.OrderCost+minNetGain
 }
 
 func (f *fleet) loadsUnderWay() int {
@@ -111,30 +111,30 @@
 	return count
 }
 
-func (f *fleet) mostLoads(window time.Duration) int {
-	return max(2, int(f.engine.LoadsPerSecond*window.Seconds()*concurrentPart))
+func (f *fleet) maxLoadsUnderWay(window time.Duration) int {
+	return max(2, int(f.engine.LoadsPerSecond*window.Seconds()*concurrentLoadShare))
 }
 
-func (p *Placer) bestFor(now time.Time, f *fleet, b *placements, l *modelPlacement) *choice {
-	var chosen *choice
+func (p *Placer) bestCandidate(now time.Time, f *fleet, b *placements, l *modelPlacement) *candidate {
+	var chosen *candidate
 	bases := l.utilizationByOthers(nil)
 	slices.Sort(bases)
 	for _, e := range f.sortedEndpoints {
-		if !p.takes(now, e, l.model, b.storeLoadAllowed) {
+		if !p.isFeasible(now, e, l.model, b.storeLoadAllowed) {
 			continue
 		}
-		c := &choice{load: l, at: e, gain: p.gain(now, l, e, bases)}
-		most := c.gain + fitBonus - p.config.LoadCost - p.config.OrderCost - hysteresis
+		c := &candidate{placement: l, endpoint: e, gain: p.gain(now, l, e, bases)}
+		most := c.gain + packingBonus - p.config.LoadCost - p.config.OrderCost - minNetGain
 		if most <= 0 || chosen != nil && most <= chosen.score || !p.victims(now, f, b, c) {
 			continue
 		}
-		if l.unloadStalled && b.waitsToo(c) {
+		if l.unloadStalled && b.evictsRunningRequests(c) {
 			continue // one copy in use that leaves for it is enough
 		}
 		price := p.config.LoadCost + p.config.OrderCost*float64(1+len(c.victims))
-		c.score = c.gain - c.loss - price - hysteresis
-		c.score -= delayLoss * p.loadTime(f, e, l.model).Seconds() * (1 + p.pressing(l))
-		c.score += p.fit(f, e, l, c.victims)
+		c.score = c.gain - c.loss - price - minNetGain
+		c.score -= delayLossPerS * p.loadTime(f, e, l.model).Seconds() * (1 + p.waitingRequests(l))
+		c.score += p.packingScore(f, e, l, c.victims)
 		if c.score > 0 && (chosen == nil || c.score > chosen.score) {
 			chosen = c
 		}
@@ -142,13 +142,13 @@
 	return chosen
 }
 
-// waitsToo tells that a victim of the choice has runs to wait for.
-func (b *placements) waitsToo(c *choice) bool {
+// evictsRunningRequests tells that a victim of the choice has runs to wait for.
+func (b *placements) evictsRunningRequests(c *candidate) bool {
 	return slices.ContainsFunc(c.victims, func(model string) bool { return b.byModel[model] != nil && b.byModel[model].hasRunningRequests() })
 }
 
-// takes tells whether a new plan may begin at the endpoint. Allowed: one more load from the store may begin.
-func (p *Placer) takes(now time.Time, e *endpoint, model string, allowed bool) bool {
+// isFeasible tells whether a new plan may begin at the endpoint. Allowed: one more load from the store may begin.
+func (p *Placer) isFeasible(now time.Time, e *endpoint, model string, allowed bool) bool {
 	if !e.isReady() || e.plan != nil || now.Before(e.backoffUntil) || e.find(model) != nil {
 		return false
 	}
@@ -161,12 +161,12 @@
 	return allowed || e.onDisk[model]
 }
 
-// pressing is how much somebody waits for the model's first copy.
-func (p *Placer) pressing(l *modelPlacement) float64 {
+// waitingRequests is how much somebody waits for the model's first copy.
+func (p *Placer) waitingRequests(l *modelPlacement) float64 {
 	if len(l.replicas) > 0 {
 		return 0
 	}
-	return math.Min(mostUnmet, l.demand.unmet+float64(l.demand.waiting))
+	return math.Min(maxUnmetRequests, l.demand.unmet+float64(l.demand.waiting))
 }
 
 // gain is what one more copy at the endpoint brings. Bases are those of the load, sorted.
@@ -176,62 +176,62 @@
 	if len(l.replicas) == 0 {
 		waited := 1.0
 		if !d.waitingSince.IsZero() {
-			waited += waitGrowth * now.Sub(d.waitingSince).Seconds()
+			waited += waitingGrowthPerS * now.Sub(d.waitingSince).Seconds()
 		}
-		now := p.pressing(l) * d.value * waited
-		return now + horizon*math.Max(l.projectedRate, l.longTermRate)*(missLoss*d.value+p.config.LoadCost)*after
+		now := p.waitingRequests(l) * d.value * waited
+		return now + planningHorizon*math.Max(l.projectedRate, l.longTermRate)*(missLoss*d.value+p.config.LoadCost)*after
 	}
 	rate := l.projectedRate * d.value * (after - valueAt(l.fairLevel))
-	sum := horizon * (rate + p.redundant(l) + l.adapterGain)
-	if !l.inZone(e.Zone) {
+	sum := planningHorizon * (rate + p.redundancyGain(l) + l.adapterGain)
+	if !l.hasReplicaInZone(e.Zone) {
 		sum += zoneBonus
 	}
 	return sum
 }
 
-// redundant is what a second copy is worth a second.
-func (p *Placer) redundant(l *modelPlacement) float64 {
+// redundancyGain is what a second copy is worth a second.
+func (p *Placer) redundancyGain(l *modelPlacement) float64 {
 	if len(l.replicas) != 1 {
 		return 0
 	}
-	return redundancy * l.projectedRate * l.demand.value
+	return redundancyShare * l.projectedRate * l.demand.value
 }
 
-func (l *modelPlacement) inZone(zone string) bool {
+func (l *modelPlacement) hasReplicaInZone(zone string) bool {
 	return slices.ContainsFunc(l.replicas, func(s replica) bool { return s.endpoint.Zone == zone })
 }
 
-// fit prefers the endpoint whose room is filled best.
-func (p *Placer) fit(f *fleet, e *endpoint, l *modelPlacement, victims []string) float64 {
+// packingScore prefers the endpoint whose room is filled best.
+func (p *Placer) packingScore(f *fleet, e *endpoint, l *modelPlacement, victims []string) float64 {
 	left := f.room(e) - f.models[l.model].WeightsMB
 	for _, victim := range victims {
 		left += f.weight(e.find(victim))
 	}
-	return fitBonus * (1 - left/f.engine.WeightMemoryMB)
+	return packingBonus * (1 - left/f.engine.WeightMemoryMB)
 }
 
-// adopt makes the choice the endpoint's plan and takes it into the book.
-func (p *Placer) adopt(now time.Time, f *fleet, b *placements, c *choice, out *Output) {
-	c.at.plan = &plan{
-		target: c.load.model, victims: slices.Clone(c.victims), decidedAt: now, lastProgressAt: now, score: c.score,
+// bind makes the choice the endpoint's plan and takes it into the book.
+func (p *Placer) bind(now time.Time, f *fleet, b *placements, c *candidate, out *Output) {
+	c.endpoint.plan = &plan{
+		target: c.placement.model, victims: slices.Clone(c.victims), decidedAt: now, lastProgressAt: now, score: c.score,
 		reason: p.reason(c),
 	}
 	for _, e := range f.sortedEndpoints {
-		if e != c.at && e.unloadStalled(now) && e.plan.target == c.load.model {
+		if e != c.endpoint && e.unloadStalled(now) && e.plan.target == c.placement.model {
 			e.plan = nil // its unload goes on, and the room is for what is best then
 		}
 	}
 	for _, victim := range c.victims {
 		if l := b.byModel[victim]; l != nil {
-			l.leave(c.at)
+			l.removeReplica(c.endpoint)
 		}
 	}
-	c.load.replicas = append(c.load.replicas, replica{endpoint: c.at})
+	c.placement.replicas = append(c.placement.replicas, replica{endpoint: c.endpoint})
 	b.distributeLoads()
-	p.proceed(now, f, b, c.at, out)
+	p.advancePlan(now, f, b, c.endpoint, out)
 }
 
-func (l *modelPlacement) leave(e *endpoint) {
+func (l *modelPlacement) removeReplica(e *endpoint) {
 	l.replicas = slices.DeleteFunc(l.replicas, func(s replica) bool {
 		if s.endpoint == e {
 			e.utilization -= s.share
@@ -240,8 +240,8 @@
 	})
 }
 
-func (p *Placer) reason(c *choice) string {
-	l := c.load
+func (p *Placer) reason(c *candidate) string {
+	l := c.placement
 	d := l.demand
 	if len(l.replicas) == 0 {
 		return fmt.Sprintf("first copy: %d waiting, %.1f refused, %.2f asked/s; gain %.2f, loss %.2f",
@@ -251,8 +251,8 @@
 		len(l.replicas)+1, l.projectedRate, 100*l.fairLevel, c.gain, c.loss)
 }
 
-// proceed sends the next order of an endpoint's plan.
-func (p *Placer) proceed(now time.Time, f *fleet, b *placements, e *endpoint, out *Output) {
+// advancePlan sends the next order of an endpoint's plan.
+func (p *Placer) advancePlan(now time.Time, f *fleet, b *placements, e *endpoint, out *Output) {
 	if e.pending != nil || now.Before(e.backoffUntil) || (p.config.InspectEndpoints && !e.stateKnown) {
 		return
 	}
--- a/internal/control/placer/victims.go
+++ b/internal/control/placer/victims.go
@@ -15,13 +15,13 @@
 }
 
 // victims finds the copies whose loss is least and that make enough room; false if there are none.
-func (p *Placer) victims(now time.Time, f *fleet, b *placements, c *choice) bool {
-	model := f.models[c.load.model]
-	need := model.WeightsMB + f.reserve(model) - f.room(c.at)
+func (p *Placer) victims(now time.Time, f *fleet, b *placements, c *candidate) bool {
+	model := f.models[c.placement.model]
+	need := model.WeightsMB + f.reserve(model) - f.room(c.endpoint)
 	if need <= 0 {
 		return true
 	}
-	possible := p.possible(now, f, b, c.at)
+	possible := p.possible(now, f, b, c.endpoint)
 	found := false
 	for set := 1; set < 1<<len(possible); set++ {
 		size, loss := 0.0, 0.0
@@ -58,9 +58,9 @@
 			possible = append(possible, v)
 		}
 	}
-	if len(possible) > mostVictims {
+	if len(possible) > maxEvictable {
 		slices.SortFunc(possible, func(x, y victim) int { return cmp.Compare(x.loss/x.size, y.loss/y.size) })
-		possible = possible[:mostVictims]
+		possible = possible[:maxEvictable]
 	}
 	b.evictable[e] = possible
 	return possible
@@ -77,7 +77,7 @@
 		return v, false
 	}
 	last := b.servingReplicas[held.model] == 0 || b.servingReplicas[held.model] == 1 && e.isServing(held.model)
-	if now.Sub(held.loadedAt) < residence && (last || l.demand == nil) {
+	if now.Sub(held.loadedAt) < minResidency && (last || l.demand == nil) {
 		return v, false
 	}
 	if last && l.demand != nil && l.demand.isRecent(now) {
@@ -109,15 +109,15 @@
 	}
 	rate := l.projectedRate * d.value * (valueAt(l.fairLevel) - valueAt(l.fairLevelWithout(e)))
 	if len(l.replicas) == 2 {
-		rate += redundancy * l.projectedRate * d.value
+		rate += redundancyShare * l.projectedRate * d.value
 	}
-	sum := horizon * rate
+	sum := planningHorizon * rate
 	if out := float64(d.running) / float64(max(1, len(l.replicas))); out > 0.5 {
-		sum += runLoss*math.Min(out, mostRuns) + cacheLoss
+		sum += runningRequestLoss*math.Min(out, maxRunningRequests) + prefixCacheLoss
 	}
 	for _, name := range held.adapters {
 		if a := d.adapters[name]; a != nil {
-			sum += (adapterMove + p.config.OrderCost) * math.Min(1, a.slowRate.rate(p.demand.observedFor(now), slowTimeConstant)*horizon)
+			sum += (adapterMoveLoss + p.config.OrderCost) * math.Min(1, a.slowRate.rate(p.demand.observedFor(now), slowTimeConstant)*planningHorizon)
 		}
 	}
 	return sum
@@ -127,7 +127,7 @@
 // asked for yet nothing is known, except that somebody put it there: it may be the next that is asked for much.
 func (p *Placer) lastLoss(now time.Time, l *modelPlacement) float64 {
 	if l.demand == nil || l.demand.lastRequestAt.IsZero() {
-		return dormantWorth * math.Exp(-now.Sub(p.startedAt).Seconds()/dormantTime.Seconds())
+		return dormantModelValue * math.Exp(-now.Sub(p.startedAt).Seconds()/dormantTimeConstant.Seconds())
 	}
-	return horizon * math.Max(l.projectedRate, l.longTermRate) * (missLoss*l.demand.value + p.config.LoadCost)
+	return planningHorizon * math.Max(l.projectedRate, l.longTermRate) * (missLoss*l.demand.value + p.config.LoadCost)
 }
