--- a/internal/control/placer/adapters.go
+++ b/internal/control/placer/adapters.go
@@ -153,7 +153,7 @@
 		if e.find(need.model) == nil || e.find(need.model).hasAdapter(need.adapter) || !p.quiet(now, e) {
 			continue
 		}
-		if f.places(e) > 0 && f.room(e) >= f.models[need.model].AdapterSizeMB && e.keepsFor(now, need) {
+		if f.freeAdapterSlots(e) > 0 && f.freeMemoryMB(e) >= f.models[need.model].AdapterSizeMB && e.keepsFor(now, need) {
 			if free == nil || e.utilization < free.utilization {
 				free = e
 			}
@@ -277,7 +277,7 @@
 		if name == "" {
 			return
 		}
-		if e.find(l.model) == nil || !p.quiet(now, e) || f.places(e) < 1 || f.room(e) < spec.AdapterSizeMB {
+		if e.find(l.model) == nil || !p.quiet(now, e) || f.freeAdapterSlots(e) < 1 || f.freeMemoryMB(e) < spec.AdapterSizeMB {
 			continue
 		}
 		if p.issue(now, f, e, Order{Model: l.model, Adapter: name, Reason: "a place is free"}, out) {
--- a/internal/control/placer/capacity.go
+++ b/internal/control/placer/capacity.go
@@ -59,15 +59,15 @@
 	all     []*modelPlacement // by model
 	byModel map[string]*modelPlacement
 
-	servingReplicas  map[string]int         // endpoints that offer a model now, for one choice
-	evictable        map[*endpoint][]victim // that may make way, for one choice
-	storeLoadAllowed bool                   // one more load from the store may begin
+	servingReplicas  map[string]int                 // endpoints that offer a model now, for one choice
+	evictable        map[*endpoint][]evictableModel // that may make way, for one choice
+	storeLoadAllowed bool                           // one more load from the store may begin
 }
 
 // beginChoice counts what one choice looks at again and again.
 func (b *placements) beginChoice(f *fleet, allowed bool) {
 	b.storeLoadAllowed = allowed
-	b.evictable = make(map[*endpoint][]victim)
+	b.evictable = make(map[*endpoint][]evictableModel)
 	b.servingReplicas = make(map[string]int, len(b.all))
 	for _, e := range f.sortedEndpoints {
 		for i := range e.models {
--- a/internal/control/placer/gate.go
+++ b/internal/control/placer/gate.go
@@ -11,76 +11,76 @@
 
 // Reasons why the last gate holds an order back.
 var (
-	errBusy    = errors.New("an order may be under way")
-	errUnsure  = errors.New("what the endpoint holds is not surely known")
-	errRoom    = errors.New("beyond weights_mb")
-	errPlaces  = errors.New("beyond adapter_slots")
-	errAbsent  = errors.New("not there")
-	errHeld    = errors.New("held already")
-	errCeiling = errors.New("beyond the ceiling of loads")
+	errOrderPending         = errors.New("an order may be under way")
+	errStateUnknown         = errors.New("what the endpoint holds is not surely known")
+	errMemoryExceeded       = errors.New("beyond weights_mb")
+	errAdapterSlotsExceeded = errors.New("beyond adapter_slots")
+	errNotLoaded            = errors.New("not there")
+	errAlreadyLoaded        = errors.New("held already")
+	errLoadRateExceeded     = errors.New("beyond the ceiling of loads")
 )
 
-// admissible is the last look at an order before it leaves: LIMIT, CEILING, one order at a time. It relies on
+// checkAdmissible is the last look at an order before it leaves: LIMIT, CEILING, one order at a time. It relies on
 // nothing that the planning concluded.
-func (p *Placer) admissible(now time.Time, f *fleet, e *endpoint, order Order) error {
+func (p *Placer) checkAdmissible(now time.Time, f *fleet, e *endpoint, order Order) error {
 	if e.pending != nil || now.Before(e.backoffUntil) {
-		return errBusy
+		return errOrderPending
 	}
 	if p.config.InspectEndpoints && !e.stateKnown {
-		return errUnsure
+		return errStateUnknown
 	}
 	if order.Unload {
-		return f.mayUnload(e, order)
+		return f.checkUnload(e, order)
 	}
 	if order.Adapter != "" {
-		return f.mayLoadAdapter(e, order)
+		return f.checkAdapterLoad(e, order)
 	}
 	model, exists := f.models[order.Model]
 	if !exists {
-		return fmt.Errorf("load %s: %w", order.Model, errAbsent)
+		return fmt.Errorf("load %s: %w", order.Model, errNotLoaded)
 	}
 	if e.find(order.Model) != nil {
-		return fmt.Errorf("load %s: %w", order.Model, errHeld)
+		return fmt.Errorf("load %s: %w", order.Model, errAlreadyLoaded)
 	}
-	if f.room(e) < model.WeightsMB {
-		return errRoom
+	if f.freeMemoryMB(e) < model.WeightsMB {
+		return errMemoryExceeded
 	}
 	if !e.onDisk[order.Model] && !p.loadLimiter.allows(now) {
-		return errCeiling
+		return errLoadRateExceeded
 	}
 	return nil
 }
 
-func (f *fleet) mayUnload(e *endpoint, order Order) error {
+func (f *fleet) checkUnload(e *endpoint, order Order) error {
 	found := e.find(order.Model)
 	if found == nil || (order.Adapter != "" && !found.hasAdapter(order.Adapter)) {
-		return errAbsent
+		return errNotLoaded
 	}
 	return nil
 }
 
-func (f *fleet) mayLoadAdapter(e *endpoint, order Order) error {
+func (f *fleet) checkAdapterLoad(e *endpoint, order Order) error {
 	model, exists := f.models[order.Model]
 	if !exists || e.find(order.Model) == nil {
-		return errAbsent
+		return errNotLoaded
 	}
-	if f.room(e) < model.AdapterSizeMB {
-		return errRoom
+	if f.freeMemoryMB(e) < model.AdapterSizeMB {
+		return errMemoryExceeded
 	}
-	if f.places(e) < 1 {
-		return errPlaces
+	if f.freeAdapterSlots(e) < 1 {
+		return errAdapterSlotsExceeded
 	}
 	return nil
 }
 
-// room is what is surely free of weights_mb: everything counts that may be there or may be arriving.
-func (f *fleet) room(e *endpoint) float64 {
+// freeMemoryMB is what is surely free of weights_mb: everything counts that may be there or may be arriving.
+func (f *fleet) freeMemoryMB(e *endpoint) float64 {
 	room := f.engine.WeightMemoryMB
 	for i := range e.models {
-		room -= f.weight(&e.models[i])
+		room -= f.modelMemoryMB(&e.models[i])
 	}
 	if e.pending != nil && !e.pending.order.Unload {
-		room -= f.ordered(e.pending.order)
+		room -= f.orderMemoryMB(e.pending.order)
 	}
 	if !e.stateKnown && !e.inheritedOrdersOver {
 		room -= f.maxModelMB
@@ -88,8 +88,8 @@
 	return room
 }
 
-// weight is what a copy takes with its adapters. A model that the configuration does not know may take everything.
-func (f *fleet) weight(c *loadedModel) float64 {
+// modelMemoryMB is what a copy takes with its adapters. A model that the configuration does not know may take everything.
+func (f *fleet) modelMemoryMB(c *loadedModel) float64 {
 	model, exists := f.models[c.model]
 	if !exists {
 		return f.engine.WeightMemoryMB
@@ -97,7 +97,7 @@
 	return model.WeightsMB + float64(len(c.adapters))*model.AdapterSizeMB
 }
 
-func (f *fleet) ordered(order Order) float64 {
+func (f *fleet) orderMemoryMB(order Order) float64 {
 	model := f.models[order.Model]
 	if order.Adapter != "" {
 		return model.AdapterSizeMB
@@ -105,8 +105,8 @@
 	return model.WeightsMB
 }
 
-// places is how many adapters more the endpoint surely takes.
-func (f *fleet) places(e *endpoint) int {
+// freeAdapterSlots is how many adapters more the endpoint surely takes.
+func (f *fleet) freeAdapterSlots(e *endpoint) int {
 	free := f.engine.AdapterSlots
 	for i := range e.models {
 		free -= len(e.models[i].adapters)
@@ -120,14 +120,14 @@
 	return free
 }
 
-// reserve is the room that a model's adapters may take beside its weights.
-func (f *fleet) reserve(model configuration.Model) float64 {
+// adapterReserveMB is the room that a model's adapters may take beside its weights.
+func (f *fleet) adapterReserveMB(model configuration.Model) float64 {
 	return float64(min(model.AdapterCount, f.engine.AdapterSlots)) * model.AdapterSizeMB
 }
 
 // issue sends an order through the gate; false if it was held back.
 func (p *Placer) issue(now time.Time, f *fleet, e *endpoint, order Order, out *Output) bool {
-	if err := p.admissible(now, f, e, order); err != nil {
+	if err := p.checkAdmissible(now, f, e, order); err != nil {
 		p.counters.Inadmissible++
 		return false
 	}
@@ -138,17 +138,17 @@
 		revision := e.revision
 		order.Revision = &revision
 	}
-	e.pending = &pendingOrder{order: order, sentAt: now, expectedAt: now.Add(p.expected(f, e, order))}
+	e.pending = &pendingOrder{order: order, sentAt: now, expectedAt: now.Add(p.expectedDuration(f, e, order))}
 	if found := e.find(order.Model); found != nil && order.Unload {
 		e.pending.adapterSeen = slices.Contains(found.reportedAdapters, order.Adapter)
 	}
 	p.unanswered[order.ID] = e
-	p.count(f, e, order)
+	p.countOrder(f, e, order)
 	out.Orders = append(out.Orders, order)
 	return true
 }
 
-func (p *Placer) count(f *fleet, e *endpoint, order Order) {
+func (p *Placer) countOrder(f *fleet, e *endpoint, order Order) {
 	switch {
 	case order.Adapter != "":
 		p.counters.Adapters++
@@ -160,12 +160,12 @@
 			p.counters.WarmLoads++
 			return
 		}
-		p.loadLimiter.ordered(order.ID)
+		p.loadLimiter.addOrdered(order.ID)
 	}
 }
 
-// expected is how long an order should take.
-func (p *Placer) expected(f *fleet, e *endpoint, order Order) time.Duration {
+// expectedDuration is how long an order should take.
+func (p *Placer) expectedDuration(f *fleet, e *endpoint, order Order) time.Duration {
 	switch {
 	case order.Adapter != "":
 		return adapterLoadTime
@@ -177,12 +177,12 @@
 }
 
 // warmShare is how long a load from the endpoint's own disk lasts, against one from the store.
-const warmShare = 0.23
+const warmLoadShare = 0.23
 
 func (p *Placer) loadTime(f *fleet, e *endpoint, model string) time.Duration {
 	seconds := f.models[model].LoadTimeSeconds
 	if p.likelyWarm(f, e, model) {
-		seconds *= warmShare
+		seconds *= warmLoadShare
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
--- a/internal/control/placer/gate_test.go
+++ b/internal/control/placer/gate_test.go
@@ -23,25 +23,25 @@
 		{"a load of an adapter", nil, Order{Model: "big", Adapter: "a2"}, nil},
 		{"an unload of an adapter", nil, Order{Model: "big", Adapter: "a1", Unload: true}, nil},
 		{"while an order is under way", func(_ *Placer, _ *fleet, e *endpoint) { e.pending = &pendingOrder{} },
-			Order{Model: "small"}, errBusy},
+			Order{Model: "small"}, errOrderPending},
 		{"within the pause after a rejection", func(_ *Placer, _ *fleet, e *endpoint) { e.backoffUntil = now.Add(1) },
-			Order{Model: "small"}, errBusy},
+			Order{Model: "small"}, errOrderPending},
 		{"while the content is not known", func(_ *Placer, _ *fleet, e *endpoint) { e.stateKnown = false },
-			Order{Model: "small"}, errUnsure},
-		{"an unload of a model that is not there", nil, Order{Model: "small", Unload: true}, errAbsent},
-		{"an unload of an adapter that is not there", nil, Order{Model: "big", Adapter: "a2", Unload: true}, errAbsent},
-		{"an adapter of a model that is not there", nil, Order{Model: "small", Adapter: "a1"}, errAbsent},
-		{"an adapter of a model without a configuration", nil, Order{Model: "old", Adapter: "a1"}, errAbsent},
+			Order{Model: "small"}, errStateUnknown},
+		{"an unload of a model that is not there", nil, Order{Model: "small", Unload: true}, errNotLoaded},
+		{"an unload of an adapter that is not there", nil, Order{Model: "big", Adapter: "a2", Unload: true}, errNotLoaded},
+		{"an adapter of a model that is not there", nil, Order{Model: "small", Adapter: "a1"}, errNotLoaded},
+		{"an adapter of a model without a configuration", nil, Order{Model: "old", Adapter: "a1"}, errNotLoaded},
 		{"an adapter without room", func(_ *Placer, f *fleet, _ *endpoint) { f.engine.WeightMemoryMB = 61.5 },
-			Order{Model: "big", Adapter: "a2"}, errRoom},
+			Order{Model: "big", Adapter: "a2"}, errMemoryExceeded},
 		{"an adapter without a place", func(_ *Placer, f *fleet, _ *endpoint) { f.engine.AdapterSlots = 1 },
-			Order{Model: "big", Adapter: "a2"}, errPlaces},
-		{"a load of a model without a configuration", nil, Order{Model: "old"}, errAbsent},
-		{"a load of a model that is there", nil, Order{Model: "big"}, errHeld},
+			Order{Model: "big", Adapter: "a2"}, errAdapterSlotsExceeded},
+		{"a load of a model without a configuration", nil, Order{Model: "old"}, errNotLoaded},
+		{"a load of a model that is there", nil, Order{Model: "big"}, errAlreadyLoaded},
 		{"a load without room", func(_ *Placer, f *fleet, _ *endpoint) { f.engine.WeightMemoryMB = 90.9 },
-			Order{Model: "small"}, errRoom},
+			Order{Model: "small"}, errMemoryExceeded},
 		{"a load beyond the rate limit", func(p *Placer, _ *fleet, _ *endpoint) { p.loadLimiter.limit = 0 },
-			Order{Model: "small"}, errCeiling},
+			Order{Model: "small"}, errLoadRateExceeded},
 		{"a load from the endpoint's own disk beyond the rate limit", func(p *Placer, _ *fleet, e *endpoint) {
 			p.loadLimiter.limit, e.onDisk["small"] = 0, true
 		}, Order{Model: "small"}, nil},
@@ -63,7 +63,7 @@
 			}
 			before := p.counters
 			out := Output{}
-			if got := p.admissible(now, f, e, test.order); !errors.Is(got, test.want) {
+			if got := p.checkAdmissible(now, f, e, test.order); !errors.Is(got, test.want) {
 				t.Errorf("%+v: got %v, want %v", test.order, got, test.want)
 			}
 			issued := p.issue(now, f, e, test.order, &out)
--- a/internal/control/placer/golden_test.go
+++ b/internal/control/placer/golden_test.go
@@ -115,7 +115,7 @@
 	c := p.counters
 	f.record("counters loads %d warm %d unloads %d adapters %d inspections %d rejected %d unanswered %d dropped %d",
 		c.Loads, c.WarmLoads, c.Unloads, c.Adapters, c.Inspections, c.Rejected, c.Unanswered, c.Inadmissible)
-	f.record("rate limit %d own %d others %d", p.loadLimiter.limit, len(p.loadLimiter.entries), len(p.loadLimiter.others))
+	f.record("rate limit %d own %d others %d", p.loadLimiter.limit, len(p.loadLimiter.ownLoads), len(p.loadLimiter.inheritedLoads))
 	for _, fleet := range p.sortedFleets() {
 		f.record("service %s token time %s", fleet.name, exact(fleet.secondsPerToken))
 		for _, e := range fleet.sortedEndpoints {
--- a/internal/control/placer/placer.go
+++ b/internal/control/placer/placer.go
@@ -44,7 +44,7 @@
 	startedAt   time.Time
 	fleets      map[string]*fleet
 	demand      *demandTable
-	loadLimiter *ledger
+	loadLimiter *loadRateLimiter
 	lastOrderID uint64
 	unanswered  map[uint64]*endpoint // orders without a result
 	counters    Counters
@@ -107,7 +107,7 @@
 		return
 	}
 	p.startedAt = now
-	p.loadLimiter = newLedger(now, p.config.LoadRateWindow, p.config.HandoverGap)
+	p.loadLimiter = newLoadRateLimiter(now, p.config.LoadRateWindow, p.config.HandoverGap)
 }
 
 // configure takes a configuration; what endpoints hold stays known.
@@ -183,7 +183,7 @@
 	f.sortedEndpoints = append(f.sortedEndpoints, e)
 	fresh := now.Sub(p.startedAt) > answerTimeout && len(told.Models) == 0
 	if !fresh {
-		p.loadLimiter.met(now, told.ID)
+		p.loadLimiter.addInherited(now, told.ID)
 	}
 	if fresh {
 		e.stateKnown, e.inheritedOrdersOver, e.inspectAt = true, true, time.Time{}
@@ -229,7 +229,7 @@
 	delete(p.unanswered, result.ID)
 	order := e.pending
 	if order == nil || order.order.ID != result.ID {
-		p.loadLimiter.answered(result.ID, now, result.Outcome == Accepted || result.Outcome == Unknown)
+		p.loadLimiter.resolve(result.ID, now, result.Outcome == Accepted || result.Outcome == Unknown)
 		return
 	}
 	order.answeredAt, order.sequenceAtAnswer = now, e.Sequence
@@ -258,7 +258,7 @@
 	default:
 		p.handleRejection(now, e, result.Outcome)
 	}
-	p.loadLimiter.answered(result.ID, now, began)
+	p.loadLimiter.resolve(result.ID, now, began)
 }
 
 func (p *Placer) handleRejection(now time.Time, e *endpoint, outcome Outcome) {
@@ -277,7 +277,7 @@
 	for _, f := range p.fleets {
 		if e := f.endpoints[told.Endpoint]; e != nil {
 			if !told.Failed && !told.Busy {
-				p.loadLimiter.idle(now, told.Endpoint, f.minLoadTime(told.Models))
+				p.loadLimiter.observeIdle(now, told.Endpoint, f.minLoadTime(told.Models))
 			}
 			e.observeInspection(now, told)
 			p.recordWarmModels(f, e)
--- a/internal/control/placer/plan.go
+++ b/internal/control/placer/plan.go
@@ -125,7 +125,7 @@
 		}
 		c := &candidate{placement: l, endpoint: e, gain: p.gain(now, l, e, bases)}
 		most := c.gain + packingBonus - p.config.LoadCost - p.config.OrderCost - minNetGain
-		if most <= 0 || chosen != nil && most <= chosen.score || !p.victims(now, f, b, c) {
+		if most <= 0 || chosen != nil && most <= chosen.score || !p.chooseEvictions(now, f, b, c) {
 			continue
 		}
 		if l.unloadStalled && b.evictsRunningRequests(c) {
@@ -203,9 +203,9 @@
 
 // packingScore prefers the endpoint whose room is filled best.
 func (p *Placer) packingScore(f *fleet, e *endpoint, l *modelPlacement, victims []string) float64 {
-	left := f.room(e) - f.models[l.model].WeightsMB
+	left := f.freeMemoryMB(e) - f.models[l.model].WeightsMB
 	for _, victim := range victims {
-		left += f.weight(e.find(victim))
+		left += f.modelMemoryMB(e.find(victim))
 	}
 	return packingBonus * (1 - left/f.engine.WeightMemoryMB)
 }
@@ -262,7 +262,7 @@
 		e.plan = nil
 		return
 	}
-	if f.room(e) >= f.models[current.target].WeightsMB {
+	if f.freeMemoryMB(e) >= f.models[current.target].WeightsMB {
 		if !e.onDisk[current.target] && !p.loadLimiter.allows(now) {
 			return
 		}
@@ -275,7 +275,7 @@
 		return
 	}
 	victim := current.victims[0]
-	if d := p.demand.models[f.name][victim]; d != nil && d.isRecent(now) && f.present(victim, e) == 0 {
+	if d := p.demand.models[f.name][victim]; d != nil && d.isRecent(now) && f.replicasServingElsewhere(victim, e) == 0 {
 		e.plan = nil
 		return
 	}
--- a/internal/control/placer/takeover_test.go
+++ b/internal/control/placer/takeover_test.go
@@ -73,24 +73,24 @@
 // TestNewHolderCountsLoadsThatMayBeUnderWay has every endpoint busy: each may carry out a load of the earlier holder.
 func TestNewHolderCountsLoadsThatMayBeUnderWay(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	ledger := newLedger(now, 5*time.Second, time.Second)
+	ledger := newLoadRateLimiter(now, 5*time.Second, time.Second)
 	ledger.setRate(1, 1.1, 5*time.Second)
 	for _, id := range []string{"a", "b", "c", "d", "e"} {
-		ledger.met(now, id)
+		ledger.addInherited(now, id)
 	}
 	count := func(at time.Time) int {
 		n := 0
 		for ; ledger.allows(at); n++ {
-			ledger.ordered(uint64(n))
-			ledger.answered(uint64(n), at, true)
+			ledger.addOrdered(uint64(n))
+			ledger.resolve(uint64(n), at, true)
 		}
 		return n
 	}
-	if got := count(now); got != spareLoads {
-		t.Errorf("%d loads beside 5 of others, want %d", got, spareLoads)
+	if got := count(now); got != reservedLoads {
+		t.Errorf("%d loads beside 5 of others, want %d", got, reservedLoads)
 	}
-	ledger.idle(now, "a", 6*time.Second)
-	ledger.idle(now, "b", 6*time.Second)
+	ledger.observeIdle(now, "a", 6*time.Second)
+	ledger.observeIdle(now, "b", 6*time.Second)
 	if got := count(now); got != 1 { // 8 at most, of these 2 spare: 3 of others and 2 own leave 1
 		t.Errorf("%d loads after looks at two, want 1", got)
 	}
--- a/internal/control/placer/victims.go
+++ b/internal/control/placer/victims.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// victim is a copy that may make way.
-type victim struct {
-	model string
-	size  float64
-	loss  float64
+// evictableModel is a copy that may make way.
+type evictableModel struct {
+	model     string
+	weightsMB float64
+	loss      float64
 }
 
-// victims finds the copies whose loss is least and that make enough room; false if there are none.
-func (p *Placer) victims(now time.Time, f *fleet, b *placements, c *candidate) bool {
+// chooseEvictions finds the copies whose loss is least and that make enough room; false if there are none.
+func (p *Placer) chooseEvictions(now time.Time, f *fleet, b *placements, c *candidate) bool {
 	model := f.models[c.placement.model]
-	need := model.WeightsMB + f.reserve(model) - f.room(c.endpoint)
+	need := model.WeightsMB + f.adapterReserveMB(model) - f.freeMemoryMB(c.endpoint)
 	if need <= 0 {
 		return true
 	}
-	possible := p.possible(now, f, b, c.endpoint)
+	possible := p.evictableModels(now, f, b, c.endpoint)
 	found := false
 	for set := 1; set < 1<<len(possible); set++ {
 		size, loss := 0.0, 0.0
 		for i, v := range possible {
 			if set&(1<<i) != 0 {
-				size += v.size
+				size += v.weightsMB
 				loss += v.loss
 			}
 		}
@@ -46,29 +46,29 @@
 	return found
 }
 
-// possible lists the copies on the endpoint that may make way, those that are lost least first where there are many. It
+// evictableModels lists the copies on the endpoint that may make way, those that are lost least first where there are many. It
 // is the same for every load that looks for room, and is found once.
-func (p *Placer) possible(now time.Time, f *fleet, b *placements, e *endpoint) []victim {
+func (p *Placer) evictableModels(now time.Time, f *fleet, b *placements, e *endpoint) []evictableModel {
 	if known, found := b.evictable[e]; found {
 		return known
 	}
-	var possible []victim
+	var possible []evictableModel
 	for i := range e.models {
-		if v, ok := p.yields(now, f, b, e, &e.models[i]); ok {
+		if v, ok := p.evictionLoss(now, f, b, e, &e.models[i]); ok {
 			possible = append(possible, v)
 		}
 	}
 	if len(possible) > maxEvictable {
-		slices.SortFunc(possible, func(x, y victim) int { return cmp.Compare(x.loss/x.size, y.loss/y.size) })
+		slices.SortFunc(possible, func(x, y evictableModel) int { return cmp.Compare(x.loss/x.weightsMB, y.loss/y.weightsMB) })
 		possible = possible[:maxEvictable]
 	}
 	b.evictable[e] = possible
 	return possible
 }
 
-// yields tells what is lost when the copy makes way, and whether it may.
-func (p *Placer) yields(now time.Time, f *fleet, b *placements, e *endpoint, held *loadedModel) (victim, bool) {
-	v := victim{model: held.model, size: f.weight(held)}
+// evictionLoss tells what is lost when the copy makes way, and whether it may.
+func (p *Placer) evictionLoss(now time.Time, f *fleet, b *placements, e *endpoint, held *loadedModel) (evictableModel, bool) {
+	v := evictableModel{model: held.model, weightsMB: f.modelMemoryMB(held)}
 	l := b.byModel[held.model]
 	if l == nil { // not in the configuration any more
 		return v, true
@@ -83,12 +83,12 @@
 	if last && l.demand != nil && l.demand.isRecent(now) {
 		return v, false
 	}
-	v.loss = p.loss(now, l, e, held, last)
+	v.loss = p.replicaLoss(now, l, e, held, last)
 	return v, true
 }
 
-// present counts the endpoints other than this that serve the model now.
-func (f *fleet) present(model string, but *endpoint) int {
+// replicasServingElsewhere counts the endpoints other than this that serve the model now.
+func (f *fleet) replicasServingElsewhere(model string, but *endpoint) int {
 	count := 0
 	for _, e := range f.sortedEndpoints {
 		if e != but && e.isServing(model) {
@@ -98,10 +98,10 @@
 	return count
 }
 
-// loss is what the copy's leaving costs.
-func (p *Placer) loss(now time.Time, l *modelPlacement, e *endpoint, held *loadedModel, last bool) float64 {
+// replicaLoss is what the copy's leaving costs.
+func (p *Placer) replicaLoss(now time.Time, l *modelPlacement, e *endpoint, held *loadedModel, last bool) float64 {
 	if last {
-		return p.lastLoss(now, l)
+		return p.lastReplicaLoss(now, l)
 	}
 	d := l.demand
 	if d == nil {
@@ -123,9 +123,9 @@
 	return sum
 }
 
-// lastLoss is what it costs to have no copy of the model: its next requests wait for a load. Of a model that nobody
+// lastReplicaLoss is what it costs to have no copy of the model: its next requests wait for a load. Of a model that nobody
 // asked for yet nothing is known, except that somebody put it there: it may be the next that is asked for much.
-func (p *Placer) lastLoss(now time.Time, l *modelPlacement) float64 {
+func (p *Placer) lastReplicaLoss(now time.Time, l *modelPlacement) float64 {
 	if l.demand == nil || l.demand.lastRequestAt.IsZero() {
 		return dormantModelValue * math.Exp(-now.Sub(p.startedAt).Seconds()/dormantTimeConstant.Seconds())
 	}
