--- a/internal/control/placer/capacity.go
+++ b/internal/control/placer/capacity.go
@@ -108,7 +108,7 @@
 	}
 	for _, l := range b.all {
 		if l.demand != nil {
-			l.adapterGain = p.adapterWorth(now, f, l, age)
+			l.adapterGain = p.adapterSlotValue(now, f, l, age)
 		}
 	}
 	b.distributeLoads()
--- a/internal/control/placer/plan.go
+++ b/internal/control/placer/plan.go
@@ -42,15 +42,15 @@
 		}
 	}
 	onlyUrgent := now.Sub(p.startedAt) < urgentOnlyWindow || p.demand.observedFor(now) < urgentOnlyWindow
-	p.adapters(now, f, b, true, out) // first: these take a moment only, loads seconds
+	p.placeAdapters(now, f, b, true, out) // first: these take a moment only, loads seconds
 	for range maxPlansPerStep {
 		if !p.placeBest(now, f, b, onlyUrgent, out) {
 			break
 		}
 	}
-	p.adapters(now, f, b, false, out)
+	p.placeAdapters(now, f, b, false, out)
 	if !onlyUrgent || p.demand.observedSince.IsZero() {
-		p.fillPlaces(now, f, b, out)
+		p.fillFreeSlots(now, f, b, out)
 	}
 }
 
