--- a/coordination/simnet/clients.go
+++ b/coordination/simnet/clients.go
@@ -7,50 +7,53 @@
 	"raventrestle/coordination/engine"
 )
 
-// clients keep calling random machines until stopped.
-func (w *World) clients(until time.Duration, least, most time.Duration) {
+// startClients proposes commands and asks for barriers at random machines until the given time, at random intervals between
+// the bounds.
+func (w *World) startClients(until time.Duration, minInterval, maxInterval time.Duration) {
 	var next func()
 	next = func() {
 		if w.now >= until || w.finishing {
 			return
 		}
 		m := w.machines[w.random.IntN(len(w.machines))]
-		w.commands++
+		w.proposals++
 		if w.random.IntN(4) == 0 {
 			w.barrier(m, func() {})
 		} else {
-			w.propose(m, fmt.Sprintf("c%d", w.commands))
+			w.propose(m, fmt.Sprintf("c%d", w.proposals))
 		}
-		w.after(w.between(least, most), next)
+		w.after(w.between(minInterval, maxInterval), next)
 	}
 	next()
 }
 
-// commandBytes pads some commands so that logs are compacted at different places.
-const commandBytes = 400
+// maxPaddingBytes bounds the padding of some commands, which has the logs compacted at different indexes.
+const maxPaddingBytes = 400
 
+// propose has the machine propose the command, padded at random, and notes its acknowledgement.
 func (w *World) propose(m *machine, command string) {
 	if w.random.IntN(3) == 0 {
-		command += fmt.Sprintf("%*s", w.random.IntN(commandBytes), "")
+		command += fmt.Sprintf("%*s", w.random.IntN(maxPaddingBytes), "")
 	}
 	m.call(engine.Input{Command: []byte(command)}, func(result engine.Result) {
 		if result.Err == nil {
-			w.ledger.acknowledge(w, command, result.Index)
+			w.model.acknowledge(w, command, result.Index)
 		}
 	})
 }
 
-// barrier checks that a barrier covers all that was acknowledged when it was asked for, and that the asker has
-// applied it.
+// barrier asks the machine for a barrier, and checks that it covers everything that was acknowledged before and that the
+// machine has applied it.
 func (w *World) barrier(m *machine, done func()) {
-	newest := w.ledger.newest
+	acknowledged := w.model.newestAcknowledged
 	m.call(engine.Input{Barrier: true}, func(result engine.Result) {
 		done()
-		if result.Index < newest || m.state.last < newest {
-			w.fail("a barrier at %s gives %d (applied %d) after %d was acknowledged",
-				m.address, result.Index, m.state.last, newest)
+		if result.Index < acknowledged || m.stateMachine.lastApplied < acknowledged {
+			w.fail("a barrier at %s returns %d (applied %d) after %d was acknowledged",
+				m.address, result.Index, m.stateMachine.lastApplied, acknowledged)
 		}
 	})
 }
 
+// leaveInput has a member prepare to leave the group.
 func leaveInput() engine.Input { return engine.Input{Leave: true} }
--- a/coordination/simnet/faults.go
+++ b/coordination/simnet/faults.go
@@ -6,11 +6,11 @@
 	"raventrestle/coordination/wal/modeldisk"
 )
 
-// faults has troubles begin and end at random until the given time.
-func (w *World) faults(until time.Duration) {
+// injectFaults begins and ends random faults until the given time.
+func (w *World) injectFaults(until time.Duration) {
 	kinds := []func(until time.Duration){
-		w.killOne, w.killOne, w.killSome, w.freezeOne, w.cutOne, w.cutGroups, w.cutOneWay, w.slowLinks,
-		w.powerOne, w.powerInMidst, w.powerAll, w.killAll, w.stallDisk, w.fillDisk, w.failSync, w.leaveOne,
+		w.killOne, w.killOne, w.killSome, w.freezeOne, w.partitionOne, w.partitionGroups, w.partitionOneWay, w.slowLinks,
+		w.powerLossOfOne, w.powerLossDuringStep, w.powerLossOfAll, w.killAll, w.slowDisk, w.fillDisk, w.failSync, w.leaveOne,
 		w.loseDisks, w.loseDisks, w.replaceOne,
 	}
 	var next func()
@@ -24,24 +24,27 @@
 	next()
 }
 
-func (w *World) pick() *machine { return w.machines[w.random.IntN(len(w.machines))] }
+// randomMachine draws one of all machines, removed ones included.
+func (w *World) randomMachine() *machine { return w.machines[w.random.IntN(len(w.machines))] }
 
-// back starts the machine again within a second or so.
-func (w *World) back(m *machine) {
+// restartSoon starts the machine again within 1.5 s.
+func (w *World) restartSoon(m *machine) {
 	w.after(w.between(20*time.Millisecond, 1500*time.Millisecond), func() { m.start(false) })
 }
 
+// The faults that follow take the time until which faults last; most don't need it.
+
 func (w *World) killOne(time.Duration) {
-	m := w.pick()
+	m := w.randomMachine()
 	m.kill()
-	w.back(m)
+	w.restartSoon(m)
 }
 
 func (w *World) killSome(time.Duration) {
 	for _, m := range w.machines {
 		if w.random.IntN(2) == 0 {
 			m.kill()
-			w.back(m)
+			w.restartSoon(m)
 		}
 	}
 }
@@ -49,21 +52,21 @@
 func (w *World) killAll(time.Duration) {
 	for _, m := range w.machines {
 		m.kill()
-		w.back(m)
+		w.restartSoon(m)
 	}
 }
 
-func (w *World) powerOne(time.Duration) {
-	m := w.pick()
+func (w *World) powerLossOfOne(time.Duration) {
+	m := w.randomMachine()
 	if m.engine != nil {
 		m.losePower()
 	}
-	w.back(m)
+	w.restartSoon(m)
 }
 
-// powerInMidst lets the power fail between two writes of one of the next steps.
-func (w *World) powerInMidst(time.Duration) {
-	m := w.pick()
+// powerLossDuringStep lets the power of a machine fail between two disk operations of one of its next steps.
+func (w *World) powerLossDuringStep(time.Duration) {
+	m := w.randomMachine()
 	if m.engine != nil {
 		m.disk.PowerLossAt = m.disk.Operations + 1 + w.random.IntN(8)
 	}
@@ -71,36 +74,36 @@
 		if m.engine != nil && m.disk.PowerLossAt > 0 {
 			m.disk.PowerLossAt = 0
 		}
-		w.back(m)
+		w.restartSoon(m)
 	})
 }
 
-func (w *World) powerAll(time.Duration) {
+func (w *World) powerLossOfAll(time.Duration) {
 	for _, m := range w.machines {
 		if m.engine != nil {
 			m.losePower()
 		}
-		w.back(m)
+		w.restartSoon(m)
 	}
 }
 
 func (w *World) freezeOne(time.Duration) {
-	m := w.pick()
+	m := w.randomMachine()
 	m.freeze()
 	w.after(w.between(100*time.Millisecond, 3*time.Second), m.thaw)
 }
 
-func (w *World) cutOne(time.Duration) {
-	w.cutOff([]*machine{w.pick()}, w.machines, true, true)
-	w.after(w.between(100*time.Millisecond, 3*time.Second), w.joinAll)
+func (w *World) partitionOne(time.Duration) {
+	w.partition([]*machine{w.randomMachine()}, w.machines, true, true)
+	w.after(w.between(100*time.Millisecond, 3*time.Second), w.healLinks)
 }
 
-func (w *World) cutOneWay(time.Duration) {
-	w.cutOff([]*machine{w.pick()}, []*machine{w.pick(), w.pick()}, true, false)
-	w.after(w.between(100*time.Millisecond, 3*time.Second), w.joinAll)
+func (w *World) partitionOneWay(time.Duration) {
+	w.partition([]*machine{w.randomMachine()}, []*machine{w.randomMachine(), w.randomMachine()}, true, false)
+	w.after(w.between(100*time.Millisecond, 3*time.Second), w.healLinks)
 }
 
-func (w *World) cutGroups(time.Duration) {
+func (w *World) partitionGroups(time.Duration) {
 	var left, right []*machine
 	for _, m := range w.machines {
 		if w.random.IntN(2) == 0 {
@@ -109,50 +112,51 @@
 			right = append(right, m)
 		}
 	}
-	w.cutOff(left, right, true, w.random.IntN(3) > 0)
-	w.after(w.between(100*time.Millisecond, 3*time.Second), w.joinAll)
+	w.partition(left, right, true, w.random.IntN(3) > 0)
+	w.after(w.between(100*time.Millisecond, 3*time.Second), w.healLinks)
 }
 
 func (w *World) slowLinks(time.Duration) {
-	w.links.slow, w.links.loss = w.between(0, 60*time.Millisecond), w.random.Float64()*0.2
-	w.after(w.between(100*time.Millisecond, 2*time.Second), func() { w.links.slow, w.links.loss = 0, 0 })
+	w.links.extraDelay, w.links.lossProbability = w.between(0, 60*time.Millisecond), w.random.Float64()*0.2
+	w.after(w.between(100*time.Millisecond, 2*time.Second), func() { w.links.extraDelay, w.links.lossProbability = 0, 0 })
 }
 
-func (w *World) stallDisk(time.Duration) {
-	m := w.pick()
-	m.stall = w.between(10*time.Millisecond, 2*time.Second)
-	w.after(w.between(100*time.Millisecond, 2*time.Second), func() { m.stall = 0 })
+func (w *World) slowDisk(time.Duration) {
+	m := w.randomMachine()
+	m.syncDelay = w.between(10*time.Millisecond, 2*time.Second)
+	w.after(w.between(100*time.Millisecond, 2*time.Second), func() { m.syncDelay = 0 })
 }
 
 func (w *World) fillDisk(time.Duration) {
-	m := w.pick()
+	m := w.randomMachine()
 	w.tracef("%s: disk full", m.address)
 	m.disk.FailWrites = true
 	w.after(w.between(100*time.Millisecond, 3*time.Second), func() { m.disk.FailWrites = false })
 }
 
-func (w *World) failSync(time.Duration) { w.pick().disk.FailSyncs = 1 + w.random.IntN(3) }
+func (w *World) failSync(time.Duration) { w.randomMachine().disk.FailSyncs = 1 + w.random.IntN(3) }
 
-// leaveOne stops a machine in the planned way and starts it again.
+// leaveOne has a machine leave the group in the planned way and starts it again.
 func (w *World) leaveOne(time.Duration) {
-	m := w.pick()
-	w.leave(m, func() { w.back(m) })
+	m := w.randomMachine()
+	w.leave(m, func() { w.restartSoon(m) })
 }
 
-// leave has the machine leave, and ends its process once it has left or a second has passed.
+// leave has the machine leave the group. It ends the process once that may end or a second has passed, and then calls
+// then; it never does if the process is not running.
 func (w *World) leave(m *machine, then func()) {
 	if m.engine == nil {
 		return
 	}
 	w.tracef("%s leaves", m.address)
-	life, asked := m.life, w.now
-	m.put(leaveInput())
+	incarnation, askedAt := m.incarnation, w.now
+	m.enqueue(leaveInput())
 	var wait func()
 	wait = func() {
 		switch {
-		case m.life != life || m.engine == nil:
+		case m.incarnation != incarnation || m.engine == nil:
 			then()
-		case m.engine.SafeToLeave() && m.busy <= w.now || w.now-asked > time.Second:
+		case m.engine.SafeToLeave() && m.busyUntil <= w.now || w.now-askedAt > time.Second:
 			m.kill()
 			then()
 		default:
@@ -162,43 +166,45 @@
 	w.after(10*time.Millisecond, wait)
 }
 
-// calm tells whether every machine has been up, connected and with a good disk long enough to count.
-func (w *World) calm() bool {
-	if len(w.links.cut) > 0 || w.links.slow > 0 || w.links.loss > 0 {
+// isHealthy reports whether all machines in service have been running, connected and with a good disk for long enough to
+// be full members.
+func (w *World) isHealthy() bool {
+	if len(w.links.blocked) > 0 || w.links.extraDelay > 0 || w.links.lossProbability > 0 {
 		return false
 	}
 	for _, m := range w.machines {
 		if m.removed {
 			continue
 		}
-		up := m.engine != nil && !m.frozen && w.now-m.startedAt >= catchUp/2
-		good := !m.disk.FailWrites && m.disk.FailSyncs == 0 && m.disk.PowerLossAt == 0 && m.stall == 0
-		if !up || !good || m.last.DiskFailing() {
+		running := m.engine != nil && !m.frozen && w.now-m.startedAt >= repairTimeout/2
+		goodDisk := !m.disk.FailWrites && m.disk.FailSyncs == 0 && m.disk.PowerLossAt == 0 && m.syncDelay == 0
+		if !running || !goodDisk || m.node.DiskFailing() {
 			return false
 		}
 	}
 	return true
 }
 
-// whenCalm calms the world, waits until everybody counts, and then acts.
-func (w *World) whenCalm(until time.Duration, act func()) {
-	if w.now+catchUp >= until || w.ledger.waiting {
+// whenHealthy heals everything, waits until the world has been healthy for repairTimeout, checks that the loss of FaultTolerance
+// disks is tolerated then, and calls act.
+func (w *World) whenHealthy(until time.Duration, act func()) {
+	if w.now+repairTimeout >= until || w.model.awaitingHealthy {
 		return
 	}
-	w.ledger.waiting = true
+	w.model.awaitingHealthy = true
 	var wait func(since time.Duration)
 	wait = func(since time.Duration) {
 		if w.now >= until {
 			return
 		}
-		if !w.calm() {
+		if !w.isHealthy() {
 			w.heal()
 			since = w.now
 		}
-		if w.now-since >= catchUp {
-			w.ledger.waiting = false
-			if err := w.bears(w.FaultTolerance); err != nil {
-				w.fail("calm for %v: the loss of %d disks is not borne: %v", catchUp, w.FaultTolerance, err)
+		if w.now-since >= repairTimeout {
+			w.model.awaitingHealthy = false
+			if err := w.toleratesLosses(w.FaultTolerance); err != nil {
+				w.fail("healthy for %v: the loss of %d disks is not tolerated: %v", repairTimeout, w.FaultTolerance, err)
 				return
 			}
 			act()
@@ -209,13 +215,12 @@
 	wait(w.now)
 }
 
-// loseDisks takes as many disks as must be borne at once, right after an acknowledgement or not, at times in the
-// moment in which all others lose power.
+// loseDisks loses as many disks at once as must be tolerated, half of the times while all other machines lose power.
 func (w *World) loseDisks(until time.Duration) {
-	w.whenCalm(until, func() {
+	w.whenHealthy(until, func() {
 		order := w.random.Perm(len(w.machines))
 		lost := 0
-		powerToo := w.random.IntN(2) == 0
+		powerLoss := w.random.IntN(2) == 0
 		for _, i := range order {
 			m := w.machines[i]
 			switch {
@@ -223,26 +228,27 @@
 			case lost < w.FaultTolerance:
 				lost++
 				m.wipe()
-				w.back(m)
-			case powerToo:
+				w.restartSoon(m)
+			case powerLoss:
 				m.losePower()
-				w.back(m)
+				w.restartSoon(m)
 			}
 		}
 	})
 }
 
-// replaceOne removes a machine for good and adds an empty one at another address.
+// replaceOne removes a machine for good, after it has left or with the loss of its disk, and adds one with an empty disk at
+// another address.
 func (w *World) replaceOne(until time.Duration) {
 	if w.FaultTolerance == 0 {
 		return // no disk may be lost
 	}
-	w.whenCalm(until, func() {
-		m := w.pick()
+	w.whenHealthy(until, func() {
+		m := w.randomMachine()
 		if m.removed {
 			return
 		}
-		gone := func() {
+		replace := func() {
 			w.tracef("%s is removed", m.address)
 			m.removed = true
 			m.disk = modeldisk.New()
@@ -250,10 +256,10 @@
 			w.after(w.between(0, time.Second), func() { next.start(false) })
 		}
 		if w.random.IntN(2) == 0 {
-			w.leave(m, gone)
+			w.leave(m, replace)
 			return
 		}
 		m.wipe()
-		gone()
+		replace()
 	})
 }
--- a/coordination/simnet/loss_test.go
+++ b/coordination/simnet/loss_test.go
@@ -7,17 +7,18 @@
 	"raventrestle/coordination/internal/mutation"
 )
 
-// As many disks as must be borne are lost in the moment of an acknowledgement, while all others lose power.
-func TestDiskIsLostAtAcknowledgement(t *testing.T) {
-	for place := range 4 {
-		scenario(t, 3*time.Second, 4, func(w *World) {
-			before := w.ledger.ackedAt
-			w.propose(w.pick(), "aimed")
-			for w.ledger.ackedAt == before && w.failure == nil {
+// One disk is lost in the moment of an acknowledgement, while all other machines lose power: the acknowledged command is
+// still there.
+func TestAcknowledgedCommandSurvivesTheLossOfADisk(t *testing.T) {
+	for lost := range 4 {
+		checkScenario(t, 3*time.Second, 4, func(w *World) {
+			before := w.model.acknowledgedAt
+			w.propose(w.randomMachine(), "aimed")
+			for w.model.acknowledgedAt == before && w.failure == nil {
 				_ = w.Run(200 * time.Microsecond)
 			}
 			for i, m := range w.machines {
-				if i == place {
+				if i == lost {
 					m.wipe()
 				} else {
 					m.losePower()
@@ -28,10 +29,11 @@
 	}
 }
 
-// A member that came back under the identity of its lost disk would take the others' entries away.
+// A member that restarts under the identity of its lost disk could decide with others that lack an entry: the mutant must
+// be found.
 func TestVoteAfterWipeIsFound(t *testing.T) {
-	w := calmWorld(t, 1, 3, mutation.Set{VoteAfterWipe: true})
-	w.clients(w.now+time.Second, 5*time.Millisecond, 50*time.Millisecond)
+	w := healthyWorld(t, 1, 3, mutation.Set{VoteAfterWipe: true})
+	w.startClients(w.now+time.Second, 5*time.Millisecond, 50*time.Millisecond)
 	_ = w.Run(2 * time.Second)
 	head := w.head()
 	for _, m := range w.machines {
@@ -44,45 +46,46 @@
 	}
 	_ = w.Run(2 * time.Second)
 	if err := w.Finish(); err == nil {
-		t.Error("a vote after a wipe is not found")
+		t.Error("the mutant VoteAfterWipe is not found, want a violated invariant")
 	} else {
 		t.Logf("found: %v", err)
 	}
 }
 
-// counts tells whether the machine's present member is in chain and voters of the newest view.
-func (w *World) counts(m *machine) bool {
+// isFullMember reports whether the machine's present identity is in the chain and a voter of the newest view, and its log
+// is complete.
+func (w *World) isFullMember(m *machine) bool {
 	if m.engine == nil {
 		return false
 	}
 	v := w.head().engine.Node().View()
-	identity := m.last.Self().Identity
+	identity := m.node.Self().Identity
 	return v.IsVoter(identity) && v.ChainIndex(identity) >= 0 && m.engine.Node().IsComplete()
 }
 
-// rejoin measures how long a machine that starts on an empty disk takes to count again.
-func rejoin(t *testing.T, lose func(w *World) *machine) {
+// checkRejoin checks how long the machine that lose returns, which starts on an empty disk, takes to be a full member.
+func checkRejoin(t *testing.T, lose func(w *World) *machine) {
 	t.Helper()
-	var taken figures
-	eachSeed(1, scenarioSeeds, func(seed uint64) {
-		w := calmWorld(t, seed, 3, mutation.Set{})
-		w.clients(w.now+20*time.Second, 5*time.Millisecond, 50*time.Millisecond)
+	var delays latencySample
+	eachSeed(1, scenarioHistories, func(seed uint64) {
+		w := healthyWorld(t, seed, 3, mutation.Set{})
+		w.startClients(w.now+20*time.Second, 5*time.Millisecond, 50*time.Millisecond)
 		_ = w.Run(w.between(0, time.Second))
 		m := lose(w)
-		began := w.now
-		for !w.counts(m) && w.now-began < 10*time.Second && w.failure == nil {
+		beganAt := w.now
+		for !w.isFullMember(m) && w.now-beganAt < 10*time.Second && w.failure == nil {
 			_ = w.Run(10 * time.Millisecond)
 		}
-		taken.add(w.now - began)
+		delays.add(w.now - beganAt)
 		if err := w.Finish(); err != nil {
-			t.Error(err)
+			t.Errorf("seed %d: %v, want nil", seed, err)
 		}
 	})
-	taken.check(t, t.Name(), 3500*time.Millisecond)
+	delays.check(t, t.Name(), 3500*time.Millisecond)
 }
 
-func TestWipedMachineCountsAgain(t *testing.T) {
-	rejoin(t, func(w *World) *machine {
+func TestWipedMachineIsAFullMemberAgain(t *testing.T) {
+	checkRejoin(t, func(w *World) *machine {
 		m := w.machines[w.random.IntN(3)]
 		m.wipe()
 		w.after(w.between(0, 500*time.Millisecond), func() { m.start(false) })
@@ -90,8 +93,8 @@
 	})
 }
 
-func TestReplacedMachineCounts(t *testing.T) {
-	rejoin(t, func(w *World) *machine {
+func TestReplacementIsAFullMember(t *testing.T) {
+	checkRejoin(t, func(w *World) *machine {
 		m := w.machines[w.random.IntN(3)]
 		m.wipe()
 		m.removed = true
@@ -101,24 +104,24 @@
 	})
 }
 
-// A machine that lost its disk finds the group although every seed that its settings name is gone but itself.
-func TestWipedMachineIsFoundWithoutSeeds(t *testing.T) {
-	eachSeed(1, scenarioSeeds, func(seed uint64) {
-		w := sized(seed, size{3, 1}, mutation.Set{})
+// A machine that lost its disk finds the group although all its seeds but itself are out of service.
+func TestWipedMachineFindsTheGroupWithoutSeeds(t *testing.T) {
+	eachSeed(1, scenarioHistories, func(seed uint64) {
+		w := worldOfSize(seed, groupSize{3, 1}, mutation.Set{})
 		for _, m := range w.machines[:2] {
-			w.untilBorne(catchUp)
+			w.awaitFaultTolerance(repairTimeout)
 			m.wipe()
 			m.removed = true
 			w.addMachine(len(w.machines), false).start(false)
 		}
-		w.untilBorne(catchUp)
+		w.awaitFaultTolerance(repairTimeout)
 		last := w.machines[2]
 		last.wipe()
-		w.back(last)
+		w.restartSoon(last)
 		_ = w.Run(1500 * time.Millisecond)
-		w.untilBorne(catchUp)
+		w.awaitFaultTolerance(repairTimeout)
 		if err := w.Finish(); err != nil {
-			t.Error(err)
+			t.Errorf("seed %d: %v, want nil", seed, err)
 		}
 	})
 }
--- a/coordination/simnet/membership.go
+++ b/coordination/simnet/membership.go
@@ -1,6 +1,7 @@
 package simnet
 
 import (
+	"errors"
 	"fmt"
 	"time"
 
@@ -8,102 +9,102 @@
 	"raventrestle/coordination/view"
 )
 
-// standing is one voter of the newest view as its disk has it.
-type standing struct {
-	active uint64 // newest epoch in whose chain its log was whole
-	holds  bool   // everything that was acknowledged
+// voterState is the state of a voter of the newest view on its disk.
+type voterState struct {
+	active   uint64 // newest epoch in whose chain its log was complete
+	complete bool   // it has everything that was acknowledged
 }
 
-// newestView returns the view of the latest epoch that any member has entered on its disk.
+// newestView returns the view of the newest epoch that any member has entered on its disk.
 func (w *World) newestView() view.View {
 	var newest view.View
 	for _, m := range w.machines {
-		if m.last != nil && !m.last.DiskFailing() && m.last.View().Epoch > newest.Epoch {
-			newest = m.last.View()
+		if m.node != nil && !m.node.DiskFailing() && m.node.View().Epoch > newest.Epoch {
+			newest = m.node.View()
 		}
 	}
 	return newest
 }
 
-// disks returns the members whose disks are there, by identity. It tells false while what stands on one of them is not
-// known for sure: its disk refuses, or power failed in the midst of a step.
-func (w *World) disks() (map[string]*chain.Node, bool) {
-	there := make(map[string]*chain.Node, len(w.machines))
+// intactDisks returns the members whose disks are not lost, by identity. It reports false while the content of one of them
+// is not certain: it fails writes, or power failed during a step.
+func (w *World) intactDisks() (map[string]*chain.Node, bool) {
+	intact := make(map[string]*chain.Node, len(w.machines))
 	for _, m := range w.machines {
-		if m.last == nil || m.removed || m.wiped {
+		if m.node == nil || m.removed || m.wiped {
 			continue
 		}
-		if m.unsure || m.last.DiskFailing() {
+		if m.diskUncertain || m.node.DiskFailing() {
 			return nil, false
 		}
-		there[m.last.Self().Identity] = m.last
+		intact[m.node.Self().Identity] = m.node
 	}
-	return there, true
+	return intact, true
 }
 
-// holdsAll tells whether a disk has everything that was acknowledged.
-func (w *World) holdsAll(node *chain.Node) bool {
-	return node.HasDurable(w.ledger.newest, w.ledger.committed[w.ledger.newest])
+// hasAllAcknowledged reports whether the disk of a member has everything that was acknowledged.
+func (w *World) hasAllAcknowledged(node *chain.Node) bool {
+	return node.HasDurable(w.model.newestAcknowledged, w.model.committed[w.model.newestAcknowledged])
 }
 
-// checkMembership states after each step that no majority of the newest view's voters can decide a next view whose head
-// lacks what was acknowledged. The head is chosen among the promises with the newest active epoch. So whoever lacks
-// something must be outnumbered: those that would let it win must not be a majority. As this holds of every majority, it
-// holds after the loss of any disks that leaves one.
+// checkMembership checks after each step that no majority of the newest view's voters can decide a next view whose head
+// lacks what was acknowledged. The head is chosen among the promises with the newest active epoch, so for each voter that
+// lacks something, the voters with no newer active epoch than it must not be a majority. As this is true of every majority,
+// it is true after the loss of any disks that leaves one.
 func (w *World) checkMembership() {
-	if w.ledger.newest == 0 || w.Mutation.NoSync {
+	if w.model.newestAcknowledged == 0 || w.Mutation.NoSync {
 		return
 	}
-	there, sure := w.disks()
-	if !sure {
+	intact, certain := w.intactDisks()
+	if !certain {
 		return
 	}
 	v := w.newestView()
-	standings := make([]standing, 0, len(v.Voters))
+	voters := make([]voterState, 0, len(v.Voters))
 	for _, voter := range v.Voters {
-		if node := there[voter.Identity]; node != nil {
-			standings = append(standings, standing{active: node.CompleteEpoch(), holds: w.holdsAll(node)})
+		if node := intact[voter.Identity]; node != nil {
+			voters = append(voters, voterState{active: node.CompleteEpoch(), complete: w.hasAllAcknowledged(node)})
 		}
 	}
-	for _, lacking := range standings {
-		if lacking.holds {
+	for _, incomplete := range voters {
+		if incomplete.complete {
 			continue
 		}
-		outvoted := 0
-		for _, other := range standings {
-			if other.active <= lacking.active {
-				outvoted++
+		notNewer := 0
+		for _, other := range voters {
+			if other.active <= incomplete.active {
+				notNewer++
 			}
 		}
-		if outvoted >= v.Majority() {
+		if notNewer >= v.Majority() {
 			w.fail("epoch %d: %d of %d voters can decide a view whose head lacks entry %d",
-				v.Epoch, outvoted, len(v.Voters), w.ledger.newest)
+				v.Epoch, notNewer, len(v.Voters), w.model.newestAcknowledged)
 		}
 	}
 }
 
-// bears tells why the loss of that many further disks would not be borne at this moment; nil when it would: a majority of
-// the voters is left, and so is one that holds everything, and one that has entered the view and can tell it.
-func (w *World) bears(losses int) error {
-	there, sure := w.disks()
-	if !sure {
-		return fmt.Errorf("what stands on a disk is not known")
+// toleratesLosses returns why the loss of that many further disks would not be tolerated at this moment; nil when it would:
+// a majority of the voters is left, and so are a member that has everything and one that has entered the view.
+func (w *World) toleratesLosses(losses int) error {
+	intact, certain := w.intactDisks()
+	if !certain {
+		return errors.New("the content of a disk is not certain")
 	}
 	v := w.newestView()
 	voters := 0
 	for _, voter := range v.Voters {
-		if there[voter.Identity] != nil {
+		if intact[voter.Identity] != nil {
 			voters++
 		}
 	}
 	if voters-losses < v.Majority() {
 		return fmt.Errorf("epoch %d: %d of %d voters have their disks", v.Epoch, voters, len(v.Voters))
 	}
-	if copies := w.copiesThere(there); copies < losses+1 {
-		return fmt.Errorf("epoch %d: %d disks hold everything", v.Epoch, copies)
+	if complete := w.countComplete(intact); complete < losses+1 {
+		return fmt.Errorf("epoch %d: %d disks have everything", v.Epoch, complete)
 	}
 	entered := 0
-	for _, node := range there {
+	for _, node := range intact {
 		if node.Epoch() == v.Epoch {
 			entered++
 		}
@@ -114,29 +115,30 @@
 	return nil
 }
 
-func (w *World) copiesThere(there map[string]*chain.Node) int {
-	copies := 0
-	for _, node := range there {
-		if w.ledger.newest == 0 || w.holdsAll(node) {
-			copies++
+// countComplete counts the disks that have everything that was acknowledged.
+func (w *World) countComplete(intact map[string]*chain.Node) int {
+	complete := 0
+	for _, node := range intact {
+		if w.model.newestAcknowledged == 0 || w.hasAllAcknowledged(node) {
+			complete++
 		}
 	}
-	return copies
+	return complete
 }
 
-// untilBorne plays until the loss of as many disks as must be borne would be, and returns how long that took.
-func (w *World) untilBorne(bound time.Duration) time.Duration {
-	began := w.now
+// awaitFaultTolerance runs the world until the loss of FaultTolerance disks would be tolerated, and returns how long that took.
+func (w *World) awaitFaultTolerance(timeout time.Duration) time.Duration {
+	beganAt := w.now
 	for w.failure == nil {
-		err := w.bears(w.FaultTolerance)
+		err := w.toleratesLosses(w.FaultTolerance)
 		if err == nil {
 			break
 		}
-		if w.now-began >= bound {
-			w.fail("after %v: %v", bound, err)
+		if w.now-beganAt >= timeout {
+			w.fail("after %v: %v", timeout, err)
 			break
 		}
 		_ = w.Run(10 * time.Millisecond)
 	}
-	return w.now - began
+	return w.now - beganAt
 }
--- a/coordination/simnet/membership_test.go
+++ b/coordination/simnet/membership_test.go
@@ -9,251 +9,249 @@
 	"raventrestle/coordination/internal/mutation"
 )
 
-// size is a deployment: so many machines, of which so many disks may be lost at once.
-type size struct{ machines, faults int }
+// groupSize is a number of machines, and how many of their disks may be lost at once.
+type groupSize struct{ machines, tolerance int }
 
-// sizes are those of the deployments: three and more machines that bear one loss, five and more that bear two.
-func sizes() []size {
-	return []size{{3, 1}, {4, 1}, {5, 1}, {5, 2}, {6, 2}, {9, 2}}
+// groupSizes are those of the deployments: three and more machines that tolerate one loss, five and more that tolerate two.
+func groupSizes() []groupSize {
+	return []groupSize{{3, 1}, {4, 1}, {5, 1}, {5, 2}, {6, 2}, {9, 2}}
 }
 
-func (s size) String() string { return fmt.Sprintf("%d machines, %d lost", s.machines, s.faults) }
+// String implements fmt.Stringer.
+func (s groupSize) String() string {
+	return fmt.Sprintf("%d machines, %d lost", s.machines, s.tolerance)
+}
 
-// sized starts a group of that size with clients that go on until it is finished.
-func sized(seed uint64, s size, planted mutation.Set) *World {
-	w := NewWorld(Config{Seed: seed, Machines: s.machines, Seeds: 3, FaultTolerance: s.faults, Mutation: planted})
+// worldOfSize returns a world of that size after its start, with clients that go on until it is finished.
+func worldOfSize(seed uint64, s groupSize, mutant mutation.Set) *World {
+	w := NewWorld(Config{Seed: seed, Machines: s.machines, Seeds: 3, FaultTolerance: s.tolerance, Mutation: mutant})
 	_ = w.Run(time.Second)
-	w.clients(w.now+time.Hour, 5*time.Millisecond, 60*time.Millisecond)
+	w.startClients(w.now+time.Hour, 5*time.Millisecond, 60*time.Millisecond)
 	return w
 }
 
-// present lists the machines that are not removed, those first whose present member is oldest.
-func (w *World) present() []*machine {
-	var there []*machine
+// presentMachines returns the machines that are not removed, in the order of the ages of their present identities, oldest
+// first.
+func (w *World) presentMachines() []*machine {
+	var present []*machine
 	for _, m := range w.machines {
 		if !m.removed {
-			there = append(there, m)
+			present = append(present, m)
 		}
 	}
-	slices.SortStableFunc(there, func(a, b *machine) int { return int(a.bornAt - b.bornAt) })
-	return there
+	slices.SortStableFunc(present, func(a, b *machine) int { return int(a.memberSince - b.memberSince) })
+	return present
 }
 
-// loseAtOnce takes the disks of these machines, at times while all others lose power, and has empty ones take their
-// places, at the same addresses or at new ones.
+// loseAtOnce loses the disks of these machines, half of the times while all others lose power, and starts machines with
+// empty disks in their place, at the same addresses or at new ones.
 func (w *World) loseAtOnce(lost []*machine) {
-	powerToo, elsewhere := w.random.IntN(2) == 0, w.random.IntN(2) == 0
-	for _, m := range w.present() {
+	powerLoss, newAddress := w.random.IntN(2) == 0, w.random.IntN(2) == 0
+	for _, m := range w.presentMachines() {
 		switch {
 		case !slices.Contains(lost, m):
-			if powerToo && m.engine != nil {
+			if powerLoss && m.engine != nil {
 				m.losePower()
-				w.back(m)
+				w.restartSoon(m)
 			}
 			continue
-		case elsewhere:
+		case newAddress:
 			m.wipe()
 			m.removed = true
 			m = w.addMachine(len(w.machines), false)
 		default:
 			m.wipe()
 		}
-		w.back(m)
+		w.restartSoon(m)
 	}
 }
 
-// membershipSeeds is how often each of these scenarios is played; MEMBERSHIP_SEEDS plays more.
-func membershipSeeds(t *testing.T) int { return environment(t, "MEMBERSHIP_SEEDS", scenarioSeeds) }
+// membershipSeeds returns how many histories of each of these scenarios are played; MEMBERSHIP_SEEDS sets more.
+func membershipSeeds(t *testing.T) int { return environment(t, "MEMBERSHIP_SEEDS", scenarioHistories) }
 
-// A group bears its losses from soon after its start on.
-func TestLossesAreBorneSoonAfterTheStart(t *testing.T) {
-	for _, s := range sizes() {
+func TestLossesAreToleratedSoonAfterTheStart(t *testing.T) {
+	for _, s := range groupSizes() {
 		t.Run(s.String(), func(t *testing.T) {
-			var taken figures
+			var delays latencySample
 			eachSeed(1, membershipSeeds(t), func(seed uint64) {
-				w := NewWorld(Config{Seed: seed, Machines: s.machines, Seeds: 3, FaultTolerance: s.faults})
-				_ = w.Run(300 * time.Millisecond) // all have started
-				w.clients(w.now+time.Hour, 5*time.Millisecond, 60*time.Millisecond)
-				taken.add(w.untilBorne(catchUp))
+				w := NewWorld(Config{Seed: seed, Machines: s.machines, Seeds: 3, FaultTolerance: s.tolerance})
+				_ = w.Run(300 * time.Millisecond) // until all machines have started
+				w.startClients(w.now+time.Hour, 5*time.Millisecond, 60*time.Millisecond)
+				delays.add(w.awaitFaultTolerance(repairTimeout))
 				if w.failure != nil {
-					t.Error(w.failure)
+					t.Errorf("seed %d: %v, want nil", seed, w.failure)
 				}
 			})
-			taken.check(t, "borne after", catchUp)
+			delays.check(t, "tolerated after", repairTimeout)
 		})
 	}
 }
 
-// repairs loses as many disks as must be borne at once, the oldest first, and again as soon as that is borne again.
-// It returns how long each repair took.
-func repairs(seed uint64, s size, planted mutation.Set) ([]time.Duration, error) {
-	const rounds = 4
-	w := sized(seed, s, planted)
-	w.untilBorne(catchUp)
-	var took []time.Duration
-	for range rounds {
+// repeatedLosses loses as many disks at once as must be tolerated, the oldest first, and again as soon as that is tolerated
+// again. It returns how long each repair took.
+func repeatedLosses(seed uint64, s groupSize, mutant mutation.Set) ([]time.Duration, error) {
+	const losses = 4
+	w := worldOfSize(seed, s, mutant)
+	w.awaitFaultTolerance(repairTimeout)
+	var repairs []time.Duration
+	for range losses {
 		_ = w.Run(w.between(0, 300*time.Millisecond))
-		w.untilBorne(catchUp)
-		w.loseAtOnce(w.present()[:s.faults])
-		_ = w.Run(1500 * time.Millisecond) // all are back
-		took = append(took, w.untilBorne(catchUp))
+		w.awaitFaultTolerance(repairTimeout)
+		w.loseAtOnce(w.presentMachines()[:s.tolerance])
+		_ = w.Run(1500 * time.Millisecond) // until all machines are back
+		repairs = append(repairs, w.awaitFaultTolerance(repairTimeout))
 	}
 	if w.failure != nil {
-		return took, w.failure
+		return repairs, w.failure
 	}
-	return took, w.Finish()
+	return repairs, w.Finish()
 }
 
-// The next loss may come as soon as the last one is repaired, and that is within the time to catch up.
-func TestNextLossRightAfterARepair(t *testing.T) {
-	for _, s := range sizes() {
+// Disks may be lost again as soon as the last loss is repaired, which is within repairTimeout.
+func TestFurtherLossIsToleratedRightAfterARepair(t *testing.T) {
+	for _, s := range groupSizes() {
 		t.Run(s.String(), func(t *testing.T) {
-			var taken figures
+			var delays latencySample
 			eachSeed(1, membershipSeeds(t), func(seed uint64) {
-				took, err := repairs(seed, s, mutation.Set{})
+				repairs, err := repeatedLosses(seed, s, mutation.Set{})
 				if err != nil {
-					t.Error(err)
+					t.Errorf("seed %d: %v, want nil", seed, err)
 				}
-				for _, one := range took {
-					taken.add(one)
+				for _, repair := range repairs {
+					delays.add(repair)
 				}
 			})
-			taken.check(t, "borne after all are back", catchUp)
+			delays.check(t, "tolerated after all are back", repairTimeout)
 		})
 	}
 }
 
-// leaveForGood has a machine leave and, in the moment in which it may go, takes its disk. Others are away or come back
-// with slow disks at that time, as far as the deployment bears it. It tells whether the machine could go.
-func leaveForGood(seed uint64, s size, planted mutation.Set) (gone bool, err error) {
-	w := sized(seed, s, planted)
-	w.untilBorne(catchUp)
+// leaveAndLoseDisk has a machine leave, and loses its disk in the moment in which it is safe to leave. As many others as the
+// group tolerates are partitioned meanwhile, or come back with slow links and disks. It reports whether the machine has
+// left.
+func leaveAndLoseDisk(seed uint64, s groupSize, mutant mutation.Set) (left bool, err error) {
+	w := worldOfSize(seed, s, mutant)
+	w.awaitFaultTolerance(repairTimeout)
 	_ = w.Run(w.between(0, 500*time.Millisecond))
 	order := w.random.Perm(len(w.machines))
 	leaving := w.machines[order[0]]
-	for _, i := range order[1 : 1+s.faults] {
-		w.cutOff(w.machines[i:i+1], w.machines, true, true)
+	for _, i := range order[1 : 1+s.tolerance] {
+		w.partition(w.machines[i:i+1], w.machines, true, true)
 	}
 	_ = w.Run(w.between(0, 2*time.Second))
 	if back := w.random.IntN(3); back > 0 {
-		w.joinAll()
+		w.healLinks()
 		_ = w.Run(w.between(0, 2*time.Second))
-		for _, i := range order[1 : 1+s.faults] {
-			w.machines[i].stall = time.Duration(back-1) * w.between(0, 500*time.Millisecond)
+		for _, i := range order[1 : 1+s.tolerance] {
+			w.machines[i].syncDelay = time.Duration(back-1) * w.between(0, 500*time.Millisecond)
 		}
-		w.links.slow, w.links.loss = time.Duration(back-1)*60*time.Millisecond, float64(back-1)*0.2
+		w.links.extraDelay, w.links.lossProbability = time.Duration(back-1)*60*time.Millisecond, float64(back-1)*0.2
 	}
-	leaving.put(leaveInput())
-	for began := w.now; w.now-began < 2*time.Second && w.failure == nil; {
+	leaving.enqueue(leaveInput())
+	for beganAt := w.now; w.now-beganAt < 2*time.Second && w.failure == nil; {
 		_ = w.Run(2 * time.Millisecond)
-		if gone = leaving.engine.SafeToLeave() && leaving.busy <= w.now; gone {
+		if left = leaving.engine.SafeToLeave() && leaving.busyUntil <= w.now; left {
 			break
 		}
 	}
-	if !gone || w.failure != nil {
+	if !left || w.failure != nil {
 		return false, w.failure
 	}
 	leaving.wipe()
 	leaving.removed = true
-	w.checkCopies(s.faults)
+	w.checkReplicasAfterLeave(s.tolerance)
 	return true, w.failure
 }
 
-// checkCopies states that the loss of so many disks leaves one that holds everything.
-func (w *World) checkCopies(losses int) {
-	there, sure := w.disks()
-	if copies := w.copiesThere(there); sure && copies < losses+1 {
-		w.fail("%d disks hold everything after a member has gone, %d may be lost", copies, losses)
+// checkReplicasAfterLeave checks that the loss of that many disks leaves one that has everything that was acknowledged.
+func (w *World) checkReplicasAfterLeave(losses int) {
+	intact, certain := w.intactDisks()
+	if complete := w.countComplete(intact); certain && complete < losses+1 {
+		w.fail("%d disks have everything after a member has left, %d may be lost", complete, losses)
 	}
 }
 
-// A member goes only when the others hold everything, beside those that may be lost.
-func TestLeavingMemberIsNotMissed(t *testing.T) {
-	for _, s := range sizes() {
+// A member leaves only once more others than may be lost have everything.
+func TestMemberLeavesOnlyOnceOthersHaveEverything(t *testing.T) {
+	for _, s := range groupSizes() {
 		t.Run(s.String(), func(t *testing.T) {
-			var left, stayed figures
+			var departed, remained latencySample
 			eachSeed(1, 3*membershipSeeds(t), func(seed uint64) {
-				gone, err := leaveForGood(seed, s, mutation.Set{})
+				left, err := leaveAndLoseDisk(seed, s, mutation.Set{})
 				if err != nil {
-					t.Error(err)
+					t.Errorf("seed %d: %v, want nil", seed, err)
 				}
-				if gone {
-					left.add(0)
+				if left {
+					departed.add(0)
 				} else {
-					stayed.add(0)
+					remained.add(0)
 				}
 			})
-			t.Logf("%d have gone, %d have stayed", len(left.list), len(stayed.list))
-			if len(left.list) == 0 {
-				t.Error("nobody could go")
+			t.Logf("%d have left, %d have stayed", len(departed.durations), len(remained.durations))
+			if len(departed.durations) == 0 {
+				t.Error("no member has left, want some to")
 			}
 		})
 	}
 }
 
-// Of three machines one is away: a second one stays, and says why.
-func TestLastCopiesStay(t *testing.T) {
-	w := sized(1, size{3, 1}, mutation.Set{})
-	w.untilBorne(catchUp)
-	head := w.head()
-	var others []*machine
-	for _, m := range w.machines {
-		if m != head {
-			others = append(others, m)
-		}
-	}
+// With one of three machines down, a second one can't leave, and says why.
+func TestNeededMemberDoesNotLeave(t *testing.T) {
+	w := worldOfSize(1, groupSize{3, 1}, mutation.Set{})
+	w.awaitFaultTolerance(repairTimeout)
+	others := w.others(w.head())
 	others[0].kill()
 	_ = w.Run(2 * time.Second)
-	others[1].put(leaveInput())
+	others[1].enqueue(leaveInput())
 	_ = w.Run(3 * time.Second)
 	if others[1].engine.SafeToLeave() {
-		t.Error("it goes although one other is left")
+		t.Error("the member may leave with one other left, want it to stay")
 	}
 	if why := others[1].engine.LeaveBlocker(); why == "" {
-		t.Error("it does not say why it stays")
+		t.Error("the member gives no reason why it stays, want one")
 	} else {
 		t.Log(why)
 	}
 	others[0].start(false)
 	_ = w.Run(3 * time.Second)
 	if !others[1].engine.SafeToLeave() {
-		t.Errorf("the other is back: %s", others[1].engine.LeaveBlocker())
+		t.Errorf("the member stays although the other is back: %s; want it to leave", others[1].engine.LeaveBlocker())
 	}
 	if err := w.Finish(); err != nil {
-		t.Error(err)
+		t.Errorf("finish: %v, want nil", err)
 	}
 }
 
-// Each rule of membership has a planted fault that breaks it; the checks must find every one. (Votes without holders are
-// found by the tests of package view, a learner that counts as a holder by those of package chain.)
-func TestPlantedFaultsOfMembershipAreFound(t *testing.T) {
-	leave := func(seed uint64, s size, planted mutation.Set) error {
-		_, err := leaveForGood(seed, s, planted)
+// Each rule of membership has a mutant that breaks it, and the checks must find each of them. (Voters that lack entries are
+// found by the tests of package view, a learner that is taken for a complete member by those of package chain.)
+func TestMutantsOfMembershipAreFound(t *testing.T) {
+	leave := func(seed uint64, s groupSize, mutant mutation.Set) error {
+		_, err := leaveAndLoseDisk(seed, s, mutant)
 		return err
 	}
-	repair := func(seed uint64, s size, planted mutation.Set) error {
-		_, err := repairs(seed, s, planted)
+	repair := func(seed uint64, s groupSize, mutant mutation.Set) error {
+		_, err := repeatedLosses(seed, s, mutant)
 		return err
 	}
-	for name, mutant := range map[string]struct {
-		planted mutation.Set
-		size    size
-		play    func(seed uint64, s size, planted mutation.Set) error
+	for name, test := range map[string]struct {
+		mutant mutation.Set
+		size   groupSize
+		play   func(seed uint64, s groupSize, mutant mutation.Set) error
 	}{
-		"leave at once":          {mutation.Set{LeaveImmediately: true}, size{3, 1}, leave},
-		"whole before it is":     {mutation.Set{EarlyComplete: true}, size{3, 1}, repair},
-		"a chain of f":           {mutation.Set{CommitShortChain: true}, size{3, 1}, repair},
-		"a vote after a wipe":    {mutation.Set{VoteAfterWipe: true}, size{3, 1}, repair},
-		"a head without the log": {mutation.Set{HeadIgnoresLog: true}, size{3, 1}, repair},
+		"leave immediately":          {mutation.Set{LeaveImmediately: true}, groupSize{3, 1}, leave},
+		"complete too early":         {mutation.Set{EarlyComplete: true}, groupSize{3, 1}, repair},
+		"commit on a short chain":    {mutation.Set{CommitShortChain: true}, groupSize{3, 1}, repair},
+		"vote after a wipe":          {mutation.Set{VoteAfterWipe: true}, groupSize{3, 1}, repair},
+		"head regardless of its log": {mutation.Set{HeadIgnoresLog: true}, groupSize{3, 1}, repair},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for seed := uint64(1); seed <= mutantSeeds; seed++ {
-				if err := mutant.play(seed, mutant.size, mutant.planted); err != nil {
-					t.Logf("found with %v: %v", mutant.size, err)
+			for seed := uint64(1); seed <= maxMutantHistories; seed++ {
+				if err := test.play(seed, test.size, test.mutant); err != nil {
+					t.Logf("found with %v: %v", test.size, err)
 					return
 				}
 			}
-			t.Errorf("not found in %d histories", mutantSeeds)
+			t.Errorf("not found in %d histories, want a violated invariant", maxMutantHistories)
 		})
 	}
 }
--- a/coordination/simnet/network.go
+++ b/coordination/simnet/network.go
@@ -7,123 +7,127 @@
 	"raventrestle/coordination/engine"
 )
 
-// pair is one direction of a link.
-type pair struct{ from, to string }
+// link is one direction of a link.
+type link struct{ from, to string }
 
-// links holds which directions are cut and how bad the rest is.
+// links is the state of all links.
 type links struct {
-	cut  map[pair]bool
-	free map[pair]time.Duration // when the large messages that were sent before have left
-	slow time.Duration          // added at random to each message
-	loss float64
+	blocked         map[link]bool          // by a partition; an entry may be false
+	busyUntil       map[link]time.Duration // by large messages that were sent before
+	extraDelay      time.Duration          // added at random to each message
+	lossProbability float64
 }
 
-// longLate is how late a message may come a second time.
-const longLate = 3 * time.Second
+// maxDuplicateDelay is how late a duplicate of a message may arrive.
+const maxDuplicateDelay = 3 * time.Second
 
-// send brings a message over a link. Messages may overtake each other and come twice; a large one that takes its time
-// does not, because that would be a link at half its rate.
+// send sends a message over a link. Messages may be reordered and duplicated. On links of a limited rate large ones are not
+// duplicated, because that would halve the rate.
 func (w *World) send(from *machine, envelope chain.Envelope) {
 	if envelope.Message.Fetch != nil {
-		w.questions++
+		w.fetches++
 	}
-	if w.lostOnTheWay(from.address, envelope.Address) {
+	if w.isLost(from.address, envelope.Address) {
 		return
 	}
-	w.carry(from.address, envelope)
-	again, late := w.random.IntN(200) == 0, w.random.IntN(500) == 0
-	if w.LinkRate > 0 && sizeOf(envelope.Message) > largeBytes {
+	w.transmit(from.address, envelope)
+	duplicate, lateDuplicate := w.random.IntN(200) == 0, w.random.IntN(500) == 0
+	if w.LinkRate > 0 && sizeOf(envelope.Message) > maxUnfragmentedBytes {
 		return
 	}
-	if again {
-		w.carry(from.address, envelope)
+	if duplicate {
+		w.transmit(from.address, envelope)
 	}
-	if late { // and once more, when much has changed
-		w.after(w.between(0, longLate), func() { w.carry(from.address, envelope) })
+	if lateDuplicate {
+		w.after(w.between(0, maxDuplicateDelay), func() { w.transmit(from.address, envelope) })
 	}
 }
 
-func (w *World) lostOnTheWay(from, to string) bool {
-	return w.links.cut[pair{from, to}] || w.random.Float64() < w.LossProbability+w.links.loss
+// isLost draws whether a message is lost as it is sent.
+func (w *World) isLost(from, to string) bool {
+	return w.links.blocked[link{from, to}] || w.random.Float64() < w.LossProbability+w.links.lossProbability
 }
 
-func (w *World) carry(from string, envelope chain.Envelope) {
+// transmit delivers a message after the delay of its link, unless a partition separates the machines then.
+func (w *World) transmit(from string, envelope chain.Envelope) {
 	delay := w.between(w.MinLinkDelay, 2*w.MinLinkDelay)
-	if w.links.slow > 0 {
-		delay += w.between(0, w.links.slow)
+	if w.links.extraDelay > 0 {
+		delay += w.between(0, w.links.extraDelay)
 	}
 	message := envelope.Message
-	delay += w.transmission(pair{from, envelope.Address}, message)
+	delay += w.transmissionTime(link{from, envelope.Address}, message)
 	w.after(delay, func() {
-		if w.links.cut[pair{from, envelope.Address}] {
+		if w.links.blocked[link{from, envelope.Address}] {
 			return
 		}
 		for _, m := range w.machines {
 			if m.address != envelope.Address || m.engine == nil {
 				continue
 			}
-			deliver := func() { m.put(engine.Input{Message: &message, Address: from}) }
-			if w.deviate(from, m, deliver) {
+			deliver := func() { m.enqueue(engine.Input{Message: &message, Address: from}) }
+			if w.injectAtDelivery(from, m, deliver) {
 				deliver()
 			}
 		}
 	})
 }
 
-// cutOff cuts the links between two groups of machines, in one direction or both.
-func (w *World) cutOff(left, right []*machine, there, back bool) {
+// partition blocks the links between two groups of machines, in one direction or both.
+func (w *World) partition(left, right []*machine, blockLeftToRight, blockRightToLeft bool) {
 	for _, a := range left {
 		for _, b := range right {
 			if a == b {
 				continue
 			}
-			w.links.cut[pair{a.address, b.address}] = there
-			w.links.cut[pair{b.address, a.address}] = back
+			w.links.blocked[link{a.address, b.address}] = blockLeftToRight
+			w.links.blocked[link{b.address, a.address}] = blockRightToLeft
 		}
 	}
 }
 
-// joinAll heals all links.
-func (w *World) joinAll() { w.links = links{cut: map[pair]bool{}, free: w.links.free} }
+// healLinks ends all partitions, delays and losses of links.
+func (w *World) healLinks() { w.links = links{blocked: map[link]bool{}, busyUntil: w.links.busyUntil} }
 
-// headBytes is about what a message takes beside its commands.
-const headBytes = 200
+// messageOverheadBytes is the approximate size of a message without its commands.
+const messageOverheadBytes = 200
 
-// largeBytes is from which size on a message goes out in pieces, as package replica sends it, and windowBytes how much of
-// it is on its way at once: that is all that a small message waits for.
+// A message above maxUnfragmentedBytes is sent in fragments, as package replica does, with inFlightBytes of it in flight at
+// once: a small message waits for no more than these.
 const (
-	largeBytes  = 64 << 10
-	windowBytes = 128 << 10
+	maxUnfragmentedBytes = 64 << 10
+	inFlightBytes        = 128 << 10
 )
 
-// transmission is how long a message takes to leave, behind those before it.
-func (w *World) transmission(link pair, message chain.Message) time.Duration {
+// transmissionTime returns how long a message takes to leave, behind those before it.
+func (w *World) transmissionTime(over link, message chain.Message) time.Duration {
 	if w.LinkRate == 0 {
 		return 0
 	}
 	size := sizeOf(message)
-	waits := max(0, w.links.free[link]-w.now)
-	if size <= largeBytes {
-		return min(waits, w.taking(windowBytes)) + w.taking(size)
+	wait := max(0, w.links.busyUntil[over]-w.now)
+	if size <= maxUnfragmentedBytes {
+		return min(wait, w.timeToSend(inFlightBytes)) + w.timeToSend(size)
 	}
-	took := waits + w.taking(size)
-	w.links.free[link] = w.now + took
+	took := wait + w.timeToSend(size)
+	w.links.busyUntil[over] = w.now + took
 	return took
 }
 
-func (w *World) taking(bytes int) time.Duration {
+// timeToSend returns how long a link of the rate takes for the bytes.
+func (w *World) timeToSend(bytes int) time.Duration {
 	return time.Duration(bytes) * time.Second / time.Duration(w.LinkRate)
 }
 
+// sizeOf returns the approximate size of a message in bytes.
 func sizeOf(message chain.Message) int {
-	size := headBytes
+	size := messageOverheadBytes
 	if message.Forward != nil {
 		size += len(message.Forward.Command)
 	}
 	if message.Append != nil {
 		size += len(message.Append.Snapshot)
 		for _, entry := range message.Append.Entries {
-			size += headBytes + len(entry.Command)
+			size += messageOverheadBytes + len(entry.Command)
 		}
 	}
 	return size
