--- a/internal/protocol/codec_test.go
+++ b/internal/protocol/codec_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestMessagesComeBackAsSent sends each kind through the codec.
+// TestMessagesComeBackAsSent encodes and decodes messages of the kinds that routers know.
 func TestMessagesComeBackAsSent(t *testing.T) {
 	codec := NewCodec()
 	for _, message := range []any{
@@ -28,14 +28,14 @@
 	} {
 		frame, err := codec.Encode(message)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("encode %T: got %v, want no error", message, err)
 		}
 		got, err := codec.Decode(frame[4], frame[5:])
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("decode %T: got %v, want no error", message, err)
 		}
 		if difference := cmp.Diff(message, got); difference != "" {
-			t.Errorf("%T changed on its way: %s", message, difference)
+			t.Errorf("%T: got another message than was sent (-sent +got):\n%s", message, difference)
 		}
 	}
 }
--- a/internal/protocol/document.go
+++ b/internal/protocol/document.go
@@ -9,47 +9,48 @@
 )
 
 const (
-	compressionThresholdBytes = 16 << 10 // smaller documents are not worth the time
-	maxDocumentBytes          = 16 << 20 // unpacked
-	zlibFirstByte             = 0x78     // first byte of what is packed; JSON never begins with it
+	compressionThresholdBytes = 16 << 10 // compressing smaller ones costs more processor time than it saves
+	maxDocumentBytes          = 16 << 20 // decompressed
+	zlibFirstByte             = 0x78     // RFC 1950: deflate with a window of 32 KiB; JSON text never begins with it
 )
 
-// ErrDocumentTooLarge says that a packed document is larger than any that is taken.
-var ErrDocumentTooLarge = errors.New("document is too large")
+// ErrDocumentTooLarge is the error of a compressed document that exceeds the accepted size.
+var ErrDocumentTooLarge = errors.New("document exceeds 16 MiB")
 
-// CompressDocument returns a configuration as updates carry it: large ones packed. Each router of an instance gets it, in
-// another zone maybe.
+// CompressDocument returns a configuration as an Update carries it: compressed with zlib where it exceeds 16 KiB and
+// becomes smaller by it, else unchanged. Each router gets it, some of them in other zones.
 func CompressDocument(document []byte) []byte {
 	if len(document) <= compressionThresholdBytes {
 		return document
 	}
-	var packed bytes.Buffer
-	writer, err := zlib.NewWriterLevel(&packed, zlib.BestSpeed)
+	var compressed bytes.Buffer
+	writer, err := zlib.NewWriterLevel(&compressed, zlib.BestSpeed)
 	if err != nil {
-		return document // a level that is not known: a mistake in this file
+		return document // only a level unknown to zlib is rejected; the document still arrives
 	}
 	_, err = writer.Write(document)
-	if err = errors.Join(err, writer.Close()); err != nil || packed.Len() >= len(document) {
+	if err = errors.Join(err, writer.Close()); err != nil || compressed.Len() >= len(document) {
 		return document
 	}
-	return packed.Bytes()
+	return compressed.Bytes()
 }
 
-// DecompressDocument returns what PackDocument was given.
+// DecompressDocument returns what CompressDocument was given. The error wraps ErrDocumentTooLarge where the document
+// exceeds 16 MiB, or says what is malformed.
 func DecompressDocument(carried []byte) ([]byte, error) {
 	if len(carried) == 0 || carried[0] != zlibFirstByte {
 		return carried, nil
 	}
 	reader, err := zlib.NewReader(bytes.NewReader(carried))
 	if err != nil {
-		return nil, fmt.Errorf("unpack document: %w", err)
+		return nil, fmt.Errorf("protocol: decompress document of %d bytes: %w", len(carried), err)
 	}
 	document, err := io.ReadAll(io.LimitReader(reader, maxDocumentBytes+1))
 	if err != nil {
-		return nil, fmt.Errorf("unpack document: %w", err)
+		return nil, fmt.Errorf("protocol: decompress document of %d bytes: %w", len(carried), err)
 	}
 	if len(document) > maxDocumentBytes {
-		return nil, fmt.Errorf("unpack document: %w", ErrDocumentTooLarge)
+		return nil, fmt.Errorf("protocol: decompress document of %d bytes: %w", len(carried), ErrDocumentTooLarge)
 	}
 	return document, nil
 }
--- a/internal/protocol/document_test.go
+++ b/internal/protocol/document_test.go
@@ -7,27 +7,27 @@
 	"pgregory.net/rapid"
 )
 
-func TestDocumentComesBackWhole(t *testing.T) {
+func TestDocumentComesBackUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		part := rapid.SliceOfN(rapid.Byte(), 1, 50).Draw(t, "part")
 		document := append([]byte("{"), bytes.Repeat(part, rapid.IntRange(0, 2000).Draw(t, "times"))...)
-		back, err := DecompressDocument(CompressDocument(document))
-		if err != nil || !bytes.Equal(back, document) {
-			t.Fatalf("%d bytes came back as %d: %v", len(document), len(back), err)
+		got, err := DecompressDocument(CompressDocument(document))
+		if err != nil || !bytes.Equal(got, document) {
+			t.Fatalf("got %d bytes and %v, want the %d bytes that were compressed", len(got), err, len(document))
 		}
 	})
 }
 
-func TestLargeDocumentIsPacked(t *testing.T) {
+func TestLargeDocumentIsCompressed(t *testing.T) {
 	document := []byte("{" + string(bytes.Repeat([]byte(`"name":"model",`), 3000)) + "}")
-	packed := CompressDocument(document)
-	if len(packed) > len(document)/10 {
-		t.Errorf("%d bytes are packed into %d", len(document), len(packed))
+	compressed := CompressDocument(document)
+	if len(compressed) > len(document)/10 {
+		t.Errorf("compress %d bytes: got %d, want a tenth or less", len(document), len(compressed))
 	}
-	if _, err := DecompressDocument(packed[:len(packed)/2]); err == nil {
-		t.Error("half a packed document was taken")
+	if got, err := DecompressDocument(compressed[:len(compressed)/2]); err == nil {
+		t.Errorf("decompress half of a document: got %d bytes, want an error", len(got))
 	}
-	if _, err := DecompressDocument([]byte("xylophone")); err == nil {
-		t.Error("what is neither JSON nor packed was unpacked")
+	if got, err := DecompressDocument([]byte("xylophone")); err == nil {
+		t.Errorf("decompress what is neither JSON nor compressed: got %q, want an error", got)
 	}
 }
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -306,7 +306,7 @@
 	}
 }
 
-// goldenDocument is a configuration above the size from which documents are packed.
+// goldenDocument is a configuration above the size from which documents are compressed.
 func goldenDocument() []byte {
 	var text bytes.Buffer
 	text.WriteString(`{"generation":1,"routes":[`)
@@ -317,25 +317,25 @@
 	return text.Bytes()
 }
 
-// TestGoldenPackedDocument reads what build 73ca247 packed, and packs the same bytes. Where only a new compress/zlib
-// packs otherwise, the reading side counts: the data stay, and a second file is added.
-func TestGoldenPackedDocument(t *testing.T) {
-	packed, err := os.ReadFile(filepath.Join("testdata", "golden", "document.zlib"))
+// TestGoldenCompressedDocument reads what build 73ca247 compressed, and compresses to the same bytes. Should a new
+// compress/zlib give other bytes, the data stay for the reading side, and a second file is added for the writing side.
+func TestGoldenCompressedDocument(t *testing.T) {
+	compressed, err := os.ReadFile(filepath.Join("testdata", "golden", "document.zlib"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	document := goldenDocument()
-	got, err := DecompressDocument(packed)
+	got, err := DecompressDocument(compressed)
 	if err != nil || !bytes.Equal(got, document) {
-		t.Errorf("unpack: got %d bytes and %v, want the %d bytes that were packed", len(got), err, len(document))
+		t.Errorf("decompress: got %d bytes and %v, want the %d bytes that were compressed", len(got), err, len(document))
 	}
-	if got := CompressDocument(document); !bytes.Equal(got, packed) {
-		t.Errorf("pack: got %d bytes %.20x, want %d bytes %.20x", len(got), got, len(packed), packed)
+	if got := CompressDocument(document); !bytes.Equal(got, compressed) {
+		t.Errorf("compress: got %d bytes %.20x, want %d bytes %.20x", len(got), got, len(compressed), compressed)
 	}
 }
 
-// TestGoldenPackingBounds pins from which size documents are packed, and which packed ones are taken.
-func TestGoldenPackingBounds(t *testing.T) {
+// TestGoldenCompressionBounds pins above which size documents are compressed, and which are accepted.
+func TestGoldenCompressionBounds(t *testing.T) {
 	plain := append([]byte("{"), bytes.Repeat([]byte("a"), 16383)...)
 	if got := CompressDocument(plain); !bytes.Equal(got, plain) {
 		t.Errorf("16384 bytes: got %.8x of %d bytes, want them as they are", got, len(got))
--- a/internal/protocol/size_test.go
+++ b/internal/protocol/size_test.go
@@ -8,7 +8,7 @@
 	"raventrestle/internal/sizetest"
 )
 
-// BenchmarkReportAtSize is one router's report of half a second, encoded once and decoded once.
+// BenchmarkReportAtSize encodes and decodes one router's report of half a second.
 func BenchmarkReportAtSize(b *testing.B) {
 	codec := protocol.NewCodec()
 	report := sizetest.Report(rand.New(rand.NewPCG(1, 1)), 1, 1)
@@ -27,8 +27,8 @@
 	b.ReportMetric(float64(bytes), "B/report")
 }
 
-// BenchmarkWholeTableAtSize is the table as a router gets it when it subscribes.
-func BenchmarkWholeTableAtSize(b *testing.B) {
+// BenchmarkSnapshotAtSize encodes and decodes the complete table as a router gets it when it subscribes.
+func BenchmarkSnapshotAtSize(b *testing.B) {
 	codec := protocol.NewCodec()
 	update := protocol.Update{Snapshot: true, Endpoints: sizetest.Table()}
 	bytes := 0
