--- a/cmd/raventrestle-control/instance.go
+++ b/cmd/raventrestle-control/instance.go
@@ -103,10 +103,10 @@
 	table := host.New(host.Config{Origin: origin, Heartbeat: settings.HeartbeatInterval, Codec: codec}, host.Dependencies{
 		Replica: group, Configurations: configurations, Mesh: i.mesh, Roles: reports, Events: events,
 	})
-	i.leader = roles.New(roles.Config{Origin: origin, NodeName: settings.NodeName, Lease: settings.Bounds.LeaseTTL},
+	i.leader = roles.New(roles.Config{NodeName: settings.NodeName, Lease: settings.Bounds.LeaseTTL},
 		roles.Dependencies{
-			Replica: group, Endpoints: table, Configurations: configurations, Mesh: i.mesh,
-			NewPlacer: newPlacer, NewAllocator: newAllocator, EventRecorder: events,
+			Replica: group, Host: table, Configurations: configurations,
+			NewPlacer: newPlacer, NewAllocator: newAllocator, Events: events,
 		})
 	reports.holder = i.leader
 	entrance.host.Store(table)
--- a/internal/control/roles/fencing_test.go
+++ b/internal/control/roles/fencing_test.go
@@ -13,39 +13,40 @@
 	"raventrestle/coordination/simnet"
 )
 
-// Holders of the roles run on the simulated chain, with all its faults: they are cut off, frozen, restarted, wiped and
-// replaced, and their orders take their time. An endpoint that does not check fences judges what arrives.
-
-// counter is a replicated machine without a content.
-type counter struct{}
-
-func (counter) Apply(uint64, []byte) []byte { return nil }
-func (counter) Snapshot() []byte            { return nil }
-func (counter) Restore([]byte) error        { return nil }
-
-// thawTime is thaw_ms of the pages: what arrives so soon after its sender thawed does not count.
-const thawTime = 300 * time.Millisecond
-
-// fencing is one history.
-type fencing struct {
-	site     *simnet.Cluster
-	hosts    map[int]*holding
-	arrivals []arrival
-	frozen   map[int]time.Duration // by machine: when it was last seen standing still
-	failure  error
-	orders   int
-	handed   int // changes of holder
-
-	// Planted faults.
-	hasty   bool // no pause after the former holder's lease
-	patient bool // an order may be on its way for longer than the pause
+// Leaders run on the simulated chain, with all its faults: they are partitioned, frozen, restarted, wiped and replaced, and
+// their orders are delayed. An endpoint that does not check fencing tokens records what arrives, and the rule ONE is
+// checked.
+
+// emptyMachine is a replicated state machine without content.
+type emptyMachine struct{}
+
+func (emptyMachine) Apply(uint64, []byte) []byte { return nil }
+func (emptyMachine) Snapshot() []byte            { return nil }
+func (emptyMachine) Restore([]byte) error        { return nil }
+
+// thawGracePeriod is thaw_ms of the operators' pages: an order that arrives so soon after its sender thawed does not count.
+const thawGracePeriod = 300 * time.Millisecond
+
+// fencingHistory is one simulated history and what arrived at the endpoint.
+type fencingHistory struct {
+	site          *simnet.Cluster
+	processes     map[int]*simulatedProcess
+	arrivals      []arrival
+	frozen        map[int]time.Duration // by machine: when it was last seen frozen
+	failure       error
+	orders        int
+	leaderChanges int
+
+	// Injected faults.
+	skipHandoverDelay bool // no delay after the former leader's lease
+	unboundedOrders   bool // an order may be in flight for longer than the handover
 }
 
-// holding is the life of one process. It has one order at a time for the endpoint.
-type holding struct {
-	life   int
-	tenure *Leadership
-	busy   bool
+// simulatedProcess is one incarnation of a process. It has one order at a time in flight.
+type simulatedProcess struct {
+	incarnation int
+	leadership  *Leadership
+	busy        bool
 }
 
 type arrival struct {
@@ -54,7 +55,7 @@
 	epoch   uint64
 }
 
-// shortLease is lease_ms here, so that the role changes often.
+// shortLease is lease_ms here, so that the leader changes often.
 const shortLease = 1500 * time.Millisecond
 
 var simulatedBegin = time.Unix(1000, 0)
@@ -73,86 +74,86 @@
 	}
 }
 
-// run looks at every machine again and again until the clients' time is over.
-func (f *fencing) run() {
-	const every = 30 * time.Millisecond
+// run steps every machine periodically until the simulated time for clients is over.
+func (f *fencingHistory) run() {
+	const interval = 30 * time.Millisecond
 	if f.site.Now() >= f.site.ClientsUntil {
 		return
 	}
 	for machine := range f.site.Machines() {
-		f.look(machine)
+		f.stepProcess(machine)
 	}
-	f.site.After(every, f.run)
+	f.site.After(interval, f.run)
 }
 
-func (f *fencing) look(machine int) {
+func (f *fencingHistory) stepProcess(machine int) {
 	process, awake := f.site.Process(machine)
 	if !awake {
 		f.frozen[machine] = f.site.Now()
 		return
 	}
 	now := instant(process.Now)
-	h := f.hosts[machine]
-	if h == nil || h.life != process.Incarnation {
-		h = &holding{life: process.Incarnation, tenure: NewLeadership(shortLease, now)}
-		f.hosts[machine] = h
+	h := f.processes[machine]
+	if h == nil || h.incarnation != process.Incarnation {
+		h = &simulatedProcess{incarnation: process.Incarnation, leadership: NewLeadership(shortLease, now)}
+		f.processes[machine] = h
 	}
 	status := statusOf(process.Status)
-	if f.hasty {
+	if f.skipHandoverDelay {
 		status.PreviousLeaseExpiry, status.LeaderSince = now.Add(-shortLease), now.Add(-shortLease)
 	}
-	if turn := h.tenure.Step(now, status); turn.MayAct && !h.busy {
+	if out := h.leadership.Step(now, status); out.MayAct && !h.busy {
 		h.busy = true
-		f.dial(machine, h, turn.Epoch)
+		f.dial(machine, h, out.Epoch)
 	}
 }
 
-// dial takes a while; a process that stands still then goes on when it thaws.
-func (f *fencing) dial(machine int, h *holding, epoch uint64) {
+// dial takes a while, and longer when the process is frozen. The lease is checked right before the order is written.
+func (f *fencingHistory) dial(machine int, h *simulatedProcess, epoch uint64) {
 	began := f.site.Now()
-	within := orderTime(shortLease)
-	if f.patient {
-		within = 5 * shortLease
+	timeout := orderTimeout(shortLease)
+	if f.unboundedOrders {
+		timeout = 5 * shortLease
 	}
 	var write func()
 	write = func() {
 		process, awake := f.site.Process(machine)
 		switch {
-		case !f.site.Running(machine, h.life):
-			return // its connection is gone with it
+		case !f.site.Running(machine, h.incarnation):
+			return // its connection has ended with it
 		case !awake:
 			f.site.After(time.Millisecond, write)
 			return
-		case f.site.Now()-began > within:
-			h.busy = false // given up
+		case f.site.Now()-began > timeout:
+			h.busy = false // timed out
 			return
 		}
 		status := statusOf(process.Status)
-		until := instant(process.Now).Add(leaseReserve)
+		until := instant(process.Now).Add(leaseSafetyMargin)
 		if !status.IsLeader || status.View.Epoch != epoch || !until.Before(status.LeaseExpiry) {
-			h.busy = false // permitted says no
+			h.busy = false // as Leader.leaseHeld decides
 			return
 		}
-		f.arrive(machine, h, epoch, within-(f.site.Now()-began))
+		f.arrive(machine, h, epoch, timeout-(f.site.Now()-began))
 	}
 	f.site.After(time.Duration(f.site.RandomInt(100))*time.Millisecond, write)
 }
 
-// arrive brings what was written to the endpoint, and its answer back, within the time in which the kernel cares for it.
-func (f *fencing) arrive(machine int, h *holding, epoch uint64, left time.Duration) {
-	late := time.Duration(f.site.RandomInt(5)) * time.Millisecond
+// arrive delivers the order and the response before the kernel stops retransmitting.
+func (f *fencingHistory) arrive(machine int, h *simulatedProcess, epoch uint64, remaining time.Duration) {
+	delay := time.Duration(f.site.RandomInt(5)) * time.Millisecond
 	if f.site.RandomInt(2) == 0 {
-		late = time.Duration(f.site.RandomInt(int(left/time.Millisecond)+1)) * time.Millisecond
+		delay = time.Duration(f.site.RandomInt(int(remaining/time.Millisecond)+1)) * time.Millisecond
 	}
-	f.site.After(late, func() {
-		f.judge(arrival{at: f.site.Now(), machine: machine, epoch: epoch})
+	f.site.After(delay, func() {
+		f.checkArrival(arrival{at: f.site.Now(), machine: machine, epoch: epoch})
 		h.busy = false
 	})
 }
 
-// judge is the rule ONE at an endpoint that does not check fences.
-func (f *fencing) judge(now arrival) {
-	if stood, seen := f.frozen[now.machine]; seen && now.at-stood <= thawTime {
+// checkArrival checks the rule ONE at an endpoint that does not check fencing tokens.
+func (f *fencingHistory) checkArrival(now arrival) {
+	if frozenAt, wasFrozen := f.frozen[now.machine]; wasFrozen && now.at-frozenAt <= thawGracePeriod {
 		return
 	}
 	f.orders++
@@ -164,30 +165,30 @@
 		}
 		switch {
 		case before.epoch > now.epoch:
-			f.fail("token %d of machine %d after %d", now.epoch, now.machine, before.epoch)
+			f.fail("token %d of machine %d after token %d, want tokens that only rise", now.epoch, now.machine, before.epoch)
 		case before.epoch == now.epoch && before.machine != now.machine:
-			f.fail("token %d of machines %d and %d", now.epoch, now.machine, before.machine)
+			f.fail("token %d of machines %d and %d, want it of one", now.epoch, now.machine, before.machine)
 		case before.machine != now.machine:
 			otherSince = true
 		case otherSince && now.at-before.at < shortLease:
-			f.fail("machine %d takes turns within %v", now.machine, now.at-before.at)
+			f.fail("machine %d alternates after %v, want %v or more", now.machine, now.at-before.at, shortLease)
 		}
 	}
 	if last := len(f.arrivals) - 1; last >= 0 && f.arrivals[last].machine != now.machine {
-		f.handed++
+		f.leaderChanges++
 	}
 	f.arrivals = append(f.arrivals, now)
 }
 
-func (f *fencing) fail(format string, values ...any) {
+func (f *fencingHistory) fail(format string, values ...any) {
 	if f.failure == nil {
 		f.failure = fmt.Errorf("at %v: %s", f.site.Now(), fmt.Sprintf(format, values...))
 	}
 }
 
-func playFencing(seed uint64, f *fencing) error {
-	f.hosts, f.frozen = map[int]*holding{}, map[int]time.Duration{}
-	_, err := simnet.PlayHeadFaults(seed, func() engine.StateMachine { return counter{} }, func(site *simnet.Cluster) {
+func runFencingHistory(seed uint64, f *fencingHistory) error {
+	f.processes, f.frozen = map[int]*simulatedProcess{}, map[int]time.Duration{}
+	_, err := simnet.PlayHeadFaults(seed, func() engine.StateMachine { return emptyMachine{} }, func(site *simnet.Cluster) {
 		f.site = site
 		f.run()
 	})
@@ -197,47 +198,48 @@
 	return f.failure
 }
 
-// TestOrdersAreFencedOnTheSimulatedChain plays FENCING_SEEDS seeds.
+// TestOrdersAreFencedOnTheSimulatedChain runs the histories of FENCING_SEEDS seeds.
 func TestOrdersAreFencedOnTheSimulatedChain(t *testing.T) {
 	seeds := uint64(12)
 	if text := os.Getenv("FENCING_SEEDS"); text != "" {
-		more, err := strconv.ParseUint(text, 10, 32)
+		count, err := strconv.ParseUint(text, 10, 32)
 		if err != nil {
 			t.Fatal(err)
 		}
-		seeds = more
+		seeds = count
 	}
-	orders, handed := 0, 0
+	orders, leaderChanges := 0, 0
 	for seed := uint64(1); seed <= seeds; seed++ {
-		f := &fencing{}
-		if err := playFencing(seed, f); err != nil {
+		f := &fencingHistory{}
+		if err := runFencingHistory(seed, f); err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 		}
 		orders += f.orders
-		handed += f.handed
+		leaderChanges += f.leaderChanges
 	}
-	t.Logf("%d histories, %d orders, %d changes of holder", seeds, orders, handed)
-	if handed < int(seeds) {
-		t.Error("the role hardly ever changes")
+	t.Logf("%d histories, %d orders, %d leader changes", seeds, orders, leaderChanges)
+	if leaderChanges < int(seeds) {
+		t.Errorf("%d leader changes in %d histories, want one each or more", leaderChanges, seeds)
 	}
 }
 
-// A holder that acts again after another one within a lease is found by TestHoldersNeverTakeTurnsWithinALease. The look
-// at the lease right before an order leaves has no planted fault: an order's time bounds it as well.
-func TestPlantedFaultsOfFencingAreFound(t *testing.T) {
+// TestInjectedFencingFaultsAreDetected has no fault for a leader that alternates with another in one lease, which
+// TestLeadersNeverAlternateInOneLease detects, nor for the check of the lease right before an order leaves: the order
+// timeout bounds it as well.
+func TestInjectedFencingFaultsAreDetected(t *testing.T) {
 	const seeds = 40
-	for name, plant := range map[string]func() *fencing{
-		"no pause between holders":     func() *fencing { return &fencing{hasty: true} },
-		"orders longer than the pause": func() *fencing { return &fencing{patient: true} },
+	for name, inject := range map[string]func() *fencingHistory{
+		"no delay between leaders":        func() *fencingHistory { return &fencingHistory{skipHandoverDelay: true} },
+		"orders longer than the handover": func() *fencingHistory { return &fencingHistory{unboundedOrders: true} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(1); seed <= seeds; seed++ {
-				if err := playFencing(seed, plant()); err != nil {
-					t.Logf("found: seed %d: %v", seed, err)
+				if err := runFencingHistory(seed, inject()); err != nil {
+					t.Logf("detected: seed %d: %v", seed, err)
 					return
 				}
 			}
-			t.Errorf("not found in %d histories", seeds)
+			t.Errorf("not detected in %d histories, want it detected", seeds)
 		})
 	}
 }
--- a/internal/control/roles/golden_test.go
+++ b/internal/control/roles/golden_test.go
@@ -19,8 +19,8 @@
 	"raventrestle/internal/protocol"
 )
 
-// The files in testdata/golden were written by build 73ca247, before its names were changed: what goes to an endpoint,
-// byte for byte, and what is understood of its answers. The names are those of the operators' page PROTOCOL.md. The
+// The files in testdata/golden were written by build 73ca247, before its names were changed: what is sent to an endpoint,
+// byte for byte, and how its responses are interpreted. The names are those of the operators' page PROTOCOL.md. The
 // files are never written by a test.
 
 func readGolden(t *testing.T, name string) string {
@@ -32,8 +32,8 @@
 	return string(content)
 }
 
-// rawEndpoint answers each connection with the given bytes, and sends on what it was sent.
-func rawEndpoint(t *testing.T, answer string) (address string, requests <-chan string) {
+// rawEndpoint responds with the given bytes on each connection, and passes on the bytes of the requests.
+func rawEndpoint(t *testing.T, response string) (address string, requests <-chan string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -48,7 +48,7 @@
 			if err != nil {
 				return
 			}
-			received <- serveRaw(connection, answer)
+			received <- serveRaw(connection, response)
 		}
 	}()
 	t.Cleanup(func() {
@@ -58,9 +58,9 @@
 	return listener.Addr().String(), received
 }
 
-func serveRaw(connection net.Conn, answer string) string {
+func serveRaw(connection net.Conn, response string) string {
 	defer func() { _ = connection.Close() }()
-	_ = connection.SetDeadline(time.Now().Add(patience))
+	_ = connection.SetDeadline(time.Now().Add(testTimeout))
 	var raw bytes.Buffer
 	request, err := http.ReadRequest(bufio.NewReader(io.TeeReader(connection, &raw)))
 	if err != nil {
@@ -69,13 +69,13 @@
 	if _, err := io.Copy(io.Discard, request.Body); err != nil {
 		return "unreadable body: " + err.Error()
 	}
-	if _, err := connection.Write([]byte(answer)); err != nil {
-		return "unanswered: " + err.Error()
+	if _, err := connection.Write([]byte(response)); err != nil {
+		return "not responded: " + err.Error()
 	}
 	return raw.String()
 }
 
-const acceptedAnswer = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+const acceptedResponse = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
 // goldenOrders are orders with every field set to another value, and with each optional one left out.
 func goldenOrders() map[string]placer.Order {
@@ -91,8 +91,8 @@
 
 // TestGoldenOrders compares all bytes of an order's request. ADDRESS in the files stands for the endpoint's.
 func TestGoldenOrders(t *testing.T) {
-	address, requests := rawEndpoint(t, acceptedAnswer)
-	sender := NewEndpointClient("node-601", lease, always)
+	address, requests := rawEndpoint(t, acceptedResponse)
+	sender := NewEndpointClient("node-601", lease, leaseAlwaysHeld)
 	for name, order := range goldenOrders() {
 		order.Address = address
 		outcome, err := sender.SendOrder(t.Context(), 1<<40+602, order)
@@ -107,10 +107,10 @@
 	}
 }
 
-// TestGoldenReportRequest compares all bytes of the question for an endpoint's report.
+// TestGoldenReportRequest compares all bytes of the request for an endpoint's report.
 func TestGoldenReportRequest(t *testing.T) {
 	address, requests := rawEndpoint(t, readGolden(t, "report.http"))
-	if _, err := NewEndpointClient("node-601", lease, always).Inspect(t.Context(), 7, "i-701", address); err != nil {
+	if _, err := NewEndpointClient("node-601", lease, leaseAlwaysHeld).Inspect(t.Context(), 7, "i-701", address); err != nil {
 		t.Fatal(err)
 	}
 	if got, want := strings.ReplaceAll(<-requests, address, "ADDRESS"), readGolden(t, "report-request.http"); got != want {
@@ -118,10 +118,10 @@
 	}
 }
 
-// TestGoldenReport reads a stored answer with every field that the page names.
+// TestGoldenReport reads a stored response with every field that the page names.
 func TestGoldenReport(t *testing.T) {
 	address, _ := rawEndpoint(t, readGolden(t, "report.http"))
-	got, err := NewEndpointClient("node-601", lease, always).Inspect(t.Context(), 7, "i-701", address)
+	got, err := NewEndpointClient("node-601", lease, leaseAlwaysHeld).Inspect(t.Context(), 7, "i-701", address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,12 +134,10 @@
 	}
 }
 
-// TestGoldenAnswers says what is understood of each kind of answer to an order.
-func TestGoldenAnswers(t *testing.T) {
-	outcomes := map[string]placer.Outcome{
-		"accepted": placer.Accepted, "holds": placer.AlreadyApplied, "busy": placer.Busy,
-		"invalid": placer.Invalid, "unknown": placer.Unknown,
-	}
+// TestGoldenResponses checks which outcome each kind of response to an order means.
+func TestGoldenResponses(t *testing.T) {
+	outcomes := map[string]placer.Outcome{"accepted": placer.Accepted, "holds": placer.AlreadyApplied, "busy": placer.Busy,
+		"invalid": placer.Invalid, "unknown": placer.Unknown}
 	for _, line := range strings.Split(strings.TrimSpace(readGolden(t, "answers.tsv")), "\n") {
 		columns := strings.Split(line, "\t")
 		if len(columns) != 3 {
@@ -154,7 +152,7 @@
 			header = columns[1] + "\r\n"
 		}
 		address, _ := rawEndpoint(t, "HTTP/1.1 "+columns[0]+" X\r\n"+header+"Content-Length: 0\r\nConnection: close\r\n\r\n")
-		got, err := NewEndpointClient("n", lease, always).SendOrder(t.Context(), 1, placer.Order{Address: address, Model: "m"})
+		got, err := NewEndpointClient("n", lease, leaseAlwaysHeld).SendOrder(t.Context(), 1, placer.Order{Address: address, Model: "m"})
 		if err != nil || got != want {
 			t.Errorf("%s %s: %v, %v, want %v", columns[0], columns[1], got, err, want)
 		}
@@ -168,31 +166,31 @@
 		meaning string
 		value   any
 	}{
-		{"between two steps", shortestPause},
-		{"between two steps, requests waiting", lackingPause},
-		{"watches", watchEvery},
-		{"recovering after a change", troubleLasts},
-		{"batches of reports", maximumBatches},
-		{"view awaited", viewWithin},
-		{"pause after placing", placePart},
-		{"pause after dividing", dividePart},
-		{"adapter takes", adapterTime},
+		{"between two steps", minStepInterval},
+		{"between two steps, requests waiting", urgentStepInterval},
+		{"watches", statusCheckInterval},
+		{"recovering after a change", recoveryWindow},
+		{"batches of reports", maxReportBatches},
+		{"view awaited", viewTimeout},
+		{"pause after placing", placerRestFactor},
+		{"pause after dividing", allocatorRestFactor},
+		{"adapter takes", adapterLoadTime},
 		{"unload takes", unloadTime},
-		{"unknown load takes", defaultLoad},
-		{"load failed, beyond its end", lateLoad},
-		{"reports asked at once", looksAtOnce},
-		{"reports asked in a step", looksPerStep},
-		{"router without reports", routerLasts},
-		{"count of routers believed", countLasts},
-		{"order awaited", mostOrderTime},
+		{"unknown load takes", defaultLoadTime},
+		{"load failed, beyond its end", loadOverdueTimeout},
+		{"reports asked at once", maxConcurrentInspections},
+		{"reports asked in a step", maxInspectionsPerStep},
+		{"router without reports", routerTimeout},
+		{"count of routers believed", countTTL},
+		{"order awaited", maxOrderTimeout},
 		{"order ends before the pause by", orderMargin},
-		{"bytes of an answer", answerBytes},
-		{"lease left for an order", leaseReserve},
-		{"first epoch", foundingEpoch},
-		{"pause is this part of the lease", handoverPart},
-		{"order awaited, lease 3 s", orderTime(3 * time.Second)},
-		{"order awaited, lease 2.4 s", orderTime(2400 * time.Millisecond)},
-		{"order awaited, lease 300 ms", orderTime(300 * time.Millisecond)},
+		{"bytes of an answer", maxResponseBytes},
+		{"lease left for an order", leaseSafetyMargin},
+		{"first epoch", initialEpoch},
+		{"pause is this part of the lease", handoverFraction},
+		{"order awaited, lease 3 s", orderTimeout(3 * time.Second)},
+		{"order awaited, lease 2.4 s", orderTimeout(2400 * time.Millisecond)},
+		{"order awaited, lease 300 ms", orderTimeout(300 * time.Millisecond)},
 	} {
 		fmt.Fprintf(&got, "%s\t%v\n", constant.meaning, constant.value)
 	}
@@ -201,8 +199,8 @@
 	}
 }
 
-// TestGoldenLeadership plays a fixed succession of epochs and leases and compares when each instance may act, and for
-// how long nobody is known to have acted.
+// TestGoldenLeadership simulates a fixed succession of epochs and leases and compares when each instance may act, and for
+// how long nobody has acted for certain.
 func TestGoldenLeadership(t *testing.T) {
 	if got, want := goldenLeadership(), readGolden(t, "leadership.txt"); got != want {
 		t.Error(cmp.Diff(want, got))
@@ -211,20 +209,15 @@
 
 func goldenLeadership() string {
 	var out strings.Builder
-	tenures := []*Leadership{NewLeadership(lease, begin), NewLeadership(lease, begin.Add(-time.Hour))}
+	instances := []*Leadership{NewLeadership(lease, begin), NewLeadership(lease, begin.Add(-time.Hour))}
 	steps := []struct {
 		who             int
 		epoch           uint64
 		since, previous int // ms after begin
 		from, until     int
 	}{
-		{0, 1, 0, -1, 0, 900},
-		{0, 2, 900, 1200, 950, 2200},
-		{0, 4, 2500, 2900, 2500, 9000},
-		{1, 5, 9100, 9000, 9100, 12700},
-		{1, 6, 12800, 13700, 12800, 14000},
-		{0, 9, 14500, 14200, 14500, 19000},
-		{1, 10, 19000, 20000, 19000, 23000},
+		{0, 1, 0, -1, 0, 900}, {0, 2, 900, 1200, 950, 2200}, {0, 4, 2500, 2900, 2500, 9000}, {1, 5, 9100, 9000, 9100, 12700},
+		{1, 6, 12800, 13700, 12800, 14000}, {0, 9, 14500, 14200, 14500, 19000}, {1, 10, 19000, 20000, 19000, 23000},
 		{1, 13, 24000, 24100, 24050, 29000},
 	}
 	at := func(ms int) time.Time {
@@ -236,10 +229,10 @@
 	for _, s := range steps {
 		for ms := s.from; ms <= s.until; ms += 50 {
 			now := at(ms)
-			turn := tenures[s.who].Step(now, leading(s.epoch, at(s.since), at(s.previous), at(s.until)))
-			fmt.Fprintf(&out, "%d of %d at %d ms: leads %t acts %t epoch %d", s.who, s.epoch, ms, turn.Leads, turn.MayAct, turn.Epoch)
-			if turn.Leads {
-				fmt.Fprintf(&out, " from %v until %v quiet %v", turn.ActsFrom.Sub(begin), turn.LeaseUntil.Sub(begin), turn.IdleFor)
+			output := instances[s.who].Step(now, leaderStatus(s.epoch, at(s.since), at(s.previous), at(s.until)))
+			fmt.Fprintf(&out, "%d of %d at %d ms: leads %t acts %t epoch %d", s.who, s.epoch, ms, output.Leads, output.MayAct, output.Epoch)
+			if output.Leads {
+				fmt.Fprintf(&out, " from %v until %v quiet %v", output.ActsFrom.Sub(begin), output.LeaseExpiry.Sub(begin), output.IdleFor)
 			}
 			out.WriteByte('\n')
 		}
--- /dev/null
+++ b/internal/control/roles/inbox.go
@@ -0,0 +1,122 @@
+package roles
+
+import (
+	"sync"
+
+	"raventrestle/internal/control/placer"
+	"raventrestle/internal/protocol"
+)
+
+// maxReportBatches bounds the reports between two steps; those beyond it are lost, as messages may be.
+const maxReportBatches = 1024
+
+// arrivals is what other goroutines have brought since the last step.
+type arrivals struct {
+	reports     []*protocol.ReportBatch
+	results     []placer.Result
+	inspections []placer.Inspection
+}
+
+// inbox hands over what other goroutines bring to Leader.Run. Its methods are safe for concurrent use and do not block.
+type inbox struct {
+	wake chan struct{} // has an element while there is something new
+
+	mutex       sync.Mutex
+	arrivals    arrivals
+	generation  uint64 // of the placer, whose results and inspections are accepted
+	steppedDown bool
+}
+
+func newInbox() *inbox { return &inbox{wake: make(chan struct{}, 1)} }
+
+// addReports adds what the routers of an instance reported.
+func (i *inbox) addReports(batch *protocol.ReportBatch) {
+	i.mutex.Lock()
+	if len(i.arrivals.reports) < maxReportBatches {
+		i.arrivals.reports = append(i.arrivals.reports, batch)
+	}
+	i.mutex.Unlock()
+	i.notify()
+}
+
+// addResult adds the result of an order, unless the placer that sent the order has been replaced.
+func (i *inbox) addResult(generation uint64, result placer.Result) {
+	i.mutex.Lock()
+	if generation == i.generation {
+		i.arrivals.results = append(i.arrivals.results, result)
+	}
+	i.mutex.Unlock()
+	i.notify()
+}
+
+// addInspection adds an inspection, unless the placer that requested it has been replaced.
+func (i *inbox) addInspection(generation uint64, inspection placer.Inspection) {
+	i.mutex.Lock()
+	if generation == i.generation {
+		i.arrivals.inspections = append(i.arrivals.inspections, inspection)
+	}
+	i.mutex.Unlock()
+	i.notify()
+}
+
+// take returns what has arrived and empties the inbox.
+func (i *inbox) take() arrivals {
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
+	taken := i.arrivals
+	i.arrivals = arrivals{}
+	return taken
+}
+
+// discardReports drops the reports: this instance does not lead.
+func (i *inbox) discardReports() {
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
+	i.arrivals.reports = nil
+}
+
+// nextGeneration drops what is for the former placer, now and later.
+func (i *inbox) nextGeneration() {
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
+	i.generation++
+	i.arrivals.results, i.arrivals.inspections = nil, nil
+}
+
+func (i *inbox) currentGeneration() uint64 {
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
+	return i.generation
+}
+
+// requestsWait reports whether a router has reported requests that wait for quota.
+func (i *inbox) requestsWait() bool {
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
+	for _, batch := range i.arrivals.reports {
+		if batch.HasShortfall() {
+			return true
+		}
+	}
+	return false
+}
+
+func (i *inbox) stepDown() {
+	i.mutex.Lock()
+	i.steppedDown = true
+	i.mutex.Unlock()
+	i.notify()
+}
+
+func (i *inbox) hasSteppedDown() bool {
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
+	return i.steppedDown
+}
+
+func (i *inbox) notify() {
+	select {
+	case i.wake <- struct{}{}:
+	default:
+	}
+}
--- /dev/null
+++ b/internal/control/roles/leader_environment_test.go
@@ -0,0 +1,160 @@
+package roles
+
+import (
+	"context"
+	"sync"
+	"testing"
+	"time"
+
+	"raventrestle/coordination/replica"
+	"raventrestle/internal/configuration"
+	"raventrestle/internal/control/host"
+	"raventrestle/internal/control/placer"
+	"raventrestle/internal/control/quota"
+	"raventrestle/internal/control/replicatest"
+	"raventrestle/internal/protocol"
+)
+
+const testTimeout = 10 * time.Second // for what must happen in a test
+
+// environment implements all collaborators of a leader: it records what the leader does and returns what the test set.
+type environment struct {
+	replica         *replicatest.Double
+	placerInputs    chan placer.Input
+	allocatorInputs chan quota.Input
+	loadingTables   chan protocol.LoadingTable
+	grants          chan map[string][]protocol.RouterGrants
+	began           chan uint64 // epochs
+	ended           chan uint64 // epochs
+	placersIdleFor  chan time.Duration
+
+	mutex     sync.Mutex
+	view      host.View
+	orders    []placer.Order     // of the placer's next step
+	batches   []quota.GrantBatch // of the allocator's steps with a report
+	loseLease bool               // during the allocator's step
+}
+
+func (e *environment) View(context.Context) (host.View, error) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	return e.view, nil
+}
+
+func (e *environment) setView(view host.View) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	e.view = view
+}
+
+func (e *environment) setOrders(orders ...placer.Order) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	e.orders = orders
+}
+
+func (e *environment) setBatches(loseLease bool, batches ...quota.GrantBatch) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	e.batches, e.loseLease = batches, loseLease
+}
+
+func (e *environment) Current() *configuration.Configuration      { return &configuration.Configuration{} }
+func (e *environment) PublishLoading(table protocol.LoadingTable) { e.loadingTables <- table }
+func (e *environment) DistributeGrants(batches map[string][]protocol.RouterGrants) {
+	e.grants <- batches
+}
+func (e *environment) LeadershipBegan(epoch uint64, _ time.Duration)              { e.began <- epoch }
+func (e *environment) LeadershipEnded(epoch uint64)                               { e.ended <- epoch }
+func (e *environment) newAllocator(time.Duration) Allocator                       { return fakeAllocator{e} }
+func (e *environment) OrderCompleted(uint64, placer.Order, placer.Outcome, error) {}
+
+func (e *environment) newPlacer(idleFor time.Duration) Placer {
+	e.placersIdleFor <- idleFor
+	return fakePlacer{e}
+}
+
+type fakePlacer struct{ *environment }
+
+func (p fakePlacer) Step(now time.Time, in placer.Input) placer.Output {
+	p.mutex.Lock()
+	out := placer.Output{Orders: p.orders, WakeAt: now.Add(20 * time.Millisecond)}
+	p.orders = nil
+	p.mutex.Unlock()
+	p.placerInputs <- in
+	return out
+}
+
+type fakeAllocator struct{ *environment }
+
+func (a fakeAllocator) Step(now time.Time, in quota.Input) quota.Output {
+	out := quota.Output{WakeAt: now.Add(time.Hour)}
+	if len(in.Reports) > 0 {
+		a.mutex.Lock()
+		out.Batches = a.batches
+		if a.loseLease {
+			a.replica.SetStatus(replica.Status{})
+		}
+		a.mutex.Unlock()
+	}
+	a.allocatorInputs <- in
+	return out
+}
+
+// testLease is short, so that tests don't take long.
+const testLease = 200 * time.Millisecond
+
+// startLeader starts a leader, which is stopped at the end of the test.
+func startLeader(t *testing.T, status replica.Status) (*environment, *Leader) {
+	t.Helper()
+	const capacity = 4096 // more than a test records
+	e := &environment{
+		replica:         replicatest.New(nil, status),
+		placerInputs:    make(chan placer.Input, capacity),
+		allocatorInputs: make(chan quota.Input, capacity),
+		loadingTables:   make(chan protocol.LoadingTable, capacity),
+		grants:          make(chan map[string][]protocol.RouterGrants, capacity),
+		began:           make(chan uint64, capacity),
+		ended:           make(chan uint64, capacity),
+		placersIdleFor:  make(chan time.Duration, capacity),
+	}
+	leader := New(Config{NodeName: "node-7", Lease: testLease}, Dependencies{
+		Replica: e.replica, Host: e, Configurations: e, NewPlacer: e.newPlacer, NewAllocator: e.newAllocator, Events: e,
+	})
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		leader.Run(ctx)
+	}()
+	t.Cleanup(func() {
+		cancel()
+		<-done
+	})
+	return e, leader
+}
+
+func leaderStatusNow(epoch uint64) replica.Status {
+	now := time.Now()
+	return leaderStatus(epoch, now, time.Time{}, now.Add(time.Hour))
+}
+
+// await receives from a channel until a value matches.
+func await[T any](t *testing.T, what string, from <-chan T, matches func(T) bool) T {
+	t.Helper()
+	deadline := time.After(testTimeout)
+	for {
+		select {
+		case got := <-from:
+			if matches(got) {
+				return got
+			}
+		case <-deadline:
+			t.Fatalf("%s: none in %v, want one", what, testTimeout)
+		}
+	}
+}
+
+func anyOf[T any](T) bool { return true }
+
+func equalTo[T comparable](want T) func(T) bool { return func(got T) bool { return got == want } }
