--- a/internal/transport/frames.go
+++ b/internal/transport/frame_reader.go
@@ -10,22 +10,22 @@
 
 const (
 	readBufferBytes  = 4 << 10
-	maxRetainedBytes = 16 << 10 // a larger buffer is given up after its use
-	bodyStepBytes    = 64 << 10 // a body is taken in by pieces, not by the length that the peer claims
+	maxRetainedBytes = 16 << 10 // a larger buffer is released after its use, so that idle connections stay small
+	bodyStepBytes    = 64 << 10 // a body's buffer grows as bytes arrive, not by the length that the peer claims
 )
 
-// frameReader takes frames from a stream.
+// frameReader reads frames from a stream. One goroutine uses it.
 type frameReader struct {
 	source *bufio.Reader
-	body   []byte
+	body   []byte // reused from frame to frame
 }
 
 func newFrameReader(source io.Reader) *frameReader {
 	return &frameReader{source: bufio.NewReaderSize(source, readBufferBytes)}
 }
 
-// next returns the next frame. The body is valid until release. The error is io.EOF alone only where
-// the stream ends between two frames.
+// next returns the next frame's kind and body. The body is valid until releaseBody. The error is io.EOF itself only
+// where the stream ends between two frames.
 func (f *frameReader) next() (kind byte, body []byte, err error) {
 	var header [headerBytes]byte
 	if _, err := io.ReadFull(f.source, header[:]); err != nil {
@@ -47,6 +47,7 @@
 	return header[lengthBytes], f.body, nil
 }
 
+// readBody reads the body of a frame in steps, each of which no more than doubles the buffer.
 func (f *frameReader) readBody(size int) error {
 	f.body = f.body[:0]
 	for len(f.body) < size {
--- a/internal/transport/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -15,7 +15,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// goldenMessages are what testdata/golden/frames.hex holds as build 73ca247 wrote it, a frame a line, in this order.
+// goldenMessages are the content of testdata/golden/frames.hex, as build 73ca247 wrote it, a frame on each line in this order.
 func goldenMessages() []any {
 	return []any{
 		&note{Text: "golden", Body: []byte{1, 2, 255}},
@@ -58,9 +58,9 @@
 	}
 	// EncodeAs writes a type of the same fields as the kind's.
 	got, err := codec.EncodeAs(1, struct {
-		Words string `cbor:"1,keyasint"`
+		Title string `cbor:"1,keyasint"`
 		Rest  []byte `cbor:"2,keyasint,omitempty"`
-	}{Words: "golden", Rest: []byte{1, 2, 255}})
+	}{Title: "golden", Rest: []byte{1, 2, 255}})
 	if err != nil || !bytes.Equal(got, frames[0]) {
 		t.Errorf("encode as kind 1:\n got %x, %v\nwant %x", got, err, frames[0])
 	}
@@ -162,8 +162,8 @@
 		{"frames queued by a connection", newConfig(nil).maxQueueFrames, 1 << 16},
 		{"time without acknowledgement", newConfig(nil).tcpUserTimeout, 1500 * time.Millisecond},
 		{"time for a write", newConfig(nil).writeTimeout, 5 * time.Second},
-		{"first wait before dialling anew", minRedialBackoff, 50 * time.Millisecond},
-		{"longest wait before dialling anew", maxRedialBackoff, 500 * time.Millisecond},
+		{"shortest wait before dialing again", minRedialBackoff, 50 * time.Millisecond},
+		{"longest wait before dialing again", maxRedialBackoff, 500 * time.Millisecond},
 		{"time to dial", dialTimeout, time.Second},
 		{"time to keep a message for a connection", messageTTL, time.Second},
 		{"frames kept for a connection", maxPeerQueueFrames, 4096},
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -7,27 +7,30 @@
 	"time"
 )
 
-// peer is the mesh's sending side to one address.
+// peer is the mesh's sending side to one address. It has one connection or none, and while messages wait in the
+// queue one goroutine that makes a connection (connect).
 type peer struct {
 	mesh    *Mesh
 	address string
 
 	mutex       sync.Mutex
-	queue       []pendingFrame // for a connection
+	queue       []pendingFrame // waiting for a connection, oldest first; empty while there is one
 	queuedBytes int            // in queue
-	connection  *Connection    // nil while there is none
+	connection  *Connection    // nil: none
 	connectedAt time.Time      // when connection was made
-	dialing     bool           // a goroutine is at work on a connection
+	dialing     bool           // the goroutine of connect runs
 	closed      bool
-	backoff     time.Duration // before the next dial, after a failure
-	nextDialAt  time.Time     // of the next dial
+	backoff     time.Duration // wait before the next dial; 0 after a connection that lasted
+	nextDialAt  time.Time     // end of that wait
 }
 
+// pendingFrame is a message that waits for a connection.
 type pendingFrame struct {
 	frame     Frame
 	expiresAt time.Time
 }
 
+// send passes a message to the connection, or queues it and has a connection made.
 func (p *peer) send(message any, now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -37,7 +40,7 @@
 			return
 		}
 		if !errors.Is(err, ErrClosed) {
-			p.mesh.dropped.Add(1)
+			p.mesh.dropped.Add(1) // a full queue, or a message that can't be encoded
 			return
 		}
 		p.connectionLost(p.connection, now)
@@ -47,11 +50,7 @@
 		p.mesh.dropped.Add(1)
 		return
 	}
-	p.queue = append(p.queue, pendingFrame{frame: frame, expiresAt: now.Add(messageTTL)})
-	p.queuedBytes += len(frame)
-	for len(p.queue) > maxPeerQueueFrames || p.queuedBytes > maxPeerQueueBytes {
-		p.dropOldest()
-	}
+	p.enqueue(frame, now)
 	if !p.dialing && len(p.queue) > 0 {
 		p.dialing = true
 		p.mesh.tasks.Add(1)
@@ -59,6 +58,15 @@
 	}
 }
 
+// enqueue adds a frame to the queue, and drops the oldest ones where it exceeds its bounds.
+func (p *peer) enqueue(frame Frame, now time.Time) {
+	p.queue = append(p.queue, pendingFrame{frame: frame, expiresAt: now.Add(messageTTL)})
+	p.queuedBytes += len(frame)
+	for len(p.queue) > maxPeerQueueFrames || p.queuedBytes > maxPeerQueueBytes {
+		p.dropOldest()
+	}
+}
+
 func (p *peer) dropOldest() {
 	p.queuedBytes -= len(p.queue[0].frame)
 	p.queue[0].frame = nil
@@ -66,16 +74,17 @@
 	p.mesh.dropped.Add(1)
 }
 
-// connect dials until there is a connection or nothing left to send.
+// connect dials, with backoff, until there is a connection or nothing left to send. It is the body of the peer's
+// goroutine.
 func (p *peer) connect() {
 	defer p.mesh.tasks.Done()
 	for {
-		pause, proceed := p.next(time.Now())
+		wait, proceed := p.next(time.Now())
 		if !proceed {
 			return
 		}
-		if pause > 0 && !p.sleep(pause) {
-			continue // closed: next says so
+		if wait > 0 && !p.sleep(wait) {
+			continue // the mesh was closed, which next finds
 		}
 		connection := p.dial()
 		if p.adopt(connection, time.Now()) {
@@ -84,8 +93,8 @@
 	}
 }
 
-// next drops what is too old and says how long to wait before the next dial, or that none is needed.
-func (p *peer) next(now time.Time) (pause time.Duration, proceed bool) {
+// next drops expired messages and returns how long to wait before the next dial; proceed is false where none is needed.
+func (p *peer) next(now time.Time) (wait time.Duration, proceed bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for len(p.queue) > 0 && !now.Before(p.queue[0].expiresAt) {
@@ -99,8 +108,9 @@
 	return p.nextDialAt.Sub(now), true
 }
 
-func (p *peer) sleep(pause time.Duration) bool {
-	timer := time.NewTimer(pause)
+// sleep waits, and returns false where the mesh was closed meanwhile.
+func (p *peer) sleep(wait time.Duration) bool {
+	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -110,17 +120,19 @@
 	}
 }
 
+// dial returns a connection that has not been started, or nil.
 func (p *peer) dial() *Connection {
 	ctx, cancel := context.WithTimeout(p.mesh.ctx, dialTimeout)
 	defer cancel()
 	connection, err := connect(ctx, p.address, p.mesh.codec, peerHandler{p}, p.mesh.config)
 	if err != nil {
-		return nil // the caller dials again while there is something to send
+		return nil // connect dials again while there is something to send
 	}
 	return connection
 }
 
-// adopt takes a connection into use, or notes that there is none.
+// adopt starts a connection and sends what is queued; nil increases the backoff. It returns false where another dial is
+// needed.
 func (p *peer) adopt(connection *Connection, now time.Time) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -145,12 +157,14 @@
 	return true
 }
 
+// increaseBackoff doubles the wait before the next dial, between its bounds.
 func (p *peer) increaseBackoff(now time.Time) {
 	p.backoff = min(max(2*p.backoff, minRedialBackoff), maxRedialBackoff)
 	p.nextDialAt = now.Add(p.backoff)
 }
 
-// connectionLost forgets a connection that has ended. One that did not last counts as a failed dial.
+// connectionLost removes a connection that has ended. One that ended soon after it was made counts as a failed dial, so
+// that a peer which accepts and closes is not dialed in a tight loop.
 func (p *peer) connectionLost(connection *Connection, now time.Time) {
 	if p.connection != connection {
 		return
@@ -173,11 +187,14 @@
 	}
 }
 
-// peerHandler keeps the peer's connection.
+// peerHandler is the handler of a peer's connection: it passes everything on to the mesh's handler, and has the peer drop
+// the connection before that learns of its end.
 type peerHandler struct{ peer *peer }
 
+// Message implements Handler.
 func (h peerHandler) Message(c *Connection, message any) { h.peer.mesh.handler.Message(c, message) }
 
+// Closed implements Handler.
 func (h peerHandler) Closed(c *Connection, err error) {
 	h.peer.mutex.Lock()
 	h.peer.connectionLost(c, time.Now())
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -9,35 +9,35 @@
 	"time"
 )
 
-// acceptPause follows a failed accept: descriptors may be short for a moment.
+// acceptBackoff is the wait after a failed accept, as when the process is out of descriptors for a moment.
 const acceptBackoff = 50 * time.Millisecond
 
-// Server accepts connections.
+// Server accepts connections. Its methods may be called by any goroutine.
 type Server struct {
 	listener net.Listener
 	codec    *Codec
 	handler  Handler
 	config   config
-	tasks    sync.WaitGroup // the accepting goroutine and the connections
+	tasks    sync.WaitGroup // the accepting goroutine, and one for each connection until its Handler.Closed
 
 	mutex       sync.Mutex
 	connections map[*Connection]struct{} // nil once closed
 	closing     chan struct{}
 }
 
-// Listen accepts connections at an address until Close.
-func Listen(address string, codec *Codec, handler Handler, changes ...Option) (*Server, error) {
-	config := net.ListenConfig{KeepAlive: -1}
-	config.SetMultipathTCP(false) // Go would take it for listeners; plain TCP is what the machines promise
-	listener, err := config.Listen(context.Background(), "tcp", address)
+// Listen accepts connections at an address (IP:port) until Close.
+func Listen(address string, codec *Codec, handler Handler, options ...Option) (*Server, error) {
+	listen := net.ListenConfig{KeepAlive: -1}
+	listen.SetMultipathTCP(false) // Go listens with Multipath TCP by default; the machines support plain TCP
+	listener, err := listen.Listen(context.Background(), "tcp", address)
 	if err != nil {
-		return nil, fmt.Errorf("transport: listen at %s: %w", address, err)
+		return nil, fmt.Errorf("transport: listen on %s: %w", address, err)
 	}
 	s := &Server{
 		listener:    listener,
 		codec:       codec,
 		handler:     handler,
-		config:      newConfig(changes),
+		config:      newConfig(options),
 		connections: make(map[*Connection]struct{}),
 		closing:     make(chan struct{}),
 	}
@@ -46,10 +46,10 @@
 	return s, nil
 }
 
-// Address returns the address that the server listens at.
+// Address returns the address that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Close ends the server and all its connections, and does not wait for them: see Wait.
+// Close ends the server and all its connections without waiting for them: see Wait. The error is that of the listener.
 func (s *Server) Close() error {
 	s.mutex.Lock()
 	open := s.connections
@@ -63,15 +63,16 @@
 		connection.Close()
 	}
 	if err != nil && !errors.Is(err, net.ErrClosed) {
-		return fmt.Errorf("transport: close listener at %s: %w", s.Address(), err)
+		return fmt.Errorf("transport: close listener on %s: %w", s.Address(), err)
 	}
 	return nil
 }
 
-// Wait returns once the server has been closed and the handler told of each connection's end. It must not
-// be called by the handler.
+// Wait returns once the server has been closed and Handler.Closed has returned for each connection. It must not be called
+// by the handler.
 func (s *Server) Wait() { s.tasks.Wait() }
 
+// accept is the body of the server's goroutine.
 func (s *Server) accept() {
 	defer s.tasks.Done()
 	for {
@@ -91,9 +92,10 @@
 	}
 }
 
+// serve starts the connection of an accepted socket.
 func (s *Server) serve(socket net.Conn) {
 	if err := s.configureSocket(socket); err != nil {
-		_ = socket.Close() // the peer has gone already; it will dial again
+		_ = socket.Close() // the peer has closed it already, and will dial again
 		return
 	}
 	c := newConnection(socket, socket.RemoteAddr().String(), s.codec, serverHandler{s}, s.config)
@@ -108,6 +110,7 @@
 	c.start()
 }
 
+// configureSocket sets the options of an accepted socket.
 func (s *Server) configureSocket(socket net.Conn) error {
 	connection, ok := socket.(*net.TCPConn)
 	if !ok {
@@ -120,11 +123,14 @@
 	return s.config.setUserTimeout(raw)
 }
 
-// serverHandler keeps the server's set of connections.
+// serverHandler is the handler of a server's connections: it passes everything on to the server's handler, and removes a
+// connection that has ended.
 type serverHandler struct{ server *Server }
 
+// Message implements Handler.
 func (h serverHandler) Message(c *Connection, message any) { h.server.handler.Message(c, message) }
 
+// Closed implements Handler.
 func (h serverHandler) Closed(c *Connection, err error) {
 	h.server.mutex.Lock()
 	delete(h.server.connections, c)
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/goleak"
 )
 
-const testTimeout = 10 * time.Second // of a test for something that takes milliseconds
+const testTimeout = 10 * time.Second // for what takes milliseconds
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
@@ -38,10 +38,10 @@
 	err        error // of Closed
 }
 
-// recorder hands on what a connection's handler hears.
+// recorder is a handler that passes on what it receives.
 type recorder struct {
 	arrivals chan arrival
-	released chan struct{} // Message waits for it, where it is set
+	released chan struct{} // if not nil, Message blocks until it can receive from it
 }
 
 func newRecorder() *recorder { return &recorder{arrivals: make(chan arrival, 100_000)} }
@@ -63,7 +63,7 @@
 	case a := <-r.arrivals:
 		return a
 	case <-time.After(testTimeout):
-		t.Fatal("nothing arrived")
+		t.Fatalf("got nothing in %v, want a message or the end of a connection", testTimeout)
 		return arrival{}
 	}
 }
@@ -121,7 +121,7 @@
 	server := listen(t, atServer)
 	client := dial(t, server.Address(), atClient)
 	if client.RemoteAddress() != server.Address() {
-		t.Errorf("remote is %s, not %s", client.RemoteAddress(), server.Address())
+		t.Errorf("got the remote address %s, want %s", client.RemoteAddress(), server.Address())
 	}
 	send(t, client, note{Text: "value"})
 	accepted := atServer.wantText(t, "value")
@@ -139,14 +139,14 @@
 	atClient.wantText(t, "not \xff UTF-8")
 	client.Close()
 	if a := atClient.next(t); !errors.Is(a.err, ErrClosed) {
-		t.Errorf("own close is told as %v", a.err)
+		t.Errorf("after the own close: got %v, want %v", a.err, ErrClosed)
 	}
 	a := atServer.next(t)
 	if !errors.Is(a.err, io.EOF) || !strings.Contains(a.err.Error(), accepted.RemoteAddress()) {
-		t.Errorf("the peer's close is told as %v", a.err)
+		t.Errorf("after the peer's close: got %v, want %v from %s", a.err, io.EOF, accepted.RemoteAddress())
 	}
 	if err := client.Send(note{}); !errors.Is(err, ErrClosed) {
-		t.Errorf("send after close: %v", err)
+		t.Errorf("send after close: got %v, want %v", err, ErrClosed)
 	}
 }
 
@@ -160,7 +160,7 @@
 	}
 	for i := range messages {
 		if got := atServer.next(t).message.(*other).A; got != i {
-			t.Fatalf("message %d came in place of %d", got, i)
+			t.Fatalf("got message %d, want %d", got, i)
 		}
 	}
 }
@@ -183,13 +183,13 @@
 			}
 		}
 		if !errors.Is(err, ErrQueueFull) {
-			t.Errorf("%s: a peer that does not read gave %v", name, err)
+			t.Errorf("%s: got %v while the peer does not read, want %v", name, err, ErrQueueFull)
 		}
 		client.Close()
 	}
 }
 
-func TestPeerThatDoesNotReadEndsTheWrite(t *testing.T) {
+func TestWriteTimeoutEndsTheConnectionToAPeerThatDoesNotRead(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -201,7 +201,7 @@
 	send(t, client, note{Body: make([]byte, MaxFrameBytes-100)})
 	err = atClient.next(t).err
 	if err == nil || !strings.Contains(err.Error(), "write to "+client.RemoteAddress()) {
-		t.Errorf("the end is told as %v", err)
+		t.Errorf("got %v, want an error that names the write to %s", err, client.RemoteAddress())
 	}
 }
 
@@ -210,13 +210,13 @@
 	server := listen(t, atServer)
 	client := dial(t, server.Address(), newRecorder())
 	if err := client.Send(struct{ B int }{}); !errors.Is(err, ErrUnknownType) {
-		t.Errorf("unknown type: %v", err)
+		t.Errorf("unknown type: got %v, want %v", err, ErrUnknownType)
 	}
 	if err := client.Send(nil); !errors.Is(err, ErrUnknownType) {
-		t.Errorf("nil: %v", err)
+		t.Errorf("nil: got %v, want %v", err, ErrUnknownType)
 	}
 	if err := client.Send(note{Body: make([]byte, MaxFrameBytes)}); !errors.Is(err, ErrFrameTooLarge) {
-		t.Errorf("too large: %v", err)
+		t.Errorf("too large: got %v, want %v", err, ErrFrameTooLarge)
 	}
 	send(t, client, note{Text: "still works"})
 	atServer.wantText(t, "still works")
@@ -256,10 +256,10 @@
 			_ = client.(*net.TCPConn).CloseWrite()
 			a := atServer.next(t)
 			if a.err == nil || !strings.Contains(a.err.Error(), client.LocalAddr().String()) {
-				t.Fatalf("the end is told as %v", a.err)
+				t.Fatalf("got %v, want an error that names %s", a.err, client.LocalAddr())
 			}
 			if test.want != nil && !errors.Is(a.err, test.want) {
-				t.Errorf("the end is told as %v, want %v", a.err, test.want)
+				t.Errorf("got %v, want %v", a.err, test.want)
 			}
 		})
 	}
@@ -273,10 +273,10 @@
 	atServer.wantText(t, "in")
 	stop(t, server)
 	if a := atServer.next(t); !errors.Is(a.err, ErrClosed) {
-		t.Errorf("the server's end is told as %v", a.err)
+		t.Errorf("at the server: got %v, want %v", a.err, ErrClosed)
 	}
 	if a := atClient.next(t); a.err == nil {
-		t.Errorf("the client got %+v", a)
+		t.Errorf("at the client: got %+v, want the end of the connection", a)
 	}
 }
 
@@ -287,14 +287,14 @@
 	defer cancel()
 	_, err := Dial(ctx, server.Address(), newTestCodec(), newRecorder())
 	if err == nil || !strings.Contains(err.Error(), "dial "+server.Address()) {
-		t.Errorf("dial gave %v", err)
+		t.Errorf("dial: got %v, want an error that names the dial of %s", err, server.Address())
 	}
 	if _, err := Listen("256.0.0.1:0", newTestCodec(), newRecorder()); err == nil {
-		t.Error("listened at an address that is none")
+		t.Error("listen at a malformed address: got no error, want one")
 	}
 }
 
-func TestLargeBuffersAreGivenUp(t *testing.T) {
+func TestLargeBuffersAreReleased(t *testing.T) {
 	codec := newTestCodec()
 	frame, err := codec.Encode(note{Body: make([]byte, 1<<20)})
 	if err != nil {
@@ -306,7 +306,7 @@
 	}
 	reader.releaseBody()
 	if cap(reader.body) > maxRetainedBytes {
-		t.Errorf("%d bytes kept", cap(reader.body))
+		t.Errorf("got %d bytes retained, want %d at the utmost", cap(reader.body), maxRetainedBytes)
 	}
 }
 
@@ -330,7 +330,7 @@
 				break
 			}
 			if len(body)+headerBytes > len(stream) {
-				t.Fatalf("a body of %d bytes from %d", len(body), len(stream))
+				t.Fatalf("got a body of %d bytes from a stream of %d, want less", len(body), len(stream))
 			}
 			message, err := codec.Decode(kind, body)
 			reader.releaseBody()
@@ -338,11 +338,12 @@
 				break
 			}
 			if _, err := codec.Encode(message); err != nil {
-				t.Fatalf("%+v can't be sent on: %v", message, err)
+				t.Fatalf("encode the decoded %+v: got %v, want no error", message, err)
 			}
 		}
 		if cap(reader.body) > 2*len(stream)+2*bodyStepBytes {
-			t.Fatalf("%d bytes kept for a stream of %d", cap(reader.body), len(stream))
+			t.Fatalf("got %d bytes retained for a stream of %d, want %d at the utmost", cap(reader.body), len(stream),
+				2*len(stream)+2*bodyStepBytes)
 		}
 	})
 }
