--- a/internal/control/api/golden_test.go
+++ b/internal/control/api/golden_test.go
@@ -114,9 +114,9 @@
 	return s
 }
 
-// exchange sends the request file and the tail on a connection of its own and returns the whole answer. With cut the
+// exchange sends the request file and the tail on a connection of its own and returns the whole answer. With halfClose the
 // sending side ends there, as where a caller's connection breaks.
-func (s *goldenServer) exchange(t *testing.T, name string, tail []byte, cut bool) []byte {
+func (s *goldenServer) exchange(t *testing.T, name string, tail []byte, halfClose bool) []byte {
 	t.Helper()
 	connection, err := net.Dial("tcp", s.address)
 	if err != nil {
@@ -130,7 +130,7 @@
 	if _, err := connection.Write(request); err != nil {
 		t.Fatalf("%s: send: got %v, want no error", name, err)
 	}
-	if cut {
+	if halfClose {
 		if err := connection.(*net.TCPConn).CloseWrite(); err != nil {
 			t.Fatalf("%s: end of sending: got %v, want no error", name, err)
 		}
@@ -148,9 +148,9 @@
 	s.checkWith(t, name, nil, false)
 }
 
-func (s *goldenServer) checkWith(t *testing.T, name string, tail []byte, cut bool) {
+func (s *goldenServer) checkWith(t *testing.T, name string, tail []byte, halfClose bool) {
 	t.Helper()
-	compareGolden(t, name+".response", fixVolatile(t, name, s.exchange(t, name, tail, cut)))
+	compareGolden(t, name+".response", fixVolatile(t, name, s.exchange(t, name, tail, halfClose)))
 }
 
 var (
@@ -206,10 +206,10 @@
 
 // goldenHeartbeats are the calls of endpoints that are answered 200, 400, 408 or 413 by their bodies alone.
 var goldenHeartbeats = []struct {
-	name  string
-	taken bool
-	tail  []byte
-	cut   bool
+	name      string
+	taken     bool
+	tail      []byte
+	halfClose bool
 }{
 	{name: "heartbeat-all-fields", taken: true},
 	{name: "heartbeat-draining", taken: true},
@@ -227,7 +227,7 @@
 	{name: "heartbeat-cold-over-an-hour"},
 	{name: "heartbeat-seq-not-a-number"},
 	{name: "heartbeat-model-name-not-a-text"},
-	{name: "heartbeat-shorter-than-announced", cut: true},
+	{name: "heartbeat-shorter-than-announced", halfClose: true},
 	{name: "heartbeat-too-large", tail: bytes.Repeat([]byte(" "), 256<<10)},
 }
 
@@ -237,7 +237,7 @@
 	for _, call := range goldenHeartbeats {
 		t.Run(call.name, func(t *testing.T) {
 			s.instances.heartbeats = nil
-			s.checkWith(t, call.name, call.tail, call.cut)
+			s.checkWith(t, call.name, call.tail, call.halfClose)
 			if !call.taken {
 				if len(s.instances.heartbeats) != 0 {
 					t.Errorf("registry: got %+v, want nothing", s.instances.heartbeats)
--- a/internal/control/api/request.go
+++ b/internal/control/api/request.go
@@ -50,10 +50,10 @@
 }
 
 // bodyError says why a body could not be read: BodyTooLargeError or ErrBodyIncomplete.
-func bodyError(err error, content string, max int64) error {
+func bodyError(err error, content string, limit int64) error {
 	var overflow *http.MaxBytesError
 	if errors.As(err, &overflow) {
-		return &BodyTooLargeError{Content: content, Max: max}
+		return &BodyTooLargeError{Content: content, Max: limit}
 	}
 	return fmt.Errorf("%w: %w", ErrBodyIncomplete, err)
 }
--- a/internal/control/registry/drain_ack_test.go
+++ b/internal/control/registry/drain_ack_test.go
@@ -22,53 +22,51 @@
 	},
 }
 
-// forEachDrainRequest runs a test for both requests, with a registry that knows no endpoint.
-func forEachDrainRequest(t *testing.T, test func(t *testing.T, x *testRegistry, drain drainRequest)) {
-	t.Helper()
+func TestDrainWaitsForAQuorumContactSinceTheRequest(t *testing.T) {
 	for name, drain := range drainRequests {
-		t.Run(name, func(t *testing.T) { test(t, newTestRegistry(t), drain) })
+		t.Run(name, func(t *testing.T) {
+			x := newTestRegistry(t)
+			x.heartbeat(report("e", 1, protocol.Ready))
+			x.lastContact = x.now.Add(-time.Nanosecond)
+			asked := x.now
+			if out := drain(x, 2); len(out.Replies) != 0 {
+				t.Fatalf("replies with a contact from before the request: got %+v, want none", out.Replies)
+			}
+			if wait := x.out.WakeAt.Sub(x.now); wait > quorumPollInterval || x.out.WakeDeferrable {
+				t.Errorf("next look for contact: got after %v (deferrable: %v), want %v at most (false)",
+					wait, x.out.WakeDeferrable, quorumPollInterval)
+			}
+			x.advance(200 * time.Millisecond)
+			if len(x.pendingDrains) != 1 {
+				t.Fatalf("pending without contact: got %d (%+v), want 1", len(x.pendingDrains), x.out)
+			}
+			x.lastContact = asked
+			if out := x.step(); !acknowledged(out) {
+				t.Errorf("with a contact as old as the request: got %+v, want an acknowledgement", out)
+			}
+			if x.out.WakeAt.Before(x.nextTick) {
+				t.Errorf("next step with nothing pending: got %v, want the tick at %v", x.out.WakeAt, x.nextTick)
+			}
+		})
 	}
 }
 
-func TestDrainWaitsForAQuorumContactSinceTheRequest(t *testing.T) {
-	forEachDrainRequest(t, func(t *testing.T, x *testRegistry, drain drainRequest) {
-		x.heartbeat(report("e", 1, protocol.Ready))
-		x.lastContact = x.now.Add(-time.Nanosecond)
-		asked := x.now
-		if out := drain(x, 2); len(out.Replies) != 0 {
-			t.Fatalf("replies with a contact from before the request: got %+v, want none", out.Replies)
-		}
-		if wait := x.out.WakeAt.Sub(x.now); wait > quorumPollInterval || x.out.WakeDeferrable {
-			t.Errorf("next look for contact: got after %v (deferrable: %v), want %v at most (false)",
-				wait, x.out.WakeDeferrable, quorumPollInterval)
-		}
-		x.advance(200 * time.Millisecond)
-		if len(x.pendingDrains) != 1 {
-			t.Fatalf("pending without contact: got %d (%+v), want 1", len(x.pendingDrains), x.out)
-		}
-		x.lastContact = asked
-		if out := x.step(); !acknowledged(out) {
-			t.Errorf("with a contact as old as the request: got %+v, want an acknowledgement", out)
-		}
-		if x.out.WakeAt.Before(x.nextTick) {
-			t.Errorf("next step with nothing pending: got %v, want the tick at %v", x.out.WakeAt, x.nextTick)
-		}
-	})
-}
-
 func TestDrainWithoutQuorumContactIsRejectedInTime(t *testing.T) {
-	forEachDrainRequest(t, func(t *testing.T, x *testRegistry, drain drainRequest) {
-		x.lastContact = x.now.Add(-time.Millisecond)
-		drain(x, 2)
-		took := x.untilReplied(2 * time.Second)
-		if !rejected(x.out) || took != QuorumConfirmTimeout {
-			t.Errorf("got %+v after %v, want a rejection after %v", x.out.Replies, took, QuorumConfirmTimeout)
-		}
-		x.lastContact = time.Time{}
-		if x.step(); len(x.out.Replies) != 0 {
-			t.Errorf("second reply: got %+v, want none", x.out.Replies)
-		}
-	})
+	for name, drain := range drainRequests {
+		t.Run(name, func(t *testing.T) {
+			x := newTestRegistry(t)
+			x.lastContact = x.now.Add(-time.Millisecond)
+			drain(x, 2)
+			took := x.untilReplied(2 * time.Second)
+			if !rejected(x.out) || took != QuorumConfirmTimeout {
+				t.Errorf("got %+v after %v, want a rejection after %v", x.out.Replies, took, QuorumConfirmTimeout)
+			}
+			x.lastContact = time.Time{}
+			if x.step(); len(x.out.Replies) != 0 {
+				t.Errorf("second reply: got %+v, want none", x.out.Replies)
+			}
+		})
+	}
 }
 
 // TestUnconfirmedDrainNeedsQuorumContactToo checks that the end of the wait for routers is no reason to acknowledge.
@@ -91,9 +89,9 @@
 	x.deregister("e")
 	x.advance(100 * time.Millisecond)
 	x.lastContact = time.Time{}
-	const min = DrainAckTimeout - 100*time.Millisecond
-	if took := x.untilReplied(time.Second); took < min || x.out.Replies[0].InForce {
-		t.Errorf("got %+v after %v, want a reply that is not in force after %v at least", x.out.Replies, took, min)
+	const minWait = DrainAckTimeout - 100*time.Millisecond
+	if took := x.untilReplied(time.Second); took < minWait || x.out.Replies[0].InForce {
+		t.Errorf("got %+v after %v, want a reply that is not in force after %v at least", x.out.Replies, took, minWait)
 	}
 }
 
@@ -122,9 +120,9 @@
 	x := newTestRegistry(t)
 	x.lastContact = x.now.Add(-QuorumContactTTL + 100*time.Millisecond)
 	x.deregister("e")
-	const max = 150 * time.Millisecond
-	if took := x.untilReplied(2 * time.Second); took > max || !x.out.Replies[0].Rejected {
-		t.Errorf("got %+v after %v, want a rejection after %v at most", x.out.Replies, took, max)
+	const maxWait = 150 * time.Millisecond
+	if took := x.untilReplied(2 * time.Second); took > maxWait || !x.out.Replies[0].Rejected {
+		t.Errorf("got %+v after %v, want a rejection after %v at most", x.out.Replies, took, maxWait)
 	}
 }
 
@@ -170,9 +168,9 @@
 	for len(x.out.Replies) == 0 {
 		x.advance(10 * time.Millisecond)
 	}
-	const max = DrainAckTimeout + 20*time.Millisecond
-	if took := x.now.Sub(start); took < DrainAckTimeout || took > max {
-		t.Errorf("replied: got after %v, want after %v to %v", took, DrainAckTimeout, max)
+	const maxWait = DrainAckTimeout + 20*time.Millisecond
+	if took := x.now.Sub(start); took < DrainAckTimeout || took > maxWait {
+		t.Errorf("replied: got after %v, want after %v to %v", took, DrainAckTimeout, maxWait)
 	}
 	if x.out.Replies[0].InForce {
 		t.Errorf("reply: got %+v, want one that is not in force", x.out.Replies[0])
@@ -182,14 +180,17 @@
 // TestDrainThatNoPeerReceivedIsRejected checks that contact with a majority is not enough: an instance whose messages are
 // lost may still receive those of its peers.
 func TestDrainThatNoPeerReceivedIsRejected(t *testing.T) {
-	forEachDrainRequest(t, func(t *testing.T, x *testRegistry, drain drainRequest) {
-		x.step(Peers{Reachable: []string{"other", "third"}})
-		drain(x, 1)
-		took := x.untilReplied(2 * time.Second)
-		if took != QuorumConfirmTimeout || !x.out.Replies[0].Rejected {
-			t.Errorf("got %+v after %v, want a rejection after %v", x.out.Replies, took, QuorumConfirmTimeout)
-		}
-	})
+	for name, drain := range drainRequests {
+		t.Run(name, func(t *testing.T) {
+			x := newTestRegistry(t)
+			x.step(Peers{Reachable: []string{"other", "third"}})
+			drain(x, 1)
+			took := x.untilReplied(2 * time.Second)
+			if took != QuorumConfirmTimeout || !x.out.Replies[0].Rejected {
+				t.Errorf("got %+v after %v, want a rejection after %v", x.out.Replies, took, QuorumConfirmTimeout)
+			}
+		})
+	}
 }
 
 func TestInstanceWithoutQuorumRejectsEachRequest(t *testing.T) {
@@ -236,13 +237,16 @@
 // TestAcknowledgedDrainNeedsQuorumContactAgain checks that what was in force everywhere need not be now: an instance may
 // have restarted.
 func TestAcknowledgedDrainNeedsQuorumContactAgain(t *testing.T) {
-	forEachDrainRequest(t, func(t *testing.T, x *testRegistry, drain drainRequest) {
-		if !acknowledged(drain(x, 2)) {
-			t.Fatalf("first: got %+v, want an acknowledgement", x.out)
-		}
-		x.lastContact = x.now.Add(-time.Millisecond)
-		if out := drain(x, 3); len(out.Replies) != 0 {
-			t.Errorf("again, without contact: got %+v, want no reply yet", out)
-		}
-	})
+	for name, drain := range drainRequests {
+		t.Run(name, func(t *testing.T) {
+			x := newTestRegistry(t)
+			if !acknowledged(drain(x, 2)) {
+				t.Fatalf("first: got %+v, want an acknowledgement", x.out)
+			}
+			x.lastContact = x.now.Add(-time.Millisecond)
+			if out := drain(x, 3); len(out.Replies) != 0 {
+				t.Errorf("again, without contact: got %+v, want no reply yet", out)
+			}
+		})
+	}
 }
--- a/internal/control/registry/golden_test.go
+++ b/internal/control/registry/golden_test.go
@@ -57,6 +57,7 @@
 func goldenAddress(instance int) string { return fmt.Sprint("n", instance) }
 
 func newGoldenHistory(t *testing.T, number uint64) *goldenHistory {
+	t.Helper()
 	h := &goldenHistory{
 		t: t, random: rand.New(rand.NewPCG(number, 7)), now: time.Unix(1000, 0), parted: -1,
 		sequences: make(map[string]uint64), sum: fnv.New64a(),
--- a/internal/control/registry/harness_test.go
+++ b/internal/control/registry/harness_test.go
@@ -107,12 +107,12 @@
 }
 
 // untilReplied lets time pass until a request is answered, and returns how long that took.
-func (x *testRegistry) untilReplied(max time.Duration) time.Duration {
+func (x *testRegistry) untilReplied(maxWait time.Duration) time.Duration {
 	x.t.Helper()
 	start := x.now
 	for len(x.out.Replies) == 0 {
-		if x.now.Sub(start) > max {
-			x.t.Fatalf("replies within %v: got none, want one", max)
+		if x.now.Sub(start) > maxWait {
+			x.t.Fatalf("replies within %v: got none, want one", maxWait)
 		}
 		x.now = x.wakeAt()
 		x.step()
