--- a/internal/control/replicatest/double.go
+++ b/internal/control/replicatest/double.go
@@ -1,4 +1,5 @@
-// Package replicatest has a stand-in for a replica: one process, one member, no disk. It is for tests only.
+// Package replicatest provides a test double of replica.Interface: one process, one member, no disk and no network. It is
+// imported by tests only.
 package replicatest
 
 import (
@@ -10,31 +11,34 @@
 	"raventrestle/coordination/replica"
 )
 
-// ErrRefused is what a refusing double answers.
-var ErrRejected = errors.New("the double refuses")
+var _ replica.Interface = (*Double)(nil)
 
-// Double is a replica that commits at once, in memory.
+// ErrRejected is returned by proposals and barriers while the double rejects them.
+var ErrRejected = errors.New("replicatest: rejected on request of the test")
+
+// Double is a replica that commits every proposal at once, in memory. A test sets its status and has it reject calls, stall
+// them, or lose contact with the majority. Its methods are safe for concurrent use.
 type Double struct {
 	mutex               sync.Mutex
 	machine             replica.StateMachine
-	index               uint64
+	index               uint64 // of the newest command
 	status              replica.Status
 	changed             chan struct{}
 	rejecting           bool
 	stalled             bool
 	stopped             bool
 	partitioned         bool
-	lastMajorityContact time.Time     // newest contact with a majority while parted
-	barrierCount        int           // barriers that passed
-	proposalTimeout     time.Duration // to the last proposal
+	lastMajorityContact time.Time // newest, while partitioned
+	barrierCount        int
+	proposalTimeout     time.Duration
 }
 
-// New makes a double around a machine, which may be nil where nothing is proposed.
+// New makes a double around a state machine, which may be nil where nothing is proposed.
 func New(machine replica.StateMachine, status replica.Status) *Double {
 	return &Double{machine: machine, status: status, changed: make(chan struct{})}
 }
 
-// Propose applies the command.
+// Propose applies the command and returns its result, unless the double rejects or stalls.
 func (d *Double) Propose(ctx context.Context, command []byte) ([]byte, error) {
 	d.mutex.Lock()
 	if deadline, bounded := ctx.Deadline(); bounded {
@@ -56,7 +60,7 @@
 	return result, nil
 }
 
-// Barrier passes at once, unless the double refuses or stalls.
+// Barrier returns the newest index, unless the double rejects or stalls.
 func (d *Double) Barrier(ctx context.Context) (uint64, error) {
 	d.mutex.Lock()
 	if d.stalled {
@@ -72,7 +76,7 @@
 	return d.index, nil
 }
 
-// Status returns what SetStatus set, with a contact with a majority at this moment, unless the double is parted.
+// Status returns what SetStatus set, confirmed by a majority at this moment unless the double is partitioned.
 func (d *Double) Status() replica.Status {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -84,23 +88,31 @@
 	return status
 }
 
-// SetPartitioned has the contact with a majority end at this moment, or be there again.
-func (d *Double) SetPartitioned(parted bool) {
+// Changed returns a channel that is closed at the next change.
+func (d *Double) Changed() <-chan struct{} {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.partitioned, d.lastMajorityContact = parted, time.Now()
-	d.signal()
+	return d.changed
 }
 
-// NeverReachMajority has the double be one that never had contact with a majority.
-func (d *Double) NeverReachMajority() {
+// signal closes the channel of the change before. The caller has locked the mutex.
+func (d *Double) signal() {
+	close(d.changed)
+	d.changed = make(chan struct{})
+}
+
+// Deliver ignores the message.
+func (d *Double) Deliver(string, []byte) {}
+
+// Stop records that it was called.
+func (d *Double) Stop(context.Context) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.partitioned, d.lastMajorityContact = true, time.Time{}
-	d.signal()
+	d.stopped = true
+	return nil
 }
 
-// SetStatus sets the status and tells of the change.
+// SetStatus sets the status and signals the change.
 func (d *Double) SetStatus(status replica.Status) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -108,58 +120,51 @@
 	d.signal()
 }
 
-// SetRejecting has proposals and barriers fail, or not any more.
-func (d *Double) SetRejecting(refuse bool) {
+// SetPartitioned ends the contact with the majority at this moment, or restores it.
+func (d *Double) SetPartitioned(partitioned bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.rejecting = refuse
+	d.partitioned, d.lastMajorityContact = partitioned, time.Now()
+	d.signal()
 }
 
-// SetStalled has proposals and barriers wait for the end of their context, or not any more.
-func (d *Double) SetStalled(stall bool) {
+// NeverReachMajority makes the double a member that has never had contact with the majority.
+func (d *Double) NeverReachMajority() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.stalled = stall
+	d.partitioned, d.lastMajorityContact = true, time.Time{}
+	d.signal()
 }
 
-// BarrierCount returns how many barriers passed.
-func (d *Double) BarrierCount() int {
+// SetRejecting decides whether proposals and barriers fail with ErrRejected.
+func (d *Double) SetRejecting(rejecting bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.barrierCount
+	d.rejecting = rejecting
 }
 
-// ProposalTimeout returns how long the last proposal was to wait, 0 without a bound.
-func (d *Double) ProposalTimeout() time.Duration {
+// SetStalled decides whether new proposals and barriers wait for the end of their context.
+func (d *Double) SetStalled(stalled bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.proposalTimeout
+	d.stalled = stalled
 }
 
-// Changed is closed at the next change.
-func (d *Double) Changed() <-chan struct{} {
+// BarrierCount returns how many barriers have succeeded.
+func (d *Double) BarrierCount() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.changed
-}
-
-func (d *Double) signal() {
-	close(d.changed)
-	d.changed = make(chan struct{})
+	return d.barrierCount
 }
 
-// Deliver ignores the message.
-func (d *Double) Deliver(string, []byte) {}
-
-// Stop notes the end.
-func (d *Double) Stop(context.Context) error {
+// ProposalTimeout returns how long the newest proposal with a deadline was prepared to wait; 0: there was none.
+func (d *Double) ProposalTimeout() time.Duration {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.stopped = true
-	return nil
+	return d.proposalTimeout
 }
 
-// Stopped says whether Stop was called.
+// Stopped reports whether Stop was called.
 func (d *Double) Stopped() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
