--- a/internal/router/readiness/readiness.go
+++ b/internal/router/readiness/readiness.go
@@ -1,4 +1,4 @@
-// Package readiness answers the platform's probe.
+// Package readiness answers the platform's readiness probe over HTTP.
 package readiness
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Path is where the probe asks.
+// Path is where the platform probes.
 const Path = "/-/readyz"
 
 const (
@@ -20,13 +20,14 @@
 	maxHeaderBytes = 4 << 10
 )
 
-// Server answers the probe.
+// Server answers the probe: 200 if the process is ready, 503 if it is not, 404 on any other path.
 type Server struct {
 	listener net.Listener
 	server   http.Server
 }
 
-// Listen opens the probe's address. Ready is asked at each probe.
+// Listen opens the address of the probe. Ready is called at each probe, by several goroutines; errorLog takes the errors of
+// single connections.
 func Listen(address string, ready func() bool, errorLog *log.Logger) (*Server, error) {
 	config := net.ListenConfig{KeepAlive: -1}
 	listener, err := config.Listen(context.Background(), "tcp4", address)
@@ -47,7 +48,7 @@
 // Address is where the server listens.
 func (s *Server) Address() net.Addr { return s.listener.Addr() }
 
-// Run answers until Close.
+// Run answers probes until Close. It returns nil after Close.
 func (s *Server) Run() error {
 	if err := s.server.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("readiness: %w", err)
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// Close ends the server.
+// Close ends the server and its connections at once.
 func (s *Server) Close() error { return s.server.Close() }
 
 func handler(ready func() bool) http.HandlerFunc {
--- a/internal/router/readiness/readiness_test.go
+++ b/internal/router/readiness/readiness_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestProbe(t *testing.T) {
+func TestProbeIsAnsweredByReadiness(t *testing.T) {
 	var ready atomic.Bool
 	s, err := Listen("127.0.0.1:0", ready.Load, log.New(io.Discard, "", 0))
 	if err != nil {
@@ -16,28 +16,32 @@
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run() }()
-	ask := func(path string) int {
-		response, err := http.Get("http://" + s.Address().String() + path)
-		if err != nil {
-			t.Fatal(err)
-		}
-		response.Body.Close()
-		return response.StatusCode
-	}
-	if status := ask(Path); status != http.StatusServiceUnavailable {
-		t.Errorf("not ready: %d", status)
-	}
-	ready.Store(true)
-	if status := ask(Path); status != http.StatusOK {
-		t.Errorf("ready: %d", status)
-	}
-	if status := ask("/else"); status != http.StatusNotFound {
-		t.Errorf("another path: %d", status)
+	for _, c := range []struct {
+		name  string
+		ready bool
+		path  string
+		want  int
+	}{
+		{"not ready", false, Path, http.StatusServiceUnavailable},
+		{"ready", true, Path, http.StatusOK},
+		{"another path", true, "/else", http.StatusNotFound},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			ready.Store(c.ready)
+			response, err := http.Get("http://" + s.Address().String() + c.path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			response.Body.Close()
+			if response.StatusCode != c.want {
+				t.Errorf("status: got %d, want %d", response.StatusCode, c.want)
+			}
+		})
 	}
 	if err := s.Close(); err != nil {
-		t.Error(err)
+		t.Errorf("close: got %v, want no error", err)
 	}
 	if err := <-ended; err != nil {
-		t.Error(err)
+		t.Errorf("run, after close: got %v, want no error", err)
 	}
 }
--- a/internal/router/subscription/candidates.go
+++ b/internal/router/subscription/candidates.go
@@ -27,14 +27,14 @@
 // Candidates decides in which order control instances are probed: those in the own zone first, then the others, shuffled.
 // Between rounds over all of them there is an exponential backoff. It is not safe for concurrent use.
 type Candidates struct {
-	zone    string
-	own     netip.Addr
-	random  *rand.Rand
-	seeds   []string
-	members []protocol.Member
-	tryLast string        // address that comes last in the next round
-	backoff time.Duration // before jitter
-	started bool          // the first round has been due
+	zone          string
+	own           netip.Addr
+	random        *rand.Rand
+	seeds         []string
+	members       []protocol.Member
+	deprioritized string        // address that comes last in the next round
+	backoff       time.Duration // before jitter
+	started       bool          // the first round has been due
 }
 
 // NewCandidates returns the candidates of a router in that zone and at that address. Random shuffles and draws the
@@ -67,16 +67,16 @@
 	return c.backoff/2 + time.Duration(c.random.Int64N(int64(c.backoff/2)))
 }
 
-// Restart has the next round begin without a backoff. TryLast is the instance that is probed last in it: one that worked
+// Restart has the next round begin without a backoff. Deprioritized is the address that is probed last in it: one that worked
 // for a while and has been left. It may be empty.
-func (c *Candidates) Restart(tryLast string) {
-	c.tryLast = tryLast
+func (c *Candidates) Restart(deprioritized string) {
+	c.deprioritized = deprioritized
 	c.backoff = 0
 	c.started = false
 }
 
-// TryLast has an instance that failed come last in the next round.
-func (c *Candidates) TryLast(address string) { c.tryLast = address }
+// Deprioritize has an instance that failed come last in the next round.
+func (c *Candidates) Deprioritize(address string) { c.deprioritized = address }
 
 // NextRound lists all known instances in the order in which to probe them.
 func (c *Candidates) NextRound() []Candidate {
@@ -97,11 +97,11 @@
 		add(seed, c.proximity(seed))
 	}
 	for i := range list {
-		if list[i].Address == c.tryLast {
+		if list[i].Address == c.deprioritized {
 			list[i].Proximity = lastProximity
 		}
 	}
-	c.tryLast = ""
+	c.deprioritized = ""
 	c.random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	slices.SortStableFunc(list, func(a, b Candidate) int { return b.Proximity - a.Proximity })
 	return list
--- a/internal/router/subscription/decider.go
+++ b/internal/router/subscription/decider.go
@@ -30,7 +30,7 @@
 // what has happened with the time, and carries out what is returned. It is not safe for concurrent use.
 //
 // It follows one instance and knows how old that one's newest contact with a majority is. When trust in it has expired, or its
-// connection ends or is silent, it probes all instances at once and moves to one that proves a fresh contact. If none
+// connection ends or it is unresponsive, it probes all instances at once and moves to one that proves a fresh contact. If none
 // does, it follows the best of them provisionally and goes on probing.
 type Decider struct {
 	config     Config
@@ -70,7 +70,7 @@
 // back.
 func (d *Decider) Step(now time.Time, inputs ...Input) Output {
 	d.out = Output{}
-	d.extendDeadlinesAfterPause(now)
+	d.extendDeadlinesAfterStall(now)
 	for _, in := range inputs {
 		d.handle(now, in)
 	}
@@ -81,9 +81,9 @@
 	return d.completeOutput(now)
 }
 
-// extendDeadlinesAfterPause gives the instances time if this process was the one that paused: what they sent meanwhile
+// extendDeadlinesAfterStall gives the instances time if this process was the one that paused: what they sent meanwhile
 // waits to be read.
-func (d *Decider) extendDeadlinesAfterPause(now time.Time) {
+func (d *Decider) extendDeadlinesAfterStall(now time.Time) {
 	if d.wakeAt.IsZero() || now.Sub(d.wakeAt) < maxStepDelay {
 		return
 	}
--- a/internal/router/subscription/decider_test.go
+++ b/internal/router/subscription/decider_test.go
@@ -10,127 +10,127 @@
 	"raventrestle/internal/protocol"
 )
 
-func TestFollowsTheNearestAndIsReady(t *testing.T) {
-	n := newNetwork(t, three...)
+func TestRouterFollowsTheClosestInstanceAndBecomesReady(t *testing.T) {
+	n := newSimulatedNetwork(t, threeInstances...)
 	n.run(100 * time.Millisecond)
-	if n.out.Following != three[0] || !n.out.Trusted || !n.out.Ready {
-		t.Errorf("%+v after %v", n.out, n.events)
+	if n.out.Following != threeInstances[0] || !n.out.Trusted || !n.out.Ready {
+		t.Errorf("got %+v, want %s followed, trusted and ready; events %v", n.out, threeInstances[0], n.events)
 	}
 	if age := n.now.Sub(n.out.FreshAsOf); age < 0 || age > 100*time.Millisecond {
-		t.Errorf("confirmed %v ago", age)
+		t.Errorf("applied state: got an age of %v, want 0 to 100 ms", age)
 	}
 }
 
-func TestCutOffInstanceIsLeft(t *testing.T) {
-	n := settled(t, three...)
-	cut := n.followed()
-	cut.cut = true
-	if took := n.leaves(cut, 3*trustTTL); took > trustTTL+100*time.Millisecond {
-		t.Errorf("left after %v", took)
+func TestPartitionedInstanceIsLeftOnceTrustExpires(t *testing.T) {
+	n := newTrustingRouter(t, threeInstances...)
+	partitioned := n.followedInstance()
+	partitioned.partitioned = true
+	if took := n.awaitLeft(partitioned, 3*trustTTL); took > trustTTL+100*time.Millisecond {
+		t.Errorf("left: got after %v, want within 100 ms of the end of trust at %v", took, trustTTL)
 	}
 	n.run(20 * time.Millisecond)
-	if !n.out.Trusted || !slices.Equal(n.left(), []error{ErrTrustExpired}) {
-		t.Errorf("settled %v, left because of %v", n.out.Trusted, n.left())
+	if want := []error{ErrTrustExpired}; !n.out.Trusted || !slices.Equal(n.reasonsForLeaving(), want) {
+		t.Errorf("got trusted %v, left because of %v; want another one trusted, left because of %v", n.out.Trusted, n.reasonsForLeaving(), want)
 	}
 }
 
-// Day lompakko-reitti-cut-5: one instance is cut off, the others restart, and the cut-off one answers first.
-func TestCutOffInstanceThatAnswersFirstIsNotSettledWith(t *testing.T) {
-	n := settled(t, three...)
-	cut := n.others(n.followed())[0]
-	cut.cut = true
+// Day lompakko-reitti-cut-5: one instance is partitioned, the others restart, and the partitioned one answers first.
+func TestPartitionedInstanceThatAnswersFirstIsNotTrusted(t *testing.T) {
+	n := newTrustingRouter(t, threeInstances...)
+	partitioned := n.others(n.followedInstance())[0]
+	partitioned.partitioned = true
 	n.run(10 * time.Second)
-	for _, p := range n.others(cut) {
-		n.stop(p)
+	for _, instance := range n.others(partitioned) {
+		n.stopInstance(instance)
 	}
 	last := n.now
 	for range 600 {
 		n.run(time.Millisecond)
-		if n.out.Trusted && n.out.Following == cut.address {
-			t.Fatal("settled with the one that is cut off")
+		if n.out.Trusted && n.out.Following == partitioned.address {
+			t.Fatal("got the partitioned instance trusted, want it followed provisionally at most")
 		}
 	}
-	if n.out.Following != cut.address {
-		t.Errorf("follows %q, not even provisionally the one that answers", n.out.Following)
+	if n.out.Following != partitioned.address {
+		t.Errorf("followed: got %q, want %q provisionally: no other answers", n.out.Following, partitioned.address)
 	}
 	if n.out.FreshAsOf.After(last) {
-		t.Errorf("confirmed %v after all others had gone", n.out.FreshAsOf.Sub(last))
+		t.Errorf("fresh as of: got %v after all others had stopped, want no later", n.out.FreshAsOf.Sub(last))
 	}
-	for _, p := range n.others(cut) {
-		p.refuses = false
+	for _, instance := range n.others(partitioned) {
+		instance.refusesConnections = false
 	}
-	if took := n.leaves(cut, time.Second); took > maxRoundBackoff+100*time.Millisecond {
-		t.Errorf("left %v after the others came back", took)
+	if took := n.awaitLeft(partitioned, time.Second); took > maxRoundBackoff+100*time.Millisecond {
+		t.Errorf("left: got %v after the others came back, want at most %v", took, maxRoundBackoff+100*time.Millisecond)
 	}
-	n.commit()
+	n.commitConfiguration()
 	n.run(50 * time.Millisecond)
-	if !n.out.Trusted || n.inForce != n.newest {
-		t.Errorf("settled %v, version %d of %d", n.out.Trusted, n.inForce, n.newest)
+	if !n.out.Trusted || n.appliedGeneration != n.newestGeneration {
+		t.Errorf("got trusted %v, version %d applied; want true, %d", n.out.Trusted, n.appliedGeneration, n.newestGeneration)
 	}
 }
 
-// A router that starts while only a cut-off instance answers serves by what that has, and neither settles with it nor is
-// ready.
-func TestStartsWithACutOffInstance(t *testing.T) {
-	n := newNetwork(t, three...)
-	cut := n.peers[three[0]]
-	cut.contact, cut.cut = n.begin.Add(-5*time.Second), true
-	for _, p := range n.others(cut) {
-		p.gone = true
-	}
-	n.check = func() {
-		if n.out.Trusted || n.out.Ready || !n.out.FreshAsOf.IsZero() && n.out.FreshAsOf.After(cut.contact) {
-			t.Fatalf("%+v", n.out)
+// A router that starts while only a partitioned instance answers applies what that has, and neither trusts it nor is ready.
+func TestStartWithAPartitionedInstanceOnlyIsNeitherTrustedNorReady(t *testing.T) {
+	n := newSimulatedNetwork(t, threeInstances...)
+	partitioned := n.instances[threeInstances[0]]
+	partitioned.majorityContactAt, partitioned.partitioned = n.start.Add(-5*time.Second), true
+	for _, instance := range n.others(partitioned) {
+		instance.blackholed = true
+	}
+	n.invariant = func() {
+		if n.out.Trusted || n.out.Ready || !n.out.FreshAsOf.IsZero() && n.out.FreshAsOf.After(partitioned.majorityContactAt) {
+			t.Fatalf("got %+v, want neither trusted nor ready, and nothing fresher than the instance's contact", n.out)
 		}
 	}
 	n.run(2 * time.Second)
-	if n.out.Following != cut.address || n.inForce != 4 {
-		t.Errorf("follows %q, version %d in force", n.out.Following, n.inForce)
+	if n.out.Following != partitioned.address || n.appliedGeneration != 4 {
+		t.Errorf("got %q followed, version %d applied; want %q, 4", n.out.Following, n.appliedGeneration, partitioned.address)
 	}
-	n.check = nil
-	n.peers[three[2]].gone = false
+	n.invariant = nil
+	n.instances[threeInstances[2]].blackholed = false
 	n.run(dialTimeout + maxRoundBackoff + 100*time.Millisecond)
-	if n.out.Following != three[2] || !n.out.Trusted || !n.out.Ready {
-		t.Errorf("%+v after %v", n.out, n.events)
+	if n.out.Following != threeInstances[2] || !n.out.Trusted || !n.out.Ready {
+		t.Errorf("got %+v, want %s followed, trusted and ready; events %v", n.out, threeInstances[2], n.events)
 	}
 }
 
-// Messages that are held up on their way tell of a past that gets longer, though they come without a pause.
-func TestMessagesHeldUpGiveNoFreshKnowledge(t *testing.T) {
-	for _, alone := range []bool{true, false} {
-		t.Run(fmt.Sprint("alone ", alone), func(t *testing.T) {
-			n := settled(t, three...)
-			slow := n.followed()
-			for _, p := range n.others(slow) {
-				p.gone = alone
+// Messages that are delayed more and more come without a gap, and yet prove older and older contacts.
+func TestDelayedMessagesProveNoFreshContact(t *testing.T) {
+	for _, only := range []bool{true, false} {
+		t.Run(fmt.Sprint("only instance ", only), func(t *testing.T) {
+			n := newTrustingRouter(t, threeInstances...)
+			slow := n.followedInstance()
+			for _, instance := range n.others(slow) {
+				instance.blackholed = only
 			}
 			for range 25 {
-				slow.heldUp += 200 * time.Millisecond
-				n.run(beacon) // the network checks ConfirmedAt against the times of sending
+				slow.sendDelay += 200 * time.Millisecond
+				n.run(beaconInterval) // the network checks FreshAsOf against the times of sending
 			}
-			if age := n.now.Sub(n.out.FreshAsOf); alone && age < 2*time.Second {
-				t.Errorf("messages are up to %v late, confirmed %v ago", slow.heldUp, age)
+			if age := n.now.Sub(n.out.FreshAsOf); only && age < 2*time.Second {
+				t.Errorf("applied state: got an age of %v, want 2 s or more: messages are up to %v late", age, slow.sendDelay)
 			}
-			if alone != (n.out.Following == slow.address) || n.out.Trusted == alone {
-				t.Errorf("follows %q, settled %v: %v", n.out.Following, n.out.Trusted, n.events)
+			if only != (n.out.Following == slow.address) || n.out.Trusted == only {
+				t.Errorf("got %q followed, trusted %v; want the delayed %q only if it is the only one, and then untrusted; events %v",
+					n.out.Following, n.out.Trusted, slow.address, n.events)
 			}
 		})
 	}
 }
 
-// A connection that was given up changes nothing any more, whatever still comes on it.
-func TestDoubledConnections(t *testing.T) {
-	n := settled(t, three...)
-	first := n.followedWire()
-	first.peer.cut = true
-	n.leaves(first.peer, 2*trustTTL)
+// Whatever still comes on a connection that was closed changes nothing.
+func TestMessagesOnAClosedConnectionAreIgnored(t *testing.T) {
+	n := newTrustingRouter(t, threeInstances...)
+	first := n.followedConnection()
+	first.instance.partitioned = true
+	n.awaitLeft(first.instance, 2*trustTTL)
 	n.run(time.Second)
-	follows, generation := n.out.Following, n.inForce
-	late := n.standing(first)
+	following, generation := n.out.Following, n.appliedGeneration
+	late := n.freshnessProof(first)
 	late.Epoch, late.HasMajorityContact, late.MajorityContactAge = 9, true, 0
 	n.step(
 		MessageReceived{Connection: first.id, Message: &protocol.Update{
-			Sequence: first.sequence + 1, Generation: 9, Document: []byte("nine"), Freshness: late,
+			Sequence: first.lastUpdate + 1, Generation: 9, Document: []byte("nine"), Freshness: late,
 		}},
 		MessageReceived{Connection: first.id, Message: &protocol.Beacon{Sequence: 77, Generation: 9, Freshness: late}},
 		MessageReceived{Connection: first.id, Message: &protocol.ProbeReply{Generation: 9, Freshness: late}},
@@ -139,142 +139,143 @@
 		ChangeApplied{},
 	)
 	n.run(time.Second)
-	if n.out.Following != follows || !n.out.Trusted || n.inForce != generation {
-		t.Errorf("%+v: %v", n.out, n.events)
+	if n.out.Following != following || !n.out.Trusted || n.appliedGeneration != generation {
+		t.Errorf("got %+v, version %d; want %q followed and trusted, version %d; events %v", n.out, n.appliedGeneration, following, generation, n.events)
 	}
 }
 
-func TestLowerEpochIsRefused(t *testing.T) {
-	n := newNetwork(t, three...)
-	for _, p := range n.peers {
-		p.epoch = 3
+func TestInstanceInAnOlderEpochIsNotFollowed(t *testing.T) {
+	n := newSimulatedNetwork(t, threeInstances...)
+	for _, instance := range n.instances {
+		instance.epoch = 3
 	}
 	n.run(time.Second)
-	last := n.peers[three[2]]
-	last.epoch, last.cut = 2, true
-	for _, p := range n.others(last) {
-		n.stop(p)
+	last := n.instances[threeInstances[2]]
+	last.epoch, last.partitioned = 2, true
+	for _, instance := range n.others(last) {
+		n.stopInstance(instance)
 	}
 	n.run(5 * time.Second)
 	if n.out.Following != "" {
-		t.Errorf("follows %q in an earlier epoch", n.out.Following)
+		t.Errorf("followed: got %q in an older epoch, want none", n.out.Following)
 	}
 	last.epoch = 3
 	n.run(time.Second)
 	if n.out.Following != last.address || n.out.Trusted {
-		t.Errorf("does not follow %q provisionally in the newest epoch: %+v", last.address, n.out)
+		t.Errorf("got %+v, want %q followed provisionally, now that it is in the newest epoch", n.out, last.address)
 	}
 }
 
-// Of instances without proof the one in the higher epoch is followed, then the one with the younger contact; the one that is
-// followed is kept where no other is in a higher epoch.
-func TestChoiceWithoutProof(t *testing.T) {
-	n := newNetwork(t, three...)
-	for i, address := range three {
-		p := n.peers[address]
-		p.cut, p.epoch, p.contact = true, 2, n.begin.Add(-time.Duration(10-i)*time.Second)
+// Of instances that can't be trusted the one in the newest epoch is followed, then the one with the newest contact; the
+// followed one is kept unless another is in a newer epoch.
+func TestProvisionalChoicePrefersEpochThenContact(t *testing.T) {
+	n := newSimulatedNetwork(t, threeInstances...)
+	for i, address := range threeInstances {
+		instance := n.instances[address]
+		instance.partitioned, instance.epoch, instance.majorityContactAt = true, 2, n.start.Add(-time.Duration(10-i)*time.Second)
 	}
 	n.run(time.Second)
-	if n.out.Following != three[2] {
-		t.Errorf("follows %q, not the one with the youngest contact", n.out.Following)
+	if n.out.Following != threeInstances[2] {
+		t.Errorf("followed: got %q, want %q, which has the newest contact", n.out.Following, threeInstances[2])
 	}
-	n.peers[three[0]].contact = n.now.Add(-trustTTL)
+	n.instances[threeInstances[0]].majorityContactAt = n.now.Add(-trustTTL)
 	n.run(time.Second)
-	if !slices.Equal(n.moves, []string{three[2]}) {
-		t.Errorf("moves %v though none is in a higher epoch", n.moves)
+	if !slices.Equal(n.followedInOrder, []string{threeInstances[2]}) {
+		t.Errorf("followed: got %v, want %v only: no other is in a newer epoch", n.followedInOrder, threeInstances[2])
 	}
-	n.peers[three[1]].epoch = 3
+	n.instances[threeInstances[1]].epoch = 3
 	n.run(time.Second)
-	if !slices.Equal(n.moves, []string{three[2], three[1]}) || !slices.Contains(n.left(), ErrOlderEpoch) {
-		t.Errorf("moves %v, left because of %v", n.moves, n.left())
+	want := []string{threeInstances[2], threeInstances[1]}
+	if !slices.Equal(n.followedInOrder, want) || !slices.Contains(n.reasonsForLeaving(), ErrOlderEpoch) {
+		t.Errorf("got %v followed, left because of %v; want %v, %v", n.followedInOrder, n.reasonsForLeaving(), want, ErrOlderEpoch)
 	}
 }
 
-// With no majority anywhere the instance that is followed is kept, and it is settled with again once it has proof.
-func TestKeepsItsInstanceWhileNobodyHasProof(t *testing.T) {
-	n := settled(t, three...)
-	for _, p := range n.peers {
-		p.cut = true
+// Without a majority anywhere the followed instance is kept, and it is trusted again once it has a proof.
+func TestInstanceIsKeptWhileNoneCanBeTrusted(t *testing.T) {
+	n := newTrustingRouter(t, threeInstances...)
+	for _, instance := range n.instances {
+		instance.partitioned = true
 	}
 	n.run(20 * time.Second)
-	for _, p := range n.peers {
-		p.cut = false
+	for _, instance := range n.instances {
+		instance.partitioned = false
 	}
-	n.run(beacon + 10*time.Millisecond)
-	if len(n.moves) != 1 || !n.out.Trusted || n.decider.search != nil {
-		t.Errorf("moves %v, settled %v", n.moves, n.out.Trusted)
+	n.run(beaconInterval + 10*time.Millisecond)
+	if len(n.followedInOrder) != 1 || !n.out.Trusted || n.decider.search != nil {
+		t.Errorf("got %v followed, trusted %v, search %v; want one, true, none", n.followedInOrder, n.out.Trusted, n.decider.search)
 	}
 }
 
-// Contacts that are all about as old as the limit are no reason to go to and fro.
-func TestAgesAroundTheLimit(t *testing.T) {
-	n := settled(t, three...)
-	for _, p := range n.peers {
-		p.cut = true
+// Contacts that are all nearly as old as TrustTTL don't make the router flap between instances.
+func TestContactsNearTheTrustTTLCauseNoFlapping(t *testing.T) {
+	n := newTrustingRouter(t, threeInstances...)
+	for _, instance := range n.instances {
+		instance.partitioned = true
 	}
 	for i := range 200 {
-		p := n.peers[three[i%3]]
-		p.contact = n.now.Add(-trustTTL*9/10 + time.Duration(i%7)*trustTTL/100)
+		instance := n.instances[threeInstances[i%3]]
+		instance.majorityContactAt = n.now.Add(-trustTTL*9/10 + time.Duration(i%7)*trustTTL/100)
 		n.run(100 * time.Millisecond)
 	}
-	if len(n.moves) > 3 {
-		t.Errorf("%d moves in 20 s: %v", len(n.moves), n.moves)
+	if len(n.followedInOrder) > 3 {
+		t.Errorf("followed in 20 s: got %d instances, want 3 at most: %v", len(n.followedInOrder), n.followedInOrder)
 	}
 }
 
-func TestNoProbesWhileFresh(t *testing.T) {
-	n := settled(t, three...)
+func TestNoOthersAreProbedWhileTheInstanceIsTrusted(t *testing.T) {
+	n := newTrustingRouter(t, threeInstances...)
 	dials, probes := n.dials, n.probes
-	n.check = func() {
+	n.invariant = func() {
 		if sent := n.now.Sub(n.decider.followed.clock.lastEchoAt); sent > 30*time.Second {
-			t.Fatalf("the last mark was sent %v ago", sent)
+			t.Fatalf("newest echo: got one sent %v ago, want 30 s at most", sent)
 		}
 	}
 	n.run(10 * time.Minute)
-	marks := int(10 * time.Minute / echoInterval) // to the instance that is followed
-	if n.dials != dials || n.probes-probes > marks || len(n.moves) != 1 {
-		t.Errorf("%d dials, %d probes, moves %v", n.dials-dials, n.probes-probes, n.moves)
+	echoes := int(10 * time.Minute / echoInterval) // to the followed instance
+	if n.dials != dials || n.probes-probes > echoes || len(n.followedInOrder) != 1 {
+		t.Errorf("got %d dials, %d probes, %v followed; want none, %d at most, one", n.dials-dials, n.probes-probes, n.followedInOrder, echoes)
 	}
-	if age := n.now.Sub(n.out.FreshAsOf); age > beacon+100*time.Millisecond {
-		t.Errorf("confirmed %v ago: anchors were not kept up", age)
+	if age := n.now.Sub(n.out.FreshAsOf); age > beaconInterval+100*time.Millisecond {
+		t.Errorf("applied state: got an age of %v, want %v at most: the clock was not kept in sync", age, beaconInterval+100*time.Millisecond)
 	}
 }
 
-// An instance whose proof is often nearly too old between two beacons is asked itself, before any other is.
-func TestAsksItsInstanceFirst(t *testing.T) {
-	n := settled(t, three...)
-	n.followed().lag = 760 * time.Millisecond
+// An instance whose proof is often nearly too old between two beacons is probed itself before any other is.
+func TestFollowedInstanceIsProbedBeforeTrustExpires(t *testing.T) {
+	n := newTrustingRouter(t, threeInstances...)
+	n.followedInstance().contactLag = 760 * time.Millisecond
 	dials, probes := n.dials, n.probes
 	n.run(20 * time.Second)
-	if n.dials != dials || len(n.moves) != 1 || !n.out.Trusted {
-		t.Errorf("%d dials, moves %v, settled %v", n.dials-dials, n.moves, n.out.Trusted)
+	if n.dials != dials || len(n.followedInOrder) != 1 || !n.out.Trusted {
+		t.Errorf("got %d dials, %v followed, trusted %v; want none, one, true", n.dials-dials, n.followedInOrder, n.out.Trusted)
 	}
-	if asked := n.probes - probes; asked > 20*int(time.Second/minRoundBackoff) {
-		t.Errorf("asked %d times in 20 s", asked)
+	if sent, limit := n.probes-probes, 20*int(time.Second/minRoundBackoff); sent > limit {
+		t.Errorf("probes in 20 s: got %d, want %d at most", sent, limit)
 	}
 }
 
-func TestProbesAreBounded(t *testing.T) {
-	for name, trouble := range map[string]func(*peer){
-		"cut off":  func(p *peer) { p.cut = true },
-		"refusing": func(p *peer) { p.refuses = true },
-		"gone":     func(p *peer) { p.gone = true },
-		"frozen":   func(p *peer) { p.mute = true },
+func TestProbeRateIsBounded(t *testing.T) {
+	for name, inject := range map[string]func(*simulatedInstance){
+		"partitioned":  func(instance *simulatedInstance) { instance.partitioned = true },
+		"refusing":     func(instance *simulatedInstance) { instance.refusesConnections = true },
+		"blackholed":   func(instance *simulatedInstance) { instance.blackholed = true },
+		"unresponsive": func(instance *simulatedInstance) { instance.unresponsive = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			var addresses []string
 			for i := range 15 {
 				addresses = append(addresses, fmt.Sprintf("10.%d.0.1:1", i+1))
 			}
-			n := settled(t, addresses...)
-			followed := n.followed()
-			for _, p := range n.peers {
-				trouble(p)
+			n := newTrustingRouter(t, addresses...)
+			followed := n.followedInstance()
+			for _, instance := range n.instances {
+				inject(instance)
 			}
-			n.hangUp(followed)
-			n.check = func() {
+			n.closeConnections(followed)
+			n.invariant = func() {
 				if s := n.decider.search; s != nil && s.inFlight() > maxConcurrentProbes {
-					t.Fatalf("%d probes at once", s.inFlight())
+					t.Fatalf("probes in flight: got %d, want %d at most", s.inFlight(), maxConcurrentProbes)
 				}
 			}
 			n.run(trustTTL)
@@ -282,280 +283,291 @@
 			const seconds = 20
 			n.run(seconds * time.Second)
 			rounds := seconds * time.Second / (125 * time.Millisecond)
-			if most := int(rounds) * len(addresses); n.dials-dials > most || n.probes-probes > most {
-				t.Errorf("%d dials and %d probes in %d s, want %d at most", n.dials-dials, n.probes-probes, seconds, most)
+			if limit := int(rounds) * len(addresses); n.dials-dials > limit || n.probes-probes > limit {
+				t.Errorf("in %d s: got %d dials and %d probes, want %d of each at most", seconds, n.dials-dials, n.probes-probes, limit)
 			}
 			if n.dials+n.probes-dials-probes == 0 {
-				t.Error("nobody is asked")
+				t.Error("got no dials and no probes, want some")
 			}
 		})
 	}
 }
 
-func TestSilentInstanceIsLeft(t *testing.T) {
-	n := settled(t, three...)
-	silent := n.followed()
-	silent.mute = true
-	if took := n.leaves(silent, 2*time.Second); took > beaconTimeout+100*time.Millisecond {
-		t.Errorf("left after %v", took)
+func TestUnresponsiveInstanceIsLeft(t *testing.T) {
+	n := newTrustingRouter(t, threeInstances...)
+	unresponsive := n.followedInstance()
+	unresponsive.unresponsive = true
+	if took := n.awaitLeft(unresponsive, 2*time.Second); took > beaconTimeout+100*time.Millisecond {
+		t.Errorf("left: got after %v, want within 100 ms of %v", took, beaconTimeout)
 	}
-	if !slices.Equal(n.left(), []error{ErrUnresponsive}) {
-		t.Errorf("left because of %v", n.left())
+	if want := []error{ErrUnresponsive}; !slices.Equal(n.reasonsForLeaving(), want) {
+		t.Errorf("left because of: got %v, want %v", n.reasonsForLeaving(), want)
 	}
 	n.run(100 * time.Millisecond)
 	if !n.out.Trusted {
-		t.Errorf("not settled: %v", n.events)
+		t.Errorf("trusted: got false, want true; events %v", n.events)
 	}
 }
 
-// The process slept; what the instance sent meanwhile waits, or comes a little later.
-func TestSleptItself(t *testing.T) {
+// The router's process was paused; what the instance sent meanwhile waits, or comes a little later.
+func TestStallOfTheRouterIsNotTheInstancesFault(t *testing.T) {
 	for _, waits := range []bool{true, false} {
 		t.Run(fmt.Sprint("messages wait ", waits), func(t *testing.T) {
-			n := settled(t, three...)
+			n := newTrustingRouter(t, threeInstances...)
 			n.run(10 * time.Millisecond)
-			followed := n.followed()
-			followed.mute = !waits
-			n.frozen = n.now.Add(5 * time.Second)
+			followed := n.followedInstance()
+			followed.unresponsive = !waits
+			n.pausedUntil = n.now.Add(5 * time.Second)
 			n.run(5*time.Second - time.Millisecond)
-			followed.mute = false
+			followed.unresponsive = false
 			n.run(time.Second)
-			if len(n.moves) != 1 || !n.out.Trusted {
-				t.Errorf("moves %v, settled %v: %v", n.moves, n.out.Trusted, n.events)
+			if len(n.followedInOrder) != 1 || !n.out.Trusted {
+				t.Errorf("got %v followed, trusted %v; want one, true; events %v", n.followedInOrder, n.out.Trusted, n.events)
 			}
 		})
 	}
 }
 
-func TestInstanceThatKeepsAConfigurationBack(t *testing.T) {
-	n := settled(t, three...)
-	behind := n.followed()
-	behind.generation = 5
-	n.newest = 5
-	for _, p := range n.others(behind) {
-		p.generation = 5
-	}
-	n.run(beacon + announcedConfigurationTimeout + 10*time.Millisecond)
-	if !slices.Equal(n.left(), []error{ErrConfigurationWithheld}) {
-		t.Errorf("left because of %v", n.left())
+func TestInstanceThatWithholdsAConfigurationIsLeft(t *testing.T) {
+	n := newTrustingRouter(t, threeInstances...)
+	withholding := n.followedInstance()
+	withholding.generation = 5
+	n.newestGeneration = 5
+	for _, instance := range n.others(withholding) {
+		instance.generation = 5
+	}
+	n.run(beaconInterval + announcedConfigurationTimeout + 10*time.Millisecond)
+	if want := []error{ErrConfigurationWithheld}; !slices.Equal(n.reasonsForLeaving(), want) {
+		t.Errorf("left because of: got %v, want %v", n.reasonsForLeaving(), want)
 	}
 	n.run(50 * time.Millisecond)
-	if n.inForce != 5 || n.out.Following == behind.address {
-		t.Errorf("version %d from %q", n.inForce, n.out.Following)
+	if n.appliedGeneration != 5 || n.out.Following == withholding.address {
+		t.Errorf("got version %d from %q, want 5 from another one than %q", n.appliedGeneration, n.out.Following, withholding.address)
 	}
 }
 
-func TestWhatIsMissingOrCannotBeUsedMovesOn(t *testing.T) {
+func TestInvalidUpdatesMakeTheRouterMoveOn(t *testing.T) {
 	for name, c := range map[string]struct {
-		amiss func(n *network, w *wire)
-		want  error
+		inject func(n *simulatedNetwork, conn *simulatedConnection)
+		want   error
 	}{
-		"gap":      {func(n *network, w *wire) { w.sequence++; n.update(w, protocol.Update{}, 4) }, ErrSequenceGap},
-		"repeated": {func(n *network, w *wire) { w.sequence--; n.update(w, protocol.Update{}, 4) }, ErrSequenceGap},
-		"beacon of others": {func(n *network, w *wire) {
-			n.post(w, &protocol.Beacon{Sequence: w.sequence + 1, Generation: 4, Freshness: n.standing(w)})
+		"missing update": {func(n *simulatedNetwork, conn *simulatedConnection) {
+			conn.lastUpdate++
+			n.sendUpdate(conn, protocol.Update{}, 4)
 		}, ErrSequenceGap},
-		"document": {func(n *network, w *wire) { n.refuse = ErrInvalidConfiguration; n.commit() }, ErrInvalidConfiguration},
-		"epoch":    {func(n *network, w *wire) { w.peer.epoch = 0 }, ErrOlderEpoch},
+		"repeated update": {func(n *simulatedNetwork, conn *simulatedConnection) {
+			conn.lastUpdate--
+			n.sendUpdate(conn, protocol.Update{}, 4)
+		}, ErrSequenceGap},
+		"beacon of another sequence": {func(n *simulatedNetwork, conn *simulatedConnection) {
+			n.sendToRouter(conn, &protocol.Beacon{Sequence: conn.lastUpdate + 1, Generation: 4, Freshness: n.freshnessProof(conn)})
+		}, ErrSequenceGap},
+		"unusable configuration": {func(n *simulatedNetwork, conn *simulatedConnection) {
+			n.applyError = ErrInvalidConfiguration
+			n.commitConfiguration()
+		}, ErrInvalidConfiguration},
+		"older epoch": {func(n *simulatedNetwork, conn *simulatedConnection) { conn.instance.epoch = 0 }, ErrOlderEpoch},
 	} {
 		t.Run(name, func(t *testing.T) {
-			n := settled(t, three...)
-			w := n.followedWire()
-			c.amiss(n, w)
-			n.leaves(w.peer, beacon+10*time.Millisecond)
-			n.refuse = nil
-			if !slices.Equal(n.left(), []error{c.want}) {
-				t.Errorf("left because of %v", n.left())
+			n := newTrustingRouter(t, threeInstances...)
+			conn := n.followedConnection()
+			c.inject(n, conn)
+			n.awaitLeft(conn.instance, beaconInterval+10*time.Millisecond)
+			n.applyError = nil
+			if want := []error{c.want}; !slices.Equal(n.reasonsForLeaving(), want) {
+				t.Errorf("left because of: got %v, want %v", n.reasonsForLeaving(), want)
 			}
 			n.run(2 * maxRoundBackoff)
-			if !n.out.Trusted || n.out.Following == w.peer.address {
-				t.Errorf("%+v", n.out)
+			if !n.out.Trusted || n.out.Following == conn.instance.address {
+				t.Errorf("got %+v, want another instance than %q trusted", n.out, conn.instance.address)
 			}
 		})
 	}
 }
 
-// An instance whose first update is lost, while its beacons come, is left as well.
-func TestFirstUpdateIsMissing(t *testing.T) {
-	n := newNetwork(t, three...)
+// An instance whose first update is lost while its beacons come is left as well.
+func TestInstanceWhoseFirstUpdateIsLostIsLeft(t *testing.T) {
+	n := newSimulatedNetwork(t, threeInstances...)
 	for n.out.Following == "" {
 		n.run(time.Millisecond)
 	}
-	first := n.peers[n.out.Following]
-	first.mute = true
+	first := n.instances[n.out.Following]
+	first.unresponsive = true
 	n.run(10 * time.Millisecond)
-	first.mute = false
-	n.run(beacon + 2*maxRoundBackoff)
+	first.unresponsive = false
+	n.run(beaconInterval + 2*maxRoundBackoff)
 	if n.out.Following == first.address || !n.out.Ready {
-		t.Errorf("%+v after %v", n.out, n.events)
+		t.Errorf("got %+v, want another instance than %q followed, and ready; events %v", n.out, first.address, n.events)
 	}
 }
 
-// A change that takes long is not the instance's silence, and counts only once it is in force.
-func TestSlowApply(t *testing.T) {
-	n := settled(t, three...)
-	followed := n.followed()
-	n.slow = 2500 * time.Millisecond
-	n.commit()
-	n.commit()
-	acknowledged := n.now
-	confirms := len(followed.confirms)
-	n.run(n.slow)
-	if len(followed.confirms) != confirms || n.out.FreshAsOf.After(acknowledged) {
-		t.Errorf("confirms %v, confirmed at %v", followed.confirms, n.out.FreshAsOf.Sub(acknowledged))
-	}
-	n.run(n.slow + 10*time.Millisecond)
-	if len(n.moves) != 1 || !n.out.Trusted || !slices.Equal(followed.confirms[confirms:], []uint64{2, 3}) {
-		t.Errorf("moves %v, settled %v, confirms %v", n.moves, n.out.Trusted, followed.confirms)
-	}
-	if age := n.now.Sub(n.out.FreshAsOf); n.inForce != 6 || age > beacon+100*time.Millisecond {
-		t.Errorf("version %d, confirmed %v ago", n.inForce, age)
+// A change that takes long doesn't make the instance unresponsive, and counts only once it is applied.
+func TestSlowChangeCountsOnlyOnceApplied(t *testing.T) {
+	n := newTrustingRouter(t, threeInstances...)
+	followed := n.followedInstance()
+	n.applyDelay = 2500 * time.Millisecond
+	n.commitConfiguration()
+	n.commitConfiguration()
+	committedAt := n.now
+	acks := len(followed.acks)
+	n.run(n.applyDelay)
+	if len(followed.acks) != acks || n.out.FreshAsOf.After(committedAt) {
+		t.Errorf("before it is applied: got acknowledgements %v, fresh as of %v after the commit; want %d, no later than it",
+			followed.acks, n.out.FreshAsOf.Sub(committedAt), acks)
+	}
+	n.run(n.applyDelay + 10*time.Millisecond)
+	if len(n.followedInOrder) != 1 || !n.out.Trusted || !slices.Equal(followed.acks[acks:], []uint64{2, 3}) {
+		t.Errorf("got %v followed, trusted %v, acknowledgements %v; want one, true, [2 3] at the end", n.followedInOrder, n.out.Trusted, followed.acks)
+	}
+	if age := n.now.Sub(n.out.FreshAsOf); n.appliedGeneration != 6 || age > beaconInterval+100*time.Millisecond {
+		t.Errorf("got version %d, an age of %v; want 6, %v at most", n.appliedGeneration, age, beaconInterval+100*time.Millisecond)
 	}
 }
 
-// The router goes back to its own zone once somebody there has proof, and asks for that more and more rarely.
-func TestNearerInstance(t *testing.T) {
-	n := newNetwork(t, three...)
-	near := n.peers[three[0]]
-	near.refuses = true
+// The router goes back to its own zone once an instance there can be trusted, and searches for one more and more rarely.
+func TestRouterReturnsToItsZoneWithGrowingBackoff(t *testing.T) {
+	n := newSimulatedNetwork(t, threeInstances...)
+	zoneLocal := n.instances[threeInstances[0]]
+	zoneLocal.refusesConnections = true
 	n.run(time.Second)
 	var members []protocol.Member
-	for i, address := range three {
+	for i, address := range threeInstances {
 		members = append(members, protocol.Member{Address: address, Zone: fmt.Sprint("z", i+1)})
 	}
-	n.update(n.followedWire(), protocol.Update{Members: members}, 4)
+	n.sendUpdate(n.followedConnection(), protocol.Update{Members: members}, 4)
 	dials := n.dials
 	n.run(3 * time.Minute)
-	if looked := n.dials - dials; looked < 3 || looked > 8 || len(n.moves) != 1 {
-		t.Errorf("%d looks in 3 minutes, moves %v", looked, n.moves)
+	if searches := n.dials - dials; searches < 3 || searches > 8 || len(n.followedInOrder) != 1 {
+		t.Errorf("in 3 minutes: got %d searches, %v followed; want 3 to 8, one", searches, n.followedInOrder)
 	}
-	near.refuses, near.cut = false, true
+	zoneLocal.refusesConnections, zoneLocal.partitioned = false, true
 	n.run(2 * maxZoneLocalBackoff)
-	if len(n.moves) != 1 {
-		t.Errorf("moves %v, the last one without proof", n.moves)
+	if len(n.followedInOrder) != 1 {
+		t.Errorf("followed: got %v, want one: that in the own zone is partitioned", n.followedInOrder)
 	}
-	near.cut, near.lag = false, trustTTL*9/10
+	zoneLocal.partitioned, zoneLocal.contactLag = false, trustTTL*9/10
 	n.run(2 * maxZoneLocalBackoff)
-	if len(n.moves) != 1 {
-		t.Errorf("moves %v, the last one by a proof that is nearly too old", n.moves)
+	if len(n.followedInOrder) != 1 {
+		t.Errorf("followed: got %v, want one: that in the own zone has no trust margin", n.followedInOrder)
 	}
-	near.lag = 0
+	zoneLocal.contactLag = 0
 	n.run(maxZoneLocalBackoff + time.Second)
-	if n.out.Following != near.address || !n.out.Trusted || !slices.Equal(n.left(), []error{ErrZoneLocalAlternative}) {
-		t.Errorf("follows %q, left because of %v", n.out.Following, n.left())
+	if n.out.Following != zoneLocal.address || !n.out.Trusted || !slices.Equal(n.reasonsForLeaving(), []error{ErrZoneLocalAlternative}) {
+		t.Errorf("got %q followed, trusted %v, left because of %v; want %q, true, %v",
+			n.out.Following, n.out.Trusted, n.reasonsForLeaving(), zoneLocal.address, ErrZoneLocalAlternative)
 	}
 }
 
-// An instance of the own zone that ends soon after each return is returned to more and more rarely.
-func TestNearerInstanceThatKeepsEnding(t *testing.T) {
-	n := newNetwork(t, three...)
-	near := n.peers[three[0]]
-	near.refuses = true
+// An instance in the own zone that fails soon after each return is returned to more and more rarely.
+func TestReturnsToAFailingZoneLocalInstanceBackOff(t *testing.T) {
+	n := newSimulatedNetwork(t, threeInstances...)
+	zoneLocal := n.instances[threeInstances[0]]
+	zoneLocal.refusesConnections = true
 	n.run(time.Second)
-	members := []protocol.Member{{Address: three[0], Zone: "z1"}, {Address: three[1], Zone: "z2"}}
-	n.update(n.followedWire(), protocol.Update{Members: members}, 4)
+	members := []protocol.Member{{Address: threeInstances[0], Zone: "z1"}, {Address: threeInstances[1], Zone: "z2"}}
+	n.sendUpdate(n.followedConnection(), protocol.Update{Members: members}, 4)
 	returns := 0
 	for range 360 {
-		near.refuses = false
+		zoneLocal.refusesConnections = false
 		n.run(500 * time.Millisecond)
-		if n.out.Following == near.address {
+		if n.out.Following == zoneLocal.address {
 			returns++
-			n.stop(near)
+			n.stopInstance(zoneLocal)
 			n.run(500 * time.Millisecond)
 		}
 	}
 	if returns < 3 || returns > 8 {
-		t.Errorf("%d returns in 3 minutes", returns)
+		t.Errorf("returns in 3 minutes: got %d, want 3 to 8", returns)
 	}
 }
 
-// While the nearest instance is slow to answer, it is waited for a little, and no more.
-func TestWaitsALittleForTheOwnZone(t *testing.T) {
-	for late, want := range map[time.Duration]string{15 * time.Millisecond: three[0], 60 * time.Millisecond: three[1]} {
-		n := newNetwork(t, three[0], three[1])
-		n.peers[three[0]].heldUp = late
+// While the closest instance is slow to answer, the router waits for it for a short time, and no longer.
+func TestShortWaitForTheOwnZone(t *testing.T) {
+	for delay, want := range map[time.Duration]string{15 * time.Millisecond: threeInstances[0], 60 * time.Millisecond: threeInstances[1]} {
+		n := newSimulatedNetwork(t, threeInstances[0], threeInstances[1])
+		n.instances[threeInstances[0]].sendDelay = delay
 		n.run(100 * time.Millisecond)
 		if n.out.Following != want {
-			t.Errorf("nearest %v late: follows %q", late, n.out.Following)
+			t.Errorf("closest instance %v late: got %q followed, want %q", delay, n.out.Following, want)
 		}
 	}
 }
 
-// An instance whose contact is nearly too old is not moved to while another one may answer with a younger one.
-func TestWaitsALittleForYoungerProof(t *testing.T) {
-	n := newNetwork(t, three[0], three[1])
-	n.peers[three[0]].lag = trustTTL * 95 / 100
-	n.peers[three[1]].heldUp = 10 * time.Millisecond
+// The router doesn't move to an instance without a trust margin while another one may answer with a newer contact.
+func TestShortWaitForANewerProof(t *testing.T) {
+	n := newSimulatedNetwork(t, threeInstances[0], threeInstances[1])
+	n.instances[threeInstances[0]].contactLag = trustTTL * 95 / 100
+	n.instances[threeInstances[1]].sendDelay = 10 * time.Millisecond
 	n.run(time.Second)
-	if !slices.Equal(n.moves, three[1:2]) || !n.out.Trusted {
-		t.Errorf("moves %v, settled %v", n.moves, n.out.Trusted)
+	if !slices.Equal(n.followedInOrder, threeInstances[1:2]) || !n.out.Trusted {
+		t.Errorf("got %v followed, trusted %v; want %v, true", n.followedInOrder, n.out.Trusted, threeInstances[1:2])
 	}
 }
 
-func TestReportsWaitWhileNobodyIsFollowed(t *testing.T) {
-	n := newNetwork(t, three...)
+func TestReportsAreQueuedWhileNoInstanceIsFollowed(t *testing.T) {
+	n := newSimulatedNetwork(t, threeInstances...)
 	for i := range maxQueuedReports + 2 {
 		n.step(DemandReported{Report: protocol.Report{Window: time.Duration(i)}})
 	}
 	n.run(100 * time.Millisecond)
 	n.step(DemandReported{Report: protocol.Report{Window: 100}})
 	n.run(10 * time.Millisecond)
-	reports := n.followed().reports
+	reports := n.followedInstance().reports
 	if len(reports) != maxQueuedReports+1 {
-		t.Fatalf("%d reports", len(reports))
+		t.Fatalf("reports: got %d, want the newest %d and one more", len(reports), maxQueuedReports)
 	}
 	for i, report := range reports[:maxQueuedReports] {
 		if report.Window != time.Duration(i+2) || report.Sequence != uint64(i+1) || report.Node != "n" || report.Incarnation != 7 {
-			t.Errorf("report %d: %+v", i, report)
+			t.Errorf("report %d: got %+v, want over %d, sequence %d, node n, incarnation 7", i, report, i+2, i+1)
 		}
 	}
 }
 
-// Instances of an older program state nothing and answer no probes: the router works with them, provisionally.
-func TestOlderInstances(t *testing.T) {
-	n := newNetwork(t, three...)
-	for _, p := range n.peers {
-		p.old = true
+// Older programs prove nothing and answer no probes: the router follows one provisionally.
+func TestOlderProgramsAreFollowedProvisionally(t *testing.T) {
+	n := newSimulatedNetwork(t, threeInstances...)
+	for _, instance := range n.instances {
+		instance.olderProgram = true
 	}
 	n.run(time.Second)
-	if !n.out.Ready || n.out.Trusted || !n.out.FreshAsOf.IsZero() || n.inForce != 4 {
-		t.Errorf("%+v", n.out)
+	if !n.out.Ready || n.out.Trusted || !n.out.FreshAsOf.IsZero() || n.appliedGeneration != 4 {
+		t.Errorf("got %+v, version %d; want ready, not trusted, freshness unknown, version 4", n.out, n.appliedGeneration)
 	}
 	n.run(10 * time.Second)
-	if len(n.moves) != 1 {
-		t.Errorf("moves %v", n.moves)
+	if len(n.followedInOrder) != 1 {
+		t.Errorf("followed: got %v, want one", n.followedInOrder)
 	}
-	newer := n.others(n.followed())[0]
-	newer.old = false
+	newer := n.others(n.followedInstance())[0]
+	newer.olderProgram = false
 	n.run(time.Second)
 	if n.out.Following != newer.address || !n.out.Trusted {
-		t.Errorf("%+v", n.out)
+		t.Errorf("got %+v, want %q followed and trusted", n.out, newer.address)
 	}
 }
 
-// A configuration never goes back, and an older one confirmed as the newest makes nobody ready.
+// A configuration never goes back.
 func TestConfigurationNeverGoesBack(t *testing.T) {
-	n := settled(t, three...)
-	w := n.followedWire()
-	w.peer.generation = 3
-	n.update(w, protocol.Update{GenerationConfirmed: true}, 0)
+	n := newTrustingRouter(t, threeInstances...)
+	conn := n.followedConnection()
+	conn.instance.generation = 3
+	n.sendUpdate(conn, protocol.Update{GenerationConfirmed: true}, 0)
 	n.run(10 * time.Millisecond)
-	if last := n.applies[len(n.applies)-1]; last.Document != nil {
-		t.Errorf("%+v was asked for", last)
+	if last := n.changes[len(n.changes)-1]; last.Document != nil {
+		t.Errorf("change: got %+v, want one without a document: version 4 is applied", last)
 	}
 }
 
-func TestSeedsAreReadAnew(t *testing.T) {
-	n := newNetwork(t, three...)
+func TestSeedsAreReadAgainAfterAFailedRound(t *testing.T) {
+	n := newSimulatedNetwork(t, threeInstances...)
 	n.seeds = nil
-	for _, p := range n.peers {
-		p.refuses = true
+	for _, instance := range n.instances {
+		instance.refusesConnections = true
 	}
 	n.run(time.Second)
-	n.peers["10.9.0.1:1"] = &peer{address: "10.9.0.1:1", epoch: 1, generation: 4}
+	n.instances["10.9.0.1:1"] = &simulatedInstance{address: "10.9.0.1:1", epoch: 1, generation: 4}
 	n.seeds = []string{"10.9.0.1:1"}
 	n.run(maxRoundBackoff + 100*time.Millisecond)
 	if n.out.Following != "10.9.0.1:1" {
-		t.Errorf("follows %q", n.out.Following)
+		t.Errorf("followed: got %q, want the new seed 10.9.0.1:1", n.out.Following)
 	}
 }
--- a/internal/router/subscription/followed.go
+++ b/internal/router/subscription/followed.go
@@ -58,14 +58,14 @@
 	d.followed, d.pendingUpdates = nil, nil
 	d.out.Close = append(d.out.Close, f.id)
 	if f.followedSince.IsZero() {
-		d.candidates.TryLast(f.address)
+		d.candidates.Deprioritize(f.address)
 		d.recordUnreachable(f.address, err)
 		return
 	}
 	d.unreachableRecorded = false
 	d.record(InstanceLeft{Instance: f.address, Err: err})
 	if now.Sub(f.followedSince) < stableFollowTime {
-		d.candidates.TryLast(f.address)
+		d.candidates.Deprioritize(f.address)
 		return
 	}
 	d.candidates.Restart(f.address)
--- a/internal/router/subscription/network_test.go
+++ b/internal/router/subscription/network_test.go
@@ -12,387 +12,390 @@
 )
 
 const (
-	trustTTL = time.Second
-	hop      = time.Millisecond // a message's time on its way
-	beacon   = 250 * time.Millisecond
+	trustTTL       = time.Second
+	networkDelay   = time.Millisecond // of each message, one way
+	beaconInterval = 250 * time.Millisecond
 )
 
-// tester is what a network complains to: a test, or one of rapid's.
-type tester interface {
+// failer is what a simulated network fails: a test, or one of rapid's.
+type failer interface {
 	Helper()
 	Fatalf(format string, arguments ...any)
 }
 
-// peer is a simulated control instance: what it knows and how it behaves.
-type peer struct {
-	address    string
-	clock      time.Duration // of its own, at the network's begin
-	drift      time.Duration // by which its clock gains in each second
-	epoch      uint64
-	contact    time.Time     // newest contact with a majority; kept up unless cut or behind
-	lag        time.Duration // its contact is always so much older
-	cut        bool          // from the majority, not from the router
-	refuses    bool          // connections fail at once
-	gone       bool          // connections are never made
-	old        bool          // it knows no probes and states nothing
-	mute       bool          // it sends nothing
-	heldUp     time.Duration // its messages come so much later
-	heldDown   time.Duration // messages to it
-	generation int64
-	confirms   []uint64
-	reports    []protocol.Report
-}
-
-// wire is a connection from the decider to a peer.
-type wire struct {
-	id       ConnectionID
-	peer     *peer
-	mark     uint64
-	sequence uint64
-	follows  bool
-	closed   bool      // by the decider
-	broken   bool      // by the peer
-	arrives  time.Time // of the last message: messages keep their order
-	reaches  time.Time // the other way
-}
-
-// occurrence is something that comes about at a time: an input of the decider, or an act.
-type occurrence struct {
-	at      time.Time
-	input   Input
-	contact time.Time // of the peer, when it sent the message that the input is
-	act     func()
-}
-
-// network runs one decider against peers in simulated time.
-type network struct {
-	t        tester
-	begin    time.Time
-	now      time.Time
-	frozen   time.Time // the decider's process sleeps until then
-	newest   int64     // version, which every peer in touch has
-	told     time.Time // the newest contact that a message which has come was sent after
-	decider  *Decider
-	out      Output
-	peers    map[string]*peer
-	seeds    []string
-	wires    []*wire
-	coming   []occurrence
-	beaconAt time.Time
-	events   []Event
-	moves    []string // whom it has followed, in order; empty: nobody
-	dials    int
-	probes   int
-	applies  []*Change
-	inForce  int64
-	slow     time.Duration // of Apply
-	refuse   error         // Apply fails
-	check    func()        // after each step
-}
-
-// newNetwork starts a router in zone z1 and peers in epoch 1 that have version 4.
-func newNetwork(t tester, addresses ...string) *network {
+// simulatedInstance is a control instance: what it knows, and its injected faults.
+type simulatedInstance struct {
+	address            string
+	clockAtStart       time.Duration // what its own clock reads at the network's start
+	driftPerSecond     time.Duration // how much its clock gains in a second
+	epoch              uint64
+	majorityContactAt  time.Time     // renewed unless it is partitioned or lacks the newest generation
+	contactLag         time.Duration // how much older its contact is than it could be
+	partitioned        bool          // from the majority, not from the router
+	refusesConnections bool          // dials fail at once
+	blackholed         bool          // dials are never answered
+	olderProgram       bool          // answers no probes and proves nothing
+	unresponsive       bool          // sends nothing
+	sendDelay          time.Duration // added to networkDelay for its messages
+	receiveDelay       time.Duration // added to networkDelay for messages to it
+	generation         int64
+	acks               []uint64 // sequence numbers of updates
+	reports            []protocol.Report
+}
+
+// simulatedConnection is a connection from the decider to an instance. Messages keep their order in both directions.
+type simulatedConnection struct {
+	id                    ConnectionID
+	instance              *simulatedInstance
+	newestEcho            uint64
+	lastUpdate            uint64
+	subscribed            bool
+	closedByRouter        bool
+	closedByInstance      bool
+	lastArrivalAtRouter   time.Time
+	lastArrivalAtInstance time.Time
+}
+
+// scheduledEvent is something that happens at a time: an input of the decider, or an action.
+type scheduledEvent struct {
+	at            time.Time
+	input         Input
+	provenContact time.Time // contact of the instance when it sent the message in input
+	action        func()
+}
+
+// simulatedNetwork runs one decider against instances in simulated time. After each step it checks that FreshAsOf is no later
+// than the newest contact that a received message can prove.
+type simulatedNetwork struct {
+	t                   failer
+	start               time.Time
+	now                 time.Time
+	pausedUntil         time.Time // the router's process is paused until then
+	newestGeneration    int64     // acknowledged; every instance that is not partitioned has it
+	newestProvenContact time.Time // newest contact of an instance when it sent a message that the router has received
+	decider             *Decider
+	out                 Output
+	instances           map[string]*simulatedInstance
+	seeds               []string
+	connections         []*simulatedConnection
+	scheduled           []scheduledEvent
+	nextBeaconAt        time.Time
+	events              []Event
+	followedInOrder     []string // addresses of the instances followed, one after the other; empty: none
+	dials               int
+	probes              int
+	changes             []*Change
+	appliedGeneration   int64
+	applyDelay          time.Duration // how long a change takes to apply
+	applyError          error         // if set, changes fail with it
+	invariant           func()        // checked after each step; may be nil
+}
+
+// newSimulatedNetwork starts a router in zone z1, and instances in epoch 1 that have version 4.
+func newSimulatedNetwork(t failer, addresses ...string) *simulatedNetwork {
 	t.Helper()
 	begin := time.Unix(1_000_000, 0)
 	candidates := NewCandidates("z1", netip.MustParseAddr("10.1.0.9"), rand.New(rand.NewPCG(1, 1)))
-	n := &network{
-		t: t, begin: begin, now: begin, beaconAt: begin, newest: 4, peers: make(map[string]*peer), seeds: addresses,
+	n := &simulatedNetwork{
+		t: t, start: begin, now: begin, nextBeaconAt: begin, newestGeneration: 4, instances: make(map[string]*simulatedInstance), seeds: addresses,
 	}
 	for i, address := range addresses {
-		n.peers[address] = &peer{address: address, clock: time.Duration(i+1) * time.Hour, epoch: 1, generation: 4}
+		n.instances[address] = &simulatedInstance{address: address, clockAtStart: time.Duration(i+1) * time.Hour, epoch: 1, generation: 4}
 	}
 	candidates.SetSeeds(addresses)
 	n.decider = NewDecider(Config{Node: "n", Zone: "z1", Incarnation: 7, TrustTTL: trustTTL}, candidates)
 	return n
 }
 
-// standing is what a peer states now on a connection.
-func (n *network) standing(w *wire) protocol.FreshnessProof {
-	p := w.peer
-	if p.old {
+// freshnessProof is what an instance proves now on a connection.
+func (n *simulatedNetwork) freshnessProof(conn *simulatedConnection) protocol.FreshnessProof {
+	instance := conn.instance
+	if instance.olderProgram {
 		return protocol.FreshnessProof{}
 	}
-	n.touch(p)
-	s := protocol.FreshnessProof{Epoch: p.epoch, SentAt: p.clock + p.elapsed(n.now.Sub(n.begin)), EchoedSequence: w.mark}
-	if !p.contact.IsZero() {
-		s.HasMajorityContact, s.MajorityContactAge = true, p.elapsed(n.now.Sub(p.contact))
+	n.renewContact(instance)
+	s := protocol.FreshnessProof{Epoch: instance.epoch, SentAt: instance.clockAtStart + instance.elapsed(n.now.Sub(n.start)), EchoedSequence: conn.newestEcho}
+	if !instance.majorityContactAt.IsZero() {
+		s.HasMajorityContact, s.MajorityContactAge = true, instance.elapsed(n.now.Sub(instance.majorityContactAt))
 	}
 	return s
 }
 
-// touch keeps a peer's contact up.
-func (n *network) touch(p *peer) {
-	if !p.cut && p.generation == n.newest {
-		p.contact = laterOf(p.contact, n.now.Add(-p.lag))
+// renewContact is an instance's contact with the majority, if it has one now.
+func (n *simulatedNetwork) renewContact(instance *simulatedInstance) {
+	if !instance.partitioned && instance.generation == n.newestGeneration {
+		instance.majorityContactAt = laterOf(instance.majorityContactAt, n.now.Add(-instance.contactLag))
 	}
 }
 
-// elapsed is how long a time lasts by the peer's clock.
-func (p *peer) elapsed(d time.Duration) time.Duration {
-	return d + time.Duration(d.Seconds()*float64(p.drift))
+// elapsed is how long a time lasts by the instance's clock.
+func (instance *simulatedInstance) elapsed(d time.Duration) time.Duration {
+	return d + time.Duration(d.Seconds()*float64(instance.driftPerSecond))
 }
 
-// post sends a message to the decider.
-func (n *network) post(w *wire, message any) {
-	if w.peer.mute || w.broken {
+// sendToRouter sends a message of an instance.
+func (n *simulatedNetwork) sendToRouter(conn *simulatedConnection, message any) {
+	if conn.instance.unresponsive || conn.closedByInstance {
 		return
 	}
-	w.arrives = laterOf(w.arrives, n.now.Add(hop+w.peer.heldUp))
-	n.at(w.arrives, occurrence{input: MessageReceived{Connection: w.id, Message: message}, contact: w.peer.contact})
+	conn.lastArrivalAtRouter = laterOf(conn.lastArrivalAtRouter, n.now.Add(networkDelay+conn.instance.sendDelay))
+	n.schedule(conn.lastArrivalAtRouter, scheduledEvent{input: MessageReceived{Connection: conn.id, Message: message}, provenContact: conn.instance.majorityContactAt})
 }
 
-func (n *network) after(d time.Duration, in Input) { n.at(n.now.Add(d), occurrence{input: in}) }
+func (n *simulatedNetwork) scheduleInput(d time.Duration, in Input) {
+	n.schedule(n.now.Add(d), scheduledEvent{input: in})
+}
 
-func (n *network) at(at time.Time, o occurrence) {
+func (n *simulatedNetwork) schedule(at time.Time, o scheduledEvent) {
 	o.at = at
-	i, _ := slices.BinarySearchFunc(n.coming, at, func(o occurrence, at time.Time) int {
+	i, _ := slices.BinarySearchFunc(n.scheduled, at, func(o scheduledEvent, at time.Time) int {
 		if o.at.After(at) {
 			return 1
 		}
 		return -1
 	})
-	n.coming = slices.Insert(n.coming, i, o)
+	n.scheduled = slices.Insert(n.scheduled, i, o)
 }
 
-func (n *network) step(inputs ...Input) {
+func (n *simulatedNetwork) step(inputs ...Input) {
 	n.t.Helper()
 	before := n.out.Following
 	n.out = n.decider.Step(n.now, inputs...)
 	if !n.out.WakeAt.After(n.now) {
-		n.t.Fatalf("wake at %v, now %v", n.out.WakeAt, n.now)
+		n.t.Fatalf("wake at: got %v, want a time after now, %v", n.out.WakeAt, n.now)
 	}
-	if n.out.FreshAsOf.After(n.told) {
-		n.t.Fatalf("confirmed %v later than anybody told", n.out.FreshAsOf.Sub(n.told))
+	if n.out.FreshAsOf.After(n.newestProvenContact) {
+		n.t.Fatalf("fresh as of: got %v later than the newest contact proven to the router, want no later", n.out.FreshAsOf.Sub(n.newestProvenContact))
 	}
 	n.events = append(n.events, n.out.Events...)
 	if n.out.Following != before {
-		n.moves = append(n.moves, n.out.Following)
+		n.followedInOrder = append(n.followedInOrder, n.out.Following)
 	}
 	for _, dial := range n.out.Dial {
 		n.dial(dial)
 	}
 	for _, send := range n.out.Send {
-		n.send(send)
+		n.sendToInstance(send)
 	}
 	for _, id := range n.out.Close {
-		if w := n.wire(id); w != nil {
-			w.closed = true
+		if conn := n.connection(id); conn != nil {
+			conn.closedByRouter = true
 		}
 	}
 	if change := n.out.Apply; change != nil {
 		n.apply(change)
 	}
 	if n.out.ReadSeeds {
-		n.after(0, SeedsRead{Addresses: n.seeds})
+		n.scheduleInput(0, SeedsRead{Addresses: n.seeds})
 	}
-	if n.check != nil {
-		n.check()
+	if n.invariant != nil {
+		n.invariant()
 	}
 }
 
-func (n *network) dial(dial Dial) {
+func (n *simulatedNetwork) dial(dial Dial) {
 	n.dials++
 	if dial.Address == n.out.Following {
-		n.t.Fatalf("dials %s, which it follows", dial.Address)
+		n.t.Fatalf("dial: got %s, want none to the followed instance", dial.Address)
 	}
-	p := n.peers[dial.Address]
+	instance := n.instances[dial.Address]
 	switch {
-	case p == nil || p.refuses:
-		n.after(hop, ConnectionClosed{Connection: dial.Connection, Err: errors.New("refused")})
-	case !p.gone:
-		n.wires = append(n.wires, &wire{id: dial.Connection, peer: p})
-		n.after(hop, ConnectionOpened{Connection: dial.Connection})
+	case instance == nil || instance.refusesConnections:
+		n.scheduleInput(networkDelay, ConnectionClosed{Connection: dial.Connection, Err: errors.New("refused")})
+	case !instance.blackholed:
+		n.connections = append(n.connections, &simulatedConnection{id: dial.Connection, instance: instance})
+		n.scheduleInput(networkDelay, ConnectionOpened{Connection: dial.Connection})
 	}
 }
 
-func (n *network) send(send Send) {
-	w := n.wire(send.Connection)
-	if w == nil {
+func (n *simulatedNetwork) sendToInstance(send Send) {
+	conn := n.connection(send.Connection)
+	if conn == nil {
 		return
 	}
 	if _, isProbe := send.Message.(protocol.Probe); isProbe {
 		n.probes++
 	}
-	w.reaches = laterOf(w.reaches, n.now.Add(hop+w.peer.heldDown))
-	n.at(w.reaches, occurrence{act: func() {
-		if !w.broken {
-			n.reach(w, send.Message)
+	conn.lastArrivalAtInstance = laterOf(conn.lastArrivalAtInstance, n.now.Add(networkDelay+conn.instance.receiveDelay))
+	n.schedule(conn.lastArrivalAtInstance, scheduledEvent{action: func() {
+		if !conn.closedByInstance {
+			n.receive(conn, send.Message)
 		}
 	}})
 }
 
-// reach is a message that a peer gets.
-func (n *network) reach(w *wire, message any) {
+// receive is the arrival of a message at an instance.
+func (n *simulatedNetwork) receive(conn *simulatedConnection, message any) {
 	switch m := message.(type) {
 	case protocol.Probe:
-		if !w.peer.old {
-			w.mark = max(w.mark, m.EchoSequence)
-			n.post(w, &protocol.ProbeReply{Generation: w.peer.generation, Freshness: n.standing(w)})
+		if !conn.instance.olderProgram {
+			conn.newestEcho = max(conn.newestEcho, m.EchoSequence)
+			n.sendToRouter(conn, &protocol.ProbeReply{Generation: conn.instance.generation, Freshness: n.freshnessProof(conn)})
 		}
 	case protocol.Subscribe:
-		w.mark, w.follows = m.EchoSequence, true
-		whole := !w.peer.cut || w.peer.old
-		n.update(w, protocol.Update{Snapshot: whole, GenerationConfirmed: whole}, m.Generation)
+		conn.newestEcho, conn.subscribed = m.EchoSequence, true
+		snapshot := !conn.instance.partitioned || conn.instance.olderProgram
+		n.sendUpdate(conn, protocol.Update{Snapshot: snapshot, GenerationConfirmed: snapshot}, m.Generation)
 	case protocol.UpdateAck:
-		w.mark = max(w.mark, m.EchoSequence)
-		w.peer.confirms = append(w.peer.confirms, m.Sequence)
+		conn.newestEcho = max(conn.newestEcho, m.EchoSequence)
+		conn.instance.acks = append(conn.instance.acks, m.Sequence)
 	case protocol.Report:
-		w.peer.reports = append(w.peer.reports, m)
+		conn.instance.reports = append(conn.instance.reports, m)
 	}
 }
 
-func (n *network) update(w *wire, u protocol.Update, has int64) {
-	w.sequence++
-	u.Sequence, u.Generation, u.Freshness = w.sequence, w.peer.generation, n.standing(w)
+func (n *simulatedNetwork) sendUpdate(conn *simulatedConnection, u protocol.Update, has int64) {
+	conn.lastUpdate++
+	u.Sequence, u.Generation, u.Freshness = conn.lastUpdate, conn.instance.generation, n.freshnessProof(conn)
 	if has < u.Generation {
 		u.Document = []byte("document")
 	}
-	n.post(w, &u)
+	n.sendToRouter(conn, &u)
 }
 
-func (n *network) apply(change *Change) {
-	n.applies = append(n.applies, change)
-	err := n.refuse
-	n.at(n.now.Add(n.slow), occurrence{input: ChangeApplied{Err: err}})
+func (n *simulatedNetwork) apply(change *Change) {
+	n.changes = append(n.changes, change)
+	err := n.applyError
+	n.schedule(n.now.Add(n.applyDelay), scheduledEvent{input: ChangeApplied{Err: err}})
 	if err == nil && change.Document != nil {
-		n.at(n.now.Add(n.slow), occurrence{act: func() { n.inForce = max(n.inForce, change.Generation) }})
+		n.schedule(n.now.Add(n.applyDelay), scheduledEvent{action: func() { n.appliedGeneration = max(n.appliedGeneration, change.Generation) }})
 	}
 }
 
-func (n *network) wire(id ConnectionID) *wire {
-	for _, w := range n.wires {
-		if w.id == id && !w.closed {
-			return w
+func (n *simulatedNetwork) connection(id ConnectionID) *simulatedConnection {
+	for _, conn := range n.connections {
+		if conn.id == id && !conn.closedByRouter {
+			return conn
 		}
 	}
 	return nil
 }
 
-// run lets time pass.
-func (n *network) run(d time.Duration) {
+// run advances the time, and brings about what is due meanwhile.
+func (n *simulatedNetwork) run(d time.Duration) {
 	n.t.Helper()
 	for end := n.now.Add(d); ; {
-		next := laterOf(laterOf(n.now, n.out.WakeAt), n.frozen)
-		if len(n.coming) > 0 && n.coming[0].at.Before(next) {
-			next = n.coming[0].at
+		next := laterOf(laterOf(n.now, n.out.WakeAt), n.pausedUntil)
+		if len(n.scheduled) > 0 && n.scheduled[0].at.Before(next) {
+			next = n.scheduled[0].at
 		}
-		if n.beaconAt.Before(next) {
-			next = n.beaconAt
+		if n.nextBeaconAt.Before(next) {
+			next = n.nextBeaconAt
 		}
 		if next.After(end) {
 			n.now = end
 			return
 		}
 		n.now = next
-		n.advance()
+		n.runScheduled()
 	}
 }
 
-// advance brings about what is due.
-func (n *network) advance() {
+// runScheduled brings about what is due now. Inputs wait while the router's process is paused.
+func (n *simulatedNetwork) runScheduled() {
 	n.t.Helper()
-	n.beacons()
+	n.sendBeacons()
 	var inputs []Input
-	var asleep []occurrence
-	for len(n.coming) > 0 && !n.coming[0].at.After(n.now) {
-		o := n.coming[0]
-		n.coming = n.coming[1:]
+	var paused []scheduledEvent
+	for len(n.scheduled) > 0 && !n.scheduled[0].at.After(n.now) {
+		o := n.scheduled[0]
+		n.scheduled = n.scheduled[1:]
 		switch {
-		case o.act != nil:
-			o.act()
-		case n.now.Before(n.frozen):
-			asleep = append(asleep, o)
+		case o.action != nil:
+			o.action()
+		case n.now.Before(n.pausedUntil):
+			paused = append(paused, o)
 		default:
 			inputs = append(inputs, o.input)
-			n.told = laterOf(n.told, o.contact)
+			n.newestProvenContact = laterOf(n.newestProvenContact, o.provenContact)
 		}
 	}
-	for _, o := range asleep {
-		n.at(n.frozen, o)
+	for _, o := range paused {
+		n.schedule(n.pausedUntil, o)
 	}
-	if !n.now.Before(n.frozen) && (len(inputs) > 0 || !n.now.Before(n.out.WakeAt)) {
+	if !n.now.Before(n.pausedUntil) && (len(inputs) > 0 || !n.now.Before(n.out.WakeAt)) {
 		n.step(inputs...)
 	}
 }
 
-func (n *network) beacons() {
-	if n.now.Before(n.beaconAt) {
+func (n *simulatedNetwork) sendBeacons() {
+	if n.now.Before(n.nextBeaconAt) {
 		return
 	}
-	n.beaconAt = n.now.Add(beacon)
-	for _, w := range n.wires {
-		if w.follows && !w.closed {
-			n.post(w, &protocol.Beacon{Sequence: w.sequence, Generation: w.peer.generation, Freshness: n.standing(w)})
+	n.nextBeaconAt = n.now.Add(beaconInterval)
+	for _, conn := range n.connections {
+		if conn.subscribed && !conn.closedByRouter {
+			n.sendToRouter(conn, &protocol.Beacon{Sequence: conn.lastUpdate, Generation: conn.instance.generation, Freshness: n.freshnessProof(conn)})
 		}
 	}
 }
 
-// stop ends a peer's process: its connections end, and new ones are refused.
-func (n *network) stop(p *peer) {
-	p.refuses = true
-	n.hangUp(p)
+// stopInstance ends an instance's process: its connections end, and dials are refused.
+func (n *simulatedNetwork) stopInstance(instance *simulatedInstance) {
+	instance.refusesConnections = true
+	n.closeConnections(instance)
 }
 
-// hangUp ends a peer's connections.
-func (n *network) hangUp(p *peer) {
-	for _, w := range n.wires {
-		if w.peer == p && !w.closed && !w.broken {
-			w.broken = true
-			n.after(hop, ConnectionClosed{Connection: w.id, Err: errors.New("reset")})
+// closeConnections ends an instance's connections.
+func (n *simulatedNetwork) closeConnections(instance *simulatedInstance) {
+	for _, conn := range n.connections {
+		if conn.instance == instance && !conn.closedByRouter && !conn.closedByInstance {
+			conn.closedByInstance = true
+			n.scheduleInput(networkDelay, ConnectionClosed{Connection: conn.id, Err: errors.New("reset")})
 		}
 	}
 }
 
-// take has a peer take in a version and send it to the router, if that follows it.
-func (n *network) take(p *peer, generation int64) {
-	had := p.generation
-	p.generation = generation
-	for _, w := range n.wires {
-		if w.peer == p && w.follows && !w.closed {
-			n.update(w, protocol.Update{}, had)
+// setGeneration has an instance receive a version and send it to the router if that is subscribed.
+func (n *simulatedNetwork) setGeneration(instance *simulatedInstance, generation int64) {
+	had := instance.generation
+	instance.generation = generation
+	for _, conn := range n.connections {
+		if conn.instance == instance && conn.subscribed && !conn.closedByRouter {
+			n.sendUpdate(conn, protocol.Update{}, had)
 		}
 	}
 }
 
-// commit makes a version acknowledged, with the peers that are in touch.
-func (n *network) commit() {
-	n.newest++
+// commitConfiguration acknowledges a new version, which all instances have that are not partitioned.
+func (n *simulatedNetwork) commitConfiguration() {
+	n.newestGeneration++
 	for _, address := range n.seeds {
-		if p := n.peers[address]; !p.cut {
-			n.take(p, n.newest)
+		if instance := n.instances[address]; !instance.partitioned {
+			n.setGeneration(instance, n.newestGeneration)
 		}
 	}
 }
 
-// followedWire is the connection to the instance that is followed.
-func (n *network) followedWire() *wire {
+// followedConnection is the connection to the followed instance.
+func (n *simulatedNetwork) followedConnection() *simulatedConnection {
 	n.t.Helper()
-	for _, w := range n.wires {
-		if w.follows && !w.closed && w.peer.address == n.out.Following {
-			return w
+	for _, conn := range n.connections {
+		if conn.subscribed && !conn.closedByRouter && conn.instance.address == n.out.Following {
+			return conn
 		}
 	}
-	n.t.Fatalf("nobody is followed at %v: %v", n.now.Sub(n.begin), n.events)
+	n.t.Fatalf("followed at %v: got none, want an instance; events %v", n.now.Sub(n.start), n.events)
 	return nil
 }
 
-func (n *network) followed() *peer {
+func (n *simulatedNetwork) followedInstance() *simulatedInstance {
 	n.t.Helper()
-	return n.followedWire().peer
+	return n.followedConnection().instance
 }
 
-func (n *network) others(p *peer) []*peer {
-	var others []*peer
+func (n *simulatedNetwork) others(instance *simulatedInstance) []*simulatedInstance {
+	var others []*simulatedInstance
 	for _, address := range n.seeds {
-		if n.peers[address] != p {
-			others = append(others, n.peers[address])
+		if n.instances[address] != instance {
+			others = append(others, n.instances[address])
 		}
 	}
 	return others
 }
 
-// left lists why instances were left.
-func (n *network) left() (reasons []error) {
+// reasonsForLeaving lists the errors with which instances were left.
+func (n *simulatedNetwork) reasonsForLeaving() (reasons []error) {
 	for _, event := range n.events {
 		if e, ok := event.(InstanceLeft); ok {
 			reasons = append(reasons, e.Err)
@@ -401,28 +404,28 @@
 	return reasons
 }
 
-// settled starts a network and lets its router settle.
-func settled(t *testing.T, addresses ...string) *network {
+// newTrustingRouter starts a network and runs it until its router trusts an instance and is ready.
+func newTrustingRouter(t *testing.T, addresses ...string) *simulatedNetwork {
 	t.Helper()
-	n := newNetwork(t, addresses...)
+	n := newSimulatedNetwork(t, addresses...)
 	n.run(3 * time.Second)
 	if !n.out.Trusted || !n.out.Ready {
-		t.Fatalf("%+v after %v", n.out, n.events)
+		t.Fatalf("after 3 s: got %+v, want a trusted instance and ready; events %v", n.out, n.events)
 	}
 	return n
 }
 
-// leaves waits until an instance is left.
-func (n *network) leaves(p *peer, within time.Duration) (after time.Duration) {
+// awaitLeft runs the network until an instance is left, and returns how long that took.
+func (n *simulatedNetwork) awaitLeft(instance *simulatedInstance, timeout time.Duration) (took time.Duration) {
 	n.t.Helper()
-	for begin := n.now; n.out.Following == p.address; {
-		if n.now.Sub(begin) > within {
-			n.t.Fatalf("%s is still followed after %v: %v", p.address, within, n.events)
+	for begin := n.now; n.out.Following == instance.address; {
+		if n.now.Sub(begin) > timeout {
+			n.t.Fatalf("%s: got followed for more than %v, want it left; events %v", instance.address, timeout, n.events)
 		}
 		n.run(time.Millisecond)
-		after = n.now.Sub(begin)
+		took = n.now.Sub(begin)
 	}
-	return after
+	return took
 }
 
-var three = []string{"10.1.0.1:1", "10.2.0.1:1", "10.3.0.1:1"}
+var threeInstances = []string{"10.1.0.1:1", "10.2.0.1:1", "10.3.0.1:1"}
--- a/internal/router/subscription/property_test.go
+++ b/internal/router/subscription/property_test.go
@@ -10,128 +10,130 @@
 	"raventrestle/internal/protocol"
 )
 
-// acknowledgement of a version.
-type acknowledgement struct {
-	generation int64
-	at         time.Time
+// committedVersion is a version that was acknowledged, and when.
+type committedVersion struct {
+	generation  int64
+	committedAt time.Time
 }
 
-// TestAgeIsNeverTooNew plays delays, freezes, cuts, restarts and changes of epoch at random. The network checks ConfirmedAt
-// against the contacts at the times of sending; here it is checked against what was acknowledged, and that nobody is settled
-// with who has lost its majority.
-func TestAgeIsNeverTooNew(t *testing.T) {
+// TestTrustNeverOutlastsTheMajority injects delays, pauses, partitions, restarts and changes of epoch at random. The network
+// checks FreshAsOf against the contacts when messages were sent; here it is checked against what was acknowledged, and that
+// no instance is trusted whose contact with the majority is as old as TrustTTL.
+func TestTrustNeverOutlastsTheMajority(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := newNetwork(t, three...)
-		acknowledged := []acknowledgement{{generation: 4, at: n.begin.Add(-time.Hour)}}
-		for _, p := range n.peers {
-			p.drift = time.Duration(rapid.IntRange(-400, 400).Draw(t, "drift")) * time.Microsecond
+		n := newSimulatedNetwork(t, threeInstances...)
+		acknowledged := []committedVersion{{generation: 4, committedAt: n.start.Add(-time.Hour)}}
+		for _, instance := range n.instances {
+			instance.driftPerSecond = time.Duration(rapid.IntRange(-400, 400).Draw(t, "drift")) * time.Microsecond
 		}
-		n.check = func() {
+		n.invariant = func() {
 			for _, a := range acknowledged {
-				if a.at.Before(n.out.FreshAsOf) && a.generation > n.inForce {
-					t.Fatalf("version %d acknowledged %v before ConfirmedAt, %d is in force", a.generation,
-						n.out.FreshAsOf.Sub(a.at), n.inForce)
+				if a.committedAt.Before(n.out.FreshAsOf) && a.generation > n.appliedGeneration {
+					t.Fatalf("applied: got version %d, want %d, which was acknowledged %v before FreshAsOf",
+						n.appliedGeneration, a.generation, n.out.FreshAsOf.Sub(a.committedAt))
 				}
 			}
-			if p := n.peers[n.out.Following]; n.out.Trusted && n.now.Sub(p.contact) >= trustTTL {
-				t.Fatalf("settled with %s, whose contact is %v old", p.address, n.now.Sub(p.contact))
+			if instance := n.instances[n.out.Following]; n.out.Trusted && n.now.Sub(instance.majorityContactAt) >= trustTTL {
+				t.Fatalf("trusted: got %s, whose contact is %v old, want less than %v", instance.address, n.now.Sub(instance.majorityContactAt), trustTTL)
 			}
 		}
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
-			disturb(t, n, func() {
-				acknowledged = append(acknowledged, acknowledgement{generation: n.newest, at: n.now})
+			injectFault(t, n, func() {
+				acknowledged = append(acknowledged, committedVersion{generation: n.newestGeneration, committedAt: n.now})
 			})
 			n.run(time.Duration(rapid.IntRange(1, 800).Draw(t, "wait")) * time.Millisecond)
 		}
-		heal(n)
+		healAll(n)
 		n.run(6 * time.Second)
-		if !n.out.Trusted || !n.out.Ready || n.inForce != n.newest {
-			t.Fatalf("after all is well: settled %v, ready %v, version %d of %d, follows %q: %v",
-				n.out.Trusted, n.out.Ready, n.inForce, n.newest, n.out.Following, n.events)
+		if !n.out.Trusted || !n.out.Ready || n.appliedGeneration != n.newestGeneration {
+			t.Fatalf("after the faults: got trusted %v, ready %v, version %d, want true, true, %d; follows %q, events %v",
+				n.out.Trusted, n.out.Ready, n.appliedGeneration, n.newestGeneration, n.out.Following, n.events)
 		}
-		most := int(n.now.Sub(n.begin)/minRoundBackoff) * len(three) * 2
-		if n.dials > most || n.probes > most {
-			t.Fatalf("%d dials, %d probes in %v", n.dials, n.probes, n.now.Sub(n.begin))
+		limit := int(n.now.Sub(n.start)/minRoundBackoff) * len(threeInstances) * 2
+		if n.dials > limit || n.probes > limit {
+			t.Fatalf("in %v: got %d dials and %d probes, want %d of each at most", n.now.Sub(n.start), n.dials, n.probes, limit)
 		}
 	})
 }
 
-// disturb brings one trouble about, or ends one.
-func disturb(t *rapid.T, n *network, acknowledge func()) {
-	p := n.peers[rapid.SampledFrom(three).Draw(t, "peer")]
-	held := func() time.Duration { return time.Duration(rapid.IntRange(0, 3000).Draw(t, "held")) * time.Millisecond }
+// injectFault injects a fault, or ends one.
+func injectFault(t *rapid.T, n *simulatedNetwork, acknowledge func()) {
+	instance := n.instances[rapid.SampledFrom(threeInstances).Draw(t, "instance")]
+	duration := func() time.Duration {
+		return time.Duration(rapid.IntRange(0, 3000).Draw(t, "duration")) * time.Millisecond
+	}
 	switch kind := rapid.SampledFrom([]string{
-		"cut", "heal", "stop", "start", "hang up", "held up", "held down",
-		"prompt", "mute", "frozen router", "commit", "epoch", "slow", "gone",
+		"partition", "heal", "stop", "start", "close connections", "send delay", "receive delay",
+		"no delay", "unresponsive", "router paused", "commit", "new epoch", "slow changes", "blackhole",
 	}).Draw(t, "kind"); kind {
-	case "cut":
-		n.touch(p)
-		p.cut = true
+	case "partition":
+		n.renewContact(instance)
+		instance.partitioned = true
 	case "heal":
-		healPeer(n, p)
+		healPartition(n, instance)
 	case "stop":
-		n.stop(p)
+		n.stopInstance(instance)
 	case "start":
-		p.refuses, p.gone = false, false
-	case "hang up":
-		n.hangUp(p)
-	case "held up":
-		p.heldUp = held()
-	case "held down":
-		p.heldDown = held()
-	case "prompt":
-		p.heldUp, p.heldDown, p.mute = 0, 0, false
-	case "mute":
-		p.mute = !p.mute
-	case "frozen router":
-		n.frozen = n.now.Add(held())
+		instance.refusesConnections, instance.blackholed = false, false
+	case "close connections":
+		n.closeConnections(instance)
+	case "send delay":
+		instance.sendDelay = duration()
+	case "receive delay":
+		instance.receiveDelay = duration()
+	case "no delay":
+		instance.sendDelay, instance.receiveDelay, instance.unresponsive = 0, 0, false
+	case "unresponsive":
+		instance.unresponsive = !instance.unresponsive
+	case "router paused":
+		n.pausedUntil = n.now.Add(duration())
 	case "commit":
-		for _, other := range n.peers {
-			n.touch(other)
+		for _, other := range n.instances {
+			n.renewContact(other)
 		}
-		n.commit()
+		n.commitConfiguration()
 		acknowledge()
-	case "epoch":
-		newest := n.epoch() + 1
-		for _, other := range n.peers {
-			if !other.cut {
+	case "new epoch":
+		newest := n.newestEpoch() + 1
+		for _, other := range n.instances {
+			if !other.partitioned {
 				other.epoch = newest
 			}
 		}
-	case "slow":
-		n.slow = held()
-	case "gone":
-		p.gone = true
+	case "slow changes":
+		n.applyDelay = duration()
+	case "blackhole":
+		instance.blackholed = true
 	default:
 		panic(fmt.Sprint("kind ", kind))
 	}
 }
 
-func (n *network) epoch() (newest uint64) {
-	for _, p := range n.peers {
-		newest = max(newest, p.epoch)
+func (n *simulatedNetwork) newestEpoch() (newest uint64) {
+	for _, instance := range n.instances {
+		newest = max(newest, instance.epoch)
 	}
 	return newest
 }
 
-// healPeer brings a peer back to the others, with what they have.
-func healPeer(n *network, p *peer) {
-	if !p.cut {
+// healPartition ends an instance's partition: it receives what the others have, and a complete update follows.
+func healPartition(n *simulatedNetwork, instance *simulatedInstance) {
+	if !instance.partitioned {
 		return
 	}
-	p.cut, p.epoch = false, n.epoch()
-	n.take(p, n.newest)
-	for _, w := range n.wires {
-		if w.peer == p && w.follows && !w.closed {
-			n.update(w, protocol.Update{Snapshot: true, GenerationConfirmed: true}, n.newest)
+	instance.partitioned, instance.epoch = false, n.newestEpoch()
+	n.setGeneration(instance, n.newestGeneration)
+	for _, conn := range n.connections {
+		if conn.instance == instance && conn.subscribed && !conn.closedByRouter {
+			n.sendUpdate(conn, protocol.Update{Snapshot: true, GenerationConfirmed: true}, n.newestGeneration)
 		}
 	}
 }
 
-func heal(n *network) {
-	n.slow = 0
-	for _, p := range n.peers {
-		p.refuses, p.gone, p.mute, p.heldUp, p.heldDown = false, false, false, 0, 0
-		healPeer(n, p)
+func healAll(n *simulatedNetwork) {
+	n.applyDelay = 0
+	for _, instance := range n.instances {
+		instance.refusesConnections, instance.blackholed, instance.unresponsive, instance.sendDelay, instance.receiveDelay = false, false, false, 0, 0
+		healPartition(n, instance)
 	}
 }
--- a/internal/router/subscription/remoteclock.go
+++ b/internal/router/subscription/remoteclock.go
@@ -20,7 +20,7 @@
 // the echo was sent, which gives for each later message a moment of the own clock at which it had not left yet.
 //
 // Invariant: a moment that it returns is never later than the true one, whatever the delays, as long as the clocks run
-// equally fast within maxDriftDivisor. TestTrustNeverOutlastsTheMajority holds it.
+// equally fast within maxDriftDivisor. TestTrustNeverOutlastsTheMajority checks it.
 type remoteClock struct {
 	echoes     []sentEcho // not returned yet, oldest first
 	lastEchoAt time.Time  // when the newest echo was sent, returned or not; zero: send one now
--- a/internal/router/subscription/remoteclock_test.go
+++ b/internal/router/subscription/remoteclock_test.go
@@ -7,79 +7,80 @@
 	"raventrestle/internal/protocol"
 )
 
-func TestAnchor(t *testing.T) {
+// A proof counts once an echo has come back, and then by the instance's clock.
+func TestRemoteClockProvesContacts(t *testing.T) {
 	begin := time.Unix(1000, 0)
 	at := func(d time.Duration) time.Time { return begin.Add(d) }
-	standing := func(mark uint64, clock, age time.Duration) protocol.FreshnessProof {
-		return protocol.FreshnessProof{Epoch: 1, HasMajorityContact: true, EchoedSequence: mark, SentAt: clock, MajorityContactAge: age}
+	proof := func(echo uint64, sentAt, age time.Duration) protocol.FreshnessProof {
+		return protocol.FreshnessProof{Epoch: 1, HasMajorityContact: true, EchoedSequence: echo, SentAt: sentAt, MajorityContactAge: age}
 	}
 	const s = time.Second
 	for name, c := range map[string]struct {
-		marks    map[time.Duration]uint64 // when they were sent
-		now      time.Duration
-		standing protocol.FreshnessProof
-		want     time.Duration // of the contact, before what drift may amount to
-		proves   bool
+		echoes map[time.Duration]uint64 // sequence numbers, by when they were sent
+		now    time.Duration
+		proof  protocol.FreshnessProof
+		want   time.Duration // of the contact, without what the clocks may drift
+		proves bool
 	}{
-		"no mark has come back": {map[time.Duration]uint64{1 * s: 5}, 2 * s, standing(4, 70*s, 0), 0, false},
-		"first mark":            {map[time.Duration]uint64{1 * s: 5}, 2 * s, standing(5, 70*s, s/2), s / 2, true},
-		"late message":          {map[time.Duration]uint64{1 * s: 5}, 9 * s, standing(5, 70*s, 0), 1 * s, true},
+		"no echo has come back": {map[time.Duration]uint64{1 * s: 5}, 2 * s, proof(4, 70*s, 0), 0, false},
+		"first echo":            {map[time.Duration]uint64{1 * s: 5}, 2 * s, proof(5, 70*s, s/2), s / 2, true},
+		"late message":          {map[time.Duration]uint64{1 * s: 5}, 9 * s, proof(5, 70*s, 0), 1 * s, true},
 		"no contact":            {map[time.Duration]uint64{1 * s: 5}, 2 * s, protocol.FreshnessProof{EchoedSequence: 5, SentAt: 70 * s}, 0, false},
-		"negative age":          {map[time.Duration]uint64{1 * s: 5}, 2 * s, standing(5, 70*s, -s), 0, false},
-		"endless age":           {map[time.Duration]uint64{1 * s: 5}, 2 * s, standing(5, 70*s, 1<<62), 0, false},
+		"negative age":          {map[time.Duration]uint64{1 * s: 5}, 2 * s, proof(5, 70*s, -s), 0, false},
+		"implausible age":       {map[time.Duration]uint64{1 * s: 5}, 2 * s, proof(5, 70*s, 1<<62), 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var a remoteClock
-			for sent, number := range c.marks {
-				a.echoSent(number, at(sent))
+			var clock remoteClock
+			for sent, number := range c.echoes {
+				clock.echoSent(number, at(sent))
 			}
-			contact, ok := a.majorityContact(at(c.now), c.standing)
+			contact, ok := clock.majorityContact(at(c.now), c.proof)
 			if ok != c.proves {
-				t.Fatalf("proves %v", ok)
+				t.Fatalf("proves a contact: got %v, want %v", ok, c.proves)
 			}
 			allowance := c.now / maxDriftDivisor * 2
 			if ok && (contact.After(at(c.want)) || contact.Before(at(c.want-allowance))) {
-				t.Errorf("contact %v, want %v", contact.Sub(begin), c.want)
+				t.Errorf("contact: got %v, want %v, or less by %v at most", contact.Sub(begin), c.want, allowance)
 			}
 		})
 	}
 }
 
-// What comes later is placed by the instance's clock, not by when it came.
-func TestAnchorPlacesLaterMessages(t *testing.T) {
+// A later message is placed by the instance's clock, not by when it was received.
+func TestRemoteClockPlacesMessagesByWhenTheyWereSent(t *testing.T) {
 	begin := time.Unix(1000, 0)
-	var a remoteClock
-	a.echoSent(1, begin)
-	a.majorityContact(begin.Add(time.Millisecond), protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 1, SentAt: time.Hour})
+	var clock remoteClock
+	clock.echoSent(1, begin)
+	clock.majorityContact(begin.Add(time.Millisecond), protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 1, SentAt: time.Hour})
 	late := protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 1, SentAt: time.Hour + 2*time.Second, MajorityContactAge: time.Second / 2}
-	contact, ok := a.majorityContact(begin.Add(10*time.Second), late)
+	contact, ok := clock.majorityContact(begin.Add(10*time.Second), late)
 	if want := begin.Add(1500 * time.Millisecond); !ok || contact.After(want) || want.Sub(contact) > 20*time.Millisecond {
-		t.Errorf("contact %v, %v", contact.Sub(begin), ok)
+		t.Errorf("contact: got %v, %v; want %v, or less by 20 ms at most, and true", contact.Sub(begin), ok, want.Sub(begin))
 	}
 	ahead := protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 1, SentAt: time.Hour + 20*time.Second}
-	if _, ok := a.majorityContact(begin.Add(11*time.Second), ahead); ok || a.synced || !a.echoDue(begin.Add(11*time.Second)) {
-		t.Error("a message from the future proves something")
+	if _, ok := clock.majorityContact(begin.Add(11*time.Second), ahead); ok || clock.synced || !clock.echoDue(begin.Add(11*time.Second)) {
+		t.Errorf("message from the future: got a contact %v, synced %v, want neither, and an echo due", ok, clock.synced)
 	}
 }
 
-// An exact anchor is kept for some time; then any newer one is taken, and without one nothing is proved.
-func TestAnchorIsReplaced(t *testing.T) {
+// An exact sync is kept for a while; then any newer one replaces it, and without one nothing is proved.
+func TestRemoteClockIsSyncedAgain(t *testing.T) {
 	begin := time.Unix(1000, 0)
-	var a remoteClock
-	a.echoSent(1, begin)
-	a.majorityContact(begin, protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 1, SentAt: 0})
-	a.echoSent(2, begin.Add(clockSyncRefresh/2))
-	a.majorityContact(begin.Add(clockSyncRefresh/2+time.Second), protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 2, SentAt: clockSyncRefresh/2 + time.Second})
-	if !a.zero.Equal(begin) {
-		t.Errorf("an inexact anchor took the place of an exact one: %v", a.zero.Sub(begin))
+	var clock remoteClock
+	clock.echoSent(1, begin)
+	clock.majorityContact(begin, protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 1, SentAt: 0})
+	clock.echoSent(2, begin.Add(clockSyncRefresh/2))
+	clock.majorityContact(begin.Add(clockSyncRefresh/2+time.Second), protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 2, SentAt: clockSyncRefresh/2 + time.Second})
+	if !clock.zero.Equal(begin) {
+		t.Errorf("less exact sync: got a zero of %v, want that of the exact one, 0", clock.zero.Sub(begin))
 	}
-	a.echoSent(3, begin.Add(clockSyncRefresh))
-	a.majorityContact(begin.Add(clockSyncRefresh+time.Second), protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 3, SentAt: clockSyncRefresh + time.Second})
-	if a.zero.Equal(begin) {
-		t.Error("an old anchor was kept")
+	clock.echoSent(3, begin.Add(clockSyncRefresh))
+	clock.majorityContact(begin.Add(clockSyncRefresh+time.Second), protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 3, SentAt: clockSyncRefresh + time.Second})
+	if clock.zero.Equal(begin) {
+		t.Error("newer sync: got the zero of the old one, want another")
 	}
 	end := begin.Add(clockSyncRefresh + clockSyncTTL)
-	if _, ok := a.majorityContact(end.Add(time.Second), protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 3, SentAt: clockSyncRefresh + clockSyncTTL}); ok {
-		t.Error("proof without a newer mark")
+	if _, ok := clock.majorityContact(end.Add(time.Second), protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 3, SentAt: clockSyncRefresh + clockSyncTTL}); ok {
+		t.Error("after clockSyncTTL: got a contact, want none without a newer echo")
 	}
 }
--- a/internal/router/subscription/selection.go
+++ b/internal/router/subscription/selection.go
@@ -41,7 +41,7 @@
 func (d *Decider) bestTrusted(now time.Time, s *search) *probe {
 	var best *probe
 	for _, p := range s.probes {
-		if p.state == probeDialing || p.epoch < d.newestEpoch || !d.trusted(now, &p.instanceConnection) || !d.worthMoving(now, s, p) {
+		if p.state == probeDialing || p.epoch < d.newestEpoch || !d.trusted(now, &p.instanceConnection) || !d.justifiesMove(now, s, p) {
 			continue
 		}
 		if best == nil || d.compareTrusted(now, p, best) > 0 {
@@ -61,8 +61,8 @@
 	return cmp.Or(byMargin, cmp.Compare(a.proximity, b.proximity), a.majorityContactAt.Compare(b.majorityContactAt))
 }
 
-// worthMoving says whether a trusted instance is worth leaving the followed one for.
-func (d *Decider) worthMoving(now time.Time, s *search, p *probe) bool {
+// justifiesMove says whether a trusted instance is worth leaving the followed one for.
+func (d *Decider) justifiesMove(now time.Time, s *search, p *probe) bool {
 	f := d.followed
 	switch {
 	case s.zoneLocal:
--- a/internal/router/subscription/trust.go
+++ b/internal/router/subscription/trust.go
@@ -10,7 +10,7 @@
 //	from TrustTTL on      not trusted: all instances are probed, and the router moves to one that it trusts
 //
 // Invariant: the moment of contact is never later than the true one (remoteClock), so an instance is never trusted for
-// longer than Config.TrustTTL after it lost its majority. TestTrustNeverOutlastsTheMajority holds it.
+// longer than Config.TrustTTL after it lost its majority. TestTrustNeverOutlastsTheMajority checks it.
 
 const (
 	// earlyProbeDivisor: the followed instance is probed for a newer proof this part of TrustTTL before trust in it
