--- a/internal/control/controller/barrier.go
+++ b/internal/control/controller/barrier.go
@@ -13,8 +13,8 @@
 	barrierBackoff = 200 * time.Millisecond // after a failed barrier
 )
 
-// barrierState keeps barriers apart. A barrier passes through the chain on behalf of all routers that subscribed
-// before it started, so one at a time is enough.
+// barrierState allows one barrier at a time. A barrier passes through the chain on behalf of all routers that subscribed
+// before it started, so one is enough.
 type barrierState struct {
 	inFlight bool
 	retryAt  time.Time // none may start before; zero: one may start at once
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -116,7 +116,7 @@
 	c.out.WakeAt = mergeWakes(wakeAt, endpoints)
 }
 
-// tableAt gives the hub the table of endpoints as it is while the step lasts.
+// tableAt gives the hub the table of endpoints as it is during the step.
 func (c *Controller) tableAt(now time.Time) distribution.Table {
 	return func(includeTombstones bool) []protocol.Endpoint {
 		if includeTombstones {
--- a/internal/control/controller/input.go
+++ b/internal/control/controller/input.go
@@ -38,7 +38,7 @@
 	Newest() (generation int64, document []byte)
 }
 
-// ReadReplicatedState reads the status first and then the configuration: so the configuration holds everything that
+// ReadReplicatedState reads the status first and then the configuration: so the configuration has everything that
 // was acknowledged anywhere before the status' ConfirmedAt.
 func ReadReplicatedState(member StatusReader, configurations Configurations) ReplicatedState {
 	state := ReplicatedState{Status: member.Status()}
--- a/internal/control/controller/model_test.go
+++ b/internal/control/controller/model_test.go
@@ -8,7 +8,7 @@
 	"raventrestle/internal/protocol"
 )
 
-// acknowledged holds an answer to an endpoint against what the routers have.
+// acknowledged checks an answer to an endpoint by what the routers have.
 func (w *world) acknowledged(n int, answer Answer) {
 	ticket := answer.Caller.(uint64)
 	call, waits := w.calls[ticket]
@@ -83,7 +83,7 @@
 	}
 }
 
-// compare holds one table against the state of the endpoints that exist.
+// compare checks one table by the state of the endpoints that exist.
 func (w *world) compare(who string, want map[string]protocol.EndpointState, table []protocol.Endpoint) {
 	found := make(map[string]bool)
 	for _, e := range table {
--- a/internal/control/controller/replica.go
+++ b/internal/control/controller/replica.go
@@ -77,7 +77,7 @@
 	return confirmedAt.IsZero() || now.Sub(confirmedAt) > isolatedAfter
 }
 
-// headOf returns the address of the chain's head, which leads the singleton roles while its lease lasts.
+// headOf returns the address of the chain's head, which leads the singleton roles during its lease.
 func headOf(status replica.Status) string {
 	if len(status.View.Chain) == 0 {
 		return ""
--- a/internal/control/distribution/size_test.go
+++ b/internal/control/distribution/size_test.go
@@ -12,6 +12,7 @@
 
 // hubAtSize is one of 15 instances with its 56 of 830 routers.
 func hubAtSize(b *testing.B) (*Hub, time.Time, Table) {
+	b.Helper()
 	endpoints := sizetest.Table()
 	table := func(bool) []protocol.Endpoint { return endpoints }
 	now := time.Unix(0, 0)
@@ -35,6 +36,7 @@
 
 // encoded is how the host sends: each message on its own.
 func encoded(b *testing.B, out Output) (bytes int) {
+	b.Helper()
 	codec := protocol.NewCodec()
 	for _, send := range out.Messages {
 		frame, err := codec.Encode(send.Content)
--- a/internal/control/distribution/standing.go
+++ b/internal/control/distribution/standing.go
@@ -13,7 +13,7 @@
 	contactPollInterval = 50 * time.Millisecond // between steps while routers wait for a fresh contact
 )
 
-// fresh says whether this instance has had contact with a majority of the voters within ContactTTL.
+// fresh says whether this instance has had contact with a majority of the voters in the last ContactTTL.
 func (h *Hub) fresh(now time.Time) bool {
 	return !h.contact.ConfirmedAt.IsZero() && now.Sub(h.contact.ConfirmedAt) <= ContactTTL
 }
--- a/internal/control/host/frames.go
+++ b/internal/control/host/frames.go
@@ -26,7 +26,7 @@
 // frames makes frames of updates and encodes a list of endpoints once, however many routers get it in a row.
 type frames struct {
 	codec  *transport.Codec
-	tables encodedList // whole tables
+	tables encodedList // of snapshots
 	deltas encodedList
 }
 
--- a/internal/control/host/output.go
+++ b/internal/control/host/output.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// sendRouter closes the connection of a router that reads too slowly, or is gone: it subscribes again.
+// sendRouter closes the connection of a router that reads too slowly or has closed it: the router subscribes again.
 func (h *Host) sendRouter(message controller.RouterMessage) {
 	connection := message.Connection.(*transport.Connection)
 	if err := h.sendOn(connection, message.Message); err != nil {
--- a/internal/control/host/standing_test.go
+++ b/internal/control/host/standing_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestConfirmedMomentOutlivesTheEpoch: the replica proves nothing in the first moments of an epoch. What it proved
-// before holds on, for whoever asks the host.
+// before stays true, for all who ask the host.
 func TestConfirmedMomentOutlivesTheEpoch(t *testing.T) {
 	double := replicatest.New(nil, replica.Status{View: replica.View{Epoch: 4}})
 	fake := &fakeDependencies{}
--- a/internal/systemsim/client.go
+++ b/internal/systemsim/client.go
@@ -1,22 +1,20 @@
 package systemsim
 
-import (
-	"time"
-)
+import "time"
 
-// Times of callers.
+// Times and bounds of clients.
 const (
 	callTimeout     = time.Second
 	minRetryBackoff = 50 * time.Millisecond
 	maxRetryBackoff = 400 * time.Millisecond
 	maxAttempts     = 10
-	drainTimeout    = 6 * time.Second // of an endpoint whose draining nobody acknowledges
+	drainTimeout    = 6 * time.Second // an endpoint whose drain nobody acknowledges deregisters then
 )
 
-// client is a machine beside the world's processes that calls instances.
+// client is a machine that calls instances: an operator's or an endpoint's.
 type client struct {
 	process
-	preferred  *instance // asked first, if set
+	preferred  *instance // called at the first attempt, if set
 	isOperator bool
 }
 
@@ -24,9 +22,9 @@
 	return client{process: process{world: w, address: name, zone: zone, running: true, powered: true}}
 }
 
-// target chooses an instance for a try.
-func (c *client) target(try int) *instance {
-	if c.preferred != nil && try == 0 {
+// target chooses an instance for an attempt; the first is 0.
+func (c *client) target(attempt int) *instance {
+	if c.preferred != nil && attempt == 0 {
 		return c.preferred
 	}
 	return c.world.instances[c.world.random.IntN(len(c.world.instances))]
--- a/internal/systemsim/connectivity.go
+++ b/internal/systemsim/connectivity.go
@@ -8,13 +8,14 @@
 	"raventrestle/coordination/view"
 )
 
-// isBound tells whether a router is bound by the rules with a time bound.
+// isBound says whether the rules with time bounds hold for a router: it and the instances have been without faults for
+// livenessBound, and the instances are stable.
 func (w *World) isBound(r *router) bool {
 	since := max(r.faultAt, r.pathSince, w.network.degradedAt, w.newestInstanceFault())
 	return since != never && w.Now()-since >= livenessBound && w.model.majoritySince != never
 }
 
-// newestInstanceFault is when the instances and their links were disturbed last.
+// newestInstanceFault returns when a fault of an instance or of a link between instances last began or ended.
 func (w *World) newestInstanceFault() time.Duration {
 	at := w.network.instanceLinksAt
 	for _, i := range w.instances {
@@ -23,7 +24,7 @@
 	return at
 }
 
-// observeConnectivity works out anew who reaches whom.
+// observeConnectivity derives who reaches whom, and since when.
 func (w *World) observeConnectivity() {
 	now := w.Now()
 	for _, i := range w.instances {
@@ -39,10 +40,10 @@
 	}
 }
 
-// since keeps the time from which on something holds.
-func since(former, now time.Duration, holds bool) time.Duration {
+// since keeps the time from which on a condition is true; never: it is not.
+func since(former, now time.Duration, condition bool) time.Duration {
 	switch {
-	case !holds:
+	case !condition:
 		return never
 	case former == never:
 		return now
@@ -52,7 +53,7 @@
 
 func (i *instance) up() bool { return i.running && !i.frozen }
 
-// reachesMajority tells whether the instance has paths to more than half of all instances.
+// reachesMajority says whether the instance has paths to more than half of all instances.
 func (w *World) reachesMajority(i *instance) bool {
 	reached := 0
 	for _, other := range w.instances {
@@ -63,6 +64,7 @@
 	return 2*reached > len(w.instances)
 }
 
+// reachesAll says whether a router has paths to all instances that reach a majority.
 func (w *World) reachesAll(r *router) bool {
 	if !r.running || r.frozen {
 		return false
@@ -72,12 +74,12 @@
 	})
 }
 
-// reachability is which part of the group messages can go to and come back from, by any detour. A frozen process counts: it
-// answers once it thaws.
+// reachability says which part of the group messages of an instance reach and come back from, over any others. A frozen
+// process counts: it answers once it thaws.
 type reachability struct {
 	majority bool // of the voters
-	chain    bool // all its members, also those that may start again: they alone commit, whatever other voters do
-	anybody  bool // is heard
+	chain    bool // all members, also those that may start again: they commit alone, whatever the other voters do
+	anybody  bool // messages of another instance arrive
 }
 
 func (w *World) reachabilityOf(i *instance) reachability {
@@ -95,7 +97,7 @@
 	}
 }
 
-// newestView is the view of the highest epoch that any instance has told of.
+// newestView returns the view of the highest epoch that any instance has published.
 func (w *World) newestView() view.View {
 	newest := w.instances[0]
 	for _, i := range w.instances {
@@ -106,23 +108,23 @@
 	return newest.status.View
 }
 
-// countMembers counts the members whose present process holds. One that has lost its disk is none any more.
-func (w *World) countMembers(members []view.Member, holds func(i *instance) bool) int {
+// countMembers counts the members for whose instances a condition is true. One that lost its disk is no member any more.
+func (w *World) countMembers(members []view.Member, condition func(i *instance) bool) int {
 	count := 0
 	for _, member := range members {
-		if i := w.instanceAt(member.Address); i != nil && i.status.Self.Identity == member.Identity && holds(i) {
+		if i := w.instanceAt(member.Address); i != nil && i.status.Self.Identity == member.Identity && condition(i) {
 			count++
 		}
 	}
 	return count
 }
 
-func (w *World) isMajority(voters []view.Member, holds func(i *instance) bool) bool {
-	return len(voters) == 0 || 2*w.countMembers(voters, holds) > len(voters)
+func (w *World) isMajority(voters []view.Member, condition func(i *instance) bool) bool {
+	return len(voters) == 0 || 2*w.countMembers(voters, condition) > len(voters)
 }
 
-// stable tells whether more than half of the instances run and are all connected with each other, a majority of the
-// voters among them: a disk that was lost takes a while to be made up for.
+// stable says whether more than half of the instances run and are all connected with each other, a majority of the voters
+// among them: it takes a while until a lost disk is replaced.
 func (w *World) stable() bool {
 	for set := range 1 << len(w.instances) {
 		if 2*bits.OnesCount(uint(set)) > len(w.instances) && w.connected(set) {
@@ -135,6 +137,7 @@
 	return false
 }
 
+// connected says whether all instances of a set, one bit for each, run and have paths to each other.
 func (w *World) connected(set int) bool {
 	for n, a := range w.instances {
 		for m, b := range w.instances {
@@ -147,7 +150,7 @@
 	return true
 }
 
-// reachableFrom gathers who is reached from one instance over others.
+// reachableFrom returns which instances are reached from one, over others.
 func (w *World) reachableFrom(from *instance, passes func(a, b *instance) bool) map[*instance]bool {
 	reached := map[*instance]bool{from: true}
 	list := []*instance{from}
--- a/internal/systemsim/endpoint.go
+++ b/internal/systemsim/endpoint.go
@@ -13,9 +13,9 @@
 	id          string
 	sequence    uint64
 	state       protocol.EndpointState
-	ended       bool
-	attempts    int
-	endingSince time.Duration // it says that it ends
+	ended       bool // it sends no heartbeats any more
+	attempts    int  // since the newest accepted call
+	endingSince time.Duration
 }
 
 func (w *World) addEndpoint() {
@@ -30,27 +30,27 @@
 	w.After(w.between(4*time.Second, 25*time.Second), e.end)
 }
 
-// sendHeartbeat says how the endpoint is, and asks another instance where nobody answers.
+// sendHeartbeat sends the endpoint's state, with attempts at other instances until one accepts it.
 func (e *endpoint) sendHeartbeat() {
 	if e.ended {
 		return
 	}
 	w := e.world
 	e.sequence++
-	told := protocol.Endpoint{
+	reported := protocol.Endpoint{
 		ID: e.id, Service: "s", Address: e.address, Zone: zoneName(e.zone), State: e.state,
 		Sequence: e.sequence, Slots: 4,
 	}
 	to := e.target(e.attempts)
 	e.attempts++
-	ask := func(answer func(any)) { to.heartbeat(told, answer) }
+	ask := func(answer func(any)) { to.heartbeat(reported, answer) }
 	w.network.call(&e.process, &to.process, callTimeout, ask, func(result any) {
-		taken, _ := result.(bool)
+		accepted, _ := result.(bool)
 		switch {
 		case e.ended:
-		case taken && told.State == protocol.Draining:
+		case accepted && reported.State == protocol.Draining:
 			e.acknowledged()
-		case taken:
+		case accepted:
 			e.attempts = 0
 			if e.state == protocol.Draining {
 				e.sendHeartbeat()
@@ -63,7 +63,7 @@
 	})
 }
 
-// end ends the endpoint: it drains, or says at once that it leaves, or crashes. Another one takes its place.
+// end ends the endpoint: it drains, or deregisters at once, or crashes. Another one takes its place.
 func (e *endpoint) end() {
 	w := e.world
 	if w.finishing {
@@ -92,7 +92,7 @@
 	}
 }
 
-// acknowledged: the endpoint serves on for a while and then says that it leaves.
+// acknowledged takes in that the drain is acknowledged: the endpoint goes on for a while and then deregisters.
 func (e *endpoint) acknowledged() {
 	w := e.world
 	e.ended = true
@@ -100,16 +100,16 @@
 	w.After(w.between(drainBound, drainBound+2*time.Second), e.deregister)
 }
 
-// deregister says that the endpoint ends, until that is acknowledged.
+// deregister has the endpoint removed, with attempts until an instance acknowledges that.
 func (e *endpoint) deregister() {
 	w := e.world
 	to := e.target(e.attempts)
 	e.attempts++
 	ask := func(answer func(any)) { to.deregister(e.id, answer) }
 	w.network.call(&e.process, &to.process, callTimeout, ask, func(result any) {
-		taken, _ := result.(bool)
+		accepted, _ := result.(bool)
 		switch {
-		case taken:
+		case accepted:
 			w.recordDrain(e)
 		case w.Now()-e.endingSince < 2*drainTimeout:
 			w.After(w.between(minRetryBackoff, maxRetryBackoff), e.deregister)
--- a/internal/systemsim/faults.go
+++ b/internal/systemsim/faults.go
@@ -1,14 +1,14 @@
 package systemsim
 
-import (
-	"time"
-)
+import "time"
 
-// injectFaults has troubles begin and end at random until a time.
+// injectFaults has faults begin and end at random until a time.
 func (w *World) injectFaults(until time.Duration) {
 	kinds := []func(){
-		w.partitionOne, w.partitionOne, w.partitionOne, w.partitionAndRestart, w.partitionAndRestart, w.partitionPreferred, w.partitionLink, w.partitionRouter,
-		w.crashOne, w.crashSome, w.crashAll, w.freezeOne, w.freezeOne, w.losePowerOne, w.losePowerAll, w.loseDisk, w.loseDisk,
+		w.partitionOne, w.partitionOne, w.partitionOne, w.partitionAndRestart, w.partitionAndRestart,
+		w.partitionPreferred, w.partitionLink, w.partitionRouter,
+		w.crashOne, w.crashSome, w.crashAll, w.freezeOne, w.freezeOne,
+		w.losePowerOne, w.losePowerAll, w.loseDisk, w.loseDisk,
 		w.crashRouter, w.freezeRouter, w.degradeLinks, w.slowDisk, w.fillDisk, w.shutDownOne,
 	}
 	var next func()
@@ -19,16 +19,16 @@
 		if w.Now() >= w.noFaultBefore {
 			kinds[w.random.IntN(len(kinds))]()
 		}
-		pause := w.between(50*time.Millisecond, 2*time.Second)
+		wait := w.between(50*time.Millisecond, 2*time.Second)
 		if w.oneIn(2) {
-			pause = w.between(3*time.Second, 8*time.Second)
+			wait = w.between(3*time.Second, 8*time.Second)
 		}
-		w.After(pause, next)
+		w.After(wait, next)
 	}
 	next()
 }
 
-// healAll ends all troubles.
+// healAll ends all faults: links work, and all processes run.
 func (w *World) healAll() {
 	w.tracef("all heals")
 	for _, heal := range w.healPartitions {
@@ -54,7 +54,7 @@
 
 func (w *World) randomRouter() *router { return w.routers[w.random.IntN(len(w.routers))] }
 
-// head is the head of the newest view that is known, or any instance.
+// head returns the head of the newest view that is known, or, without one, any instance.
 func (w *World) head() *instance {
 	chain := w.newestView().Chain
 	if len(chain) == 0 {
@@ -63,7 +63,7 @@
 	return w.instanceAt(chain[0].Address)
 }
 
-// headOrAny is the head in two of three cases.
+// headOrAny returns the head in two of three cases, else any instance.
 func (w *World) headOrAny() *instance {
 	if w.oneIn(3) {
 		return w.randomInstance()
--- a/internal/systemsim/history.go
+++ b/internal/systemsim/history.go
@@ -1,22 +1,20 @@
 package systemsim
 
-import (
-	"time"
-)
+import "time"
 
-// Times of a history.
+// Phases of a history.
 const (
 	startupTime  = 4 * time.Second
 	faultTime    = 25 * time.Second
-	recoveryTime = 7 * time.Second // after all has healed
+	recoveryTime = 7 * time.Second // without faults, at the end
 )
 
-// SetupOf is the setup of a seed's history.
+// SetupOf returns the setup of a seed's history.
 func SetupOf(seed uint64) Setup {
 	return Setup{Seed: seed, Instances: 3 + int(seed%3), Routers: 4, Endpoints: 4, Operators: 2}
 }
 
-// Simulate plays a history and returns the world and what was broken first.
+// Simulate simulates a history and returns its end and the first violation, if any.
 func Simulate(setup Setup) (*World, error) {
 	w := NewWorld(setup)
 	if err := w.Run(startupTime); err != nil {
@@ -29,7 +27,7 @@
 	return w, w.Finish()
 }
 
-// Finish heals everything and checks that all processes come to what was acknowledged.
+// Finish heals all faults and checks that all processes then have what was acknowledged.
 func (w *World) Finish() error {
 	w.finishing = true
 	w.healAll()
@@ -48,7 +46,7 @@
 	return w.Run(time.Second)
 }
 
-// readBack checks that an instance gives the newest version at the end.
+// readBack checks that an instance answers with the newest version, in 0.9 s.
 func (w *World) readBack(i *instance, newest int64) {
 	answered := false
 	i.read(func(result any) {
--- a/internal/systemsim/host.go
+++ b/internal/systemsim/host.go
@@ -16,7 +16,7 @@
 	owner      *instance
 	controller *controller.Controller
 	events     []controller.Event
-	stepAt     time.Duration // world time of the planned step; zero: none is planned
+	stepAt     time.Duration // virtual time of the planned step; zero: none is planned
 }
 
 func newHost(i *instance) host {
@@ -47,6 +47,7 @@
 	h.scheduleStep(h.owner.world.between(10*time.Microsecond, 500*time.Microsecond))
 }
 
+// step has the controller take in the events so far.
 func (h *host) step() {
 	h.owner.countStep()
 	events := h.events
@@ -87,17 +88,19 @@
 // waitingCall ends an endpoint's call; it takes whether the instance accepted it.
 type waitingCall func(accepted bool)
 
+// startBarrier starts a barrier of the replica and posts its end.
 func (h *host) startBarrier(number uint64) {
 	h.owner.submit(engine.Input{Barrier: true}, controller.BarrierTimeout, func(result engine.Result) {
 		h.post(controller.BarrierFinished{Number: number, Succeeded: result.Err == nil})
 	})
 }
 
-// heartbeat and deregister are endpoints' calls.
+// heartbeat posts an endpoint's heartbeat.
 func (h *host) heartbeat(endpoint protocol.Endpoint, answer waitingCall) {
 	h.post(controller.HeartbeatReceived{Caller: answer, Endpoint: endpoint})
 }
 
+// deregister posts an endpoint's deregistration.
 func (h *host) deregister(id string, answer waitingCall) {
 	h.post(controller.DeregistrationReceived{Caller: answer, ID: id})
 }
--- a/internal/systemsim/instance.go
+++ b/internal/systemsim/instance.go
@@ -14,37 +14,38 @@
 	"raventrestle/internal/protocol"
 )
 
-// Times of an instance's process.
+// Times of an instance.
 const (
 	syncDuration    = 5 * time.Millisecond
 	proposalTimeout = 800 * time.Millisecond
 	roleInterval    = 50 * time.Millisecond
-	readyGrace      = 2 * time.Second // until an instance without a majority acknowledges no heartbeat of a ready endpoint
+	readyGrace      = 2 * time.Second // an isolated instance acknowledges heartbeats of ready endpoints no longer
 )
 
-// instance is one control instance: a replica with its disk, the controller for routers and endpoints, and the roles.
+// instance is one control instance: a replica with its disk, the controller for routers and endpoints, and the leadership
+// of the singleton roles.
 type instance struct {
 	process
 	disk       *modeldisk.Disk
 	engine     *engine.Engine
 	machine    *state.Machine
-	status     replica.Status // as the replica published it last
+	status     replica.Status // published last
 	leadership *roles.Leadership
 	role       roles.LeadershipOutput
 	host       host
 	mesh       mesh
 
 	inbox     []engine.Input
-	stepAt    time.Duration // of the planned step, world time; zero: none is planned
-	busyUntil time.Duration // until then the replica waits for its disk
-	syncDelay time.Duration // what a step's syncs take longer
-	calls     map[uint64]func(engine.Result)
-	token     uint64
-
-	reachesMajority  bool          // it reaches more than half of all instances
-	isolatedSince    time.Duration // since when it has no way to a majority of the voters and back; never: it has
-	partitionedSince time.Duration // since when it has none to the whole chain either; never: it has
-	hearsNobodySince time.Duration // since when no other instance is heard; never: one is
+	stepAt    time.Duration                  // virtual time of the planned step; zero: none is planned
+	busyUntil time.Duration                  // the replica waits for its disk until then
+	syncDelay time.Duration                  // added to a step's syncs: see slowDisk
+	calls     map[uint64]func(engine.Result) // by number
+	callID    uint64                         // of the newest call
+
+	reachesMajority  bool          // it has paths to more than half of all instances
+	isolatedSince    time.Duration // since when messages to and from a majority of the voters have no way; never: they have
+	partitionedSince time.Duration // since when those to and from all of the chain have none either; never: they have
+	hearsNobodySince time.Duration // since when no message of another instance can arrive; never: one can
 }
 
 func newInstance(w *World, number int) *instance {
@@ -57,11 +58,13 @@
 	return i
 }
 
+// zoneName returns the name of a zone, from 0 on.
 func zoneName(zone int) string { return fmt.Sprintf("zone-%d", zone) }
 
-// zones that machines are spread over.
+// zones is how many zones machines are spread over.
 const zones = 3
 
+// seedAddresses returns the addresses of the seeds.
 func (w *World) seedAddresses() []string {
 	var list []string
 	for _, i := range w.instances[:min(seedInstances, len(w.instances))] {
@@ -70,6 +73,7 @@
 	return list
 }
 
+// instanceAt returns the instance with an address; nil: there is none.
 func (w *World) instanceAt(address string) *instance {
 	for _, i := range w.instances {
 		if i.address == address {
@@ -79,7 +83,7 @@
 	return nil
 }
 
-// start starts the process on the disk as it is.
+// start starts the process on the disk as it is, unless it runs.
 func (i *instance) start(bootstrap bool) {
 	w := i.world
 	if i.running || w.failure != nil {
@@ -108,6 +112,7 @@
 	i.stepRolePeriodically()
 }
 
+// down ends the process; without power its kernel ends too.
 func (i *instance) down(power bool) {
 	if !i.running {
 		return
@@ -116,16 +121,16 @@
 	i.engine = nil
 }
 
-// crash ends the process; the files stand.
+// crash ends the process by force; its files stay.
 func (i *instance) crash() {
 	if i.running && !i.world.finishing {
-		i.world.tracef("%s is killed", i.address)
+		i.world.tracef("%s crashes", i.address)
 		i.down(true)
 		i.disk = i.disk.AfterKill()
 	}
 }
 
-// losePower ends the process; the disk keeps what was synced and some of the rest.
+// losePower ends the process; its disk keeps what was synced and some of the rest.
 func (i *instance) losePower() {
 	if i.running {
 		i.world.tracef("%s loses power", i.address)
@@ -141,7 +146,7 @@
 	i.disk = modeldisk.New()
 }
 
-// receive takes what came on a stream.
+// receive gives a message to the replica or to the controller.
 func (i *instance) receive(s *stream, message any) {
 	if m, isReplica := message.(replicaMessage); isReplica {
 		i.enqueue(engine.Input{Message: &m.content, Address: m.from})
@@ -157,9 +162,10 @@
 	i.host.post(controller.ConnectionClosed{Connection: s})
 }
 
-// newest is the committed configuration as this instance has it.
+// newest returns the newest committed configuration that this instance has.
 func (i *instance) newest() (int64, []byte) { return i.machine.Current() }
 
+// origin returns what names this incarnation to other instances.
 func (i *instance) origin() protocol.Origin {
 	return protocol.Origin{Address: i.address, Incarnation: uint64(i.incarnation)}
 }
--- a/internal/systemsim/instance_calls.go
+++ b/internal/systemsim/instance_calls.go
@@ -8,12 +8,12 @@
 	"raventrestle/internal/protocol"
 )
 
-// applyChange carries out an operator's call.
-func (i *instance) applyChange(o *change, answer func(any)) {
-	w, came := i.world, i.world.Now()
-	command, err := state.NewCommand(state.Replace, o.base, o.body)
+// applyChange carries out an operator's change.
+func (i *instance) applyChange(c *change, answer func(any)) {
+	w, arrivedAt := i.world, i.world.Now()
+	command, err := state.NewCommand(state.Replace, c.base, c.body)
 	if err != nil {
-		w.fail(ruleRejected, "order %s: %v", o.name, err)
+		w.fail(ruleRejected, "change %s: %v", c.name, err)
 		return
 	}
 	i.submit(engine.Input{Command: command}, proposalTimeout, func(result engine.Result) {
@@ -22,22 +22,22 @@
 			answer(changeAnswer{code: codeUnavailable})
 			return
 		}
-		w.checkAnswered(i, came, i.partitionedSince, "order "+o.name)
+		w.checkAnswered(i, arrivedAt, i.partitionedSince, "change "+c.name)
 		switch decided := decided.(type) {
 		case state.Accepted:
-			w.recordAcknowledgement(i, o, decided.Generation)
+			w.recordAcknowledgement(i, c, decided.Generation)
 			answer(changeAnswer{code: codeAccepted, generation: decided.Generation})
 		case state.VersionMismatch:
-			w.checkRejection(i, o, codeMismatch)
+			w.checkRejection(i, c, codeMismatch)
 			answer(changeAnswer{code: codeMismatch, generation: decided.Current})
 		default:
-			w.checkRejection(i, o, codeInvalid)
+			w.checkRejection(i, c, codeInvalid)
 			answer(changeAnswer{code: codeInvalid})
 		}
 	})
 }
 
-// read carries out an operator's call for the newest version.
+// read carries out an operator's read of the newest version.
 func (i *instance) read(answer func(any)) {
 	i.submit(engine.Input{Barrier: true}, proposalTimeout, func(result engine.Result) {
 		if result.Err != nil {
@@ -49,32 +49,34 @@
 	})
 }
 
-// heartbeat and left carry out endpoints' calls.
-func (i *instance) heartbeat(told protocol.Endpoint, answer func(any)) {
-	came := i.world.Now()
-	i.host.heartbeat(told, func(taken bool) {
-		if taken {
-			i.checkHeartbeat(told, came)
+// heartbeat carries out an endpoint's heartbeat.
+func (i *instance) heartbeat(reported protocol.Endpoint, answer func(any)) {
+	arrivedAt := i.world.Now()
+	i.host.heartbeat(reported, func(accepted bool) {
+		if accepted {
+			i.checkHeartbeat(reported, arrivedAt)
 		}
-		answer(taken)
+		answer(accepted)
 	})
 }
 
-// checkHeartbeat: those of ready endpoints, which bind nobody, are acknowledged for a while without a majority.
-func (i *instance) checkHeartbeat(told protocol.Endpoint, came time.Duration) {
-	apart := i.isolatedSince
-	if told.State == protocol.Ready && apart != never {
-		apart += readyGrace
+// checkHeartbeat checks an accepted heartbeat. Those of ready endpoints, which bind nobody, are accepted for readyGrace
+// without a majority.
+func (i *instance) checkHeartbeat(reported protocol.Endpoint, arrivedAt time.Duration) {
+	isolatedSince := i.isolatedSince
+	if reported.State == protocol.Ready && isolatedSince != never {
+		isolatedSince += readyGrace
 	}
-	i.world.checkAnswered(i, came, apart, "a heartbeat of "+told.ID)
+	i.world.checkAnswered(i, arrivedAt, isolatedSince, "a heartbeat of "+reported.ID)
 }
 
+// deregister carries out an endpoint's deregistration.
 func (i *instance) deregister(id string, answer func(any)) {
-	came := i.world.Now()
-	i.host.deregister(id, func(taken bool) {
-		if taken {
-			i.world.checkAnswered(i, came, i.isolatedSince, "the end of "+id)
+	arrivedAt := i.world.Now()
+	i.host.deregister(id, func(accepted bool) {
+		if accepted {
+			i.world.checkAnswered(i, arrivedAt, i.isolatedSince, "the deregistration of "+id)
 		}
-		answer(taken)
+		answer(accepted)
 	})
 }
--- a/internal/systemsim/machine_faults.go
+++ b/internal/systemsim/machine_faults.go
@@ -6,13 +6,13 @@
 	"raventrestle/coordination/engine"
 )
 
-// restartSoon starts the process again within a second or so.
+// restartSoon starts the process again after 1.2 s at most.
 func (i *instance) restartSoon() {
 	w := i.world
 	w.After(w.between(20*time.Millisecond, 1200*time.Millisecond), func() { i.start(false) })
 }
 
-// restartOthers restarts all instances but one, in any order, within 0.6 s.
+// restartOthers restarts all instances but one, in any order, in 0.6 s.
 func (w *World) restartOthers(x *instance) {
 	for _, other := range w.instances {
 		if other == x {
@@ -78,19 +78,19 @@
 	w.After(w.between(100*time.Millisecond, 4*time.Second), r.thaw)
 }
 
-// shutDownOne stops an instance in the planned way and starts it again.
+// shutDownOne shuts an instance down gracefully, for a second at most, and starts it again.
 func (w *World) shutDownOne() {
 	i := w.headOrAny()
 	if !i.up() {
 		return
 	}
-	w.tracef("%s leaves", i.address)
+	w.tracef("%s shuts down", i.address)
 	i.faultAt = w.Now()
 	i.enqueue(engine.Input{Leave: true})
-	asked := w.Now()
+	begun := w.Now()
 	var wait func()
 	wait = func() {
-		if i.engine.SafeToLeave() && i.busyUntil <= w.Now() || w.Now()-asked > time.Second {
+		if i.engine.SafeToLeave() && i.busyUntil <= w.Now() || w.Now()-begun > time.Second {
 			i.crash()
 			i.restartSoon()
 			return
@@ -100,6 +100,7 @@
 	i.after(10*time.Millisecond, wait)
 }
 
+// slowDisk makes an instance's syncs slow for a while.
 func (w *World) slowDisk() {
 	i := w.randomInstance()
 	i.syncDelay = w.between(10*time.Millisecond, time.Second)
@@ -109,6 +110,7 @@
 	})
 }
 
+// fillDisk makes an instance's writes fail for a while.
 func (w *World) fillDisk() {
 	i := w.randomInstance()
 	w.tracef("%s: disk full", i.address)
@@ -118,17 +120,21 @@
 	})
 }
 
-// catchUp is how long after the loss of a disk the next fault may come: more at a time than one need not be borne.
+// diskLossInterval is the time without faults before and after the loss of a disk: until it is replaced, another loss
+// need not be tolerated.
 const diskLossInterval = 4 * time.Second
 
-// loseDisk takes one disk, once all instances have been well for long enough to bear that.
+// loseDisk empties one disk, if there was no fault for diskLossInterval; at times the other instances lose power then.
 func (w *World) loseDisk() {
 	for _, i := range w.instances {
 		if !i.up() || i.syncDelay > 0 || i.disk.FailWrites {
 			return
 		}
 	}
-	if len(w.network.blocked) > 0 || w.network.degradedAt == never || w.Now()-w.newestInstanceFault() < diskLossInterval {
+	if len(w.network.blocked) > 0 || w.network.degradedAt == never {
+		return
+	}
+	if w.Now()-w.newestInstanceFault() < diskLossInterval {
 		return
 	}
 	i := w.headOrAny()
--- a/internal/systemsim/model.go
+++ b/internal/systemsim/model.go
@@ -9,26 +9,26 @@
 // never is later than all times of a history.
 const never = time.Duration(math.MaxInt64)
 
-// model is what really happened, to hold the processes against.
+// model is the reference: what really happened, by which the processes are checked.
 type model struct {
 	acks           []acknowledgement // of versions, in the order of time
 	byBase         map[int64]*change // acknowledged
 	byNumber       map[int64]*change
-	drained        map[string]time.Duration // by endpoint: when its draining or leaving was acknowledged to it
+	drained        map[string]time.Duration // by endpoint: when its drain or deregistration was acknowledged to it
 	roleActions    []roleAction
 	epoch          uint64        // newest that any instance has entered
-	checks         int           // at routers in touch
-	checksIsolated int           // of these, while an instance was out of touch with a majority
+	checks         int           // of routers that were bound: see isBound
+	checksIsolated int           // of these, while an instance was isolated
 	majoritySince  time.Duration // since when the instances are stable; never: they are not
 }
 
-// ack: a version's acknowledgement has left an instance; newest is the highest so far.
+// acknowledgement is the moment at which a version's acknowledgement left an instance.
 type acknowledgement struct {
 	at     time.Duration
-	newest int64
+	newest int64 // highest version acknowledged by then
 }
 
-// act: an instance has acted in the single roles.
+// roleAction is the newest moment at which an instance acted in the singleton roles.
 type roleAction struct {
 	at time.Duration
 	by *instance
@@ -41,47 +41,47 @@
 	}
 }
 
-// newestBefore is the highest version whose acknowledgement left an instance before a time.
-func (t *model) newestBefore(at time.Duration) int64 {
-	for i := len(t.acks) - 1; i >= 0; i-- {
-		if t.acks[i].at < at {
-			return t.acks[i].newest
+// newestBefore returns the highest version whose acknowledgement left an instance before a time.
+func (m *model) newestBefore(at time.Duration) int64 {
+	for i := len(m.acks) - 1; i >= 0; i-- {
+		if m.acks[i].at < at {
+			return m.acks[i].newest
 		}
 	}
 	return 0
 }
 
-// countCheck notes that a router was held against the truth while in touch.
-func (t *model) countCheck(instances []*instance) {
-	t.checks++
+// countCheck counts a check of a router that was bound.
+func (m *model) countCheck(instances []*instance) {
+	m.checks++
 	if slices.ContainsFunc(instances, func(i *instance) bool { return i.isolatedSince != never }) {
-		t.checksIsolated++
+		m.checksIsolated++
 	}
 }
 
-// recordAcknowledgement notes that an instance acknowledges an order.
-func (w *World) recordAcknowledgement(i *instance, o *change, generation int64) {
-	t := &w.model
-	w.tracef("%s acknowledges version %d on %d of %s", i.address, generation, o.base, o.name)
-	if generation != o.generation {
-		w.fail(ruleContent, "order %s for version %d is acknowledged as %d", o.name, o.generation, generation)
+// recordAcknowledgement records that an instance acknowledges a change, and checks that it may.
+func (w *World) recordAcknowledgement(i *instance, c *change, generation int64) {
+	m := &w.model
+	w.tracef("%s acknowledges version %d on %d of %s", i.address, generation, c.base, c.name)
+	if generation != c.generation {
+		w.fail(ruleContent, "change %s to version %d is acknowledged as %d", c.name, c.generation, generation)
 	}
-	if other := t.byBase[o.base]; other != nil && other != o {
-		w.fail(ruleOneBase, "%s and %s on version %d are both acknowledged", other.name, o.name, o.base)
+	if other := m.byBase[c.base]; other != nil && other != c {
+		w.fail(ruleOneBase, "%s and %s on version %d are both acknowledged", other.name, c.name, c.base)
 	}
-	if other := t.byNumber[generation]; other != nil && other != o {
-		w.fail(ruleOneBase, "%s and %s are both acknowledged as version %d", other.name, o.name, generation)
+	if other := m.byNumber[generation]; other != nil && other != c {
+		w.fail(ruleOneBase, "%s and %s are both acknowledged as version %d", other.name, c.name, generation)
 	}
-	o.acknowledged = true
-	t.byBase[o.base], t.byNumber[generation] = o, o
+	c.acknowledged = true
+	m.byBase[c.base], m.byNumber[generation] = c, c
 	newest := generation
-	if len(t.acks) > 0 {
-		newest = max(newest, t.acks[len(t.acks)-1].newest)
+	if len(m.acks) > 0 {
+		newest = max(newest, m.acks[len(m.acks)-1].newest)
 	}
-	t.acks = append(t.acks, acknowledgement{at: w.Now(), newest: newest})
+	m.acks = append(m.acks, acknowledgement{at: w.Now(), newest: newest})
 }
 
-// recordRoleAction notes that an instance acts in the single roles.
+// recordRoleAction records that an instance acts in the singleton roles, and checks that no other one may.
 func (w *World) recordRoleAction(by *instance) {
 	for _, other := range w.instances {
 		if other != by && other.mayAct() {
@@ -102,9 +102,10 @@
 	w.model.roleActions = append(acts, roleAction{at: w.Now(), by: by})
 }
 
+// recordDrain records that an endpoint got the acknowledgement of its drain or deregistration.
 func (w *World) recordDrain(e *endpoint) {
 	if _, before := w.model.drained[e.id]; !before {
-		w.tracef("%s is acknowledged as leaving", e.id)
+		w.tracef("the drain of %s is acknowledged", e.id)
 		w.model.drained[e.id] = w.Now()
 	}
 }
--- a/internal/systemsim/mutant.go
+++ b/internal/systemsim/mutant.go
@@ -13,19 +13,19 @@
 	"raventrestle/internal/router/subscription"
 )
 
-// Mutant is a fault that is planted to see that the checks find it.
+// Mutant names a fault that is put into the processes to see that the checks find it.
 type Mutant string
 
-// The planted faults.
+// The mutants.
 const (
 	NoMutant            Mutant = ""
-	FollowFirst         Mutant = "router settles with whoever answers first"
-	TrustAllBeacons     Mutant = "router believes every beacon"
-	StampFresh          Mutant = "instance states the age 0 always"
-	DrainWithoutContact Mutant = "drain acknowledged without contact"
+	FollowFirst         Mutant = "router follows the first instance that answers"
+	TrustAllBeacons     Mutant = "router trusts all beacons"
+	StampFresh          Mutant = "instance always states a fresh contact"
+	DrainWithoutContact Mutant = "instance acknowledges drains without contact"
 )
 
-// newDecider returns what decides for a router.
+// newDecider returns the decider of a router.
 func (w *World) newDecider(r *router) decider {
 	if w.Mutant == FollowFirst {
 		return newNaiveDecider(r)
@@ -40,9 +40,9 @@
 	return subscription.NewDecider(config, candidates)
 }
 
-// mutateMessage is a message as the router's decider gets it. Each router gets a copy, as from the wire.
+// mutateMessage returns a message as the router's decider receives it. Each router gets a copy, as from the wire.
 func (w *World) mutateMessage(message any) any {
-	believe := func(s *protocol.FreshnessProof) {
+	mutate := func(s *protocol.FreshnessProof) {
 		if w.Mutant == TrustAllBeacons {
 			s.HasMajorityContact, s.MajorityContactAge, s.Epoch = true, 0, math.MaxInt64
 		}
@@ -50,21 +50,21 @@
 	switch m := message.(type) {
 	case *protocol.Update:
 		c := *m
-		believe(&c.Freshness)
+		mutate(&c.Freshness)
 		return &c
 	case *protocol.Beacon:
 		c := *m
-		believe(&c.Freshness)
+		mutate(&c.Freshness)
 		return &c
 	case *protocol.ProbeReply:
 		c := *m
-		believe(&c.Freshness)
+		mutate(&c.Freshness)
 		return &c
 	}
 	return message
 }
 
-// mutateStatus is the replica's status as the controller reads it.
+// mutateStatus returns the replica's status as the controller reads it.
 func (w *World) mutateStatus(status replica.Status, now time.Time) replica.Status {
 	if w.Mutant == StampFresh {
 		status.ConfirmedAt = now
@@ -72,7 +72,7 @@
 	return status
 }
 
-// mutateRegistry is the registry as the controller uses it.
+// mutateRegistry returns the registry as the controller uses it.
 func (w *World) mutateRegistry(endpoints *registry.Registry) controller.EndpointRegistry {
 	if w.Mutant == DrainWithoutContact {
 		return registryWithoutContact{endpoints}
@@ -80,16 +80,16 @@
 	return endpoints
 }
 
-// registryWithoutContact is a registry that takes itself to be in contact with a majority always.
+// registryWithoutContact is a registry that is always given a fresh contact with a majority, true or not.
 type registryWithoutContact struct{ *registry.Registry }
 
 // Step implements controller.EndpointRegistry.
 func (r registryWithoutContact) Step(now time.Time, inputs ...registry.Input) registry.Output {
-	believed := []registry.Input{registry.QuorumContact{ConfirmedAt: now}}
+	mutated := []registry.Input{registry.QuorumContact{ConfirmedAt: now}}
 	for _, input := range inputs {
 		if _, isContact := input.(registry.QuorumContact); !isContact {
-			believed = append(believed, input)
+			mutated = append(mutated, input)
 		}
 	}
-	return r.Registry.Step(now, believed...)
+	return r.Registry.Step(now, mutated...)
 }
--- a/internal/systemsim/naive_decider.go
+++ b/internal/systemsim/naive_decider.go
@@ -16,8 +16,8 @@
 	naiveInterval      = 100 * time.Millisecond
 )
 
-// naiveDecider is a router that settles with whoever answers first and never asks how old that is: as routers did before
-// ages were stated. The checks must find it.
+// naiveDecider follows the first instance that answers and never asks how old its proof is, as routers did before proofs of
+// freshness were stated. It is the mutant FollowFirst: the checks must find it.
 type naiveDecider struct {
 	router      *router
 	addresses   []string
@@ -35,104 +35,104 @@
 }
 
 func newNaiveDecider(r *router) *naiveDecider {
-	b := &naiveDecider{router: r, addresses: r.world.seedAddresses()}
-	r.world.random.Shuffle(len(b.addresses), func(i, j int) {
-		b.addresses[i], b.addresses[j] = b.addresses[j], b.addresses[i]
+	d := &naiveDecider{router: r, addresses: r.world.seedAddresses()}
+	r.world.random.Shuffle(len(d.addresses), func(i, j int) {
+		d.addresses[i], d.addresses[j] = d.addresses[j], d.addresses[i]
 	})
-	return b
+	return d
 }
 
 // Step implements decider.
-func (b *naiveDecider) Step(now time.Time, inputs ...subscription.Input) subscription.Output {
-	b.out, b.now = subscription.Output{}, now
+func (d *naiveDecider) Step(now time.Time, inputs ...subscription.Input) subscription.Output {
+	d.out, d.now = subscription.Output{}, now
 	for _, input := range inputs {
-		b.apply(input)
+		d.apply(input)
 	}
 	switch {
-	case b.connection == 0 && !now.Before(b.dialAt):
-		b.dial()
-	case b.connection != 0 && now.Sub(b.receivedAt) > naiveBeaconTimeout:
-		b.leave()
+	case d.connection == 0 && !now.Before(d.dialAt):
+		d.dial()
+	case d.connection != 0 && now.Sub(d.receivedAt) > naiveBeaconTimeout:
+		d.leave()
 	}
-	b.applyNext()
-	b.out.WakeAt = now.Add(naiveInterval)
-	b.out.Ready = b.generation > 0
-	return b.out
+	d.applyNext()
+	d.out.WakeAt = now.Add(naiveInterval)
+	d.out.Ready = d.generation > 0
+	return d.out
 }
 
-func (b *naiveDecider) dial() {
-	b.connections++
-	b.connection = b.connections
-	b.receivedAt, b.sequence = b.now, 0
-	b.out.Dial = append(b.out.Dial,
-		subscription.Dial{Connection: b.connection, Address: b.addresses[b.next%len(b.addresses)]})
-	b.next++
+func (d *naiveDecider) dial() {
+	d.connections++
+	d.connection = d.connections
+	d.receivedAt, d.sequence = d.now, 0
+	d.out.Dial = append(d.out.Dial,
+		subscription.Dial{Connection: d.connection, Address: d.addresses[d.next%len(d.addresses)]})
+	d.next++
 }
 
-func (b *naiveDecider) leave() {
-	b.out.Close = append(b.out.Close, b.connection)
-	b.connection, b.pending = 0, nil
-	b.dialAt = b.now.Add(naiveInterval / 2)
+func (d *naiveDecider) leave() {
+	d.out.Close = append(d.out.Close, d.connection)
+	d.connection, d.pending = 0, nil
+	d.dialAt = d.now.Add(naiveInterval / 2)
 }
 
-func (b *naiveDecider) apply(input subscription.Input) {
+func (d *naiveDecider) apply(input subscription.Input) {
 	switch in := input.(type) {
 	case subscription.ConnectionOpened:
-		b.send(in.Connection, protocol.Subscribe{
-			Node: b.router.address, Zone: zoneName(b.router.zone),
-			Incarnation: uint64(b.router.incarnation), Generation: b.generation, Ready: b.generation > 0,
+		d.send(in.Connection, protocol.Subscribe{
+			Node: d.router.address, Zone: zoneName(d.router.zone),
+			Incarnation: uint64(d.router.incarnation), Generation: d.generation, Ready: d.generation > 0,
 		})
 	case subscription.ConnectionClosed:
-		if in.Connection == b.connection {
-			b.leave()
+		if in.Connection == d.connection {
+			d.leave()
 		}
 	case subscription.MessageReceived:
-		if in.Connection != b.connection {
+		if in.Connection != d.connection {
 			return
 		}
-		b.receivedAt = b.now
+		d.receivedAt = d.now
 		if update, isUpdate := in.Message.(*protocol.Update); isUpdate {
-			b.pending = append(b.pending, update)
+			d.pending = append(d.pending, update)
 		}
 	case subscription.ChangeApplied:
-		b.applying = false
-		if b.connection != 0 {
-			b.send(b.connection, protocol.UpdateAck{Sequence: b.sequence})
+		d.applying = false
+		if d.connection != 0 {
+			d.send(d.connection, protocol.UpdateAck{Sequence: d.sequence})
 		}
 	}
 }
 
-func (b *naiveDecider) send(to subscription.ConnectionID, message any) {
-	b.out.Send = append(b.out.Send, subscription.Send{Connection: to, Message: message})
+func (d *naiveDecider) send(to subscription.ConnectionID, message any) {
+	d.out.Send = append(d.out.Send, subscription.Send{Connection: to, Message: message})
 }
 
-func (b *naiveDecider) applyNext() {
-	if b.applying || len(b.pending) == 0 {
+func (d *naiveDecider) applyNext() {
+	if d.applying || len(d.pending) == 0 {
 		return
 	}
-	update := b.pending[0]
-	b.pending = b.pending[1:]
-	b.sequence = update.Sequence
-	b.addMembers(update.Members)
+	update := d.pending[0]
+	d.pending = d.pending[1:]
+	d.sequence = update.Sequence
+	d.addMembers(update.Members)
 	change := &subscription.Change{
 		View: dispatch.ViewChanged{Full: update.Snapshot, Endpoints: update.Endpoints, Routers: update.RouterCount},
 	}
-	if update.Generation > b.generation && len(update.Document) > 0 {
+	if update.Generation > d.generation && len(update.Document) > 0 {
 		change.Generation, change.Document = update.Generation, update.Document
-		b.generation = update.Generation
+		d.generation = update.Generation
 	}
-	b.applying = true
-	b.out.Apply = change
+	d.applying = true
+	d.out.Apply = change
 }
 
-func (b *naiveDecider) addMembers(members []protocol.Member) {
+func (d *naiveDecider) addMembers(members []protocol.Member) {
 	for _, member := range members {
 		known := false
-		for _, address := range b.addresses {
+		for _, address := range d.addresses {
 			known = known || address == member.Address
 		}
 		if !known {
-			b.addresses = append(b.addresses, member.Address)
+			d.addresses = append(d.addresses, member.Address)
 		}
 	}
 }
--- a/internal/systemsim/operator.go
+++ b/internal/systemsim/operator.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// answerCode is the status of an answer to an operator.
+// answerCode is the HTTP status of an answer to an operator; 0: no answer came.
 type answerCode int
 
 const (
@@ -15,30 +15,31 @@
 	codeUnavailable answerCode = 503
 )
 
+// changeAnswer is the answer to a change or to a read.
 type changeAnswer struct {
 	code       answerCode
-	generation int64
+	generation int64 // accepted, or the newest
 }
 
-// change is an operator's change, which may be sent more than once.
+// change is an operator's change of the configuration, which may be sent more than once.
 type change struct {
 	name         string
-	base         int64
+	base         int64 // version that it replaces
 	generation   int64
 	body         []byte
 	attempts     int
-	acknowledged bool // an acknowledgement has left an instance, whether it came or not
+	acknowledged bool // an acknowledgement has left an instance, whether it arrived or not
 }
 
-func (o *change) encode() {
-	o.body = fmt.Appendf(nil, `{"generation":%d,"routes":[],"services":[{"name":%q}]}`, o.generation, o.name)
+func (c *change) encode() {
+	c.body = fmt.Appendf(nil, `{"generation":%d,"routes":[],"services":[{"name":%q}]}`, c.generation, c.name)
 }
 
-// operator changes the configuration, on top of the newest version that it knows.
+// operator replaces the newest version of the configuration that it knows, again and again.
 type operator struct {
 	client
-	base    int64
-	changes int
+	base    int64 // newest version that it knows
+	changes int   // made so far
 }
 
 func (w *World) addOperator(number int) {
@@ -48,7 +49,7 @@
 	w.After(w.between(500*time.Millisecond, 1500*time.Millisecond), o.makeChange)
 }
 
-// makeChange makes a change; at times two rivals on the same version at the same moment.
+// makeChange makes a change; at times a second one on the same version at the same moment.
 func (o *operator) makeChange() {
 	w := o.world
 	if w.finishing {
@@ -75,17 +76,17 @@
 	return made
 }
 
-// scheduleNext goes on once an order is decided or given up.
+// scheduleNext plans the next change once one is decided or given up.
 func (o *operator) scheduleNext(*change) {
 	w := o.world
-	pause := w.between(30*time.Millisecond, 400*time.Millisecond)
+	wait := w.between(30*time.Millisecond, 400*time.Millisecond)
 	if w.oneIn(6) {
-		pause = w.between(time.Second, 4*time.Second)
+		wait = w.between(time.Second, 4*time.Second)
 	}
-	w.After(pause, o.makeChange)
+	w.After(wait, o.makeChange)
 }
 
-// send sends an order, again and again until it is decided.
+// send sends a change, with attempts until it is decided. One answer in eight is lost.
 func (o *operator) send(sent *change, done func(*change)) {
 	w := o.world
 	to := o.target(sent.attempts)
@@ -108,7 +109,7 @@
 	})
 }
 
-// call sends an order to one instance. An answer of no code means that none came.
+// call sends a change to one instance.
 func (o *operator) call(to *instance, sent *change, done func(changeAnswer)) {
 	w := o.world
 	ask := func(answer func(any)) { to.applyChange(sent, answer) }
@@ -118,7 +119,7 @@
 	})
 }
 
-// resend sends an acknowledged order once more, as after a lost answer.
+// resend sends an acknowledged change once more at times, as after a lost answer.
 func (o *operator) resend(sent *change) {
 	w := o.world
 	if !w.oneIn(3) {
@@ -129,7 +130,7 @@
 	})
 }
 
-// readNewest asks for the newest version until somebody tells it.
+// readNewest reads the newest version, with attempts until an instance answers.
 func (o *operator) readNewest(done func()) {
 	w := o.world
 	to := o.target(1)
--- a/internal/systemsim/partitions.go
+++ b/internal/systemsim/partitions.go
@@ -1,34 +1,35 @@
 package systemsim
 
-import (
-	"time"
-)
+import "time"
 
-// PartitionShape says what a cut of one instance takes away.
+// PartitionShape says which directions a partition of one instance blocks.
 type PartitionShape string
 
-// The shapes of cuts.
+// Shapes of partitions. Those with one direction lost are asymmetric.
 const (
-	Symmetric      PartitionShape = "both ways"  // between it and the other instances
-	OutboundLost   PartitionShape = "not heard"  // what it sends to the others
-	InboundLost    PartitionShape = "deaf"       // what the others send to it
-	FromOtherZones PartitionShape = "near"       // also between it and all machines of other zones
-	FromRoutersToo PartitionShape = "from all"   // also between it and all routers
-	Total          PartitionShape = "from world" // between it and everything
+	Symmetric      PartitionShape = "symmetric"        // between it and the other instances
+	OutboundLost   PartitionShape = "outbound lost"    // from it to the other instances
+	InboundLost    PartitionShape = "inbound lost"     // from the other instances to it
+	FromOtherZones PartitionShape = "from other zones" // between it and the instances, and all machines of other zones
+	FromRoutersToo PartitionShape = "from routers too" // between it and the instances, and all routers
+	Total          PartitionShape = "total"            // between it and everything
 )
 
-var partitionShapes = []PartitionShape{Symmetric, Symmetric, Symmetric, OutboundLost, InboundLost, FromOtherZones, FromRoutersToo, Total}
+// partitionShapes are drawn from, the symmetric one more often.
+var partitionShapes = []PartitionShape{
+	Symmetric, Symmetric, Symmetric, OutboundLost, InboundLost, FromOtherZones, FromRoutersToo, Total,
+}
 
-// partition cuts an instance off and returns what heals it.
+// partition partitions an instance and returns what heals the partition.
 func (w *World) partition(x *instance, shape PartitionShape) (heal func()) {
-	w.tracef("%s is cut off: %s", x.address, shape)
-	var cut []direction
+	w.tracef("%s is partitioned: %s", x.address, shape)
+	var directions []direction
 	add := func(other *process, there, back bool) {
 		if there {
-			cut = append(cut, direction{&x.process, other})
+			directions = append(directions, direction{&x.process, other})
 		}
 		if back {
-			cut = append(cut, direction{other, &x.process})
+			directions = append(directions, direction{other, &x.process})
 		}
 	}
 	for _, other := range w.instances {
@@ -46,12 +47,12 @@
 			add(&c.process, true, true)
 		}
 	}
-	return w.block(cut)
+	return w.block(directions)
 }
 
-// block cuts the directions and returns what gives them back.
-func (w *World) block(cut []direction) (heal func()) {
-	for _, p := range cut {
+// block blocks directions and returns what unblocks them; that may be called more than once.
+func (w *World) block(directions []direction) (heal func()) {
+	for _, p := range directions {
 		w.network.block(p.from, p.to)
 	}
 	w.network.topologyChanged()
@@ -61,8 +62,8 @@
 			return
 		}
 		healed = true
-		w.tracef("%d directions are healed", len(cut))
-		for _, p := range cut {
+		w.tracef("%d directions are unblocked", len(directions))
+		for _, p := range directions {
 			w.network.unblock(p.from, p.to)
 		}
 		w.network.topologyChanged()
@@ -75,7 +76,7 @@
 	return partitionShapes[w.random.IntN(len(partitionShapes))]
 }
 
-// drawPartitionLength is the length of a cut.
+// drawPartitionLength draws how long a partition lasts.
 func (w *World) drawPartitionLength() time.Duration {
 	if w.oneIn(2) {
 		return w.between(6*time.Second, 15*time.Second)
@@ -87,7 +88,7 @@
 	w.After(w.drawPartitionLength(), w.partition(w.headOrAny(), w.drawPartitionShape()))
 }
 
-// partitionAndRestart restarts the others, or the cut-off one and then the others, while one is cut off.
+// partitionAndRestart restarts the other instances, or the partitioned one and then the others, during a partition.
 func (w *World) partitionAndRestart() {
 	x := w.headOrAny()
 	length := w.between(5*time.Second, 15*time.Second)
@@ -100,15 +101,16 @@
 	w.After(at, func() { w.restartOthers(x) })
 }
 
+// partitionPreferred partitions an instance that clients prefer.
 func (w *World) partitionPreferred() {
 	x := w.headOrAny()
 	w.preferInstance(x)
 	w.After(w.drawPartitionLength(), w.partition(x, w.drawPartitionShape()))
 }
 
-// preferInstance has endpoints and a third of the operators ask an instance first.
+// preferInstance has endpoints and a third of the operators call an instance at their first attempts.
 func (w *World) preferInstance(x *instance) {
-	w.tracef("callers ask %s first", x.address)
+	w.tracef("clients prefer %s", x.address)
 	for n, c := range w.clients {
 		if c.isOperator && n%3 > 0 {
 			continue
@@ -117,42 +119,43 @@
 	}
 }
 
-// partitionLink cuts one link between two instances, in one direction or both. With more links cut at a time the head may hear
-// a minority that hears a majority; then it is not replaced, see docs/results/hardening.md.
+// partitionLink blocks one link between two instances, in one direction or both, unless one is blocked. With more at a
+// time the head may hear a minority that hears a majority; then it is not replaced: see docs/results/hardening.md.
 func (w *World) partitionLink() {
 	a, b := w.randomInstance(), w.randomInstance()
 	if a == b || w.linkPartitioned {
 		return
 	}
-	cut := []direction{{&a.process, &b.process}}
+	directions := []direction{{&a.process, &b.process}}
 	if w.oneIn(2) {
-		cut = append(cut, direction{&b.process, &a.process})
+		directions = append(directions, direction{&b.process, &a.process})
 	}
 	w.linkPartitioned = true
-	heal := w.block(cut)
+	heal := w.block(directions)
 	w.After(w.drawPartitionLength(), func() {
 		heal()
 		w.linkPartitioned = false
 	})
 }
 
-// partitionRouter cuts a router from some instances, or all.
+// partitionRouter blocks links of a router to some instances, or all.
 func (w *World) partitionRouter() {
 	r := w.randomRouter()
-	var cut []direction
+	var directions []direction
 	for _, i := range w.instances {
 		switch w.random.IntN(4) {
 		case 0:
-			cut = append(cut, direction{&r.process, &i.process})
+			directions = append(directions, direction{&r.process, &i.process})
 		case 1:
-			cut = append(cut, direction{&i.process, &r.process})
+			directions = append(directions, direction{&i.process, &r.process})
 		case 2:
-			cut = append(cut, direction{&r.process, &i.process}, direction{&i.process, &r.process})
+			directions = append(directions, direction{&r.process, &i.process}, direction{&i.process, &r.process})
 		}
 	}
-	w.After(w.drawPartitionLength(), w.block(cut))
+	w.After(w.drawPartitionLength(), w.block(directions))
 }
 
+// degradeLinks makes all links slow and lossy for a while.
 func (w *World) degradeLinks() {
 	w.network.degrade(w.between(0, 40*time.Millisecond), w.random.Float64()*0.1)
 	w.After(w.between(100*time.Millisecond, 3*time.Second), func() { w.network.degrade(0, 0) })
--- a/internal/systemsim/plain_test.go
+++ b/internal/systemsim/plain_test.go
@@ -2,11 +2,11 @@
 
 package systemsim
 
-// historySeeds is how many histories are played; -seeds plays more, -first-seed sets the first.
+// historySeeds is how many histories are simulated; -seeds sets another number, -first-seed sets the first.
 const historySeeds = 300
 
-// scenarioSeeds is how often each course is played.
+// scenarioSeeds is how often each scenario is simulated.
 const scenarioSeeds = 12
 
-// measuredSeeds is over how many worlds times are measured.
+// measuredSeeds is over how many seeds times are measured.
 const measuredSeeds = 20
--- a/internal/systemsim/process.go
+++ b/internal/systemsim/process.go
@@ -1,33 +1,33 @@
 package systemsim
 
-import (
-	"time"
-)
+import "time"
 
-// process is what all modelled processes have in common.
+// process is what all simulated processes have in common. A process has incarnations: what one planned is dropped when it
+// ends.
 type process struct {
 	world   *World
 	address string
 	zone    int
-	receive func(s *stream, message any) // a message came
-	opened  func(s *stream)              // a dialled stream is up
-	ended   func(s *stream)              // a stream has ended, or could not be made
-	thawed  func()
+	receive func(s *stream, message any) // a message arrived
+	opened  func(s *stream)              // a stream that it dialled is open
+	ended   func(s *stream)              // a stream ended, or could not be opened
+	thawed  func()                       // it goes on after a freeze
 
 	incarnation     int // rises with each start and each end
 	running         bool
 	powered         bool
 	frozen          bool
-	offset          time.Duration // of the clock of this life
+	offset          time.Duration // of the clock of this incarnation
 	drift           time.Duration // parts of a million by which it runs faster
-	startedAt       time.Duration // world time
-	faultAt         time.Duration // newest start, end, freeze or thaw
-	backlog         []func()      // what waits while it is frozen
-	stepWindowStart time.Duration // begin of the span in which steps are counted
+	startedAt       time.Duration // virtual time
+	faultAt         time.Duration // newest start, end, freeze, thaw or fault of its disk
+	backlog         []func()      // what is due while it is frozen
+	stepWindowStart time.Duration // since when steps are counted
 	steps           int
-	streams         []*stream // that it has an end of
+	streams         []*stream // with an end at this process
 }
 
+// begin begins an incarnation, with a clock of its own.
 func (p *process) begin() {
 	w := p.world
 	p.incarnation++
@@ -40,7 +40,7 @@
 	w.network.topologyChanged()
 }
 
-// end ends the process. Its kernel tells its peers, unless the machine lost power.
+// end ends the incarnation. The kernel closes its streams, unless the machine lost power.
 func (p *process) end(power bool) {
 	w := p.world
 	p.incarnation++
@@ -54,6 +54,7 @@
 	w.network.topologyChanged()
 }
 
+// freeze stops the process, as SIGSTOP or a paused machine would; its kernel goes on.
 func (p *process) freeze() {
 	if !p.running || p.frozen {
 		return
@@ -63,6 +64,7 @@
 	p.world.network.topologyChanged()
 }
 
+// thaw ends a freeze: what was due meanwhile runs at once.
 func (p *process) thaw() {
 	if !p.running || !p.frozen {
 		return
@@ -70,39 +72,40 @@
 	p.world.tracef("%s thaws", p.address)
 	p.frozen, p.faultAt = false, p.world.Now()
 	p.world.network.topologyChanged()
-	waiting, life := p.backlog, p.incarnation
+	due, incarnation := p.backlog, p.incarnation
 	p.backlog = nil
-	for _, run := range waiting {
+	for _, run := range due {
 		run()
 	}
-	if p.incarnation == life {
+	if p.incarnation == incarnation {
 		p.thawed()
 	}
 }
 
-// local is the time on the process's steady clock, which runs a little faster or slower than the world's.
+// local returns the time on the process's steady clock, which runs a little faster or slower than virtual time.
 func (p *process) local() time.Duration {
 	now := p.world.Now()
 	return p.offset + now + now*p.drift/million
 }
 
+// clock returns the same as a time.Time.
 func (p *process) clock() time.Time { return instant(p.local()) }
 
-// worldTime turns a time of the process's clock back.
+// worldTime converts a time of the process's clock to virtual time.
 func (p *process) worldTime(t time.Time) time.Duration {
 	return (t.Sub(clockBase) - p.offset) * million / (million + p.drift)
 }
 
 const (
 	million           = 1_000_000
-	maxDrift          = 200                   // parts of a million
-	roundingTolerance = 10 * time.Microsecond // of times that were turned back
+	maxDrift          = 200                   // in parts of a million
+	roundingTolerance = 10 * time.Microsecond // of times that were converted
 )
 
 // clockBase is the zero of all steady clocks.
 var clockBase = time.Unix(1_000_000, 0)
 
-// instant turns a time of a steady clock into the form of hosts; zero stays zero.
+// instant returns a time of a steady clock as a time.Time; zero stays zero.
 func instant(at time.Duration) time.Time {
 	if at == 0 {
 		return time.Time{}
@@ -110,30 +113,31 @@
 	return clockBase.Add(at)
 }
 
-// after runs something in this life of the process, once it is not frozen.
+// after runs something after a delay, in this incarnation and once the process is not frozen.
 func (p *process) after(delay time.Duration, run func()) {
-	life := p.incarnation
-	p.world.After(delay, func() { p.do(life, run) })
+	incarnation := p.incarnation
+	p.world.After(delay, func() { p.do(incarnation, run) })
 }
 
-func (p *process) do(life int, run func()) {
+// do runs something unless its incarnation is over, once the process is not frozen.
+func (p *process) do(incarnation int, run func()) {
 	switch {
-	case p.incarnation != life || p.world.failure != nil:
+	case p.incarnation != incarnation || p.world.failure != nil:
 	case p.frozen:
-		p.backlog = append(p.backlog, func() { p.do(life, run) })
+		p.backlog = append(p.backlog, func() { p.do(incarnation, run) })
 	default:
 		run()
 	}
 }
 
-// mostSteps is how often a process may step within stepSpan. One that asks to be woken at once, again and again, would
-// stop the world's time.
+// maxSteps is how often a process may step in stepWindow. One that asks to be woken at once, again and again, would stop
+// virtual time.
 const (
 	maxSteps   = 20_000
 	stepWindow = 100 * time.Millisecond
 )
 
-// countStep notes a step of one of the process's loops.
+// countStep counts a step of one of the process's loops.
 func (p *process) countStep() {
 	w := p.world
 	w.steps++
--- a/internal/systemsim/request.go
+++ b/internal/systemsim/request.go
@@ -1,20 +1,19 @@
 package systemsim
 
-import (
-	"time"
-)
+import "time"
 
-// call is a request of a client that is no process of the world: each way may be cut.
-func (n *network) call(from, to *process, patience time.Duration, ask func(answer func(any)), done func(any)) {
+// call sends a request of a client to a process and gives the answer to done, or nil: the process does not run, the timeout
+// is over, or a fault blocked the way there or back.
+func (n *network) call(from, to *process, timeout time.Duration, ask func(answer func(any)), done func(any)) {
 	w := n.world
-	over := false
+	finished := false
 	finishWith := func(result any) {
-		if !over {
-			over = true
+		if !finished {
+			finished = true
 			done(result)
 		}
 	}
-	w.After(patience, func() { finishWith(nil) })
+	w.After(timeout, func() { finishWith(nil) })
 	w.After(n.delay(from, to), func() {
 		n.whenPassing(from, to, func() {
 			if !to.running {
@@ -34,7 +33,8 @@
 	})
 }
 
-// whenPassing runs at once, or once a cut is healed, if that is soon: half of what is held up is lost.
+// whenPassing runs something at once, or, where a fault blocks the way, some time later if it is unblocked by then. Half
+// of what is blocked is lost.
 func (n *network) whenPassing(from, to *process, run func()) {
 	w := n.world
 	if n.passes(from, to) {
--- a/internal/systemsim/role.go
+++ b/internal/systemsim/role.go
@@ -1,12 +1,12 @@
 package systemsim
 
-// stepRolePeriodically looks at the role as its holder's loop does: now and then, and when the replica's status moves.
+// stepRolePeriodically steps the leadership as the leader's loop does: at intervals, beside the changes of the status.
 func (i *instance) stepRolePeriodically() {
 	i.stepRole()
 	i.after(roleInterval, i.stepRolePeriodically)
 }
 
-// stepRole stands in for the holder of the roles: it notes that it acts whenever it may.
+// stepRole stands in for the leader of the singleton roles: it acts whenever it may.
 func (i *instance) stepRole() {
 	i.role = i.leadership.Step(i.clock(), i.currentStatus())
 	if i.role.MayAct {
@@ -14,7 +14,7 @@
 	}
 }
 
-// mayAct tells whether the instance may act in a role at this moment.
+// mayAct says whether the instance may act in the singleton roles at this moment.
 func (i *instance) mayAct() bool {
 	return i.running && !i.frozen && i.role.MayAct && i.currentStatus().IsLeader
 }
--- a/internal/systemsim/router.go
+++ b/internal/systemsim/router.go
@@ -11,7 +11,7 @@
 
 const dialTimeout = 350 * time.Millisecond
 
-// decider is what decides for a router whom it follows; *subscription.Decider is one.
+// decider decides which instance a router follows; *subscription.Decider is one.
 type decider interface {
 	Step(now time.Time, inputs ...subscription.Input) subscription.Output
 }
@@ -20,17 +20,17 @@
 type router struct {
 	process
 	decider decider
-	inputs  []subscription.Input
-	stepAt  time.Duration
+	inputs  []subscription.Input // since the newest step
+	stepAt  time.Duration        // virtual time of the planned step; zero: none is planned
 	streams map[subscription.ConnectionID]*stream
 	ids     map[*stream]subscription.ConnectionID
 
 	table       table
-	generation  int64
-	confirmedAt time.Duration // world time; zero: none
+	generation  int64         // of the configuration in force
+	confirmedAt time.Duration // of the proof that it has, in virtual time; zero: none
 	ready       bool
 
-	pathSince time.Duration // since when it reaches every instance that reaches a majority; never: it does not
+	pathSince time.Duration // since when it has paths to all instances that reach a majority; never: it has not
 }
 
 func newRouter(w *World, number int) *router {
@@ -59,12 +59,12 @@
 
 func (r *router) crash() {
 	if r.running {
-		r.world.tracef("%s is killed", r.address)
+		r.world.tracef("%s crashes", r.address)
 		r.end(true)
 	}
 }
 
-// scheduleStep has the decider step after the delay at the latest.
+// scheduleStep plans the next step after the delay at the latest.
 func (r *router) scheduleStep(delay time.Duration) {
 	now := r.world.Now()
 	at := now + max(0, delay)
@@ -80,11 +80,13 @@
 	})
 }
 
+// enqueue gives the decider an input. It waits for a moment, as in the queue of the real router.
 func (r *router) enqueue(input subscription.Input) {
 	r.inputs = append(r.inputs, input)
 	r.scheduleStep(r.world.between(10*time.Microsecond, 300*time.Microsecond))
 }
 
+// step has the decider step and carries out its output.
 func (r *router) step() {
 	w := r.world
 	r.countStep()
@@ -123,7 +125,7 @@
 	}
 }
 
-// claim takes in what the router believes to have in force.
+// claim takes in as of when the router takes its state to be fresh, and checks that.
 func (r *router) claim(confirmedAt time.Time) {
 	if confirmedAt.IsZero() {
 		return
@@ -142,7 +144,7 @@
 	r.streams[dial.Connection], r.ids[s] = s, dial.Connection
 }
 
-// copyOfRequest is a message as it comes out at the other end.
+// copyOfRequest returns a message as it is received: by pointer.
 func copyOfRequest(message any) any {
 	switch m := message.(type) {
 	case protocol.Subscribe:
@@ -177,13 +179,13 @@
 	}
 }
 
-// apply puts a change in force.
+// apply puts a change in force, and checks that the version does not fall.
 func (r *router) apply(change *subscription.Change) {
 	if change.Document != nil {
 		content := r.parse(change)
 		generation := content.Generation
 		if generation < r.generation {
-			r.world.fail("monotone", "%s goes back from version %d to %d", r.address, r.generation, generation)
+			r.world.fail(ruleMonotone, "%s goes back from version %d to %d", r.address, r.generation, generation)
 		}
 		r.world.checkContent(r.address, content)
 		r.generation = generation
--- a/internal/systemsim/scenario_test.go
+++ b/internal/systemsim/scenario_test.go
@@ -8,55 +8,56 @@
 	"time"
 )
 
-// samples collects durations over seeds.
+// samples collects durations over seeds. It is safe for concurrent use.
 type samples struct {
 	lock      sync.Mutex
 	durations []time.Duration
 }
 
-func (f *samples) add(d time.Duration) {
-	f.lock.Lock()
-	defer f.lock.Unlock()
-	f.durations = append(f.durations, d)
+func (s *samples) add(d time.Duration) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.durations = append(s.durations, d)
 }
 
-func (f *samples) log(t *testing.T, name string) {
+// log logs percentiles; a test without samples fails.
+func (s *samples) log(t *testing.T, name string) {
 	t.Helper()
-	slices.Sort(f.durations)
-	if len(f.durations) == 0 {
-		t.Errorf("%s: no figures", name)
+	slices.Sort(s.durations)
+	if len(s.durations) == 0 {
+		t.Errorf("%s: no samples, want some", name)
 		return
 	}
-	t.Logf("%s: p50 %v, p99 %v, largest %v of %d", name, roundToMilliseconds(f.durations[len(f.durations)/2]),
-		roundToMilliseconds(f.durations[(len(f.durations)-1)*99/100]), roundToMilliseconds(f.durations[len(f.durations)-1]), len(f.durations))
+	t.Logf("%s: p50 %v, p99 %v, largest %v of %d", name, roundToMilliseconds(s.durations[len(s.durations)/2]),
+		roundToMilliseconds(s.durations[(len(s.durations)-1)*99/100]), roundToMilliseconds(s.durations[len(s.durations)-1]), len(s.durations))
 }
 
 func roundToMilliseconds(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
 
-// longCut is the length of the operators' cuts of one instance.
+// partitionLength is the length of the operators' partitions of one instance.
 const partitionLength = 20 * time.Second
 
-// scenario is a course of events that broke a rule at the operators'.
+// scenario is a sequence of faults that broke a rule at the operators'.
 type scenario struct {
 	shape       PartitionShape
-	preferred   bool
-	restartSelf bool // the cut-off one first, then the others in any order
+	preferred   bool // clients call the partitioned instance first
+	restartSelf bool // the partitioned one first, then the others in any order
 }
 
 var scenarios = map[string]scenario{
-	"cut 5":      {shape: Symmetric},
-	"lure":       {shape: Symmetric, preferred: true},
-	"not heard":  {shape: OutboundLost},
-	"deaf":       {shape: InboundLost},
-	"near":       {shape: FromOtherZones},
-	"from all":   {shape: FromRoutersToo},
-	"from world": {shape: Total},
-	"both":       {shape: Symmetric, restartSelf: true},
-	"both lure":  {shape: FromOtherZones, restartSelf: true, preferred: true},
+	"symmetric":              {shape: Symmetric},
+	"symmetric, preferred":   {shape: Symmetric, preferred: true},
+	"outbound lost":          {shape: OutboundLost},
+	"inbound lost":           {shape: InboundLost},
+	"from other zones":       {shape: FromOtherZones},
+	"from routers too":       {shape: FromRoutersToo},
+	"total":                  {shape: Total},
+	"symmetric, all restart": {shape: Symmetric, restartSelf: true},
+	"from other zones, preferred, all restart": {shape: FromOtherZones, restartSelf: true, preferred: true},
 }
 
-// run plays the course: the head is cut off for 20 s; after 10 s the others restart, all within 0.6 s. Operators go
-// on with changes all the while.
+// run simulates the scenario: the head is partitioned for 20 s; after 10 s the others restart, all in 0.6 s. Operators go
+// on with changes meanwhile.
 func (c scenario) run(seed uint64, mutant Mutant) error {
 	setup := SetupOf(seed)
 	setup.Mutant, setup.Trace = mutant, tracer(seed)
@@ -91,27 +92,27 @@
 	}
 }
 
-// TestNaiveRouterFailsTheScenarios plays them with a router that settles with whoever answers first, as routers did:
-// where it still reaches the cut-off instance, a rule is broken in nine of ten plays at least.
+// TestNaiveRouterFailsTheScenarios runs them with routers that follow the first instance that answers: where they still
+// reach the partitioned one, a rule is broken in nine of ten runs at least.
 func TestNaiveRouterFailsTheScenarios(t *testing.T) {
 	for name, c := range scenarios {
 		if c.shape == FromRoutersToo || c.shape == Total {
 			continue
 		}
-		var broken atomic.Int64
+		var violations atomic.Int64
 		eachSeed(*firstSeed, *scenarioCount, func(seed uint64) {
 			if c.run(seed, FollowFirst) != nil {
-				broken.Add(1)
+				violations.Add(1)
 			}
 		})
-		t.Logf("%s: broken in %d of %d plays", name, broken.Load(), *scenarioCount)
-		if 10*broken.Load() < 9*int64(*scenarioCount) {
-			t.Errorf("%s is hardly found", name)
+		t.Logf("%s: a rule is broken in %d of %d runs", name, violations.Load(), *scenarioCount)
+		if 10*violations.Load() < 9*int64(*scenarioCount) {
+			t.Errorf("%s: a rule is broken in %d of %d runs, want nine of ten at least", name, violations.Load(), *scenarioCount)
 		}
 	}
 }
 
-// following lists the routers that have subscribed to an instance.
+// following returns the routers that are subscribed to an instance.
 func (w *World) following(x *instance) []*router {
 	nodes := x.host.controller.Routers()
 	var list []*router
@@ -123,7 +124,7 @@
 	return list
 }
 
-// measureNextProof gathers how long each router takes from now until it has a proof that is younger than now.
+// measureNextProof collects how long each router takes from now until it has a proof of a later moment.
 func (w *World) measureNextProof(routers []*router, into *samples) {
 	since := w.Now()
 	for _, r := range routers {
@@ -139,15 +140,15 @@
 	}
 }
 
-// TestTimeToNextProof measures how long a router that follows the head goes without a proof from when the head loses the
-// others, by the shape of the cut; and after a cut of all from each other, from the healing on.
+// TestTimeToNextProof measures how long routers go without a later proof once the instance that they follow is partitioned,
+// by the shape of the partition, and once a partition of all instances from each other is healed.
 func TestTimeToNextProof(t *testing.T) {
 	for _, shape := range []PartitionShape{Symmetric, OutboundLost, InboundLost, FromOtherZones, FromRoutersToo} {
 		var leaving samples
 		eachSeed(*firstSeed, *measuredCount, func(seed uint64) {
 			w := NewWorld(SetupOf(seed))
 			_ = w.Run(startupTime + w.between(0, time.Second))
-			x := w.mostFollowed()
+			x := w.busiestInstance()
 			followers := w.following(x)
 			w.partition(x, shape)
 			w.measureNextProof(followers, &leaving)
@@ -155,7 +156,7 @@
 				t.Error(err)
 			}
 		})
-		leaving.log(t, "from the cut of an instance ("+string(shape)+") to a later proof at a router that followed it")
+		leaving.log(t, "from the partition of an instance ("+string(shape)+") to a later proof at a router that followed it")
 	}
 	var healing, inForce samples
 	eachSeed(*firstSeed, *measuredCount, func(seed uint64) {
@@ -175,16 +176,16 @@
 			t.Error(err)
 		}
 	})
-	healing.log(t, "from the healing of cuts between all to a later proof at a router")
+	healing.log(t, "from the healing of partitions between all to a later proof at a router")
 	inForce.log(t, "from the first version acknowledged after it to that version in force at a router")
 }
 
-// mostFollowed is the instance that most routers follow.
-func (w *World) mostFollowed() *instance {
+// busiestInstance returns the instance to which the largest number of routers is subscribed.
+func (w *World) busiestInstance() *instance {
 	return slices.MaxFunc(w.instances, func(a, b *instance) int { return len(w.following(a)) - len(w.following(b)) })
 }
 
-// measureNextVersion gathers how long each router takes to have the next version that is acknowledged in force.
+// measureNextVersion collects how long each router takes to have the next version that is acknowledged in force.
 func (w *World) measureNextVersion(into *samples) {
 	acks := len(w.model.acks)
 	for _, r := range w.routers {
@@ -200,10 +201,10 @@
 	}
 }
 
-// mutants are found by histories within so many seeds.
+// mutantSeeds is how many histories may pass until a mutant is found.
 const mutantSeeds = 60
 
-// TestMutantsAreFound plays histories with faults in the stand-ins: each must be found.
+// TestMutantsAreFound simulates histories with mutants: each must break a rule.
 func TestMutantsAreFound(t *testing.T) {
 	for _, mutant := range []Mutant{FollowFirst, TrustAllBeacons, StampFresh, DrainWithoutContact} {
 		t.Run(string(mutant), func(t *testing.T) {
@@ -213,16 +214,16 @@
 					return
 				}
 			}
-			t.Errorf("not found in %d histories", mutantSeeds)
+			t.Errorf("found in 0 of %d histories, want 1 at least", mutantSeeds)
 		})
 	}
 }
 
-// mostCalmFarewell is how long the end of an endpoint may wait for its acknowledgement while nothing is wrong. The
-// endpoint asks elsewhere after a second.
+// maxDrainTimeWithoutFaults bounds how long an endpoint waits for the acknowledgement of its end without faults. It calls
+// another instance after a second.
 const maxDrainTimeWithoutFaults = 700 * time.Millisecond
 
-// TestCalmFarewells: proofs and other instances' receipts must not make endpoints wait where nothing is wrong.
+// TestDrainTimesWithoutFaults: proofs and other instances' acknowledgements must not make endpoints wait without faults.
 func TestDrainTimesWithoutFaults(t *testing.T) {
 	var taken samples
 	eachSeed(*firstSeed, *measuredCount, func(seed uint64) {
@@ -236,8 +237,8 @@
 			}
 		}
 	})
-	taken.log(t, "from an endpoint's end to its acknowledgement in calm times")
+	taken.log(t, "from an endpoint's end to its acknowledgement without faults")
 	if len(taken.durations) > 0 && taken.durations[len(taken.durations)-1] > maxDrainTimeWithoutFaults {
-		t.Errorf("the longest is above %v", maxDrainTimeWithoutFaults)
+		t.Errorf("the longest is %v, want %v at most", taken.durations[len(taken.durations)-1], maxDrainTimeWithoutFaults)
 	}
 }
--- a/internal/systemsim/stream.go
+++ b/internal/systemsim/stream.go
@@ -1,13 +1,11 @@
 package systemsim
 
-import (
-	"time"
-)
+import "time"
 
-// stream is a connection of two processes: messages of one direction keep their order.
+// stream is a connection of two processes, as over TCP: messages of one direction keep their order.
 type stream struct {
 	network *network
-	ends    [2]*end // of the caller, of the called
+	ends    [2]*end // of the process that dialled, of the other
 	open    bool
 }
 
@@ -17,25 +15,26 @@
 	process          *process
 	incarnation      int // of the process
 	other            *end
-	closed           bool // the process has no use for it any more, or knows that it is over
-	queue            []any
-	arrivalScheduled bool          // an arrival is planned
-	heldBack         bool          // by a cut
-	unackedSince     time.Duration // since when bytes that were sent are unacknowledged; zero: none are
+	closed           bool          // the process closed it, or was notified of its end
+	queue            []any         // sent, not arrived
+	arrivalScheduled bool          // for queue
+	heldBack         bool          // queue waits: a fault blocks the link
+	unackedSince     time.Duration // since when bytes are without acknowledgement; zero: none are
 	arrivesAt        time.Duration // of the newest arrival
 }
 
+// fin is the last message of a stream: its sender closed it.
 type fin struct{}
 
-// dial opens a stream; the caller hears of it by opened or ended.
-func (n *network) dial(from, to *process, patience time.Duration) *stream {
+// dial opens a stream; the process that dials is notified by opened or ended.
+func (n *network) dial(from, to *process, timeout time.Duration) *stream {
 	s := &stream{network: n}
 	a, b := &end{stream: s, process: from, incarnation: from.incarnation}, &end{stream: s, process: to}
 	a.other, b.other = b, a
 	s.ends = [2]*end{a, b}
 	n.streams = append(n.streams, s)
 	from.streams = append(from.streams, s)
-	from.after(patience, func() {
+	from.after(timeout, func() {
 		if !s.open {
 			a.fail()
 		}
@@ -44,21 +43,21 @@
 	return s
 }
 
-// accept is the caller's first packet at the other machine.
+// accept takes in the first packet at the other machine.
 func (s *stream) accept(n *network) {
 	a, b := s.ends[0], s.ends[1]
 	if !n.passes(a.process, b.process) {
 		return
 	}
-	refused := !b.process.running
-	if !refused {
+	rejected := !b.process.running
+	if !rejected {
 		b.incarnation = b.process.incarnation
 		b.process.streams = append(b.process.streams, s)
 	}
 	n.world.After(n.delay(b.process, a.process), func() {
 		switch {
 		case a.closed || !n.passes(b.process, a.process):
-		case refused:
+		case rejected:
 			a.process.do(a.incarnation, a.fail)
 		default:
 			a.process.do(a.incarnation, func() {
@@ -71,6 +70,7 @@
 	})
 }
 
+// endOf returns the process's end.
 func (s *stream) endOf(p *process) *end {
 	if s.ends[0].process == p {
 		return s.ends[0]
@@ -78,12 +78,12 @@
 	return s.ends[1]
 }
 
-// finished tells whether nobody is left who could notice anything.
+// finished says whether no process is left to be notified of anything.
 func (s *stream) finished() bool {
 	return s.ends[0].detached() && s.ends[1].detached() && !s.ends[0].arrivalScheduled && !s.ends[1].arrivalScheduled
 }
 
-// detached tells whether no process is behind this end any more.
+// detached says whether no process is behind this end any more.
 func (e *end) detached() bool { return e.closed || e.incarnation != e.process.incarnation }
 
 // send queues a message for the process at the other end.
@@ -104,7 +104,7 @@
 	e.closed = true
 }
 
-// fail tells the own process that the stream is over.
+// fail ends the stream and notifies the own process.
 func (e *end) fail() {
 	if e.detached() {
 		return
@@ -114,7 +114,7 @@
 	e.process.ended(e.stream)
 }
 
-// abandoned: the process has ended. Its kernel says so, if it still runs.
+// processEnded takes in that the process has ended. Its kernel closes the stream, if the machine has power.
 func (e *end) processEnded(power bool) {
 	if e.closed {
 		return
@@ -127,7 +127,7 @@
 	}
 }
 
-// scheduleArrival plans the arrival of the first message that waits.
+// scheduleArrival plans the arrival of what is queued.
 func (e *end) scheduleArrival() {
 	if e.arrivalScheduled || len(e.queue) == 0 {
 		return
@@ -139,7 +139,7 @@
 	n.world.After(e.arrivesAt-now, e.arrive)
 }
 
-// arrive brings what has been sent to the other machine, or holds it up.
+// arrive delivers what is queued to the other machine, or leaves it queued where a fault blocks the link.
 func (e *end) arrive() {
 	e.arrivalScheduled = false
 	n := e.stream.network
@@ -165,9 +165,10 @@
 	}
 }
 
+// deliver gives one message to the process at the other end.
 func (e *end) deliver(message any) {
 	to := e.other
-	if _, over := message.(fin); over {
+	if _, isFin := message.(fin); isFin {
 		to.process.do(to.incarnation, to.fail)
 		return
 	}
@@ -178,7 +179,7 @@
 	})
 }
 
-// reset: nobody is at the other end. The machine there says so, if it can.
+// reset drops what is queued: no process is at the other end. The machine there answers so, if it can.
 func (e *end) reset() {
 	e.queue = nil
 	n := e.stream.network
@@ -191,7 +192,7 @@
 	})
 }
 
-// startUserTimeout has the kernel end the stream where nothing comes back for long.
+// startUserTimeout has the kernel end the stream unless packets pass in both directions again in userTimeout.
 func (e *end) startUserTimeout() {
 	if e.unackedSince > 0 {
 		return
@@ -207,7 +208,7 @@
 	})
 }
 
-// resume goes on with what was held up.
+// resume takes in that the link may work again: what was held back arrives in maxHealDelay.
 func (e *end) resume() {
 	n := e.stream.network
 	if n.path(e.process, e.other.process) {
--- a/internal/systemsim/world.go
+++ b/internal/systemsim/world.go
@@ -9,19 +9,19 @@
 	"raventrestle/coordination/simnet"
 )
 
-// Setup describes a world.
+// Setup describes a simulated system.
 type Setup struct {
 	Seed      uint64
-	Instances int // the first three found the group
+	Instances int // the first three are the seeds
 	Routers   int
 	Endpoints int
 	Operators int
 	Mutant    Mutant
-	Rules     []string // that are looked at; nil: all
-	Trace     func(line string)
+	Rules     []string          // that are checked; nil: all
+	Trace     func(line string) // takes each line of the trace; nil: none is made
 }
 
-// Bounds of the deployment, as its settings give them.
+// Bounds of the deployment, with their keys in the settings, and its fault tolerance.
 const (
 	configBound       = 2 * time.Second // config_ms
 	drainBound        = 2 * time.Second // drain_ms
@@ -33,7 +33,7 @@
 	seedInstances     = 3
 )
 
-// World is one simulated history.
+// World is one simulated system with its history.
 type World struct {
 	Setup
 	*simnet.Scheduler
@@ -43,16 +43,16 @@
 	routers         []*router
 	endpoints       []*endpoint
 	clients         []*client     // operators and endpoints
-	finishing       bool          // nothing new is called for
-	healPartitions  []func()      // of the cuts that were made
-	noFaultBefore   time.Duration // no fault begins before: a lost disk is made up for
-	linkPartitioned bool          // a single link is cut
+	finishing       bool          // clients begin nothing new
+	healPartitions  []func()      // one for each partition so far
+	noFaultBefore   time.Duration // no fault begins before: a lost disk is being replaced
+	linkPartitioned bool          // see partitionLink
 	model           model
 	steps           int
 	failure         error
 }
 
-// lookEvery is how often the world holds the routers against the truth, apart from their own steps.
+// checkInterval is the time between checks of the routers, beside those at their own steps.
 const checkInterval = 25 * time.Millisecond
 
 // NewWorld starts all processes of the setup within 0.3 s of each other.
@@ -86,7 +86,7 @@
 	return w
 }
 
-// Run plays for that long or until a rule is broken.
+// Run simulates for that long or until a rule is broken, and returns the violation.
 func (w *World) Run(length time.Duration) error {
 	w.RunUntil(w.Now()+length, func() bool { return w.failure != nil })
 	return w.failure
@@ -97,36 +97,37 @@
 	w.After(checkInterval, w.checkPeriodically)
 }
 
+// between draws a time between two, both included.
 func (w *World) between(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.random.Int64N(int64(high-low)+1))
 }
 
-// oneIn is true once in so many times.
+// oneIn draws true once in so many times.
 func (w *World) oneIn(times int) bool { return w.random.IntN(times) == 0 }
 
-// tracef tells a step of the history.
+// tracef traces a line of the history.
 func (w *World) tracef(format string, values ...any) {
 	if w.Trace != nil {
 		w.Trace(fmt.Sprintf("%9.3f  ", w.Now().Seconds()) + fmt.Sprintf(format, values...))
 	}
 }
 
-// fail notes the first broken rule.
+// fail keeps the first violation of a rule that is checked.
 func (w *World) fail(rule, format string, values ...any) {
 	if w.failure == nil && (w.Rules == nil || slices.Contains(w.Rules, rule)) {
 		w.failure = &Violation{Rule: rule, Seed: w.Seed, At: w.Now(), Detail: fmt.Sprintf(format, values...)}
-		w.tracef("BROKEN %v", w.failure)
+		w.tracef("VIOLATION %v", w.failure)
 	}
 }
 
-// Violation is a rule that a history broke.
+// Violation is the error of a history that broke a rule.
 type Violation struct {
 	Rule   string
 	Seed   uint64
-	At     time.Duration
+	At     time.Duration // virtual time
 	Detail string
 }
 
-func (b *Violation) Error() string {
-	return fmt.Sprintf("seed %d at %.3f s: %s: %s", b.Seed, b.At.Seconds(), b.Rule, b.Detail)
+func (v *Violation) Error() string {
+	return fmt.Sprintf("seed %d at %.3f s: %s: %s", v.Seed, v.At.Seconds(), v.Rule, v.Detail)
 }
