--- a/cmd/raventrestle-control/instance.go
+++ b/cmd/raventrestle-control/instance.go
@@ -225,7 +225,7 @@
 func newPlacer(settings *nodeconfig.Config, quiet time.Duration) *placer.Placer {
 	return placer.New(placer.Config{
 		LoadRateWindow:   settings.Bounds.LoadRateWindow,
-		LoadRateFactor:   settings.Bounds.LoadRateOverrunRatio,
+		LoadRateFactor:   settings.Bounds.LoadRateFactor,
 		HandoverGap:      quiet,
 		InspectEndpoints: true,
 	})
--- a/internal/nodeconfig/bounds.go
+++ b/internal/nodeconfig/bounds.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// readBounds takes the bounds. The defaults are the stricter of the values seen so far, so that a file
-// without a bound keeps the rules of one with it.
+// readBounds reads the bounds of the rules. Each default is the strictest value known from the operators' pages, so that a
+// process whose file lacks a bound keeps to the rules of one whose file has it.
 func readBounds(r *fileReader) Bounds {
 	return Bounds{
 		SeedListLag:              r.seconds("bounds.seed_lag_s", 3*time.Second),
@@ -32,6 +32,6 @@
 		LeaseTTL:                 r.milliseconds("bounds.lease_ms", 3*time.Second),
 		ThawWindow:               r.milliseconds("bounds.thaw_ms", 300*time.Millisecond),
 		LoadRateWindow:           r.seconds("bounds.ceiling_window_s", 5*time.Second),
-		LoadRateOverrunRatio:     r.nonNegative("bounds.ceiling_over", 1),
+		LoadRateFactor:           r.nonNegative("bounds.ceiling_over", 1),
 	}
 }
--- a/internal/nodeconfig/golden_test.go
+++ b/internal/nodeconfig/golden_test.go
@@ -47,13 +47,13 @@
 			RevocationTimeout: 22 * time.Millisecond, RetryBudgetRatio: 0.23, RetryBudgetWindow: 24 * time.Second, RetryBudgetSlack: 25,
 			QuotaWindow: 26 * time.Second, QuotaOverrunRatio: 0.27, QuotaSlack: 28, RecoveryTimeout: 29 * time.Second,
 			EventForwardTimeout: 30 * time.Millisecond, Again: 31 * time.Second, FencingEnabled: true, LeaseTTL: 32 * time.Millisecond,
-			ThawWindow: 33 * time.Millisecond, LoadRateWindow: 34 * time.Second, LoadRateOverrunRatio: 1.35,
+			ThawWindow: 33 * time.Millisecond, LoadRateWindow: 34 * time.Second, LoadRateFactor: 1.35,
 		},
 	}
 }
 
-// leastKeys is what testdata/golden/least.conf says, which has the required keys alone: the defaults of all others.
-func leastKeys() *Config {
+// requiredKeys is what testdata/golden/least.conf says, which has the required keys alone, so all others have their defaults.
+func requiredKeys() *Config {
 	return &Config{
 		NodeName: "n", Role: "r", IP: "10.0.0.1", Zone: "z", Region: "w", Zones: map[string]string{"z": "w"},
 		FirstEphemeralPort: 1, LastEphemeralPort: 2,
@@ -66,7 +66,7 @@
 			PartitionAllowance: 5 * time.Second, RevocationTimeout: 5 * time.Second, RetryBudgetRatio: 0.2, RetryBudgetWindow: 10 * time.Second,
 			RetryBudgetSlack: 50, QuotaWindow: 8 * time.Second, QuotaOverrunRatio: 0.1, RecoveryTimeout: 12 * time.Second,
 			EventForwardTimeout: 120 * time.Millisecond, LeaseTTL: 3 * time.Second, ThawWindow: 300 * time.Millisecond,
-			LoadRateWindow: 5 * time.Second, LoadRateOverrunRatio: 1,
+			LoadRateWindow: 5 * time.Second, LoadRateFactor: 1,
 		},
 	}
 }
@@ -74,7 +74,7 @@
 // otherForms is what testdata/golden/forms.conf says: comments, other separators, white space, continued lines,
 // escapes, keys that come twice, and the forms of numbers, truth values, lists and addresses.
 func otherForms() *Config {
-	bounds := leastKeys().Bounds
+	bounds := requiredKeys().Bounds
 	bounds.SeedListLag = 250 * time.Millisecond
 	bounds.DrainTimeout = 1500*time.Millisecond + 400*time.Nanosecond
 	bounds.StrictRevocation = true
@@ -94,7 +94,7 @@
 
 func TestGoldenFilesAreReadAsBefore(t *testing.T) {
 	for file, want := range map[string]*Config{
-		"every-key.conf": everyKey(), "least.conf": leastKeys(), "forms.conf": otherForms(),
+		"every-key.conf": everyKey(), "least.conf": requiredKeys(), "forms.conf": otherForms(),
 	} {
 		t.Run(file, func(t *testing.T) {
 			got, err := Parse(file, readGolden(t, file))
@@ -110,7 +110,7 @@
 
 // TestGoldenFileSetsEachField fails when a field is added that the file with every key does not set.
 func TestGoldenFileSetsEachField(t *testing.T) {
-	checkSet(t, reflect.ValueOf(*everyKey()), reflect.ValueOf(*leastKeys()), "Settings")
+	checkSet(t, reflect.ValueOf(*everyKey()), reflect.ValueOf(*requiredKeys()), "Settings")
 }
 
 func checkSet(t *testing.T, value, byDefault reflect.Value, path string) {
@@ -126,8 +126,8 @@
 	}
 }
 
-// TestGoldenKeysAllCount takes out one line at a time: each of them must count but for those that are not known.
-func TestGoldenKeysAllCount(t *testing.T) {
+// TestGoldenKeysAllMatter removes one line at a time: each must matter but for those of unknown keys.
+func TestGoldenKeysAllMatter(t *testing.T) {
 	unknown := map[string]bool{"discovery": true, "entry": true, "a.key.of.tomorrow": true}
 	lines := bytes.SplitAfter(readGolden(t, "every-key.conf"), []byte("\n"))
 	for i, line := range lines {
@@ -144,8 +144,8 @@
 	}
 }
 
-// TestGoldenFaultsNameKeyAndLine wants every fault of testdata/golden/refused.conf told, in this order.
-func TestGoldenFaultsNameKeyAndLine(t *testing.T) {
+// TestGoldenKeyErrorsNameLineAndKey wants an error for each faulty line of testdata/golden/refused.conf, in this order.
+func TestGoldenKeyErrorsNameLineAndKey(t *testing.T) {
 	want := []string{
 		"2 node_name", "3 role", "5 ip", "0 zone", "10 seeds", "10 seeds", "11 bootstrap", "12 counts_for_quorum",
 		"13 limits.cpu_share", "14 limits.cores", "15 limits.memory_mb", "16 limits.max_fds", "17 limits.link_mbps",
@@ -157,7 +157,7 @@
 	}
 	_, err := Parse("refused.conf", readGolden(t, "refused.conf"))
 	if got := faultPlaces(t, err); !cmp.Equal(got, want) {
-		t.Errorf("got other faults than wanted (-want +got):\n%s", cmp.Diff(want, got))
+		t.Errorf("got other key errors than wanted (-want +got):\n%s", cmp.Diff(want, got))
 	}
 }
 
@@ -190,8 +190,8 @@
 	return places
 }
 
-// TestGoldenRefusedForms changes one line of a good file at a time.
-func TestGoldenRefusedForms(t *testing.T) {
+// TestGoldenRejectedForms changes one line of a good file at a time.
+func TestGoldenRejectedForms(t *testing.T) {
 	good := string(readGolden(t, "every-key.conf"))
 	number := strings.Count(good, "\n") + 1
 	for _, line := range []string{
--- a/internal/nodeconfig/read.go
+++ b/internal/nodeconfig/parse.go
@@ -15,18 +15,18 @@
 	defaultMemoryMB          = 256
 	defaultMaxFDs            = 1024
 	defaultLinkMbps          = 1000
-	defaultToleratedMachines = 1 // machines
+	defaultToleratedMachines = 1
 	defaultLogLevel          = "info"
 	zonesPrefix              = "zones."
 	ephemeralPortsKey        = "ephemeral_ports"
 	toleratedMachinesKey     = "fault_tolerance.machines"
 	maxPort                  = 65535
-	portsInEphemeralKey      = 2
+	portsInEphemeralKey      = 2 // first and last
 )
 
 var logLevels = []string{"trace", "debug", "info", "warn", "error"}
 
-// FromEnvironment reads the file that EnvironmentVariable names.
+// FromEnvironment reads and checks the settings file that EnvironmentVariable names.
 func FromEnvironment() (*Config, error) {
 	path := os.Getenv(EnvironmentVariable)
 	if path == "" {
@@ -35,7 +35,7 @@
 	return Load(path)
 }
 
-// Load reads and checks a settings file.
+// Load reads and checks a settings file. Its error names the file and, where the content is at fault, is that of Parse.
 func Load(path string) (*Config, error) {
 	body, err := os.ReadFile(path)
 	if err != nil {
@@ -44,13 +44,14 @@
 	return Parse(path, body)
 }
 
-// Parse reads and checks the text of a settings file. Its error joins a Fault for each key in fault.
+// Parse checks the text of a settings file, whose name is used in errors only. Its error wraps a KeyError for each key
+// that is missing or malformed, or says why the text is no properties file.
 func Parse(file string, body []byte) (*Config, error) {
 	r, err := newReader(file, body)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	s := &Config{
+	c := &Config{
 		NodeName:          r.required("node_name"),
 		Role:              r.required("role"),
 		MachineClass:      r.text("machine_class", ""),
@@ -69,16 +70,17 @@
 		Contracts:         r.optionalList("contracts"),
 		Bounds:            readBounds(r),
 	}
-	s.Region = r.text("region", s.Zones[s.Zone])
-	s.FirstEphemeralPort, s.LastEphemeralPort = r.ephemeralPorts()
-	readTolerance(r, s)
-	readListeners(r, s)
+	c.Region = r.text("region", c.Zones[c.Zone])
+	c.FirstEphemeralPort, c.LastEphemeralPort = r.ephemeralPorts()
+	readTolerance(r, c)
+	readListeners(r, c)
 	if err := r.err(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	return s, nil
+	return c, nil
 }
 
+// readLimits reads what the machine allows.
 func readLimits(r *fileReader) Limits {
 	return Limits{
 		CPUShare: r.nonNegative("limits.cpu_share", defaultCPUShare),
@@ -90,23 +92,25 @@
 	}
 }
 
-func readTolerance(r *fileReader, s *Config) {
-	s.FaultToleranceSpecified = r.text(toleratedMachinesKey, "") != ""
-	s.FaultToleranceMachines = r.integer(toleratedMachinesKey, defaultToleratedMachines)
-	s.FaultToleranceZones = r.integer("fault_tolerance.zones", 0)
-	s.FaultToleranceRegions = r.integer("fault_tolerance.regions", 0)
+// readTolerance reads how many machines, zones and regions may be lost at once.
+func readTolerance(r *fileReader, c *Config) {
+	c.FaultToleranceSpecified = r.text(toleratedMachinesKey, "") != ""
+	c.FaultToleranceMachines = r.integer(toleratedMachinesKey, defaultToleratedMachines)
+	c.FaultToleranceZones = r.integer("fault_tolerance.zones", 0)
+	c.FaultToleranceRegions = r.integer("fault_tolerance.regions", 0)
 }
 
-// readListeners needs the addresses of what is served, and a folder where the control state is kept.
-func readListeners(r *fileReader, s *Config) {
-	s.IngressAddress = r.optionalAddress("listen.front")
-	s.ReadinessAddress = r.optionalAddress("listen.readiness")
-	s.ControlAddress = r.optionalAddress("listen.control")
-	if s.Serves(InterfaceEdge) {
+// readListeners reads the addresses to listen on. Those of a served interface are required, and for the control plane a
+// directory for its state.
+func readListeners(r *fileReader, c *Config) {
+	c.IngressAddress = r.optionalAddress("listen.front")
+	c.ReadinessAddress = r.optionalAddress("listen.readiness")
+	c.ControlAddress = r.optionalAddress("listen.control")
+	if c.Serves(InterfaceEdge) {
 		r.required("listen.front")
 		r.required("listen.readiness")
 	}
-	if s.Serves(InterfaceControlPlane) {
+	if c.Serves(InterfaceControlPlane) {
 		r.required("listen.control")
 		r.required("data_dir")
 	}
@@ -128,13 +132,13 @@
 	}
 	ports := r.optionalList(ephemeralPortsKey)
 	if len(ports) != portsInEphemeralKey {
-		r.addFault(ephemeralPortsKey, "%q is not FIRST,LAST", value)
+		r.addError(ephemeralPortsKey, "%q is not FIRST,LAST", value)
 		return 0, 0
 	}
 	first, errFirst := strconv.Atoi(ports[0])
 	last, errLast := strconv.Atoi(ports[1])
 	if errFirst != nil || errLast != nil || first < 1 || last < first || last > maxPort {
-		r.addFault(ephemeralPortsKey, "%q is not a range of ports", value)
+		r.addError(ephemeralPortsKey, "%q is not a range of ports", value)
 	}
 	return first, last
 }
@@ -143,7 +147,7 @@
 	const key = "log.level"
 	level := strings.ToLower(r.text(key, defaultLogLevel))
 	if !slices.Contains(logLevels, level) {
-		r.addFault(key, "%q is none of %s", level, strings.Join(logLevels, ", "))
+		r.addError(key, "%q is none of %s", level, strings.Join(logLevels, ", "))
 	}
 	return level
 }
--- a/internal/nodeconfig/read_test.go
+++ b/internal/nodeconfig/parse_test.go
@@ -68,7 +68,7 @@
 	bounds.DrainTimeout = 2500 * time.Millisecond
 	bounds.GracePeriod = 500 * time.Millisecond
 	bounds.QuotaSlack = 11000
-	bounds.LoadRateOverrunRatio = 1.1
+	bounds.LoadRateFactor = 1.1
 	bounds.FencingEnabled = true
 	want := &Config{
 		NodeName: "edge-a-1", Role: "my-edge", MachineClass: "edge", ServedInterfaces: []string{"edge"},
@@ -84,13 +84,13 @@
 		Bounds: bounds,
 	}
 	if difference := cmp.Diff(want, got); difference != "" {
-		t.Error(difference)
+		t.Errorf("got other settings than wanted (-want +got):\n%s", difference)
 	}
 	if !got.Serves(InterfaceEdge) || got.Serves(InterfaceControlPlane) {
-		t.Error("does not serve what it serves")
+		t.Errorf("got served interfaces %q, want edge alone", got.ServedInterfaces)
 	}
 	if !got.HasContract("quota") || got.HasContract("engine") {
-		t.Error("contracts are not those of the file")
+		t.Errorf("got contracts %q, want quota among them and not engine", got.Contracts)
 	}
 }
 
@@ -106,7 +106,7 @@
 	}
 	if got.ControlAddress != "10.1.0.3:8367" || got.DataDir != "/data/my-core" ||
 		got.LogLevel != "debug" || got.MetricsAddress != "127.0.0.1:9100" {
-		t.Errorf("got %+v", got)
+		t.Errorf("got %+v, want the control and metrics addresses, the directory and the level of the file", got)
 	}
 }
 
@@ -118,20 +118,20 @@
 	}
 	if got.Region != "w" || got.HeartbeatInterval != defaultHeartbeat || got.Limits.Cores != 1 ||
 		got.Limits.MemoryMB != defaultMemoryMB || got.FaultToleranceMachines != 1 || got.FaultToleranceSpecified {
-		t.Errorf("got %+v", got)
+		t.Errorf("got %+v, want the defaults, and the region of the zone", got)
 	}
 	if difference := cmp.Diff(readBounds(&fileReader{}), got.Bounds); difference != "" {
-		t.Error(difference)
+		t.Errorf("got other bounds than the defaults (-want +got):\n%s", difference)
 	}
 }
 
-// TestFaults changes one line at a time and wants the fault told with its line and key.
-func TestFaults(t *testing.T) {
+// TestKeyErrorNamesLineAndKey changes one line at a time.
+func TestKeyErrorNamesLineAndKey(t *testing.T) {
 	valid := edgeFile + controlLines
 	for _, test := range []struct{ key, line, want string }{
 		{"node_name", "", "is missing"},
 		{"role", "role=", "is missing"},
-		{"ip", "ip=10.1.0", "not an IP number"},
+		{"ip", "ip=10.1.0", "not an IP address"},
 		{"ip", "", "is missing"},
 		{"zone", "", "is missing"},
 		{"serves", "", "is missing"},
@@ -147,12 +147,12 @@
 		{"data_dir", "", "is missing"},
 		{"bootstrap", "bootstrap=maybe", "neither true nor false"},
 		{"limits.memory_mb", "limits.memory_mb=some", "not a number"},
-		{"limits.memory_mb", "limits.memory_mb=1.5", "not a whole number"},
-		{"limits.memory_mb", "limits.memory_mb=3e9", "not a whole number"},
+		{"limits.memory_mb", "limits.memory_mb=1.5", "not an integer"},
+		{"limits.memory_mb", "limits.memory_mb=3e9", "not an integer"},
 		{"limits.cpu_share", "limits.cpu_share=-1", "not a number of 0 or more"},
 		{"limits.cpu_share", "limits.cpu_share=NaN", "not a number of 0 or more"},
 		{"heartbeat_ms", "heartbeat_ms=+Inf", "not a number of 0 or more"},
-		{"heartbeat_ms", "heartbeat_ms=1e18", "too long"},
+		{"heartbeat_ms", "heartbeat_ms=1e18", "longer than"},
 		{"bounds.drain_ms", "bounds.drain_ms=2s", "not a number of 0 or more"},
 		{"log.level", "log.level=loud", "none of"},
 		{"listen.metrics", "listen.metrics=9100", "not IP:port"},
@@ -161,19 +161,19 @@
 		_, err := Parse("local.conf", []byte(body))
 		var fault *KeyError
 		if !errors.As(err, &fault) {
-			t.Errorf("%s %q: got %v", test.key, test.line, err)
+			t.Errorf("%s %q: got %v, want a key error", test.key, test.line, err)
 			continue
 		}
 		if fault.Key != test.key || fault.Line != line || !strings.Contains(fault.Reason, test.want) {
-			t.Errorf("%s %q: got %v", test.key, test.line, err)
+			t.Errorf("%s %q: got %v, want line %d and a reason with %q", test.key, test.line, err, line, test.want)
 		}
 		if !strings.Contains(err.Error(), "local.conf") {
-			t.Errorf("%s %q: the file is not named in %v", test.key, test.line, err)
+			t.Errorf("%s %q: got %v, want the file named", test.key, test.line, err)
 		}
 	}
 }
 
-// replaceLine puts a line in the place of the last one that sets the key, or takes all of them out.
+// replaceLine removes all lines that set the key, and appends the line where there is one.
 func replaceLine(body, key, line string) (changed string, number int) {
 	lines := strings.Split(strings.TrimSuffix(body, "\n"), "\n")
 	var kept []string
@@ -189,33 +189,33 @@
 	return strings.Join(kept, "\n"), len(kept)
 }
 
-func TestAllFaultsAreTold(t *testing.T) {
+func TestErrorListsAllMissingKeys(t *testing.T) {
 	_, err := Parse("f", []byte("serves=edge,control_plane\n"))
 	if err == nil {
-		t.Fatal("an empty file was taken")
+		t.Fatal("got no error, want one that lists the missing keys")
 	}
 	for _, key := range []string{"node_name", "listen.front", "listen.readiness", "listen.control", "data_dir"} {
 		if !strings.Contains(err.Error(), key+": is missing") {
-			t.Errorf("%s is not told in %v", key, err)
+			t.Errorf("got %v, want it to say that %s is missing", err, key)
 		}
 	}
 }
 
-func TestFilesThatCannotBeRead(t *testing.T) {
+func TestUnreadableFilesAreRejected(t *testing.T) {
 	t.Setenv(EnvironmentVariable, "")
 	if _, err := FromEnvironment(); err == nil {
-		t.Error("read without a path")
+		t.Error("without a path: got no error, want one")
 	}
 	if _, err := Load(filepath.Join(t.TempDir(), "none")); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("got %v", err)
+		t.Errorf("a file that does not exist: got %v, want %v", err, os.ErrNotExist)
 	}
 	if _, err := Parse("f", []byte(`a=\u12`)); err == nil || !strings.Contains(err.Error(), "f:") {
-		t.Errorf("got %v", err)
+		t.Errorf("a broken escape: got %v, want an error that names the file", err)
 	}
 }
 
-// keepRuntime has the runtime's limits of before the test back after it.
-func keepRuntime(t *testing.T) {
+// restoreRuntime restores the runtime's limits after the test.
+func restoreRuntime(t *testing.T) {
 	t.Helper()
 	cores := runtime.GOMAXPROCS(0)
 	percent := debug.SetGCPercent(100)
@@ -227,33 +227,33 @@
 	})
 }
 
-// A settings file may say limits.memory_mb=0.
+// TestMachineLimitsWithoutMemory applies limits.memory_mb=0, which a settings file may have.
 func TestMachineLimitsWithoutMemory(t *testing.T) {
-	keepRuntime(t)
+	restoreRuntime(t)
 	before := debug.SetMemoryLimit(-1)
 	Limits{}.ApplyMachineLimits()
 	if got := debug.SetMemoryLimit(-1); got != before {
-		t.Errorf("a limit of %d bytes, %d before", got, before)
+		t.Errorf("got a memory limit of %d bytes, want the %d of before", got, before)
 	}
 	if got := runtime.GOMAXPROCS(0); got != 1 {
-		t.Errorf("%d processors", got)
+		t.Errorf("got %d processors, want 1", got)
 	}
 	if got := debug.SetGCPercent(100); got != 100 {
-		t.Errorf("collections at %d per cent", got)
+		t.Errorf("got collections at %d per cent, want the 100 of before", got)
 	}
 }
 
 func TestRuntimeLimits(t *testing.T) {
-	keepRuntime(t)
+	restoreRuntime(t)
 	Limits{Cores: 2, MemoryMB: 100}.ApplyRuntimeLimits()
-	if runtime.GOMAXPROCS(0) != 2 {
-		t.Errorf("%d processors", runtime.GOMAXPROCS(0))
+	if got := runtime.GOMAXPROCS(0); got != 2 {
+		t.Errorf("got %d processors, want 2", got)
 	}
 	if got := debug.SetMemoryLimit(-1); math.Abs(float64(got)-70*mebibyte) > 1 {
-		t.Errorf("a limit of %d bytes", got)
+		t.Errorf("got a memory limit of %d bytes, want %v", got, 70.0*mebibyte)
 	}
 	if got := debug.SetGCPercent(100); got != gcPercent {
-		t.Errorf("collections at %d per cent", got)
+		t.Errorf("got collections at %d per cent, want %d", got, gcPercent)
 	}
 }
 
@@ -264,7 +264,7 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		s, err := Parse("f", body)
 		if (s == nil) == (err == nil) {
-			t.Fatalf("%v and %v", s, err)
+			t.Fatalf("got %v and %v, want either settings or an error", s, err)
 		}
 	})
 }
