--- a/coordination/replica/doc.go
+++ b/coordination/replica/doc.go
@@ -24,8 +24,8 @@
 //
 // # Guarantees
 //
-//   - A command whose Propose returned nil was synced by at least FaultTolerance+1 members. It is never lost while no more than
-//     FaultTolerance disks are, even when all other members lose power in the same moment.
+//   - A command whose Propose returned nil was synced by at least FaultTolerance+1 members. It is never lost while no more
+//     than FaultTolerance disks are, even when all other members lose power in the same moment.
 //   - Commands are applied in one order on every member. One that is forwarded twice because an answer was lost is
 //     applied once, as far as the last 1,024 commands reach; a StateMachine that needs more recognises its commands by
 //     their content.
--- a/coordination/replica/example_test.go
+++ b/coordination/replica/example_test.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		panic(err)
 	}
-	defer os.RemoveAll(directory)
+	defer func() { _ = os.RemoveAll(directory) }()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 
--- a/coordination/replica/golden_frames_test.go
+++ b/coordination/replica/golden_frames_test.go
@@ -114,7 +114,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }() // it was only read
 	unpacked, err := gzip.NewReader(file)
 	if err != nil {
 		t.Fatal(err)
--- a/coordination/replica/replica_test.go
+++ b/coordination/replica/replica_test.go
@@ -186,7 +186,9 @@
 	g := newGroup(t, 3)
 	g.propose(0, "one")
 	g.kill(2)
-	g.waitUntil(g.member(0), "two members are left in the chain", func(s replica.Status) bool { return len(s.View.Chain) == 2 })
+	g.waitUntil(g.member(0), "two members are left in the chain", func(s replica.Status) bool {
+		return len(s.View.Chain) == 2
+	})
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
 	err := g.member(1).Stop(ctx)
--- a/coordination/simnet/catchup_test.go
+++ b/coordination/simnet/catchup_test.go
@@ -10,6 +10,7 @@
 
 	"raventrestle/coordination/engine"
 	"raventrestle/coordination/internal/mutation"
+	"raventrestle/coordination/wal"
 )
 
 // document is a replicated state machine like the one of the configuration: each command replaces it completely.
@@ -44,7 +45,13 @@
 	writeInterval = 60 * time.Millisecond
 )
 
-// startWrites proposes a command of the size at each interval; one in largeInterval is of the large size, where that is not 0.
+// defaultLogSizes are those of a replica in service.
+var defaultLogSizes = LogSizes{
+	CompactBytes: engine.DefaultCompactBytes, KeepBytes: engine.DefaultKeepBytes, SegmentBytes: wal.DefaultSegmentBytes,
+}
+
+// startWrites proposes a command of that size at each interval; one in largeInterval is of the large size, where that is
+// not 0.
 func (w *World) startWrites(interval time.Duration, bytes, largeBytes, largeInterval int) {
 	number := 0
 	var next func()
@@ -72,11 +79,11 @@
 	lossProbability                         float64
 }
 
-// worldUnderLoad returns a group of three under a load, with logs of the usual sizes.
+// worldUnderLoad returns a group of three under a load, with logs of the default sizes.
 func worldUnderLoad(seed uint64, load writeLoad) *World {
 	w := NewWorld(Config{
 		Seed: seed, Machines: 3, Seeds: 3, FaultTolerance: 1, LinkRate: load.linkRate, LossProbability: load.lossProbability,
-		LogSizes:        LogSizes{CompactBytes: engine.DefaultCompactBytes, KeepBytes: engine.DefaultKeepBytes, SegmentBytes: 4 << 20},
+		LogSizes:        defaultLogSizes,
 		NewStateMachine: func() engine.StateMachine { return &document{} },
 	})
 	_ = w.Run(time.Second)
@@ -92,7 +99,8 @@
 		_ = w.Run(10 * time.Millisecond)
 	}
 	if !w.isFullMember(m) {
-		w.fail("%s has not caught up in %v: it is at %d of %d", m.address, timeout, m.stateMachine.lastApplied, w.model.newestAcknowledged)
+		w.fail("%s has not caught up in %v: it is at %d of %d",
+			m.address, timeout, m.stateMachine.lastApplied, w.model.newestAcknowledged)
 	}
 	return w.now - beganAt
 }
@@ -162,7 +170,8 @@
 // ones the state of these tests, which is all commands, could not be sent in recoveryTimeout.)
 func playSlowHistory(seed uint64) (*World, error) {
 	config := configFor(seed)
-	config.LinkRate, config.LogSizes = slowLinkRate, LogSizes{CompactBytes: 200 << 10, KeepBytes: 20 << 10, SegmentBytes: 100 << 10}
+	config.LinkRate = slowLinkRate
+	config.LogSizes = LogSizes{CompactBytes: 200 << 10, KeepBytes: 20 << 10, SegmentBytes: 100 << 10}
 	w := NewWorld(config)
 	_ = w.Run(startupDuration)
 	var next func()
@@ -258,7 +267,7 @@
 	play := func(mutant mutation.Set) error {
 		w := NewWorld(Config{
 			Seed: 1, Machines: 3, Seeds: 3, FaultTolerance: 1, Mutation: mutant,
-			LogSizes:        LogSizes{CompactBytes: engine.DefaultCompactBytes, KeepBytes: engine.DefaultKeepBytes, SegmentBytes: 4 << 20},
+			LogSizes:        defaultLogSizes,
 			NewStateMachine: func() engine.StateMachine { return &document{} },
 		})
 		_ = w.Run(time.Second)
--- a/coordination/simnet/machine.go
+++ b/coordination/simnet/machine.go
@@ -101,7 +101,8 @@
 	defer m.recoverPowerLoss()
 	opened, err := engine.Open(m.localTime(), engine.Config{
 		Self: view.Member{Address: m.address, Zone: m.zone, Tag: m.address}, Seeds: m.seeds,
-		Bootstrap: bootstrap, FaultTolerance: w.FaultTolerance, FS: m.disk, StateMachine: m.stateMachine, RandomSeed: w.random.Uint64(),
+		Bootstrap: bootstrap, FaultTolerance: w.FaultTolerance, FS: m.disk, StateMachine: m.stateMachine,
+		RandomSeed:   w.random.Uint64(),
 		CompactBytes: w.LogSizes.CompactBytes, KeepBytes: w.LogSizes.KeepBytes, SegmentBytes: w.LogSizes.SegmentBytes,
 		Mutation: w.Mutation,
 	})
--- a/coordination/simnet/majority_contact.go
+++ b/coordination/simnet/majority_contact.go
@@ -14,7 +14,7 @@
 	acknowledgements []acknowledgement        // of rising times and indexes
 	promised         map[string]uint64        // newest epoch that a voter has promised to decide, by identity
 	voters           map[uint64][]string      // of an epoch that isn't over
-	over             map[uint64]time.Duration // by epoch: since when the voters without a promise of a later epoch are no majority
+	over             map[uint64]time.Duration // by epoch: since when too few voters have promised no later one
 }
 
 // acknowledgement is a moment at which a client received the result of an index above all before.
--- a/coordination/simnet/majority_contact_test.go
+++ b/coordination/simnet/majority_contact_test.go
@@ -119,6 +119,7 @@
 
 // play plays one partition, and adds how long after its end the member has a majority contact from after that.
 func (i isolation) play(t *testing.T, seed uint64, delays, allDelays *latencySample) {
+	t.Helper()
 	w := healthyWorld(t, seed, 4+int(seed%2), mutation.Set{})
 	_ = w.Run(startupDuration) // until all machines that should vote do
 	w.startClients(w.now+time.Minute, 5*time.Millisecond, 50*time.Millisecond)
@@ -157,6 +158,7 @@
 
 // checkOthers checks that the majority contacts of all others are fresh.
 func (i isolation) checkOthers(t *testing.T, w *World, m *machine) {
+	t.Helper()
 	for _, other := range w.others(m) {
 		if age, known := other.contactAge(); !known || age > maxHealthyAge {
 			t.Errorf("seed %d: %s, not partitioned, has a majority contact of age %v (%v), want at most %v",
@@ -198,7 +200,8 @@
 	}
 }
 
-// observeContacts returns the longest time for which one of the machines has no majority contact, and the largest age of one.
+// observeContacts returns the longest time for which one of the machines has no majority contact, and the largest age of
+// one.
 func observeContacts(w *World, until time.Duration, machines []*machine) (longestGap, maxAge time.Duration) {
 	lastKnownAt := map[*machine]time.Duration{}
 	for _, m := range machines {
--- a/coordination/simnet/membership.go
+++ b/coordination/simnet/membership.go
@@ -11,8 +11,8 @@
 
 // voterState is the state of a voter of the newest view on its disk.
 type voterState struct {
-	active   uint64 // newest epoch in whose chain its log was complete
-	complete bool   // it has everything that was acknowledged
+	completeEpoch      uint64 // newest epoch in which its log was complete
+	hasAllAcknowledged bool
 }
 
 // newestView returns the view of the newest epoch that any member has entered on its disk.
@@ -48,9 +48,9 @@
 }
 
 // checkMembership checks after each step that no majority of the newest view's voters can decide a next view whose head
-// lacks what was acknowledged. The head is chosen among the promises with the newest active epoch, so for each voter that
-// lacks something, the voters with no newer active epoch than it must not be a majority. As this is true of every majority,
-// it is true after the loss of any disks that leaves one.
+// lacks what was acknowledged. The head is chosen among the promises with the newest complete epoch, so for each voter
+// that lacks something, the voters with no newer complete epoch than its own must not be a majority. As this is true of
+// every majority, it is true after the loss of any disks that leaves one.
 func (w *World) checkMembership() {
 	if w.model.newestAcknowledged == 0 || w.Mutation.NoSync {
 		return
@@ -63,16 +63,18 @@
 	voters := make([]voterState, 0, len(v.Voters))
 	for _, voter := range v.Voters {
 		if node := intact[voter.Identity]; node != nil {
-			voters = append(voters, voterState{active: node.CompleteEpoch(), complete: w.hasAllAcknowledged(node)})
+			voters = append(voters, voterState{
+				completeEpoch: node.CompleteEpoch(), hasAllAcknowledged: w.hasAllAcknowledged(node),
+			})
 		}
 	}
 	for _, incomplete := range voters {
-		if incomplete.complete {
+		if incomplete.hasAllAcknowledged {
 			continue
 		}
 		notNewer := 0
 		for _, other := range voters {
-			if other.active <= incomplete.active {
+			if other.completeEpoch <= incomplete.completeEpoch {
 				notNewer++
 			}
 		}
@@ -126,7 +128,8 @@
 	return complete
 }
 
-// awaitFaultTolerance runs the world until the loss of FaultTolerance disks would be tolerated, and returns how long that took.
+// awaitFaultTolerance runs the world until the loss of FaultTolerance disks would be tolerated, and returns how long that
+// took.
 func (w *World) awaitFaultTolerance(timeout time.Duration) time.Duration {
 	beganAt := w.now
 	for w.failure == nil {
--- a/coordination/simnet/membership_test.go
+++ b/coordination/simnet/membership_test.go
@@ -67,7 +67,10 @@
 }
 
 // membershipSeeds returns how many histories of each of these scenarios are played; MEMBERSHIP_SEEDS sets more.
-func membershipSeeds(t *testing.T) int { return environment(t, "MEMBERSHIP_SEEDS", scenarioHistories) }
+func membershipSeeds(t *testing.T) int {
+	t.Helper()
+	return environment(t, "MEMBERSHIP_SEEDS", scenarioHistories)
+}
 
 func TestLossesAreToleratedSoonAfterTheStart(t *testing.T) {
 	for _, s := range groupSizes() {
@@ -126,9 +129,9 @@
 	}
 }
 
-// leaveAndLoseDisk has a machine leave, and loses its disk in the moment in which it is safe to leave. As many others as the
-// group tolerates are partitioned meanwhile, or come back with slow links and disks. It reports whether the machine has
-// left.
+// leaveAndLoseDisk has a machine leave, and loses its disk in the moment in which it is safe to leave. As many others as
+// the group tolerates are partitioned meanwhile, or come back with slow links and disks. It reports whether the machine
+// has left.
 func leaveAndLoseDisk(seed uint64, s groupSize, mutant mutation.Set) (left bool, err error) {
 	w := worldOfSize(seed, s, mutant)
 	w.awaitFaultTolerance(repairTimeout)
--- a/coordination/simnet/world.go
+++ b/coordination/simnet/world.go
@@ -102,3 +102,6 @@
 }
 
 func (w *World) after(delay time.Duration, run func()) { w.After(delay, run) }
+
+// Steps returns how many steps all machines have made.
+func (w *World) Steps() int { return w.steps }
--- a/coordination/wal/directory.go
+++ b/coordination/wal/directory.go
@@ -103,7 +103,7 @@
 	if err != nil {
 		return err
 	}
-	defer handle.Close()
+	defer func() { _ = handle.Close() }() // nothing was written through it
 	return handle.Sync()
 }
 
--- a/coordination/wal/log.go
+++ b/coordination/wal/log.go
@@ -137,7 +137,7 @@
 	if err != nil {
 		return &DiskError{Step: "create", File: temporaryName, Err: err}
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }() // what was written is of no use
 	if _, err := file.Write(make([]byte, writableCheckBytes)); err != nil {
 		return &DiskError{Step: "write", File: temporaryName, Err: err}
 	}
--- a/coordination/wal/wal_test.go
+++ b/coordination/wal/wal_test.go
@@ -17,7 +17,7 @@
 // smallSegments begins a new segment after a few records.
 var smallSegments = wal.Config{SegmentBytes: 200}
 
-func open(t testing.TB, disk *modeldisk.Disk) (*wal.Log, wal.Recovered) {
+func open(t *testing.T, disk *modeldisk.Disk) (*wal.Log, wal.Recovered) {
 	t.Helper()
 	log, recovered, err := wal.Open(disk, smallSegments)
 	if err != nil {
@@ -43,7 +43,7 @@
 }
 
 // appended returns a disk after that many appends, in several segments, and the records of all of them.
-func appended(t testing.TB, appends int) (*modeldisk.Disk, []string) {
+func appended(t *testing.T, appends int) (*modeldisk.Disk, []string) {
 	t.Helper()
 	disk := modeldisk.New()
 	log, _ := open(t, disk)
@@ -58,7 +58,7 @@
 	return disk, all
 }
 
-func newestSegment(t testing.TB, disk *modeldisk.Disk) string {
+func newestSegment(t *testing.T, disk *modeldisk.Disk) string {
 	t.Helper()
 	names, _ := disk.List()
 	slices.Sort(names)
@@ -170,7 +170,7 @@
 			without := slices.Equal(got, acknowledged) && gotSnapshot == snapshot
 			with := slices.Equal(got, inFlight) && (gotSnapshot == nextSnapshot || gotSnapshot == snapshot)
 			if !without && !with {
-				t.Fatalf("power loss at %d, seed %d: got snapshot %q and %q, want what was acknowledged, %q and %q, or with it %q and %q",
+				t.Fatalf("power loss at %d, seed %d: got snapshot %q and %q, want %q and %q, or what was in flight, %q and %q",
 					operation, seed, gotSnapshot, got, snapshot, acknowledged, nextSnapshot, inFlight)
 			}
 		}
@@ -191,7 +191,8 @@
 		disk = disk.AfterPowerLoss(rand.New(rand.NewPCG(seed, 1)))
 		_, second := open(t, disk)
 		if !slices.Equal(texts(first.Records), texts(second.Records)) {
-			t.Fatalf("seed %d: recovered %q, after a power loss %q, want the same", seed, texts(first.Records), texts(second.Records))
+			t.Fatalf("seed %d: recovered %q after a power loss, want %q as before it",
+				seed, texts(second.Records), texts(first.Records))
 		}
 		if !slices.Equal(texts(first.Records)[:len(all)], all) {
 			t.Fatalf("seed %d: recovered %q, want %q first", seed, texts(first.Records), all)
