--- a/internal/control/placer/admission.go
+++ b/internal/control/placer/admission.go
@@ -5,23 +5,22 @@
 	"fmt"
 	"slices"
 	"time"
-
-	"raventrestle/internal/configuration"
 )
 
-// Reasons why the last gate holds an order back.
+// Reasons why an order is not admissible.
 var (
-	errOrderPending         = errors.New("an order may be under way")
-	errStateUnknown         = errors.New("what the endpoint holds is not surely known")
-	errMemoryExceeded       = errors.New("beyond weights_mb")
-	errAdapterSlotsExceeded = errors.New("beyond adapter_slots")
-	errNotLoaded            = errors.New("not there")
-	errAlreadyLoaded        = errors.New("held already")
-	errLoadRateExceeded     = errors.New("beyond the ceiling of loads")
+	errOrderPending         = errors.New("an order may be under way, or the backoff after a rejection lasts")
+	errStateUnknown         = errors.New("the endpoint's state is not known exactly")
+	errMemoryExceeded       = errors.New("weights_mb would be exceeded")
+	errAdapterSlotsExceeded = errors.New("adapter_slots would be exceeded")
+	errNotConfigured        = errors.New("the model is not in the configuration")
+	errNotLoaded            = errors.New("the model or adapter is not loaded")
+	errAlreadyLoaded        = errors.New("the model is loaded already")
+	errLoadRateExceeded     = errors.New("the load rate limit would be exceeded")
 )
 
-// checkAdmissible is the last look at an order before it leaves: LIMIT, CEILING, one order at a time. It relies on
-// nothing that the planning concluded.
+// checkAdmissible checks an order immediately before it is issued: one order at a time at an endpoint, the rules LIMIT and
+// CEILING. It relies on nothing that the planning concluded.
 func (p *Placer) checkAdmissible(now time.Time, f *fleet, e *endpoint, order Order) error {
 	if e.pending != nil || now.Before(e.backoffUntil) {
 		return errOrderPending
@@ -29,15 +28,19 @@
 	if p.config.InspectEndpoints && !e.stateKnown {
 		return errStateUnknown
 	}
-	if order.Unload {
+	switch {
+	case order.Unload:
 		return f.checkUnload(e, order)
-	}
-	if order.Adapter != "" {
+	case order.Adapter != "":
 		return f.checkAdapterLoad(e, order)
 	}
-	model, exists := f.models[order.Model]
-	if !exists {
-		return fmt.Errorf("load %s: %w", order.Model, errNotLoaded)
+	return p.checkModelLoad(now, f, e, order)
+}
+
+func (p *Placer) checkModelLoad(now time.Time, f *fleet, e *endpoint, order Order) error {
+	model, configured := f.models[order.Model]
+	if !configured {
+		return fmt.Errorf("load %s: %w", order.Model, errNotConfigured)
 	}
 	if e.find(order.Model) != nil {
 		return fmt.Errorf("load %s: %w", order.Model, errAlreadyLoaded)
@@ -60,8 +63,11 @@
 }
 
 func (f *fleet) checkAdapterLoad(e *endpoint, order Order) error {
-	model, exists := f.models[order.Model]
-	if !exists || e.find(order.Model) == nil {
+	model, configured := f.models[order.Model]
+	if !configured {
+		return errNotConfigured
+	}
+	if e.find(order.Model) == nil {
 		return errNotLoaded
 	}
 	if f.freeMemoryMB(e) < model.AdapterSizeMB {
@@ -73,59 +79,8 @@
 	return nil
 }
 
-// freeMemoryMB is what is surely free of weights_mb: everything counts that may be there or may be arriving.
-func (f *fleet) freeMemoryMB(e *endpoint) float64 {
-	room := f.engine.WeightMemoryMB
-	for i := range e.models {
-		room -= f.modelMemoryMB(&e.models[i])
-	}
-	if e.pending != nil && !e.pending.order.Unload {
-		room -= f.orderMemoryMB(e.pending.order)
-	}
-	if !e.stateKnown && !e.inheritedOrdersOver {
-		room -= f.maxModelMB
-	}
-	return room
-}
-
-// modelMemoryMB is what a copy takes with its adapters. A model that the configuration does not know may take everything.
-func (f *fleet) modelMemoryMB(c *loadedModel) float64 {
-	model, exists := f.models[c.model]
-	if !exists {
-		return f.engine.WeightMemoryMB
-	}
-	return model.WeightsMB + float64(len(c.adapters))*model.AdapterSizeMB
-}
-
-func (f *fleet) orderMemoryMB(order Order) float64 {
-	model := f.models[order.Model]
-	if order.Adapter != "" {
-		return model.AdapterSizeMB
-	}
-	return model.WeightsMB
-}
-
-// freeAdapterSlots is how many adapters more the endpoint surely takes.
-func (f *fleet) freeAdapterSlots(e *endpoint) int {
-	free := f.engine.AdapterSlots
-	for i := range e.models {
-		free -= len(e.models[i].adapters)
-	}
-	if e.pending != nil && !e.pending.order.Unload && e.pending.order.Adapter != "" {
-		free--
-	}
-	if !e.stateKnown && !e.inheritedOrdersOver {
-		free--
-	}
-	return free
-}
-
-// adapterReserveMB is the room that a model's adapters may take beside its weights.
-func (f *fleet) adapterReserveMB(model configuration.Model) float64 {
-	return float64(min(model.AdapterCount, f.engine.AdapterSlots)) * model.AdapterSizeMB
-}
-
-// issue sends an order through the gate; false if it was held back.
+// issue adds an admissible order to the output and makes it the endpoint's pending one. It reports false, and counts a defect
+// of the planning, if the order is not admissible.
 func (p *Placer) issue(now time.Time, f *fleet, e *endpoint, order Order, out *Output) bool {
 	if err := p.checkAdmissible(now, f, e, order); err != nil {
 		p.counters.Inadmissible++
@@ -143,12 +98,13 @@
 		e.pending.adapterSeen = slices.Contains(found.reportedAdapters, order.Adapter)
 	}
 	p.unanswered[order.ID] = e
-	p.countOrder(f, e, order)
+	p.countOrder(e, order)
 	out.Orders = append(out.Orders, order)
 	return true
 }
 
-func (p *Placer) countOrder(f *fleet, e *endpoint, order Order) {
+// countOrder counts an issued order, a load from the store in the load rate limit too.
+func (p *Placer) countOrder(e *endpoint, order Order) {
 	switch {
 	case order.Adapter != "":
 		p.counters.Adapters++
@@ -164,7 +120,7 @@
 	}
 }
 
-// expectedDuration is how long an order should take.
+// expectedDuration is how long an order should take, until it is asked for by an inspection.
 func (p *Placer) expectedDuration(f *fleet, e *endpoint, order Order) time.Duration {
 	switch {
 	case order.Adapter != "":
@@ -175,14 +131,3 @@
 		return p.loadTime(f, e, order.Model)
 	}
 }
-
-// warmShare is how long a load from the endpoint's own disk lasts, against one from the store.
-const warmLoadShare = 0.23
-
-func (p *Placer) loadTime(f *fleet, e *endpoint, model string) time.Duration {
-	seconds := f.models[model].LoadTimeSeconds
-	if p.likelyWarm(f, e, model) {
-		seconds *= warmLoadShare
-	}
-	return time.Duration(seconds * float64(time.Second))
-}
--- a/internal/control/placer/config.go
+++ b/internal/control/placer/config.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Config of a Placer. Zero fields take the defaults below; the bounds come from the machine's settings.
+// Config holds the values of a Placer. Zero fields take the defaults below; the bounds come from the machine's settings.
 type Config struct {
-	LoadRateWindow   time.Duration // ceiling_window_s: in any such span the loads that begin are bounded
-	LoadRateFactor   float64       // ceiling_over: by this factor of what the store allows
-	HandoverGap      time.Duration // no other holder has sent an order for so long before New
-	InspectEndpoints bool          // the host carries out Output.Inspect; without them room is learned from registrations only
+	LoadRateWindow   time.Duration // ceiling_window_s: in any span of this length the loads that begin are bounded
+	LoadRateFactor   float64       // ceiling_over: bound of the loads in a window, as a multiple of what loads_per_s gives; at least 1
+	HandoverGap      time.Duration // no other leader has sent an order for this long before New
+	InspectEndpoints bool          // the caller carries out Output.Inspect; if not, state is learned from heartbeats alone
 
-	LoadCost  float64 // of one load, in requests of usual worth
-	OrderCost float64 // of one order
+	LoadCost  float64 // cost of a load, in requests of middle priority
+	OrderCost float64 // cost of an order, in the same unit
 }
 
 // Defaults of Config.
@@ -21,18 +21,18 @@
 	DefaultOrderCost      = 0.036
 )
 
-func (o Config) withDefaults() Config {
-	if o.LoadRateWindow <= 0 {
-		o.LoadRateWindow = DefaultLoadRateWindow
+func (c Config) withDefaults() Config {
+	if c.LoadRateWindow <= 0 {
+		c.LoadRateWindow = DefaultLoadRateWindow
 	}
-	if o.LoadRateFactor < 1 {
-		o.LoadRateFactor = DefaultLoadRateFactor
+	if c.LoadRateFactor < 1 {
+		c.LoadRateFactor = DefaultLoadRateFactor
 	}
-	if o.LoadCost <= 0 {
-		o.LoadCost = DefaultLoadCost
+	if c.LoadCost <= 0 {
+		c.LoadCost = DefaultLoadCost
 	}
-	if o.OrderCost <= 0 {
-		o.OrderCost = DefaultOrderCost
+	if c.OrderCost <= 0 {
+		c.OrderCost = DefaultOrderCost
 	}
-	return o
+	return c
 }
--- /dev/null
+++ b/internal/control/placer/demand_table.go
@@ -0,0 +1,171 @@
+package placer
+
+import (
+	"math"
+	"time"
+
+	"raventrestle/internal/protocol"
+)
+
+const (
+	// routerGaugeTTL is how long the gauges of a router's last report count; a router that has reported nothing for longer
+	// has nothing waiting or running.
+	routerGaugeTTL = 3 * time.Second
+	// reportGapTimeout is how long no router may report until rates are learned anew: another instance led meanwhile.
+	reportGapTimeout = 1500 * time.Millisecond
+)
+
+// routerGauges are the requests waiting and running by a router's last report.
+type routerGauges struct {
+	reportedAt time.Time
+	rows       map[demandKey]requestGauge
+}
+
+// demandKey names a row of a report. Adapter is empty for requests without one.
+type demandKey struct{ service, model, adapter string }
+
+type requestGauge struct{ waiting, running int }
+
+// demandTable is the demand for all models of all services.
+type demandTable struct {
+	models        map[string]map[string]*demand // by service and model
+	totals        map[string]*demand            // by service
+	routers       map[string]routerGauges       // by node
+	advancedAt    time.Time                     // moment up to which averages have decayed
+	observedSince time.Time                     // beginning of the first report, or of the first one after a silence
+	lastReportAt  time.Time
+}
+
+func newDemandTable() *demandTable {
+	return &demandTable{models: map[string]map[string]*demand{}, totals: map[string]*demand{}, routers: map[string]routerGauges{}}
+}
+
+// observedFor is how long demand has been observed without a silence of all routers.
+func (t *demandTable) observedFor(now time.Time) time.Duration {
+	if t.observedSince.IsZero() || now.Sub(t.lastReportAt) > reportGapTimeout {
+		return 0
+	}
+	return now.Sub(t.observedSince)
+}
+
+// demandOf returns the demand for a model, adding it if there was none.
+func (t *demandTable) demandOf(service, model string) *demand {
+	models := t.models[service]
+	if models == nil {
+		models = map[string]*demand{}
+		t.models[service] = models
+	}
+	found := models[model]
+	if found == nil {
+		found = newDemand()
+		models[model] = found
+	}
+	return found
+}
+
+// adapterDemandOf returns the demand for an adapter, nil if nobody has asked for it.
+func (t *demandTable) adapterDemandOf(service, model, adapter string) *demand {
+	d := t.models[service][model]
+	if d == nil {
+		return nil
+	}
+	return d.adapters[adapter]
+}
+
+// totalOf returns the demand for all models of a service, adding it if there was none.
+func (t *demandTable) totalOf(service string) *demand {
+	found := t.totals[service]
+	if found == nil {
+		found = newDemand()
+		t.totals[service] = found
+	}
+	return found
+}
+
+// advance lets averages decay until now, and removes the gauges of routers that have not reported for too long.
+func (t *demandTable) advance(now time.Time) {
+	elapsed := now.Sub(t.advancedAt).Seconds()
+	first := t.advancedAt.IsZero()
+	t.advancedAt = now
+	if first || elapsed <= 0 {
+		return
+	}
+	factor := func(timeConstant time.Duration) float64 { return math.Exp(-elapsed / timeConstant.Seconds()) }
+	fast, slow, long := factor(fastTimeConstant), factor(slowTimeConstant), factor(longTimeConstant)
+	unmet := factor(unmetTimeConstant)
+	for _, models := range t.models {
+		for _, d := range models {
+			d.decay(fast, slow, long, unmet)
+		}
+	}
+	for _, d := range t.totals {
+		d.decay(fast, slow, long, unmet)
+	}
+	for node, router := range t.routers {
+		if now.Sub(router.reportedAt) > routerGaugeTTL {
+			t.addGauges(router.rows, -1)
+			delete(t.routers, node)
+		}
+	}
+}
+
+// resetShortTermRates forgets the models' rates that were counted before a silence. Long-term rates and unserved requests stay.
+func (t *demandTable) resetShortTermRates() {
+	for _, models := range t.models {
+		for _, d := range models {
+			d.decay(0, 0, 1, 1)
+		}
+	}
+}
+
+// addReport counts one router's report.
+func (t *demandTable) addReport(now time.Time, report protocol.Report) {
+	if t.observedSince.IsZero() || now.Sub(t.lastReportAt) > reportGapTimeout {
+		t.observedSince = now.Add(-report.Window)
+		t.resetShortTermRates()
+	}
+	t.lastReportAt = now
+	rows := make(map[demandKey]requestGauge, len(report.Models))
+	for _, row := range report.Models {
+		d := t.demandOf(row.Service, row.Model)
+		d.count(now, row)
+		t.totalOf(row.Service).count(now, row)
+		if row.Adapter != "" {
+			d.adapter(row.Adapter).count(now, row)
+		}
+		key := demandKey{row.Service, row.Model, row.Adapter}
+		gauge := rows[key]
+		rows[key] = requestGauge{gauge.waiting + row.Queued, gauge.running + row.InFlight}
+	}
+	t.addGauges(t.routers[report.Node].rows, -1)
+	t.addGauges(rows, 1)
+	t.routers[report.Node] = routerGauges{now, rows}
+	t.updateWaitingSince(now, rows)
+}
+
+// addGauges adds a router's gauges to the models and adapters, or takes them away again with the sign -1.
+func (t *demandTable) addGauges(rows map[demandKey]requestGauge, sign int) {
+	for key, gauge := range rows {
+		d := t.demandOf(key.service, key.model)
+		d.waiting += sign * gauge.waiting
+		d.running += sign * gauge.running
+		if key.adapter != "" {
+			adapter := d.adapter(key.adapter)
+			adapter.waiting += sign * gauge.waiting
+			adapter.running += sign * gauge.running
+		}
+	}
+}
+
+// updateWaitingSince notes since when requests wait for the models of a report.
+func (t *demandTable) updateWaitingSince(now time.Time, rows map[demandKey]requestGauge) {
+	for key := range rows {
+		d := t.demandOf(key.service, key.model)
+		switch {
+		case d.waiting <= 0:
+			d.waitingSince = time.Time{}
+		case d.waitingSince.IsZero():
+			d.waitingSince = now
+		}
+	}
+}
--- a/internal/control/placer/endpoint.go
+++ b/internal/control/placer/endpoint.go
@@ -8,89 +8,89 @@
 	"raventrestle/internal/protocol"
 )
 
-// Times within which an endpoint's knowledge is refreshed.
-const (
-	inspectionInterval       = 300 * time.Millisecond // a look is asked again when no answer came or it told nothing new
-	firstInspectionDelay     = 120 * time.Millisecond // after an order: a report is about 100 ms old
-	adapterLoadTime          = 200 * time.Millisecond // an adapter arrives within some ms, and a heartbeat says so
-	adapterLoadTimeout       = time.Second            // without one it is taken as there
-	answerTimeout            = 3 * time.Second        // an order without a result for so long has none
-	lateArrivalWindow        = time.Second            // an order without an answer may still arrive for so long
-	busyBackoff              = 300 * time.Millisecond // after 409
-	invalidBackoff           = 2 * time.Second        // after another 4xx
-	inheritedOrderWindow     = 15 * time.Second       // without looks: an earlier holder's order is over by then
-	inheritedOrderHeartbeats = 2                      // without looks: heartbeats that must have followed
-	unloadHeartbeats         = 2                      // heartbeats without the model after an unload's answer, one may be older
-	missingHeartbeats        = 4                      // heartbeats without a model that nobody unloaded
-	loadTimeoutFactor        = 3                      // an unanswered load is over after so many load times
-	unloadStallTimeout       = 700 * time.Millisecond // an unload that lasts longer waits for runs
-	planTimeout              = 4 * time.Second        // a plan that could not begin for so long is decided anew
-)
-
-// orderPhase says how far an order is.
+// orderPhase is how far an order has come.
 type orderPhase uint8
 
 const (
 	orderSent      orderPhase = iota // no result yet
-	orderAccepted                    // accepted
-	orderUncertain                   // no answer: it may have been taken
+	orderAccepted                    // the endpoint carries it out
+	orderUncertain                   // no answer: the endpoint may have accepted it
 )
 
-// pendingOrder is the one order that an endpoint may be carrying out.
+// pendingOrder is the one order that an endpoint may be carrying out. It is over when both its answer and its effect are known.
 type pendingOrder struct {
 	order            Order
 	phase            orderPhase
 	sentAt           time.Time
 	answeredAt       time.Time
-	sequenceAtAnswer uint64 // of the newest heartbeat when it was answered
-	expectedAt       time.Time
-	effectSeen       bool // a heartbeat showed the effect before the answer came
-	adapterSeen      bool // of an adapter to be unloaded: a heartbeat had shown it
+	sequenceAtAnswer uint64    // sequence of the newest heartbeat when the answer came
+	expectedAt       time.Time // when the effect is expected
+	effectSeen       bool      // a heartbeat showed the effect before the answer came
+	adapterSeen      bool      // of an unload of an adapter: a heartbeat before it showed the adapter
 }
 
+// loadsModel reports whether the order is a load of a model, not of an adapter.
+func (o *pendingOrder) loadsModel() bool { return !o.order.Unload && o.order.Adapter == "" }
+
+// unloadsModel reports whether the order is an unload of a model, not of an adapter.
+func (o *pendingOrder) unloadsModel() bool { return o.order.Unload && o.order.Adapter == "" }
+
 // loadedModel is a model in an endpoint's memory.
 type loadedModel struct {
 	model            string
 	adapters         []string // sorted
 	loadedAt         time.Time
 	missedHeartbeats int                  // heartbeats in a row that did not show it
-	confirmed        bool                 // a heartbeat showed it: one without it is newer than its end
+	confirmed        bool                 // a heartbeat has shown it: the first one without it is newer than its unload
 	reportedAdapters []string             // its adapters in the newest heartbeat that showed it
-	adapterLoadedAt  map[string]time.Time // when its adapters came, where that was seen
+	adapterLoadedAt  map[string]time.Time // when its adapters were loaded, as far as this placer ordered it
+}
+
+func (m *loadedModel) hasAdapter(adapter string) bool { return slices.Contains(m.adapters, adapter) }
+
+func (m *loadedModel) addAdapter(adapter string) {
+	if m.hasAdapter(adapter) {
+		return
+	}
+	m.adapters = append(m.adapters, adapter)
+	slices.Sort(m.adapters)
 }
 
-// plan is what is to become of an endpoint in several orders: victims make way, then the target is loaded.
-type plan struct {
-	target         string
-	victims        []string
-	decidedAt      time.Time
-	lastProgressAt time.Time // when its last order was sent
-	score          float64
-	reason         string
+func (m *loadedModel) removeAdapter(adapter string) {
+	m.adapters = slices.DeleteFunc(m.adapters, func(a string) bool { return a == adapter })
 }
 
-// endpoint is what the placer believes of one endpoint. It errs on the side of less room: copies holds everything
-// that may be there, pending what may be arriving.
+func (m *loadedModel) setAdapterLoadedAt(adapter string, now time.Time) {
+	if m.adapterLoadedAt == nil {
+		m.adapterLoadedAt = map[string]time.Time{}
+	}
+	m.adapterLoadedAt[adapter] = now
+}
+
+// adapterSince is when the adapter was loaded, zero if this placer has not seen it come.
+func (m *loadedModel) adapterSince(adapter string) time.Time { return m.adapterLoadedAt[adapter] }
+
+// endpoint is what the placer knows of one endpoint. Where it is uncertain it assumes less free memory: models holds all
+// that may be loaded, pending what may be arriving.
 type endpoint struct {
-	protocol.Endpoint
-	models              []loadedModel // sorted by model
-	pending             *pendingOrder
-	plan                *plan
-	firstSeenAt         time.Time
-	heartbeats          int // heartbeats seen
-	revision            uint64
-	stateKnown          bool // revision and copies are exact, but for pending
-	inheritedOrdersOver bool // without looks: nobody else's order can be under way
-	inspectAt           time.Time
-	inspecting          bool
-	backoffUntil        time.Time
-	onDisk              map[string]bool // models this incarnation has surely held: its own disk has them
-	utilization         float64         // share of its time in use, as estimated
-	adapterReservation  reservation     // a place for an adapter
+	protocol.Endpoint                      // newest registration
+	models              []loadedModel      // by name
+	pending             *pendingOrder      // nil: no order is under way
+	plan                *plan              // nil: none
+	heartbeats          int                // number seen
+	revision            uint64             // number of orders accepted by this incarnation; exact while stateKnown
+	stateKnown          bool               // revision and models are exact, except for the effect of pending
+	inheritedOrdersOver bool               // without inspections: no order of an earlier leader can be under way
+	inspectAt           time.Time          // when the next inspection is due; zero: none
+	backoffUntil        time.Time          // no order before then
+	onDisk              map[string]bool    // models that this incarnation has had in memory, so that its disk has them
+	utilization         float64            // estimated share of its time in use, by the table of the current step
+	adapterReservation  adapterReservation // slot that was freed for an adapter
 }
 
 func (e *endpoint) isReady() bool { return e.State == protocol.Ready }
 
+// find returns the model as loaded on the endpoint, nil if it is not.
 func (e *endpoint) find(model string) *loadedModel {
 	for i := range e.models {
 		if e.models[i].model == model {
@@ -100,6 +100,7 @@
 	return nil
 }
 
+// add returns the model as loaded on the endpoint, adding it if it was not. Pointers returned before are invalid then.
 func (e *endpoint) add(model string, now time.Time) *loadedModel {
 	if found := e.find(model); found != nil {
 		return found
@@ -111,150 +112,63 @@
 }
 
 func (e *endpoint) remove(model string) {
-	e.models = slices.DeleteFunc(e.models, func(c loadedModel) bool { return c.model == model })
-}
-
-func (c *loadedModel) hasAdapter(adapter string) bool { return slices.Contains(c.adapters, adapter) }
-
-func (c *loadedModel) addAdapter(adapter string) {
-	if c.hasAdapter(adapter) {
-		return
-	}
-	c.adapters = append(c.adapters, adapter)
-	slices.Sort(c.adapters)
-}
-
-func (c *loadedModel) setAdapterLoadedAt(adapter string, now time.Time) {
-	if c.adapterLoadedAt == nil {
-		c.adapterLoadedAt = map[string]time.Time{}
-	}
-	c.adapterLoadedAt[adapter] = now
-}
-
-// adapterSince is when the adapter came, zero if it was always there.
-func (c *loadedModel) adapterSince(adapter string) time.Time { return c.adapterLoadedAt[adapter] }
-
-func (c *loadedModel) removeAdapter(adapter string) {
-	c.adapters = slices.DeleteFunc(c.adapters, func(a string) bool { return a == adapter })
+	e.models = slices.DeleteFunc(e.models, func(m loadedModel) bool { return m.model == model })
 }
 
-// willServe tells whether requests for the model can go there now or after a load that is under way.
+// willServe reports whether requests for the model can go to the endpoint, now or after a load that is under way or planned.
 func (e *endpoint) willServe(model string) bool {
-	if !e.isReady() {
-		return false
-	}
-	if e.isUnloading(model) {
+	if !e.isReady() || e.isUnloading(model) {
 		return false
 	}
 	return e.find(model) != nil || e.isLoading(model)
 }
 
-// isServing tells whether the endpoint has the model and keeps it.
+// isServing reports whether the endpoint has the model loaded and is to keep it.
 func (e *endpoint) isServing(model string) bool {
 	return e.isReady() && e.find(model) != nil && !e.isUnloading(model)
 }
 
-// isLoading tells whether the model is being loaded or is the target of a plan.
+// isLoading reports whether the model is being loaded or is the target of the endpoint's plan.
 func (e *endpoint) isLoading(model string) bool {
 	if e.plan != nil && e.plan.target == model {
 		return true
 	}
-	return e.pending != nil && !e.pending.order.Unload && e.pending.order.Model == model && e.pending.order.Adapter == ""
-}
-
-// unloadStalled tells that an unload of the endpoint's plan waits for runs: another place may be sooner.
-func (e *endpoint) unloadStalled(now time.Time) bool {
-	return e.plan != nil && e.pending != nil && e.pending.order.Unload && now.Sub(e.pending.sentAt) > unloadStallTimeout
+	return e.pending != nil && e.pending.loadsModel() && e.pending.order.Model == model
 }
 
-// isUnloading tells whether the model is being unloaded or is a victim of a plan.
+// isUnloading reports whether the model is being unloaded or is to be evicted by the endpoint's plan.
 func (e *endpoint) isUnloading(model string) bool {
-	if e.plan != nil && slices.Contains(e.plan.victims, model) {
+	if e.plan != nil && slices.Contains(e.plan.evictions, model) {
 		return true
 	}
-	return e.pending != nil && e.pending.order.Unload && e.pending.order.Model == model && e.pending.order.Adapter == ""
+	return e.pending != nil && e.pending.unloadsModel() && e.pending.order.Model == model
 }
 
-// observeHeartbeat takes a registration that is newer than the last one.
-func (e *endpoint) observeHeartbeat(now time.Time, told protocol.Endpoint) {
-	newer := told.Sequence > e.Sequence || e.heartbeats == 0
-	e.Endpoint = told
-	if !newer {
-		return
-	}
-	e.heartbeats++
-	for _, model := range told.Models {
-		e.observeModel(now, model)
+// incomingModel is the model that the endpoint loads or is to load, empty if there is none.
+func (e *endpoint) incomingModel() string {
+	if e.plan != nil {
+		return e.plan.target
 	}
-	for i := range e.models {
-		e.models[i].missedHeartbeats++
-		if slices.ContainsFunc(told.Models, func(m protocol.LoadedModel) bool { return m.Name == e.models[i].model }) {
-			e.models[i].missedHeartbeats = 0
-		}
+	if e.pending != nil && e.pending.loadsModel() {
+		return e.pending.order.Model
 	}
-	e.observeUnloadEffect(now, told)
-	e.removeMissingModels(now)
+	return ""
 }
 
-// observeModel takes in that the model is there.
-func (e *endpoint) observeModel(now time.Time, told protocol.LoadedModel) {
-	if e.find(told.Name) == nil {
-		if e.heartbeats > 1 && !e.isLoading(told.Name) {
-			e.invalidateState(now)
-		}
-		e.add(told.Name, now)
-	}
-	found := e.find(told.Name)
-	found.confirmed, found.reportedAdapters = true, told.Adapters
-	for _, adapter := range told.Adapters {
-		found.addAdapter(adapter)
-	}
-	order := e.pending
-	if order == nil || order.order.Unload || order.order.Model != told.Name {
-		return
-	}
-	if order.order.Adapter == "" || slices.Contains(told.Adapters, order.order.Adapter) {
-		e.observeEffect(now)
-	}
-}
-
-// observeEffect takes in that a heartbeat shows the pending order's effect. An answer that is still to come counts in the
-// revision, so the order is not over before it.
-func (e *endpoint) observeEffect(now time.Time) {
-	if e.pending.phase == orderSent {
-		e.pending.effectSeen = true
-		return
-	}
-	e.completeOrder(now)
-}
+// unloadStallTimeout is how long an unload of a plan may last until other endpoints are considered for the plan's target. An
+// unload waits for the model's running requests, for seconds where they stream.
+const unloadStallTimeout = 700 * time.Millisecond
 
-// observeUnloadEffect ends an unload that a heartbeat shows as done.
-func (e *endpoint) observeUnloadEffect(now time.Time, told protocol.Endpoint) {
-	order := e.pending
-	if order == nil || !order.order.Unload {
-		return
-	}
-	at := slices.IndexFunc(told.Models, func(m protocol.LoadedModel) bool { return m.Name == order.order.Model })
-	if order.order.Adapter != "" {
-		if at >= 0 && !slices.Contains(told.Models[at].Adapters, order.order.Adapter) && order.adapterSeen {
-			e.observeEffect(now)
-		}
-		return
-	}
-	found := e.find(order.order.Model)
-	if found == nil || (at < 0 && (found.confirmed || (order.phase != orderSent && told.Sequence >= order.sequenceAtAnswer+unloadHeartbeats))) {
-		e.observeEffect(now)
-	}
+// unloadStalled reports whether an unload of the endpoint's plan waits for running requests, so that another endpoint may
+// load the target sooner.
+func (e *endpoint) unloadStalled(now time.Time) bool {
+	return e.plan != nil && e.pending != nil && e.pending.order.Unload && now.Sub(e.pending.sentAt) > unloadStallTimeout
 }
 
-// removeMissingModels drops copies that several heartbeats in a row did not show.
-func (e *endpoint) removeMissingModels(now time.Time) {
-	for _, c := range slices.Clone(e.models) {
-		if c.missedHeartbeats >= missingHeartbeats && (e.pending == nil || e.pending.order.Model != c.model) {
-			e.remove(c.model)
-			e.invalidateState(now)
-		}
-	}
+// invalidateState gives exact knowledge up until the next inspection, which is due at once.
+func (e *endpoint) invalidateState(now time.Time) {
+	e.stateKnown = false
+	e.inspectAt = now
 }
 
 // completeOrder ends the pending order: its effect is there.
@@ -280,53 +194,3 @@
 		}
 	}
 }
-
-// invalidateState gives up exact knowledge until the next look.
-func (e *endpoint) invalidateState(now time.Time) {
-	e.stateKnown = false
-	e.inspectAt = now
-}
-
-// observeInspection takes the endpoint's own report.
-func (e *endpoint) observeInspection(now time.Time, told Inspection) {
-	e.inspecting = false
-	e.inspectAt = now.Add(inspectionInterval)
-	if told.Failed || (e.pending != nil && e.pending.phase == orderSent) {
-		return
-	}
-	if e.stateKnown && told.Revision < e.revision {
-		return // older than an order that was taken
-	}
-	order := e.pending
-	if order != nil && order.phase == orderUncertain && told.Revision == e.revision && now.Sub(order.answeredAt) < lateArrivalWindow {
-		return // may still arrive
-	}
-	for _, model := range told.Models {
-		e.add(model.Name, now)
-	}
-	if told.Busy {
-		return
-	}
-	e.replaceState(now, told)
-}
-
-// replaceState takes a report without an order under way as the truth.
-func (e *endpoint) replaceState(now time.Time, told Inspection) {
-	e.pending = nil
-	e.stateKnown = true
-	e.revision = told.Revision
-	e.inspectAt = time.Time{}
-	before := e.models
-	e.models = nil
-	for _, model := range told.Models {
-		found := e.add(model.Name, now)
-		for _, old := range before {
-			if old.model == model.Name {
-				found.loadedAt, found.confirmed, found.reportedAdapters, found.adapterLoadedAt = old.loadedAt, old.confirmed, old.reportedAdapters, old.adapterLoadedAt
-			}
-		}
-		for _, adapter := range model.Adapters {
-			found.addAdapter(adapter)
-		}
-	}
-}
--- a/internal/control/placer/eviction.go
+++ b/internal/control/placer/eviction.go
@@ -7,127 +7,151 @@
 	"time"
 )
 
-// evictableModel is a copy that may make way.
+// Constants of the choice of models to evict. Losses are in requests of middle priority, as in score.go.
+const (
+	// minObservation is how long reports must have been heard before anything is evicted, by a new leader or one that leads
+	// again: all routers have reported by then. Without reports nothing seems to be in use.
+	minObservation = time.Second
+	// minResidency is how long a model that was just loaded stays if it is the last replica or nobody has asked for it.
+	minResidency = 4 * time.Second
+	// maxEvictable is how many of an endpoint's models are considered, as all their combinations are tried.
+	maxEvictable = 8
+
+	runningRequestLoss = 0.2  // for each running request of the replica, as its unload waits for them
+	maxRunningRequests = 8.0  // running requests that count
+	prefixCacheLoss    = 0.2  // of the cached prompts of a replica in use
+	adapterMoveLoss    = 0.15 // of loading an adapter in use elsewhere, besides the order
+
+	// dormantModelValue is the loss of the last replica of a model that nobody has asked for yet; it decays over
+	// dormantTimeConstant from the first step on.
+	dormantModelValue   = 3.0
+	dormantTimeConstant = 10 * time.Minute
+)
+
+// evictableModel is a model that may be evicted from an endpoint.
 type evictableModel struct {
-	model     string
-	weightsMB float64
-	loss      float64
+	model    string
+	memoryMB float64
+	loss     float64
 }
 
-// chooseEvictions finds the copies whose loss is least and that make enough room; false if there are none.
-func (p *Placer) chooseEvictions(now time.Time, f *fleet, b *placements, c *candidate) bool {
+// chooseEvictions chooses the evictions with the least loss that make room for the candidate's model and its adapters, out of all
+// combinations. It reports false if no combination makes enough room.
+func (p *Placer) chooseEvictions(now time.Time, f *fleet, table *placementTable, c *candidate) bool {
 	model := f.models[c.placement.model]
-	need := model.WeightsMB + f.adapterReserveMB(model) - f.freeMemoryMB(c.endpoint)
-	if need <= 0 {
+	needMB := model.WeightsMB + f.adapterReserveMB(model) - f.freeMemoryMB(c.endpoint)
+	if needMB <= 0 {
 		return true
 	}
-	possible := p.evictableModels(now, f, b, c.endpoint)
-	found := false
-	for set := 1; set < 1<<len(possible); set++ {
-		size, loss := 0.0, 0.0
-		for i, v := range possible {
+	evictable := p.evictableModels(now, f, table, c.endpoint)
+	best := 0 // set of evictable models, one bit each
+	for set := 1; set < 1<<len(evictable); set++ {
+		memoryMB, loss := 0.0, 0.0
+		for i, v := range evictable {
 			if set&(1<<i) != 0 {
-				size += v.weightsMB
+				memoryMB += v.memoryMB
 				loss += v.loss
 			}
 		}
-		if size < need || (found && loss >= c.loss) {
+		if memoryMB < needMB || (best != 0 && loss >= c.loss) {
 			continue
 		}
-		found = true
-		c.loss = loss
-		c.victims = c.victims[:0]
-		for i, v := range possible {
-			if set&(1<<i) != 0 {
-				c.victims = append(c.victims, v.model)
-			}
+		best, c.loss = set, loss
+	}
+	for i, v := range evictable {
+		if best&(1<<i) != 0 {
+			c.evictions = append(c.evictions, v.model)
 		}
 	}
-	return found
+	return best != 0
 }
 
-// evictableModels lists the copies on the endpoint that may make way, those that are lost least first where there are many. It
-// is the same for every load that looks for room, and is found once.
-func (p *Placer) evictableModels(now time.Time, f *fleet, b *placements, e *endpoint) []evictableModel {
-	if known, found := b.evictable[e]; found {
+// evictableModels lists the endpoint's models that may be evicted, where there are many those that lose least by memory. The list
+// is the same for all models that look for room in one choice, and is made once.
+func (p *Placer) evictableModels(now time.Time, f *fleet, table *placementTable, e *endpoint) []evictableModel {
+	if known, found := table.evictable[e]; found {
 		return known
 	}
-	var possible []evictableModel
+	var evictable []evictableModel
 	for i := range e.models {
-		if v, ok := p.evictionLoss(now, f, b, e, &e.models[i]); ok {
-			possible = append(possible, v)
+		loaded := &e.models[i]
+		if loss, allowed := p.evictionLoss(now, table, e, loaded); allowed {
+			evictable = append(evictable, evictableModel{loaded.model, f.modelMemoryMB(loaded), loss})
 		}
 	}
-	if len(possible) > maxEvictable {
-		slices.SortFunc(possible, func(x, y evictableModel) int { return cmp.Compare(x.loss/x.weightsMB, y.loss/y.weightsMB) })
-		possible = possible[:maxEvictable]
+	if len(evictable) > maxEvictable {
+		slices.SortFunc(evictable, func(x, y evictableModel) int { return cmp.Compare(x.loss/x.memoryMB, y.loss/y.memoryMB) })
+		evictable = evictable[:maxEvictable]
 	}
-	b.evictable[e] = possible
-	return possible
+	table.evictable[e] = evictable
+	return evictable
 }
 
-// evictionLoss tells what is lost when the copy makes way, and whether it may.
-func (p *Placer) evictionLoss(now time.Time, f *fleet, b *placements, e *endpoint, held *loadedModel) (evictableModel, bool) {
-	v := evictableModel{model: held.model, weightsMB: f.modelMemoryMB(held)}
-	l := b.byModel[held.model]
-	if l == nil { // not in the configuration any more
-		return v, true
+// evictionLoss is what the eviction of a model from the endpoint costs, and whether it is allowed. A model that the configuration
+// does not have any more goes for nothing; the last replica of a model in use stays.
+func (p *Placer) evictionLoss(now time.Time, table *placementTable, e *endpoint, loaded *loadedModel) (float64, bool) {
+	m := table.byModel[loaded.model]
+	if m == nil {
+		return 0, true
 	}
 	if now.Sub(p.startedAt) < minObservation || p.demand.observedFor(now) < minObservation {
-		return v, false
+		return 0, false
 	}
-	last := b.servingReplicas[held.model] == 0 || b.servingReplicas[held.model] == 1 && e.isServing(held.model)
-	if now.Sub(held.loadedAt) < minResidency && (last || l.demand == nil) {
-		return v, false
+	serving := table.serving[loaded.model]
+	last := serving == 0 || serving == 1 && e.isServing(loaded.model)
+	if now.Sub(loaded.loadedAt) < minResidency && (last || m.demand == nil) {
+		return 0, false
 	}
-	if last && l.demand != nil && l.demand.isRecent(now) {
-		return v, false
+	if last && m.demand != nil && m.demand.isRecent(now) {
+		return 0, false
 	}
-	v.loss = p.replicaLoss(now, l, e, held, last)
-	return v, true
-}
-
-// replicasServingElsewhere counts the endpoints other than this that serve the model now.
-func (f *fleet) replicasServingElsewhere(model string, but *endpoint) int {
-	count := 0
-	for _, e := range f.sortedEndpoints {
-		if e != but && e.isServing(model) {
-			count++
-		}
+	if last {
+		return p.lastReplicaLoss(now, m), true
 	}
-	return count
+	return p.replicaLoss(now, m, e, loaded), true
 }
 
-// replicaLoss is what the copy's leaving costs.
-func (p *Placer) replicaLoss(now time.Time, l *modelPlacement, e *endpoint, held *loadedModel, last bool) float64 {
-	if last {
-		return p.lastReplicaLoss(now, l)
-	}
-	d := l.demand
+// replicaLoss is what the eviction of one of several replicas costs: the requests that are late at the others, what is lost of
+// redundancy, the wait for its running requests, its cached prompts, and the adapters in use.
+func (p *Placer) replicaLoss(now time.Time, m *modelPlacement, e *endpoint, loaded *loadedModel) float64 {
+	d := m.demand
 	if d == nil {
 		return 0
 	}
-	rate := l.projectedRate * d.value * (valueAt(l.fairLevel) - valueAt(l.fairLevelWithout(e)))
-	if len(l.replicas) == 2 {
-		rate += redundancyShare * l.projectedRate * d.value
+	rate := m.projectedRate * d.value * (valueAt(m.fairLevel) - valueAt(m.fairLevelWithout(e)))
+	if len(m.replicas) == 2 {
+		rate += redundancyShare * m.projectedRate * d.value
 	}
-	sum := planningHorizon * rate
-	if out := float64(d.running) / float64(max(1, len(l.replicas))); out > 0.5 {
-		sum += runningRequestLoss*math.Min(out, maxRunningRequests) + prefixCacheLoss
+	sum := planningHorizonS * rate
+	if running := float64(d.running) / float64(max(1, len(m.replicas))); running > 0.5 {
+		sum += runningRequestLoss*math.Min(running, maxRunningRequests) + prefixCacheLoss
 	}
-	for _, name := range held.adapters {
-		if a := d.adapters[name]; a != nil {
-			sum += (adapterMoveLoss + p.config.OrderCost) * math.Min(1, a.slowRate.rate(p.demand.observedFor(now), slowTimeConstant)*planningHorizon)
+	for _, name := range loaded.adapters {
+		if adapter := d.adapters[name]; adapter != nil {
+			adapterRate := adapter.slowRate.rate(p.demand.observedFor(now), slowTimeConstant)
+			sum += (adapterMoveLoss + p.config.OrderCost) * math.Min(1, adapterRate*planningHorizonS)
 		}
 	}
 	return sum
 }
 
-// lastReplicaLoss is what it costs to have no copy of the model: its next requests wait for a load. Of a model that nobody
-// asked for yet nothing is known, except that somebody put it there: it may be the next that is asked for much.
-func (p *Placer) lastReplicaLoss(now time.Time, l *modelPlacement) float64 {
-	if l.demand == nil || l.demand.lastRequestAt.IsZero() {
+// lastReplicaLoss is what it costs to have no replica of the model: its next requests wait for a load. Of a model that nobody has
+// asked for yet nothing is known, except that somebody placed it: it may be the next to be asked for much.
+func (p *Placer) lastReplicaLoss(now time.Time, m *modelPlacement) float64 {
+	if m.demand == nil || m.demand.lastRequestAt.IsZero() {
 		return dormantModelValue * math.Exp(-now.Sub(p.startedAt).Seconds()/dormantTimeConstant.Seconds())
 	}
-	return planningHorizon * math.Max(l.projectedRate, l.longTermRate) * (missLoss*l.demand.value + p.config.LoadCost)
+	return planningHorizonS * math.Max(m.projectedRate, m.longTermRate) * (missLoss*m.demand.value + p.config.LoadCost)
+}
+
+// evictsRunningRequests reports whether the candidate evicts a model whose running requests it has to wait for.
+func (t *placementTable) evictsRunningRequests(c *candidate) bool {
+	return slices.ContainsFunc(c.evictions, func(model string) bool {
+		return t.byModel[model] != nil && t.byModel[model].hasRunningRequests()
+	})
+}
+
+// servedElsewhere reports whether an endpoint other than the given one serves the model now.
+func (f *fleet) servedElsewhere(model string, excluded *endpoint) bool {
+	return slices.ContainsFunc(f.sortedEndpoints, func(e *endpoint) bool { return e != excluded && e.isServing(model) })
 }
--- a/internal/control/placer/golden_test.go
+++ b/internal/control/placer/golden_test.go
@@ -129,12 +129,12 @@
 				pending = fmt.Sprintf("%d phase %d", e.pending.order.ID, e.pending.phase)
 			}
 			if e.plan != nil {
-				plan = fmt.Sprintf("%s without %v score %.9g", e.plan.target, e.plan.victims, e.plan.score)
+				plan = fmt.Sprintf("%s without %v score %.9g", e.plan.target, e.plan.evictions, e.plan.score)
 			}
 			f.record("endpoint %s used %s known %v revision %d pending %s plan %s disk %v holds %s", e.ID, exact(e.utilization),
 				e.stateKnown, e.revision, pending, plan, slices.Sorted(maps.Keys(e.onDisk)), strings.Join(copies, " "))
 		}
-		for _, l := range p.currentPlacements(now, fleet).all {
+		for _, l := range p.newPlacementTable(now, fleet).placements {
 			line := fmt.Sprintf("model %s rate %s steady %s time %s level %s adapter gain %.9g", l.model, exact(l.projectedRate),
 				exact(l.longTermRate), exact(l.offeredLoad), exact(l.fairLevel), l.adapterGain)
 			if d := l.demand; d != nil {
--- a/internal/control/placer/load_rate_limit.go
+++ b/internal/control/placer/load_rate_limit.go
@@ -2,52 +2,55 @@
 
 import "time"
 
-// ceilingSlack is the constant that the rule adds to what a window allows.
-const loadRateSlack = 3
+const (
+	// loadRateSlack is the constant that the operators' rule CEILING adds to what a window allows.
+	loadRateSlack = 3
+	// reservedLoads is how many of a window's loads only a leader in its first window may begin. Another leader, whose loads
+	// it does not know, may have begun all the others just before, at endpoints that nobody knows any more.
+	reservedLoads = 2
+	// loadWindowMargin lengthens the window, for clocks that differ and for the time that the caller takes.
+	loadWindowMargin = 300 * time.Millisecond
+	// maxReportAge is how old an endpoint's report may be: some hundred milliseconds, and the time on its way.
+	maxReportAge = 500 * time.Millisecond
+)
 
-// spareLoads is how much of a window's loads only a holder in its first window may use: another holder, whose
-// loads it does not know, may have used all the others just before.
-const reservedLoads = 2
-
-// ceilingMargin lengthens the window for clocks that differ and for time that the host takes.
-const loadWindowMargin = 300 * time.Millisecond
-
-// reportAge is how old an endpoint's report may be: some hundred ms, and the way.
-const maxReportAge = 500 * time.Millisecond
-
-// loadRateLimiter counts the loads from the weight store so that no window holds more than the rule allows.
+// loadRateLimiter bounds the loads from the weight store so that no window, of any position, holds more than CEILING allows,
+// over all leaders.
 //
-// A load begins somewhere between its order and the order's answer. When one is ordered, all earlier ones that may
-// have begun within a window before are counted; whatever their true moments, no window then holds more.
+// A load begins somewhere between its order and the order's answer. When one is ordered, all earlier ones that may have begun
+// within a window before now are counted; whatever their true moments, no window then holds more.
 type loadRateLimiter struct {
 	window             time.Duration
-	limit              int
+	limit              int // loads in a window
 	ownLoads           []ownLoad
-	inheritedUntil     time.Time            // when the loads of earlier holders have left every window
-	lastInheritedStart time.Time            // the latest moment at which an earlier holder's load may have begun
-	inheritedLoads     map[string]time.Time // the same for each endpoint that may have had one, by ID
+	inheritedUntil     time.Time            // when the loads of earlier leaders have left every window
+	lastInheritedStart time.Time            // latest moment at which a load of an earlier leader may have begun
+	inheritedLoads     map[string]time.Time // the same for each endpoint that may have had such a load, by ID
 }
 
+// ownLoad is a load that this placer ordered.
 type ownLoad struct {
-	order       uint64
-	latestStart time.Time // the latest moment at which it may have begun; zero: not answered yet
+	order       uint64    // ID of the order
+	latestStart time.Time // latest moment at which it may have begun; zero: no answer yet
 }
 
-func newLoadRateLimiter(now time.Time, window, quiet time.Duration) *loadRateLimiter {
+// newLoadRateLimiter returns a limiter for a leader that begins now, where no other leader has sent an order for the gap.
+func newLoadRateLimiter(now time.Time, window, gap time.Duration) *loadRateLimiter {
 	return &loadRateLimiter{
-		window: window + loadWindowMargin, inheritedUntil: now.Add(window + loadWindowMargin - quiet), lastInheritedStart: now.Add(-quiet),
-		inheritedLoads: map[string]time.Time{},
+		window:             window + loadWindowMargin,
+		inheritedUntil:     now.Add(window + loadWindowMargin - gap),
+		lastInheritedStart: now.Add(-gap),
+		inheritedLoads:     map[string]time.Time{},
 	}
 }
 
-// setRate takes what the store allows a second.
-func (l *loadRateLimiter) setRate(perSecond, over float64, window time.Duration) {
-	l.limit = int(perSecond*window.Seconds()*over + loadRateSlack)
+// setRate sets the limit from the loads a second that the store allows, times the factor, and the slack.
+func (l *loadRateLimiter) setRate(perSecond, factor float64, window time.Duration) {
+	l.limit = int(perSecond*window.Seconds()*factor + loadRateSlack)
 }
 
-// allows tells whether one more load may begin now. An endpoint carries out one order at a time, so that each can have
-// had one load of an earlier holder, unless its own report tells that it had none; spareLoads are for endpoints that
-// nobody knows any more.
+// allows reports whether one more load may begin now. An endpoint carries out one order at a time, so that each endpoint can
+// have had one load of an earlier leader in the window, unless its own report shows that it had none.
 func (l *loadRateLimiter) allows(now time.Time) bool {
 	l.expire(now)
 	own := len(l.ownLoads)
@@ -57,29 +60,31 @@
 	return now.Before(l.inheritedUntil) && own < min(reservedLoads, l.limit)
 }
 
-// addInherited notes an endpoint at which an earlier holder may have begun a load.
+// addInherited notes an endpoint at which an earlier leader may have begun a load.
 func (l *loadRateLimiter) addInherited(now time.Time, endpoint string) {
 	if now.Before(l.inheritedUntil) {
 		l.inheritedLoads[endpoint] = l.lastInheritedStart
 	}
 }
 
-// observeIdle notes that the endpoint carries out no order, and that no load that it may have done lasts less than shortest.
+// observeIdle notes that the endpoint carries out no order, and that no load that it may have finished lasted less than
+// shortest: any such load began that much earlier.
 func (l *loadRateLimiter) observeIdle(now time.Time, endpoint string, shortest time.Duration) {
 	if !now.Add(-maxReportAge).After(l.lastInheritedStart) {
 		return // the report may be older than the last order
 	}
-	latest, may := l.inheritedLoads[endpoint]
-	if at := now.Add(-shortest); may && at.Before(latest) {
-		l.inheritedLoads[endpoint] = at
+	latest, mayHaveLoaded := l.inheritedLoads[endpoint]
+	if start := now.Add(-shortest); mayHaveLoaded && start.Before(latest) {
+		l.inheritedLoads[endpoint] = start
 	}
 }
 
+// expire forgets the loads that have left the window.
 func (l *loadRateLimiter) expire(now time.Time) {
 	kept := l.ownLoads[:0]
-	for _, entry := range l.ownLoads {
-		if entry.latestStart.IsZero() || entry.latestStart.Add(l.window).After(now) {
-			kept = append(kept, entry)
+	for _, load := range l.ownLoads {
+		if load.latestStart.IsZero() || load.latestStart.Add(l.window).After(now) {
+			kept = append(kept, load)
 		}
 	}
 	l.ownLoads = kept
@@ -90,17 +95,18 @@
 	}
 }
 
+// addOrdered counts a load that is ordered now.
 func (l *loadRateLimiter) addOrdered(order uint64) {
 	l.ownLoads = append(l.ownLoads, ownLoad{order: order})
 }
 
-// resolve says that the load began before now, or never.
-func (l *loadRateLimiter) resolve(order uint64, now time.Time, began bool) {
+// resolve notes that the ordered load began before now, or that it never will.
+func (l *loadRateLimiter) resolve(order uint64, now time.Time, mayHaveBegun bool) {
 	for i := range l.ownLoads {
 		if l.ownLoads[i].order != order {
 			continue
 		}
-		if began {
+		if mayHaveBegun {
 			l.ownLoads[i].latestStart = now
 			return
 		}
--- a/internal/control/placer/types.go
+++ b/internal/control/placer/types.go
@@ -1,6 +1,3 @@
-// Package placer decides which endpoint holds which models and adapters. It is pure: the host passes in
-// demand and what endpoints hold, and sends the orders that come back. One instance acts at a time; the
-// host starts it only while it holds the role, with the fencing token of its epoch.
 package placer
 
 import (
@@ -13,55 +10,55 @@
 // Input is all that is new since the last step.
 type Input struct {
 	Configuration *configuration.Configuration // nil: unchanged
-	Endpoints     []protocol.Endpoint          // the whole table as the registry has it, every step
+	Endpoints     []protocol.Endpoint          // the registry's complete table, in every step
 	Reports       []protocol.Report            // of routers, each once
-	Results       []Result
-	Inspections   []Inspection // answers to Output.Inspect
-	Recovering    bool         // the core or the links are in trouble, or were a moment ago
+	Results       []Result                     // answers to Output.Orders
+	Inspections   []Inspection                 // answers to Output.Inspect
+	Recovering    bool                         // the replicated state or the links have a fault, or had one a moment ago; no decision depends on it
 }
 
 // Inspection is an endpoint's answer to GET /-/report, or that none came.
 type Inspection struct {
-	Endpoint string
-	Failed   bool   // no answer, or not this endpoint's
-	Busy     bool   // an order is under way
-	Revision uint64 // seq: orders taken since its start
-	Models   []protocol.LoadedModel
+	Endpoint string                 // ID of the inspected endpoint
+	Failed   bool                   // no answer, or the answer of another endpoint
+	Busy     bool                   // an order is under way
+	Revision uint64                 // seq: number of orders that the endpoint has accepted since its start
+	Models   []protocol.LoadedModel // models in its memory
 }
 
 // Order is one call of POST /-/order.
 type Order struct {
-	ID       uint64 // names it in Result
-	Endpoint string
-	Address  string
+	ID       uint64 // identifies the order in its Result; unique for one Placer
+	Endpoint string // ID of the endpoint
+	Address  string // host:port
 	Model    string
-	Adapter  string
-	Unload   bool
-	Revision *uint64 // to be sent as if_revision when not nil: the endpoint then takes it only if it knows as many orders
-	Reason   string  // for people: why this order
+	Adapter  string  // empty: the order is for the model itself
+	Unload   bool    // false: load
+	Revision *uint64 // sent as if_revision when not nil: the endpoint accepts the order only at this revision
+	Reason   string  // why the order is given, for people
 }
 
 // Outcome is what became of an order.
 type Outcome uint8
 
-// The outcomes of an order.
+// Outcomes of an order, by the status of its answer.
 const (
 	Accepted       Outcome = iota // 202
-	AlreadyApplied                // 200: it was so already
-	Busy                          // 409
-	Invalid                       // 4xx otherwise: the endpoint is another one, the order makes no sense
-	Unknown                       // no answer: it may have been taken
+	AlreadyApplied                // 200: the endpoint's state was the ordered one already
+	Busy                          // 409: another order is under way, or the revision is another one
+	Invalid                       // any other 4xx: the endpoint is another one, or the order makes no sense to it
+	Unknown                       // no answer: the endpoint may have accepted the order
 )
 
-// Result answers an order.
+// Result is the answer to an order.
 type Result struct {
-	ID      uint64
+	ID      uint64 // of the order
 	Outcome Outcome
 }
 
-// Output is what the host carries out.
+// Output is what the caller carries out. It must answer each order with one Result, and each inspection with one Inspection.
 type Output struct {
 	Orders  []Order
-	Inspect []string  // IDs of endpoints whose GET /-/report is to be asked; Input.Inspections answers each once
-	WakeAt  time.Time // when the next step may decide something, zero: at the next input
+	Inspect []string  // IDs of endpoints whose GET /-/report is to be asked
+	WakeAt  time.Time // time of the next step if no input comes before
 }
