--- a/internal/control/api/golden_test.go
+++ b/internal/control/api/golden_test.go
@@ -31,7 +31,7 @@
 )
 
 // The files in testdata/golden are the wire of the operators' API as build 73ca247 speaks it. NAME.request is a request
-// as it is sent on the connection, NAME.response the whole answer, and NAME.endpoint (for heartbeats that are taken) the
+// as it is sent on the connection, NAME.response the complete answer, and NAME.endpoint (for accepted heartbeats) the
 // endpoint that reaches the registry, in cbor as hex: its keys are numbers, so no Go name is in the file. Three
 // things in an answer vary: the value of the Date header, the number of as_of_ms, and the Go type that encoding/json names
 // in its errors. They are checked and then replaced by fixedDate, fixedAge and fixedType.
@@ -114,7 +114,7 @@
 	return s
 }
 
-// exchange sends the request file and the tail on a connection of its own and returns the whole answer. With halfClose the
+// exchange sends the request file and the tail on a connection of its own and returns the complete answer. With halfClose the
 // sending side ends there, as where a caller's connection breaks.
 func (s *goldenServer) exchange(t *testing.T, name string, tail []byte, halfClose bool) []byte {
 	t.Helper()
--- a/internal/control/registry/config.go
+++ b/internal/control/registry/config.go
@@ -25,7 +25,7 @@
 	// from the majority.
 	QuorumContactTTL = time.Second
 
-	quorumPollInterval = 30 * time.Millisecond  // between two looks for contact while a drain waits for it
+	quorumPollInterval = 30 * time.Millisecond  // between two checks for contact while a drain waits for it
 	drainResendDelay   = 250 * time.Millisecond // an unconfirmed drain is sent once more: a message may have been lost
 	startupSyncTime    = time.Second            // from the start until an instance has heard of all others
 )
--- a/internal/control/registry/failure_detection.go
+++ b/internal/control/registry/failure_detection.go
@@ -8,7 +8,7 @@
 }
 
 // detectFailures finds endpoints whose heartbeats stopped, and later evicts them. Routers still use an unresponsive
-// endpoint whose calls succeed: it may only be cut off from the control plane.
+// endpoint whose calls succeed: it may only be partitioned from the control plane.
 func (r *Registry) detectFailures(now time.Time) {
 	for _, e := range r.table.byID {
 		switch {
--- a/internal/control/registry/golden_test.go
+++ b/internal/control/registry/golden_test.go
@@ -18,7 +18,7 @@
 
 // testdata/golden/decisions.txt has, for each of goldenHistories random histories, what three registries of build 73ca247
 // decided: a hash over every output of every step (replies, changes, messages in cbor, revisions, wake times)
-// and over whole tables now and then, and five counts that say roughly what happened. A history has heartbeats late and in
+// and over full tables now and then, and five counts that say roughly what happened. A history has heartbeats late and in
 // order, addresses given again, drains and deregistrations, routers that confirm late, reports of routers, orders in
 // flight, lost and delayed messages, partitions, long stalls, minutes without calls, and restarts. It depends on nothing but its number.
 const goldenHistories = 80
@@ -169,7 +169,7 @@
 	}
 }
 
-// contact tells the instances whom they can reach.
+// contact gives the instances their contacts with a majority and the peers that they can reach.
 func (h *goldenHistory) contact() {
 	h.t.Helper()
 	for i := range goldenInstances {
