--- a/internal/control/controller/calls.go
+++ b/internal/control/controller/calls.go
@@ -1,23 +1,24 @@
 package controller
 
-// callTable numbers the endpoints' calls that wait for their answers: the registry knows a call by its ticket.
-type callTable struct {
-	waiting map[uint64]Caller
-	newest  uint64
+// pendingCalls numbers the endpoints' calls that wait for their answers: the registry knows a call by its
+// request ID.
+type pendingCalls struct {
+	callers  map[uint64]Caller
+	newestID uint64
 }
 
-func newCallTable() callTable { return callTable{waiting: make(map[uint64]Caller)} }
+func newPendingCalls() pendingCalls { return pendingCalls{callers: make(map[uint64]Caller)} }
 
-// add returns the ticket of a call that begins to wait.
-func (t *callTable) add(caller Caller) (ticket uint64) {
-	t.newest++
-	t.waiting[t.newest] = caller
-	return t.newest
+// add returns the request ID of a call that begins to wait.
+func (p *pendingCalls) add(caller Caller) (requestID uint64) {
+	p.newestID++
+	p.callers[p.newestID] = caller
+	return p.newestID
 }
 
-// take ends the wait of a call and returns it. A ticket that was answered before has none.
-func (t *callTable) take(ticket uint64) (caller Caller, waits bool) {
-	caller, waits = t.waiting[ticket]
-	delete(t.waiting, ticket)
+// remove ends the wait of a call and returns its caller, unless it was answered before.
+func (p *pendingCalls) remove(requestID uint64) (caller Caller, waits bool) {
+	caller, waits = p.callers[requestID]
+	delete(p.callers, requestID)
 	return caller, waits
 }
--- a/internal/control/controller/connections.go
+++ b/internal/control/controller/connections.go
@@ -68,7 +68,7 @@
 	case *protocol.Probe:
 		c.toHub(distribution.Probed{Connection: c.connections.identify(in.Connection), Echo: message.EchoSequence})
 	case *protocol.Report:
-		c.takeReport(message)
+		c.queueReport(message)
 	case *protocol.ReportBatch:
 		c.out.Reports = append(c.out.Reports, message)
 	case *protocol.GrantBatch:
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -30,7 +30,7 @@
 	// advertised is what the hub was given last of the registry's output, without changed endpoints.
 	advertised  distribution.Endpoints
 	connections connectionTable
-	calls       callTable
+	calls       pendingCalls
 	replica     replicaView
 	barrier     barrierState
 	reports     reportQueue
@@ -52,7 +52,7 @@
 		registry:    endpoints,
 		hub:         distribution.New(started),
 		connections: newConnectionTable(),
-		calls:       newCallTable(),
+		calls:       newPendingCalls(),
 		delays:      newQueueingDelays(),
 	}
 }
@@ -62,16 +62,16 @@
 	c.registryInputs, c.hubInputs, c.out = nil, nil, Output{}
 	c.observeCommitted(input.Replicated)
 	for _, event := range input.Events {
-		c.take(now, event)
+		c.apply(now, event)
 	}
 	c.observeMembership(now, input.Replicated.Status)
-	c.stepParts(now)
+	c.stepRegistryAndHub(now)
 	c.forwardReports(now)
 	c.limitWake(now)
 	return c.out
 }
 
-func (c *Controller) take(now time.Time, event Event) {
+func (c *Controller) apply(now time.Time, event Event) {
 	switch event := event.(type) {
 	case MessageReceived:
 		c.receive(now, event)
@@ -97,8 +97,9 @@
 }
 func (c *Controller) toHub(input distribution.Input) { c.hubInputs = append(c.hubInputs, input) }
 
-// stepParts steps the hub, then the registry, and the hub once more with what the registry changed.
-func (c *Controller) stepParts(now time.Time) {
+// stepRegistryAndHub steps the hub, then the registry, which needs to know what routers confirmed, and the hub once more
+// with what the registry changed.
+func (c *Controller) stepRegistryAndHub(now time.Time) {
 	subscriptions := c.hub.Step(now, c.tableAt(now), c.hubInputs...)
 	if subscriptions.RoutersChanged {
 		c.toRegistry(registry.Routers{Connected: c.routerHashes()})
@@ -178,7 +179,7 @@
 		c.sendPeer(now, message.To, message.Message)
 	}
 	for _, acknowledgement := range out.Replies {
-		if caller, waits := c.calls.take(acknowledgement.RequestID); waits {
+		if caller, waits := c.calls.remove(acknowledgement.RequestID); waits {
 			c.out.Answers = append(c.out.Answers, Answer{Caller: caller, Result: acknowledgement})
 		}
 	}
--- a/internal/control/controller/replica.go
+++ b/internal/control/controller/replica.go
@@ -24,7 +24,7 @@
 	peersGiven bool      // the registry has peers
 	members    []protocol.Member
 	generation int64
-	contact    distribution.Contact
+	contact    distribution.QuorumContact
 	isolated   bool
 }
 
@@ -48,12 +48,12 @@
 
 // newestContact keeps a contact until there is a newer one: the replica proves none in the first moments of an epoch,
 // and what it proved before stays true, of the epoch in which it was proved.
-func newestContact(known distribution.Contact, status replica.Status) distribution.Contact {
+func newestContact(known distribution.QuorumContact, status replica.Status) distribution.QuorumContact {
 	if status.ConfirmedAt.After(known.ConfirmedAt) {
-		return distribution.Contact{Epoch: status.View.Epoch, ConfirmedAt: status.ConfirmedAt}
+		return distribution.QuorumContact{Epoch: status.View.Epoch, ConfirmedAt: status.ConfirmedAt}
 	}
 	if known.ConfirmedAt.IsZero() {
-		return distribution.Contact{Epoch: status.View.Epoch}
+		return distribution.QuorumContact{Epoch: status.View.Epoch}
 	}
 	return known
 }
--- a/internal/control/controller/replica_test.go
+++ b/internal/control/controller/replica_test.go
@@ -57,7 +57,7 @@
 		busy.now = now
 		c.Step(now, Input{Replicated: ReadReplicatedState(busy, busy), Events: []Event{passed, heartbeat}})
 		contact := slices.IndexFunc(c.hubInputs, func(in distribution.Input) bool {
-			is, isContact := in.(distribution.Contact)
+			is, isContact := in.(distribution.QuorumContact)
 			return isContact && is.Epoch == 4 && is.ConfirmedAt.Equal(now)
 		})
 		version := slices.IndexFunc(c.hubInputs, func(in distribution.Input) bool {
--- a/internal/control/controller/reports.go
+++ b/internal/control/controller/reports.go
@@ -40,8 +40,8 @@
 	q.confirmed = nil
 }
 
-// takeReport keeps a router's report for the leader and gives the registry what it says of endpoints.
-func (c *Controller) takeReport(report *protocol.Report) {
+// queueReport keeps a router's report for the leader and gives the registry what it says of endpoints.
+func (c *Controller) queueReport(report *protocol.Report) {
 	if len(report.Unreachable)+len(report.Reachable) > 0 {
 		c.toRegistry(registry.RouterReport{Unreachable: report.Unreachable, Reached: report.Reachable})
 	}
--- a/internal/control/distribution/hub.go
+++ b/internal/control/distribution/hub.go
@@ -12,7 +12,7 @@
 	sorted      []*subscriber           // by connection: what is sent must not depend on the order of a map
 	echoes      map[ConnectionID]uint64 // number to be returned on each connection, subscribed or not
 	started     time.Time
-	contact     Contact
+	contact     QuorumContact
 
 	// What routers are to know, beside the endpoints.
 	generation  int64
@@ -89,7 +89,7 @@
 		h.barrierPassed(now, in.Barrier)
 	case Members:
 		h.setMembers(now, in.Members)
-	case Contact:
+	case QuorumContact:
 		h.contact = in
 	case GrantIssued:
 		h.sendGrant(now, in.Router)
--- a/internal/control/distribution/input.go
+++ b/internal/control/distribution/input.go
@@ -46,9 +46,9 @@
 // Members is an input: all control instances that are known.
 type Members struct{ Members []protocol.Member }
 
-// Contact is an input: the newest proof that this instance has of a contact with a majority of the voters. All versions
-// that were acknowledged anywhere before ConfirmedAt must have been given as Configuration before.
-type Contact struct {
+// QuorumContact is an input: the newest proof that this instance has of a contact with a majority of the voters. All
+// versions that were acknowledged anywhere before ConfirmedAt must have been given as Configuration before.
+type QuorumContact struct {
 	Epoch       uint64    // in which the majority was; without a contact, of the instance's view; 0: it is no member yet
 	ConfirmedAt time.Time // zero: there was none
 }
@@ -71,7 +71,7 @@
 func (Configuration) input()    {}
 func (BarrierPassed) input()    {}
 func (Members) input()          {}
-func (Contact) input()          {}
+func (QuorumContact) input()    {}
 func (Probed) input()           {}
 func (GrantIssued) input()      {}
 func (Endpoints) input()        {}
--- a/internal/control/distribution/standing.go
+++ b/internal/control/distribution/standing.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// ContactTTL is how long a contact with a majority counts as fresh.
-	ContactTTL = time.Second
+	// QuorumContactTTL is how long a contact with a majority counts as fresh.
+	QuorumContactTTL = time.Second
 
 	contactPollInterval = 50 * time.Millisecond // between steps while routers wait for a fresh contact
 )
 
-// fresh says whether this instance has had contact with a majority of the voters in the last ContactTTL.
+// fresh says whether this instance has had contact with a majority of the voters in the last QuorumContactTTL.
 func (h *Hub) fresh(now time.Time) bool {
-	return !h.contact.ConfirmedAt.IsZero() && now.Sub(h.contact.ConfirmedAt) <= ContactTTL
+	return !h.contact.ConfirmedAt.IsZero() && now.Sub(h.contact.ConfirmedAt) <= QuorumContactTTL
 }
 
 // standing is what a message that is decided now states on a connection.
--- a/internal/control/distribution/standing_test.go
+++ b/internal/control/distribution/standing_test.go
@@ -12,7 +12,7 @@
 
 const epoch = 3
 
-func contactAt(at time.Time) Contact { return Contact{Epoch: epoch, ConfirmedAt: at} }
+func contactAt(at time.Time) QuorumContact { return QuorumContact{Epoch: epoch, ConfirmedAt: at} }
 
 // standingsTo returns what all messages to a connection state.
 func standingsTo(out Output, connection ConnectionID) []protocol.FreshnessProof {
@@ -70,7 +70,7 @@
 
 func TestWithoutContactTheStandingSaysSo(t *testing.T) {
 	h := New(begin)
-	out := h.Step(begin.Add(time.Second), noTable, Contact{Epoch: epoch}, subscribed(1, "r1", 0))
+	out := h.Step(begin.Add(time.Second), noTable, QuorumContact{Epoch: epoch}, subscribed(1, "r1", 0))
 	want := protocol.FreshnessProof{Epoch: epoch, SentAt: time.Second}
 	if got := standingsTo(out, 1); len(got) != 1 || got[0] != want {
 		t.Errorf("the update states %+v, want %+v", got, want)
@@ -138,7 +138,7 @@
 // TestRouterIsSubscribedWithAndWithoutContact: no connection is closed or subscription rejected for the age of the
 // contact, however old.
 func TestRouterIsSubscribedWithAndWithoutContact(t *testing.T) {
-	for _, contact := range []Contact{{}, {Epoch: epoch}, contactAt(begin), contactAt(begin.Add(-time.Hour))} {
+	for _, contact := range []QuorumContact{{}, {Epoch: epoch}, contactAt(begin), contactAt(begin.Add(-time.Hour))} {
 		h := New(begin)
 		out := h.Step(begin, noTable, contact, subscribed(1, "r1", 0))
 		if len(out.Close) != 0 || len(updatesTo(out, 1)) != 1 {
@@ -158,7 +158,7 @@
 func TestSnapshotIsSentOnlyWithAFreshContact(t *testing.T) {
 	h := New(begin)
 	h.Step(begin, oneTombstone, contactAt(begin), Endpoints{Revision: 3, RouterCount: 2, Complete: true})
-	at := begin.Add(ContactTTL + time.Millisecond)
+	at := begin.Add(QuorumContactTTL + time.Millisecond)
 	first := updatesTo(h.Step(at, oneTombstone, subscribed(1, "r1", 0)), 1)[0]
 	if first.Snapshot || len(first.Endpoints) != 2 {
 		t.Fatalf("%d endpoints, snapshot: %v without a fresh contact; want 2, false", len(first.Endpoints), first.Snapshot)
@@ -195,7 +195,7 @@
 // TestFreshContactIsAdvertisedAtOnce: routers don't wait for the next beacon interval.
 func TestFreshContactIsAdvertisedAtOnce(t *testing.T) {
 	h := New(begin)
-	h.Step(begin, noTable, contactAt(begin.Add(-ContactTTL)), subscribed(1, "r1", 0))
+	h.Step(begin, noTable, contactAt(begin.Add(-QuorumContactTTL)), subscribed(1, "r1", 0))
 	at := begin.Add(10 * time.Millisecond)
 	out := h.Step(at, noTable, contactAt(at)) // the router was sent one that is fresh no longer
 	if got := standingsTo(out, 1); len(got) != 1 || got[0].MajorityContactAge != 0 {
@@ -205,7 +205,7 @@
 	if out = h.Step(at, noTable, contactAt(at)); len(out.Messages) != 0 {
 		t.Errorf("sent again: %+v, want nothing", out.Messages)
 	}
-	out = h.Step(at, noTable, subscribed(2, "r2", 0), Contact{}, subscribed(3, "r3", 0), contactAt(at))
+	out = h.Step(at, noTable, subscribed(2, "r2", 0), QuorumContact{}, subscribed(3, "r3", 0), contactAt(at))
 	if got := standingsTo(out, 2); len(got) != 1 {
 		t.Errorf("to a router that knows of the contact: %+v, want one message", got)
 	}
@@ -235,7 +235,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		h := New(begin)
 		now := begin
-		contact := Contact{}
+		contact := QuorumContact{}
 		echo := uint64(0)
 		echoes := make(map[ConnectionID]uint64)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
@@ -276,7 +276,7 @@
 					t.Fatalf("states an age of %v, want %v at least", standing.MajorityContactAge, now.Sub(contact.ConfirmedAt))
 				}
 				update, isUpdate := message.Content.(*protocol.Update)
-				if isUpdate && update.Snapshot && (!standing.HasMajorityContact || standing.MajorityContactAge > ContactTTL) {
+				if isUpdate && update.Snapshot && (!standing.HasMajorityContact || standing.MajorityContactAge > QuorumContactTTL) {
 					t.Fatalf("a snapshot with a contact of %+v, want a fresh one", standing)
 				}
 			}
--- a/internal/control/host/commands.go
+++ b/internal/control/host/commands.go
@@ -18,16 +18,16 @@
 	ErrIsolated = errors.New("instance has no contact with a majority of the others")
 )
 
-// lookup asks for the soft state as the newest step left it. All other commands of the queue are events of the
+// viewRequest asks for the soft state as the newest step left it. All other commands of the queue are events of the
 // controller.
-type lookup struct{ answer chan View }
+type viewRequest struct{ answer chan View }
 
-// take takes a command from the queue. Events wait for the step that follows.
-func (h *Host) take(command any) {
+// handle handles a command of the queue. Events are kept for the step that follows.
+func (h *Host) handle(command any) {
 	switch command := command.(type) {
 	case controller.Event:
-		h.events = append(h.events, command)
-	case lookup:
+		h.pendingEvents = append(h.pendingEvents, command)
+	case viewRequest:
 		command.answer <- h.view()
 	}
 }
@@ -110,7 +110,7 @@
 // View returns the soft state as the newest step left it. The error is ErrStopped or wraps the context's.
 func (h *Host) View(ctx context.Context) (View, error) {
 	answer := make(chan View, 1)
-	if !h.post(ctx, lookup{answer: answer}) {
+	if !h.post(ctx, viewRequest{answer: answer}) {
 		return View{}, ErrStopped
 	}
 	select {
--- a/internal/control/host/host.go
+++ b/internal/control/host/host.go
@@ -66,9 +66,9 @@
 	confirmedAt atomic.Pointer[time.Time]
 
 	// Owned by Run.
-	controller *controller.Controller
-	events     []controller.Event // since the last step
-	frames     frames
+	controller    *controller.Controller
+	pendingEvents []controller.Event // since the last step
+	encoder       updateEncoder
 }
 
 // New returns a host; Run starts it.
@@ -81,7 +81,7 @@
 		queue:        make(chan any, queueCapacity),
 		ended:        make(chan struct{}),
 		controller:   controller.New(controller.Config{Origin: config.Origin}, endpoints, now),
-		frames:       frames{codec: config.Codec},
+		encoder:      updateEncoder{codec: config.Codec},
 	}
 }
 
@@ -98,8 +98,8 @@
 		case <-ctx.Done():
 			return
 		case command := <-h.queue:
-			h.take(command)
-			h.takeQueued()
+			h.handle(command)
+			h.handleQueued()
 		case <-timer.C:
 		}
 		output := h.step(time.Now())
@@ -108,12 +108,12 @@
 	}
 }
 
-// takeQueued empties the queue as far as one step should go.
-func (h *Host) takeQueued() {
+// handleQueued empties the queue as far as one step should go.
+func (h *Host) handleQueued() {
 	for range maxStepCommands {
 		select {
 		case command := <-h.queue:
-			h.take(command)
+			h.handle(command)
 		default:
 			return
 		}
@@ -122,8 +122,8 @@
 
 // step has the controller take in the events so far.
 func (h *Host) step(now time.Time) controller.Output {
-	events := h.events
-	h.events = nil
+	events := h.pendingEvents
+	h.pendingEvents = nil
 	output := h.controller.Step(now, controller.Input{
 		Replicated: controller.ReadReplicatedState(h.dependencies.Replica, h.dependencies.Configurations),
 		Events:     events,
--- a/internal/control/host/output.go
+++ b/internal/control/host/output.go
@@ -52,7 +52,7 @@
 	if !isUpdate {
 		return connection.Send(message)
 	}
-	frame, err := h.frames.update(update)
+	frame, err := h.encoder.encode(update)
 	if err != nil {
 		return err
 	}
--- a/internal/control/host/standing_test.go
+++ b/internal/control/host/standing_test.go
@@ -100,21 +100,21 @@
 	c.await("first", func(u *protocol.Update) bool { return u.Sequence == 1 })
 	nodes[0].replica.SetPartitioned(true)
 	deadline := time.After(testTimeout)
-	for age := time.Duration(0); age < distribution.ContactTTL; {
+	for age := time.Duration(0); age < distribution.QuorumContactTTL; {
 		select {
 		case beacon := <-c.beacons:
 			age = beacon.Freshness.MajorityContactAge
 		case <-c.closed:
 			t.Fatal("the connection is closed, want it open")
 		case <-deadline:
-			t.Fatalf("no age of %v stated after %v", distribution.ContactTTL, testTimeout)
+			t.Fatalf("no age of %v stated after %v", distribution.QuorumContactTTL, testTimeout)
 		}
 	}
 	nodes[0].replica.SetPartitioned(false)
 	for {
 		select {
 		case beacon := <-c.beacons:
-			if beacon.Freshness.HasMajorityContact && beacon.Freshness.MajorityContactAge < distribution.ContactTTL {
+			if beacon.Freshness.HasMajorityContact && beacon.Freshness.MajorityContactAge < distribution.QuorumContactTTL {
 				return
 			}
 		case <-deadline:
--- a/internal/control/host/frames.go
+++ b/internal/control/host/update_encoder.go
@@ -9,7 +9,7 @@
 	"raventrestle/internal/transport"
 )
 
-// encodedUpdate is protocol.Update with the endpoints encoded before: many routers get the same ones.
+// encodedUpdate is protocol.Update with its endpoints already encoded. TestEncodedUpdateHasAllFields keeps the two equal.
 type encodedUpdate struct {
 	Sequence            uint64                  `cbor:"1,keyasint"`
 	Generation          int64                   `cbor:"2,keyasint"`
@@ -23,8 +23,8 @@
 	Freshness           protocol.FreshnessProof `cbor:"10,keyasint,omitzero"`
 }
 
-// frames makes frames of updates and encodes a list of endpoints once, however many routers get it in a row.
-type frames struct {
+// updateEncoder encodes updates as frames. A list of endpoints is encoded once, however many routers get it in a row.
+type updateEncoder struct {
 	codec  *transport.Codec
 	tables encodedList // of snapshots
 	deltas encodedList
@@ -36,23 +36,24 @@
 	encoded cbor.RawMessage
 }
 
-// update returns an update as a frame.
-func (f *frames) update(u *protocol.Update) (transport.Frame, error) {
-	cache := &f.deltas
+// encode returns an update as a frame.
+func (e *updateEncoder) encode(u *protocol.Update) (transport.Frame, error) {
+	cache := &e.deltas
 	if u.Snapshot {
-		cache = &f.tables
+		cache = &e.tables
 	}
 	endpoints, err := cache.encode(u.Endpoints)
 	if err != nil {
-		return nil, fmt.Errorf("update %d: %w", u.Sequence, err)
+		return nil, fmt.Errorf("encode update %d: %w", u.Sequence, err)
 	}
-	return f.codec.EncodeAs(protocol.KindUpdate, encodedUpdate{
+	return e.codec.EncodeAs(protocol.KindUpdate, encodedUpdate{
 		Sequence: u.Sequence, Generation: u.Generation, Document: u.Document, Snapshot: u.Snapshot, Endpoints: endpoints,
 		Members: u.Members, RouterCount: u.RouterCount, Quotas: u.Quotas, GenerationConfirmed: u.GenerationConfirmed,
 		Freshness: u.Freshness,
 	})
 }
 
+// encode returns the encoded list, from the cache where it is the same slice as before.
 func (c *encodedList) encode(list []protocol.Endpoint) (cbor.RawMessage, error) {
 	if len(list) == 0 {
 		return nil, nil
--- a/internal/control/host/frames_test.go
+++ b/internal/control/host/update_encoder_test.go
@@ -13,7 +13,7 @@
 // TestFrameOfAnUpdate reads frames back and compares them with the update.
 func TestFrameOfAnUpdate(t *testing.T) {
 	codec := protocol.NewCodec()
-	f := frames{codec: codec}
+	encoder := updateEncoder{codec: codec}
 	list := []protocol.Endpoint{{
 		ID: "e", Service: "s", Slots: 3, WarmUpRemaining: time.Second,
 		Models: []protocol.LoadedModel{{Name: "m", Adapters: []string{"a"}}}, Loading: []protocol.ModelLoad{{Model: "n"}},
@@ -29,7 +29,7 @@
 		{Sequence: 3},
 	}
 	for _, update := range updates {
-		frame, err := f.update(update)
+		frame, err := encoder.encode(update)
 		if err != nil {
 			t.Fatal(err)
 		}
