--- a/internal/configuration/golden_test.go
+++ b/internal/configuration/golden_test.go
@@ -32,7 +32,7 @@
 			{Name: "r-1", Hostname: "Ficu95.example", PathPrefix: "/lohu930/", Type: Streaming, TimeoutMS: 15000,
 				LatencyTargetMS: 500, Priority: 11, Backend: "huvo11a",
 				TrafficSplit: []Split{{Backend: "huvo11a", Weight: 90}, {Backend: "wuno96b", Weight: 10}},
-				MaxRetries:   2, Public: true, SessionAffinity: true, Resumable: true, EventGapTargetMS: 300},
+				MaxAttempts:  2, Public: true, SessionAffinity: true, Resumable: true, EventGapTargetMS: 300},
 			{Name: "r-2", Hostname: "ficu95.example", PathPrefix: "/a/", Type: Idempotent, TimeoutMS: 30000,
 				Backend: "wuno96b", Public: true},
 			{Name: "r-3", Hostname: "ficu95.example", PathPrefix: "/b/", Type: NonIdempotent, TimeoutMS: 1,
@@ -153,8 +153,8 @@
 	}
 }
 
-// TestGoldenFaultItems pins which items the faults of a configuration or a change name, all of them in their order.
-func TestGoldenFaultItems(t *testing.T) {
+// TestGoldenInvalidItems pins which items the errors of a configuration or a change name, all of them in their order.
+func TestGoldenInvalidItems(t *testing.T) {
 	const route = `{"name":"r","hostname":"h","path_prefix":"/","type":"streaming","timeout_ms":1,"backend":"s"`
 	const base = `{"generation":7,"services":[{"name":"s"}],"routes":[`
 	for _, test := range []struct {
@@ -220,7 +220,7 @@
 	}
 }
 
-// itemsOf returns the items of an error's faults, and wants its text to tell them with their reasons.
+// itemsOf returns the items of an error, and wants its text to have them with their reasons.
 func itemsOf(t *testing.T, err error) []string {
 	t.Helper()
 	if err == nil {
@@ -228,7 +228,7 @@
 	}
 	invalid, is := err.(*InvalidError)
 	if !is {
-		t.Errorf("got %T, want an error of faults", err)
+		t.Errorf("got %T, want an *InvalidError", err)
 		return nil
 	}
 	var items, texts []string
@@ -245,9 +245,9 @@
 	return items
 }
 
-// TestGoldenFaultIsEncoded pins how a fault is written in the results that control instances keep and send: by the
+// TestGoldenItemErrorIsEncoded pins how an item error is written in the results that control instances keep and send: by the
 // names of its fields, as it has no tags.
-func TestGoldenFaultIsEncoded(t *testing.T) {
+func TestGoldenItemErrorIsEncoded(t *testing.T) {
 	fault := ItemError{Item: `route "r"`, Reason: "is there twice"}
 	const want = "a2644974656d69726f757465202272226652656173" + "6f6e6e6973207468657265207477696365"
 	got, err := cbor.Marshal(fault)
--- a/internal/configuration/index.go
+++ b/internal/configuration/index.go
@@ -2,23 +2,24 @@
 
 import "strings"
 
-// longestHost bounds the host names that are looked up; names on the wire are at most 253 bytes.
-const longestHost = 255
+// maxHostBytes bounds the host names that are looked up without regard to case; valid names have up to 253 bytes.
+const maxHostBytes = 255
 
-// Index finds routes, tenants and services of one configuration. It is only read once made, and looking
-// things up allocates nothing.
+// Index finds the routes, tenants and services of one configuration. It does not change once it has been made, any number of
+// goroutines may use it, and lookups don't allocate.
 type Index struct {
 	hosts    map[string]*hostRoutes // by the name in lower case
 	tenants  map[string]*Tenant     // by key
 	services map[string]*Service
 }
 
+// hostRoutes is the routes of one host.
 type hostRoutes struct {
-	prefixes map[string]*Route
-	longest  int // bytes of the longest prefix
+	prefixes      map[string]*Route
+	longestPrefix int // bytes of the longest prefix
 }
 
-// NewIndex returns the index of a configuration, which must not change afterwards.
+// NewIndex returns the index of a configuration, which must not change afterwards. The configuration should be valid.
 func NewIndex(from *Configuration) *Index {
 	index := &Index{
 		hosts:    make(map[string]*hostRoutes),
@@ -49,16 +50,17 @@
 		x.hosts[name] = host
 	}
 	host.prefixes[route.PathPrefix] = route
-	host.longest = max(host.longest, len(route.PathPrefix))
+	host.longestPrefix = max(host.longestPrefix, len(route.PathPrefix))
 }
 
-// Route returns the route of the host, with or without a port, whose prefix begins the path and is longest.
+// Route returns the route of a host, with or without a port and in any case, whose prefix is the longest that begins the
+// path.
 func (x *Index) Route(host, path string) (*Route, bool) {
-	routes := x.host(withoutPort(host))
+	routes := x.host(stripPort(host))
 	if routes == nil {
 		return nil, false
 	}
-	end := min(len(path), routes.longest)
+	end := min(len(path), routes.longestPrefix)
 	for {
 		slash := strings.LastIndexByte(path[:end], '/')
 		if slash < 0 {
@@ -71,38 +73,39 @@
 	}
 }
 
-// Tenant returns the tenant that holds the key.
+// Tenant returns the tenant that has the API key.
 func (x *Index) Tenant(key string) (*Tenant, bool) {
 	tenant, known := x.tenants[key]
 	return tenant, known
 }
 
-// Service returns the service of that name.
+// Service returns the service with this name.
 func (x *Index) Service(name string) (*Service, bool) {
 	service, known := x.services[name]
 	return service, known
 }
 
+// host returns the routes of a host name, in any case; nil where there are none.
 func (x *Index) host(name string) *hostRoutes {
 	if routes, known := x.hosts[name]; known {
 		return routes
 	}
-	if len(name) > longestHost {
+	if len(name) > maxHostBytes {
 		return nil
 	}
-	var lower [longestHost]byte
+	var lower [maxHostBytes]byte
 	for i := range len(name) {
-		letter := name[i]
-		if 'A' <= letter && letter <= 'Z' {
-			letter += 'a' - 'A'
+		char := name[i]
+		if 'A' <= char && char <= 'Z' {
+			char += 'a' - 'A'
 		}
-		lower[i] = letter
+		lower[i] = char
 	}
 	return x.hosts[string(lower[:len(name)])]
 }
 
-// withoutPort takes ":port" off. The colons in brackets are those of an IPv6 address.
-func withoutPort(host string) string {
+// stripPort removes ":port". Colons in brackets are those of an IPv6 address.
+func stripPort(host string) string {
 	colon := strings.LastIndexByte(host, ':')
 	if colon < 0 || strings.IndexByte(host[colon:], ']') >= 0 {
 		return host
--- a/internal/configuration/index_test.go
+++ b/internal/configuration/index_test.go
@@ -37,7 +37,7 @@
 	} {
 		route, known := index.Route(test.host, test.path)
 		if known != (test.want != "") || known && route.Name != test.want {
-			t.Errorf("%s%s: got %v, want %q", test.host, test.path, route, test.want)
+			t.Errorf("%s%s: got route %v, want %q", test.host, test.path, route, test.want)
 		}
 	}
 }
@@ -46,28 +46,28 @@
 	view := mustParse(t, sample).Configuration()
 	index := NewIndex(view)
 	if tenant, known := index.Tenant("k2"); !known || tenant.Name != "t1" {
-		t.Errorf("got %v", tenant)
+		t.Errorf("key k2: got %v, want t1", tenant)
 	}
 	for _, key := range []string{"", "k", "K1", "t1"} {
 		if tenant, known := index.Tenant(key); known {
-			t.Errorf("%q found %v", key, tenant)
+			t.Errorf("key %q: got %v, want none", key, tenant)
 		}
 	}
 	if service, known := index.Service("s2"); !known || service.MaxConnections != 110 {
-		t.Errorf("got %v", service)
+		t.Errorf("got %v, want s2 with 110 connections", service)
 	}
 	if _, known := index.Service("s3"); known {
-		t.Error("found a service that is none")
+		t.Error("service s3: got one, want none")
 	}
 }
 
-func TestIndexAllocatesNothing(t *testing.T) {
+func TestIndexLookupsDoNotAllocate(t *testing.T) {
 	index := NewIndex(mustParse(t, sample).Configuration())
 	allocations := testing.AllocsPerRun(100, func() {
 		index.Route("A.example:8080", "/x/y/z/a/b/c/d/e")
 		index.Tenant("k3")
 	})
 	if allocations != 0 {
-		t.Errorf("%v allocations", allocations)
+		t.Errorf("got %v allocations, want none", allocations)
 	}
 }
--- a/internal/configuration/patch_test.go
+++ b/internal/configuration/patch_test.go
@@ -21,7 +21,7 @@
 	return patch
 }
 
-// sameJSON compares the meaning of two texts.
+// sameJSON wants two texts to have the same meaning.
 func sameJSON(t testing.TB, got []byte, want string) {
 	t.Helper()
 	var a, b any
@@ -32,7 +32,7 @@
 		t.Fatalf("%s: %v", want, err)
 	}
 	if difference := cmp.Diff(b, a); difference != "" {
-		t.Error(difference)
+		t.Errorf("got another text than wanted (-want +got):\n%s", difference)
 	}
 }
 
@@ -69,18 +69,18 @@
 	}
 	sameJSON(t, next.Encode(), want)
 	if !strings.Contains(string(next.Encode()), `"future":"\u00e9\"}]"}`) {
-		t.Error("an item that stays was written anew")
+		t.Errorf("got %s, want the text of an item that stays unchanged", next.Encode())
 	}
 	if string(current.Encode()) != sample || current.Configuration().Generation != 7 {
-		t.Error("the former document changed")
+		t.Errorf("got %s as the former document, want it unchanged", current.Encode())
 	}
 	read := mustParse(t, string(next.Encode()))
 	if difference := cmp.Diff(read.Configuration(), next.Configuration()); difference != "" {
-		t.Error(difference)
+		t.Errorf("got another typed form than its text has (-text +typed):\n%s", difference)
 	}
 }
 
-func TestPatchFaults(t *testing.T) {
+func TestInvalidItemsOfAPatchAreNamed(t *testing.T) {
 	const route = `{"name":"r-9","hostname":"z.example","path_prefix":"/","type":"idempotent","timeout_ms":1,"backend":"s1"`
 	for _, test := range []struct{ text, item, reason string }{
 		{``, "change", "can't be read"},
@@ -113,19 +113,19 @@
 		if err == nil {
 			_, err = Apply(mustParse(t, sample), patch)
 		}
-		if !hasFault(err, test.item, test.reason) {
+		if !hasItem(err, test.item, test.reason) {
 			t.Errorf("%s: got %v, want %s: %s", test.text, err, test.item, test.reason)
 		}
 	}
 }
 
-func TestPatchWithoutAnythingBefore(t *testing.T) {
+func TestPatchCanBeTheFirstVersion(t *testing.T) {
 	next, err := Apply(nil, mustParsePatch(t, `{"generation":1,"upsert":{"services":[{"name":"s"}]}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got := string(next.Encode()); got != `{"generation":1,"routes":[],"services":[{"name":"s"}]}` {
-		t.Errorf("got %s", got)
+		t.Errorf("got %s, want the first version with its service", got)
 	}
 }
 
@@ -136,11 +136,11 @@
 		t.Fatal(err)
 	}
 	if tenants := next.Configuration().Tenants; len(tenants) != 2 || tenants[1].Name != "t1" {
-		t.Errorf("got %+v", tenants)
+		t.Errorf("got %+v, want t1 as the second of two", tenants)
 	}
 }
 
-// model is a configuration as maps: the items' texts by name, and their order.
+// model is the reference model of a configuration: the items' texts by name, and their order.
 type model struct {
 	items map[string]string
 	order []string
@@ -171,7 +171,7 @@
 		generation, strings.Join(texts, ","))
 }
 
-// TestPatchesAgainstAModel applies random changes, valid and not, to a document and to a model of maps.
+// TestPatchesAgainstAModel applies random changes, valid and invalid, to a document and to the reference model.
 func TestPatchesAgainstAModel(t *testing.T) {
 	names := []string{"a", "b", "c", "d"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -207,7 +207,7 @@
 			}
 			next, err := Apply(current, patch)
 			if valid != (err == nil) {
-				t.Fatalf("valid is %v, got %v", valid, err)
+				t.Fatalf("got %v, want an error: %v", err, !valid)
 			}
 			if err == nil {
 				current, expected, generation = next, changed, generation+step
@@ -237,10 +237,10 @@
 	return true
 }
 
-// sameView wants the document to mean the same as another, in its view and in its text.
+// sameView wants two documents to have the same meaning, in typed form and in text.
 func sameView(t *rapid.T, got, want *Document) {
 	if difference := cmp.Diff(want.Configuration(), got.Configuration()); difference != "" {
-		t.Fatal(difference)
+		t.Fatalf("got another typed form than wanted (-want +got):\n%s", difference)
 	}
 	var a, b any
 	if err := json.Unmarshal(got.Encode(), &a); err != nil {
@@ -250,6 +250,6 @@
 		t.Fatal(err)
 	}
 	if difference := cmp.Diff(b, a); difference != "" {
-		t.Fatal(difference)
+		t.Fatalf("got another text than wanted (-want +got):\n%s", difference)
 	}
 }
--- a/internal/configuration/json.go
+++ b/internal/configuration/rawjson.go
@@ -8,8 +8,8 @@
 	"unicode/utf8"
 )
 
-// The functions below take JSON text apart without changing a byte of its parts. All but validate work on
-// text that validate has passed.
+// The functions of this file divide JSON text into its parts without changing a byte of them, which encoding/json can't.
+// All but validateJSON expect text that validateJSON has accepted, and may panic on other text.
 
 var (
 	errNotObject = errors.New("is not an object")
@@ -17,8 +17,8 @@
 	errNotString = errors.New("is not a string")
 )
 
-// validate says whether the text is one JSON value and nothing else.
-func validate(text []byte) error {
+// validateJSON checks that the text is one JSON value, in UTF-8, and nothing else.
+func validateJSON(text []byte) error {
 	if !utf8.Valid(text) {
 		return errors.New("is not UTF-8")
 	}
@@ -32,20 +32,21 @@
 	return errors.New("can't be read")
 }
 
+// rawMember is one member of an object, its value as text.
 type rawMember struct {
 	name  string
 	value []byte
 }
 
-// objectMembers returns an object's members in order. A name that comes twice is an error.
+// objectMembers returns an object's members in their order. A repeated key is an error.
 func objectMembers(object []byte) ([]rawMember, error) {
-	object = trim(object)
+	object = trimSpace(object)
 	if object[0] != '{' {
 		return nil, errNotObject
 	}
 	var members []rawMember
 	seen := make(map[string]struct{})
-	for at := next(object, 1); object[at] != '}'; {
+	for at := skipSpace(object, 1); object[at] != '}'; {
 		end := valueEnd(object, at)
 		name, err := stringOf(object[at:end])
 		if err != nil {
@@ -55,8 +56,8 @@
 			return nil, fmt.Errorf("has %q twice", name)
 		}
 		seen[name] = struct{}{}
-		colon := next(object, end)
-		start := next(object, colon+1)
+		colon := skipSpace(object, end)
+		start := skipSpace(object, colon+1)
 		end = valueEnd(object, start)
 		members = append(members, rawMember{name: name, value: object[start:end]})
 		at = afterValue(object, end)
@@ -64,14 +65,14 @@
 	return members, nil
 }
 
-// listItems returns a list's items in order.
+// listItems returns the texts of a list's items in their order.
 func listItems(list []byte) ([][]byte, error) {
-	list = trim(list)
+	list = trimSpace(list)
 	if list[0] != '[' {
 		return nil, errNotList
 	}
 	var items [][]byte
-	for at := next(list, 1); list[at] != ']'; {
+	for at := skipSpace(list, 1); list[at] != ']'; {
 		end := valueEnd(list, at)
 		items = append(items, list[at:end])
 		at = afterValue(list, end)
@@ -79,7 +80,7 @@
 	return items, nil
 }
 
-// stringOf returns the string that the text spells.
+// stringOf returns the value of a JSON string.
 func stringOf(text []byte) (string, error) {
 	if text[0] != '"' {
 		return "", errNotString
@@ -94,26 +95,27 @@
 	return spelled, nil
 }
 
-func trim(text []byte) []byte { return bytes.Trim(text, " \t\r\n") }
+// trimSpace removes JSON white space (RFC 8259, section 2) from both ends.
+func trimSpace(text []byte) []byte { return bytes.Trim(text, " \t\r\n") }
 
-// next returns the place of the first byte from at on that is no space.
-func next(text []byte, at int) int {
+// skipSpace returns the index of the first byte, from at on, that is not white space.
+func skipSpace(text []byte, at int) int {
 	for text[at] == ' ' || text[at] == '\t' || text[at] == '\r' || text[at] == '\n' {
 		at++
 	}
 	return at
 }
 
-// afterValue skips the comma after a value, or returns the place of the bracket that ends the whole.
+// afterValue returns the index after a value and its comma, or that of the bracket that follows.
 func afterValue(text []byte, end int) int {
-	at := next(text, end)
+	at := skipSpace(text, end)
 	if text[at] == ',' {
-		return next(text, at+1)
+		return skipSpace(text, at+1)
 	}
 	return at
 }
 
-// valueEnd returns the place after the value that begins at start.
+// valueEnd returns the index after the value that begins at start.
 func valueEnd(text []byte, start int) int {
 	depth := 0
 	for at := start; at < len(text); at++ {
@@ -137,7 +139,7 @@
 	return len(text)
 }
 
-// stringEnd returns the place of the quotation mark that ends the string.
+// stringEnd returns the index of the quotation mark that ends the string beginning at start.
 func stringEnd(text []byte, start int) int {
 	at := start + 1
 	for text[at] != '"' {
@@ -149,7 +151,7 @@
 	return at
 }
 
-// endsLiteral says whether a number, true, false or null ends with the byte at that place.
+// endsLiteral reports whether a number, true, false or null ends with the byte at this index.
 func endsLiteral(text []byte, at int) bool {
 	if at+1 == len(text) {
 		return true
--- a/internal/configuration/size_test.go
+++ b/internal/configuration/size_test.go
@@ -7,7 +7,7 @@
 	"raventrestle/internal/sizetest"
 )
 
-// BenchmarkParseAtSize is what every router and instance does with a whole version.
+// BenchmarkParseAtSize parses and indexes a version of the planned size, as each router and instance does.
 func BenchmarkParseAtSize(b *testing.B) {
 	text := sizetest.Document()
 	b.ReportAllocs()
@@ -21,8 +21,8 @@
 	b.ReportMetric(float64(len(text)), "document-B")
 }
 
-// BenchmarkAmendAtSize is a change of one route, applied and checked whole by each member of the chain.
-func BenchmarkAmendAtSize(b *testing.B) {
+// BenchmarkApplyAtSize applies a change of one route to such a version, as each member of the chain does.
+func BenchmarkApplyAtSize(b *testing.B) {
 	document, err := configuration.ParseDocument(sizetest.Document())
 	if err != nil {
 		b.Fatal(err)
--- a/internal/configuration/check.go
+++ b/internal/configuration/validate.go
@@ -5,32 +5,34 @@
 	"strings"
 )
 
-// Validate says whether next may follow current, which is nil before the first. The error is an *Invalid that
-// lists all faults.
+// Validate checks a configuration that is to follow current, which is nil before the first, against the rules of the
+// operators' page (PROTOCOL.md, "The operator's API"): a higher generation, unique names, routes that name known services
+// and don't share host and prefix, weights, timeouts, and keys of one tenant each. The error is an *InvalidError with all
+// reasons.
 func Validate(next, current *Configuration) error {
-	var found faults
-	checkGeneration(next, current, &found)
+	var found itemErrors
+	validateGeneration(next, current, &found)
 	services := make(map[string]bool, len(next.Services))
 	for i := range next.Services {
-		checkName("service", next.Services[i].Name, services, &found)
+		validateName("service", next.Services[i].Name, services, &found)
 	}
-	checkRoutes(next.Routes, services, &found)
-	checkTenants(next.Tenants, &found)
+	validateRoutes(next.Routes, services, &found)
+	validateTenants(next.Tenants, &found)
 	return found.err()
 }
 
-func checkGeneration(next, current *Configuration, found *faults) {
+func validateGeneration(next, current *Configuration, found *itemErrors) {
 	before := int64(0)
 	if current != nil {
 		before = current.Generation
 	}
 	if next.Generation <= before {
-		found.add(memberGeneration, "%d is not above %d", next.Generation, before)
+		found.add(keyGeneration, "%d is not above %d", next.Generation, before)
 	}
 }
 
-// checkName notes the name among those of its kind.
-func checkName(kind, name string, known map[string]bool, found *faults) {
+// validateName checks that a name is there and not yet known, and adds it to the known ones.
+func validateName(kind, name string, known map[string]bool, found *itemErrors) {
 	if name == "" {
 		found.add(kind, "has an empty name")
 		return
@@ -41,26 +43,28 @@
 	known[name] = true
 }
 
-type place struct{ host, prefix string }
+// hostAndPrefix is what two routes must not share. Hosts are compared without case.
+type hostAndPrefix struct{ host, prefix string }
 
-func checkRoutes(routes []Route, services map[string]bool, found *faults) {
+func validateRoutes(routes []Route, services map[string]bool, found *itemErrors) {
 	names := make(map[string]bool, len(routes))
-	places := make(map[place]string, len(routes))
+	routeAt := make(map[hostAndPrefix]string, len(routes))
 	for i := range routes {
 		route := &routes[i]
-		checkName("route", route.Name, names, found)
+		validateName("route", route.Name, names, found)
 		item := fmt.Sprintf("route %q", route.Name)
-		checkRoute(route, item, found)
-		checkTargets(route, item, services, found)
-		at := place{host: strings.ToLower(route.Hostname), prefix: route.PathPrefix}
-		if other, taken := places[at]; taken {
+		validateRoute(route, item, found)
+		validateTargets(route, item, services, found)
+		at := hostAndPrefix{host: strings.ToLower(route.Hostname), prefix: route.PathPrefix}
+		if other, taken := routeAt[at]; taken {
 			found.add(item, "shares host %q and prefix %q with route %q", route.Hostname, route.PathPrefix, other)
 		}
-		places[at] = route.Name
+		routeAt[at] = route.Name
 	}
 }
 
-func checkRoute(route *Route, item string, found *faults) {
+// validateRoute checks what concerns one route alone.
+func validateRoute(route *Route, item string, found *itemErrors) {
 	switch route.Type {
 	case Idempotent, NonIdempotent, Streaming:
 	default:
@@ -77,7 +81,8 @@
 	}
 }
 
-func checkTargets(route *Route, item string, services map[string]bool, found *faults) {
+// validateTargets checks the services of a route, and the weights between them.
+func validateTargets(route *Route, item string, services map[string]bool, found *itemErrors) {
 	if route.Backend != "" && !services[route.Backend] {
 		found.add(item, "its backend %q is no service", route.Backend)
 	}
@@ -87,7 +92,7 @@
 		}
 		return
 	}
-	sum := 0.0 // of whole numbers; as a float it can't overflow
+	sum := 0.0 // a sum of integers, as a float so that it can't overflow
 	for _, split := range route.TrafficSplit {
 		if !services[split.Backend] {
 			found.add(item, "its backend %q is no service", split.Backend)
@@ -102,12 +107,12 @@
 	}
 }
 
-func checkTenants(tenants []Tenant, found *faults) {
+func validateTenants(tenants []Tenant, found *itemErrors) {
 	names := make(map[string]bool, len(tenants))
 	owners := make(map[string]int)
 	for i := range tenants {
 		tenant := &tenants[i]
-		checkName("tenant", tenant.Name, names, found)
+		validateName("tenant", tenant.Name, names, found)
 		for _, key := range tenant.APIKeys {
 			other, taken := owners[key]
 			if taken && other != i {
--- a/internal/configuration/check_test.go
+++ b/internal/configuration/validate_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"errors"
+	"fmt"
 	"strings"
 	"testing"
 )
 
-// sample is valid, and has members that nobody here understands.
+// sample is valid, and has members that this package does not understand.
 const sample = `{"generation": 7,
  "note": {"kept": [1, 2.50]},
  "routes": [
@@ -41,35 +42,35 @@
 	return strings.Replace(sample, old, new, 1)
 }
 
-func TestSampleIsTaken(t *testing.T) {
+func TestSampleIsAccepted(t *testing.T) {
 	d := mustParse(t, sample)
 	view := d.Configuration()
 	if err := Validate(view, &Configuration{Generation: 6}); err != nil {
 		t.Fatal(err)
 	}
 	if string(d.Encode()) != sample {
-		t.Error("the text changed")
+		t.Errorf("encode: got %s, want the text as it was sent", d.Encode())
 	}
 	if view.Generation != 7 || len(view.Routes) != 2 || len(view.Services) != 2 || len(view.Tenants) != 2 {
-		t.Errorf("got %+v", view)
+		t.Errorf("got %+v, want version 7 with two routes, services and tenants", view)
 	}
 	if view.Routes[0].TrafficSplit[1] != (Split{Backend: "s2", Weight: 10}) || !view.Routes[0].Resumable {
-		t.Errorf("got %+v", view.Routes[0])
+		t.Errorf("got %+v, want a split with 10 for s2, and a resumable route", view.Routes[0])
 	}
 	if view.Limits.IdleTimeoutMS != 15000 || view.Services[0].Engine.Models[0].Name != "m1" {
-		t.Errorf("got %+v", view)
+		t.Errorf("got %+v, want the idle timeout and the model of the sample", view)
 	}
 }
 
-func TestSmallestIsTaken(t *testing.T) {
+func TestSmallestConfigurationIsAccepted(t *testing.T) {
 	view := mustParse(t, `{"generation":1,"routes":[],"services":[]}`).Configuration()
 	if err := Validate(view, nil); err != nil {
-		t.Error(err)
+		t.Errorf("validate: got %v, want no error", err)
 	}
 }
 
-// TestFaults wants each fault told with the item and the reason, and as an *Invalid.
-func TestFaults(t *testing.T) {
+// TestInvalidItemsAreNamed wants each error to name the item and the reason, and to be an *InvalidError.
+func TestInvalidItemsAreNamed(t *testing.T) {
 	const route2 = `"path_prefix":"/x/y/","type":"idempotent","timeout_ms":900,
    "backend":"s2"`
 	with := func(change string) string { return replaced(t, route2, change) }
@@ -131,7 +132,7 @@
 		{replaced(t, `"hostname":"a.example"`, `"hostname":""`), `route "r-1"`, "empty hostname"},
 	} {
 		err := parseAndCheck(test.text, &Configuration{Generation: 6})
-		if !hasFault(err, test.item, test.reason) {
+		if !hasItem(err, test.item, test.reason) {
 			t.Errorf("%q: got %v, want %s: %s", test.text, err, test.item, test.reason)
 		}
 	}
@@ -145,7 +146,7 @@
 	return Validate(view, current)
 }
 
-func hasFault(err error, item, reason string) bool {
+func hasItem(err error, item, reason string) bool {
 	var invalid *InvalidError
 	if !errors.As(err, &invalid) {
 		return false
@@ -160,32 +161,32 @@
 
 func TestHostsAreComparedWithoutCase(t *testing.T) {
 	text := replaced(t, `"hostname":"a.example","path_prefix":"/x/y/"`, `"hostname":"A.Example","path_prefix":"/x/"`)
-	if err := parseAndCheck(text, nil); !hasFault(err, `route "r-2"`, "shares host") {
-		t.Errorf("got %v", err)
+	if err := parseAndCheck(text, nil); !hasItem(err, `route "r-2"`, "shares host") {
+		t.Errorf("got %v, want route r-2 to share the host", err)
 	}
 }
 
-func TestAllFaultsAreListed(t *testing.T) {
+func TestAllInvalidItemsAreListed(t *testing.T) {
 	text := `{"generation":1,"routes":[` + strings.Repeat(`{"name":"r"},`, 30) + `{"name":"r"}],"services":[]}`
 	err := parseAndCheck(text, nil)
 	var invalid *InvalidError
 	if !errors.As(err, &invalid) || len(invalid.Items) < 4*31 {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got %v, want an error with %d items or more", err, 4*31)
 	}
 	if !strings.Contains(err.Error(), "more") || len(err.Error()) > 4000 {
-		t.Errorf("the error is too long: %v", err)
+		t.Errorf("got %d bytes, want 4000 at the utmost and the number of further items: %v", len(err.Error()), err)
 	}
 }
 
-func TestKeysStayOutOfErrors(t *testing.T) {
+func TestAPIKeysStayOutOfErrors(t *testing.T) {
 	err := parseAndCheck(replaced(t, `"k3"`, `"k2"`), nil)
 	if err == nil || strings.Contains(err.Error(), "k2") {
-		t.Errorf("got %v", err)
+		t.Errorf("got %v, want an error without the key", err)
 	}
 }
 
-// FuzzParse feeds any bytes, wants no panic, and wants what was taken to come back as it was sent and to
-// survive being written anew.
+// FuzzParse wants any bytes to cause no panic, and what is accepted to come back as it was sent and to parse again after it
+// has been encoded.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(sample))
 	f.Add([]byte(`{"generation":1,"routes":[],"services":[]}`))
@@ -202,21 +203,21 @@
 		_ = Validate(d.Configuration(), nil)
 		NewIndex(d.Configuration())
 		if string(d.Encode()) != string(text) {
-			t.Fatalf("%q came back as %q", text, d.Encode())
+			t.Fatalf("encode: got %q, want %q", d.Encode(), text)
 		}
 		d.encode()
 		again, err := ParseDocument(d.Encode())
 		if err != nil {
-			t.Fatalf("%q was written as %q: %v", text, d.Encode(), err)
+			t.Fatalf("parse %q, the encoded form of %q: got %v, want no error", d.Encode(), text, err)
 		}
 		again.encode()
 		if string(again.Encode()) != string(d.Encode()) {
-			t.Fatalf("%q and then %q", d.Encode(), again.Encode())
+			t.Fatalf("encode again: got %q, want %q", again.Encode(), d.Encode())
 		}
 	})
 }
 
-// BenchmarkParse reads a configuration of some size.
+// BenchmarkParse parses a configuration with 300 routes.
 func BenchmarkParse(b *testing.B) {
 	var text strings.Builder
 	text.WriteString(`{"generation":1,"services":[{"name":"s"}],"routes":[`)
@@ -238,3 +239,11 @@
 		}
 	}
 }
+
+func TestInvalidErrorIsMatchedByItsItems(t *testing.T) {
+	err := fmt.Errorf("wrapped: %w", parseAndCheck(replaced(t, `"name":"s2"`, `"name":""`), nil))
+	var item ItemError
+	if !errors.As(err, &item) || item.Item != "service" {
+		t.Errorf("got item %+v of %v, want service", item, err)
+	}
+}
--- a/internal/control/configstore/store.go
+++ b/internal/control/configstore/store.go
@@ -76,7 +76,7 @@
 func joinFaults(faults []configuration.ItemError) string {
 	texts := make([]string, len(faults))
 	for i, fault := range faults {
-		texts[i] = fault.String()
+		texts[i] = fault.Error()
 	}
 	return strings.Join(texts, "; ")
 }
--- a/internal/lab/system/operator.go
+++ b/internal/lab/system/operator.go
@@ -58,12 +58,12 @@
 		Routes: []configuration.Route{
 			{
 				Name: "write", Hostname: host, PathPrefix: writerPath, Type: configuration.Streaming, TimeoutMS: 10000,
-				LatencyTargetMS: 5000, Backend: writerService, MaxRetries: 2, SessionAffinity: true, Resumable: true,
+				LatencyTargetMS: 5000, Backend: writerService, MaxAttempts: 2, SessionAffinity: true, Resumable: true,
 				EventGapTargetMS: 500,
 			},
 			{
 				Name: "ledger", Hostname: host, PathPrefix: ledgerPath, Type: configuration.NonIdempotent, TimeoutMS: 2000,
-				LatencyTargetMS: 500, Backend: ledgerService, MaxRetries: 1,
+				LatencyTargetMS: 500, Backend: ledgerService, MaxAttempts: 1,
 			},
 		},
 		Tenants: []configuration.Tenant{{
--- a/internal/router/ingress/request.go
+++ b/internal/router/ingress/request.go
@@ -58,7 +58,7 @@
 		Objective:     a.arrived.Add(time.Duration(a.route.LatencyTargetMS) * time.Millisecond),
 		Deadline:      a.deadline,
 		Arrived:       a.arrived,
-		MaxEndpoints:  a.route.MaxRetries,
+		MaxEndpoints:  a.route.MaxAttempts,
 		Charge:        1,
 		Again:         a.again,
 	}
--- a/internal/router/ingress/world_test.go
+++ b/internal/router/ingress/world_test.go
@@ -64,7 +64,7 @@
 	route := func(prefix string, kind configuration.RouteType) configuration.Route {
 		return configuration.Route{
 			Name: prefix, Hostname: testHost, PathPrefix: prefix, Type: kind, TimeoutMS: 8000,
-			LatencyTargetMS: 500, Backend: "models", MaxRetries: 3, EventGapTargetMS: 300,
+			LatencyTargetMS: 500, Backend: "models", MaxAttempts: 3, EventGapTargetMS: 300,
 		}
 	}
 	resumable := route("/resumable/", configuration.Streaming)
--- a/internal/sizetest/sizetest.go
+++ b/internal/sizetest/sizetest.go
@@ -57,7 +57,7 @@
 		c.Routes = append(c.Routes, configuration.Route{
 			Name: fmt.Sprintf("route-%04d", i), Hostname: fmt.Sprintf("host%02d.example", i%50),
 			PathPrefix: fmt.Sprintf("/path%04d/", i), Type: configuration.Streaming, TimeoutMS: 15000,
-			LatencyTargetMS: 510, Priority: i % 2, Backend: ServiceName(i % Services), MaxRetries: 2,
+			LatencyTargetMS: 510, Priority: i % 2, Backend: ServiceName(i % Services), MaxAttempts: 2,
 			SessionAffinity: true, Resumable: i%2 == 0, EventGapTargetMS: 250,
 		})
 	}
