--- a/internal/control/quota/golden_test.go
+++ b/internal/control/quota/golden_test.go
@@ -36,24 +36,42 @@
 }
 
 var goldenCases = []goldenCase{
-	{name: "pushed", seed: 1, routers: 2, length: 440,
-		options: Config{OvershootFraction: 0.1, OvershootSlack: 11000, IdleBefore: time.Minute}},
-	{name: "credits", seed: 2, routers: 2, length: 440, credits: true,
-		options: Config{OvershootFraction: 0.1, OvershootSlack: 11000, IdleBefore: time.Minute}},
-	{name: "takeover-pressing", seed: 3, routers: 2, length: 440, credits: true, pressing: true, observes: 50,
-		options: Config{OvershootFraction: 0.1, OvershootSlack: 9000, IdleBefore: time.Second}},
-	{name: "takeover-idle", seed: 4, routers: 2, length: 440, credits: true, observes: 50,
-		options: Config{OvershootFraction: 0.05, OvershootSlack: 3000, IdleBefore: 500 * time.Millisecond, DeliveryTimeout: time.Second, Window: 6 * time.Second}},
-	{name: "lost-router", seed: 5, routers: 2, length: 1050, restart: 400, credits: true, unreachable: true,
-		options: Config{OvershootFraction: 0.1, OvershootSlack: 11000, IdleBefore: time.Minute}},
-	{name: "reconfigured", seed: 6, routers: 2, length: 440, credits: true, configure: true,
-		options: Config{OvershootFraction: 0.1, OvershootSlack: 11000, IdleBefore: time.Minute}},
-	{name: "takeover-late", seed: 9, routers: 2, length: 440, credits: true, pressing: true, observes: 250,
-		options: Config{OvershootFraction: 0.1, OvershootSlack: 11000, IdleBefore: time.Second}},
-	{name: "many-routers", seed: 7, routers: 7, length: 440, restart: 170, credits: true, unreachable: true, configure: true, observes: 30,
-		options: Config{OvershootFraction: 0.1, OvershootSlack: 20000, IdleBefore: 800 * time.Millisecond}},
-	{name: "many-routers-pushed", seed: 8, routers: 5, length: 440, restart: 170, unreachable: true,
-		options: Config{OvershootFraction: 0.2, OvershootSlack: 5000, IdleBefore: 2 * time.Second}},
+	{
+		name: "pushed", seed: 1, routers: 2, length: 440,
+		options: Config{OvershootFraction: 0.1, OvershootSlack: 11000, IdleBefore: time.Minute},
+	},
+	{
+		name: "credits", seed: 2, routers: 2, length: 440, credits: true,
+		options: Config{OvershootFraction: 0.1, OvershootSlack: 11000, IdleBefore: time.Minute},
+	},
+	{
+		name: "takeover-pressing", seed: 3, routers: 2, length: 440, credits: true, pressing: true, observes: 50,
+		options: Config{OvershootFraction: 0.1, OvershootSlack: 9000, IdleBefore: time.Second},
+	},
+	{
+		name: "takeover-idle", seed: 4, routers: 2, length: 440, credits: true, observes: 50,
+		options: Config{OvershootFraction: 0.05, OvershootSlack: 3000, IdleBefore: 500 * time.Millisecond, DeliveryTimeout: time.Second, Window: 6 * time.Second},
+	},
+	{
+		name: "lost-router", seed: 5, routers: 2, length: 1050, restart: 400, credits: true, unreachable: true,
+		options: Config{OvershootFraction: 0.1, OvershootSlack: 11000, IdleBefore: time.Minute},
+	},
+	{
+		name: "reconfigured", seed: 6, routers: 2, length: 440, credits: true, configure: true,
+		options: Config{OvershootFraction: 0.1, OvershootSlack: 11000, IdleBefore: time.Minute},
+	},
+	{
+		name: "takeover-late", seed: 9, routers: 2, length: 440, credits: true, pressing: true, observes: 250,
+		options: Config{OvershootFraction: 0.1, OvershootSlack: 11000, IdleBefore: time.Second},
+	},
+	{
+		name: "many-routers", seed: 7, routers: 7, length: 440, restart: 170, credits: true, unreachable: true, configure: true, observes: 30,
+		options: Config{OvershootFraction: 0.1, OvershootSlack: 20000, IdleBefore: 800 * time.Millisecond},
+	},
+	{
+		name: "many-routers-pushed", seed: 8, routers: 5, length: 440, restart: 170, unreachable: true,
+		options: Config{OvershootFraction: 0.2, OvershootSlack: 5000, IdleBefore: 2 * time.Second},
+	},
 }
 
 const goldenStepTime = 50 * time.Millisecond
@@ -79,8 +97,10 @@
 		case change == 1 && i == 1, change == 2 && i == 2:
 			continue // removed
 		}
-		c.Tenants = append(c.Tenants, configuration.Tenant{Name: fmt.Sprintf("t%d", i), Unit: configuration.UnitTokens,
-			RatePerSecond: rate, Burst: rate * 0.8})
+		c.Tenants = append(c.Tenants, configuration.Tenant{
+			Name: fmt.Sprintf("t%d", i), Unit: configuration.UnitTokens,
+			RatePerSecond: rate, Burst: rate * 0.8,
+		})
 	}
 	c.Tenants = append(c.Tenants, configuration.Tenant{Name: "unlimited"})
 	return c
@@ -135,8 +155,10 @@
 
 func (g *goldenPlay) report(router int) protocol.Report {
 	g.sequences[router]++
-	report := protocol.Report{Node: g.ids[router].Node, Incarnation: g.ids[router].Incarnation,
-		Sequence: g.sequences[router], Window: 500 * time.Millisecond}
+	report := protocol.Report{
+		Node: g.ids[router].Node, Incarnation: g.ids[router].Incarnation,
+		Sequence: g.sequences[router], Window: 500 * time.Millisecond,
+	}
 	for i, rate := range g.rates {
 		demand := rate / float64(g.routers) * 0.5 * 1.6 * g.random.Float64()
 		if g.pressing || g.step >= 300 && g.step < 360 && i == 0 {
@@ -165,8 +187,10 @@
 
 // goldenDecisions runs a case and returns every grant as a line of text.
 func goldenDecisions(c goldenCase) []string {
-	g := &goldenPlay{goldenCase: c, random: rand.New(rand.NewPCG(c.seed, 73)), now: time.Unix(1_000_000, 0),
-		confirms: map[int][]Confirmation{}, rates: []float64{35285, 9100, 2600}, sequences: make([]uint64, c.routers)}
+	g := &goldenPlay{
+		goldenCase: c, random: rand.New(rand.NewPCG(c.seed, 73)), now: time.Unix(1_000_000, 0),
+		confirms: map[int][]Confirmation{}, rates: []float64{35285, 9100, 2600}, sequences: make([]uint64, c.routers),
+	}
 	begin := g.now
 	for i := range c.routers {
 		g.ids = append(g.ids, Router{Node: fmt.Sprintf("r%02d", i), Incarnation: uint64(i) + 1})
--- a/internal/control/quota/simulated_router_test.go
+++ b/internal/control/quota/simulated_router_test.go
@@ -103,11 +103,13 @@
 
 // report sends the router's account of its demand: twice a second, and sooner while requests wait.
 func (s *simulation) report(r *simulatedRouter) {
-	urgent := false
+	due := r.nextReport
 	for _, b := range r.buckets {
-		urgent = urgent || b.shortfall > 0
+		if b.shortfall > 0 {
+			due = min(due, r.nextUrgentReport)
+		}
 	}
-	if s.now < r.nextReport && !(urgent && s.now >= r.nextUrgentReport) {
+	if s.now < due {
 		return
 	}
 	r.nextReport, r.nextUrgentReport = s.now+500*time.Millisecond, s.now+50*time.Millisecond
--- a/internal/control/roles/golden_test.go
+++ b/internal/control/roles/golden_test.go
@@ -136,8 +136,10 @@
 
 // TestGoldenResponses checks which outcome each kind of response to an order means.
 func TestGoldenResponses(t *testing.T) {
-	outcomes := map[string]placer.Outcome{"accepted": placer.Accepted, "holds": placer.AlreadyApplied, "busy": placer.Busy,
-		"invalid": placer.Invalid, "unknown": placer.Unknown}
+	outcomes := map[string]placer.Outcome{
+		"accepted": placer.Accepted, "holds": placer.AlreadyApplied, "busy": placer.Busy,
+		"invalid": placer.Invalid, "unknown": placer.Unknown,
+	}
 	for _, line := range strings.Split(strings.TrimSpace(readGolden(t, "answers.tsv")), "\n") {
 		columns := strings.Split(line, "\t")
 		if len(columns) != 3 {
@@ -216,8 +218,13 @@
 		since, previous int // ms after begin
 		from, until     int
 	}{
-		{0, 1, 0, -1, 0, 900}, {0, 2, 900, 1200, 950, 2200}, {0, 4, 2500, 2900, 2500, 9000}, {1, 5, 9100, 9000, 9100, 12700},
-		{1, 6, 12800, 13700, 12800, 14000}, {0, 9, 14500, 14200, 14500, 19000}, {1, 10, 19000, 20000, 19000, 23000},
+		{0, 1, 0, -1, 0, 900},
+		{0, 2, 900, 1200, 950, 2200},
+		{0, 4, 2500, 2900, 2500, 9000},
+		{1, 5, 9100, 9000, 9100, 12700},
+		{1, 6, 12800, 13700, 12800, 14000},
+		{0, 9, 14500, 14200, 14500, 19000},
+		{1, 10, 19000, 20000, 19000, 23000},
 		{1, 13, 24000, 24100, 24050, 29000},
 	}
 	at := func(ms int) time.Time {
--- a/internal/control/roles/leader_environment_test.go
+++ b/internal/control/roles/leader_environment_test.go
@@ -64,8 +64,11 @@
 func (e *environment) DistributeGrants(batches map[string][]protocol.RouterGrants) {
 	e.grants <- batches
 }
-func (e *environment) LeadershipBegan(epoch uint64, _ time.Duration)              { e.began <- epoch }
-func (e *environment) LeadershipEnded(epoch uint64)                               { e.ended <- epoch }
+
+func (e *environment) LeadershipBegan(epoch uint64, _ time.Duration) { e.began <- epoch }
+
+func (e *environment) LeadershipEnded(epoch uint64) { e.ended <- epoch }
+
 func (e *environment) newAllocator(time.Duration) Allocator                       { return fakeAllocator{e} }
 func (e *environment) OrderCompleted(uint64, placer.Order, placer.Outcome, error) {}
 
--- a/internal/control/state/machine_test.go
+++ b/internal/control/state/machine_test.go
@@ -19,20 +19,20 @@
 		generation, name, name)
 }
 
-func command(t testing.TB, method string, ifMatch int64, body []byte) []byte {
-	t.Helper()
+func command(tb testing.TB, method string, ifMatch int64, body []byte) []byte {
+	tb.Helper()
 	encoded, err := NewCommand(method, ifMatch, body)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return encoded
 }
 
-func apply(t testing.TB, m *Machine, index uint64, command []byte) Result {
-	t.Helper()
+func apply(tb testing.TB, m *Machine, index uint64, command []byte) Result {
+	tb.Helper()
 	result, err := DecodeResult(m.Apply(index, command))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return result
 }
