--- a/internal/check/check_test.go
+++ b/internal/check/check_test.go
@@ -12,7 +12,8 @@
 	"github.com/google/subcommands"
 )
 
-func checkRun(t *testing.T, text string, status subcommands.ExitStatus, told []string, arguments ...string) {
+// checkRun runs the command on a file with this text, and wants its exit status and all parts in its output.
+func checkRun(t *testing.T, text string, status subcommands.ExitStatus, parts []string, arguments ...string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -26,11 +27,11 @@
 		t.Fatal(err)
 	}
 	if got := command.Execute(context.Background(), flags); got != status {
-		t.Errorf("ends with %d, want %d", got, status)
+		t.Errorf("got exit status %d, want %d", got, status)
 	}
-	for _, line := range told {
-		if !strings.Contains(out.String(), line) {
-			t.Errorf("%q is missing in %s", line, out.String())
+	for _, part := range parts {
+		if !strings.Contains(out.String(), part) {
+			t.Errorf("got %s, want %q in it", out.String(), part)
 		}
 	}
 }
@@ -46,14 +47,14 @@
 seeds=
 `
 
-func TestSettings(t *testing.T) {
+func TestSettingsListsAllFindings(t *testing.T) {
 	checkRun(t, goodSettings, 0, []string{"good: n, role r, zone a"}, "-settings")
 	text := strings.Replace(goodSettings, "ip=10.0.0.1", "ip=here", 1)
 	text = strings.Replace(text, "zone=a\n", "", 1)
 	checkRun(t, text, 1, []string{"line 4: ip: ", "zone: is missing"}, "-settings")
 }
 
-func TestConfigurationTellsEveryFault(t *testing.T) {
+func TestConfigurationListsAllFindings(t *testing.T) {
 	checkRun(t, `{"generation":1,"routes":[],"services":[]}`, 0, []string{"good: generation 1"})
 	checkRun(t, `{"generation":1,"services":[],"routes":[
 		{"name":"a","hostname":"h","path_prefix":"/a/","type":"idempotent","timeout_ms":0,"backend":"x"},
@@ -62,7 +63,7 @@
 	checkRun(t, `{`, 1, nil)
 }
 
-func TestDeploy(t *testing.T) {
+func TestDeployListsAllFindings(t *testing.T) {
 	checkRun(t, "build = \"b\"\n[roles.r]\nrun = \"x\"\non = \"edge\"\nshare = 1.0\nserves = [\"edge\"]\n", 0,
 		[]string{"good: roles r"}, "-deploy")
 	checkRun(t, "[roles.r]\non = \"hill\"\nshare = 2.0\nserves = [\"all\"]\n", 1,
@@ -71,7 +72,7 @@
 	checkRun(t, "build = \n", 1, []string{"line 1"}, "-deploy")
 }
 
-func TestPackagesOfDeployFile(t *testing.T) {
+func TestDeployChecksPackageNames(t *testing.T) {
 	roles := "[roles.r]\nrun = \"x\"\non = \"edge\"\nshare = 1.0\n"
 	checkRun(t, "build = \"b\"\npackages = [\"gcc\", \"libstdc++-12-dev\", \"libc6-dev\"]\n"+roles, 0, []string{"good: roles r"},
 		"-deploy")
@@ -84,16 +85,16 @@
 	checkRun(t, "build = \"b\"\npackages = [1]\n"+roles, 1, []string{"line 2: packages"}, "-deploy")
 }
 
-// The deploy file in service is good.
-func TestOwnDeployFile(t *testing.T) {
+// TestDeployFileInServiceIsValid checks deploy/system.toml.
+func TestDeployFileInServiceIsValid(t *testing.T) {
 	report, err := Deploy(filepath.Join("..", "..", "deploy", "system.toml"))
 	if err != nil || !report.Good {
-		t.Errorf("%+v, %v", report, err)
+		t.Errorf("got %+v, %v, want a valid file", report, err)
 	}
 }
 
-func TestFileThatIsNotThere(t *testing.T) {
+func TestMissingFileIsAnError(t *testing.T) {
 	if _, err := Configuration(filepath.Join(t.TempDir(), "none")); err == nil {
-		t.Error("a file that is not there was checked")
+		t.Error("got no error for a file that does not exist, want one")
 	}
 }
--- a/internal/check/command.go
+++ b/internal/check/command.go
@@ -11,9 +11,9 @@
 	"github.com/google/subcommands"
 )
 
-// Command is the check verb of both programs.
+// Command is the verb "check" of both programs.
 type Command struct {
-	Program  string    // for messages
+	Program  string    // its name in messages
 	Out      io.Writer // nil: standard output
 	settings bool
 	deploy   bool
@@ -28,11 +28,11 @@
 
 // Usage implements subcommands.Command.
 func (*Command) Usage() string {
-	return `check [-json] FILE             checks a whole configuration
+	return `check [-json] FILE             checks a complete configuration
 check [-json] -settings [FILE] checks a settings file, or the one that the environment names
 check [-json] -deploy FILE     checks a deploy file
-  A FILE of - is standard input. Every fault is told by its item. Ends with 0 where all is well, 1 where there are
-  faults, 2 where the file can't be read.
+  A FILE of - is standard input. Prints a line for each finding: the item and the reason. The exit status is 0 for a valid
+  file, 1 for an invalid one, and 2 where the file can't be read.
 `
 }
 
@@ -84,8 +84,8 @@
 		_, err := fmt.Fprintln(out, "good:", report.Summary)
 		return err
 	}
-	for _, fault := range report.Findings {
-		if _, err := fmt.Fprintf(out, "%s: %s\n", fault.Item, fault.Reason); err != nil {
+	for _, finding := range report.Findings {
+		if _, err := fmt.Fprintf(out, "%s: %s\n", finding.Item, finding.Reason); err != nil {
 			return err
 		}
 	}
--- a/internal/check/golden_test.go
+++ b/internal/check/golden_test.go
@@ -99,8 +99,8 @@
 	return out.String(), status
 }
 
-// TestGoldenFaultItems pins the item of each fault, in their order, as check prints it before the reason.
-func TestGoldenFaultItems(t *testing.T) {
+// TestGoldenFindingItems pins the item of each finding, in their order, as check prints it before the reason.
+func TestGoldenFindingItems(t *testing.T) {
 	const goodRole = "[roles.r]\nrun = \"x\"\non = \"edge\"\nshare = 1.0\n"
 	for _, test := range []struct {
 		flag, text string
