--- a/internal/buildinfo/buildinfo.go
+++ b/internal/buildinfo/buildinfo.go
@@ -1,5 +1,5 @@
-// Package buildinfo tells which build a program is. A build without a version control program has no revision in it; the
-// program's own digest then tells builds apart.
+// Package buildinfo identifies the build of a running program, for the verb "version" of both programs. A build without a
+// version control program has no revision stamped; the digest of the program's file then distinguishes builds.
 package buildinfo
 
 import (
@@ -11,13 +11,14 @@
 	"runtime/debug"
 )
 
-// revisionKey is the build setting that holds the revision, where the build was told to look for it.
+// revisionKey is the build setting with the revision, which go build -buildvcs stamps.
 const revisionKey = "vcs.revision"
 
-// digestLength is how many characters of the digest are told.
+// digestLength is how many characters of the digest are printed.
 const digestLength = 16
 
-// Line tells in a line of the program, its build and the Go version: a revision where one was stamped, else the digest.
+// Line returns program, build and Go version in one line. The build is the revision where one is stamped, else the first
+// characters of the digest, else "unknown build".
 func Line(program string) string {
 	info, known := debug.ReadBuildInfo()
 	if !known {
@@ -26,6 +27,7 @@
 	return line(program, info, ownDigest)
 }
 
+// line is Line with its sources as parameters.
 func line(program string, info *debug.BuildInfo, digest func() (string, error)) string {
 	build := "unknown build"
 	if revision := revisionOf(info); revision != "" {
@@ -39,6 +41,7 @@
 	return fmt.Sprintf("%s, %s, %s", program, build, info.GoVersion)
 }
 
+// revisionOf returns the stamped revision, or "".
 func revisionOf(info *debug.BuildInfo) string {
 	for _, setting := range info.Settings {
 		if setting.Key == revisionKey {
@@ -48,7 +51,7 @@
 	return ""
 }
 
-// ownDigest is the SHA-256 of the running program's file, in hex.
+// ownDigest returns the SHA-256 of the running program's file, in hex.
 func ownDigest() (string, error) {
 	path, err := os.Executable()
 	if err != nil {
--- a/internal/buildinfo/buildinfo_test.go
+++ b/internal/buildinfo/buildinfo_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-func TestLine(t *testing.T) {
+func TestLineNamesRevisionOrDigest(t *testing.T) {
 	const sum = "0123456789abcdef0123"
 	stamped := &debug.BuildInfo{GoVersion: "go1.26", Settings: []debug.BuildSetting{{Key: revisionKey, Value: "a0b1"}}}
 	plain := &debug.BuildInfo{GoVersion: "go1.26"}
@@ -28,13 +28,13 @@
 	}
 	for _, c := range cases {
 		if got := line("p", c.info, c.digest); got != c.want {
-			t.Errorf("%q, want %q", got, c.want)
+			t.Errorf("got %q, want %q", got, c.want)
 		}
 	}
 }
 
-// What is told is the digest of the program that runs.
-func TestOwnDigest(t *testing.T) {
+// TestOwnDigestIsThatOfTheRunningProgram compares with the SHA-256 of the test program.
+func TestOwnDigestIsThatOfTheRunningProgram(t *testing.T) {
 	path, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -45,9 +45,9 @@
 	}
 	sum := sha256.Sum256(body)
 	if got, err := ownDigest(); err != nil || got != hex.EncodeToString(sum[:]) {
-		t.Errorf("%s, %v", got, err)
+		t.Errorf("got %s, %v, want %x", got, err, sum)
 	}
 	if got := Line("p"); !strings.HasPrefix(got, "p, ") {
-		t.Errorf("%q", got)
+		t.Errorf("got %q, want it to begin with the program", got)
 	}
 }
--- a/internal/buildinfo/command.go
+++ b/internal/buildinfo/command.go
@@ -10,9 +10,9 @@
 	"github.com/google/subcommands"
 )
 
-// Command is the version verb of both programs.
+// Command is the verb "version" of both programs.
 type Command struct {
-	Program string
+	Program string    // its name in the line
 	Out     io.Writer // nil: standard output
 }
 
@@ -25,7 +25,8 @@
 // Usage implements subcommands.Command.
 func (*Command) Usage() string {
 	return `version
-  Prints the revision that the build stamped, or else the first characters of this file's SHA-256, and the Go version.
+  Prints the revision stamped by the build, or else the first characters of the program file's SHA-256, and the Go
+  version.
 `
 }
 
--- a/internal/control/distribution/size_test.go
+++ b/internal/control/distribution/size_test.go
@@ -13,7 +13,7 @@
 // hubAtSize is one of 15 instances with its 56 of 830 routers.
 func hubAtSize(b *testing.B) (*Hub, time.Time, Table) {
 	b.Helper()
-	endpoints := sizetest.Table()
+	endpoints := sizetest.EndpointTable()
 	table := func(bool) []protocol.Endpoint { return endpoints }
 	now := time.Unix(0, 0)
 	h := New(now)
--- a/internal/control/placer/step_benchmark_test.go
+++ b/internal/control/placer/step_benchmark_test.go
@@ -18,7 +18,7 @@
 	random := rand.New(rand.NewPCG(1, 1))
 	now := time.Unix(0, 0)
 	p := New(Config{InspectEndpoints: true, HandoverGap: time.Minute})
-	table := sizetest.Table()
+	table := sizetest.EndpointTable()
 	p.Step(now, Input{Configuration: sizetest.Configuration(), Endpoints: table})
 	step, orders := 0, 0
 	sequence := uint64(0)
@@ -28,9 +28,9 @@
 	one := func() {
 		now = now.Add(time.Second / stepsPerS)
 		in := Input{Endpoints: table, Results: results, Inspections: looks}
-		for i := range sizetest.Routers * sizetest.ReportsPerS / stepsPerS {
+		for i := range sizetest.Routers * sizetest.ReportsPerSecond / stepsPerS {
 			sequence++
-			router := (step*sizetest.Routers*sizetest.ReportsPerS/stepsPerS + i) % sizetest.Routers
+			router := (step*sizetest.Routers*sizetest.ReportsPerSecond/stepsPerS + i) % sizetest.Routers
 			in.Reports = append(in.Reports, sizetest.Report(random, router, sequence))
 		}
 		step++
--- a/internal/control/quota/size_test.go
+++ b/internal/control/quota/size_test.go
@@ -29,9 +29,9 @@
 	one := func() {
 		now = now.Add(time.Second / stepsPerS)
 		in := Input{Routers: routers, MinRouterCount: sizetest.Routers, Confirmations: confirmed}
-		for i := range sizetest.Routers * sizetest.ReportsPerS / stepsPerS {
+		for i := range sizetest.Routers * sizetest.ReportsPerSecond / stepsPerS {
 			sequence++
-			router := (step*sizetest.Routers*sizetest.ReportsPerS/stepsPerS + i) % sizetest.Routers
+			router := (step*sizetest.Routers*sizetest.ReportsPerSecond/stepsPerS + i) % sizetest.Routers
 			in.Reports = append(in.Reports, sizetest.Report(random, router, sequence))
 		}
 		step++
--- a/internal/control/registry/size_test.go
+++ b/internal/control/registry/size_test.go
@@ -15,14 +15,14 @@
 // atSize returns the registry of one of 15 instances with 2,900 endpoints, of which it receives its share of heartbeats.
 func atSize() (r *Registry, now time.Time, endpoints []protocol.Endpoint) {
 	now = time.Unix(0, 0)
-	r = New(Config{Origin: origin(0), Heartbeat: sizetest.Heartbeat}, now)
+	r = New(Config{Origin: origin(0), Heartbeat: sizetest.HeartbeatInterval}, now)
 	var peers []string
 	for i := 1; i < sizetest.Instances; i++ {
 		peers = append(peers, instanceAddress(i))
 		r.Step(now, PeerMessage{Content: &protocol.RegistryDigest{Origin: origin(i)}})
 	}
 	r.Step(now, Peers{Reachable: peers})
-	endpoints = sizetest.Table()
+	endpoints = sizetest.EndpointTable()
 	for i := range endpoints {
 		if i < perInstance {
 			r.Step(now, Heartbeat{RequestID: uint64(i), Endpoint: endpoints[i]})
@@ -86,7 +86,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		const heartbeats = int(perInstance * time.Second / sizetest.Heartbeat)
+		const heartbeats = int(perInstance * time.Second / sizetest.HeartbeatInterval)
 		for range heartbeats {
 			sequence++
 			now = now.Add(time.Second / time.Duration(heartbeats))
--- a/internal/protocol/size_test.go
+++ b/internal/protocol/size_test.go
@@ -30,7 +30,7 @@
 // BenchmarkSnapshotAtSize encodes and decodes the complete table as a router gets it when it subscribes.
 func BenchmarkSnapshotAtSize(b *testing.B) {
 	codec := protocol.NewCodec()
-	update := protocol.Update{Snapshot: true, Endpoints: sizetest.Table()}
+	update := protocol.Update{Snapshot: true, Endpoints: sizetest.EndpointTable()}
 	bytes := 0
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/router/dispatch/size_test.go
+++ b/internal/router/dispatch/size_test.go
@@ -82,7 +82,7 @@
 func BenchmarkConfigurationAtSize(b *testing.B) {
 	d := New(Options{Seed: 1, Zone: "zone01", Routers: sizetest.Routers, BudgetRatio: 0.2, BudgetSlack: 56})
 	now := time.Now()
-	config, table := sizetest.Configuration(), sizetest.Table()
+	config, table := sizetest.Configuration(), sizetest.EndpointTable()
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
@@ -100,7 +100,7 @@
 		d := New(Options{Seed: 1, Zone: "zone01", Routers: sizetest.Routers, BudgetRatio: 0.2, BudgetSlack: 56})
 		d.Step(time.Now(), []Input{ViewChanged{
 			Configuration: sizetest.Configuration(), Full: true,
-			Endpoints: sizetest.Table(), Routers: sizetest.Routers,
+			Endpoints: sizetest.EndpointTable(), Routers: sizetest.Routers,
 		}})
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/internal/sizetest/sizetest.go
+++ b/internal/sizetest/sizetest.go
@@ -1,5 +1,6 @@
-// Package sizetest makes the tables of the size to design for, for benchmarks: docs/CAPACITY.md names what it
-// assumes where the plan says nothing.
+// Package sizetest makes configurations, endpoint tables and reports of the size that the system is designed for, as input
+// of benchmarks. docs/CAPACITY.md gives the plan, and what is assumed where the plan says nothing. The content is the same
+// on each call.
 package sizetest
 
 import (
@@ -12,36 +13,36 @@
 	"raventrestle/internal/protocol"
 )
 
-// The operators' plan.
+// The sizes of the operators' plan.
 const (
-	Routers       = 830
-	Endpoints     = 2900
-	Models        = 1100
-	Adapters      = 2200
-	Zones         = 12
-	Instances     = 15 // of control
-	RequestsPerS  = 14000
-	Heartbeat     = 1200 * time.Millisecond
-	ReportsPerS   = 2 // of a router, while it has requests
-	ChangesPerDay = 14000
+	Routers           = 830
+	Endpoints         = 2900
+	Models            = 1100
+	Adapters          = 2200
+	Zones             = 12
+	Instances         = 15 // control instances
+	RequestsPerSecond = 14000
+	HeartbeatInterval = 1200 * time.Millisecond
+	ReportsPerSecond  = 2 // by one router, while it has requests
+	ChangesPerDay     = 14000
 )
 
-// What the plan leaves open, assumed.
+// Sizes that the plan leaves open.
 const (
-	Services        = 10 // with an engine
-	Routes          = 300
-	Tenants         = 200
-	HeldModels      = 3  // by one endpoint
-	RowsPerReport   = 10 // models and adapters that one router was asked for in half a second
-	TenantsOfReport = 5
+	Services          = 10 // with an engine
+	Routes            = 300
+	Tenants           = 200
+	ModelsPerEndpoint = 3  // in its memory
+	RowsPerReport     = 10 // models and adapters in one report
+	TenantsPerReport  = 5
 )
 
 const (
-	seed           = 830
-	adaptersOfUsed = 20
+	seed             = 830
+	adaptersPerModel = 20
 )
 
-// Configuration is one whole version.
+// Configuration returns one version.
 func Configuration() *configuration.Configuration {
 	c := &configuration.Configuration{
 		Generation: 1,
@@ -77,8 +78,8 @@
 	}
 	for i := number; i < Models; i += Services {
 		model := configuration.Model{Name: ModelName(i), WeightsMB: 58000, LoadTimeSeconds: 4.5, AdapterSizeMB: 66}
-		if i < Adapters/adaptersOfUsed {
-			model.AdapterCount = adaptersOfUsed
+		if i < Adapters/adaptersPerModel {
+			model.AdapterCount = adaptersPerModel
 		}
 		engine.Models = append(engine.Models, model)
 	}
@@ -91,7 +92,7 @@
 // ServiceName names a service.
 func ServiceName(number int) string { return fmt.Sprintf("service-%02d", number) }
 
-// ModelName names a model; the lower its number, the more it is asked for.
+// ModelName names a model; the lower its number, the higher the demand for it.
 func ModelName(number int) string { return fmt.Sprintf("model-%06d", number) }
 
 // TenantName names a tenant.
@@ -105,17 +106,17 @@
 	return fmt.Sprintf("edge-zone%02d-%d", number%Zones, number/Zones)
 }
 
-// Document is Configuration as the operator sends it.
+// Document returns Configuration as the operator sends it.
 func Document() []byte {
 	text, err := json.Marshal(Configuration())
 	if err != nil {
-		panic(err) // plain fields
+		panic(err) // a struct of plain fields can always be encoded
 	}
 	return text
 }
 
-// Table is all endpoints. Each model is held by one at least, and those that are asked for by many.
-func Table() []protocol.Endpoint {
+// EndpointTable returns all endpoints. Each model is at one endpoint or more, and models in demand are at many.
+func EndpointTable() []protocol.Endpoint {
 	random := rand.New(rand.NewPCG(seed, 0))
 	table := make([]protocol.Endpoint, Endpoints)
 	for i := range table {
@@ -124,12 +125,12 @@
 			ID: EndpointID(i), Service: ServiceName(number), Address: fmt.Sprintf("10.%d.%d.9:8080", i/250, i%250),
 			Zone: fmt.Sprintf("zone%02d", i%Zones), SoftwareVersion: "v1", Slots: 64, Sequence: 1,
 		}
-		held := map[int]bool{i % Models: true}
-		for len(held) < HeldModels {
-			held[Popular(random)/Services*Services+number] = true
+		loaded := map[int]bool{i % Models: true}
+		for len(loaded) < ModelsPerEndpoint {
+			loaded[DrawModel(random)/Services*Services+number] = true
 		}
 		for model := range Models {
-			if held[model] {
+			if loaded[model] {
 				table[i].Models = append(table[i].Models, protocol.LoadedModel{Name: ModelName(model), Generation: 1})
 			}
 		}
@@ -137,21 +138,21 @@
 	return table
 }
 
-// Popular draws a model: few are asked for often.
-func Popular(random *rand.Rand) int {
+// DrawModel draws the number of a model by its demand: most requests are for few models.
+func DrawModel(random *rand.Rand) int {
 	part := random.Float64()
 	return int(part * part * part * float64(Models-1))
 }
 
-// Report is what one router says twice a second.
+// Report returns one report of a router, which sends ReportsPerSecond of them.
 func Report(random *rand.Rand, router int, sequence uint64) protocol.Report {
 	report := protocol.Report{
 		Node: RouterName(router), Incarnation: uint64(router) + 1, Sequence: sequence,
-		Window: time.Second / ReportsPerS,
+		Window: time.Second / ReportsPerSecond,
 	}
 	seen := map[int]bool{}
 	for len(seen) < RowsPerReport {
-		model := Popular(random)
+		model := DrawModel(random)
 		if seen[model] {
 			continue
 		}
@@ -161,7 +162,7 @@
 			Model:   ModelName(model), Requests: 1, InFlight: 2, Tokens: 1400, Value: 9,
 		})
 	}
-	for i := range TenantsOfReport {
+	for i := range TenantsPerReport {
 		report.Tenants = append(report.Tenants, protocol.TenantDemand{
 			Tenant:    TenantName((router + i) % Tenants),
 			Requested: 2800, Admitted: 2800,
