--- a/internal/control/controller/world_test.go
+++ b/internal/control/controller/world_test.go
@@ -44,35 +44,6 @@
 	provenAt time.Time
 }
 
-type router struct {
-	number     int
-	home       int // -1: not connected
-	connection uint64
-	next       uint64 // sequence expected
-	table      map[string]protocol.Endpoint
-	complete   bool // its table replaced an earlier one
-	retryAt    time.Time
-}
-
-type endpoint struct {
-	id          string
-	address     string
-	sequence    uint64
-	state       protocol.EndpointState
-	left        bool
-	crashed     bool
-	heartbeatAt time.Time
-	load        int
-}
-
-// call is an endpoint's call at an instance.
-type call struct {
-	at       time.Time
-	endpoint *endpoint
-	instance int
-	state    protocol.EndpointState
-}
-
 // delivery is a message in transit.
 type delivery struct {
 	at      time.Time
@@ -108,12 +79,6 @@
 	return w
 }
 
-func (w *world) addEndpoint(address string) *endpoint {
-	e := &endpoint{id: fmt.Sprintf("e%d", len(w.endpoints)), address: address, heartbeatAt: w.now}
-	w.endpoints = append(w.endpoints, e)
-	return e
-}
-
 func (w *world) restart(n int) {
 	i := w.instances[n]
 	w.next++
@@ -130,11 +95,6 @@
 	}
 }
 
-func (r *router) disconnect(now time.Time) {
-	r.home = -1
-	r.retryAt = now.Add(20 * time.Millisecond)
-}
-
 func (w *world) connected(a, b int) bool {
 	return a == b || !w.partitioned[[2]int{min(a, b), max(a, b)}]
 }
@@ -283,122 +243,3 @@
 		})
 	}
 }
-
-// toRouter keeps the order of a connection's messages: each arrives in the step after the one before.
-func (w *world) toRouter(n int, message RouterMessage) {
-	for _, r := range w.routers {
-		if r.home != n || r.connection != message.Connection {
-			continue
-		}
-		update, isUpdate := message.Message.(*protocol.Update)
-		if !isUpdate {
-			continue
-		}
-		connection := r.connection
-		w.later(worldStep, worldStep+1, func() { w.update(r, connection, update) })
-	}
-}
-
-func (w *world) update(r *router, connection uint64, update *protocol.Update) {
-	if r.home < 0 || r.connection != connection {
-		return
-	}
-	r.next++
-	if update.Sequence != r.next {
-		w.fault("router %d: update %d where %d was due", r.number, update.Sequence, r.next)
-	}
-	if update.Snapshot {
-		clear(r.table)
-		r.complete = true
-	}
-	for _, e := range update.Endpoints {
-		if e.State == protocol.Departed {
-			delete(r.table, e.ID)
-			continue
-		}
-		r.table[e.ID] = e
-	}
-	home := r.home
-	w.later(worldStep, 3*worldStep, func() {
-		if r.home == home && r.connection == connection {
-			confirm := &protocol.UpdateAck{Sequence: update.Sequence}
-			w.step(home, MessageReceived{Connection: connection, Message: confirm})
-		}
-	})
-}
-
-func (w *world) subscribe() {
-	for _, r := range w.routers {
-		if r.home >= 0 || w.now.Before(r.retryAt) {
-			continue
-		}
-		w.next++
-		r.home = w.random.IntN(len(w.instances))
-		r.connection, r.next = w.next, 0
-		router := &protocol.Subscribe{Node: fmt.Sprintf("r%d", r.number), Incarnation: 1}
-		w.step(r.home, MessageReceived{Connection: r.connection, Message: router})
-	}
-}
-
-// move has a router leave its instance for another.
-func (w *world) move(number int) {
-	r := w.routers[number%len(w.routers)]
-	if r.home < 0 {
-		return
-	}
-	home, connection := r.home, r.connection
-	r.disconnect(w.now)
-	w.step(home, ConnectionClosed{Connection: connection})
-}
-
-// sendHeartbeats has endpoints call when their interval is over; some calls arrive very late.
-func (w *world) sendHeartbeats() {
-	for _, e := range w.endpoints {
-		if e.crashed || e.left || w.now.Before(e.heartbeatAt) {
-			continue
-		}
-		e.heartbeatAt = w.now.Add(worldHeartbeat)
-		w.call(e)
-	}
-}
-
-func (w *world) call(e *endpoint) {
-	e.sequence++
-	reported := protocol.Endpoint{
-		ID: e.id, Service: "s", Address: e.address, State: e.state, Sequence: e.sequence,
-		Slots: e.load,
-	}
-	maxDelay := 30 * time.Millisecond
-	if !w.calm && w.random.IntN(10) == 0 {
-		maxDelay = 3 * time.Second
-	}
-	w.later(worldStep, maxDelay, func() {
-		w.tickets++
-		n := w.random.IntN(len(w.instances))
-		w.calls[w.tickets] = call{at: w.now, endpoint: e, instance: n, state: reported.State}
-		w.step(n, HeartbeatReceived{Caller: w.tickets, Endpoint: reported})
-	})
-}
-
-func (w *world) drain(e *endpoint) {
-	if e.left || e.crashed || e.state == protocol.Draining {
-		return
-	}
-	e.state = protocol.Draining
-	w.call(e)
-}
-
-func (w *world) leave(e *endpoint) {
-	if e.left || e.crashed {
-		return
-	}
-	e.left = true
-	w.later(worldStep, 30*time.Millisecond, func() { w.sendDeregistration(e) })
-}
-
-func (w *world) sendDeregistration(e *endpoint) {
-	w.tickets++
-	n := w.random.IntN(len(w.instances))
-	w.calls[w.tickets] = call{at: w.now, endpoint: e, instance: n, state: protocol.Departed}
-	w.step(n, DeregistrationReceived{Caller: w.tickets, ID: e.id})
-}
--- a/internal/control/distribution/hub_test.go
+++ b/internal/control/distribution/hub_test.go
@@ -237,7 +237,8 @@
 				}
 				router.generation = max(router.generation, update.Generation)
 				if update.GenerationConfirmed && (router.barrier > running || router.generation < committed) {
-					t.Fatalf("confirmed with %+v, want barrier %d (%d passed) and version %d before", update, router.barrier, running, committed)
+					t.Fatalf("confirmed with %+v, want barrier %d (%d passed) and version %d before",
+						update, router.barrier, running, committed)
 				}
 			}
 		}
--- a/internal/control/distribution/standing_test.go
+++ b/internal/control/distribution/standing_test.go
@@ -52,7 +52,9 @@
 	h := New(begin)
 	at := begin.Add(2 * time.Second)
 	out := h.Step(at, noTable, contactAt(at.Add(-30*time.Millisecond)), subscribed(1, "r1", 0))
-	want := protocol.FreshnessProof{Epoch: epoch, HasMajorityContact: true, MajorityContactAge: 30 * time.Millisecond, SentAt: 2 * time.Second}
+	want := protocol.FreshnessProof{
+		Epoch: epoch, HasMajorityContact: true, MajorityContactAge: 30 * time.Millisecond, SentAt: 2 * time.Second,
+	}
 	if got := standingsTo(out, 1); len(got) != 1 || got[0] != want {
 		t.Errorf("first update states %+v, want %+v", got, want)
 	}
--- a/internal/control/host/host_test.go
+++ b/internal/control/host/host_test.go
@@ -23,33 +23,34 @@
 	reports    chan protocol.Report
 }
 
-func (s *fakeDependencies) Newest() (int64, []byte) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.generation, s.document
+func (f *fakeDependencies) Newest() (int64, []byte) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return f.generation, f.document
 }
 
-func (s *fakeDependencies) set(generation int64, document string) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.generation, s.document = generation, []byte(document)
+func (f *fakeDependencies) set(generation int64, document string) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.generation, f.document = generation, []byte(document)
 }
 
-func (s *fakeDependencies) HandleReports(batch *protocol.ReportBatch) {
+func (f *fakeDependencies) HandleReports(batch *protocol.ReportBatch) {
 	for _, report := range batch.Reports {
-		s.reports <- report
+		f.reports <- report
 	}
 }
 
-func (s *fakeDependencies) RouterSubscribed(string, string, int64) {}
-func (s *fakeDependencies) RouterClosed(string, string)            {}
-func (s *fakeDependencies) Isolated(bool, int, int)                {}
+func (f *fakeDependencies) RouterSubscribed(string, string, int64) {}
+func (f *fakeDependencies) RouterClosed(string, string)            {}
+func (f *fakeDependencies) Isolated(bool, int, int)                {}
 
 // node is a host with its transport on the loopback interface.
 type node struct {
 	host    *Host
 	replica *replicatest.Double
 	fake    *fakeDependencies
+	handler *lateHandler
 	address string
 }
 
@@ -65,21 +66,15 @@
 func (l *lateHandler) Message(c *transport.Connection, message any) { l.host.Message(c, message) }
 func (l *lateHandler) Closed(c *transport.Connection, err error)    { l.host.Closed(c, err) }
 
+// startNodes starts hosts that know each other as members of one chain; they run until the test ends.
 func startNodes(t *testing.T, count int) []*node {
 	t.Helper()
 	var nodes []*node
 	var members []replica.Member
-	var handlers []*lateHandler
 	for range count {
-		handler := &lateHandler{}
-		server, err := transport.Listen("127.0.0.1:0", testCodec(), handler)
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { _ = server.Close() })
-		handlers = append(handlers, handler)
-		nodes = append(nodes, &node{address: server.Address(), fake: &fakeDependencies{reports: make(chan protocol.Report, 16)}})
-		members = append(members, replica.Member{Identity: server.Address(), Address: server.Address(), Zone: "z"})
+		n := listen(t)
+		nodes = append(nodes, n)
+		members = append(members, replica.Member{Identity: n.address, Address: n.address, Zone: "z"})
 	}
 	for n, self := range nodes {
 		self.replica = replicatest.New(nil, replica.Status{
@@ -87,29 +82,45 @@
 			View:        replica.View{Epoch: 1, Chain: members, Voters: members},
 			LiveMembers: members,
 		})
-		mesh := transport.NewMesh(testCodec(), self.address, handlers[n])
+		mesh := transport.NewMesh(testCodec(), self.address, self.handler)
 		t.Cleanup(mesh.Close)
 		self.host = New(Config{
 			Origin:    protocol.Origin{Address: self.address, Incarnation: uint64(n + 1)},
 			Heartbeat: 200 * time.Millisecond,
 			Codec:     testCodec(),
 		}, Dependencies{Replica: self.replica, Configurations: self.fake, Mesh: mesh, Roles: self.fake, Events: self.fake})
-		handlers[n].host = self.host
+		self.handler.host = self.host
+	}
+	run(t, nodes)
+	return nodes
+}
+
+// listen makes a node that listens and has no host yet.
+func listen(t *testing.T) *node {
+	t.Helper()
+	handler := &lateHandler{}
+	server, err := transport.Listen("127.0.0.1:0", testCodec(), handler)
+	if err != nil {
+		t.Fatal(err)
 	}
+	t.Cleanup(func() { _ = server.Close() })
+	return &node{
+		address: server.Address(), handler: handler, fake: &fakeDependencies{reports: make(chan protocol.Report, 16)},
+	}
+}
+
+// run runs the hosts until the test ends.
+func run(t *testing.T, nodes []*node) {
+	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	var tasks sync.WaitGroup
-	for _, self := range nodes {
-		tasks.Add(1)
-		go func() {
-			defer tasks.Done()
-			self.host.Run(ctx)
-		}()
+	for _, n := range nodes {
+		tasks.Go(func() { n.host.Run(ctx) })
 	}
 	t.Cleanup(func() {
 		cancel()
 		tasks.Wait()
 	})
-	return nodes
 }
 
 // client is a router's end of a subscription.
@@ -119,7 +130,7 @@
 	updates         chan *protocol.Update
 	beacons         chan *protocol.Beacon
 	closed          chan struct{}
-	confirmsNothing bool // it confirms nothing
+	confirmsNothing bool
 }
 
 func (c *client) Message(connection *transport.Connection, message any) {
--- a/internal/control/host/update_encoder_test.go
+++ b/internal/control/host/update_encoder_test.go
@@ -22,8 +22,10 @@
 		{
 			Sequence: 1, Generation: 2, Document: []byte("{}"), Snapshot: true, Endpoints: list,
 			Members: []protocol.Member{{Identity: "m"}}, RouterCount: 4, GenerationConfirmed: true,
-			Freshness: protocol.FreshnessProof{Epoch: 3, HasMajorityContact: true, MajorityContactAge: time.Second, SentAt: time.Hour, EchoedSequence: 8},
-			Quotas:    []protocol.QuotaGrant{{Tenant: "t", RatePerSecond: 5, Burst: 6, TTL: time.Second}},
+			Freshness: protocol.FreshnessProof{
+				Epoch: 3, HasMajorityContact: true, MajorityContactAge: time.Second, SentAt: time.Hour, EchoedSequence: 8,
+			},
+			Quotas: []protocol.QuotaGrant{{Tenant: "t", RatePerSecond: 5, Burst: 6, TTL: time.Second}},
 		},
 		{Sequence: 2, Endpoints: list},
 		{Sequence: 3},
--- a/internal/control/placer/admission_test.go
+++ b/internal/control/placer/admission_test.go
@@ -22,39 +22,66 @@
 		{"an unload", nil, Order{Model: "big", Unload: true}, nil},
 		{"a load of an adapter", nil, Order{Model: "big", Adapter: "a2"}, nil},
 		{"an unload of an adapter", nil, Order{Model: "big", Adapter: "a1", Unload: true}, nil},
-		{"while an order is under way", func(_ *Placer, _ *fleet, e *endpoint) { e.pending = &pendingOrder{} },
-			Order{Model: "small"}, errOrderPending},
-		{"within the pause after a rejection", func(_ *Placer, _ *fleet, e *endpoint) { e.backoffUntil = now.Add(1) },
-			Order{Model: "small"}, errOrderPending},
-		{"while the content is not known", func(_ *Placer, _ *fleet, e *endpoint) { e.stateKnown = false },
-			Order{Model: "small"}, errStateUnknown},
+		{
+			"while an order is under way", func(_ *Placer, _ *fleet, e *endpoint) { e.pending = &pendingOrder{} },
+			Order{Model: "small"},
+			errOrderPending,
+		},
+		{
+			"within the pause after a rejection", func(_ *Placer, _ *fleet, e *endpoint) { e.backoffUntil = now.Add(1) },
+			Order{Model: "small"},
+			errOrderPending,
+		},
+		{
+			"while the content is not known", func(_ *Placer, _ *fleet, e *endpoint) { e.stateKnown = false },
+			Order{Model: "small"},
+			errStateUnknown,
+		},
 		{"an unload of a model that is not there", nil, Order{Model: "small", Unload: true}, errNotLoaded},
 		{"an unload of an adapter that is not there", nil, Order{Model: "big", Adapter: "a2", Unload: true}, errNotLoaded},
 		{"an adapter of a model that is not there", nil, Order{Model: "small", Adapter: "a1"}, errNotLoaded},
 		{"an adapter of a model without a configuration", nil, Order{Model: "old", Adapter: "a1"}, errNotConfigured},
-		{"an adapter without room", func(_ *Placer, f *fleet, _ *endpoint) { f.engine.WeightMemoryMB = 61.5 },
-			Order{Model: "big", Adapter: "a2"}, errMemoryExceeded},
-		{"an adapter without a place", func(_ *Placer, f *fleet, _ *endpoint) { f.engine.AdapterSlots = 1 },
-			Order{Model: "big", Adapter: "a2"}, errAdapterSlotsExceeded},
+		{
+			"an adapter without room", func(_ *Placer, f *fleet, _ *endpoint) { f.engine.WeightMemoryMB = 61.5 },
+			Order{Model: "big", Adapter: "a2"},
+			errMemoryExceeded,
+		},
+		{
+			"an adapter without a place", func(_ *Placer, f *fleet, _ *endpoint) { f.engine.AdapterSlots = 1 },
+			Order{Model: "big", Adapter: "a2"},
+			errAdapterSlotsExceeded,
+		},
 		{"a load of a model without a configuration", nil, Order{Model: "old"}, errNotConfigured},
 		{"a load of a model that is there", nil, Order{Model: "big"}, errAlreadyLoaded},
-		{"a load without room", func(_ *Placer, f *fleet, _ *endpoint) { f.engine.WeightMemoryMB = 90.9 },
-			Order{Model: "small"}, errMemoryExceeded},
-		{"a load beyond the rate limit", func(p *Placer, _ *fleet, _ *endpoint) { p.loadLimiter.limit = 0 },
-			Order{Model: "small"}, errLoadRateExceeded},
+		{
+			"a load without room", func(_ *Placer, f *fleet, _ *endpoint) { f.engine.WeightMemoryMB = 90.9 },
+			Order{Model: "small"},
+			errMemoryExceeded,
+		},
+		{
+			"a load beyond the rate limit", func(p *Placer, _ *fleet, _ *endpoint) { p.loadLimiter.limit = 0 },
+			Order{Model: "small"},
+			errLoadRateExceeded,
+		},
 		{"a load from the endpoint's own disk beyond the rate limit", func(p *Placer, _ *fleet, e *endpoint) {
 			p.loadLimiter.limit, e.onDisk["small"] = 0, true
 		}, Order{Model: "small"}, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			p := New(Config{InspectEndpoints: true, HandoverGap: time.Minute})
-			engine := &configuration.Engine{Slots: 8, WeightMemoryMB: 100, AdapterSlots: 2, LoadsPerSecond: 2,
-				Models: []configuration.Model{{Name: "big", WeightsMB: 60, LoadTimeSeconds: 5, AdapterCount: 4, AdapterSizeMB: 1},
-					{Name: "small", WeightsMB: 30, LoadTimeSeconds: 5, AdapterCount: 4, AdapterSizeMB: 1}}}
+			engine := &configuration.Engine{
+				Slots: 8, WeightMemoryMB: 100, AdapterSlots: 2, LoadsPerSecond: 2,
+				Models: []configuration.Model{
+					{Name: "big", WeightsMB: 60, LoadTimeSeconds: 5, AdapterCount: 4, AdapterSizeMB: 1},
+					{Name: "small", WeightsMB: 30, LoadTimeSeconds: 5, AdapterCount: 4, AdapterSizeMB: 1},
+				},
+			}
 			held := []protocol.LoadedModel{{Name: "big", Generation: 1, Adapters: []string{"a1"}}}
 			table := []protocol.Endpoint{{ID: "i-1", Service: "lm", Address: "10.0.0.1:80", Sequence: 1, Models: held}}
-			p.Step(now, Input{Configuration: &configuration.Configuration{Generation: 1,
-				Services: []configuration.Service{{Name: "lm", Engine: engine}}}, Endpoints: table})
+			p.Step(now, Input{Configuration: &configuration.Configuration{
+				Generation: 1,
+				Services:   []configuration.Service{{Name: "lm", Engine: engine}},
+			}, Endpoints: table})
 			f := p.fleets["lm"]
 			e := f.endpoints["i-1"]
 			e.observeInspection(now, Inspection{Endpoint: "i-1", Models: held})
--- a/internal/control/placer/golden_fleet_test.go
+++ b/internal/control/placer/golden_fleet_test.go
@@ -106,17 +106,21 @@
 const goldenRouters = 3
 
 func newGoldenFleet(s goldenScenario) *goldenFleet {
-	f := &goldenFleet{scenario: s, random: rand.New(rand.NewPCG(s.seed, 11)), table: map[string]protocol.Endpoint{},
+	f := &goldenFleet{
+		scenario: s, random: rand.New(rand.NewPCG(s.seed, 11)), table: map[string]protocol.Endpoint{},
 		heard: map[string]time.Duration{}, demand: map[goldenKey]*goldenDemand{}, changed: true,
-		configuration: &configuration.Configuration{Generation: 1}}
+		configuration: &configuration.Configuration{Generation: 1},
+	}
 	for _, service := range s.services {
 		engine := service.engine
 		engine.Models = slices.Clone(engine.Models)
 		f.configuration.Services = append(f.configuration.Services,
 			configuration.Service{Name: service.name, Engine: &engine})
 		for i := range service.endpoints {
-			e := &goldenEndpoint{service: service.name, address: fmt.Sprintf("%s-%d:80", service.name, i),
-				zone: fmt.Sprintf("z%d", i%service.zones), slots: engine.Slots, disk: map[string]bool{}}
+			e := &goldenEndpoint{
+				service: service.name, address: fmt.Sprintf("%s-%d:80", service.name, i),
+				zone: fmt.Sprintf("z%d", i%service.zones), slots: engine.Slots, disk: map[string]bool{},
+			}
 			f.start(e)
 			f.fill(e, &engine, i)
 			e.nextHeartbeat = time.Duration(f.random.IntN(800)) * time.Millisecond
@@ -315,8 +319,10 @@
 func (f *goldenFleet) sendHeartbeat(e *goldenEndpoint) {
 	e.nextHeartbeat = f.now + 1200*time.Millisecond
 	e.heartbeat++
-	entry := protocol.Endpoint{ID: e.id, Service: e.service, Address: e.address, Zone: e.zone, Slots: e.slots,
-		Sequence: e.heartbeat, Models: f.holdings(e)}
+	entry := protocol.Endpoint{
+		ID: e.id, Service: e.service, Address: e.address, Zone: e.zone, Slots: e.slots,
+		Sequence: e.heartbeat, Models: f.holdings(e),
+	}
 	if e.draining {
 		entry.State = protocol.Draining
 	}
--- a/internal/control/placer/golden_test.go
+++ b/internal/control/placer/golden_test.go
@@ -25,8 +25,10 @@
 }
 
 func goldenEngine(weightsMB float64, adapterSlots int, loadsPerS float64, models ...[]configuration.Model) configuration.Engine {
-	return configuration.Engine{Slots: 16, WeightMemoryMB: weightsMB, AdapterSlots: adapterSlots, LoadsPerSecond: loadsPerS,
-		Models: slices.Concat(models...)}
+	return configuration.Engine{
+		Slots: 16, WeightMemoryMB: weightsMB, AdapterSlots: adapterSlots, LoadsPerSecond: loadsPerS,
+		Models: slices.Concat(models...),
+	}
 }
 
 // goldenScenarios are the runs whose decisions are recorded.
@@ -34,17 +36,29 @@
 	heavy := configuration.Model{WeightsMB: 72700, LoadTimeSeconds: 5.7, AdapterCount: 9, AdapterSizeMB: 66}
 	light := configuration.Model{WeightsMB: 30100, LoadTimeSeconds: 2.9}
 	small := configuration.Model{WeightsMB: 9700, LoadTimeSeconds: 1.3, AdapterCount: 3, AdapterSizeMB: 40}
-	chat := goldenService{name: "chat", endpoints: 9, zones: 3, perSecond: 240, hot: 2, never: 2, phase: 17 * time.Second,
-		engine: goldenEngine(150000, 4, 1.5, goldenModels("heavy", 4, heavy), goldenModels("light", 6, light))}
-	embed := goldenService{name: "embed", endpoints: 3, zones: 2, perSecond: 12, hot: 1, never: 1, phase: 31 * time.Second,
-		engine: goldenEngine(70000, 2, 0.9, goldenModels("light", 4, light))}
-	many := goldenService{name: "many", endpoints: 4, zones: 2, perSecond: 25, hot: 3, never: 4, phase: 11 * time.Second,
-		engine: goldenEngine(120000, 5, 2.8, goldenModels("small", 30, small), goldenModels("heavy", 1, heavy))}
-	scarce := goldenService{name: "scarce", endpoints: 16, zones: 4, perSecond: 200, hot: 2, never: 0, phase: 13 * time.Second,
-		engine: goldenEngine(110000, 3, 0.6, goldenModels("heavy", 8, heavy), goldenModels("light", 8, light))}
-	lent := goldenService{name: "lent", endpoints: 24, zones: 3, perSecond: 120, hot: 2, never: 0, phase: 19 * time.Second,
-		engine: goldenEngine(30000, 2, 2, goldenModels("small", 2, configuration.Model{WeightsMB: 9700, LoadTimeSeconds: 1.3,
-			AdapterCount: 25, AdapterSizeMB: 40}), goldenModels("light", 3, light))}
+	chat := goldenService{
+		name: "chat", endpoints: 9, zones: 3, perSecond: 240, hot: 2, never: 2, phase: 17 * time.Second,
+		engine: goldenEngine(150000, 4, 1.5, goldenModels("heavy", 4, heavy), goldenModels("light", 6, light)),
+	}
+	embed := goldenService{
+		name: "embed", endpoints: 3, zones: 2, perSecond: 12, hot: 1, never: 1, phase: 31 * time.Second,
+		engine: goldenEngine(70000, 2, 0.9, goldenModels("light", 4, light)),
+	}
+	many := goldenService{
+		name: "many", endpoints: 4, zones: 2, perSecond: 25, hot: 3, never: 4, phase: 11 * time.Second,
+		engine: goldenEngine(120000, 5, 2.8, goldenModels("small", 30, small), goldenModels("heavy", 1, heavy)),
+	}
+	scarce := goldenService{
+		name: "scarce", endpoints: 16, zones: 4, perSecond: 200, hot: 2, never: 0, phase: 13 * time.Second,
+		engine: goldenEngine(110000, 3, 0.6, goldenModels("heavy", 8, heavy), goldenModels("light", 8, light)),
+	}
+	lent := goldenService{
+		name: "lent", endpoints: 24, zones: 3, perSecond: 120, hot: 2, never: 0, phase: 19 * time.Second,
+		engine: goldenEngine(30000, 2, 2, goldenModels("small", 2, configuration.Model{
+			WeightsMB: 9700, LoadTimeSeconds: 1.3,
+			AdapterCount: 25, AdapterSizeMB: 40,
+		}), goldenModels("light", 3, light)),
+	}
 	changes := map[time.Duration]func(c *configuration.Configuration){
 		50 * time.Second: func(c *configuration.Configuration) { // one model ends, one is new, one has grown
 			models := c.Services[0].Engine.Models[1:]
@@ -61,18 +75,26 @@
 		for _, inspect := range []bool{true, false} {
 			kind := map[bool]string{true: "inspecting", false: "blind"}[inspect]
 			scenarios = append(scenarios,
-				goldenScenario{name: fmt.Sprintf("mixed-%s-%d", kind, seed), seed: seed, inspect: inspect,
+				goldenScenario{
+					name: fmt.Sprintf("mixed-%s-%d", kind, seed), seed: seed, inspect: inspect,
 					length: 150 * time.Second, services: []goldenService{chat, embed}, faultRate: 0.3, loss: 0.08,
-					takeovers: []time.Duration{75 * time.Second, 120 * time.Second}, quiet: time.Second, changes: changes},
-				goldenScenario{name: fmt.Sprintf("many-%s-%d", kind, seed), seed: 100 + seed, inspect: inspect,
+					takeovers: []time.Duration{75 * time.Second, 120 * time.Second}, quiet: time.Second, changes: changes,
+				},
+				goldenScenario{
+					name: fmt.Sprintf("many-%s-%d", kind, seed), seed: 100 + seed, inspect: inspect,
 					length: 90 * time.Second, services: []goldenService{many}, faultRate: 0.1, loss: 0.05,
-					takeovers: []time.Duration{40 * time.Second}, quiet: 2 * time.Second},
-				goldenScenario{name: fmt.Sprintf("scarce-%s-%d", kind, seed), seed: 200 + seed, inspect: inspect,
+					takeovers: []time.Duration{40 * time.Second}, quiet: 2 * time.Second,
+				},
+				goldenScenario{
+					name: fmt.Sprintf("scarce-%s-%d", kind, seed), seed: 200 + seed, inspect: inspect,
 					length: 120 * time.Second, services: []goldenService{scarce}, faultRate: 0.8, loss: 0.25,
-					takeovers: []time.Duration{31 * time.Second, 33 * time.Second}, quiet: 300 * time.Millisecond},
-				goldenScenario{name: fmt.Sprintf("adapters-%s-%d", kind, seed), seed: 300 + seed, inspect: inspect,
+					takeovers: []time.Duration{31 * time.Second, 33 * time.Second}, quiet: 300 * time.Millisecond,
+				},
+				goldenScenario{
+					name: fmt.Sprintf("adapters-%s-%d", kind, seed), seed: 300 + seed, inspect: inspect,
 					length: 45 * time.Second, services: []goldenService{lent}, faultRate: 0.2, loss: 0.05,
-					takeovers: []time.Duration{30 * time.Second}, quiet: time.Second})
+					takeovers: []time.Duration{30 * time.Second}, quiet: time.Second,
+				})
 		}
 	}
 	return scenarios
--- a/internal/systemsim/scenario_test.go
+++ b/internal/systemsim/scenario_test.go
@@ -28,8 +28,9 @@
 		t.Errorf("%s: no samples, want some", name)
 		return
 	}
+	last := len(s.durations) - 1
 	t.Logf("%s: p50 %v, p99 %v, largest %v of %d", name, roundToMilliseconds(s.durations[len(s.durations)/2]),
-		roundToMilliseconds(s.durations[(len(s.durations)-1)*99/100]), roundToMilliseconds(s.durations[len(s.durations)-1]), len(s.durations))
+		roundToMilliseconds(s.durations[last*99/100]), roundToMilliseconds(s.durations[last]), len(s.durations))
 }
 
 func roundToMilliseconds(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
