--- a/internal/deadletter/golden_test.go
+++ b/internal/deadletter/golden_test.go
@@ -66,7 +66,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer db.Close()
+	defer func() {
+		if err := db.Close(); err != nil {
+			t.Error(err)
+		}
+	}()
 	var lines []string
 	err = db.View(func(tx *bbolt.Tx) error {
 		return tx.ForEach(func(name []byte, b *bbolt.Bucket) error {
--- a/internal/fleet/facts/golden_test.go
+++ b/internal/fleet/facts/golden_test.go
@@ -48,14 +48,15 @@
 		t.Errorf("%s has %d lines, want %d", goldenText, got, want)
 	}
 	for _, want := range goldenFacts() {
-		stored := lines[want.Kind.String()]
+		kind := want.Kind
+		stored := lines[kind.String()]
 		written, err := codec.EncodeOne(want)
 		if diff := cmp.Diff(stored, written); err != nil || diff != "" {
-			t.Errorf("%s: %v: bytes (-stored +written):\n%s", want.Kind, err, diff)
+			t.Errorf("%s: %v: bytes (-stored +written):\n%s", kind, err, diff)
 		}
 		got, err := codec.DecodeOne(stored)
 		if diff := cmp.Diff(want, got); err != nil || diff != "" {
-			t.Errorf("%s: %v: fact (-want +got):\n%s", want.Kind, err, diff)
+			t.Errorf("%s: %v: fact (-want +got):\n%s", kind, err, diff)
 		}
 	}
 	written, err := codec.Encode(goldenFacts())
--- a/internal/fleet/lease/restart_test.go
+++ b/internal/fleet/lease/restart_test.go
@@ -56,8 +56,10 @@
 // A member that lost its state learns the lists and generations that others may still hold one by one, in any order.
 // With the first list alone it would be the only member, and would no longer reckon with the older generation.
 func TestLifeThatLostItsStateReckonsWithEachGenerationInAnyOrder(t *testing.T) {
-	lists := []List{{Version: 1, Since: 1, Members: []Member{{Name: "m01"}}},
-		{Version: 2, Since: 1, Members: []Member{{Name: "m00"}, {Name: "m01"}}}}
+	lists := []List{
+		{Version: 1, Since: 1, Members: []Member{{Name: "m01"}}},
+		{Version: 2, Since: 1, Members: []Member{{Name: "m00"}, {Name: "m01"}}},
+	}
 	wholes := []Whole{{ID: rate, Size: 60, Generation: 1, Since: 1}, {ID: rate, Size: 144, Generation: 2, Since: 1}}
 	type telling func(*Book)
 	var all []telling
@@ -113,8 +115,10 @@
 
 // Who comes on the list with an older generation than the others' uses nothing of it. A restart changes nothing there.
 func TestNextLifeIsBoundByWhatBoundTheOneBefore(t *testing.T) {
-	lists := []List{{Version: 1, Since: 1, Members: []Member{{Name: "m00"}}},
-		{Version: 2, Since: 1, Members: []Member{{Name: "m00"}, {Name: "m01"}}}}
+	lists := []List{
+		{Version: 1, Since: 1, Members: []Member{{Name: "m00"}}},
+		{Version: 2, Since: 1, Members: []Member{{Name: "m00"}, {Name: "m01"}}},
+	}
 	wholes := []Whole{{ID: rate, Size: 60, Generation: 1, Since: 1}, {ID: rate, Size: 10, Generation: 2, Since: 1}}
 	old, _ := New(settings("m00"), 1, 0, false)
 	newcomer, _ := New(settings("m01"), 1, 0, false)
--- a/internal/journal/golden_test.go
+++ b/internal/journal/golden_test.go
@@ -203,7 +203,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
+	if err := s.Close(); err != nil {
+		t.Error(err)
+	}
 	continued := goldenKept()
 	out := &continued[1]
 	out.Past, out.Out = append(out.Past, Tried{*out.Out, "timeout"}), nil
@@ -240,7 +242,11 @@
 
 func TestStoredJournalIsFollowed(t *testing.T) {
 	f := Follow(goldenFolder(t))
-	defer f.Close()
+	defer func() {
+		if err := f.Close(); err != nil {
+			t.Error(err)
+		}
+	}()
 	if fresh, err := f.Poll(); !fresh || err != nil {
 		t.Fatalf("poll: got %v, %v, want true and no error", fresh, err)
 	}
--- a/internal/net/upgrade/golden_test.go
+++ b/internal/net/upgrade/golden_test.go
@@ -43,6 +43,13 @@
 	}
 }
 
+func release(t *testing.T, l *Life) {
+	t.Helper()
+	if err := l.Release(); err != nil {
+		t.Error(err)
+	}
+}
+
 func TestStateFolderOfTheLifeBeforeIsTakenOver(t *testing.T) {
 	state := t.TempDir()
 	if err := os.CopyFS(state, os.DirFS(goldenState)); err != nil {
@@ -55,7 +62,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Release()
+	defer release(t, l)
 	if got, want := l.Folder, filepath.Join(state, "life-000042"); got != want {
 		t.Errorf("folder of the next life: got %s, want %s", got, want)
 	}
@@ -89,12 +96,12 @@
 	if ok, err := before.lock.TryLock(); !ok || err != nil {
 		t.Fatalf("lock: got %v, %v, want true and no error", ok, err)
 	}
-	defer before.Release()
+	defer release(t, before)
 	l, err := Claim(state, nettest.Log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Release()
+	defer release(t, l)
 	if !before.Followed() {
 		t.Error("followed: got false, want true")
 	}
--- a/internal/router/readiness/readiness_test.go
+++ b/internal/router/readiness/readiness_test.go
@@ -32,7 +32,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			response.Body.Close()
+			defer response.Body.Close()
+			body, err := io.ReadAll(response.Body)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if len(body) > 0 {
+				t.Errorf("body: got %q, want none", body)
+			}
 			if response.StatusCode != c.want {
 				t.Errorf("status: got %d, want %d", response.StatusCode, c.want)
 			}
--- a/internal/router/subscription/subscription_test.go
+++ b/internal/router/subscription/subscription_test.go
@@ -40,19 +40,31 @@
 		t.Fatal(err)
 	}
 	i.server = server
-	t.Cleanup(func() { server.Close() })
+	t.Cleanup(func() {
+		if err := server.Close(); err != nil {
+			t.Logf("close: %v", err) // a test may have closed it before
+		}
+	})
 	return i
 }
 
 func (i *stubInstance) Message(c *transport.Connection, message any) {
 	if probe, ok := message.(*protocol.Probe); ok {
 		proof := protocol.FreshnessProof{Epoch: 1, HasMajorityContact: true, SentAt: time.Since(i.started), EchoedSequence: probe.EchoSequence}
-		c.Send(protocol.ProbeReply{Generation: 4, Freshness: proof})
+		_ = c.Send(protocol.ProbeReply{Generation: 4, Freshness: proof})
 		return
 	}
 	i.received <- receivedMessage{c, message}
 }
 
+// send sends a message to the router.
+func send(t *testing.T, c *transport.Connection, message any) {
+	t.Helper()
+	if err := c.Send(message); err != nil {
+		t.Errorf("send %T: got %v, want no error", message, err)
+	}
+}
+
 func (i *stubInstance) Closed(*transport.Connection, error) { i.closed <- struct{}{} }
 
 func receive[M any](i *stubInstance) (*transport.Connection, M) {
@@ -150,7 +162,7 @@
 	if s.EchoSequence = 0; *s != (protocol.Subscribe{Node: "n", Zone: "z1", Incarnation: 7}) {
 		t.Errorf("subscribe: got %+v, want node n in zone z1, incarnation 7, and nothing applied", s)
 	}
-	c.Send(fullUpdate)
+	send(t, c, fullUpdate)
 	select {
 	case a := <-i.received:
 		t.Fatalf("before the update is applied: got %T, want no message", a.message)
@@ -166,10 +178,12 @@
 	if _, r := receive[*protocol.Report](i); r.Node != "n" || r.Incarnation != 7 || r.Sequence != 1 {
 		t.Errorf("report: got %+v, want node n, incarnation 7, sequence 1", r)
 	}
-	c.Send(protocol.Update{Sequence: 2, Generation: 4, GenerationConfirmed: true})
+	send(t, c, protocol.Update{Sequence: 2, Generation: 4, GenerationConfirmed: true})
 	w.applier.release <- struct{}{}
 	<-w.events.ready
-	i.server.Close()
+	if err := i.server.Close(); err != nil {
+		t.Errorf("close: got %v, want no error", err)
+	}
 	if !w.Ready() {
 		t.Error("ready while the control plane is out of reach: got false, want true")
 	}
@@ -177,15 +191,15 @@
 
 // After a fault of its instance the router subscribes to another one, from the generation that it has.
 func TestSubscriptionMovesOnAfterAFault(t *testing.T) {
-	for name, inject := range map[string]func(c *transport.Connection){
-		"missing update":             func(c *transport.Connection) { c.Send(protocol.Update{Sequence: 3, Generation: 4}) },
-		"repeated update":            func(c *transport.Connection) { c.Send(protocol.Update{Sequence: 1, Generation: 4}) },
-		"beacon of another sequence": func(c *transport.Connection) { c.Send(protocol.Beacon{Sequence: 2, Generation: 4}) },
-		"unusable configuration": func(c *transport.Connection) {
-			c.Send(protocol.Update{Sequence: 2, Generation: 5, Document: []byte("bad")})
+	for name, inject := range map[string]func(*transport.Connection) error{
+		"missing update":             func(c *transport.Connection) error { return c.Send(protocol.Update{Sequence: 3, Generation: 4}) },
+		"repeated update":            func(c *transport.Connection) error { return c.Send(protocol.Update{Sequence: 1, Generation: 4}) },
+		"beacon of another sequence": func(c *transport.Connection) error { return c.Send(protocol.Beacon{Sequence: 2, Generation: 4}) },
+		"unusable configuration": func(c *transport.Connection) error {
+			return c.Send(protocol.Update{Sequence: 2, Generation: 5, Document: []byte("bad")})
 		},
-		"closed":       func(c *transport.Connection) { c.Close() },
-		"unresponsive": func(c *transport.Connection) {},
+		"closed":       func(c *transport.Connection) error { c.Close(); return nil },
+		"unresponsive": func(*transport.Connection) error { return nil },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -199,9 +213,11 @@
 			case got := <-b.received:
 				c, first, second = got.connection, b, a
 			}
-			c.Send(fullUpdate)
+			send(t, c, fullUpdate)
 			receive[*protocol.UpdateAck](first)
-			inject(c)
+			if err := inject(c); err != nil {
+				t.Fatalf("inject: got %v, want no error", err)
+			}
 			if _, s := receive[*protocol.Subscribe](second); s.Generation != 4 {
 				t.Errorf("subscribe: got %+v, want generation 4", s)
 			}
@@ -215,14 +231,14 @@
 	i := newInstance(t)
 	w := startSubscription(t, i)
 	c, _ := receive[*protocol.Subscribe](i)
-	c.Send(fullUpdate)
+	send(t, c, fullUpdate)
 	receive[*protocol.UpdateAck](i)
-	c.Send(protocol.Update{Sequence: 2, Generation: 3, Document: []byte("three"), GenerationConfirmed: true})
+	send(t, c, protocol.Update{Sequence: 2, Generation: 3, Document: []byte("three"), GenerationConfirmed: true})
 	receive[*protocol.UpdateAck](i)
 	if w.applier.lastView().Configuration != nil || w.Ready() {
 		t.Errorf("older configuration: got %v applied, ready %v; want neither", w.applier.lastView().Configuration, w.Ready())
 	}
-	c.Send(protocol.Update{Sequence: 3, Generation: 4, Document: []byte("four"), GenerationConfirmed: true})
+	send(t, c, protocol.Update{Sequence: 3, Generation: 4, Document: []byte("four"), GenerationConfirmed: true})
 	receive[*protocol.UpdateAck](i)
 	if w.applier.lastView().Configuration != nil || !w.Ready() {
 		t.Errorf("same configuration, confirmed: got %v applied, ready %v; want none, true", w.applier.lastView().Configuration, w.Ready())
@@ -233,12 +249,12 @@
 	i := newInstance(t)
 	w := startSubscription(t, i)
 	c, _ := receive[*protocol.Subscribe](i)
-	c.Send(protocol.Update{Sequence: 1, Generation: 4, Document: []byte("four"), GenerationConfirmed: true})
+	send(t, c, protocol.Update{Sequence: 1, Generation: 4, Document: []byte("four"), GenerationConfirmed: true})
 	receive[*protocol.UpdateAck](i)
 	if w.Ready() {
 		t.Error("ready: got true, want false: the table of endpoints is not complete")
 	}
-	c.Send(protocol.Update{Sequence: 2, Generation: 4, Snapshot: true})
+	send(t, c, protocol.Update{Sequence: 2, Generation: 4, Snapshot: true})
 	receive[*protocol.UpdateAck](i)
 	if !w.Ready() {
 		t.Error("ready: got false, want true")
@@ -251,12 +267,12 @@
 	i := newInstance(t)
 	w := startSubscription(t, i)
 	c, _ := receive[*protocol.Subscribe](i)
-	c.Send(protocol.Update{Sequence: 1, Snapshot: true, GenerationConfirmed: true})
+	send(t, c, protocol.Update{Sequence: 1, Snapshot: true, GenerationConfirmed: true})
 	receive[*protocol.UpdateAck](i)
 	if w.Ready() {
 		t.Error("ready: got true, want false: there is no configuration")
 	}
-	c.Send(protocol.Update{Sequence: 2, Generation: 4, Document: []byte("four")})
+	send(t, c, protocol.Update{Sequence: 2, Generation: 4, Document: []byte("four")})
 	receive[*protocol.UpdateAck](i)
 	if !w.Ready() {
 		t.Error("ready: got false, want true")
