--- a/internal/control/placer/world_test.go
+++ b/internal/control/placer/world_test.go
@@ -1,7 +1,9 @@
 package placer
 
 import (
+	"cmp"
 	"fmt"
+	"maps"
 	"math"
 	"math/rand/v2"
 	"slices"
@@ -614,12 +616,11 @@
 
 func (w *world) holdings(e *engine) []protocol.LoadedModel {
 	held := make([]protocol.LoadedModel, 0, len(e.models))
-	for name, adapters := range e.models {
-		model := protocol.LoadedModel{Name: name, Generation: 1}
-		for adapter := range adapters {
-			model.Adapters = append(model.Adapters, adapter)
-		}
-		held = append(held, model)
+	for _, name := range slices.Sorted(maps.Keys(e.models)) {
+		held = append(held, protocol.LoadedModel{
+			Name: name, Generation: 1,
+			Adapters: slices.Sorted(maps.Keys(e.models[name])),
+		})
 	}
 	return held
 }
@@ -718,8 +719,8 @@
 			}
 		}
 		told := protocol.Report{Node: node, Sequence: w.sentUp[node], Window: 500 * time.Millisecond}
-		for _, row := range w.asked[i] {
-			told.Models = append(told.Models, *row)
+		for _, key := range slices.SortedFunc(maps.Keys(w.asked[i]), compareRows) {
+			told.Models = append(told.Models, *w.asked[i][key])
 		}
 		w.asked[i] = map[[2]string]*protocol.ModelDemand{}
 		w.later(20*time.Millisecond, func() { w.reports = append(w.reports, told) })
@@ -766,6 +767,8 @@
 	}
 }
 
+func compareRows(a, b [2]string) int { return cmp.Or(cmp.Compare(a[0], b[0]), cmp.Compare(a[1], b[1])) }
+
 func compareIDs(a, b string) int {
 	if a < b {
 		return -1
