--- a/internal/control/placer/admission_test.go
+++ b/internal/control/placer/admission_test.go
@@ -9,8 +9,8 @@
 	"raventrestle/internal/protocol"
 )
 
-// TestTheLastGateRejectsWhatThePlanningMustNotOrder has the gate judge orders that a defect in the planning might give.
-func TestTheLastGateRejectsWhatThePlanningMustNotOrder(t *testing.T) {
+// TestAdmissionCheckRejectsWhatThePlanningMustNotOrder has the gate judge orders that a defect in the planning might give.
+func TestAdmissionCheckRejectsWhatThePlanningMustNotOrder(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	for _, test := range []struct {
 		name   string
--- a/internal/control/placer/fairness_test.go
+++ b/internal/control/placer/fair_level_test.go
@@ -8,7 +8,7 @@
 )
 
 // One vessel more among sorted ones gives the level that all of them together give.
-func TestWaterlineWithOneMore(t *testing.T) {
+func TestFairLevelWithOneMoreEndpointEqualsLevelOfAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base := rapid.Float64Range(0, 3)
 		bases := rapid.SliceOf(base).Draw(t, "bases")
--- a/internal/control/placer/takeover_test.go
+++ b/internal/control/placer/new_leader_test.go
@@ -9,9 +9,9 @@
 	"raventrestle/internal/protocol"
 )
 
-// takeover is a fleet of six endpoints, each with a copy of "busy" and room for one model more, as a new holder finds
+// newLeaderFleet is a fleet of six endpoints, each with a copy of "busy" and room for one model more, as a new holder finds
 // it.
-func takeover() (*configuration.Configuration, []protocol.Endpoint) {
+func newLeaderFleet() (*configuration.Configuration, []protocol.Endpoint) {
 	models := []configuration.Model{{Name: "busy", WeightsMB: 60, LoadTimeSeconds: 6}}
 	for _, name := range []string{"m1", "m2", "m3", "m4", "m5", "m6"} {
 		models = append(models, configuration.Model{Name: name, WeightsMB: 60, LoadTimeSeconds: 6})
@@ -28,7 +28,7 @@
 	return &configuration.Configuration{Generation: 1, Services: services}, table
 }
 
-func looksAt(table []protocol.Endpoint, busy bool) []Inspection {
+func inspectionsOf(table []protocol.Endpoint, busy bool) []Inspection {
 	var looks []Inspection
 	for _, e := range table {
 		looks = append(looks, Inspection{Endpoint: e.ID, Busy: busy, Revision: 3, Models: e.Models})
@@ -36,7 +36,7 @@
 	return looks
 }
 
-func wantedModels(unserved int, names ...string) []protocol.Report {
+func reportsOfDemand(unserved int, names ...string) []protocol.Report {
 	told := protocol.Report{Node: "r", Sequence: 1, Window: 500 * time.Millisecond}
 	for _, name := range names {
 		told.Models = append(told.Models, protocol.ModelDemand{
@@ -48,16 +48,16 @@
 	return []protocol.Report{told}
 }
 
-// TestNewHolderLoadsWhatIsWantedAtOnce has a new holder whose looks show that no endpoint has begun a load lately: it
+// TestNewLeaderLoadsUnservedModelsAtOnce has a new holder whose looks show that no endpoint has begun a load lately: it
 // need not wait a window for the earlier holder's loads.
-func TestNewHolderLoadsWhatIsWantedAtOnce(t *testing.T) {
+func TestNewLeaderLoadsUnservedModelsAtOnce(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	c, table := takeover()
+	c, table := newLeaderFleet()
 	p := New(Config{InspectEndpoints: true, HandoverGap: time.Second})
 	p.Step(now, Input{Configuration: c, Endpoints: table})
 	out := p.Step(now.Add(100*time.Millisecond), Input{
-		Endpoints: table, Inspections: looksAt(table, false),
-		Reports: wantedModels(5, "m1", "m2", "m3", "m4", "m5", "m6"),
+		Endpoints: table, Inspections: inspectionsOf(table, false),
+		Reports: reportsOfDemand(5, "m1", "m2", "m3", "m4", "m5", "m6"),
 	})
 	loads := 0
 	for _, order := range out.Orders {
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestNewHolderCountsLoadsThatMayBeUnderWay has every endpoint busy: each may carry out a load of the earlier holder.
-func TestNewHolderCountsLoadsThatMayBeUnderWay(t *testing.T) {
+// TestNewLeaderCountsLoadsOfEarlierLeader has every endpoint busy: each may carry out a load of the earlier holder.
+func TestNewLeaderCountsLoadsOfEarlierLeader(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	ledger := newLoadRateLimiter(now, 5*time.Second, time.Second)
 	ledger.setRate(1, 1.1, 5*time.Second)
@@ -96,55 +96,55 @@
 	}
 }
 
-// TestNewHolderTakesNoCopyAwayUnheard has a new holder that has heard one report only, with a model in want of room.
-func TestNewHolderTakesNoCopyAwayUnheard(t *testing.T) {
+// TestNewLeaderEvictsNothingBeforeReports has a new holder that has heard one report only, with a model in want of room.
+func TestNewLeaderEvictsNothingBeforeReports(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	c, table := takeover()
+	c, table := newLeaderFleet()
 	c.Services[0].Engine.WeightMemoryMB = 100 // no room beside the copy that is there
 	p := New(Config{InspectEndpoints: true, HandoverGap: time.Second})
 	p.Step(now, Input{Configuration: c, Endpoints: table})
 	out := p.Step(now.Add(100*time.Millisecond), Input{
-		Endpoints: table, Inspections: looksAt(table, false),
-		Reports: wantedModels(5, "m1"),
+		Endpoints: table, Inspections: inspectionsOf(table, false),
+		Reports: reportsOfDemand(5, "m1"),
 	})
 	if len(out.Orders) != 0 {
 		t.Errorf("orders before the routers were heard: %+v", out.Orders)
 	}
-	out = p.Step(now.Add(1200*time.Millisecond), Input{Endpoints: table, Reports: wantedModels(5, "m1")})
+	out = p.Step(now.Add(1200*time.Millisecond), Input{Endpoints: table, Reports: reportsOfDemand(5, "m1")})
 	if len(out.Orders) == 0 || !out.Orders[0].Unload {
 		t.Errorf("no room is made after the routers were heard: %+v", out.Orders)
 	}
 }
 
-// TestHolderThatHeardNothingForSecondsTakesNoCopyAway has a holder act again after seconds in which others led.
-func TestHolderThatHeardNothingForSecondsTakesNoCopyAway(t *testing.T) {
+// TestLeaderEvictsNothingAfterSilenceOfReports has a holder act again after seconds in which others led.
+func TestLeaderEvictsNothingAfterSilenceOfReports(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	c, table := takeover()
+	c, table := newLeaderFleet()
 	c.Services[0].Engine.WeightMemoryMB = 100
 	p := New(Config{InspectEndpoints: true, HandoverGap: time.Second})
 	p.Step(now, Input{Configuration: c, Endpoints: table})
-	p.Step(now.Add(100*time.Millisecond), Input{Endpoints: table, Inspections: looksAt(table, false), Reports: wantedModels(0)})
+	p.Step(now.Add(100*time.Millisecond), Input{Endpoints: table, Inspections: inspectionsOf(table, false), Reports: reportsOfDemand(0)})
 	again := now.Add(5 * time.Second)
-	out := p.Step(again, Input{Endpoints: table, Reports: wantedModels(5, "m1")})
+	out := p.Step(again, Input{Endpoints: table, Reports: reportsOfDemand(5, "m1")})
 	if len(out.Orders) != 0 {
 		t.Errorf("orders before the routers were heard again: %+v", out.Orders)
 	}
-	out = p.Step(again.Add(600*time.Millisecond), Input{Endpoints: table, Reports: wantedModels(5, "m1")})
+	out = p.Step(again.Add(600*time.Millisecond), Input{Endpoints: table, Reports: reportsOfDemand(5, "m1")})
 	if len(out.Orders) == 0 {
 		t.Error("no room is made after the routers were heard")
 	}
 }
 
-// TestTroubleOfTheCoreKeepsNoCopyBack has one endpoint alone serve what all ask for while the core is in trouble.
-func TestTroubleOfTheCoreKeepsNoCopyBack(t *testing.T) {
+// TestRecoveryDelaysNoReplica has one endpoint alone serve what all ask for while the core is in trouble.
+func TestRecoveryDelaysNoReplica(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	c, table := takeover()
+	c, table := newLeaderFleet()
 	for i := range table[1:] {
 		table[1+i].Models = nil
 	}
 	p := New(Config{InspectEndpoints: true, HandoverGap: time.Second})
 	p.Step(now, Input{Configuration: c, Endpoints: table, Recovering: true})
-	looks := looksAt(table, false)
+	looks := inspectionsOf(table, false)
 	loads := 0
 	for i := range 60 {
 		at := now.Add(time.Duration(i+1) * 50 * time.Millisecond)
@@ -170,20 +170,20 @@
 	}
 }
 
-// TestAnUnloadThatDragsHasAnotherPlaceChosen has the unload that makes room for a wanted model wait for runs.
-func TestAnUnloadThatDragsHasAnotherPlaceChosen(t *testing.T) {
+// TestStalledUnloadLetsAnotherEndpointLoadTheModel has the unload that makes room for a wanted model wait for runs.
+func TestStalledUnloadLetsAnotherEndpointLoadTheModel(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	c, table := takeover()
+	c, table := newLeaderFleet()
 	c.Services[0].Engine.WeightMemoryMB = 100
 	p := New(Config{InspectEndpoints: true, HandoverGap: time.Minute})
 	p.Step(now, Input{Configuration: c, Endpoints: table})
-	p.Step(now.Add(50*time.Millisecond), Input{Endpoints: table, Inspections: looksAt(table, false), Reports: wantedModels(0)})
+	p.Step(now.Add(50*time.Millisecond), Input{Endpoints: table, Inspections: inspectionsOf(table, false), Reports: reportsOfDemand(0)})
 	places := map[string]bool{}
 	var results []Result
 	for at := 500 * time.Millisecond; at < 4*time.Second; at += 100 * time.Millisecond {
 		in := Input{Endpoints: table, Results: results}
 		if at%(500*time.Millisecond) == 0 {
-			in.Reports = wantedModels(2, "m1")
+			in.Reports = reportsOfDemand(2, "m1")
 		}
 		results = nil
 		for _, order := range p.Step(now.Add(at), in).Orders {
@@ -198,10 +198,10 @@
 	}
 }
 
-// TestTheCopyWithFewerRunsMakesWay has three endpoints run many requests of one model and three run few of another.
-func TestTheCopyWithFewerRunsMakesWay(t *testing.T) {
+// TestReplicaWithFewerRunningRequestsIsEvicted has three endpoints run many requests of one model and three run few of another.
+func TestReplicaWithFewerRunningRequestsIsEvicted(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	c, table := takeover()
+	c, table := newLeaderFleet()
 	c.Services[0].Engine.WeightMemoryMB = 100
 	for i := range table {
 		table[i].Models = []protocol.LoadedModel{{Name: "busy", Generation: 1}}
@@ -211,7 +211,7 @@
 	}
 	p := New(Config{InspectEndpoints: true, HandoverGap: time.Minute})
 	p.Step(now, Input{Configuration: c, Endpoints: table})
-	looks := looksAt(table, false)
+	looks := inspectionsOf(table, false)
 	for at := 500 * time.Millisecond; at < 7*time.Second; at += 500 * time.Millisecond {
 		told := protocol.Report{
 			Node: "r", Sequence: uint64(at), Window: 500 * time.Millisecond,
@@ -236,20 +236,20 @@
 	}
 }
 
-// TestAnUnloadThatDragsTakesNoOtherCopyInUse has all copies run requests: one unload waits, no other joins it.
-func TestAnUnloadThatDragsTakesNoOtherCopyInUse(t *testing.T) {
+// TestStalledUnloadEvictsNoOtherReplicaInUse has all copies run requests: one unload waits, no other joins it.
+func TestStalledUnloadEvictsNoOtherReplicaInUse(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	c, table := takeover()
+	c, table := newLeaderFleet()
 	c.Services[0].Engine.WeightMemoryMB = 100
 	p := New(Config{InspectEndpoints: true, HandoverGap: time.Minute})
 	p.Step(now, Input{Configuration: c, Endpoints: table})
-	looks := looksAt(table, false)
+	looks := inspectionsOf(table, false)
 	unloads := 0
 	var results []Result
 	for at := 500 * time.Millisecond; at < 5*time.Second; at += 100 * time.Millisecond {
 		in := Input{Endpoints: table, Results: results, Inspections: looks}
 		if at%(500*time.Millisecond) == 0 {
-			in.Reports = wantedModels(2, "m1")
+			in.Reports = reportsOfDemand(2, "m1")
 			in.Reports[0].Models[1].InFlight = 30
 		}
 		results, looks = nil, nil
--- a/internal/control/placer/order_tracking_test.go
+++ b/internal/control/placer/order_tracking_test.go
@@ -8,8 +8,8 @@
 	"raventrestle/internal/protocol"
 )
 
-// single is a fleet of one endpoint with one model that has adapters, and a placer that knows it.
-func single(t *testing.T, now time.Time) (*Placer, protocol.Endpoint) {
+// oneEndpointFleet is a fleet of one endpoint with one model that has adapters, and a placer that knows it.
+func oneEndpointFleet(t *testing.T, now time.Time) (*Placer, protocol.Endpoint) {
 	t.Helper()
 	p := New(Config{InspectEndpoints: true})
 	engine := &configuration.Engine{
@@ -31,20 +31,20 @@
 	return p, e
 }
 
-// unserved is a router's report of two requests for big, or an adapter of it, that found no endpoint.
-func unserved(adapter string) []protocol.Report {
+// unservedRequests is a router's report of two requests for big, or an adapter of it, that found no endpoint.
+func unservedRequests(adapter string) []protocol.Report {
 	return []protocol.Report{{
 		Node: "r", Sequence: 1, Window: 500 * time.Millisecond,
 		Models: []protocol.ModelDemand{{Service: "lm", Model: "big", Adapter: adapter, Requests: 2, Unserved: 2}},
 	}}
 }
 
-// TestRevisionCountsAnOrderThatAHeartbeatShowsFirst has the heartbeat that shows an adapter arrive with the answer to
+// TestRevisionCountsOrderWhoseEffectAHeartbeatShowsFirst has the heartbeat that shows an adapter arrive with the answer to
 // its order, and before it: the next order must name the revision with that order counted.
-func TestRevisionCountsAnOrderThatAHeartbeatShowsFirst(t *testing.T) {
+func TestRevisionCountsOrderWhoseEffectAHeartbeatShowsFirst(t *testing.T) {
 	for _, together := range []bool{true, false} {
 		now := time.Unix(1e9, 0)
-		p, e := single(t, now)
+		p, e := oneEndpointFleet(t, now)
 		table := func() []protocol.Endpoint { return []protocol.Endpoint{e} }
 		look := Inspection{Endpoint: e.ID, Revision: 7, Models: e.Models}
 		out := p.Step(now.Add(50*time.Millisecond), Input{Endpoints: table(), Inspections: []Inspection{look}})
@@ -68,11 +68,11 @@
 	}
 }
 
-// TestARestartedEndpointIsLookedAtAnew has an endpoint start again, empty, with a new ID at its old address: its count of
+// TestRestartedEndpointIsInspectedBeforeItsFirstOrder has an endpoint start again, empty, with a new ID at its old address: its count of
 // orders begins anew. While an earlier holder's order may be on its way, its own report must tell so first.
-func TestARestartedEndpointIsLookedAtAnew(t *testing.T) {
+func TestRestartedEndpointIsInspectedBeforeItsFirstOrder(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	p, e := single(t, now)
+	p, e := oneEndpointFleet(t, now)
 	look := Inspection{Endpoint: e.ID, Revision: 7, Models: e.Models}
 	out := p.Step(now.Add(50*time.Millisecond), Input{Endpoints: []protocol.Endpoint{e}, Inspections: []Inspection{look}})
 	if len(out.Orders) != 1 || *out.Orders[0].Revision != 7 {
@@ -81,7 +81,7 @@
 	e.ID, e.Sequence, e.Models = "i-2", 1, nil
 	table := []protocol.Endpoint{e}
 	results := []Result{{ID: out.Orders[0].ID, Outcome: Accepted}}
-	in := Input{Endpoints: table, Results: results, Reports: unserved("")}
+	in := Input{Endpoints: table, Results: results, Reports: unservedRequests("")}
 	out = p.Step(now.Add(100*time.Millisecond), in)
 	if len(out.Orders) != 0 || len(out.Inspect) != 1 || out.Inspect[0] != "i-2" {
 		t.Fatalf("orders %+v, looks %+v, want a look at i-2 alone", out.Orders, out.Inspect)
@@ -99,12 +99,12 @@
 	}
 }
 
-// TestAHeartbeatWithoutAnUnloadedAdapterEndsItsOrder has the place free at once.
-func TestAHeartbeatWithoutAnUnloadedAdapterEndsItsOrder(t *testing.T) {
+// TestHeartbeatWithoutUnloadedAdapterEndsItsOrder has the place free at once.
+func TestHeartbeatWithoutUnloadedAdapterEndsItsOrder(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	p, e := single(t, now)
+	p, e := oneEndpointFleet(t, now)
 	e.Sequence, e.Models = 2, []protocol.LoadedModel{{Name: "big", Generation: 1, Adapters: []string{"a1", "a2"}}}
-	asked := unserved("a3")
+	asked := unservedRequests("a3")
 	look := Inspection{Endpoint: e.ID, Models: e.Models}
 	in := Input{Endpoints: []protocol.Endpoint{e}, Inspections: []Inspection{look}, Reports: asked}
 	out := p.Step(now.Add(50*time.Millisecond), in)
@@ -123,12 +123,12 @@
 	}
 }
 
-// TestAnAdapterThatNobodyAsksForAnyMoreMakesNoOtherGoAway has both places taken and a want of long ago.
-func TestAnAdapterThatNobodyAsksForAnyMoreMakesNoOtherGoAway(t *testing.T) {
+// TestIdleAdapterEvictsNoOther has both places taken and a want of long ago.
+func TestIdleAdapterEvictsNoOther(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	p, e := single(t, now)
+	p, e := oneEndpointFleet(t, now)
 	e.Sequence, e.Models = 2, []protocol.LoadedModel{{Name: "big", Generation: 1, Adapters: []string{"a1", "a2"}}}
-	asked := unserved("a3")
+	asked := unservedRequests("a3")
 	table := []protocol.Endpoint{e}
 	p.Step(now.Add(50*time.Millisecond), Input{Endpoints: table, Reports: asked}) // its report is not there yet
 	look := Inspection{Endpoint: e.ID, Models: e.Models}
@@ -142,7 +142,7 @@
 // none waits for ever.
 func TestAdaptersInUseTakeTurns(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	p, e := single(t, now)
+	p, e := oneEndpointFleet(t, now)
 	held := map[string]bool{}
 	came, served := map[string]time.Duration{}, map[string]time.Duration{}
 	var results []Result
@@ -191,17 +191,17 @@
 	}
 }
 
-// TestOnePlaceIsMadeForOneAdapter has two endpoints with all places taken and one adapter that has none.
-func TestOnePlaceIsMadeForOneAdapter(t *testing.T) {
+// TestOneAdapterIsEvictedForOneAdapter has two endpoints with all places taken and one adapter that has none.
+func TestOneAdapterIsEvictedForOneAdapter(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	p, first := single(t, now)
+	p, first := oneEndpointFleet(t, now)
 	second := first
 	second.ID, second.Address = "i-2", "10.0.0.2:80"
 	held := []protocol.LoadedModel{{Name: "big", Generation: 1, Adapters: []string{"a1", "a2"}}}
 	first.Models, second.Models, first.Sequence = held, held, 2
 	table := []protocol.Endpoint{first, second}
 	p.Step(now.Add(50*time.Millisecond), Input{Endpoints: table})
-	asked := unserved("a3")
+	asked := unservedRequests("a3")
 	looks := []Inspection{{Endpoint: "i-1", Models: held}, {Endpoint: "i-2", Models: held}}
 	in := Input{Endpoints: table, Reports: asked, Inspections: looks}
 	unloads := 0
--- a/internal/control/placer/step_benchmark_test.go
+++ b/internal/control/placer/step_benchmark_test.go
@@ -41,12 +41,12 @@
 		for _, order := range out.Orders {
 			orders++
 			results = append(results, Result{ID: order.ID, Outcome: Accepted})
-			carryOut(table, order)
+			applyOrder(table, order)
 			revisions[order.Endpoint]++
 		}
 		looks = looks[:0]
 		for _, id := range out.Inspect {
-			looks = append(looks, Inspection{Endpoint: id, Revision: revisions[id], Models: held(table, id)})
+			looks = append(looks, Inspection{Endpoint: id, Revision: revisions[id], Models: modelsOf(table, id)})
 		}
 	}
 	for range 10 * stepsPerS {
@@ -62,7 +62,7 @@
 	b.ReportMetric(float64(orders)/float64(b.N), "orders/op")
 }
 
-func held(table []protocol.Endpoint, id string) []protocol.LoadedModel {
+func modelsOf(table []protocol.Endpoint, id string) []protocol.LoadedModel {
 	for i := range table {
 		if table[i].ID == id {
 			return table[i].Models
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// moveAdapter loads or unloads an adapter of a model that the endpoint has.
-func moveAdapter(e *protocol.Endpoint, order Order) {
+// applyAdapterOrder loads or unloads an adapter of a model that the endpoint has.
+func applyAdapterOrder(e *protocol.Endpoint, order Order) {
 	models := slices.Clone(e.Models)
 	for i := range models {
 		if models[i].Name != order.Model {
@@ -87,8 +87,8 @@
 	e.Models = models
 }
 
-// carryOut has the endpoint do at once what it was ordered.
-func carryOut(table []protocol.Endpoint, order Order) {
+// applyOrder has the endpoint do at once what it was ordered.
+func applyOrder(table []protocol.Endpoint, order Order) {
 	for i := range table {
 		e := &table[i]
 		if e.ID != order.Endpoint {
@@ -97,7 +97,7 @@
 		e.Sequence++
 		switch {
 		case order.Adapter != "":
-			moveAdapter(e, order)
+			applyAdapterOrder(e, order)
 		case !order.Unload:
 			e.Models = append(e.Models[:len(e.Models):len(e.Models)], protocol.LoadedModel{Name: order.Model, Generation: 1})
 		default:
--- /dev/null
+++ b/internal/control/placer/world_policy_test.go
@@ -0,0 +1,98 @@
+package placer
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"raventrestle/internal/protocol"
+)
+
+// policy is what the world drives: the Placer, or a baseline to compare it with.
+type policy interface {
+	Step(now time.Time, in Input) Output
+}
+
+// stepPolicy has the policy decide, every 100 ms or when an answer came. Without a leader answers and reports are lost.
+func (w *world) stepPolicy() {
+	if w.now < w.leaderlessUntil {
+		w.results, w.inspections, w.reports = nil, nil, nil
+		return
+	}
+	if w.policy == nil {
+		w.policy = w.newPolicy(time.Second)
+		w.configurationDue = true
+	}
+	if w.now%(100*time.Millisecond) != 0 && len(w.results)+len(w.inspections) == 0 {
+		return
+	}
+	in := Input{Reports: w.reports, Results: w.results, Inspections: w.inspections}
+	w.reports, w.results, w.inspections = nil, nil, nil
+	if w.configurationDue {
+		in.Configuration = w.shape.configuration()
+		w.configurationDue = false
+	}
+	for id, registration := range w.table {
+		switch silence := w.now - w.heardAt[id]; {
+		case silence > 6*time.Second:
+			delete(w.table, id)
+			continue
+		case silence > 2500*time.Millisecond:
+			registration.State = protocol.Unresponsive
+		}
+		in.Endpoints = append(in.Endpoints, registration)
+	}
+	slices.SortFunc(in.Endpoints, func(a, b protocol.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
+	leader := w.policy
+	out := leader.Step(w.epoch.Add(w.now), in)
+	for _, order := range out.Orders {
+		w.sendOrder(leader, order)
+	}
+	for _, id := range out.Inspect {
+		w.inspect(leader, id)
+	}
+}
+
+// inspect answers an inspection, with a report that is some ticks old.
+func (w *world) inspect(leader policy, id string) {
+	w.outcomes.inspections++
+	w.after(5*time.Millisecond, func() {
+		answer := Inspection{Endpoint: id, Failed: true}
+		for _, e := range w.endpoints {
+			if e.id == id && e.up && len(e.reports) > 0 {
+				answer = e.reports[max(0, len(e.reports)-6)]
+			}
+		}
+		w.after(5*time.Millisecond, func() {
+			if w.policy == leader {
+				w.inspections = append(w.inspections, answer)
+			}
+		})
+	})
+}
+
+// sendOrder carries an order to its endpoint and the answer back; some are lost or late, or their answers.
+func (w *world) sendOrder(leader policy, order Order) {
+	w.outcomes.orders++
+	lost := w.faults.orderLosses && w.random.IntN(33) == 0
+	after := 3 * time.Millisecond
+	if lost && w.random.IntN(3) == 0 {
+		after = time.Duration(w.random.IntN(900)) * time.Millisecond
+	}
+	dropped := lost && w.random.IntN(2) == 0
+	w.after(after, func() {
+		outcome := Unknown
+		if !dropped {
+			outcome = w.receiveOrder(order)
+		}
+		back := 3 * time.Millisecond
+		if lost {
+			outcome, back = Unknown, time.Second
+		}
+		w.after(back, func() {
+			if w.policy == leader {
+				w.results = append(w.results, Result{ID: order.ID, Outcome: outcome})
+			}
+		})
+	})
+}
--- a/internal/control/placer/world_run_test.go
+++ b/internal/control/placer/world_run_test.go
@@ -7,72 +7,95 @@
 	"time"
 )
 
-var days = flag.Int("days", 1, "days of each fleet that TestWorldFigures plays")
+// days is how long the simulated world is played: go test -run World -v -days 20 shows what fleets earn.
+var days = flag.Int("days", 1, "days of each fleet that the tests of the simulated world play")
 
-// stands orders nothing: what a fleet earns as it was found.
-type stands struct{}
+// noOrders is a baseline: the fleet stays as it is found.
+type noOrders struct{}
 
-func (stands) Step(time.Time, Input) Output { return Output{} }
+func (noOrders) Step(time.Time, Input) Output { return Output{} }
 
-func looking(quiet time.Duration) decider {
-	return New(Config{HandoverGap: quiet, InspectEndpoints: true})
+// inspectingPlacer is a placer that inspects endpoints.
+func inspectingPlacer(gap time.Duration) policy {
+	return New(Config{HandoverGap: gap, InspectEndpoints: true})
 }
 
-func blind(quiet time.Duration) decider {
-	return New(Config{HandoverGap: quiet})
+// heartbeatPlacer is a placer that knows endpoints by their heartbeats alone.
+func heartbeatPlacer(gap time.Duration) policy {
+	return New(Config{HandoverGap: gap})
 }
 
-func playMany(t *testing.T, s shape, days int, trouble troubles, fresh func(time.Duration) decider) stats {
+// playDays plays days with the seeds from 0 on, and returns the sum of their outcomes. No day may violate LIMIT or CEILING.
+func playDays(t *testing.T, s fleetShape, days int, faults faultKinds, newPolicy func(time.Duration) policy) outcomes {
 	t.Helper()
-	var sum stats
+	var sum outcomes
 	for seed := range days {
-		w := newWorld(s, uint64(seed), trouble, fresh)
+		w := newWorld(s, uint64(seed), faults, newPolicy)
 		got := w.run()
-		if got.limit != "" || got.ceiling != "" {
-			t.Errorf("%s seed %d: LIMIT %q CEILING %q", s.name, seed, got.limit, got.ceiling)
+		if got.limitViolation != "" || got.loadRateViolation != "" {
+			t.Errorf("%s seed %d: got violations of LIMIT %q and CEILING %q, want none", s.name, seed, got.limitViolation, got.loadRateViolation)
 		}
-		sum.owed += got.owed
-		sum.earned += got.earned
-		sum.asked += got.asked
+		sum.value += got.value
+		sum.earnedValue += got.earnedValue
+		sum.requests += got.requests
 		sum.missed += got.missed
 		sum.late += got.late
-		sum.rareAsked += got.rareAsked
-		sum.rareMiss += got.rareMiss
+		sum.rareRequests += got.rareRequests
+		sum.rareMissed += got.rareMissed
 		sum.starved += got.starved
 		sum.models += got.models
 		sum.loads += got.loads
-		sum.warm += got.warm
+		sum.warmLoads += got.warmLoads
 		sum.orders += got.orders
-		sum.looks += got.looks
-		sum.refused += got.refused
+		sum.inspections += got.inspections
+		sum.rejected += got.rejected
 	}
 	return sum
 }
 
-func (s stats) line(days int) string {
+// summary prints the outcomes of the days, counts of endpoints' work as an average of a day.
+func (o outcomes) summary(days int) string {
 	n := float64(days)
-	return fmt.Sprintf("earned %.4f missed %.4f late %.4f rare missed %.4f starved %d/%d loads %.1f (warm %.1f) orders %.1f looks %.1f refused %.2f",
-		s.share(), float64(s.missed)/float64(s.asked), float64(s.late)/float64(s.asked),
-		float64(s.rareMiss)/float64(max(1, s.rareAsked)), s.starved, s.models, float64(s.loads)/n, float64(s.warm)/n,
-		float64(s.orders)/n, float64(s.looks)/n, float64(s.refused)/n)
+	return fmt.Sprintf("earned %.4f missed %.4f late %.4f rare missed %.4f starved %d/%d loads %.1f (warm %.1f) orders %.1f "+
+		"inspections %.1f rejected %.2f",
+		o.earnedShare(), float64(o.missed)/float64(o.requests), float64(o.late)/float64(o.requests),
+		float64(o.rareMissed)/float64(max(1, o.rareRequests)), o.starved, o.models, float64(o.loads)/n, float64(o.warmLoads)/n,
+		float64(o.orders)/n, float64(o.inspections)/n, float64(o.rejected)/n)
 }
 
-// TestWorldFigures plays fleets with all troubles: no order may break LIMIT or CEILING. A longer look at the figures:
-// go test -run TestWorldFigures -v -days 20
-func TestWorldFigures(t *testing.T) {
-	for _, s := range []shape{bookingFleet(), walletFleet()} {
-		for _, d := range []struct {
-			name  string
-			fresh func(time.Duration) decider
+// TestWorldKeepsLimitsUnderAllFaults plays fleets with faults of all kinds: no order may violate LIMIT or CEILING.
+func TestWorldKeepsLimitsUnderAllFaults(t *testing.T) {
+	for _, s := range []fleetShape{bookingFleet(), walletFleet()} {
+		for _, test := range []struct {
+			name      string
+			newPolicy func(time.Duration) policy
 		}{
-			{"stands", func(time.Duration) decider { return stands{} }},
-			{"looking", looking},
-			{"blind", blind},
+			{"without orders", func(time.Duration) policy { return noOrders{} }},
+			{"inspecting", inspectingPlacer},
+			{"by heartbeats", heartbeatPlacer},
 		} {
-			t.Run(s.name+" "+d.name, func(t *testing.T) {
+			t.Run(s.name+" "+test.name, func(t *testing.T) {
 				t.Parallel()
-				got := playMany(t, s, *days, allTroubles, d.fresh)
-				t.Logf("%-8s %-8s %s", s.name, d.name, got.line(*days))
+				got := playDays(t, s, *days, allFaults, test.newPolicy)
+				t.Logf("%-8s %-14s %s", s.name, test.name, got.summary(*days))
+			})
+		}
+	}
+}
+
+// TestWorldKeepsLimitsUnderOneKindOfFault plays the fleets with one kind of fault at a time, or none.
+func TestWorldKeepsLimitsUnderOneKindOfFault(t *testing.T) {
+	for name, faults := range map[string]faultKinds{
+		"without faults": {},
+		"bursts":         {bursts: true, demandShifts: true},
+		"crashes":        {crashes: true, demandShifts: true},
+		"leader changes": {leaderChanges: true, demandShifts: true},
+	} {
+		for _, s := range []fleetShape{bookingFleet(), walletFleet()} {
+			t.Run(s.name+" "+name, func(t *testing.T) {
+				t.Parallel()
+				got := playDays(t, s, *days, faults, inspectingPlacer)
+				t.Logf("%-8s %-14s %s", s.name, name, got.summary(*days))
 			})
 		}
 	}
