--- a/internal/control/placer/admission_test.go
+++ b/internal/control/placer/admission_test.go
@@ -76,15 +76,15 @@
 					{Name: "small", WeightsMB: 30, LoadTimeSeconds: 5, AdapterCount: 4, AdapterSizeMB: 1},
 				},
 			}
-			held := []protocol.LoadedModel{{Name: "big", Generation: 1, Adapters: []string{"a1"}}}
-			table := []protocol.Endpoint{{ID: "i-1", Service: "lm", Address: "10.0.0.1:80", Sequence: 1, Models: held}}
+			models := []protocol.LoadedModel{{Name: "big", Generation: 1, Adapters: []string{"a1"}}}
+			table := []protocol.Endpoint{{ID: "i-1", Service: "lm", Address: "10.0.0.1:80", Sequence: 1, Models: models}}
 			p.Step(now, Input{Configuration: &configuration.Configuration{
 				Generation: 1,
 				Services:   []configuration.Service{{Name: "lm", Engine: engine}},
 			}, Endpoints: table})
 			f := p.fleets["lm"]
 			e := f.endpoints["i-1"]
-			e.observeInspection(now, Inspection{Endpoint: "i-1", Models: held})
+			e.observeInspection(now, Inspection{Endpoint: "i-1", Models: models})
 			if test.change != nil {
 				test.change(p, f, e)
 			}
--- a/internal/control/placer/fair_level_test.go
+++ b/internal/control/placer/fair_level_test.go
@@ -7,17 +7,17 @@
 	"pgregory.net/rapid"
 )
 
-// One vessel more among sorted ones gives the level that all of them together give.
+// TestFairLevelWithOneMoreEndpointEqualsLevelOfAll holds the level with one more endpoint against that of all of them together.
 func TestFairLevelWithOneMoreEndpointEqualsLevelOfAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		base := rapid.Float64Range(0, 3)
-		bases := rapid.SliceOf(base).Draw(t, "bases")
-		more := base.Draw(t, "more")
-		amount := rapid.Float64Range(0, 10).Draw(t, "amount")
-		slices.Sort(bases)
-		got := fairLevelWith(bases, more, amount)
-		if want := fairLevel(append(slices.Clone(bases), more), amount); got != want {
-			t.Fatalf("level %v, want %v", got, want)
+		utilization := rapid.Float64Range(0, 3)
+		utilizations := rapid.SliceOf(utilization).Draw(t, "utilizations")
+		added := utilization.Draw(t, "added")
+		load := rapid.Float64Range(0, 10).Draw(t, "load")
+		slices.Sort(utilizations)
+		got := fairLevelWith(utilizations, added, load)
+		if want := fairLevel(append(slices.Clone(utilizations), added), load); got != want {
+			t.Fatalf("got level %v, want %v", got, want)
 		}
 	})
 }
--- a/internal/control/placer/golden_test.go
+++ b/internal/control/placer/golden_test.go
@@ -37,23 +37,23 @@
 	light := configuration.Model{WeightsMB: 30100, LoadTimeSeconds: 2.9}
 	small := configuration.Model{WeightsMB: 9700, LoadTimeSeconds: 1.3, AdapterCount: 3, AdapterSizeMB: 40}
 	chat := goldenService{
-		name: "chat", endpoints: 9, zones: 3, perSecond: 240, hot: 2, never: 2, phase: 17 * time.Second,
+		name: "chat", endpoints: 9, zones: 3, requestsPerSecond: 240, busyModels: 2, dormantModels: 2, phase: 17 * time.Second,
 		engine: goldenEngine(150000, 4, 1.5, goldenModels("heavy", 4, heavy), goldenModels("light", 6, light)),
 	}
 	embed := goldenService{
-		name: "embed", endpoints: 3, zones: 2, perSecond: 12, hot: 1, never: 1, phase: 31 * time.Second,
+		name: "embed", endpoints: 3, zones: 2, requestsPerSecond: 12, busyModels: 1, dormantModels: 1, phase: 31 * time.Second,
 		engine: goldenEngine(70000, 2, 0.9, goldenModels("light", 4, light)),
 	}
 	many := goldenService{
-		name: "many", endpoints: 4, zones: 2, perSecond: 25, hot: 3, never: 4, phase: 11 * time.Second,
+		name: "many", endpoints: 4, zones: 2, requestsPerSecond: 25, busyModels: 3, dormantModels: 4, phase: 11 * time.Second,
 		engine: goldenEngine(120000, 5, 2.8, goldenModels("small", 30, small), goldenModels("heavy", 1, heavy)),
 	}
 	scarce := goldenService{
-		name: "scarce", endpoints: 16, zones: 4, perSecond: 200, hot: 2, never: 0, phase: 13 * time.Second,
+		name: "scarce", endpoints: 16, zones: 4, requestsPerSecond: 200, busyModels: 2, dormantModels: 0, phase: 13 * time.Second,
 		engine: goldenEngine(110000, 3, 0.6, goldenModels("heavy", 8, heavy), goldenModels("light", 8, light)),
 	}
 	lent := goldenService{
-		name: "lent", endpoints: 24, zones: 3, perSecond: 120, hot: 2, never: 0, phase: 19 * time.Second,
+		name: "lent", endpoints: 24, zones: 3, requestsPerSecond: 120, busyModels: 2, dormantModels: 0, phase: 19 * time.Second,
 		engine: goldenEngine(30000, 2, 2, goldenModels("small", 2, configuration.Model{
 			WeightsMB: 9700, LoadTimeSeconds: 1.3,
 			AdapterCount: 25, AdapterSizeMB: 40,
@@ -77,23 +77,23 @@
 			scenarios = append(scenarios,
 				goldenScenario{
 					name: fmt.Sprintf("mixed-%s-%d", kind, seed), seed: seed, inspect: inspect,
-					length: 150 * time.Second, services: []goldenService{chat, embed}, faultRate: 0.3, loss: 0.08,
-					takeovers: []time.Duration{75 * time.Second, 120 * time.Second}, quiet: time.Second, changes: changes,
+					length: 150 * time.Second, services: []goldenService{chat, embed}, faultRate: 0.3, orderLoss: 0.08,
+					takeovers: []time.Duration{75 * time.Second, 120 * time.Second}, handoverGap: time.Second, changes: changes,
 				},
 				goldenScenario{
 					name: fmt.Sprintf("many-%s-%d", kind, seed), seed: 100 + seed, inspect: inspect,
-					length: 90 * time.Second, services: []goldenService{many}, faultRate: 0.1, loss: 0.05,
-					takeovers: []time.Duration{40 * time.Second}, quiet: 2 * time.Second,
+					length: 90 * time.Second, services: []goldenService{many}, faultRate: 0.1, orderLoss: 0.05,
+					takeovers: []time.Duration{40 * time.Second}, handoverGap: 2 * time.Second,
 				},
 				goldenScenario{
 					name: fmt.Sprintf("scarce-%s-%d", kind, seed), seed: 200 + seed, inspect: inspect,
-					length: 120 * time.Second, services: []goldenService{scarce}, faultRate: 0.8, loss: 0.25,
-					takeovers: []time.Duration{31 * time.Second, 33 * time.Second}, quiet: 300 * time.Millisecond,
+					length: 120 * time.Second, services: []goldenService{scarce}, faultRate: 0.8, orderLoss: 0.25,
+					takeovers: []time.Duration{31 * time.Second, 33 * time.Second}, handoverGap: 300 * time.Millisecond,
 				},
 				goldenScenario{
 					name: fmt.Sprintf("adapters-%s-%d", kind, seed), seed: 300 + seed, inspect: inspect,
-					length: 45 * time.Second, services: []goldenService{lent}, faultRate: 0.2, loss: 0.05,
-					takeovers: []time.Duration{30 * time.Second}, quiet: time.Second,
+					length: 45 * time.Second, services: []goldenService{lent}, faultRate: 0.2, orderLoss: 0.05,
+					takeovers: []time.Duration{30 * time.Second}, handoverGap: time.Second,
 				})
 		}
 	}
@@ -143,8 +143,8 @@
 		for _, e := range fleet.sortedEndpoints {
 			var copies []string
 			for i := range e.models {
-				held := &e.models[i]
-				copies = append(copies, held.model+"("+strings.Join(held.adapters, ",")+")")
+				loaded := &e.models[i]
+				copies = append(copies, loaded.model+"("+strings.Join(loaded.adapters, ",")+")")
 			}
 			pending, plan := "none", "none"
 			if e.pending != nil {
--- a/internal/control/placer/new_leader_test.go
+++ b/internal/control/placer/new_leader_test.go
@@ -9,8 +9,7 @@
 	"raventrestle/internal/protocol"
 )
 
-// newLeaderFleet is a fleet of six endpoints, each with a copy of "busy" and room for one model more, as a new holder finds
-// it.
+// newLeaderFleet is a fleet of six endpoints as a new leader finds it, each with a replica of "busy" and memory for one more model.
 func newLeaderFleet() (*configuration.Configuration, []protocol.Endpoint) {
 	models := []configuration.Model{{Name: "busy", WeightsMB: 60, LoadTimeSeconds: 6}}
 	for _, name := range []string{"m1", "m2", "m3", "m4", "m5", "m6"} {
@@ -28,28 +27,30 @@
 	return &configuration.Configuration{Generation: 1, Services: services}, table
 }
 
+// inspectionsOf answers an inspection of each endpoint.
 func inspectionsOf(table []protocol.Endpoint, busy bool) []Inspection {
-	var looks []Inspection
+	var inspections []Inspection
 	for _, e := range table {
-		looks = append(looks, Inspection{Endpoint: e.ID, Busy: busy, Revision: 3, Models: e.Models})
+		inspections = append(inspections, Inspection{Endpoint: e.ID, Busy: busy, Revision: 3, Models: e.Models})
 	}
-	return looks
+	return inspections
 }
 
+// reportsOfDemand is a router's report of five requests for each of the models, of which so many were unserved, and one for busy.
 func reportsOfDemand(unserved int, names ...string) []protocol.Report {
-	told := protocol.Report{Node: "r", Sequence: 1, Window: 500 * time.Millisecond}
+	report := protocol.Report{Node: "r", Sequence: 1, Window: 500 * time.Millisecond}
 	for _, name := range names {
-		told.Models = append(told.Models, protocol.ModelDemand{
+		report.Models = append(report.Models, protocol.ModelDemand{
 			Service: "lm", Model: name, Requests: 5, Unserved: unserved,
 			Value: 40, Tokens: 5000,
 		})
 	}
-	told.Models = append(told.Models, protocol.ModelDemand{Service: "lm", Model: "busy", Requests: 1, Value: 9, Tokens: 1000})
-	return []protocol.Report{told}
+	report.Models = append(report.Models, protocol.ModelDemand{Service: "lm", Model: "busy", Requests: 1, Value: 9, Tokens: 1000})
+	return []protocol.Report{report}
 }
 
-// TestNewLeaderLoadsUnservedModelsAtOnce has a new holder whose looks show that no endpoint has begun a load lately: it
-// need not wait a window for the earlier holder's loads.
+// TestNewLeaderLoadsUnservedModelsAtOnce has a new leader whose inspections show that no endpoint has begun a load lately: it need
+// not wait a window for the earlier leader's loads.
 func TestNewLeaderLoadsUnservedModelsAtOnce(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := newLeaderFleet()
@@ -66,37 +67,37 @@
 		}
 	}
 	if loads != 6 {
-		t.Errorf("%d loads, want all 6: %+v", loads, out.Orders)
+		t.Errorf("got %d loads, want 6: %+v", loads, out.Orders)
 	}
 }
 
-// TestNewLeaderCountsLoadsOfEarlierLeader has every endpoint busy: each may carry out a load of the earlier holder.
+// TestNewLeaderCountsLoadsOfEarlierLeader has every endpoint busy: each may carry out a load of the earlier leader.
 func TestNewLeaderCountsLoadsOfEarlierLeader(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	ledger := newLoadRateLimiter(now, 5*time.Second, time.Second)
-	ledger.setRate(1, 1.1, 5*time.Second)
+	limiter := newLoadRateLimiter(now, 5*time.Second, time.Second)
+	limiter.setRate(1, 1.1, 5*time.Second)
 	for _, id := range []string{"a", "b", "c", "d", "e"} {
-		ledger.addInherited(now, id)
+		limiter.addInherited(now, id)
 	}
 	count := func(at time.Time) int {
 		n := 0
-		for ; ledger.allows(at); n++ {
-			ledger.addOrdered(uint64(n))
-			ledger.resolve(uint64(n), at, true)
+		for ; limiter.allows(at); n++ {
+			limiter.addOrdered(uint64(n))
+			limiter.resolve(uint64(n), at, true)
 		}
 		return n
 	}
 	if got := count(now); got != reservedLoads {
-		t.Errorf("%d loads beside 5 of others, want %d", got, reservedLoads)
+		t.Errorf("got %d loads beside 5 of the earlier leader, want %d", got, reservedLoads)
 	}
-	ledger.observeIdle(now, "a", 6*time.Second)
-	ledger.observeIdle(now, "b", 6*time.Second)
-	if got := count(now); got != 1 { // 8 at most, of these 2 spare: 3 of others and 2 own leave 1
-		t.Errorf("%d loads after looks at two, want 1", got)
+	limiter.observeIdle(now, "a", 6*time.Second)
+	limiter.observeIdle(now, "b", 6*time.Second)
+	if got := count(now); got != 1 { // 8 at most, of these 2 spare: 3 of the earlier leader and 2 own leave 1
+		t.Errorf("got %d loads after inspections of two endpoints, want 1", got)
 	}
 }
 
-// TestNewLeaderEvictsNothingBeforeReports has a new holder that has heard one report only, with a model in want of room.
+// TestNewLeaderEvictsNothingBeforeReports has a new leader that has heard one report only, and a model that needs memory.
 func TestNewLeaderEvictsNothingBeforeReports(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := newLeaderFleet()
@@ -108,15 +109,15 @@
 		Reports: reportsOfDemand(5, "m1"),
 	})
 	if len(out.Orders) != 0 {
-		t.Errorf("orders before the routers were heard: %+v", out.Orders)
+		t.Errorf("got orders before all routers reported, want none: %+v", out.Orders)
 	}
 	out = p.Step(now.Add(1200*time.Millisecond), Input{Endpoints: table, Reports: reportsOfDemand(5, "m1")})
 	if len(out.Orders) == 0 || !out.Orders[0].Unload {
-		t.Errorf("no room is made after the routers were heard: %+v", out.Orders)
+		t.Errorf("got orders %+v after all routers reported, want an unload first", out.Orders)
 	}
 }
 
-// TestLeaderEvictsNothingAfterSilenceOfReports has a holder act again after seconds in which others led.
+// TestLeaderEvictsNothingAfterSilenceOfReports has a leader act again after seconds in which others led.
 func TestLeaderEvictsNothingAfterSilenceOfReports(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := newLeaderFleet()
@@ -127,15 +128,15 @@
 	again := now.Add(5 * time.Second)
 	out := p.Step(again, Input{Endpoints: table, Reports: reportsOfDemand(5, "m1")})
 	if len(out.Orders) != 0 {
-		t.Errorf("orders before the routers were heard again: %+v", out.Orders)
+		t.Errorf("got orders before all routers reported again, want none: %+v", out.Orders)
 	}
 	out = p.Step(again.Add(600*time.Millisecond), Input{Endpoints: table, Reports: reportsOfDemand(5, "m1")})
 	if len(out.Orders) == 0 {
-		t.Error("no room is made after the routers were heard")
+		t.Error("got no orders after all routers reported, want an unload")
 	}
 }
 
-// TestRecoveryDelaysNoReplica has one endpoint alone serve what all ask for while the core is in trouble.
+// TestRecoveryDelaysNoReplica has a single endpoint serve what all ask for while the replicated state recovers from a fault.
 func TestRecoveryDelaysNoReplica(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := newLeaderFleet()
@@ -144,11 +145,11 @@
 	}
 	p := New(Config{InspectEndpoints: true, HandoverGap: time.Second})
 	p.Step(now, Input{Configuration: c, Endpoints: table, Recovering: true})
-	looks := inspectionsOf(table, false)
+	inspections := inspectionsOf(table, false)
 	loads := 0
 	for i := range 60 {
 		at := now.Add(time.Duration(i+1) * 50 * time.Millisecond)
-		in := Input{Endpoints: table, Inspections: looks, Recovering: true}
+		in := Input{Endpoints: table, Inspections: inspections, Recovering: true}
 		if i%10 == 0 {
 			in.Reports = []protocol.Report{{
 				Node: "r", Sequence: uint64(i), Window: 500 * time.Millisecond,
@@ -158,7 +159,7 @@
 				}},
 			}}
 		}
-		looks = nil
+		inspections = nil
 		for _, order := range p.Step(at, in).Orders {
 			if order.Model == "busy" && !order.Unload {
 				loads++
@@ -166,11 +167,11 @@
 		}
 	}
 	if loads == 0 {
-		t.Error("no second copy of a busy model")
+		t.Error("got no load of a second replica of a busy model, want one")
 	}
 }
 
-// TestStalledUnloadLetsAnotherEndpointLoadTheModel has the unload that makes room for a wanted model wait for runs.
+// TestStalledUnloadLetsAnotherEndpointLoadTheModel has the unload that makes room for an unserved model wait for running requests.
 func TestStalledUnloadLetsAnotherEndpointLoadTheModel(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := newLeaderFleet()
@@ -178,7 +179,7 @@
 	p := New(Config{InspectEndpoints: true, HandoverGap: time.Minute})
 	p.Step(now, Input{Configuration: c, Endpoints: table})
 	p.Step(now.Add(50*time.Millisecond), Input{Endpoints: table, Inspections: inspectionsOf(table, false), Reports: reportsOfDemand(0)})
-	places := map[string]bool{}
+	endpoints := map[string]bool{}
 	var results []Result
 	for at := 500 * time.Millisecond; at < 4*time.Second; at += 100 * time.Millisecond {
 		in := Input{Endpoints: table, Results: results}
@@ -188,17 +189,17 @@
 		results = nil
 		for _, order := range p.Step(now.Add(at), in).Orders {
 			if strings.Contains(order.Reason, "first copy") {
-				places[order.Endpoint] = true
+				endpoints[order.Endpoint] = true
 			}
 			results = append(results, Result{ID: order.ID, Outcome: Accepted})
 		}
 	}
-	if len(places) < 2 {
-		t.Errorf("orders at %v only, want another place", places)
+	if len(endpoints) < 2 {
+		t.Errorf("got orders at %v, want them at 2 endpoints at least", endpoints)
 	}
 }
 
-// TestReplicaWithFewerRunningRequestsIsEvicted has three endpoints run many requests of one model and three run few of another.
+// TestReplicaWithFewerRunningRequestsIsEvicted has three endpoints run many requests of one model, and three run few of another.
 func TestReplicaWithFewerRunningRequestsIsEvicted(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := newLeaderFleet()
@@ -211,9 +212,9 @@
 	}
 	p := New(Config{InspectEndpoints: true, HandoverGap: time.Minute})
 	p.Step(now, Input{Configuration: c, Endpoints: table})
-	looks := inspectionsOf(table, false)
+	inspections := inspectionsOf(table, false)
 	for at := 500 * time.Millisecond; at < 7*time.Second; at += 500 * time.Millisecond {
-		told := protocol.Report{
+		report := protocol.Report{
 			Node: "r", Sequence: uint64(at), Window: 500 * time.Millisecond,
 			Models: []protocol.ModelDemand{
 				{Service: "lm", Model: "busy", Requests: 1, InFlight: 30, Value: 9, Tokens: 1000},
@@ -221,38 +222,38 @@
 			},
 		}
 		if at > 6*time.Second {
-			told.Models = append(told.Models, protocol.ModelDemand{Service: "lm", Model: "m1", Requests: 3, Unserved: 3, Value: 27})
+			report.Models = append(report.Models, protocol.ModelDemand{Service: "lm", Model: "m1", Requests: 3, Unserved: 3, Value: 27})
 		}
-		out := p.Step(now.Add(at), Input{Endpoints: table, Inspections: looks, Reports: []protocol.Report{told}})
-		looks = nil
+		out := p.Step(now.Add(at), Input{Endpoints: table, Inspections: inspections, Reports: []protocol.Report{report}})
+		inspections = nil
 		for _, order := range out.Orders {
 			if order.Unload && order.Model != "m2" {
-				t.Fatalf("%s makes way while it runs requests: %+v", order.Model, order)
+				t.Fatalf("got an unload of %s while it has many running requests, want m2: %+v", order.Model, order)
 			}
 		}
 	}
 	if p.counters.Unloads == 0 {
-		t.Error("nothing made way")
+		t.Error("got no unload, want one of m2")
 	}
 }
 
-// TestStalledUnloadEvictsNoOtherReplicaInUse has all copies run requests: one unload waits, no other joins it.
+// TestStalledUnloadEvictsNoOtherReplicaInUse has all replicas run requests: one unload waits for them, and no other joins it.
 func TestStalledUnloadEvictsNoOtherReplicaInUse(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := newLeaderFleet()
 	c.Services[0].Engine.WeightMemoryMB = 100
 	p := New(Config{InspectEndpoints: true, HandoverGap: time.Minute})
 	p.Step(now, Input{Configuration: c, Endpoints: table})
-	looks := inspectionsOf(table, false)
+	inspections := inspectionsOf(table, false)
 	unloads := 0
 	var results []Result
 	for at := 500 * time.Millisecond; at < 5*time.Second; at += 100 * time.Millisecond {
-		in := Input{Endpoints: table, Results: results, Inspections: looks}
+		in := Input{Endpoints: table, Results: results, Inspections: inspections}
 		if at%(500*time.Millisecond) == 0 {
 			in.Reports = reportsOfDemand(2, "m1")
 			in.Reports[0].Models[1].InFlight = 30
 		}
-		results, looks = nil, nil
+		results, inspections = nil, nil
 		for _, order := range p.Step(now.Add(at), in).Orders {
 			results = append(results, Result{ID: order.ID, Outcome: Accepted})
 			if strings.Contains(order.Reason, "first copy") {
@@ -261,6 +262,6 @@
 		}
 	}
 	if unloads != 1 {
-		t.Errorf("%d copies leave for one model, want 1", unloads)
+		t.Errorf("got %d unloads for one model, want 1", unloads)
 	}
 }
--- a/internal/control/placer/step_benchmark_test.go
+++ b/internal/control/placer/step_benchmark_test.go
@@ -10,10 +10,11 @@
 	"raventrestle/internal/sizetest"
 )
 
-const stepsPerS = 20 // at most: a step takes place no sooner than 50 ms after the one before
+// stepsPerS is the most steps a second: one takes place no sooner than busyStepInterval after the one before.
+const stepsPerS = 20
 
-// BenchmarkStepAtSize is one of 20 steps in a second, with its part of all routers' reports. Orders are taken and done
-// at once, so that the placement settles.
+// BenchmarkStepAtSize measures one of 20 steps a second at the size of the operators' plan, with its part of all routers' reports.
+// Orders are accepted and done at once, so that the placement becomes stable.
 func BenchmarkStepAtSize(b *testing.B) {
 	random := rand.New(rand.NewPCG(1, 1))
 	now := time.Unix(0, 0)
@@ -23,11 +24,11 @@
 	step, orders := 0, 0
 	sequence := uint64(0)
 	var results []Result
-	var looks []Inspection
+	var inspections []Inspection
 	revisions := make(map[string]uint64)
 	one := func() {
 		now = now.Add(time.Second / stepsPerS)
-		in := Input{Endpoints: table, Results: results, Inspections: looks}
+		in := Input{Endpoints: table, Results: results, Inspections: inspections}
 		for i := range sizetest.Routers * sizetest.ReportsPerSecond / stepsPerS {
 			sequence++
 			router := (step*sizetest.Routers*sizetest.ReportsPerSecond/stepsPerS + i) % sizetest.Routers
@@ -44,9 +45,9 @@
 			applyOrder(table, order)
 			revisions[order.Endpoint]++
 		}
-		looks = looks[:0]
+		inspections = inspections[:0]
 		for _, id := range out.Inspect {
-			looks = append(looks, Inspection{Endpoint: id, Revision: revisions[id], Models: modelsOf(table, id)})
+			inspections = append(inspections, Inspection{Endpoint: id, Revision: revisions[id], Models: modelsOf(table, id)})
 		}
 	}
 	for range 10 * stepsPerS {
@@ -62,6 +63,7 @@
 	b.ReportMetric(float64(orders)/float64(b.N), "orders/op")
 }
 
+// modelsOf is what the endpoint has loaded.
 func modelsOf(table []protocol.Endpoint, id string) []protocol.LoadedModel {
 	for i := range table {
 		if table[i].ID == id {
@@ -71,7 +73,7 @@
 	return nil
 }
 
-// applyAdapterOrder loads or unloads an adapter of a model that the endpoint has.
+// applyAdapterOrder loads or unloads an adapter of a model that the endpoint has loaded.
 func applyAdapterOrder(e *protocol.Endpoint, order Order) {
 	models := slices.Clone(e.Models)
 	for i := range models {
@@ -87,7 +89,7 @@
 	e.Models = models
 }
 
-// applyOrder has the endpoint do at once what it was ordered.
+// applyOrder changes the endpoint in the table as it was ordered.
 func applyOrder(table []protocol.Endpoint, order Order) {
 	for i := range table {
 		e := &table[i]
@@ -102,9 +104,9 @@
 			e.Models = append(e.Models[:len(e.Models):len(e.Models)], protocol.LoadedModel{Name: order.Model, Generation: 1})
 		default:
 			var kept []protocol.LoadedModel
-			for _, held := range e.Models {
-				if held.Name != order.Model {
-					kept = append(kept, held)
+			for _, loaded := range e.Models {
+				if loaded.Name != order.Model {
+					kept = append(kept, loaded)
 				}
 			}
 			e.Models = kept
