--- a/cmd/raventrestle-control/client.go
+++ b/cmd/raventrestle-control/client.go
@@ -26,16 +26,16 @@
 	tablePadding     = 2
 )
 
-// client is what all commands that ask an instance have in common.
+// client is the part that all commands which ask an instance share: flags, calls and output.
 type client struct {
-	control string // address of an instance's public interface
+	control string // address of an instance's HTTP interface; "": that of the settings
 	asJSON  bool
-	output  io.Writer
+	output  io.Writer // nil: standard output
 }
 
 func (c *client) flags(flags *flag.FlagSet) {
 	flags.StringVar(&c.control, "control", "",
-		"`address` of a control instance, host:port; left out, the one of the settings file")
+		"`address` of a control instance, host:port; by default that of the settings file")
 	flags.BoolVar(&c.asJSON, "json", false, "print the answer as JSON")
 }
 
@@ -46,25 +46,26 @@
 	return os.Stdout
 }
 
-// base returns where the instance is asked.
+// base returns the URL of the instance to ask: that of the flag, else the own one or the first seed of the settings.
 func (c *client) base() (string, error) {
 	if c.control != "" {
 		return "http://" + c.control, nil
 	}
-	settings, err := nodeconfig.FromEnvironment()
+	config, err := nodeconfig.FromEnvironment()
 	if err != nil {
-		return "", fmt.Errorf("no -control given, and no settings to take it from: %w", err)
+		return "", fmt.Errorf("no -control given, and no settings file to take it from: %w", err)
 	}
-	if settings.ControlAddress != "" {
-		return "http://" + settings.ControlAddress, nil
+	if config.ControlAddress != "" {
+		return "http://" + config.ControlAddress, nil
 	}
-	if len(settings.Seeds) > 0 {
-		return "http://" + settings.Seeds[0], nil
+	if len(config.Seeds) > 0 {
+		return "http://" + config.Seeds[0], nil
 	}
-	return "", fmt.Errorf("no -control given, and the settings name no instance")
+	return "", errors.New("no -control given, and the settings file names no instance")
 }
 
-// call asks the instance; version is the If-Match of a change, negative for none.
+// call sends a request to the instance and returns the response's body. Version is the If-Match of a change; negative:
+// none. A status other than 200 is a *statusError.
 func (c *client) call(ctx context.Context, method, path string, version int64, body []byte) ([]byte, error) {
 	base, err := c.base()
 	if err != nil {
@@ -72,72 +73,73 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	ask := sling.New().Base(base).Path(path)
-	ask = withMethod(ask, method, path)
+	builder := withMethod(sling.New().Base(base).Path(path), method, path)
 	if version >= 0 {
-		ask = ask.Set("If-Match", strconv.FormatInt(version, 10))
+		builder = builder.Set("If-Match", strconv.FormatInt(version, 10))
 	}
 	if body != nil {
-		ask = ask.Body(bytes.NewReader(body)).Set("Content-Type", "application/json")
+		builder = builder.Body(bytes.NewReader(body)).Set("Content-Type", "application/json")
 	}
-	request, err := ask.Request()
+	request, err := builder.Request()
 	if err != nil {
 		return nil, fmt.Errorf("%s %s: %w", method, path, err)
 	}
-	answer, err := http.DefaultClient.Do(request.WithContext(ctx))
+	response, err := http.DefaultClient.Do(request.WithContext(ctx))
 	if err != nil {
 		return nil, fmt.Errorf("%s %s: %w", method, path, err)
 	}
-	defer func() { _ = answer.Body.Close() }() // it has been read
-	text, err := io.ReadAll(io.LimitReader(answer.Body, maxResponseBytes))
+	defer func() { _ = response.Body.Close() }() // it has been read
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return nil, fmt.Errorf("%s %s: read the answer: %w", method, path, err)
+		return nil, fmt.Errorf("%s %s: read the response: %w", method, path, err)
 	}
-	if answer.StatusCode != http.StatusOK {
-		return nil, &statusError{call: method + " " + path, status: answer.StatusCode, reason: reasonIn(text)}
+	if response.StatusCode != http.StatusOK {
+		return nil, &statusError{call: method + " " + path, status: response.StatusCode, reason: reasonIn(text)}
 	}
 	return text, nil
 }
 
-// statusError is an answer other than 200.
+// statusError is the error of a response with a status other than 200.
 type statusError struct {
-	call   string
+	call   string // method and path
 	status int
-	reason string
+	reason string // from the body
 }
 
-func (r *statusError) Error() string {
-	return fmt.Sprintf("%s: %d %s: %s", r.call, r.status, http.StatusText(r.status), r.reason)
+// Error returns call, status and reason.
+func (e *statusError) Error() string {
+	return fmt.Sprintf("%s: %d %s: %s", e.call, e.status, http.StatusText(e.status), e.reason)
 }
 
-// hasStatus says whether an error is the answer with this status.
+// hasStatus reports whether an error is a response with this status.
 func hasStatus(err error, status int) bool {
-	var refused *statusError
-	return errors.As(err, &refused) && refused.status == status
+	var response *statusError
+	return errors.As(err, &response) && response.status == status
 }
 
-func withMethod(ask *sling.Sling, method, path string) *sling.Sling {
+// withMethod sets one of the methods that the commands use.
+func withMethod(builder *sling.Sling, method, path string) *sling.Sling {
 	switch method {
 	case http.MethodPut:
-		return ask.Put(path)
+		return builder.Put(path)
 	case http.MethodPatch:
-		return ask.Patch(path)
+		return builder.Patch(path)
 	}
-	return ask.Get(path)
+	return builder.Get(path)
 }
 
-// reasonIn takes the reason out of an error's body.
+// reasonIn returns the reason in the body of an error response, or the body.
 func reasonIn(text []byte) string {
-	var told struct {
+	var body struct {
 		Error string `json:"error"`
 	}
-	if json.Unmarshal(text, &told) == nil && told.Error != "" {
-		return told.Error
+	if json.Unmarshal(text, &body) == nil && body.Error != "" {
+		return body.Error
 	}
 	return string(text)
 }
 
-// show prints an answer: as it is, or as a table.
+// show prints a response: as it is with -json, else as a table.
 func (c *client) show(text []byte, table func(w io.Writer) error) error {
 	if c.asJSON {
 		_, err := fmt.Fprintln(c.out(), string(text))
@@ -150,7 +152,7 @@
 	return writer.Flush()
 }
 
-// status turns an error into the program's end.
+// status prints an error and returns the exit status.
 func status(err error) subcommands.ExitStatus {
 	if err == nil {
 		return subcommands.ExitSuccess
--- a/cmd/raventrestle-control/commands_test.go
+++ b/cmd/raventrestle-control/commands_test.go
@@ -22,10 +22,10 @@
 	}
 	want := []difference{{"-", "routes b"}, {"~", "generation"}, {"~", "routes a"}, {"+", "routes c"}}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("got other differences than wanted (-want +got):\n%s", diff)
 	}
 	if _, err := differences([]byte(before), []byte("{")); err == nil {
-		t.Error("half a configuration was read")
+		t.Error("half a configuration: got no error, want one")
 	}
 }
 
@@ -40,8 +40,8 @@
 			[]string{"epoch 4", "head\t10.0.0.1:1", "-\t10.0.0.2:1", "no contact with a majority known"},
 		},
 		{printMembers, `{"epoch":4,"as_of_ms":21000}`, []string{"contact with a majority 21000 ms ago"}},
-		{printEndpoints, `{"as_of_ms":21000,"endpoints":[]}`, []string{"OLD: contact with a majority 21000 ms ago"}},
-		{printModels, `{"as_of_ms":21000,"models":[]}`, []string{"OLD: contact with a majority 21000 ms ago"}},
+		{printEndpoints, `{"as_of_ms":21000,"endpoints":[]}`, []string{"STALE: contact with a majority 21000 ms ago"}},
+		{printModels, `{"as_of_ms":21000,"models":[]}`, []string{"STALE: contact with a majority 21000 ms ago"}},
 		{
 			printEndpoints, `{"endpoints":[{"id":"i-1","state":"ready","models":[{"name":"m","adapters":["a1"]}],` +
 				`"loading":[{"model":"n"},{"model":"m","adapter":"a2","unload":true}]}]}`,
@@ -59,14 +59,14 @@
 		}
 		for _, part := range c.contains {
 			if !strings.Contains(out.String(), part) {
-				t.Errorf("%q is missing in %s", part, out.String())
+				t.Errorf("got %s, want %q in it", out.String(), part)
 			}
 		}
 	}
 }
 
-// TestConfigChangeBuildsOnTheNewest has put ask for the version that it builds on.
-func TestConfigChangeBuildsOnTheNewest(t *testing.T) {
+// TestConfigChangeBuildsOnTheNewestVersion sends a change without -onto.
+func TestConfigChangeBuildsOnTheNewestVersion(t *testing.T) {
 	var ifMatch, body string
 	instance := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet && r.URL.Path == configPath {
@@ -90,30 +90,30 @@
 		t.Fatal(err)
 	}
 	if ifMatch != "7" || body != `{"generation":9}` || !strings.Contains(out.String(), "version 9 is in force") {
-		t.Errorf("If-Match %q, body %q, output %q", ifMatch, body, out.String())
+		t.Errorf("got If-Match %q, body %q and output %q, want 7, the file, and version 9 in force", ifMatch, body, out.String())
 	}
 }
 
-// TestFirstConfigBuildsOnNothing has put find out that there is no version yet, and not from an instance that can't tell.
-func TestFirstConfigBuildsOnNothing(t *testing.T) {
+// TestFirstConfigBuildsOnVersionZero takes 404 for no version yet, and no other status.
+func TestFirstConfigBuildsOnVersionZero(t *testing.T) {
 	status := http.StatusNotFound
 	instance := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
-		_, _ = w.Write([]byte(`{"error":"told"}`))
+		_, _ = w.Write([]byte(`{"error":"reason"}`))
 	}))
 	defer instance.Close()
 	command := &configCommand{}
 	command.control = instance.Listener.Addr().String()
 	if version, err := command.newest(t.Context()); err != nil || version != 0 {
-		t.Errorf("version %d, %v", version, err)
+		t.Errorf("got version %d, %v, want 0 and no error", version, err)
 	}
 	status = http.StatusServiceUnavailable
-	if _, err := command.newest(t.Context()); err == nil || !strings.Contains(err.Error(), "told") {
-		t.Errorf("%v", err)
+	if _, err := command.newest(t.Context()); err == nil || !strings.Contains(err.Error(), "reason") {
+		t.Errorf("got %v, want the reason of the response", err)
 	}
 }
 
-func TestRefusalNamesItsReason(t *testing.T) {
+func TestRejectionNamesItsReason(t *testing.T) {
 	instance := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusPreconditionFailed)
 		_, _ = w.Write([]byte(`{"error":"version 9 is in force"}`))
@@ -122,6 +122,6 @@
 	c := &client{control: instance.Listener.Addr().String()}
 	_, err := c.call(t.Context(), http.MethodPut, configPath, 7, []byte("{}"))
 	if err == nil || !strings.Contains(err.Error(), "version 9 is in force") {
-		t.Errorf("%v", err)
+		t.Errorf("got %v, want the reason of the response", err)
 	}
 }
--- a/cmd/raventrestle-control/config.go
+++ b/cmd/raventrestle-control/config_command.go
@@ -17,10 +17,10 @@
 
 const configPath = "/-/config"
 
-// configCommand reads and changes the configuration.
+// configCommand is the verb "config", which reads and changes the operators' configuration.
 type configCommand struct {
 	client
-	onto int64
+	onto int64 // version that a change builds on; negative: the newest
 }
 
 func (*configCommand) Name() string     { return "config" }
@@ -30,15 +30,15 @@
 	return `config [flags] get            prints the newest version
 config [flags] put FILE       replaces the configuration by FILE
 config [flags] patch FILE     changes the items that FILE names
-config [flags] diff FILE      says which items FILE would add, change and remove
-config [flags] history        lists the versions that were taken
+config [flags] diff FILE      lists the items that FILE would add, change and remove
+config [flags] history        lists the accepted versions
   A FILE of - is standard input.
 `
 }
 
 func (c *configCommand) SetFlags(flags *flag.FlagSet) {
 	c.flags(flags)
-	flags.Int64Var(&c.onto, "onto", -1, "the `version` that a change builds on; left out, the newest one")
+	flags.Int64Var(&c.onto, "onto", -1, "the `version` that a change builds on; by default the newest one")
 }
 
 func (c *configCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -67,6 +67,7 @@
 	return err
 }
 
+// change sends the content of a file as a change.
 func (c *configCommand) change(ctx context.Context, method, path string) error {
 	body, err := check.ReadFile(path)
 	if err != nil {
@@ -83,18 +84,18 @@
 		return err
 	}
 	return c.show(text, func(w io.Writer) error {
-		var taken struct {
+		var accepted struct {
 			Generation int64 `json:"generation"`
 		}
-		if err := json.Unmarshal(text, &taken); err != nil {
-			return fmt.Errorf("answer can't be read: %w", err)
+		if err := json.Unmarshal(text, &accepted); err != nil {
+			return fmt.Errorf("decode the response: %w", err)
 		}
-		_, err := fmt.Fprintf(w, "version %d is in force, on top of %d\n", taken.Generation, onto)
+		_, err := fmt.Fprintf(w, "version %d is in force, on top of %d\n", accepted.Generation, onto)
 		return err
 	})
 }
 
-// newest asks for the newest version, which the chain is asked for; 0 before the first.
+// newest returns the number of the newest version, which the instance reads through the chain; 0 before the first.
 func (c *configCommand) newest(ctx context.Context) (int64, error) {
 	text, err := c.call(ctx, http.MethodGet, configPath, -1, nil)
 	if hasStatus(err, http.StatusNotFound) {
@@ -107,7 +108,7 @@
 		Generation int64 `json:"generation"`
 	}
 	if err := json.Unmarshal(text, &newest); err != nil {
-		return 0, fmt.Errorf("answer can't be read: %w", err)
+		return 0, fmt.Errorf("decode the response: %w", err)
 	}
 	return newest.Generation, nil
 }
@@ -118,16 +119,16 @@
 		return err
 	}
 	return c.show(text, func(w io.Writer) error {
-		var told struct {
+		var history struct {
 			AsOfMS   int64             `json:"as_of_ms"`
 			Versions []api.VersionView `json:"versions"`
 		}
-		if err := json.Unmarshal(text, &told); err != nil {
-			return fmt.Errorf("answer can't be read: %w", err)
+		if err := json.Unmarshal(text, &history); err != nil {
+			return fmt.Errorf("decode the response: %w", err)
 		}
-		warnStale(w, told.AsOfMS)
+		warnStale(w, history.AsOfMS)
 		fmt.Fprintln(w, "GENERATION\tINDEX\tBY\tBYTES")
-		for _, version := range told.Versions {
+		for _, version := range history.Versions {
 			fmt.Fprintf(w, "%d\t%d\t%s\t%d\n", version.Generation, version.Index, version.Method, version.Bytes)
 		}
 		return nil
--- a/cmd/raventrestle-control/diff.go
+++ b/cmd/raventrestle-control/diff.go
@@ -14,7 +14,7 @@
 	Item string `json:"item"`
 }
 
-// differences lists what differs, by list and name of the item.
+// differences lists the items that differ between two configurations: removed ones, then changed and added ones.
 func differences(before, after []byte) ([]difference, error) {
 	old, err := itemsOf(before)
 	if err != nil {
@@ -31,9 +31,9 @@
 		}
 	}
 	for _, item := range slices.Sorted(maps.Keys(next)) {
-		value, was := old[item]
+		value, existed := old[item]
 		switch {
-		case !was:
+		case !existed:
 			found = append(found, difference{Sign: "+", Item: item})
 		case !reflect.DeepEqual(value, next[item]):
 			found = append(found, difference{Sign: "~", Item: item})
@@ -42,7 +42,7 @@
 	return found, nil
 }
 
-// itemsOf turns a configuration into its items: those of lists by name, all else by key.
+// itemsOf returns the items of a configuration: those of lists by list and name, everything else by key.
 func itemsOf(body []byte) (map[string]any, error) {
 	var read map[string]any
 	if err := json.Unmarshal(body, &read); err != nil {
@@ -55,18 +55,19 @@
 			items[key] = value
 			continue
 		}
-		for place, item := range list {
-			items[fmt.Sprintf("%s %s", key, nameOf(item, place))] = item
+		for index, item := range list {
+			items[fmt.Sprintf("%s %s", key, nameOf(item, index))] = item
 		}
 	}
 	return items, nil
 }
 
-func nameOf(item any, place int) string {
+// nameOf returns the name of a list's item, or its number from 1.
+func nameOf(item any, index int) string {
 	if fields, isObject := item.(map[string]any); isObject {
 		if name, isText := fields["name"].(string); isText {
 			return name
 		}
 	}
-	return fmt.Sprintf("#%d", place+1)
+	return fmt.Sprintf("#%d", index+1)
 }
--- a/cmd/raventrestle-control/handover.go
+++ b/cmd/raventrestle-control/handover.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	killMargin             = 800 * time.Millisecond // before SIGKILL the process has ended
-	defaultHandoverTimeout = 2 * time.Second        // where the deployment states no grace
+	killMargin             = 800 * time.Millisecond // kept free before SIGKILL
+	defaultHandoverTimeout = 2 * time.Second        // without a known grace period
 )
 
-// handoverTimeout is how long an instance that is told to end waits until the group can do without its disk: it may hold
-// one of the last copies, and a repair takes a while. Its last answers and its end still fit in before SIGKILL, which
-// comes after grace; 0 means that this is not known.
+// handoverTimeout returns how long an instance that was asked to end waits for the group to need its disk no longer: it may
+// have one of the last copies, and repairing a lost one takes a while. The shutdown that follows still ends before SIGKILL,
+// which comes after the grace period; a grace of 0 is unknown.
 func handoverTimeout(grace time.Duration) time.Duration {
 	if grace <= 0 {
 		return defaultHandoverTimeout
--- a/cmd/raventrestle-control/handover_test.go
+++ b/cmd/raventrestle-control/handover_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A member that is needed stays for nearly all of its grace, and its last answers fit in before SIGKILL.
-func TestHandOverTakesTheGrace(t *testing.T) {
+// TestHandoverUsesTheGracePeriod wants the handover and the shutdown to end before SIGKILL.
+func TestHandoverUsesTheGracePeriod(t *testing.T) {
 	for grace, want := range map[time.Duration]time.Duration{
 		0:                      defaultHandoverTimeout,
 		8 * time.Second:        6500 * time.Millisecond,
@@ -14,7 +14,7 @@
 		100 * time.Millisecond: 50 * time.Millisecond,
 	} {
 		if got := handoverTimeout(grace); got != want {
-			t.Errorf("grace %v: %v, want %v", grace, got, want)
+			t.Errorf("grace %v: got %v, want %v", grace, got, want)
 		}
 	}
 }
--- a/cmd/raventrestle-control/instance_test.go
+++ b/cmd/raventrestle-control/instance_test.go
@@ -16,7 +16,7 @@
 	"raventrestle/internal/transport"
 )
 
-const testTimeout = 15 * time.Second // of a test for what must come
+const testTimeout = 15 * time.Second // for what must happen
 
 // group is three instances on loopback, each with an address of its own and the same ports.
 type group struct {
@@ -71,18 +71,18 @@
 	g.instances[n] = running
 }
 
-// stop ends an instance; without a time for the handover it is not a planned one.
+// stop ends an instance; without time for the handover it is not a planned end.
 func (g *group) stop(n int, handOver time.Duration) {
 	if g.instances[n] == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), handOver)
 	defer cancel()
-	_ = g.instances[n].stop(ctx) // whether others could take over is seen by what they answer
+	_ = g.instances[n].stop(ctx) // whether others could take over shows in their responses
 	g.instances[n] = nil
 }
 
-// call asks an instance until it answers with one of the statuses.
+// call sends a request to an instance until the response has one of the statuses.
 func (g *group) call(n int, method, path, ifMatch, body string, statuses ...int) string {
 	g.t.Helper()
 	var last string
@@ -95,7 +95,7 @@
 			}
 		}
 	}
-	g.t.Fatalf("%s %s at %d: %s", method, path, n, last)
+	g.t.Fatalf("%s %s at instance %d: got %s, want one of %v", method, path, n, last, statuses)
 	return ""
 }
 
@@ -106,16 +106,16 @@
 		g.t.Fatal(err)
 	}
 	request.Header.Set("If-Match", ifMatch)
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer func() { _ = answer.Body.Close() }()
-	read, err := io.ReadAll(answer.Body)
+	defer func() { _ = response.Body.Close() }()
+	read, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, err.Error()
 	}
-	return answer.StatusCode, string(read)
+	return response.StatusCode, string(read)
 }
 
 func document(generation int) string {
@@ -124,7 +124,7 @@
 		`"idle_timeout_ms":1000},"tenants":[]}`, generation)
 }
 
-// router follows one instance and confirms what it gets.
+// router subscribes to one instance and acknowledges its updates.
 type router struct {
 	updates chan *protocol.Update
 	closed  chan struct{}
@@ -132,7 +132,7 @@
 
 func (r *router) Message(c *transport.Connection, message any) {
 	if update, isUpdate := message.(*protocol.Update); isUpdate {
-		_ = c.Send(protocol.UpdateAck{Sequence: update.Sequence}) // a closed connection tells of itself
+		_ = c.Send(protocol.UpdateAck{Sequence: update.Sequence}) // a closed connection is reported by Closed
 		r.updates <- update
 	}
 }
@@ -163,7 +163,7 @@
 				return
 			}
 		case <-deadline:
-			t.Fatalf("no update with %s", what)
+			t.Fatalf("got no update in %v, want one with %s", testTimeout, what)
 		}
 	}
 }
@@ -173,8 +173,8 @@
 		state, sequence)
 }
 
-// TestGroupServesAndSurvivesItsHead takes a configuration, brings it and an endpoint to a router of another instance, and goes on after
-// the head has left.
+// TestGroupServesAndSurvivesItsHead sends a configuration and an endpoint to one instance, wants a router of another one to
+// get them, and goes on after the head has ended.
 func TestGroupServesAndSurvivesItsHead(t *testing.T) {
 	g := startGroup(t)
 	g.call(1, http.MethodPut, "/-/config", "0", document(5), http.StatusOK)
@@ -186,13 +186,13 @@
 	g.call(0, http.MethodPut, "/-/instances/i-1", "", endpointBody("ready", 1), http.StatusOK)
 	follower.await(t, "the endpoint", func(u *protocol.Update) bool { return len(u.Endpoints) > 0 })
 	g.call(0, http.MethodPut, "/-/instances/i-1", "", endpointBody("draining", 2), http.StatusOK)
-	follower.await(t, "the farewell", func(u *protocol.Update) bool {
+	follower.await(t, "the deregistration", func(u *protocol.Update) bool {
 		return len(u.Endpoints) > 0 && u.Endpoints[0].State == protocol.Draining
 	})
 	g.stop(0, 2*time.Second)
 	text := g.call(1, http.MethodGet, "/-/config", "", "", http.StatusOK)
 	if !strings.Contains(text, `"generation":5`) {
-		t.Errorf("read back %s", text)
+		t.Errorf("read back: got %s, want generation 5", text)
 	}
 	g.call(2, http.MethodPut, "/-/config", "5", document(8), http.StatusOK)
 	follower.await(t, "version 8", func(u *protocol.Update) bool { return u.Generation == 8 })
@@ -200,11 +200,11 @@
 	g.start(0)
 	text = g.call(0, http.MethodGet, "/-/config", "", "", http.StatusOK)
 	if !strings.Contains(text, `"generation":8`) {
-		t.Errorf("read back by the one that returned: %s", text)
+		t.Errorf("read back from the restarted instance: got %s, want generation 8", text)
 	}
 }
 
-func TestStartNeedsNobody(t *testing.T) {
+func TestStartNeedsNoOtherInstance(t *testing.T) {
 	port := freePort(t)
 	settings := &nodeconfig.Config{
 		NodeName: "core-1", IP: "127.0.0.21", Zone: "z", ControlAddress: fmt.Sprintf("127.0.0.21:%d", port),
@@ -217,5 +217,5 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	_ = running.stop(ctx) // nobody is there to take over
+	_ = running.stop(ctx) // no other instance can take over
 }
--- a/cmd/raventrestle-control/main.go
+++ b/cmd/raventrestle-control/main.go
@@ -1,5 +1,6 @@
-// Raventrestle-control is the control plane: it keeps the operator's configuration on the machines of the core,
-// knows the endpoints, brings both to the routers and places the models.
+// Raventrestle-control is the control plane: it replicates the operator's configuration among the core machines, registers
+// endpoints, sends both to the routers, places models and divides quotas. Its verb "run" is an instance; the others are
+// commands for people, which ask an instance over HTTP or check files.
 package main
 
 import (
--- a/cmd/raventrestle-control/status.go
+++ b/cmd/raventrestle-control/members.go
@@ -8,7 +8,7 @@
 	"raventrestle/internal/control/state"
 )
 
-// memberView is a control instance as people see it.
+// memberView is a control instance in the answer of /-/members. Its keys and those of groupView are pinned by golden tests.
 type memberView struct {
 	Identity string `json:"identity"`
 	Address  string `json:"address"`
@@ -16,7 +16,7 @@
 	Zone     string `json:"zone"`
 	Live     bool   `json:"live"`
 	Voter    bool   `json:"voter"`
-	Place    int    `json:"place,omitempty"` // in the chain, 1 is the head; 0: not in it
+	Position int    `json:"place,omitempty"` // in the chain; 1: the head, 0: not in it
 }
 
 // groupView is the group as this instance knows it.
@@ -26,12 +26,12 @@
 	Committed  uint64       `json:"committed"`
 	Generation int64        `json:"generation"`
 	Leader     bool         `json:"leader"`
-	LeaseMS    int64        `json:"lease_ms,omitempty"` // that is left
+	LeaseMS    int64        `json:"lease_ms,omitempty"` // until the lease ends
 	AsOfMS     *int64       `json:"as_of_ms,omitempty"` // since the newest contact with a majority; nil: none is known
 	Members    []memberView `json:"members"`
 }
 
-// statusView shows the replica's status.
+// statusView returns the answer of /-/members. ConfirmedAt is the moment of the newest contact with a majority.
 func statusView(group replica.Interface, machine *state.Machine, confirmedAt func() time.Time) api.Status {
 	return func() any {
 		status := group.Status()
@@ -55,23 +55,24 @@
 	}
 }
 
+// membersOf lists the members of the chain in its order, then other voters, then other live members.
 func membersOf(status replica.Status) []memberView {
 	var views []memberView
-	at := make(map[string]int)
+	indexes := make(map[string]int) // in views, by identity
 	add := func(member replica.Member) *memberView {
-		place, known := at[member.Identity]
+		index, known := indexes[member.Identity]
 		if !known {
-			place = len(views)
-			at[member.Identity] = place
+			index = len(views)
+			indexes[member.Identity] = index
 			views = append(views, memberView{
 				Identity: member.Identity, Address: member.Address,
 				Control: member.Tag, Zone: member.Zone,
 			})
 		}
-		return &views[place]
+		return &views[index]
 	}
-	for place, member := range status.View.Chain {
-		add(member).Place = place + 1
+	for index, member := range status.View.Chain {
+		add(member).Position = index + 1
 	}
 	for _, member := range status.View.Voters {
 		add(member).Voter = true
--- a/cmd/raventrestle-control/members_golden_test.go
+++ b/cmd/raventrestle-control/members_golden_test.go
@@ -50,13 +50,13 @@
 }
 
 // fixNumber checks a number that varies and replaces it by the expected one.
-func fixNumber(t *testing.T, body []byte, field string, least, most, fixed int) []byte {
+func fixNumber(t *testing.T, body []byte, field string, low, high, fixed int) []byte {
 	t.Helper()
 	pattern := regexp.MustCompile(`"` + field + `":(-?[0-9]+)`)
 	return pattern.ReplaceAllFunc(body, func(found []byte) []byte {
 		number, err := strconv.Atoi(string(pattern.FindSubmatch(found)[1]))
-		if err != nil || number < least || number > most {
-			t.Errorf("got %s, want %d to %d", found, least, most)
+		if err != nil || number < low || number > high {
+			t.Errorf("got %s, want %d to %d", found, low, high)
 		}
 		return []byte(`"` + field + `":` + strconv.Itoa(fixed))
 	})
--- a/cmd/raventrestle-control/run.go
+++ b/cmd/raventrestle-control/run_command.go
@@ -13,7 +13,7 @@
 	"raventrestle/internal/nodeconfig"
 )
 
-// runCommand is the instance itself.
+// runCommand is the verb "run": an instance, until SIGTERM or SIGINT.
 type runCommand struct{}
 
 func (*runCommand) Name() string             { return "run" }
@@ -21,7 +21,7 @@
 func (*runCommand) SetFlags(_ *flag.FlagSet) {}
 
 func (*runCommand) Usage() string {
-	return "run\n  Runs a control instance with the settings file that " + nodeconfig.EnvironmentVariable + " names.\n"
+	return "run\n  Runs a control instance with the settings file in " + nodeconfig.EnvironmentVariable + ".\n  SIGHUP reads log.level from it again.\n"
 }
 
 func (*runCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -32,16 +32,17 @@
 	return subcommands.ExitSuccess
 }
 
+// run runs an instance until a signal ends it or it fails.
 func run(ctx context.Context) error {
-	settings, err := nodeconfig.FromEnvironment()
+	config, err := nodeconfig.FromEnvironment()
 	if err != nil {
 		return err
 	}
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	settings.Limits.ApplyMachineLimits()
-	events := newEventLog(settings.LogLevel)
-	instance, err := start(ctx, settings, events)
+	config.Limits.ApplyMachineLimits()
+	events := newEventLog(config.LogLevel)
+	instance, err := start(ctx, config, events)
 	if err != nil {
 		return err
 	}
@@ -53,7 +54,7 @@
 				continue
 			}
 			events.stopping(received.String())
-			events.stopped(instance.stop(ctx)) // the end itself went as asked, also where nobody took over
+			events.stopped(instance.stop(ctx)) // an orderly end, also where no other instance could take over
 			return nil
 		case err := <-instance.failed:
 			return err
@@ -61,11 +62,11 @@
 	}
 }
 
-// reload takes in what of the settings may change while the instance runs.
+// reload applies what of the settings may change while the instance runs: the log level.
 func reload(events *eventLog) {
-	settings, err := nodeconfig.FromEnvironment()
+	config, err := nodeconfig.FromEnvironment()
 	if err == nil {
-		events.setLevel(settings.LogLevel)
+		events.setLevel(config.LogLevel)
 	}
 	events.reloaded(err)
 }
--- a/cmd/raventrestle-control/tables.go
+++ b/cmd/raventrestle-control/table_commands.go
@@ -14,10 +14,10 @@
 	"raventrestle/internal/control/api"
 )
 
-// oldMS is the age, in milliseconds, above which people are warned of what they read.
+// staleAgeMS is the age, in milliseconds, above which a table is marked as stale.
 const staleAgeMS = 1000
 
-// tableCommand prints one of an instance's tables.
+// tableCommand is a verb that prints one of an instance's tables.
 type tableCommand struct {
 	client
 	name     string
@@ -31,7 +31,7 @@
 		&tableCommand{name: "members", synopsis: "list the control instances", path: "/-/members", print: printMembers},
 		&tableCommand{name: "endpoints", synopsis: "list the endpoints", path: "/-/endpoints", print: printEndpoints},
 		&tableCommand{
-			name: "models", synopsis: "list which endpoint holds which model", path: "/-/models",
+			name: "models", synopsis: "list which endpoint has which model loaded", path: "/-/models",
 			print: printModels,
 		},
 	}
@@ -53,19 +53,19 @@
 func printMembers(w io.Writer, text []byte) error {
 	var group groupView
 	if err := json.Unmarshal(text, &group); err != nil {
-		return fmt.Errorf("answer can't be read: %w", err)
+		return fmt.Errorf("decode the response: %w", err)
 	}
 	fmt.Fprintf(w, "epoch %d, committed %d, generation %d, %s\n", group.Epoch, group.Committed, group.Generation,
 		contactText(group.AsOfMS))
-	fmt.Fprintln(w, "PLACE\tCONTROL\tADDRESS\tZONE\tLIVE\tVOTER\tIDENTITY")
+	fmt.Fprintln(w, "POSITION\tCONTROL\tADDRESS\tZONE\tLIVE\tVOTER\tIDENTITY")
 	for _, member := range group.Members {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\t%v\t%s\n", placeName(member.Place), member.Control, member.Address,
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\t%v\t%s\n", positionName(member.Position), member.Control, member.Address,
 			member.Zone, member.Live, member.Voter, member.Identity)
 	}
 	return nil
 }
 
-// contactText says how old an instance's newest contact with a majority is.
+// contactText describes the age of an instance's newest contact with a majority; nil: none is known.
 func contactText(ageMS *int64) string {
 	if ageMS == nil {
 		return "no contact with a majority known"
@@ -73,47 +73,48 @@
 	return fmt.Sprintf("contact with a majority %d ms ago", *ageMS)
 }
 
-// warnStale says above a table that it is old, where it is.
+// warnStale prints a warning above a table that may be out of date.
 func warnStale(w io.Writer, ageMS int64) {
 	if ageMS > staleAgeMS {
-		fmt.Fprintf(w, "OLD: %s\n", contactText(&ageMS))
+		fmt.Fprintf(w, "STALE: %s\n", contactText(&ageMS))
 	}
 }
 
-// placeName names a place in the chain.
-func placeName(place int) string {
-	switch place {
+// positionName names a position in the chain; 0 is none.
+func positionName(position int) string {
+	switch position {
 	case 0:
 		return "-"
 	case 1:
 		return "head"
 	}
-	return fmt.Sprint(place)
+	return fmt.Sprint(position)
 }
 
 func printEndpoints(w io.Writer, text []byte) error {
-	var told struct {
+	var table struct {
 		AsOfMS    int64              `json:"as_of_ms"`
 		Endpoints []api.EndpointView `json:"endpoints"`
 	}
-	if err := json.Unmarshal(text, &told); err != nil {
-		return fmt.Errorf("answer can't be read: %w", err)
+	if err := json.Unmarshal(text, &table); err != nil {
+		return fmt.Errorf("decode the response: %w", err)
 	}
-	warnStale(w, told.AsOfMS)
+	warnStale(w, table.AsOfMS)
 	fmt.Fprintln(w, "BACKEND\tID\tADDRESS\tZONE\tSTATE\tSLOTS\tSEQ\tMODELS")
-	for _, e := range told.Endpoints {
+	for _, e := range table.Endpoints {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\n", e.Service, e.ID, e.Address, e.Zone, e.State, e.Slots,
 			e.Sequence, modelNames(e))
 	}
 	return nil
 }
 
+// modelNames lists what an endpoint has loaded, and with + and - what it was ordered to load and unload.
 func modelNames(e api.EndpointView) string {
 	var names []string
-	for _, held := range e.Models {
-		names = append(names, held.Name)
-		for _, adapter := range held.Adapters {
-			names = append(names, held.Name+"/"+adapter)
+	for _, model := range e.Models {
+		names = append(names, model.Name)
+		for _, adapter := range model.Adapters {
+			names = append(names, model.Name+"/"+adapter)
 		}
 	}
 	for _, load := range e.Loading {
@@ -127,21 +128,21 @@
 }
 
 func printModels(w io.Writer, text []byte) error {
-	var told struct {
+	var table struct {
 		AsOfMS int64           `json:"as_of_ms"`
 		Models []api.ModelView `json:"models"`
 	}
-	if err := json.Unmarshal(text, &told); err != nil {
-		return fmt.Errorf("answer can't be read: %w", err)
+	if err := json.Unmarshal(text, &table); err != nil {
+		return fmt.Errorf("decode the response: %w", err)
 	}
-	warnStale(w, told.AsOfMS)
-	fmt.Fprintln(w, "BACKEND\tMODEL\tHELD BY\tLOADING AT")
-	for _, model := range told.Models {
-		var holders []string
-		for _, holder := range model.Endpoints {
-			holders = append(holders, holder.ID)
+	warnStale(w, table.AsOfMS)
+	fmt.Fprintln(w, "BACKEND\tMODEL\tLOADED AT\tLOADING AT")
+	for _, model := range table.Models {
+		var endpoints []string
+		for _, endpoint := range model.Endpoints {
+			endpoints = append(endpoints, endpoint.ID)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", model.Service, model.Model, strings.Join(holders, " "),
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", model.Service, model.Model, strings.Join(endpoints, " "),
 			strings.Join(model.Loading, " "))
 	}
 	return nil
