--- a/coordination/engine/config.go
+++ b/coordination/engine/config.go
@@ -23,7 +23,7 @@
 // ErrOutcomeUnknown means that a command may or may not have been applied, or may be applied later.
 var ErrOutcomeUnknown = errors.New("the command may or may not have been applied")
 
-// StateMachine is the replicated state. All methods are called by the goroutine that calls Open, Step and Maintain.
+// StateMachine is the replicated state. Its methods are called by whoever calls Open, Step and Maintain, one at a time.
 //
 // An implementation promises:
 //   - to be deterministic: the same commands in the same order give the same state, results and snapshots on every
--- a/coordination/replica/doc.go
+++ b/coordination/replica/doc.go
@@ -38,8 +38,8 @@
 // # Goroutines
 //
 // Open starts one goroutine, the loop. It owns the engine and everything that is not atomic or behind the inbox's lock,
-// and works through the inbox; it calls the StateMachine, Transport.Send and RecordEvent. Stop and Kill end it and wait
-// for its end. All methods may be called from any goroutine.
+// and works through the inbox; from the return of Open on only the loop calls the StateMachine, Transport.Send and
+// RecordEvent. Stop and Kill end it and wait for its end. All methods may be called from any goroutine.
 //
 // # Packages
 //
--- a/coordination/replica/interface.go
+++ b/coordination/replica/interface.go
@@ -8,8 +8,8 @@
 	"raventrestle/coordination/view"
 )
 
-// StateMachine is the replicated state; engine.StateMachine says what an implementation promises. The replica calls it
-// from one goroutine.
+// StateMachine is the replicated state; engine.StateMachine says what an implementation promises. Its methods are never
+// called concurrently: by the caller of Open until that returns, by the loop from then on.
 type StateMachine = engine.StateMachine
 
 // Member is one participant. Identity is made at its first start on an empty disk and dies with the disk.
@@ -31,8 +31,8 @@
 	LeaseExpiry time.Time
 	LeaderSince time.Time // when this member became leader in this epoch
 	// ConfirmedAt is the newest moment of this member's majority contact: a majority of the voters was in View's epoch
-	// then, and everything that was acknowledged anywhere before it is applied here. It is zero while there was none in
-	// this epoch and incarnation.
+	// then, and everything that was acknowledged anywhere before it is applied here (the newest valid proof of freshness
+	// of package chain). It is zero while there was none in this epoch and incarnation.
 	ConfirmedAt time.Time
 	// PreviousLeaseExpiry is until when a leader of an earlier epoch may still hold its lease.
 	PreviousLeaseExpiry time.Time
