--- a/internal/router/call/answer.go
+++ b/internal/router/call/answer.go
@@ -168,14 +168,14 @@
 }
 
 // Load returns the load that the endpoint states, nil if it states none.
-func (a *Answer) Load() *dispatch.ToldLoad {
+func (a *Answer) Load() *dispatch.AdvertisedLoad {
 	value := a.Header.Get(loadHeader)
 	if value == "" {
 		return nil
 	}
 	running, rest, _ := strings.Cut(value, ",")
 	waiting, slots, _ := strings.Cut(rest, ",")
-	var load dispatch.ToldLoad
+	var load dispatch.AdvertisedLoad
 	for _, field := range []struct {
 		to   *int
 		text string
--- a/internal/router/call/call_test.go
+++ b/internal/router/call/call_test.go
@@ -169,7 +169,7 @@
 }
 
 func TestLoadHeaderIsParsed(t *testing.T) {
-	for value, want := range map[string]*dispatch.ToldLoad{
+	for value, want := range map[string]*dispatch.AdvertisedLoad{
 		"3,0,8": {Running: 3, Slots: 8}, " 3, 1 , 8": {Running: 3, Waiting: 1, Slots: 8},
 		"": nil, "3,0": nil, "a,b,c": nil, "-1,0,8": nil, "1,2,3,4": nil,
 	} {
--- a/internal/router/dispatch/admission.go
+++ b/internal/router/dispatch/admission.go
@@ -272,12 +272,12 @@
 func (d *Decider) countSend(r *request) {
 	d.counters.Sent++
 	if r.late {
-		d.counters.SentLate++
+		d.counters.SentPastTarget++
 	} else {
 		r.group.sentAt = d.now
 	}
 	if r.arrivals > 0 {
-		d.counters.SentAgain++
+		d.counters.Retries++
 	}
 }
 
@@ -306,7 +306,7 @@
 			}
 			r.chosenAt = r.group.changes
 			if h, how := d.choose(r); h != nil && h.at != e && how == goesNow {
-				d.counters.Moved++
+				d.counters.Requeued++
 				d.lift(r)
 				d.holdAt(r, h.at)
 				j--
--- a/internal/router/dispatch/budget.go
+++ b/internal/router/dispatch/budget.go
@@ -59,7 +59,7 @@
 
 // countRequest notes a request for the service.
 func (d *Decider) countRequest(s *service) {
-	s.budget.turn(d.now, d.options.BudgetWindow)
+	s.budget.turn(d.now, d.options.RetryBudgetWindow)
 	s.budget.requests[s.budget.index()]++
 }
 
@@ -69,8 +69,8 @@
 		return true
 	}
 	b := &r.group.service.budget
-	b.turn(d.now, d.options.BudgetWindow)
-	allowed := d.options.BudgetRatio*float64(b.asked()) + d.options.BudgetSlack/float64(d.routers)
+	b.turn(d.now, d.options.RetryBudgetWindow)
+	allowed := d.options.RetryBudgetRatio*float64(b.asked()) + d.options.RetryBudgetSlack/float64(d.routers)
 	allowed *= budgetShare * r.budgetShare()
 	return float64(b.spent()+1) <= allowed
 }
@@ -92,7 +92,7 @@
 		return
 	}
 	b := &r.group.service.budget
-	b.turn(d.now, d.options.BudgetWindow)
+	b.turn(d.now, d.options.RetryBudgetWindow)
 	b.further[b.index()]++
 	r.spentAt = b.piece
 	r.spentNow = true
@@ -105,7 +105,7 @@
 	}
 	r.spentNow = false
 	b := &r.group.service.budget
-	b.turn(d.now, d.options.BudgetWindow)
+	b.turn(d.now, d.options.RetryBudgetWindow)
 	at := r.spentAt % (budgetSlots + 1)
 	if b.piece-r.spentAt <= budgetSlots && b.further[at] > 0 {
 		b.further[at]--
--- a/internal/router/dispatch/choice.go
+++ b/internal/router/dispatch/choice.go
@@ -91,13 +91,13 @@
 // sharedParts is how many of the request's parts others may share, and their tokens. Where the parts are
 // the whole prompt, the last one is the request's own.
 func (r *request) sharedParts() (count, tokens int) {
-	for i := range r.Parts {
-		tokens += r.Parts[i].Tokens
+	for i := range r.PromptParts {
+		tokens += r.PromptParts[i].Tokens
 	}
-	count = len(r.Parts)
+	count = len(r.PromptParts)
 	if count > 1 && tokens >= r.PromptTokens {
 		count--
-		tokens -= r.Parts[count].Tokens
+		tokens -= r.PromptParts[count].Tokens
 	}
 	return count, tokens
 }
@@ -145,7 +145,7 @@
 	if d.doubtful(e) {
 		cost += doubtPrice
 	}
-	if e.evidence.most > 0 && !r.Repeatable {
+	if e.evidence.most > 0 && !r.Retryable {
 		cost += trialPrice
 	}
 	cost += tiePrice * float64(mix(e.hash^d.seed)>>11) / (1 << 53)
@@ -184,12 +184,12 @@
 
 // remember notes the request in the memory of the holder that it is sent to.
 func (d *Decider) remember(h *holding, r *request) {
-	if len(r.Parts) == 0 {
+	if len(r.PromptParts) == 0 {
 		return
 	}
 	most := math.MaxInt32
 	if engine := h.group.service.engine(); engine != nil && engine.KVTokens > 0 {
 		most = int(engine.KVTokens) / max(len(h.at.holdings)-1, 1) // all but the one for requests without a model
 	}
-	h.kept.add(r.chain(), r.Parts, d.now, most)
+	h.kept.add(r.chain(), r.PromptParts, d.now, most)
 }
--- a/internal/router/dispatch/closing.go
+++ b/internal/router/dispatch/closing.go
@@ -17,13 +17,13 @@
 // closing are the times of Closing, all 0 while the process does not end.
 type closing struct{ holdUntil, chooseFrom, endBy time.Duration }
 
-func (d *Decider) beginClosing(input Closing) {
-	d.closing = closing{holdUntil: max(input.HoldUntil.Sub(d.base), d.now)}
-	if input.ChooseFrom.IsZero() {
+func (d *Decider) beginClosing(input ShutdownStarted) {
+	d.closing = closing{holdUntil: max(input.QueueDeadline.Sub(d.base), d.now)}
+	if input.SelectiveAdmissionFrom.IsZero() {
 		return
 	}
-	d.closing.chooseFrom = max(input.ChooseFrom.Sub(d.base), d.now)
-	d.closing.endBy = input.EndBy.Sub(d.base)
+	d.closing.chooseFrom = max(input.SelectiveAdmissionFrom.Sub(d.base), d.now)
+	d.closing.endBy = input.ShutdownDeadline.Sub(d.base)
 }
 
 // endsInTime says whether a request that is taken on now can be expected to end well before the process does, by its own
@@ -39,8 +39,8 @@
 
 // turnAway refuses a request that would not end in time.
 func (d *Decider) turnAway(r *request) {
-	d.counters.Refused[Leaving]++
-	d.out = append(d.out, Refuse{ID: r.ID, Reason: Leaving, RetryAfter: d.retryAfter(r, 0)})
+	d.counters.Rejected[ShuttingDown]++
+	d.out = append(d.out, Reject{ID: r.ID, Reason: ShuttingDown, RetryAfter: d.retryAfter(r, 0)})
 }
 
 // heldAtMost bounds a time until which a request is to be held.
@@ -79,7 +79,7 @@
 		switch {
 		case r.answering:
 		case d.now >= d.heldTo(r):
-			d.refuse(r, Leaving, d.retryAfter(r, 0))
+			d.refuse(r, ShuttingDown, d.retryAfter(r, 0))
 		default:
 			d.wakeBy(d.heldTo(r))
 		}
--- a/internal/router/dispatch/closing_test.go
+++ b/internal/router/dispatch/closing_test.go
@@ -8,12 +8,14 @@
 	"raventrestle/internal/protocol"
 )
 
-func (s *script) closing(holdUntil int) Closing { return Closing{HoldUntil: s.time(holdUntil)} }
+func (s *script) closing(holdUntil int) ShutdownStarted {
+	return ShutdownStarted{QueueDeadline: s.time(holdUntil)}
+}
 
 // patient makes a request whose objective is far.
 func (s *script) patient(model string) Request {
 	r := s.request(model)
-	r.Objective, r.Deadline = s.time(s.at+10000), s.time(s.at+30000)
+	r.LatencyTarget, r.Deadline = s.time(s.at+10000), s.time(s.at+30000)
 	return r
 }
 
@@ -24,7 +26,7 @@
 	loading.Loading = []protocol.ModelLoad{{Model: "rare", Remaining: 9 * time.Second}}
 	s := newScript(t, loading)
 	s.step(1000)
-	s.step(1000, Arrived{s.patient("rare")})
+	s.step(1000, RequestArrived{s.patient("rare")})
 	if out := s.step(1100, s.closing(2500)); len(refusals(out)) > 0 {
 		t.Fatalf("refused while clients may still come: %v", out)
 	}
@@ -32,19 +34,19 @@
 		t.Errorf("next wake %v after the start", at.Sub(s.zero))
 	}
 	refusal := s.oneRefusal(s.step(2500))
-	if refusal.Reason != Leaving || refusal.RetryAfter <= 0 || refusal.RetryAfter > 100*time.Millisecond {
+	if refusal.Reason != ShuttingDown || refusal.RetryAfter <= 0 || refusal.RetryAfter > 100*time.Millisecond {
 		t.Errorf("%+v", refusal)
 	}
-	if out := s.step(2600, Arrived{s.patient("rare")}); len(refusals(out)) > 0 {
+	if out := s.step(2600, RequestArrived{s.patient("rare")}); len(refusals(out)) > 0 {
 		t.Errorf("refused without a moment's patience: %v", out)
 	}
 	if at := s.d.NextWake(); at.IsZero() || at.After(s.time(2750)) {
 		t.Errorf("next wake %v after the start", at.Sub(s.zero))
 	}
-	if refusal := s.oneRefusal(s.step(2751)); refusal.Reason != Leaving {
+	if refusal := s.oneRefusal(s.step(2751)); refusal.Reason != ShuttingDown {
 		t.Errorf("%+v", refusal)
 	}
-	if send := s.oneSend(s.step(2760, Arrived{s.patient("m")})); send.Endpoint != "a" {
+	if send := s.oneSend(s.step(2760, RequestArrived{s.patient("m")})); send.Endpoint != "a" {
 		t.Errorf("%+v", send)
 	}
 	if len(s.d.requests) != 1 {
@@ -59,8 +61,8 @@
 	s := newScript(t, loading)
 	s.step(0, s.closing(2500))
 	r := s.request("rare")
-	r.Objective, r.Deadline = s.time(10000), s.time(30000)
-	s.step(1, Arrived{r})
+	r.LatencyTarget, r.Deadline = s.time(10000), s.time(30000)
+	s.step(1, RequestArrived{r})
 	refusal := s.oneRefusal(s.step(2300))
 	if refusal.Reason != NoEndpoint || refusal.RetryAfter < 6*time.Second {
 		t.Errorf("%+v", refusal)
@@ -71,9 +73,9 @@
 func TestAStreamUnderWayWaitsAtTheEnd(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
 	s.step(0, s.closing(2000))
-	send := s.oneSend(s.step(2100, Arrived{s.patient("m")}))
-	s.step(2200, FirstByte{ID: send.ID, Endpoint: "a"})
-	out := s.step(2300, Finished{ID: send.ID, Endpoint: "a", Result: Lost, More: true})
+	send := s.oneSend(s.step(2100, RequestArrived{s.patient("m")}))
+	s.step(2200, FirstByteReceived{ID: send.ID, Endpoint: "a"})
+	out := s.step(2300, AttemptFinished{ID: send.ID, Endpoint: "a", Result: ConnectionLost, NeedsRetry: true})
 	if len(refusals(out)) > 0 {
 		t.Fatalf("%v", out)
 	}
@@ -95,7 +97,7 @@
 		w.at(2*time.Second, func(w *world) { trouble(w, s, 5*time.Second) })
 		hold := 2500 * time.Millisecond
 		w.at(time.Second, func(w *world) {
-			w.inputs[1] = append(w.inputs[1], Closing{HoldUntil: w.zero.Add(hold)})
+			w.inputs[1] = append(w.inputs[1], ShutdownStarted{QueueDeadline: w.zero.Add(hold)})
 		})
 		for at := hold; at < 5*time.Second; at += worldTick {
 			w.play(at + worldTick)
@@ -125,11 +127,11 @@
 		at := 1000 + 10*i
 		s.step(at)
 		flow, plain := s.request("m"), s.request("")
-		s.step(at, Arrived{flow}, Arrived{plain})
-		s.step(at+40, Finished{ID: plain.ID, Endpoint: "b", Result: Succeeded})
-		s.step(at+3000, FirstByte{ID: flow.ID, Endpoint: "a"}, Finished{ID: flow.ID, Endpoint: "a", Result: Succeeded})
+		s.step(at, RequestArrived{flow}, RequestArrived{plain})
+		s.step(at+40, AttemptFinished{ID: plain.ID, Endpoint: "b", Result: Succeeded})
+		s.step(at+3000, FirstByteReceived{ID: flow.ID, Endpoint: "a"}, AttemptFinished{ID: flow.ID, Endpoint: "a", Result: Succeeded})
 	}
-	s.step(10000, Closing{HoldUntil: s.time(12300), ChooseFrom: s.time(late), EndBy: s.time(17400)})
+	s.step(10000, ShutdownStarted{QueueDeadline: s.time(12300), SelectiveAdmissionFrom: s.time(late), ShutdownDeadline: s.time(17400)})
 	s.step(late)
 	return s
 }
@@ -147,7 +149,7 @@
 		"a stream":                         {at: late, model: "m"},
 		"a short stream":                   {at: late, model: "m", make: func(_ *script, r *Request) { r.OutputTokens = 10 }, taken: true},
 		"a short stream, near the end":     {at: late + 4000, model: "m", make: func(_ *script, r *Request) { r.OutputTokens = 10 }},
-		"a stream that may not be resumed": {at: late, model: "m", make: func(_ *script, r *Request) { r.Repeatable = false }},
+		"a stream that may not be resumed": {at: late, model: "m", make: func(_ *script, r *Request) { r.Retryable = false }},
 		"a stream with a near deadline": {
 			at: late, model: "m", taken: true,
 			make: func(s *script, r *Request) { r.Deadline = s.time(late + 4000) },
@@ -164,19 +166,19 @@
 			s := ending(t)
 			if c.at < late {
 				s = newScript(t, modelEndpoint("a", 1, "m"))
-				s.step(10000, Closing{HoldUntil: s.time(12300), ChooseFrom: s.time(late), EndBy: s.time(17400)})
+				s.step(10000, ShutdownStarted{QueueDeadline: s.time(12300), SelectiveAdmissionFrom: s.time(late), ShutdownDeadline: s.time(17400)})
 			}
 			s.step(c.at)
 			r := s.request(c.model)
 			if c.make != nil {
 				c.make(s, &r)
 			}
-			out := s.step(c.at, Arrived{r})
+			out := s.step(c.at, RequestArrived{r})
 			if c.taken {
 				s.oneSend(out)
 				return
 			}
-			if no := s.oneRefusal(out); no.Reason != Leaving || no.RetryAfter <= 0 || no.RetryAfter > 100*time.Millisecond {
+			if no := s.oneRefusal(out); no.Reason != ShuttingDown || no.RetryAfter <= 0 || no.RetryAfter > 100*time.Millisecond {
 				t.Errorf("%+v", no)
 			}
 			if len(s.d.requests) != 0 {
@@ -191,23 +193,23 @@
 	s := ending(t)
 	r := s.request("m")
 	r.OutputTokens = 10
-	s.oneSend(s.step(late, Arrived{r}))
-	if no := s.oneRefusal(s.step(late+4000, Finished{ID: r.ID, Endpoint: "a", Result: Refused, More: true})); no.Reason != Leaving {
+	s.oneSend(s.step(late, RequestArrived{r}))
+	if no := s.oneRefusal(s.step(late+4000, AttemptFinished{ID: r.ID, Endpoint: "a", Result: Rejected, NeedsRetry: true})); no.Reason != ShuttingDown {
 		t.Errorf("%+v", no)
 	}
 	s = newScript(t, modelEndpoint("a", 1, "m"))
-	s.step(10000, Closing{HoldUntil: s.time(12300), ChooseFrom: s.time(late), EndBy: s.time(17400)})
+	s.step(10000, ShutdownStarted{QueueDeadline: s.time(12300), SelectiveAdmissionFrom: s.time(late), ShutdownDeadline: s.time(17400)})
 	s.step(late - 100)
 	r = s.request("m")
 	r.Tenant, r.Charge = "t", 9000
-	if out := s.step(late-100, Arrived{r}); len(refusals(out))+len(sends(out)) > 0 {
+	if out := s.step(late-100, RequestArrived{r}); len(refusals(out))+len(sends(out)) > 0 {
 		t.Fatalf("not held for its quota: %v", out)
 	}
 	out := s.step(late, ViewChanged{Quotas: []protocol.QuotaGrant{{
 		Tenant: "t", RatePerSecond: 9000, Burst: 9000, Credit: 99999,
 		TTL: time.Minute,
 	}}})
-	if no := s.oneRefusal(out); no.Reason != Leaving {
+	if no := s.oneRefusal(out); no.Reason != ShuttingDown {
 		t.Errorf("%+v", no)
 	}
 	if list := sends(out); len(list) > 0 {
@@ -225,8 +227,8 @@
 		w.usual(0.5 + 1.5*rng.Float64())
 		const choose, endBy = 5 * time.Second, 9600 * time.Millisecond
 		w.at(2*time.Second, func(w *world) {
-			w.inputs[1] = append(w.inputs[1], Closing{
-				HoldUntil: w.zero.Add(choose - 500*time.Millisecond), ChooseFrom: w.zero.Add(choose), EndBy: w.zero.Add(endBy),
+			w.inputs[1] = append(w.inputs[1], ShutdownStarted{
+				QueueDeadline: w.zero.Add(choose - 500*time.Millisecond), SelectiveAdmissionFrom: w.zero.Add(choose), ShutdownDeadline: w.zero.Add(endBy),
 			})
 		})
 		w.play(choose)
--- a/internal/router/dispatch/day_test.go
+++ b/internal/router/dispatch/day_test.go
@@ -54,7 +54,7 @@
 	}
 	t.Logf("refused with half free: %d; %.3f of the shared tokens were kept", w.fullFree, saved/shared)
 	for i, d := range w.routers {
-		x := d.Errors()
+		x := d.PredictionErrors()
 		t.Logf("router %d: predictions %d, median ratio %.2f, 95th %.2f, off by %.1f of %.1f ms", i, x.Count, x.MedianRatio,
 			x.Percentile95, x.MeanAbsoluteMS, x.MeanPredictedMS)
 	}
--- a/internal/router/dispatch/decider.go
+++ b/internal/router/dispatch/decider.go
@@ -14,7 +14,7 @@
 // MaxEndpoints endpoints at most; the retry budget and the quotas hold in every window; every request has
 // one end; the eligible head with the lowest start tag plus delta leaves first.
 type Decider struct {
-	options Options
+	options Config
 	seed    uint64
 	draw    *rand.Rand
 	base    time.Time
@@ -32,7 +32,7 @@
 	timers    timers
 	homeless  []*group // with requests that have no endpoint
 	demand    demand
-	errors    Errors
+	errors    PredictionErrors
 	suspects  []*endpoint // silent or failing, to be reported
 	graves    graves
 	counters  Counters
@@ -95,13 +95,13 @@
 }
 
 // New returns the decider of one router.
-func New(options Options) *Decider {
+func New(options Config) *Decider {
 	options = options.withDefaults()
 	d := &Decider{
 		options:   options,
 		seed:      options.Seed,
 		draw:      rand.New(rand.NewPCG(options.Seed, hashSeed)),
-		routers:   options.Routers,
+		routers:   options.RouterCount,
 		services:  map[string]*service{},
 		endpoints: map[string]*endpoint{},
 		tenants:   map[string]*tenant{},
@@ -156,21 +156,21 @@
 
 func (d *Decider) take(input Input) {
 	switch input := input.(type) {
-	case Arrived:
+	case RequestArrived:
 		d.arrived(&input.Request)
-	case Withdrawn:
+	case RequestCanceled:
 		d.withdraw(input.ID)
-	case FirstByte:
+	case FirstByteReceived:
 		d.firstByte(input)
-	case Progress:
+	case StreamProgress:
 		d.progress(input)
-	case Stalled:
+	case StreamStalled:
 		d.stalled(input)
-	case Finished:
+	case AttemptFinished:
 		d.finished(input)
 	case ViewChanged:
 		d.view(input)
-	case Closing:
+	case ShutdownStarted:
 		d.beginClosing(input)
 	}
 }
@@ -182,16 +182,16 @@
 	}
 	d.counters.Arrived++
 	if d.unknown(asked) {
-		d.counters.Refused[NoEndpoint]++
-		d.out = append(d.out, Refuse{ID: asked.ID, Reason: NoEndpoint, RetryAfter: unknownAfter})
+		d.counters.Rejected[NoEndpoint]++
+		d.out = append(d.out, Reject{ID: asked.ID, Reason: NoEndpoint, RetryAfter: unknownAfter})
 		return
 	}
 	r := &request{Request: *asked}
 	r.arrived = d.now
-	if !asked.Arrived.IsZero() {
-		r.arrived = min(asked.Arrived.Sub(d.base), d.now)
+	if !asked.ArrivedAt.IsZero() {
+		r.arrived = min(asked.ArrivedAt.Sub(d.base), d.now)
 	}
-	r.objective = asked.Objective.Sub(d.base)
+	r.objective = asked.LatencyTarget.Sub(d.base)
 	r.deadline = asked.Deadline.Sub(d.base)
 	r.rank = rank(asked)
 	r.group = d.serviceNamed(asked.Service).groupNamed(asked.Model)
@@ -205,7 +205,7 @@
 	case paid:
 		d.admit(r)
 	case r.yields || !d.holdUnpaid(r):
-		d.refuse(r, OverQuota, wait)
+		d.refuse(r, QuotaExceeded, wait)
 	}
 }
 
@@ -249,21 +249,21 @@
 // refuse ends a held request.
 func (d *Decider) refuse(r *request, reason Reason, after time.Duration) {
 	d.lift(r)
-	if reason == NoEndpoint || reason == NoTime {
+	if reason == NoEndpoint || reason == TargetUnreachable {
 		d.countUnserved(r)
 	}
-	d.counters.Refused[reason]++
-	if t := d.tenants[r.Tenant]; t != nil && reason == OverQuota && !r.yields {
+	d.counters.Rejected[reason]++
+	if t := d.tenants[r.Tenant]; t != nil && reason == QuotaExceeded && !r.yields {
 		t.over.note(r, d.now)
 	}
-	d.out = append(d.out, Refuse{ID: r.ID, Reason: reason, RetryAfter: after})
-	if reason != OverQuota && reason != NoEndpoint {
+	d.out = append(d.out, Reject{ID: r.ID, Reason: reason, RetryAfter: after})
+	if reason != QuotaExceeded && reason != NoEndpoint {
 		r.group.service.fairness.count(r, false)
 	}
 	d.forget(r)
 }
 
-func (d *Decider) firstByte(input FirstByte) {
+func (d *Decider) firstByte(input FirstByteReceived) {
 	r := d.requests[input.ID]
 	if r == nil || r.stage != sent || r.at.id != input.Endpoint || r.heard {
 		return
@@ -280,7 +280,7 @@
 	e.changed()
 }
 
-func (d *Decider) progress(input Progress) {
+func (d *Decider) progress(input StreamProgress) {
 	r := d.requests[input.ID]
 	if r != nil && r.stage == sent && r.at.id == input.Endpoint {
 		r.at.evidence.heardAt = d.now
--- a/internal/router/dispatch/decisions_test.go
+++ b/internal/router/dispatch/decisions_test.go
@@ -12,7 +12,7 @@
 func quotaSpent(t *testing.T) *script {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
 	for i := range 2 {
-		s.step(1+i, Finished{ID: s.oneSend(s.step(1+i, Arrived{s.charged(1000)})).ID, Endpoint: "a"})
+		s.step(1+i, AttemptFinished{ID: s.oneSend(s.step(1+i, RequestArrived{s.charged(1000)})).ID, Endpoint: "a"})
 	}
 	return s
 }
@@ -36,7 +36,7 @@
 // ones are refused at once.
 func TestOverQuotaIsRefusedAndTold(t *testing.T) {
 	s := quotaSpent(t)
-	out := s.step(20, Arrived{s.charged(1000)})
+	out := s.step(20, RequestArrived{s.charged(1000)})
 	if len(sends(out))+len(refusals(out)) > 0 {
 		t.Fatalf("not held: %v", out)
 	}
@@ -46,27 +46,27 @@
 	if wake := s.d.NextWake().Sub(s.zero); wake > 100*time.Millisecond {
 		t.Errorf("held until %v", wake)
 	}
-	for _, out := range [][]Output{s.step(101), s.step(102, Arrived{s.charged(1000)})} {
+	for _, out := range [][]Output{s.step(101), s.step(102, RequestArrived{s.charged(1000)})} {
 		refusal := s.oneRefusal(out)
-		if refusal.Reason != OverQuota || refusal.RetryAfter < 1500*time.Millisecond || refusal.RetryAfter > 2*time.Second {
+		if refusal.Reason != QuotaExceeded || refusal.RetryAfter < 1500*time.Millisecond || refusal.RetryAfter > 2*time.Second {
 			t.Errorf("refused with %+v", refusal)
 		}
 	}
-	s.oneSend(s.step(2100, Arrived{s.charged(1000)}))
+	s.oneSend(s.step(2100, RequestArrived{s.charged(1000)}))
 }
 
 func TestCreditLetsGoWhatWaitsForIt(t *testing.T) {
 	s := quotaSpent(t)
-	out := s.step(20, Arrived{s.charged(1000)})
+	out := s.step(20, RequestArrived{s.charged(1000)})
 	grant := protocol.QuotaGrant{Tenant: "t", RatePerSecond: 500, Burst: 1000, TTL: time.Second, Credit: lacking(out)}
-	s.step(24, Finished{ID: s.oneSend(s.step(24, ViewChanged{Quotas: []protocol.QuotaGrant{grant}})).ID, Endpoint: "a"})
-	if out := s.step(25, Arrived{s.charged(1000)}); len(sends(out)) > 0 {
+	s.step(24, AttemptFinished{ID: s.oneSend(s.step(24, ViewChanged{Quotas: []protocol.QuotaGrant{grant}})).ID, Endpoint: "a"})
+	if out := s.step(25, RequestArrived{s.charged(1000)}); len(sends(out)) > 0 {
 		t.Error("credit was spent twice")
 	}
-	if out := s.step(26, Withdrawn{ID: s.id}); len(out) > 0 {
+	if out := s.step(26, RequestCanceled{ID: s.id}); len(out) > 0 {
 		t.Errorf("withdrawn while it waited: %v", out)
 	}
-	s.oneSend(s.step(2100, Arrived{s.charged(1000)}))
+	s.oneSend(s.step(2100, RequestArrived{s.charged(1000)}))
 }
 
 func TestGrantReplacesTheFloorAndEnds(t *testing.T) {
@@ -91,17 +91,17 @@
 	s := newScript(t, modelEndpoint("a", 1, "m"))
 	r := s.request("m")
 	r.Tenant, r.Charge, r.MaxEndpoints = "t", 1000, 1
-	s.step(1, Arrived{r})
+	s.step(1, RequestArrived{r})
 	before := s.d.tenants["t"].level
-	s.step(2, Finished{ID: r.ID, Endpoint: "a", Result: Refused})
+	s.step(2, AttemptFinished{ID: r.ID, Endpoint: "a", Result: Rejected})
 	if after := s.d.tenants["t"].level; after < before+900 {
 		t.Errorf("level is %v, was %v", after, before)
 	}
 	lost := s.request("m")
-	lost.Tenant, lost.Charge, lost.Repeatable = "t", 500, false
-	s.step(200, Arrived{lost})
+	lost.Tenant, lost.Charge, lost.Retryable = "t", 500, false
+	s.step(200, RequestArrived{lost})
 	before = s.d.tenants["t"].level
-	s.step(201, Finished{ID: lost.ID, Endpoint: "a", Result: Lost})
+	s.step(201, AttemptFinished{ID: lost.ID, Endpoint: "a", Result: ConnectionLost})
 	if after := s.d.tenants["t"].level; after > before+10 {
 		t.Errorf("level is %v, was %v: given back what may have run", after, before)
 	}
@@ -110,22 +110,22 @@
 func TestDrainingEndpointSendsItsHeldElsewhere(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"), modelEndpoint("b", 1, "rare"))
 	s.d.schedule.Slots = 1
-	s.step(1, Arrived{s.request("m")})
-	s.step(2, Arrived{s.request("m")}) // held: no slot
+	s.step(1, RequestArrived{s.request("m")})
+	s.step(2, RequestArrived{s.request("m")}) // held: no slot
 	drains := modelEndpoint("a", 2, "m")
 	drains.State = protocol.Draining
 	s.step(3, ViewChanged{Endpoints: []protocol.Endpoint{drains, modelEndpoint("b", 2, "rare", "m")}})
-	out := s.step(4, Finished{ID: 1, Endpoint: "a"})
+	out := s.step(4, AttemptFinished{ID: 1, Endpoint: "a"})
 	if send := s.oneSend(out); send.Endpoint != "b" || send.ID != 2 {
 		t.Errorf("sent %+v", send)
 	}
 	late := modelEndpoint("a", 9, "m")
 	s.step(5, ViewChanged{Endpoints: []protocol.Endpoint{late}})
-	s.step(6, Finished{ID: 2, Endpoint: "b"}, ViewChanged{Endpoints: []protocol.Endpoint{{
+	s.step(6, AttemptFinished{ID: 2, Endpoint: "b"}, ViewChanged{Endpoints: []protocol.Endpoint{{
 		ID: "b", Service: "lm",
 		State: protocol.Departed, Sequence: 3,
 	}}})
-	if out := s.step(7, Arrived{s.request("m")}); len(sends(out)) > 0 {
+	if out := s.step(7, RequestArrived{s.request("m")}); len(sends(out)) > 0 {
 		t.Errorf("sent %v to what drains", sends(out))
 	}
 }
@@ -134,39 +134,39 @@
 	s := newScript(t, modelEndpoint("a", 5, "m"))
 	s.step(1, ViewChanged{Endpoints: []protocol.Endpoint{{ID: "a", Service: "lm", State: protocol.Departed, Sequence: 6}}})
 	s.step(2, ViewChanged{Endpoints: []protocol.Endpoint{modelEndpoint("a", 5, "m")}})
-	if out := s.step(3, Arrived{s.request("m")}); len(sends(out)) > 0 {
+	if out := s.step(3, RequestArrived{s.request("m")}); len(sends(out)) > 0 {
 		t.Errorf("sent %v to what is gone", sends(out))
 	}
 }
 
 func TestWrongTargetCountsMoreThanTheTable(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"), modelEndpoint("b", 1, "m"))
-	first := s.oneSend(s.step(1, Arrived{s.request("m")}))
-	second := s.oneSend(s.step(2, Finished{ID: 1, Endpoint: first.Endpoint, Result: WrongTarget, More: true}))
+	first := s.oneSend(s.step(1, RequestArrived{s.request("m")}))
+	second := s.oneSend(s.step(2, AttemptFinished{ID: 1, Endpoint: first.Endpoint, Result: Misdirected, NeedsRetry: true}))
 	if second.Endpoint == first.Endpoint {
 		t.Fatalf("sent to %s again", first.Endpoint)
 	}
 	for i := range 20 {
-		send := s.oneSend(s.step(10+i, Arrived{s.request("m")}))
+		send := s.oneSend(s.step(10+i, RequestArrived{s.request("m")}))
 		if send.Endpoint == first.Endpoint {
 			t.Fatalf("sent to %s, which said that the model isn't there", first.Endpoint)
 		}
-		s.step(10+i, Finished{ID: send.ID, Endpoint: send.Endpoint})
+		s.step(10+i, AttemptFinished{ID: send.ID, Endpoint: send.Endpoint})
 	}
 	s.step(400, ViewChanged{Endpoints: []protocol.Endpoint{modelEndpoint(first.Endpoint, 2, "m")}})
 	gone := protocol.Endpoint{ID: second.Endpoint, Service: "lm", State: protocol.Departed, Sequence: 9}
 	s.step(401, ViewChanged{Endpoints: []protocol.Endpoint{gone}})
-	if send := s.oneSend(s.step(402, Arrived{s.request("m")})); send.Endpoint != first.Endpoint {
+	if send := s.oneSend(s.step(402, RequestArrived{s.request("m")})); send.Endpoint != first.Endpoint {
 		t.Errorf("sent %+v", send)
 	}
 }
 
 func TestNotRepeatableIsNeverSentAgainAfterItMayHaveRun(t *testing.T) {
-	for _, result := range []Result{Failed, Lost} {
+	for _, result := range []Result{Failed, ConnectionLost} {
 		s := newScript(t, plainEndpoint("p", 6), plainEndpoint("q", 6))
-		send := s.oneSend(s.step(1, Arrived{s.request("")}))
-		refusal := s.oneRefusal(s.step(2, Finished{ID: 1, Endpoint: send.Endpoint, Result: result, More: true}))
-		if refusal.Reason != Exhausted || refusal.RetryAfter != 0 {
+		send := s.oneSend(s.step(1, RequestArrived{s.request("")}))
+		refusal := s.oneRefusal(s.step(2, AttemptFinished{ID: 1, Endpoint: send.Endpoint, Result: result, NeedsRetry: true}))
+		if refusal.Reason != AttemptsExhausted || refusal.RetryAfter != 0 {
 			t.Errorf("refused with %+v", refusal)
 		}
 	}
@@ -174,19 +174,19 @@
 
 func TestSurelyNotRunGoesElsewhereTwice(t *testing.T) {
 	s := newScript(t, plainEndpoint("p", 6), plainEndpoint("q", 6), plainEndpoint("r", 6), plainEndpoint("u", 6))
-	send := s.oneSend(s.step(1, Arrived{s.request("")}))
+	send := s.oneSend(s.step(1, RequestArrived{s.request("")}))
 	for i := range 2 {
-		send = s.oneSend(s.step(2+i, Finished{ID: 1, Endpoint: send.Endpoint, Result: Refused, More: true}))
+		send = s.oneSend(s.step(2+i, AttemptFinished{ID: 1, Endpoint: send.Endpoint, Result: Rejected, NeedsRetry: true}))
 	}
-	s.oneRefusal(s.step(5, Finished{ID: 1, Endpoint: send.Endpoint, Result: Refused, More: true}))
+	s.oneRefusal(s.step(5, AttemptFinished{ID: 1, Endpoint: send.Endpoint, Result: Rejected, NeedsRetry: true}))
 }
 
 func TestEndpointsAreBounded(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"), modelEndpoint("b", 1, "m"), modelEndpoint("c", 1, "m"))
-	send := s.oneSend(s.step(1, Arrived{s.request("m")}))
-	send = s.oneSend(s.step(2, Finished{ID: 1, Endpoint: send.Endpoint, Result: Lost, More: true}))
-	out := s.step(3, Finished{ID: 1, Endpoint: send.Endpoint, Result: Lost, More: true})
-	if refusal := s.oneRefusal(out); refusal.Reason != Exhausted {
+	send := s.oneSend(s.step(1, RequestArrived{s.request("m")}))
+	send = s.oneSend(s.step(2, AttemptFinished{ID: 1, Endpoint: send.Endpoint, Result: ConnectionLost, NeedsRetry: true}))
+	out := s.step(3, AttemptFinished{ID: 1, Endpoint: send.Endpoint, Result: ConnectionLost, NeedsRetry: true})
+	if refusal := s.oneRefusal(out); refusal.Reason != AttemptsExhausted {
 		t.Errorf("refused with %+v", refusal)
 	}
 }
@@ -195,14 +195,14 @@
 	s := newScript(t, modelEndpoint("a", 1, "m"), modelEndpoint("b", 1, "m"))
 	again, spent := 0, 0
 	for i := range 60 {
-		send := s.oneSend(s.step(10*i, Arrived{s.request("m")}))
-		out := s.step(10*i+1, Finished{ID: send.ID, Endpoint: send.Endpoint, Result: Failed, More: true})
+		send := s.oneSend(s.step(10*i, RequestArrived{s.request("m")}))
+		out := s.step(10*i+1, AttemptFinished{ID: send.ID, Endpoint: send.Endpoint, Result: Failed, NeedsRetry: true})
 		for _, o := range sends(out) {
 			again++
-			s.step(10*i+2, Finished{ID: o.ID, Endpoint: o.Endpoint})
+			s.step(10*i+2, AttemptFinished{ID: o.ID, Endpoint: o.Endpoint})
 		}
 		for _, o := range refusals(out) {
-			if o.Reason == BudgetSpent {
+			if o.Reason == RetryBudgetExhausted {
 				spent++
 			}
 		}
@@ -225,10 +225,10 @@
 			r.RoutePriority = kind + 1
 			asked[kind]++
 			kindOf[r.ID] = kind
-			for _, out := range [][]Output{s.step(at+20*kind, Arrived{r}), s.step(at + 20*kind + 10)} {
+			for _, out := range [][]Output{s.step(at+20*kind, RequestArrived{r}), s.step(at + 20*kind + 10)} {
 				for _, send := range sends(out) {
 					served[kindOf[send.ID]]++
-					s.step(at+20*kind+10, Finished{ID: send.ID, Endpoint: "a"})
+					s.step(at+20*kind+10, AttemptFinished{ID: send.ID, Endpoint: "a"})
 				}
 			}
 		}
--- a/internal/router/dispatch/demand.go
+++ b/internal/router/dispatch/demand.go
@@ -96,7 +96,7 @@
 	if !x.dirty {
 		return
 	}
-	due := x.lastAt + d.options.ReportEvery
+	due := x.lastAt + d.options.ReportInterval
 	if x.asked {
 		due = x.lastAt + betweenUrgent
 	}
--- a/internal/router/dispatch/ending.go
+++ b/internal/router/dispatch/ending.go
@@ -7,7 +7,7 @@
 )
 
 // finished takes in the end of a call.
-func (d *Decider) finished(input Finished) {
+func (d *Decider) finished(input AttemptFinished) {
 	r := d.requests[input.ID]
 	if r == nil || r.stage != sent || r.at.id != input.Endpoint {
 		return
@@ -20,7 +20,7 @@
 	if e.state == protocol.Departed && len(e.calls) == 0 {
 		delete(d.endpoints, e.id)
 	}
-	if !input.More || r.withdrawn {
+	if !input.NeedsRetry || r.withdrawn {
 		r.group.service.fairness.count(r, input.Result == Succeeded)
 		d.forget(r)
 		return
@@ -59,7 +59,7 @@
 }
 
 // judge draws from the end of a call what it says of the request and of the endpoint.
-func (d *Decider) judge(r *request, e *endpoint, input Finished) {
+func (d *Decider) judge(r *request, e *endpoint, input AttemptFinished) {
 	r.tried = append(r.tried, e)
 	switch input.Result {
 	case Succeeded:
@@ -73,10 +73,10 @@
 	case Failed:
 		r.ran()
 		d.failed(e, r, failureWeight)
-	case Lost:
+	case ConnectionLost:
 		r.ran()
 		d.failed(e, r, lossWeight)
-	case GivenUp:
+	case Canceled:
 		r.ran()
 		d.gaveUp(e, r)
 	case NotSent:
@@ -84,12 +84,12 @@
 		d.unspend(r)
 		r.rejections++
 		d.failed(e, r, deadWeight)
-	case Refused:
+	case Rejected:
 		r.rejections++
 		if !d.tooEarly(r, e) {
 			d.turnedAway(e, r, input.Load)
 		}
-	case WrongTarget:
+	case Misdirected:
 		r.rejections++
 		if !d.tooEarly(r, e) {
 			d.misdirected(e, r)
@@ -116,16 +116,16 @@
 // again finds another endpoint for a request whose call ended without an answer, if that is allowed.
 func (d *Decider) again(r *request) {
 	switch {
-	case r.mayHaveRun && !r.Repeatable, r.runs >= max(r.MaxEndpoints, 1):
-		d.refuse(r, Exhausted, 0)
+	case r.mayHaveRun && !r.Retryable, r.runs >= max(r.MaxEndpoints, 1):
+		d.refuse(r, AttemptsExhausted, 0)
 	case r.rejections > mostRejections:
-		d.refuse(r, Exhausted, d.retryAfter(r, 0))
+		d.refuse(r, AttemptsExhausted, d.retryAfter(r, 0))
 	case !d.mayGoAgain(r):
-		d.refuse(r, BudgetSpent, d.retryAfter(r, 0))
+		d.refuse(r, RetryBudgetExhausted, d.retryAfter(r, 0))
 	case d.now >= r.deadline:
-		d.refuse(r, NoTime, 0)
+		d.refuse(r, TargetUnreachable, 0)
 	case !r.answering && !d.endsInTime(r):
-		d.refuse(r, Leaving, d.retryAfter(r, 0))
+		d.refuse(r, ShuttingDown, d.retryAfter(r, 0))
 	default:
 		r.late = false
 		r.holdUntil = d.patienceAgain(r)
--- a/internal/router/dispatch/engine_test.go
+++ b/internal/router/dispatch/engine_test.go
@@ -183,6 +183,6 @@
 	s.queue = slices.DeleteFunc(s.queue, gone)
 }
 
-func (s *server) load() *ToldLoad {
-	return &ToldLoad{Running: len(s.running), Waiting: len(s.queue), Slots: s.row.Slots}
+func (s *server) load() *AdvertisedLoad {
+	return &AdvertisedLoad{Running: len(s.running), Waiting: len(s.queue), Slots: s.row.Slots}
 }
--- a/internal/router/dispatch/estimate.go
+++ b/internal/router/dispatch/estimate.go
@@ -157,7 +157,7 @@
 	e, g := h.at, h.group
 	g.line.fade(d.now)
 	g.service.line.fade(d.now)
-	kept = min(h.kept.length(r.chain(), r.Parts, d.now), r.PromptTokens)
+	kept = min(h.kept.length(r.chain(), r.PromptParts, d.now), r.PromptTokens)
 	running, othersWaiting := d.othersLoad(e)
 	ahead := e.backlog
 	calls := float64(len(e.calls))
@@ -275,8 +275,8 @@
 
 func milliseconds(t time.Duration) float64 { return float64(t) / float64(time.Millisecond) }
 
-// Errors tells how good the predictions of the time to the first byte were: the seen part of the predicted.
-type Errors struct {
+// PredictionErrors tells how good the predictions of the time to the first byte were: the seen part of the predicted.
+type PredictionErrors struct {
 	Count            int
 	MedianRatio      float64
 	Percentile95     float64
@@ -286,7 +286,7 @@
 	sumAbs, sumTotal float64
 }
 
-func (x *Errors) add(predicted, seen float64) {
+func (x *PredictionErrors) add(predicted, seen float64) {
 	x.Count++
 	x.sumAbs += math.Abs(predicted - seen)
 	x.sumTotal += predicted
@@ -294,8 +294,8 @@
 	x.buckets[min(max(at, 0), errorBuckets-1)]++
 }
 
-// Errors returns how good the predictions were since the start.
-func (d *Decider) Errors() Errors {
+// PredictionErrors returns how good the predictions were since the start.
+func (d *Decider) PredictionErrors() PredictionErrors {
 	x := d.errors
 	if x.Count == 0 {
 		return x
@@ -307,7 +307,7 @@
 	return x
 }
 
-func (x *Errors) quantile(part float64) float64 {
+func (x *PredictionErrors) quantile(part float64) float64 {
 	want := part * float64(x.Count)
 	sum := 0
 	for i, n := range x.buckets {
--- a/internal/router/dispatch/evidence.go
+++ b/internal/router/dispatch/evidence.go
@@ -86,7 +86,7 @@
 func (d *Decider) lastResort(r *request) *holding {
 	g := r.group
 	gap := firstBackoff
-	if !r.Repeatable {
+	if !r.Retryable {
 		gap = patientGap
 	}
 	if g.resortAt > 0 && d.now-g.resortAt < gap {
@@ -134,7 +134,7 @@
 	x.backoff = min(max(2*x.backoff, firstBackoff), mostBackoff)
 	x.until = d.now + d.about(x.backoff)
 	x.tripped = d.now
-	d.counters.Tripped++
+	d.counters.Ejected++
 	if x.most == 0 {
 		e.service.down++
 	}
@@ -157,7 +157,7 @@
 
 // turnedAway: it surely did not run the request. Where it told that it has places free, an order concerning
 // the model is the cause; else it is full.
-func (d *Decider) turnedAway(e *endpoint, r *request, load *ToldLoad) {
+func (d *Decider) turnedAway(e *endpoint, r *request, load *AdvertisedLoad) {
 	x := &e.evidence
 	x.heardAt = d.now
 	h := e.holding(r.Model)
@@ -254,7 +254,7 @@
 
 // stalled ends the call of a stream that has paused for long, where it may go on elsewhere; else it waits on:
 // silence alone is no reason to end an answer.
-func (d *Decider) stalled(input Stalled) {
+func (d *Decider) stalled(input StreamStalled) {
 	r := d.requests[input.ID]
 	if r == nil || r.stage != sent || r.abandoned || r.at.id != input.Endpoint {
 		return
@@ -265,7 +265,7 @@
 // moveCall ends a call so that its request goes on elsewhere, if it may and can go there now.
 func (d *Decider) moveCall(r *request) {
 	e := r.at
-	if !r.Repeatable || r.withdrawn {
+	if !r.Retryable || r.withdrawn {
 		return
 	}
 	if r.runs+1 >= max(r.MaxEndpoints, 1) || !d.mayGoAgain(r) {
--- a/internal/router/dispatch/golden_fleet_test.go
+++ b/internal/router/dispatch/golden_fleet_test.go
@@ -294,7 +294,7 @@
 		}
 		g.record("send %d to %s %s priority %d connections %d expected %s", o.ID, o.Endpoint, o.Address, o.Priority, o.MaxConnections,
 			goldenExact(expected))
-	case Refuse:
+	case Reject:
 		g.record("refuse %d reason %d after %d", o.ID, o.Reason, o.RetryAfter)
 	case Abandon:
 		g.record("abandon %d at %s", o.ID, o.Endpoint)
@@ -320,8 +320,8 @@
 func (g *goldenRun) recordState() {
 	d := g.decider
 	c := d.Counters()
-	g.record("counters %d %d %d %d %d %d %v %d", c.Arrived, c.Sent, c.SentLate, c.SentAgain, c.Abandoned, c.Moved, c.Refused, c.Tripped)
-	x := d.Errors()
+	g.record("counters %d %d %d %d %d %d %v %d", c.Arrived, c.Sent, c.SentPastTarget, c.Retries, c.Abandoned, c.Requeued, c.Rejected, c.Ejected)
+	x := d.PredictionErrors()
 	g.record("errors %d %s %s %s %s", x.Count, goldenExact(x.MedianRatio), goldenExact(x.Percentile95), goldenExact(x.MeanAbsoluteMS),
 		goldenExact(x.MeanPredictedMS))
 	services := goldenSorted(d.services)
--- a/internal/router/dispatch/golden_run_test.go
+++ b/internal/router/dispatch/golden_run_test.go
@@ -127,7 +127,7 @@
 		g.addEndpoint("app", 4)
 	}
 	g.addEndpoint("bare", 2)
-	g.input(ViewChanged{Configuration: goldenConfiguration(g.quota, 0), Full: true, Endpoints: g.rows(), Routers: 3})
+	g.input(ViewChanged{Configuration: goldenConfiguration(g.quota, 0), Full: true, Endpoints: g.rows(), RouterCount: 3})
 	g.every(time.Duration(float64(4*time.Millisecond)/g.load), g.arrive)
 	g.every(60*time.Millisecond, g.heartbeat)
 	g.every(1700*time.Millisecond, g.fullTable)
@@ -165,14 +165,14 @@
 
 func (g *goldenRun) configure(change, routers int) {
 	g.change = change
-	g.input(ViewChanged{Configuration: goldenConfiguration(g.quota, change), Routers: routers})
+	g.input(ViewChanged{Configuration: goldenConfiguration(g.quota, change), RouterCount: routers})
 }
 
 func (g *goldenRun) shutDown() {
-	end := Closing{HoldUntil: g.clock().Add(300 * time.Millisecond)}
+	end := ShutdownStarted{QueueDeadline: g.clock().Add(300 * time.Millisecond)}
 	if !g.partial {
-		end.ChooseFrom = g.clock().Add(700 * time.Millisecond)
-		end.EndBy = g.clock().Add(4 * time.Second)
+		end.SelectiveAdmissionFrom = g.clock().Add(700 * time.Millisecond)
+		end.ShutdownDeadline = g.clock().Add(4 * time.Second)
 	}
 	g.input(end)
 }
@@ -197,7 +197,7 @@
 // arrive has a client send a request.
 func (g *goldenRun) arrive() {
 	x := g.random
-	r := Request{Service: "lm", Model: "m", PromptTokens: 50 + x.IntN(1500), OutputTokens: 10 + x.IntN(150), Repeatable: x.IntN(4) > 0,
+	r := Request{Service: "lm", Model: "m", PromptTokens: 50 + x.IntN(1500), OutputTokens: 10 + x.IntN(150), Retryable: x.IntN(4) > 0,
 		Streaming: x.IntN(3) > 0, Tenant: []string{"t", "u", "open", "unknown"}[x.IntN(4)], RoutePriority: x.IntN(6),
 		TenantPriority: x.IntN(8) / 7, MaxEndpoints: 1 + x.IntN(3)}
 	objective, deadline := 150+x.IntN(500), 1000+x.IntN(6000)
@@ -210,7 +210,7 @@
 		r.Adapter = fmt.Sprintf("a%d", x.IntN(3))
 	case 4, 5:
 		r.Service, r.Model, r.PromptTokens, r.OutputTokens = "app", "", 0, 0
-		r.Repeatable, r.Streaming = x.IntN(2) == 0, false
+		r.Retryable, r.Streaming = x.IntN(2) == 0, false
 		objective, deadline = 60+x.IntN(100), 300+x.IntN(900)
 	case 6:
 		r.Service, r.Model, r.Streaming = "bare", "", false
@@ -222,9 +222,9 @@
 		r.PromptTokens *= 4
 	}
 	if r.Model != "" && x.IntN(4) > 0 {
-		r.Parts = []Part{{Hash: uint64(1 + x.IntN(3)), Tokens: r.PromptTokens / 4}, {Hash: uint64(10 + x.IntN(20)), Tokens: r.PromptTokens / 3}}
+		r.PromptParts = []PromptPart{{Hash: uint64(1 + x.IntN(3)), Tokens: r.PromptTokens / 4}, {Hash: uint64(10 + x.IntN(20)), Tokens: r.PromptTokens / 3}}
 		if x.IntN(3) == 0 {
-			r.Parts = append(r.Parts, Part{Hash: x.Uint64(), Tokens: r.PromptTokens - r.PromptTokens/4 - r.PromptTokens/3})
+			r.PromptParts = append(r.PromptParts, PromptPart{Hash: x.Uint64(), Tokens: r.PromptTokens - r.PromptTokens/4 - r.PromptTokens/3})
 		}
 	}
 	r.Charge = float64(r.PromptTokens+r.OutputTokens) + 0.3
@@ -232,9 +232,9 @@
 		r.Charge = 20.7
 	}
 	if x.IntN(5) > 0 {
-		r.Arrived = g.clock().Add(-time.Duration(x.IntN(2000)) * time.Microsecond)
+		r.ArrivedAt = g.clock().Add(-time.Duration(x.IntN(2000)) * time.Microsecond)
 	}
-	r.Objective = g.clock().Add(time.Duration(objective) * time.Millisecond)
+	r.LatencyTarget = g.clock().Add(time.Duration(objective) * time.Millisecond)
 	r.Deadline = g.clock().Add(time.Duration(deadline) * time.Millisecond)
 	g.send(r)
 }
@@ -245,9 +245,9 @@
 	r.ID = g.nextID
 	client := &goldenRequest{request: r}
 	g.requests[r.ID] = client
-	g.input(Arrived{r})
+	g.input(RequestArrived{r})
 	if g.random.IntN(300) == 0 {
-		g.input(Arrived{r}) // repeated, must not count
+		g.input(RequestArrived{r}) // repeated, must not count
 	}
 	g.after(r.Deadline.Sub(g.clock()), func() { g.leave(client) })
 	if g.random.IntN(15) == 0 {
@@ -261,9 +261,9 @@
 		return
 	}
 	client.left = true
-	g.input(Withdrawn{ID: client.request.ID})
+	g.input(RequestCanceled{ID: client.request.ID})
 	if client.call != nil {
-		g.finish(client, client.call, GivenUp, false)
+		g.finish(client, client.call, Canceled, false)
 		return
 	}
 	delete(g.requests, client.request.ID)
@@ -277,18 +277,18 @@
 			return
 		}
 		g.call(client, g.endpointNamed(o.Endpoint))
-	case Refuse:
+	case Reject:
 		client := g.requests[o.ID]
 		delete(g.requests, o.ID)
 		if client != nil && o.RetryAfter > 0 && g.random.IntN(3) > 0 {
 			again := client.request
-			again.Again = true
-			again.Arrived = time.Time{}
+			again.ClientRetry = true
+			again.ArrivedAt = time.Time{}
 			g.after(o.RetryAfter, func() {
 				if left := again.Deadline.Sub(g.clock()); left > 0 {
-					again.Objective = g.clock().Add(client.request.Objective.Sub(client.request.Arrived) / 2)
-					if client.request.Arrived.IsZero() {
-						again.Objective = g.clock().Add(200 * time.Millisecond)
+					again.LatencyTarget = g.clock().Add(client.request.LatencyTarget.Sub(client.request.ArrivedAt) / 2)
+					if client.request.ArrivedAt.IsZero() {
+						again.LatencyTarget = g.clock().Add(200 * time.Millisecond)
 					}
 					g.send(again)
 				}
@@ -298,7 +298,7 @@
 		client := g.requests[o.ID]
 		if client != nil && client.call != nil {
 			call := client.call
-			g.after(50*time.Microsecond, func() { g.finish(client, call, Lost, true) })
+			g.after(50*time.Microsecond, func() { g.finish(client, call, ConnectionLost, true) })
 		}
 	case Report:
 		g.placeOnDemand(o.Report)
@@ -317,8 +317,8 @@
 	} else {
 		e.running--
 	}
-	finished := Finished{ID: client.request.ID, Endpoint: e.row.ID, Result: result, More: more}
-	if result == Succeeded || result == Refused || result == Failed {
+	finished := AttemptFinished{ID: client.request.ID, Endpoint: e.row.ID, Result: result, NeedsRetry: more}
+	if result == Succeeded || result == Rejected || result == Failed {
 		finished.Load = e.load()
 	}
 	g.input(finished)
@@ -327,11 +327,11 @@
 	}
 }
 
-func (e *goldenEndpoint) load() *ToldLoad {
+func (e *goldenEndpoint) load() *AdvertisedLoad {
 	if e.row.Service == "bare" {
 		return nil
 	}
-	return &ToldLoad{Running: e.running, Waiting: e.waiting, Slots: e.row.Slots}
+	return &AdvertisedLoad{Running: e.running, Waiting: e.waiting, Slots: e.row.Slots}
 }
 
 // call has an endpoint work on a request.
@@ -343,20 +343,20 @@
 	end := func(wait time.Duration, result Result, more bool) {
 		g.after(wait, func() { g.finish(client, call, result, more) })
 	}
-	again := client.request.Repeatable
+	again := client.request.Retryable
 	switch {
 	case e.departed || e.unreachable:
 		end(time.Millisecond, NotSent, true)
 	case e.unresponsive:
-		end(3*time.Second, Lost, again)
+		end(3*time.Second, ConnectionLost, again)
 	case e.misdirected || !e.holds(client.request.Model, client.request.Adapter):
-		end(900*time.Microsecond, WrongTarget, true)
+		end(900*time.Microsecond, Misdirected, true)
 	case e.waiting > max(e.row.Slots/2, 1) || e.row.State == protocol.Draining || x.IntN(80) == 0:
-		end(700*time.Microsecond, Refused, true)
+		end(700*time.Microsecond, Rejected, true)
 	case x.Float64() < e.failures:
 		end(time.Duration(1+x.IntN(30))*time.Millisecond, Failed, again)
 	case x.Float64() < e.resets:
-		end(time.Duration(1+x.IntN(90))*time.Millisecond, Lost, again)
+		end(time.Duration(1+x.IntN(90))*time.Millisecond, ConnectionLost, again)
 	default:
 		g.serve(client, call)
 	}
@@ -382,7 +382,7 @@
 			g.after(length/4, func() { g.finish(client, call, Succeeded, false) })
 			return
 		}
-		g.input(FirstByte{ID: r.ID, Endpoint: e.row.ID, Load: e.load()})
+		g.input(FirstByteReceived{ID: r.ID, Endpoint: e.row.ID, Load: e.load()})
 		g.stream(client, call, length)
 	})
 }
@@ -392,11 +392,11 @@
 	const gap = 100 * time.Millisecond
 	switch chance := g.random.IntN(60); {
 	case chance == 0:
-		g.after(gap/2, func() { g.finish(client, call, Lost, r.Repeatable) })
-	case chance < 3 && r.Repeatable:
+		g.after(gap/2, func() { g.finish(client, call, ConnectionLost, r.Retryable) })
+	case chance < 3 && r.Retryable:
 		g.after(gap, func() {
 			if client.call == call {
-				g.input(Stalled{ID: r.ID, Endpoint: e.row.ID})
+				g.input(StreamStalled{ID: r.ID, Endpoint: e.row.ID})
 				g.stream(client, call, left)
 			}
 		})
@@ -405,7 +405,7 @@
 	default:
 		g.after(gap, func() {
 			if client.call == call {
-				g.input(Progress{ID: r.ID, Endpoint: e.row.ID, Events: 1 + g.random.IntN(9)})
+				g.input(StreamProgress{ID: r.ID, Endpoint: e.row.ID, Events: 1 + g.random.IntN(9)})
 				g.stream(client, call, left-gap)
 			}
 		})
--- a/internal/router/dispatch/golden_test.go
+++ b/internal/router/dispatch/golden_test.go
@@ -14,7 +14,7 @@
 type goldenScenario struct {
 	name    string
 	seed    uint64
-	config  Options
+	config  Config
 	load    float64       // factor of the rate of arrivals
 	faults  float64       // faults of endpoints per second
 	loads   float64       // orders to load or unload a model per second
@@ -33,13 +33,13 @@
 const restAfter = 3 * time.Second
 
 func goldenScenarios() []goldenScenario {
-	usual := Options{Node: "r1", Incarnation: 7, Zone: "z1", Seed: 11, Slots: 80, Routers: 3, BudgetRatio: 0.2, BudgetSlack: 56,
-		QuotaOver: 0.1, QuotaSlack: 1100}
+	usual := Config{Node: "r1", Incarnation: 7, Zone: "z1", Seed: 11, Slots: 80, RouterCount: 3, RetryBudgetRatio: 0.2, RetryBudgetSlack: 56,
+		QuotaOvershootFraction: 0.1, QuotaOvershootSlack: 1100}
 	narrow := usual
-	narrow.Slots, narrow.Seed, narrow.BudgetSlack, narrow.BudgetRatio = 9, 12, 4, 0.05
-	other := Options{Node: "r2", Seed: 13, BudgetRatio: 0.1, BudgetSlack: 10, BudgetWindow: 3 * time.Second,
-		QuotaWindow: 2 * time.Second, QuotaOver: 0.05, QuotaSlack: 300, MonitorPeriod: 100 * time.Millisecond,
-		ReportEvery: 200 * time.Millisecond}
+	narrow.Slots, narrow.Seed, narrow.RetryBudgetSlack, narrow.RetryBudgetRatio = 9, 12, 4, 0.05
+	other := Config{Node: "r2", Seed: 13, RetryBudgetRatio: 0.1, RetryBudgetSlack: 10, RetryBudgetWindow: 3 * time.Second,
+		QuotaWindow: 2 * time.Second, QuotaOvershootFraction: 0.05, QuotaOvershootSlack: 300, MonitorPeriod: 100 * time.Millisecond,
+		ReportInterval: 200 * time.Millisecond}
 	return []goldenScenario{
 		{name: "quiet", seed: 1, config: usual, load: 0.4, loads: 0.3, grants: 500 * time.Millisecond, quota: 1, length: 12 * time.Second},
 		{name: "faults", seed: 2, config: usual, load: 0.8, faults: 2, loads: 0.5, grants: 500 * time.Millisecond, quota: 2,
--- a/internal/router/dispatch/holding.go
+++ b/internal/router/dispatch/holding.go
@@ -123,7 +123,7 @@
 }
 
 // heard takes over what an endpoint said of its load. This router's own calls are taken off.
-func (d *Decider) heard(e *endpoint, load *ToldLoad) {
+func (d *Decider) heard(e *endpoint, load *AdvertisedLoad) {
 	if load == nil {
 		return
 	}
--- a/internal/router/dispatch/holding_test.go
+++ b/internal/router/dispatch/holding_test.go
@@ -9,7 +9,7 @@
 
 func TestNothingHoldsTheModel(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
-	out := s.step(1, Arrived{s.request("rare")})
+	out := s.step(1, RequestArrived{s.request("rare")})
 	list := reports(out)
 	if len(list) != 1 || list[0].Models[0].Model != "rare" || list[0].Models[0].Queued != 1 {
 		t.Fatalf("reported %+v", list)
@@ -29,15 +29,15 @@
 	s := newScript(t, modelEndpoint("a", 1, "m"), modelEndpoint("b", 1))
 	first := s.request("")
 	first.Service = "lm"
-	s.oneSend(s.step(1, Arrived{first}))
+	s.oneSend(s.step(1, RequestArrived{first}))
 	second := s.request("")
 	second.Service = "lm"
-	s.oneSend(s.step(2, ViewChanged{Endpoints: []protocol.Endpoint{modelEndpoint("a", 2, "rare")}}, Arrived{second}))
+	s.oneSend(s.step(2, ViewChanged{Endpoints: []protocol.Endpoint{modelEndpoint("a", 2, "rare")}}, RequestArrived{second}))
 }
 
 func TestHeldForALoadThatFits(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
-	s.step(1, Arrived{s.request("rare")})
+	s.step(1, RequestArrived{s.request("rare")})
 	loads := modelEndpoint("a", 1, "m")
 	loads.Loading = []protocol.ModelLoad{{Model: "rare", Remaining: 250 * time.Millisecond}}
 	s.step(20, ViewChanged{Endpoints: []protocol.Endpoint{loads}})
@@ -52,7 +52,7 @@
 
 func TestRefusedForALoadThatDoesNotFit(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
-	s.step(1, Arrived{s.request("rare")})
+	s.step(1, RequestArrived{s.request("rare")})
 	loads := modelEndpoint("a", 1, "m")
 	loads.Loading = []protocol.ModelLoad{{Model: "rare", Remaining: 2 * time.Second}}
 	s.step(20, ViewChanged{Endpoints: []protocol.Endpoint{loads}})
@@ -65,19 +65,19 @@
 // A stream that pauses goes on elsewhere only where that is possible; else its call is left alone.
 func TestStalledStreamMovesOnlyWhereItCanGo(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
-	first := s.oneSend(s.step(1, Arrived{s.request("m")}))
-	s.step(100, FirstByte{ID: first.ID, Endpoint: "a"})
-	if hasAbandon(s.step(1700, Stalled{ID: first.ID, Endpoint: "a"})) {
+	first := s.oneSend(s.step(1, RequestArrived{s.request("m")}))
+	s.step(100, FirstByteReceived{ID: first.ID, Endpoint: "a"})
+	if hasAbandon(s.step(1700, StreamStalled{ID: first.ID, Endpoint: "a"})) {
 		t.Error("left an endpoint with nowhere else to go")
 	}
 	s.step(1800, ViewChanged{Endpoints: []protocol.Endpoint{modelEndpoint("b", 1, "m")}})
-	if !hasAbandon(s.step(2100, Stalled{ID: first.ID, Endpoint: "a"})) {
+	if !hasAbandon(s.step(2100, StreamStalled{ID: first.ID, Endpoint: "a"})) {
 		t.Error("stayed at a silent endpoint")
 	}
-	if hasAbandon(s.step(2500, Stalled{ID: first.ID, Endpoint: "a"})) {
+	if hasAbandon(s.step(2500, StreamStalled{ID: first.ID, Endpoint: "a"})) {
 		t.Error("abandoned twice")
 	}
-	out := s.step(2501, Finished{ID: first.ID, Endpoint: "a", Result: Lost, More: true})
+	out := s.step(2501, AttemptFinished{ID: first.ID, Endpoint: "a", Result: ConnectionLost, NeedsRetry: true})
 	if send := s.oneSend(out); send.Endpoint != "b" {
 		t.Errorf("sent to %s", send.Endpoint)
 	}
@@ -85,7 +85,7 @@
 
 func TestDarkEndpointIsLeft(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"), modelEndpoint("b", 1, "m"))
-	first := s.oneSend(s.step(1, Arrived{s.request("m")}))
+	first := s.oneSend(s.step(1, RequestArrived{s.request("m")}))
 	other := "a"
 	if first.Endpoint == "a" {
 		other = "b"
@@ -96,11 +96,11 @@
 			t.Fatal("it waits on")
 		}
 	}
-	out := s.step(at+1, Finished{ID: 1, Endpoint: first.Endpoint, Result: Lost, More: true})
+	out := s.step(at+1, AttemptFinished{ID: 1, Endpoint: first.Endpoint, Result: ConnectionLost, NeedsRetry: true})
 	if send := s.oneSend(out); send.Endpoint != other {
 		t.Errorf("sent %+v", send)
 	}
-	if send := s.oneSend(s.step(at+2, Arrived{s.request("m")})); send.Endpoint != other {
+	if send := s.oneSend(s.step(at+2, RequestArrived{s.request("m")})); send.Endpoint != other {
 		t.Errorf("sent %+v", send)
 	}
 }
@@ -117,7 +117,7 @@
 // A router whose estimates went wrong, before endpoints that others keep busy, puts them right.
 func TestWrongEstimatesAreForgotten(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"), modelEndpoint("b", 1, "m"))
-	busy := &ToldLoad{Running: 40, Slots: 64}
+	busy := &AdvertisedLoad{Running: 40, Slots: 64}
 	g := s.d.services["lm"].groupNamed("m")
 	for range 100 {
 		g.line.add(s.d.now, 1, 3000)
@@ -128,9 +128,9 @@
 		for _, id := range []string{"a", "b"} {
 			s.d.heard(s.d.endpoints[id], busy)
 		}
-		for _, send := range sends(s.step(at, Arrived{s.request("m")})) {
-			s.step(at+60, FirstByte{ID: send.ID, Endpoint: send.Endpoint, Load: busy})
-			s.step(at+100, Finished{ID: send.ID, Endpoint: send.Endpoint, Load: busy})
+		for _, send := range sends(s.step(at, RequestArrived{s.request("m")})) {
+			s.step(at+60, FirstByteReceived{ID: send.ID, Endpoint: send.Endpoint, Load: busy})
+			s.step(at+100, AttemptFinished{ID: send.ID, Endpoint: send.Endpoint, Load: busy})
 			served++
 		}
 	}
@@ -152,9 +152,9 @@
 		for i := range 60 {
 			r := s.request("m")
 			session := uint64(100 + i%12)
-			r.Parts = []Part{{Hash: 7, Tokens: 300}, {Hash: session, Tokens: 300}}
-			send := s.oneSend(s.step(10+20*i, Arrived{r}))
-			s.step(10+20*i+10, FirstByte{ID: r.ID, Endpoint: send.Endpoint}, Finished{ID: r.ID, Endpoint: send.Endpoint})
+			r.PromptParts = []PromptPart{{Hash: 7, Tokens: 300}, {Hash: session, Tokens: 300}}
+			send := s.oneSend(s.step(10+20*i, RequestArrived{r}))
+			s.step(10+20*i+10, FirstByteReceived{ID: r.ID, Endpoint: send.Endpoint}, AttemptFinished{ID: r.ID, Endpoint: send.Endpoint})
 			if before, known := where[session]; known && before != send.Endpoint {
 				t.Fatalf("router %d sent session %d to %s, before to %s", router, session, send.Endpoint, before)
 			}
@@ -171,7 +171,7 @@
 	s := newScript(t, plainEndpoint("p", 6), plainEndpoint("q", 6))
 	used := map[string]int{}
 	for i := range 6 {
-		used[s.oneSend(s.step(1+i, Arrived{s.request("")})).Endpoint]++
+		used[s.oneSend(s.step(1+i, RequestArrived{s.request("")})).Endpoint]++
 	}
 	if used["p"] != 3 || used["q"] != 3 {
 		t.Errorf("sent %v", used)
@@ -183,17 +183,17 @@
 	silent.State = protocol.Unresponsive
 	s := newScript(t, silent, modelEndpoint("b", 1, "m"))
 	for i := range 10 {
-		send := s.oneSend(s.step(10*i+1, Arrived{s.request("m")}))
+		send := s.oneSend(s.step(10*i+1, RequestArrived{s.request("m")}))
 		if send.Endpoint != "b" {
 			t.Fatalf("sent to %s", send.Endpoint)
 		}
-		s.step(10*i+5, FirstByte{ID: send.ID, Endpoint: "b"}, Finished{ID: send.ID, Endpoint: "b"})
+		s.step(10*i+5, FirstByteReceived{ID: send.ID, Endpoint: "b"}, AttemptFinished{ID: send.ID, Endpoint: "b"})
 	}
 	s.step(200, ViewChanged{Endpoints: []protocol.Endpoint{{ID: "b", Service: "lm", State: protocol.Departed, Sequence: 3}}})
-	if send := s.oneSend(s.step(201, Arrived{s.request("m")})); send.Endpoint != "a" {
+	if send := s.oneSend(s.step(201, RequestArrived{s.request("m")})); send.Endpoint != "a" {
 		t.Errorf("sent to %s", send.Endpoint)
 	}
-	out := s.step(700, FirstByte{ID: s.id, Endpoint: "a"}, Arrived{s.request("m")})
+	out := s.step(700, FirstByteReceived{ID: s.id, Endpoint: "a"}, RequestArrived{s.request("m")})
 	if list := reports(out); len(list) != 1 || len(list[0].Reachable) != 1 {
 		t.Errorf("reported %+v", list)
 	}
@@ -208,8 +208,8 @@
 			loads.Loading = []protocol.ModelLoad{{Model: "rare", Remaining: 450 * time.Millisecond}}
 			s := newScript(t, loads)
 			r := s.request("rare") // objective 500 ms
-			r.Deadline, r.Again = s.time(200), again
-			s.step(0, Arrived{r})
+			r.Deadline, r.ClientRetry = s.time(200), again
+			s.step(0, RequestArrived{r})
 			at := 0
 			for len(s.d.requests) > 0 {
 				if at = int(s.d.NextWake().Sub(s.zero) / time.Millisecond); at > 210 {
@@ -228,7 +228,7 @@
 	s := newScript(t, loads)
 	first, second := s.request("rare"), s.request("rare")
 	second.Deadline = s.time(300)
-	s.step(0, Arrived{first}, Arrived{second})
+	s.step(0, RequestArrived{first}, RequestArrived{second})
 	for at := 1; at <= 310; at++ {
 		s.step(at)
 	}
--- a/internal/router/dispatch/parts_test.go
+++ b/internal/router/dispatch/parts_test.go
@@ -21,11 +21,11 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Second
 			var links []uint64
-			var parts []Part
+			var parts []PromptPart
 			for i := range rapid.IntRange(1, 4).Draw(t, "length") {
 				key := uint64(i*10 + rapid.IntRange(0, 4).Draw(t, "key"))
 				links = append(links, key)
-				parts = append(parts, Part{Hash: key, Tokens: 10 * (i + 1)})
+				parts = append(parts, PromptPart{Hash: key, Tokens: 10 * (i + 1)})
 			}
 			want := 0
 			for i, link := range links {
@@ -95,7 +95,7 @@
 
 func TestWhatClientsNameIsBounded(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
-	refusal := s.oneRefusal(s.step(1, Arrived{s.request("nonsense")}))
+	refusal := s.oneRefusal(s.step(1, RequestArrived{s.request("nonsense")}))
 	if refusal.Reason != NoEndpoint || refusal.RetryAfter <= 0 {
 		t.Errorf("%+v", refusal)
 	}
@@ -105,7 +105,7 @@
 	for i := range 500 {
 		r := s.request("m")
 		r.Adapter = string(rune('A' + i))
-		s.step(2+i, Arrived{r})
+		s.step(2+i, RequestArrived{r})
 	}
 	if n := len(s.d.services["lm"].groups["m"].targets); n > leastTargets+1 {
 		t.Errorf("%d adapters are kept account of", n)
--- a/internal/router/dispatch/prefix.go
+++ b/internal/router/dispatch/prefix.go
@@ -34,10 +34,10 @@
 
 // chain lists the hashes of the request's shared parts, each with all before it and the adapter.
 func (r *request) chain() []uint64 {
-	if r.links == nil && len(r.Parts) > 0 {
-		r.links = make([]uint64, len(r.Parts))
+	if r.links == nil && len(r.PromptParts) > 0 {
+		r.links = make([]uint64, len(r.PromptParts))
 		h := stringHash(r.Adapter) ^ hashSeed
-		for i, part := range r.Parts {
+		for i, part := range r.PromptParts {
 			h = mix(h ^ part.Hash)
 			r.links[i] = h
 		}
@@ -65,7 +65,7 @@
 const noNode = -1
 
 // kept is how many tokens of the request's prompt the holder needs not read again.
-func (p *prefixes) length(links []uint64, parts []Part, now time.Duration) int {
+func (p *prefixes) length(links []uint64, parts []PromptPart, now time.Duration) int {
 	sum := 0
 	for i, link := range links {
 		at, ok := p.index[link]
@@ -78,7 +78,7 @@
 }
 
 // add notes that the holder reads these parts now. The last come first in giving way.
-func (p *prefixes) add(links []uint64, parts []Part, now time.Duration, most int) {
+func (p *prefixes) add(links []uint64, parts []PromptPart, now time.Duration, most int) {
 	for i := len(links) - 1; i >= 0; i-- {
 		p.touch(links[i], parts[i].Tokens, now)
 	}
--- a/internal/router/dispatch/presume_test.go
+++ b/internal/router/dispatch/presume_test.go
@@ -15,7 +15,7 @@
 	for range 2 {
 		r := s.request("m")
 		r.Adapter = "a3"
-		s.step(10, Arrived{r})
+		s.step(10, RequestArrived{r})
 	}
 	s.step(60, ViewChanged{Endpoints: []protocol.Endpoint{loads}})
 	return s
@@ -48,7 +48,7 @@
 	if out := s.step(s.wake()); len(sends(out))+len(refusals(out)) > 0 {
 		t.Fatalf("the second did not wait: %v", out)
 	}
-	second := s.oneSend(s.step(s.at+5, FirstByte{ID: first.ID, Endpoint: "a"}))
+	second := s.oneSend(s.step(s.at+5, FirstByteReceived{ID: first.ID, Endpoint: "a"}))
 	if second.ID == first.ID {
 		t.Errorf("sent %d twice", first.ID)
 	}
@@ -58,7 +58,7 @@
 	s := loadingScript(t)
 	first := s.untilSend(150)
 	early := s.at
-	out := s.step(early+3, Finished{ID: first.ID, Endpoint: "a", Result: Refused, More: true})
+	out := s.step(early+3, AttemptFinished{ID: first.ID, Endpoint: "a", Result: Rejected, NeedsRetry: true})
 	if len(sends(out))+len(refusals(out)) > 0 {
 		t.Fatalf("%v", out)
 	}
@@ -69,7 +69,7 @@
 	if send.Endpoint != "a" {
 		t.Errorf("sent to %s", send.Endpoint)
 	}
-	s.step(s.at+5, FirstByte{ID: send.ID, Endpoint: "a"})
+	s.step(s.at+5, FirstByteReceived{ID: send.ID, Endpoint: "a"})
 	if h := s.d.endpoints["a"].holding("m"); !h.has("a3") || h.unproven("a3") {
 		t.Error("an answer did not prove it")
 	}
--- a/internal/router/dispatch/quota.go
+++ b/internal/router/dispatch/quota.go
@@ -106,7 +106,7 @@
 // quotaDebt is how far the tenant's bucket may go below nothing.
 func (d *Decider) quotaDebt(t *tenant) float64 {
 	whole := t.limit*d.options.QuotaWindow.Seconds() + t.burst
-	return (whole*d.options.QuotaOver + d.options.QuotaSlack) * toleranceShare / float64(d.routers)
+	return (whole*d.options.QuotaOvershootFraction + d.options.QuotaOvershootSlack) * toleranceShare / float64(d.routers)
 }
 
 // refill brings the bucket up to now. A grant that ended meanwhile counts up to its end.
@@ -223,7 +223,7 @@
 		return
 	}
 	d.tenants[r.Tenant].drought = d.now + quotaDrought
-	d.refuse(r, OverQuota, wait)
+	d.refuse(r, QuotaExceeded, wait)
 }
 
 // lack is what the tenant's held requests need beyond what it may spend.
--- a/internal/router/dispatch/random_test.go
+++ b/internal/router/dispatch/random_test.go
@@ -108,7 +108,7 @@
 		next.Tenants = []configuration.Tenant{w.config.Tenants[0]}
 		next.Generation++
 		w.config = &next
-		w.tells = append(w.tells, telling{w.now, ViewChanged{Configuration: w.config, Routers: len(w.routers)}})
+		w.tells = append(w.tells, telling{w.now, ViewChanged{Configuration: w.config, RouterCount: len(w.routers)}})
 	},
 	func(w *world, s *server, until time.Duration) { // clients leave
 		for i, list := range w.clients {
@@ -146,11 +146,11 @@
 
 // leave lets a client go.
 func (w *world) leave(router int, c *client) {
-	w.inputs[router] = append(w.inputs[router], Withdrawn{c.request.ID})
+	w.inputs[router] = append(w.inputs[router], RequestCanceled{c.request.ID})
 	c.left = true
 	if c.call != nil {
 		c.call.server.drop(c.call)
-		w.finishCall(c, GivenUp, false)
+		w.finishCall(c, Canceled, false)
 	}
 	w.close(c)
 }
--- a/internal/router/dispatch/script_test.go
+++ b/internal/router/dispatch/script_test.go
@@ -46,11 +46,11 @@
 }
 
 func newScript(t *testing.T, endpoints ...protocol.Endpoint) *script {
-	s := &script{t: t, zero: time.Now(), d: New(Options{
-		Seed: 1, Zone: "z", Routers: 9, BudgetRatio: 0.2, BudgetSlack: 56,
-		QuotaOver: 0.1, QuotaSlack: 11000,
+	s := &script{t: t, zero: time.Now(), d: New(Config{
+		Seed: 1, Zone: "z", RouterCount: 9, RetryBudgetRatio: 0.2, RetryBudgetSlack: 56,
+		QuotaOvershootFraction: 0.1, QuotaOvershootSlack: 11000,
 	})}
-	s.step(0, ViewChanged{Configuration: testConfiguration(), Full: true, Endpoints: endpoints, Routers: 9})
+	s.step(0, ViewChanged{Configuration: testConfiguration(), Full: true, Endpoints: endpoints, RouterCount: 9})
 	return s
 }
 
@@ -66,13 +66,13 @@
 func (s *script) request(model string) Request {
 	s.id++
 	r := Request{
-		ID: s.id, Service: "lm", Model: model, PromptTokens: 1000, OutputTokens: 100, Repeatable: true,
-		Streaming: true, Tenant: "free", MaxEndpoints: 2, Arrived: s.time(s.at), Objective: s.time(s.at + 500),
+		ID: s.id, Service: "lm", Model: model, PromptTokens: 1000, OutputTokens: 100, Retryable: true,
+		Streaming: true, Tenant: "free", MaxEndpoints: 2, ArrivedAt: s.time(s.at), LatencyTarget: s.time(s.at + 500),
 		Deadline: s.time(s.at + 15000),
 	}
 	if model == "" {
-		r.Service, r.Repeatable, r.Streaming, r.MaxEndpoints = "app", false, false, 1
-		r.Objective, r.Deadline = s.time(s.at+100), s.time(s.at+600)
+		r.Service, r.Retryable, r.Streaming, r.MaxEndpoints = "app", false, false, 1
+		r.LatencyTarget, r.Deadline = s.time(s.at+100), s.time(s.at+600)
 	}
 	return r
 }
@@ -86,9 +86,9 @@
 	return list
 }
 
-func refusals(out []Output) (list []Refuse) {
+func refusals(out []Output) (list []Reject) {
 	for _, o := range out {
-		if o, ok := o.(Refuse); ok {
+		if o, ok := o.(Reject); ok {
 			list = append(list, o)
 		}
 	}
@@ -113,7 +113,7 @@
 	return list[0]
 }
 
-func (s *script) oneRefusal(out []Output) Refuse {
+func (s *script) oneRefusal(out []Output) Reject {
 	s.t.Helper()
 	list := refusals(out)
 	if len(list) != 1 {
@@ -124,17 +124,17 @@
 
 func TestFreshRouterServesAtOnce(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"), plainEndpoint("p", 6))
-	if send := s.oneSend(s.step(1, Arrived{s.request("m")})); send.Endpoint != "a" || send.MaxConnections != 32 {
+	if send := s.oneSend(s.step(1, RequestArrived{s.request("m")})); send.Endpoint != "a" || send.MaxConnections != 32 {
 		t.Errorf("sent %+v", send)
 	}
-	if send := s.oneSend(s.step(2, Arrived{s.request("")})); send.Endpoint != "p" {
+	if send := s.oneSend(s.step(2, RequestArrived{s.request("")})); send.Endpoint != "p" {
 		t.Errorf("sent %+v", send)
 	}
-	out := s.step(40, FirstByte{ID: 1, Endpoint: "a"}, Finished{ID: 2, Endpoint: "p"})
+	out := s.step(40, FirstByteReceived{ID: 1, Endpoint: "a"}, AttemptFinished{ID: 2, Endpoint: "p"})
 	if len(sends(out))+len(refusals(out)) > 0 {
 		t.Errorf("got %v", out)
 	}
-	s.step(1000, Finished{ID: 1, Endpoint: "a"})
+	s.step(1000, AttemptFinished{ID: 1, Endpoint: "a"})
 	if len(s.d.requests) > 0 || s.d.schedule.Busy != 0 {
 		t.Errorf("%d requests left, %d slots in use", len(s.d.requests), s.d.schedule.Busy)
 	}
@@ -142,9 +142,9 @@
 
 func TestIdleHasNoWake(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
-	s.step(1, Arrived{s.request("m")})
-	s.step(100, FirstByte{ID: 1, Endpoint: "a"})
-	s.step(200, Finished{ID: 1, Endpoint: "a"})
+	s.step(1, RequestArrived{s.request("m")})
+	s.step(100, FirstByteReceived{ID: 1, Endpoint: "a"})
+	s.step(200, AttemptFinished{ID: 1, Endpoint: "a"})
 	for range 10 {
 		at := s.d.NextWake()
 		if at.IsZero() {
--- a/internal/router/dispatch/settle.go
+++ b/internal/router/dispatch/settle.go
@@ -29,7 +29,7 @@
 		r.holdUntil = d.now + lookAgain
 		d.timers.add(r.holdUntil, r)
 	case r.settled >= mostSettled || d.schedule.Busy >= d.schedule.Slots:
-		d.refuse(r, NoTime, d.retryOver(r, h))
+		d.refuse(r, TargetUnreachable, d.retryOver(r, h))
 	case how == goesNow:
 		d.putOff(r, h)
 	case how == goesLate && d.explores(h):
@@ -39,7 +39,7 @@
 		r.late = true
 		d.putOff(r, h)
 	default:
-		d.refuse(r, NoTime, d.retryOver(r, h))
+		d.refuse(r, TargetUnreachable, d.retryOver(r, h))
 	}
 }
 
@@ -66,9 +66,9 @@
 	ms, _ := d.predict(h, r)
 	answer := d.now + time.Duration(ms*float64(time.Millisecond))
 	if answer > r.lastUse() {
-		return r.Again && d.shortQueue(h.at)
+		return r.ClientRetry && d.shortQueue(h.at)
 	}
-	return r.Again || r.arrivals > 0 || r.group.service.fairness.starved(r) || !r.mayComeBack(d.now)
+	return r.ClientRetry || r.arrivals > 0 || r.group.service.fairness.starved(r) || !r.mayComeBack(d.now)
 }
 
 // shortQueue: so few wait at the endpoint that one more may have its turn, whatever was estimated.
@@ -97,11 +97,11 @@
 func (d *Decider) settleHomeless(r *request) {
 	at, known := r.group.expectedAt(r.Adapter, d.now)
 	limit := r.useful()
-	if r.Again || r.arrivals > 0 {
+	if r.ClientRetry || r.arrivals > 0 {
 		limit = r.lastUse()
 	}
 	limit = d.heldAtMost(limit)
-	if !known && r.Again { // refused again it would be lost
+	if !known && r.ClientRetry { // refused again it would be lost
 		r.holdUntil = max(r.holdUntil, min(limit, r.arrived+(r.deadline-r.arrived)*2/5))
 	}
 	switch {
--- a/internal/router/dispatch/size_test.go
+++ b/internal/router/dispatch/size_test.go
@@ -31,9 +31,9 @@
 		first := min(rng.IntN(models), rng.IntN(models), rng.IntN(models))
 		table = append(table, modelEndpoint(fmt.Sprint("e", i), 1, names[first], names[i%models]))
 	}
-	d := New(Options{Seed: 1, Zone: "z", Routers: 830, BudgetRatio: 0.2, BudgetSlack: 56})
+	d := New(Config{Seed: 1, Zone: "z", RouterCount: 830, RetryBudgetRatio: 0.2, RetryBudgetSlack: 56})
 	now := time.Now()
-	d.Step(now, []Input{ViewChanged{Configuration: config, Full: true, Endpoints: table, Routers: 830}})
+	d.Step(now, []Input{ViewChanged{Configuration: config, Full: true, Endpoints: table, RouterCount: 830}})
 	return d, now, names
 }
 
@@ -52,17 +52,17 @@
 		model := names[min(rng.IntN(len(names)), rng.IntN(len(names)), rng.IntN(len(names)))]
 		r := Request{
 			ID: RequestID(i + 1), Service: "lm", Model: model, PromptTokens: 1000, OutputTokens: 100,
-			Repeatable: true, MaxEndpoints: 2, Objective: now.Add(500 * time.Millisecond), Deadline: now.Add(15 * time.Second),
-			Parts: []Part{{Hash: uint64(rng.IntN(3)), Tokens: 200}, {Hash: uint64(rng.IntN(100)), Tokens: 100}},
+			Retryable: true, MaxEndpoints: 2, LatencyTarget: now.Add(500 * time.Millisecond), Deadline: now.Add(15 * time.Second),
+			PromptParts: []PromptPart{{Hash: uint64(rng.IntN(3)), Tokens: 200}, {Hash: uint64(rng.IntN(100)), Tokens: 100}},
 		}
-		for _, o := range d.Step(now, []Input{Arrived{r}}) {
+		for _, o := range d.Step(now, []Input{RequestArrived{r}}) {
 			if o, ok := o.(Send); ok {
 				out = append(out, call{o.ID, o.Endpoint})
 			}
 		}
 		if len(out) > 50 {
-			d.Step(now, []Input{FirstByte{ID: out[40].id, Endpoint: out[40].at}})
-			d.Step(now, []Input{Finished{ID: out[0].id, Endpoint: out[0].at}})
+			d.Step(now, []Input{FirstByteReceived{ID: out[40].id, Endpoint: out[40].at}})
+			d.Step(now, []Input{AttemptFinished{ID: out[0].id, Endpoint: out[0].at}})
 			out = out[1:]
 		}
 	}
@@ -80,14 +80,14 @@
 
 // BenchmarkConfigurationAtSize is a new version and the whole table put in force, as after a change of instance.
 func BenchmarkConfigurationAtSize(b *testing.B) {
-	d := New(Options{Seed: 1, Zone: "zone01", Routers: sizetest.Routers, BudgetRatio: 0.2, BudgetSlack: 56})
+	d := New(Config{Seed: 1, Zone: "zone01", RouterCount: sizetest.Routers, RetryBudgetRatio: 0.2, RetryBudgetSlack: 56})
 	now := time.Now()
 	config, table := sizetest.Configuration(), sizetest.EndpointTable()
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
 		next := *config
-		d.Step(now, []Input{ViewChanged{Configuration: &next, Full: true, Endpoints: table, Routers: sizetest.Routers}})
+		d.Step(now, []Input{ViewChanged{Configuration: &next, Full: true, Endpoints: table, RouterCount: sizetest.Routers}})
 	}
 }
 
@@ -97,10 +97,10 @@
 	for b.Loop() {
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		d := New(Options{Seed: 1, Zone: "zone01", Routers: sizetest.Routers, BudgetRatio: 0.2, BudgetSlack: 56})
+		d := New(Config{Seed: 1, Zone: "zone01", RouterCount: sizetest.Routers, RetryBudgetRatio: 0.2, RetryBudgetSlack: 56})
 		d.Step(time.Now(), []Input{ViewChanged{
 			Configuration: sizetest.Configuration(), Full: true,
-			Endpoints: sizetest.EndpointTable(), Routers: sizetest.Routers,
+			Endpoints: sizetest.EndpointTable(), RouterCount: sizetest.Routers,
 		}})
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/internal/router/dispatch/types.go
+++ b/internal/router/dispatch/types.go
@@ -16,8 +16,8 @@
 // RequestID names a request within one process.
 type RequestID uint64
 
-// Part is one part of a prompt, as X-Prefix-Hash names it.
-type Part struct {
+// PromptPart is one part of a prompt, as X-Prefix-Hash names it.
+type PromptPart struct {
 	Hash   uint64
 	Tokens int
 }
@@ -27,47 +27,47 @@
 	ID             RequestID
 	Service        string // chosen from the route's split by the host
 	Model, Adapter string // empty for a service without an engine
-	Parts          []Part
+	PromptParts    []PromptPart
 	PromptTokens   int // X-Token-Usage
 	OutputTokens   int // most that are put out
 	Tenant         string
 	Charge         float64 // in the unit of the tenant's quota
 	TenantPriority int     // 0 is the most urgent; goes before RoutePriority
 	RoutePriority  int
-	Repeatable     bool // may run more than once: idempotent, or a stream that may be resumed
+	Retryable      bool // may run more than once: idempotent, or a stream that may be resumed
 	Streaming      bool
-	Objective      time.Time // when the first event or the answer is due for the full worth
+	LatencyTarget  time.Time // when the first event or the answer is due for the full worth
 	Deadline       time.Time // when the client gives up, or the route's timeout if that is earlier
-	Arrived        time.Time
+	ArrivedAt      time.Time
 	MaxEndpoints   int  // most endpoints it may be sent to
-	Again          bool // seems to be a client's further try: its deadline is well below the route's time
+	ClientRetry    bool // seems to be a client's further try: its deadline is well below the route's time
 }
 
 // Input is something that happened: one of the types below.
 type Input interface{ input() }
 
 // Arrived: a request was read whole and passed its checks.
-type Arrived struct{ Request Request }
+type RequestArrived struct{ Request Request }
 
 // Withdrawn: the client left, or the host stops. A held request is forgotten; one that is out ends with Finished.
-type Withdrawn struct{ ID RequestID }
+type RequestCanceled struct{ ID RequestID }
 
 // FirstByte: the endpoint began to answer (head of the answer, or first event of a stream).
-type FirstByte struct {
+type FirstByteReceived struct {
 	ID       RequestID
 	Endpoint string
-	Load     *ToldLoad // from X-Instance-Load of the answer's head, nil without
+	Load     *AdvertisedLoad // from X-Instance-Load of the answer's head, nil without
 }
 
 // Progress: an event of a stream arrived; sent at most a few times a second for each request.
-type Progress struct {
+type StreamProgress struct {
 	ID       RequestID
 	Endpoint string
 	Events   int // since the last
 }
 
 // Stalled: a stream that may go on elsewhere has paused for long. The call goes on unless Abandon follows.
-type Stalled struct {
+type StreamStalled struct {
 	ID       RequestID
 	Endpoint string
 }
@@ -77,27 +77,27 @@
 
 // The results of a call.
 const (
-	Succeeded   Result = iota // whole answer below 500
-	Failed                    // the endpoint answered with a failure of its own; it ran
-	Refused                   // X-Not-Executed or 421: it surely did not run
-	NotSent                   // no byte of it was written: the connection could not be made
-	Lost                      // reset, closed, silent or garbled after bytes were written: it may have run
-	GivenUp                   // ended by this side: deadline, client gone
-	WrongTarget               // 421: another incarnation has the address, or the model is not there
+	Succeeded      Result = iota // whole answer below 500
+	Failed                       // the endpoint answered with a failure of its own; it ran
+	Rejected                     // X-Not-Executed or 421: it surely did not run
+	NotSent                      // no byte of it was written: the connection could not be made
+	ConnectionLost               // reset, closed, silent or garbled after bytes were written: it may have run
+	Canceled                     // ended by this side: deadline, client gone
+	Misdirected                  // 421: another incarnation has the address, or the model is not there
 )
 
 // Finished: a call ended. More: the request itself goes on and asks for another endpoint (a failure that
 // may be repeated, or a stream that broke off and may be resumed).
-type Finished struct {
-	ID       RequestID
-	Endpoint string
-	Result   Result
-	More     bool
-	Load     *ToldLoad // from X-Instance-Load, nil without
+type AttemptFinished struct {
+	ID         RequestID
+	Endpoint   string
+	Result     Result
+	NeedsRetry bool
+	Load       *AdvertisedLoad // from X-Instance-Load, nil without
 }
 
-// ToldLoad is what an endpoint said of itself in an answer.
-type ToldLoad struct{ Running, Waiting, Slots int }
+// AdvertisedLoad is what an endpoint said of itself in an answer.
+type AdvertisedLoad struct{ Running, Waiting, Slots int }
 
 // ViewChanged: the control plane sent endpoints, a configuration, grants or the number of routers.
 type ViewChanged struct {
@@ -105,26 +105,26 @@
 	Full          bool                         // Endpoints is the whole table
 	Endpoints     []protocol.Endpoint
 	Quotas        []protocol.QuotaGrant
-	Routers       int // 0: unchanged
+	RouterCount   int // 0: unchanged
 }
 
 // Closing: this process ends. From HoldUntil on nothing is held for longer than a moment: what can't be sent is
 // refused, and its client comes back to another router. Only a stream that broke off midway still waits. From ChooseFrom on
 // only what can be expected to end well before EndBy is taken on, the rest is refused at once.
-type Closing struct {
-	HoldUntil  time.Time
-	ChooseFrom time.Time // zero: whatever comes is taken on
-	EndBy      time.Time
+type ShutdownStarted struct {
+	QueueDeadline          time.Time
+	SelectiveAdmissionFrom time.Time // zero: whatever comes is taken on
+	ShutdownDeadline       time.Time
 }
 
-func (Arrived) input()     {}
-func (Withdrawn) input()   {}
-func (FirstByte) input()   {}
-func (Stalled) input()     {}
-func (Progress) input()    {}
-func (Finished) input()    {}
-func (ViewChanged) input() {}
-func (Closing) input()     {}
+func (RequestArrived) input()    {}
+func (RequestCanceled) input()   {}
+func (FirstByteReceived) input() {}
+func (StreamStalled) input()     {}
+func (StreamProgress) input()    {}
+func (AttemptFinished) input()   {}
+func (ViewChanged) input()       {}
+func (ShutdownStarted) input()   {}
 
 // Output is something the host must do: one of the types below.
 type Output interface{ output() }
@@ -143,17 +143,17 @@
 
 // The reasons of a refusal.
 const (
-	OverQuota   Reason = iota // 429
-	NoTime                    // 503: can't be served within its time
-	NoEndpoint                // 503: no endpoint of the service, or none holds the model in time
-	BudgetSpent               // what failed may not be sent again
-	Exhausted                 // MaxEndpoints reached, or it may have run and is not repeatable
-	Leaving                   // 503: this process ends, and another router may serve the request
+	QuotaExceeded        Reason = iota // 429
+	TargetUnreachable                  // 503: can't be served within its time
+	NoEndpoint                         // 503: no endpoint of the service, or none holds the model in time
+	RetryBudgetExhausted               // what failed may not be sent again
+	AttemptsExhausted                  // MaxEndpoints reached, or it may have run and is not repeatable
+	ShuttingDown                       // 503: this process ends, and another router may serve the request
 )
 
 // Refuse: answer at once. RetryAfter is when the client may come back, 0 where coming back is useless.
 // The host answers 429 or 503 only if the request surely has not run, else 502.
-type Refuse struct {
+type Reject struct {
 	ID         RequestID
 	Reason     Reason
 	RetryAfter time.Duration
@@ -170,6 +170,6 @@
 type Report struct{ Report protocol.Report }
 
 func (Send) output()    {}
-func (Refuse) output()  {}
+func (Reject) output()  {}
 func (Abandon) output() {}
 func (Report) output()  {}
--- a/internal/router/dispatch/view.go
+++ b/internal/router/dispatch/view.go
@@ -107,8 +107,8 @@
 
 // view takes over what the control plane sent.
 func (d *Decider) view(change ViewChanged) {
-	if change.Routers > 0 {
-		d.routers = change.Routers
+	if change.RouterCount > 0 {
+		d.routers = change.RouterCount
 	}
 	if change.Configuration != nil {
 		d.configure(change.Configuration)
--- a/internal/router/dispatch/world_test.go
+++ b/internal/router/dispatch/world_test.go
@@ -116,9 +116,9 @@
 		lag: 5 * time.Millisecond,
 	}
 	for i := range routers {
-		w.routers = append(w.routers, New(Options{
+		w.routers = append(w.routers, New(Config{
 			Node: fmt.Sprint("r", i), Seed: seed + uint64(i), Zone: "z",
-			Routers: routers, BudgetRatio: 0.2, BudgetSlack: 56, QuotaOver: 0.1, QuotaSlack: 11000,
+			RouterCount: routers, RetryBudgetRatio: 0.2, RetryBudgetSlack: 56, QuotaOvershootFraction: 0.1, QuotaOvershootSlack: 11000,
 		}))
 		w.clients = append(w.clients, map[RequestID]*client{})
 	}
@@ -161,7 +161,7 @@
 	for i := range w.routers {
 		w.inputs[i] = append(w.inputs[i], ViewChanged{
 			Configuration: w.config, Full: true, Endpoints: rows,
-			Routers: len(w.routers),
+			RouterCount: len(w.routers),
 		})
 	}
 }
@@ -285,14 +285,14 @@
 	r := Request{
 		ID: w.nextID, Service: "lm", Model: k.model, Adapter: k.adapter, PromptTokens: prompt,
 		OutputTokens: int(float64(k.output) * (0.2 + 1.6*w.rng.Float64())), Tenant: k.tenant, RoutePriority: k.rank,
-		Streaming: k.model != "", Repeatable: k.repeatable, MaxEndpoints: 2, Arrived: w.clock(), Objective: w.clock().Add(k.objective),
+		Streaming: k.model != "", Retryable: k.repeatable, MaxEndpoints: 2, ArrivedAt: w.clock(), LatencyTarget: w.clock().Add(k.objective),
 		Deadline: w.clock().Add(k.within),
 	}
 	if k.model == "" {
 		r.Service, r.PromptTokens, r.MaxEndpoints = "app", 0, 1
 	} else {
 		r.OutputTokens = max(r.OutputTokens, 1)
-		r.Parts = []Part{
+		r.PromptParts = []PromptPart{
 			{Hash: uint64(1 + w.rng.IntN(3)), Tokens: min(210, prompt/4)},
 			{Hash: uint64(10 + w.rng.IntN(100)), Tokens: min(140, prompt/4)},
 		}
@@ -303,9 +303,9 @@
 	}
 	if before != nil {
 		deadline := before.request.Deadline
-		r.Again, r.Deadline = true, deadline
+		r.ClientRetry, r.Deadline = true, deadline
 		r.PromptTokens, r.OutputTokens = before.request.PromptTokens, before.request.OutputTokens
-		r.Parts = before.request.Parts
+		r.PromptParts = before.request.PromptParts
 		r.Charge = before.request.Charge
 	} else {
 		k.asked++
@@ -318,7 +318,7 @@
 	c.request = r
 	w.clients[c.router][r.ID] = c
 	w.asks[r.Service] = append(w.asks[r.Service], w.now)
-	w.inputs[c.router] = append(w.inputs[c.router], Arrived{r})
+	w.inputs[c.router] = append(w.inputs[c.router], RequestArrived{r})
 }
 
 func (w *world) clock() time.Time { return w.zero.Add(w.now) }
--- a/internal/router/dispatch/worldhost_test.go
+++ b/internal/router/dispatch/worldhost_test.go
@@ -20,8 +20,8 @@
 	}
 	j.call.begun = true
 	c.began = true
-	c.inTime = !w.clock().After(c.request.Objective)
-	w.tellRouter(c, FirstByte{ID: c.request.ID, Endpoint: j.call.server.row.ID, Load: j.call.server.load()})
+	c.inTime = !w.clock().After(c.request.LatencyTarget)
+	w.tellRouter(c, FirstByteReceived{ID: c.request.ID, Endpoint: j.call.server.row.ID, Load: j.call.server.load()})
 }
 
 func (w *world) end(j *job) {
@@ -41,8 +41,8 @@
 func (w *world) finishCall(c *client, result Result, more bool) {
 	call := c.call
 	c.call = nil
-	w.tellRouter(c, Finished{
-		ID: c.request.ID, Endpoint: call.server.row.ID, Result: result, More: more,
+	w.tellRouter(c, AttemptFinished{
+		ID: c.request.ID, Endpoint: call.server.row.ID, Result: result, NeedsRetry: more,
 		Load: call.server.load(),
 	})
 }
@@ -50,13 +50,13 @@
 // earns is what the try's end is worth, as a part of the request's worth.
 func (c *client) earns() float64 {
 	switch {
-	case c.served && c.inTime && c.request.Again:
+	case c.served && c.inTime && c.request.ClientRetry:
 		return 0.65
 	case c.served && c.inTime:
 		return 1
 	case c.served:
 		return 0.3
-	case c.request.Again && c.refusedNow:
+	case c.request.ClientRetry && c.refusedNow:
 		return -0.3
 	}
 	return 0
@@ -75,7 +75,7 @@
 	c.ends++
 	c.kind.earned += c.kind.weight(c) * c.earns()
 	switch {
-	case c.served && c.inTime && c.request.Again:
+	case c.served && c.inTime && c.request.ClientRetry:
 		c.kind.again++
 	case c.served && c.inTime:
 		c.kind.inTime++
@@ -99,7 +99,7 @@
 			w.lose(c)
 		case w.clock().After(c.request.Deadline):
 			call.server.drop(call)
-			w.finishCall(c, GivenUp, false)
+			w.finishCall(c, Canceled, false)
 			w.close(c)
 		default:
 			w.live = append(w.live, call)
@@ -109,8 +109,8 @@
 
 // lose breaks a call off after it was written.
 func (w *world) lose(c *client) {
-	more := c.request.Repeatable
-	w.finishCall(c, Lost, more)
+	more := c.request.Retryable
+	w.finishCall(c, ConnectionLost, more)
 	if !more {
 		w.close(c)
 	}
--- a/internal/router/dispatch/worldrules_test.go
+++ b/internal/router/dispatch/worldrules_test.go
@@ -29,7 +29,7 @@
 	switch o := o.(type) {
 	case Send:
 		w.send(w.clients[i][o.ID], o)
-	case Refuse:
+	case Reject:
 		if w.clients[i][o.ID].left {
 			w.t.Fatalf("request %d refused after its client left", o.ID)
 		}
@@ -40,11 +40,11 @@
 		}
 	case Abandon:
 		c := w.clients[i][o.ID]
-		if !c.request.Repeatable || c.call == nil || c.call.begun {
+		if !c.request.Retryable || c.call == nil || c.call.begun {
 			w.t.Fatalf("abandoned %+v", c.request)
 		}
 		c.call.server.drop(c.call)
-		w.finishCall(c, Lost, true)
+		w.finishCall(c, ConnectionLost, true)
 	}
 }
 
@@ -64,7 +64,7 @@
 	if c.ends > 0 || c.call != nil {
 		w.t.Fatalf("request %d sent after its end, or twice", o.ID)
 	}
-	if len(c.runs) > 0 && !c.request.Repeatable {
+	if len(c.runs) > 0 && !c.request.Retryable {
 		w.t.Fatalf("request %d sent again after it may have run", o.ID)
 	}
 	if len(c.runs) >= c.request.MaxEndpoints {
@@ -73,7 +73,7 @@
 	c.call = &worldCall{client: c, server: s}
 	w.live = append(w.live, c.call)
 	key := uint64(0)
-	for _, p := range c.request.Parts {
+	for _, p := range c.request.PromptParts {
 		key = key*1000 + p.Hash
 		c.call.links = append(c.call.links, worldLink{key, float64(p.Tokens)})
 	}
@@ -100,9 +100,9 @@
 		c.runs[s.row.ID] = true
 		c.call.lost = w.now + 3*time.Second
 	case !s.holds(c.request.Model, c.request.Adapter):
-		w.finishCall(c, WrongTarget, true)
+		w.finishCall(c, Misdirected, true)
 	case !s.accept(c.call, priority, w.now, w.rng):
-		w.finishCall(c, Refused, true)
+		w.finishCall(c, Rejected, true)
 	default:
 		c.runs[s.row.ID] = true
 		if c.arrivals == 1 {
@@ -114,18 +114,18 @@
 	}
 }
 
-func (w *world) refuse(c *client, o Refuse) {
+func (w *world) refuse(c *client, o Reject) {
 	if c.ends > 0 || c.call != nil {
 		w.t.Fatalf("request %d refused after its end, or while it is out", o.ID)
 	}
-	if o.Reason == NoTime && len(c.runs) == 0 && w.halfFree(&c.request) {
+	if o.Reason == TargetUnreachable && len(c.runs) == 0 && w.halfFree(&c.request) {
 		w.fullFree++
 	}
 	c.kind.refused++
 	c.refusedNow = true
 	c.reason = o.Reason
 	c.refusedAt, c.after = w.now, o.RetryAfter
-	if c.request.Again {
+	if c.request.ClientRetry {
 		c.kind.twice++
 	}
 	if len(c.runs) == 0 && !c.refused && o.RetryAfter > 0 {
@@ -169,7 +169,7 @@
 	for service, list := range w.further {
 		asks := w.asks[service]
 		for i, from := range list {
-			n := sort.Search(len(list), func(j int) bool { return list[j] > from+DefaultBudgetWindow }) - i
+			n := sort.Search(len(list), func(j int) bool { return list[j] > from+DefaultRetryBudgetWindow }) - i
 			most := 0.2*float64(w.most(asks, from)) + 56
 			if float64(n) > most {
 				w.t.Fatalf("%s: %d further arrivals from %v on, %v allowed", service, n, from, most)
@@ -196,9 +196,9 @@
 // most is how many requests the window from then on holds, the one before, or the one half a window before.
 func (w *world) most(asks []time.Duration, from time.Duration) int {
 	most := 0
-	for _, back := range []time.Duration{0, DefaultBudgetWindow / 2, DefaultBudgetWindow} {
+	for _, back := range []time.Duration{0, DefaultRetryBudgetWindow / 2, DefaultRetryBudgetWindow} {
 		low := sort.Search(len(asks), func(i int) bool { return asks[i] >= from-back })
-		high := sort.Search(len(asks), func(i int) bool { return asks[i] > from-back+DefaultBudgetWindow })
+		high := sort.Search(len(asks), func(i int) bool { return asks[i] > from-back+DefaultRetryBudgetWindow })
 		most = max(most, high-low)
 	}
 	return most
--- a/internal/router/dispatcher/actor.go
+++ b/internal/router/dispatcher/actor.go
@@ -58,7 +58,7 @@
 	id     dispatch.RequestID
 	input  dispatch.Input
 	ticket *Ticket
-	ending *Ending
+	ending *Outcome
 	view   *dispatch.ViewChanged
 	done   chan<- struct{}
 }
@@ -74,9 +74,9 @@
 	}
 }
 
-// Arrive hands a request over; the actor names it.
-func (a *Actor) Arrive(request dispatch.Request) *Ticket {
-	ticket := &Ticket{actor: a, verdicts: make(chan Verdict, 1)}
+// Submit hands a request over; the actor names it.
+func (a *Actor) Submit(request dispatch.Request) *Ticket {
+	ticket := &Ticket{actor: a, verdicts: make(chan Decision, 1)}
 	a.mutex.Lock()
 	a.lastID++
 	ticket.id = a.lastID
@@ -84,7 +84,7 @@
 	a.queue = append(a.queue, command{
 		kind:   arrive,
 		id:     ticket.id,
-		input:  dispatch.Arrived{Request: request},
+		input:  dispatch.RequestArrived{Request: request},
 		ticket: ticket,
 	})
 	a.mutex.Unlock()
@@ -92,8 +92,8 @@
 	return ticket
 }
 
-// Apply returns once the decider has taken the change.
-func (a *Actor) Apply(ctx context.Context, view dispatch.ViewChanged) error {
+// ApplyView returns once the decider has taken the change.
+func (a *Actor) ApplyView(ctx context.Context, view dispatch.ViewChanged) error {
 	done := make(chan struct{})
 	a.post(command{kind: apply, view: &view, done: done})
 	select {
@@ -104,8 +104,10 @@
 	}
 }
 
-// Close tells the decider that the process ends.
-func (a *Actor) Close(closing dispatch.Closing) { a.post(command{kind: tell, input: closing}) }
+// BeginShutdown tells the decider that the process ends.
+func (a *Actor) BeginShutdown(closing dispatch.ShutdownStarted) {
+	a.post(command{kind: tell, input: closing})
+}
 
 func (a *Actor) post(c command) {
 	a.mutex.Lock()
@@ -222,7 +224,7 @@
 	}
 	if !p.left {
 		p.left = true
-		a.inputs = append(a.inputs, dispatch.Withdrawn{ID: id})
+		a.inputs = append(a.inputs, dispatch.RequestCanceled{ID: id})
 	}
 	if p.send != nil {
 		a.endUnread(p, now)
@@ -237,31 +239,31 @@
 		unused = v.Connection
 	default:
 	}
-	ending := &Ending{Send: p.send, Result: dispatch.GivenUp, Connection: unused}
+	ending := &Outcome{Send: p.send, Result: dispatch.Canceled, Connection: unused}
 	if unused != nil {
-		ending.Rest = unused.ExpiresAt().Sub(now)
+		ending.IdleTimeout = unused.ExpiresAt().Sub(now)
 	}
 	a.finish(p.ticket.id, ending, now)
 }
 
-func (a *Actor) finish(id dispatch.RequestID, e *Ending, now time.Time) {
+func (a *Actor) finish(id dispatch.RequestID, e *Outcome, now time.Time) {
 	p := a.waiting[id]
 	if p == nil {
 		return
 	}
-	a.idle.Return(e.Send.Endpoint, e.Connection, e.Rest, e.Send.MaxConnections, now)
-	if e.Answered {
-		a.inputs = append(a.inputs, dispatch.FirstByte{ID: id, Endpoint: e.Send.Endpoint, Load: e.Load})
+	a.idle.Return(e.Send.Endpoint, e.Connection, e.IdleTimeout, e.Send.MaxConnections, now)
+	if e.FirstByteUnreported {
+		a.inputs = append(a.inputs, dispatch.FirstByteReceived{ID: id, Endpoint: e.Send.Endpoint, Load: e.Load})
 	}
-	a.inputs = append(a.inputs, dispatch.Finished{
-		ID:       id,
-		Endpoint: e.Send.Endpoint,
-		Result:   e.Result,
-		More:     e.More,
-		Load:     e.Load,
+	a.inputs = append(a.inputs, dispatch.AttemptFinished{
+		ID:         id,
+		Endpoint:   e.Send.Endpoint,
+		Result:     e.Result,
+		NeedsRetry: e.NeedsRetry,
+		Load:       e.Load,
 	})
 	p.send = nil
-	if !e.More {
+	if !e.NeedsRetry {
 		delete(a.waiting, id)
 	}
 }
@@ -286,7 +288,7 @@
 	switch o := output.(type) {
 	case dispatch.Send:
 		a.send(o, now)
-	case dispatch.Refuse:
+	case dispatch.Reject:
 		a.refuse(o)
 	case dispatch.Abandon:
 		if p := a.waiting[o.ID]; p != nil && p.send != nil {
@@ -304,17 +306,17 @@
 	}
 	p.send = &o
 	connection := a.idle.Take(o.Endpoint, now)
-	p.ticket.verdicts <- Verdict{Send: &o, Connection: connection}
+	p.ticket.verdicts <- Decision{Send: &o, Connection: connection}
 	if p.left { // it was withdrawn in the step that sent it
 		a.post(command{kind: withdraw, id: o.ID})
 	}
 }
 
-func (a *Actor) refuse(o dispatch.Refuse) {
+func (a *Actor) refuse(o dispatch.Reject) {
 	p := a.waiting[o.ID]
 	if p == nil {
 		return
 	}
 	delete(a.waiting, o.ID)
-	p.ticket.verdicts <- Verdict{Refuse: &o}
+	p.ticket.verdicts <- Decision{Reject: &o}
 }
--- a/internal/router/dispatcher/actor_test.go
+++ b/internal/router/dispatcher/actor_test.go
@@ -33,7 +33,7 @@
 // sendAll sends whatever arrives.
 func sendAll(inputs []dispatch.Input) (outputs []dispatch.Output) {
 	for _, input := range inputs {
-		if a, ok := input.(dispatch.Arrived); ok {
+		if a, ok := input.(dispatch.RequestArrived); ok {
 			outputs = append(outputs, dispatch.Send{ID: a.Request.ID, Endpoint: "e", MaxConnections: 2})
 		}
 	}
@@ -83,18 +83,18 @@
 func TestConnectionGoesToTheNextCall(t *testing.T) {
 	a, _, dialer := start(t, sendAll)
 	ctx := context.Background()
-	first := a.Arrive(dispatch.Request{})
+	first := a.Submit(dispatch.Request{})
 	v, _ := first.Wait(ctx, nil)
 	if v.Connection != nil {
 		t.Fatal("a connection from nowhere")
 	}
 	c := connect(t, dialer)
-	first.Finish(Ending{Send: v.Send, Result: dispatch.Succeeded, Connection: c, Rest: time.Minute})
-	second := a.Arrive(dispatch.Request{})
+	first.FinishAttempt(Outcome{Send: v.Send, Result: dispatch.Succeeded, Connection: c, IdleTimeout: time.Minute})
+	second := a.Submit(dispatch.Request{})
 	if v, _ = second.Wait(ctx, nil); v.Connection != c || !c.Reused {
 		t.Error("the connection that rested was not handed out")
 	}
-	third := a.Arrive(dispatch.Request{})
+	third := a.Submit(dispatch.Request{})
 	if v, _ = third.Wait(ctx, nil); v.Connection != nil {
 		t.Error("one connection for two calls")
 	}
@@ -103,22 +103,22 @@
 // A request whose client leaves before it has read its verdict: its call ends, and its connection rests on.
 func TestVerdictThatNobodyReads(t *testing.T) {
 	a, s, dialer := start(t, sendAll)
-	first := a.Arrive(dispatch.Request{})
+	first := a.Submit(dispatch.Request{})
 	v, _ := first.Wait(context.Background(), nil)
 	c := connect(t, dialer)
-	first.Finish(Ending{Send: v.Send, Result: dispatch.Succeeded, Connection: c, Rest: time.Minute})
-	second := a.Arrive(dispatch.Request{})
+	first.FinishAttempt(Outcome{Send: v.Send, Result: dispatch.Succeeded, Connection: c, IdleTimeout: time.Minute})
+	second := a.Submit(dispatch.Request{})
 	s.inputs(t, 3)
 	a.post(command{kind: withdraw, id: second.id})
 	got := s.inputs(t, 2)
-	if _, ok := got[0].(dispatch.Withdrawn); !ok {
+	if _, ok := got[0].(dispatch.RequestCanceled); !ok {
 		t.Errorf("%v", got)
 	}
-	f, ok := got[1].(dispatch.Finished)
-	if !ok || f.ID != second.id || f.Result != dispatch.GivenUp || f.More {
+	f, ok := got[1].(dispatch.AttemptFinished)
+	if !ok || f.ID != second.id || f.Result != dispatch.Canceled || f.NeedsRetry {
 		t.Errorf("%v", got)
 	}
-	third := a.Arrive(dispatch.Request{})
+	third := a.Submit(dispatch.Request{})
 	if v, _ = third.Wait(context.Background(), nil); v.Connection != c {
 		t.Error("the connection is lost")
 	}
@@ -130,15 +130,15 @@
 	a, s, _ := start(t, func(inputs []dispatch.Input) (outputs []dispatch.Output) {
 		for _, input := range inputs {
 			switch i := input.(type) {
-			case dispatch.Arrived:
+			case dispatch.RequestArrived:
 				held = i.Request.ID
-			case dispatch.Withdrawn: // as where another call's end in the same step had made room for it
+			case dispatch.RequestCanceled: // as where another call's end in the same step had made room for it
 				outputs = append(outputs, dispatch.Send{ID: held, Endpoint: "e"})
 			}
 		}
 		return outputs
 	})
-	ticket := a.Arrive(dispatch.Request{})
+	ticket := a.Submit(dispatch.Request{})
 	s.inputs(t, 1)
 	ctx, leave := context.WithCancel(context.Background())
 	leave()
@@ -146,7 +146,7 @@
 		t.Fatal("a verdict for nobody")
 	}
 	got := s.inputs(t, 2)
-	if f, ok := got[1].(dispatch.Finished); !ok || f.Result != dispatch.GivenUp {
+	if f, ok := got[1].(dispatch.AttemptFinished); !ok || f.Result != dispatch.Canceled {
 		t.Errorf("%v", got)
 	}
 	if len(a.waiting) != 0 {
@@ -157,14 +157,14 @@
 func TestRefusedAndGone(t *testing.T) {
 	a, _, _ := start(t, func(inputs []dispatch.Input) (outputs []dispatch.Output) {
 		for _, input := range inputs {
-			if i, ok := input.(dispatch.Arrived); ok {
-				outputs = append(outputs, dispatch.Refuse{ID: i.Request.ID, Reason: dispatch.NoTime})
+			if i, ok := input.(dispatch.RequestArrived); ok {
+				outputs = append(outputs, dispatch.Reject{ID: i.Request.ID, Reason: dispatch.TargetUnreachable})
 			}
 		}
 		return outputs
 	})
-	v, ok := a.Arrive(dispatch.Request{}).Wait(context.Background(), nil)
-	if !ok || v.Refuse == nil || v.Refuse.Reason != dispatch.NoTime {
+	v, ok := a.Submit(dispatch.Request{}).Wait(context.Background(), nil)
+	if !ok || v.Reject == nil || v.Reject.Reason != dispatch.TargetUnreachable {
 		t.Errorf("%+v", v)
 	}
 }
@@ -172,19 +172,19 @@
 // Apply returns after the decider has had the change, and drops connections to endpoints that are gone.
 func TestApply(t *testing.T) {
 	a, s, dialer := start(t, sendAll)
-	ticket := a.Arrive(dispatch.Request{})
+	ticket := a.Submit(dispatch.Request{})
 	v, _ := ticket.Wait(context.Background(), nil)
 	c := connect(t, dialer)
-	ticket.Finish(Ending{Send: v.Send, Connection: c, Rest: time.Minute})
+	ticket.FinishAttempt(Outcome{Send: v.Send, Connection: c, IdleTimeout: time.Minute})
 	gone := dispatch.ViewChanged{Endpoints: []protocol.Endpoint{{ID: "e", State: protocol.Departed}}}
-	if err := a.Apply(context.Background(), gone); err != nil {
+	if err := a.ApplyView(context.Background(), gone); err != nil {
 		t.Fatal(err)
 	}
 	got := s.inputs(t, 3)
 	if _, ok := got[2].(dispatch.ViewChanged); !ok {
 		t.Errorf("%v", got)
 	}
-	if v, _ = a.Arrive(dispatch.Request{}).Wait(context.Background(), nil); v.Connection != nil {
+	if v, _ = a.Submit(dispatch.Request{}).Wait(context.Background(), nil); v.Connection != nil {
 		t.Error("a connection to an endpoint that was gone")
 	}
 }
--- a/internal/router/ingress/answer.go
+++ b/internal/router/ingress/answer.go
@@ -83,16 +83,16 @@
 func (x *exchange) answered(l *lease, got *whole) bool {
 	answer := got.answer
 	ending := l.ending(answer, dispatch.Succeeded)
-	ending.Answered = true
+	ending.FirstByteUnreported = true
 	if answer.StatusCode >= http.StatusInternalServerError || promises(answer.StatusCode) {
 		x.mayHaveRun = true
 		ending.Result = dispatch.Failed
-		ending.More = x.repeatable() && !x.late()
+		ending.NeedsRetry = x.repeatable() && !x.late()
 		if !promises(answer.StatusCode) {
 			x.kept = got
 		}
 		x.finish(ending)
-		return !ending.More && x.end()
+		return !ending.NeedsRetry && x.end()
 	}
 	x.finish(ending)
 	got.write(x)
@@ -111,12 +111,12 @@
 
 // notResumed ends a second run that brought no stream.
 func (x *exchange) notResumed(answer *call.Answer) bool {
-	result := dispatch.Lost
+	result := dispatch.ConnectionLost
 	if answer.StatusCode >= http.StatusInternalServerError {
 		result = dispatch.Failed
 	}
 	more := !x.late()
-	x.finish(dispatcher.Ending{Result: result, More: more, Load: answer.Load()})
+	x.finish(dispatcher.Outcome{Result: result, NeedsRetry: more, Load: answer.Load()})
 	return !more && x.end()
 }
 
@@ -178,7 +178,7 @@
 
 // passLarge passes on an answer that is larger than what is held back, as it comes.
 func (x *exchange) passLarge(l *lease, answer *call.Answer, begun []byte) bool {
-	x.ticket.FirstByte(x.out.Endpoint, answer.Load())
+	x.ticket.ReportFirstByte(x.out.Endpoint, answer.Load())
 	x.boundWrites()
 	length := ""
 	if answer.ContentLength >= 0 {
@@ -189,7 +189,7 @@
 	var failed error
 	for piece := begun; failed == nil; {
 		if _, err := x.w.Write(piece); err != nil {
-			x.finish(dispatcher.Ending{Result: dispatch.GivenUp})
+			x.finish(dispatcher.Outcome{Result: dispatch.Canceled})
 			abort()
 		}
 		var n int
@@ -197,13 +197,13 @@
 		piece = buffer[:n]
 		if failed == io.EOF && n > 0 {
 			if _, err := x.w.Write(piece); err != nil {
-				x.finish(dispatcher.Ending{Result: dispatch.GivenUp})
+				x.finish(dispatcher.Outcome{Result: dispatch.Canceled})
 				abort()
 			}
 		}
 	}
 	if failed != io.EOF {
-		x.finish(dispatcher.Ending{Result: x.brokenOff()})
+		x.finish(dispatcher.Outcome{Result: x.brokenOff()})
 		abort()
 	}
 	result := dispatch.Succeeded
@@ -217,9 +217,9 @@
 // brokenOff is the result of a call whose answer did not come to its end.
 func (x *exchange) brokenOff() dispatch.Result {
 	if x.r.Context().Err() != nil || x.late() {
-		return dispatch.GivenUp
+		return dispatch.Canceled
 	}
-	return dispatch.Lost
+	return dispatch.ConnectionLost
 }
 
 // passStream passes on events as they come.
@@ -247,11 +247,11 @@
 	var client *stream.ClientError
 	switch {
 	case errors.As(err, &client):
-		x.finish(dispatcher.Ending{Result: dispatch.GivenUp})
+		x.finish(dispatcher.Outcome{Result: dispatch.Canceled})
 		abort()
 	case errors.Is(err, stream.ErrGap):
 		x.handler.losses.Lost(x.out.Endpoint, err)
-		x.finish(dispatcher.Ending{Result: dispatch.Lost})
+		x.finish(dispatcher.Outcome{Result: dispatch.ConnectionLost})
 		abort()
 	}
 	return x.lost(err)
@@ -284,7 +284,7 @@
 
 func (c *eventClient) Begin() {
 	x := c.x
-	x.ticket.FirstByte(x.out.Endpoint, c.answer.Load())
+	x.ticket.ReportFirstByte(x.out.Endpoint, c.answer.Load())
 	if !x.headSent {
 		x.boundWrites()
 		x.writeHead(c.answer, "")
@@ -298,8 +298,8 @@
 
 func (c *eventClient) Flush() error { return c.flusher.Flush() }
 
-func (c *eventClient) KeepWaiting() bool { return c.x.ticket.Stalled(c.x.out.Endpoint) }
+func (c *eventClient) KeepWaiting() bool { return c.x.ticket.ReportStalled(c.x.out.Endpoint) }
 
 func (c *eventClient) Progress(events int) {
-	c.x.ticket.Progress(c.x.out.Endpoint, events)
+	c.x.ticket.ReportProgress(c.x.out.Endpoint, events)
 }
--- a/internal/router/ingress/early_test.go
+++ b/internal/router/ingress/early_test.go
@@ -91,7 +91,7 @@
 		}, 413, "", dispatch.Succeeded},
 		"refusal": {func(c net.Conn, id string) {
 			io.WriteString(c, answerText("503 Full", id, "", "X-Not-Executed: 1", "Content-Length: 0"))
-		}, 200, "done", dispatch.Refused},
+		}, 200, "done", dispatch.Rejected},
 	} {
 		t.Run(name, func(t *testing.T) {
 			early := newHasty(t, c.answer, false)
@@ -156,7 +156,7 @@
 	<-reached
 	client.Close()
 	left := time.Now()
-	if have := w.double.results(t, 1); time.Since(left) > mostWait || have[0] != dispatch.GivenUp || len(second.requests()) > 0 {
+	if have := w.double.results(t, 1); time.Since(left) > mostWait || have[0] != dispatch.Canceled || len(second.requests()) > 0 {
 		t.Errorf("results %v after %v, %d further requests", have, time.Since(left), len(second.requests()))
 	}
 	close(e.goOn)
--- a/internal/router/ingress/end_test.go
+++ b/internal/router/ingress/end_test.go
@@ -83,7 +83,7 @@
 	<-reached
 	w.double.until(t, "the first event", func() bool {
 		return slices.ContainsFunc(w.double.seen, func(i dispatch.Input) bool {
-			_, ok := i.(dispatch.FirstByte)
+			_, ok := i.(dispatch.FirstByteReceived)
 			return ok
 		})
 	})
@@ -115,7 +115,7 @@
 	if err := w.server.End(context.Background()); err != nil {
 		t.Error(err)
 	}
-	if have := w.double.results(t, 2); have[0] != dispatch.GivenUp || have[1] != dispatch.GivenUp {
+	if have := w.double.results(t, 2); have[0] != dispatch.Canceled || have[1] != dispatch.Canceled {
 		t.Errorf("results %v", have)
 	}
 }
--- a/internal/router/ingress/exchange.go
+++ b/internal/router/ingress/exchange.go
@@ -47,8 +47,8 @@
 		case !ok:
 			x.leave()
 			return
-		case verdict.Refuse != nil:
-			x.refused(verdict.Refuse)
+		case verdict.Reject != nil:
+			x.refused(verdict.Reject)
 			return
 		}
 		if x.try(verdict) {
@@ -80,19 +80,19 @@
 // settle frees the dispatcher's slot where the exchange ended in a panic.
 func (x *exchange) settle() {
 	if x.out != nil {
-		x.finish(dispatcher.Ending{Result: dispatch.GivenUp})
+		x.finish(dispatcher.Outcome{Result: dispatch.Canceled})
 	}
 }
 
 // finish tells the dispatcher that the call at hand has ended.
-func (x *exchange) finish(e dispatcher.Ending) {
+func (x *exchange) finish(e dispatcher.Outcome) {
 	e.Send = x.out
 	x.out = nil
-	x.ticket.Finish(e)
+	x.ticket.FinishAttempt(e)
 }
 
 // refused answers for the dispatcher.
-func (x *exchange) refused(why *dispatch.Refuse) {
+func (x *exchange) refused(why *dispatch.Reject) {
 	switch {
 	case x.headSent:
 		abort()
@@ -100,7 +100,7 @@
 		x.kept.write(x)
 	case x.mayHaveRun:
 		x.failed()
-	case why.Reason == dispatch.OverQuota:
+	case why.Reason == dispatch.QuotaExceeded:
 		x.handler.refuse(x.w, refusal{status: http.StatusTooManyRequests, retryAfter: why.RetryAfter})
 	default:
 		x.handler.refuse(x.w, refusal{status: http.StatusServiceUnavailable, retryAfter: why.RetryAfter})
@@ -119,7 +119,7 @@
 func (x *exchange) late() bool { return !time.Now().Before(x.deadline) }
 
 // try makes one call. It is true where the client has had its answer, false where the dispatcher decides next.
-func (x *exchange) try(verdict dispatcher.Verdict) bool {
+func (x *exchange) try(verdict dispatcher.Decision) bool {
 	x.out = verdict.Send
 	if c := verdict.Connection; c != nil {
 		if c.Reusable() {
@@ -173,7 +173,7 @@
 	if err := c.SetDeadline(x.deadline); err != nil {
 		return nil, &call.Error{Step: call.Writing, Peer: c.Endpoint, Err: err}
 	}
-	if !x.ticket.Calling(c) {
+	if !x.ticket.AttachConnection(c) {
 		return nil, &call.Error{Step: call.Writing, Peer: c.Endpoint, Err: call.ErrAbandoned}
 	}
 	if err := x.r.Context().Err(); err != nil { // the client left while a connection was made
@@ -200,23 +200,23 @@
 	x.mayHaveRun = x.mayHaveRun || ran
 	switch {
 	case x.r.Context().Err() != nil:
-		x.finish(dispatcher.Ending{Result: dispatch.GivenUp})
+		x.finish(dispatcher.Outcome{Result: dispatch.Canceled})
 		x.leave()
 		return true
 	case x.late() || errors.Is(err, call.ErrNoTime):
-		x.finish(dispatcher.Ending{Result: dispatch.GivenUp})
+		x.finish(dispatcher.Outcome{Result: dispatch.Canceled})
 		return x.end()
 	case !ran:
-		x.finish(dispatcher.Ending{Result: dispatch.NotSent, More: true})
+		x.finish(dispatcher.Outcome{Result: dispatch.NotSent, NeedsRetry: true})
 		return false
 	}
 	x.handler.losses.Lost(x.out.Endpoint, err)
 	switch {
 	case x.repeatable() && (x.resumable() || !x.headSent):
-		x.finish(dispatcher.Ending{Result: dispatch.Lost, More: true})
+		x.finish(dispatcher.Outcome{Result: dispatch.ConnectionLost, NeedsRetry: true})
 		return false
 	}
-	x.finish(dispatcher.Ending{Result: dispatch.Lost})
+	x.finish(dispatcher.Outcome{Result: dispatch.ConnectionLost})
 	return x.end()
 }
 
@@ -247,18 +247,18 @@
 
 // turnedAway ends a call that the endpoint did not run.
 func (x *exchange) turnedAway(l *lease, answer *call.Answer) bool {
-	result := dispatch.Refused
+	result := dispatch.Rejected
 	if answer.StatusCode == http.StatusMisdirectedRequest {
-		result = dispatch.WrongTarget
+		result = dispatch.Misdirected
 	}
 	if until := time.Now().Add(refusedDrainTime); until.Before(x.deadline) {
 		_ = l.connection.SetReadDeadline(until) // where it fails, reading does as well
 	}
 	readSome(answer, refusedDrainBytes)
 	ending := l.ending(answer, result)
-	ending.More = !x.late()
+	ending.NeedsRetry = !x.late()
 	x.finish(ending)
-	return !ending.More && x.end()
+	return !ending.NeedsRetry && x.end()
 }
 
 // lease is the use of a connection for one call; it ends early where the client leaves.
@@ -288,9 +288,9 @@
 }
 
 // ending ends the lease after a whole answer. The connection goes back where it may serve another call.
-func (l *lease) ending(answer *call.Answer, result dispatch.Result) dispatcher.Ending {
-	e := dispatcher.Ending{Result: result, Load: answer.Load(), Rest: answer.IdleTTL()}
-	if e.Rest == 0 || !l.stop() {
+func (l *lease) ending(answer *call.Answer, result dispatch.Result) dispatcher.Outcome {
+	e := dispatcher.Outcome{Result: result, Load: answer.Load(), IdleTimeout: answer.IdleTTL()}
+	if e.IdleTimeout == 0 || !l.stop() {
 		l.end()
 		return e
 	}
--- a/internal/router/ingress/failure_test.go
+++ b/internal/router/ingress/failure_test.go
@@ -95,7 +95,7 @@
 			if n := len(good.requests()); n != 0 {
 				t.Errorf("sent again %d times", n)
 			}
-			if have := w.double.results(t, 1); have[0] != dispatch.Lost {
+			if have := w.double.results(t, 1); have[0] != dispatch.ConnectionLost {
 				t.Errorf("results %v", have)
 			}
 			if got := w.ask(request("POST", "/again/x", "r2", "b")); got.StatusCode != 200 || got.text != "done b" {
@@ -189,7 +189,7 @@
 				t.Errorf("%d bytes look complete", len(got.text))
 			}
 			c.ended()
-			if have := w.double.results(t, 2); have[1] != dispatch.Lost {
+			if have := w.double.results(t, 2); have[1] != dispatch.ConnectionLost {
 				t.Errorf("results %v", have)
 			}
 		})
@@ -254,7 +254,7 @@
 	if got := w.ask(request("POST", "/short/x", "r1", "b")); got.StatusCode != 504 {
 		t.Errorf("%v", got.Response)
 	}
-	if have := w.double.results(t, 1); have[0] != dispatch.GivenUp {
+	if have := w.double.results(t, 1); have[0] != dispatch.Canceled {
 		t.Errorf("results %v", have)
 	}
 	if left := e.requests()[0].Header.Get("X-Deadline-Ms"); len(left) > 2 {
@@ -281,10 +281,10 @@
 // The dispatcher's refusals: a promise where nothing has run.
 func TestDispatcherRefuses(t *testing.T) {
 	for reason, want := range map[dispatch.Reason]int{
-		dispatch.OverQuota: 429, dispatch.NoTime: 503, dispatch.NoEndpoint: 503,
+		dispatch.QuotaExceeded: 429, dispatch.TargetUnreachable: 503, dispatch.NoEndpoint: 503,
 	} {
 		w := newWorld(t)
-		w.double.refusal = &dispatch.Refuse{Reason: reason, RetryAfter: 1234567 * time.Microsecond}
+		w.double.refusal = &dispatch.Reject{Reason: reason, RetryAfter: 1234567 * time.Microsecond}
 		got := w.ask(request("POST", "/once/x", "r", "b"))
 		if got.StatusCode != want || got.Header.Get("Retry-After") != "1.235" {
 			t.Errorf("%d: %v", reason, got.Response)
@@ -309,7 +309,7 @@
 	if got := c.receive(); got.StatusCode != 200 {
 		t.Errorf("%v", got.Response)
 	}
-	if have := w.double.results(t, 2); have[0] != dispatch.Lost || have[1] != dispatch.Succeeded {
+	if have := w.double.results(t, 2); have[0] != dispatch.ConnectionLost || have[1] != dispatch.Succeeded {
 		t.Errorf("results %v", have)
 	}
 }
@@ -335,7 +335,7 @@
 	if got := w.ask(request("POST", "/once/x", "r2", "b")); got.StatusCode != 502 {
 		t.Errorf("used before: %v", got.Response)
 	}
-	if have := w.double.results(t, 2); have[1] != dispatch.Lost {
+	if have := w.double.results(t, 2); have[1] != dispatch.ConnectionLost {
 		t.Errorf("results %v", have)
 	}
 }
--- a/internal/router/ingress/handler.go
+++ b/internal/router/ingress/handler.go
@@ -111,7 +111,7 @@
 		r:        r,
 		admitted: a,
 		message:  call.NewMessage(r, a.target, a.requestID, tenant, a.body),
-		ticket:   h.dispatcher.Arrive(a.request(r)),
+		ticket:   h.dispatcher.Submit(a.request(r)),
 	}
 	x.run()
 }
--- a/internal/router/ingress/leave_test.go
+++ b/internal/router/ingress/leave_test.go
@@ -47,7 +47,7 @@
 	w.double.until(t, "the request", func() bool { return len(w.double.requests) == 1 })
 	c.Close()
 	w.double.until(t, "its withdrawal", func() bool {
-		_, ok := w.double.seen[len(w.double.seen)-1].(dispatch.Withdrawn)
+		_, ok := w.double.seen[len(w.double.seen)-1].(dispatch.RequestCanceled)
 		return ok
 	})
 }
@@ -94,7 +94,7 @@
 				<-reached
 				c.Close()
 				e.closedBy(t)
-				if have := w.double.results(t, 1); have[0] != dispatch.GivenUp {
+				if have := w.double.results(t, 1); have[0] != dispatch.Canceled {
 					t.Errorf("results %v", have)
 				}
 				if n := len(second.requests()); n != 0 {
@@ -116,7 +116,7 @@
 	x := &exchange{
 		admitted: &admitted{route: &configuration.Route{Type: configuration.Idempotent}, deadline: time.Now().Add(patience)},
 		handler:  w.handler, w: httptest.NewRecorder(), r: r.WithContext(ctx), message: call.NewMessage(r, "/again/x", "r1", "", nil),
-		ticket: w.actor.Arrive(dispatch.Request{Deadline: time.Now().Add(patience)}),
+		ticket: w.actor.Submit(dispatch.Request{Deadline: time.Now().Add(patience)}),
 		out:    &dispatch.Send{Endpoint: "e0", Address: e.address},
 	}
 	c, err := x.dial()
--- a/internal/router/ingress/pass_test.go
+++ b/internal/router/ingress/pass_test.go
@@ -134,7 +134,7 @@
 	if got := w.ask(request("POST", "/once/x", "r1", "b")); got.text != "done b" {
 		t.Errorf("%d %q", got.StatusCode, got.text)
 	}
-	want := []dispatch.Result{dispatch.Refused, dispatch.WrongTarget, dispatch.Succeeded}
+	want := []dispatch.Result{dispatch.Rejected, dispatch.Misdirected, dispatch.Succeeded}
 	if have := w.double.results(t, 3); fmt.Sprint(have) != fmt.Sprint(want) {
 		t.Errorf("results %v, want %v", have, want)
 	}
@@ -150,7 +150,7 @@
 	w := newWorld(t, e)
 	w.ask(request("GET", "/again/x", "r", ""))
 	w.double.results(t, 1)
-	if told := w.double.finished[0].Load; told == nil || *told != (dispatch.ToldLoad{Running: 3, Waiting: 1, Slots: 8}) {
+	if told := w.double.finished[0].Load; told == nil || *told != (dispatch.AdvertisedLoad{Running: 3, Waiting: 1, Slots: 8}) {
 		t.Errorf("told %v", told)
 	}
 }
--- a/internal/router/ingress/request.go
+++ b/internal/router/ingress/request.go
@@ -11,11 +11,11 @@
 )
 
 // parts reads X-Prefix-Hash; what can't be read ends the list.
-func parts(stated string) []dispatch.Part {
+func parts(stated string) []dispatch.PromptPart {
 	if stated == "" {
 		return nil
 	}
-	list := make([]dispatch.Part, 0, 1+strings.Count(stated, ","))
+	list := make([]dispatch.PromptPart, 0, 1+strings.Count(stated, ","))
 	for item := range strings.SplitSeq(stated, ",") {
 		id, size, _ := strings.Cut(strings.TrimSpace(item), ":")
 		hash, err := strconv.ParseUint(id, 16, 64)
@@ -26,7 +26,7 @@
 		if err != nil || tokens < 0 {
 			break
 		}
-		list = append(list, dispatch.Part{Hash: hash, Tokens: tokens})
+		list = append(list, dispatch.PromptPart{Hash: hash, Tokens: tokens})
 	}
 	return list
 }
@@ -54,19 +54,19 @@
 		Service:       a.service.Name,
 		RoutePriority: a.route.Priority,
 		Streaming:     a.route.Type == configuration.Streaming,
-		Repeatable:    a.repeatable(),
-		Objective:     a.arrived.Add(time.Duration(a.route.LatencyTargetMS) * time.Millisecond),
+		Retryable:     a.repeatable(),
+		LatencyTarget: a.arrived.Add(time.Duration(a.route.LatencyTargetMS) * time.Millisecond),
 		Deadline:      a.deadline,
-		Arrived:       a.arrived,
+		ArrivedAt:     a.arrived,
 		MaxEndpoints:  a.route.MaxAttempts,
 		Charge:        1,
-		Again:         a.again,
+		ClientRetry:   a.again,
 	}
 	var counted bool
 	q.PromptTokens, q.OutputTokens, counted = usage(r.Header.Get("X-Token-Usage"))
 	if a.service.Engine != nil {
 		q.Model, q.Adapter, _ = strings.Cut(r.Header.Get("X-Model"), "/")
-		q.Parts = parts(r.Header.Get("X-Prefix-Hash"))
+		q.PromptParts = parts(r.Header.Get("X-Prefix-Hash"))
 	}
 	if a.tenant == nil {
 		return q
--- a/internal/router/ingress/stream_test.go
+++ b/internal/router/ingress/stream_test.go
@@ -108,7 +108,7 @@
 		}
 	}
 	want := []dispatch.Result{
-		dispatch.Lost, dispatch.Refused, dispatch.Lost, dispatch.NotSent, dispatch.Failed, dispatch.Succeeded,
+		dispatch.ConnectionLost, dispatch.Rejected, dispatch.ConnectionLost, dispatch.NotSent, dispatch.Failed, dispatch.Succeeded,
 	}
 	if have := w.double.results(t, len(want)); fmt.Sprint(have) != fmt.Sprint(want) {
 		t.Errorf("results %v, want %v", have, want)
@@ -194,7 +194,7 @@
 	if got := w.ask(request("POST", "/resumable/x", "r1", "b")); got.text != eventsTo(1, 4) {
 		t.Errorf("%q", got.text)
 	}
-	if have := w.double.results(t, 2); have[0] != dispatch.Lost {
+	if have := w.double.results(t, 2); have[0] != dispatch.ConnectionLost {
 		t.Errorf("results %v", have)
 	}
 }
@@ -205,7 +205,7 @@
 	e0 := newEndpoint(t, func(c net.Conn, r *received) bool {
 		return streaming(2, "s0", func(c net.Conn) {
 			w.double.until(t, "told of the pause", func() bool {
-				return slices.ContainsFunc(w.double.seen, func(i dispatch.Input) bool { _, ok := i.(dispatch.Stalled); return ok })
+				return slices.ContainsFunc(w.double.seen, func(i dispatch.Input) bool { _, ok := i.(dispatch.StreamStalled); return ok })
 			})
 			chunk(c, eventsTo(3, 4))
 			chunk(c, "")
--- a/internal/router/ingress/unframed_test.go
+++ b/internal/router/ingress/unframed_test.go
@@ -69,7 +69,7 @@
 			if got.StatusCode == 200 && got.err == nil {
 				t.Errorf("looks complete: %v %d bytes", got.Response, len(got.text))
 			}
-			if have := w.double.results(t, 1); have[0] != dispatch.Lost || len(good.requests()) > 0 {
+			if have := w.double.results(t, 1); have[0] != dispatch.ConnectionLost || len(good.requests()) > 0 {
 				t.Errorf("results %v", have)
 			}
 		})
--- a/internal/router/ingress/world_test.go
+++ b/internal/router/ingress/world_test.go
@@ -95,11 +95,11 @@
 	mutex     sync.Mutex
 	endpoints []string // addresses; an endpoint's id is e0, e1 and so on
 	hold      bool
-	refusal   *dispatch.Refuse // of whatever arrives
+	refusal   *dispatch.Reject // of whatever arrives
 	abandon   *dispatch.Abandon
 	requests  map[dispatch.RequestID]*dispatch.Request
 	sent      map[dispatch.RequestID]int
-	finished  []dispatch.Finished
+	finished  []dispatch.AttemptFinished
 	seen      []dispatch.Input
 	changed   chan struct{}
 }
@@ -121,16 +121,16 @@
 	for _, input := range inputs {
 		d.seen = append(d.seen, input)
 		switch i := input.(type) {
-		case dispatch.Arrived:
+		case dispatch.RequestArrived:
 			d.requests[i.Request.ID] = &i.Request
 			outputs = append(outputs, d.next(i.Request.ID)...)
-		case dispatch.Stalled: // as the decider: a call ends only where another endpoint will take the request
+		case dispatch.StreamStalled: // as the decider: a call ends only where another endpoint will take the request
 			if d.sent[i.ID] < len(d.endpoints) {
 				outputs = append(outputs, dispatch.Abandon(i))
 			}
-		case dispatch.Finished:
+		case dispatch.AttemptFinished:
 			d.finished = append(d.finished, i)
-			if i.More {
+			if i.NeedsRetry {
 				outputs = append(outputs, d.next(i.ID)...)
 			}
 		}
@@ -156,7 +156,7 @@
 	case d.hold:
 		return nil
 	case n == len(d.endpoints):
-		return []dispatch.Output{dispatch.Refuse{ID: id, Reason: dispatch.Exhausted, RetryAfter: 250 * time.Millisecond}}
+		return []dispatch.Output{dispatch.Reject{ID: id, Reason: dispatch.AttemptsExhausted, RetryAfter: 250 * time.Millisecond}}
 	}
 	d.sent[id]++
 	return []dispatch.Output{dispatch.Send{
@@ -212,7 +212,7 @@
 // rouse makes the double take a step.
 func (w *world) rouse() {
 	w.t.Helper()
-	if err := w.actor.Apply(context.Background(), dispatch.ViewChanged{}); err != nil {
+	if err := w.actor.ApplyView(context.Background(), dispatch.ViewChanged{}); err != nil {
 		w.t.Fatal(err)
 	}
 }
--- a/internal/router/node/force.go
+++ b/internal/router/node/force.go
@@ -29,7 +29,7 @@
 
 // Apply returns once the change is in force.
 func (f *force) Apply(ctx context.Context, view dispatch.ViewChanged) error {
-	if err := f.actor.Apply(ctx, view); err != nil {
+	if err := f.actor.ApplyView(ctx, view); err != nil {
 		return err
 	}
 	if view.Configuration != nil {
--- a/internal/router/node/node.go
+++ b/internal/router/node/node.go
@@ -76,19 +76,19 @@
 	return n, n.listen()
 }
 
-func options(s *nodeconfig.Config, seed uint64) dispatch.Options {
-	return dispatch.Options{
-		Node:         s.NodeName,
-		Incarnation:  seed,
-		Zone:         s.Zone,
-		Seed:         seed,
-		Slots:        min(dispatch.DefaultSlots, connections(s)*3/4),
-		BudgetRatio:  s.Bounds.RetryBudgetRatio,
-		BudgetWindow: s.Bounds.RetryBudgetWindow,
-		BudgetSlack:  s.Bounds.RetryBudgetSlack,
-		QuotaWindow:  s.Bounds.QuotaWindow,
-		QuotaOver:    s.Bounds.QuotaOverrunRatio,
-		QuotaSlack:   s.Bounds.QuotaSlack,
+func options(s *nodeconfig.Config, seed uint64) dispatch.Config {
+	return dispatch.Config{
+		Node:                   s.NodeName,
+		Incarnation:            seed,
+		Zone:                   s.Zone,
+		Seed:                   seed,
+		Slots:                  min(dispatch.DefaultSlots, connections(s)*3/4),
+		RetryBudgetRatio:       s.Bounds.RetryBudgetRatio,
+		RetryBudgetWindow:      s.Bounds.RetryBudgetWindow,
+		RetryBudgetSlack:       s.Bounds.RetryBudgetSlack,
+		QuotaWindow:            s.Bounds.QuotaWindow,
+		QuotaOvershootFraction: s.Bounds.QuotaOverrunRatio,
+		QuotaOvershootSlack:    s.Bounds.QuotaSlack,
 	}
 }
 
@@ -155,10 +155,10 @@
 	began := time.Now()
 	course := ending(n.settings.Bounds.GracePeriod, n.servesOn)
 	n.ending.Store(true)
-	n.actor.Close(dispatch.Closing{
-		HoldUntil:  began.Add(course.drain),
-		ChooseFrom: began.Add(course.choose),
-		EndBy:      began.Add(course.cut),
+	n.actor.BeginShutdown(dispatch.ShutdownStarted{
+		QueueDeadline:          began.Add(course.drain),
+		SelectiveAdmissionFrom: began.Add(course.choose),
+		ShutdownDeadline:       began.Add(course.cut),
 	})
 	n.log.Info().Msg("router.ending")
 	n.pause(course.drain, signals)
--- a/internal/systemsim/naive_decider.go
+++ b/internal/systemsim/naive_decider.go
@@ -115,7 +115,7 @@
 	d.sequence = update.Sequence
 	d.addMembers(update.Members)
 	change := &subscription.Change{
-		View: dispatch.ViewChanged{Full: update.Snapshot, Endpoints: update.Endpoints, Routers: update.RouterCount},
+		View: dispatch.ViewChanged{Full: update.Snapshot, Endpoints: update.Endpoints, RouterCount: update.RouterCount},
 	}
 	if update.Generation > d.generation && len(update.Document) > 0 {
 		change.Generation, change.Document = update.Generation, update.Document
