--- a/internal/control/placer/adapter_eviction.go
+++ b/internal/control/placer/adapter_eviction.go
@@ -9,7 +9,8 @@
 const (
 	// adapterIdleTimeout is how long after its last request an adapter may be evicted at once.
 	adapterIdleTimeout = 2500 * time.Millisecond
-	// minAdapterResidency is how long an adapter in use stays before it may be evicted for one that is loaded nowhere.
+	// minAdapterResidency is how long an adapter in use stays before it may be evicted for one that is loaded
+	// nowhere.
 	minAdapterResidency = 2 * time.Second
 	// adapterReservationTTL is how long a slot that was freed is kept for the adapter it was freed for.
 	adapterReservationTTL = time.Second
@@ -30,8 +31,9 @@
 	return a.running == 0 && now.Sub(a.lastRequestAt) >= adapterIdleTimeout
 }
 
-// evictBefore is the order of eviction: idle adapters first, by their last request; then those that are loaded elsewhere too; then
-// those without requests at the moment; then by the time since they were loaded, the longest first.
+// evictBefore is the order of eviction: idle adapters first, by their last request; then those that are loaded
+// elsewhere too; then those without requests at the moment; then by the time since they were loaded, the longest
+// first.
 func (a loadedAdapter) evictBefore(now time.Time, other loadedAdapter) bool {
 	if idle := a.isIdle(now); idle != other.isIdle(now) {
 		return idle
@@ -47,8 +49,8 @@
 	return a.loadedAt.Before(other.loadedAt)
 }
 
-// adapterToEvict returns the endpoint's adapter that is the first to evict, false if there is none. An adapter in use may be evicted
-// only where mayEvictActive allows it, and after minAdapterResidency.
+// adapterToEvict returns the endpoint's adapter that is the first to evict, false if there is none. An adapter in use
+// may be evicted only where mayEvictActive allows it, and after minAdapterResidency.
 func (p *Placer) adapterToEvict(now time.Time, f *fleet, e *endpoint, mayEvictActive bool) (loadedAdapter, bool) {
 	first := loadedAdapter{}
 	for i := range e.models {
@@ -70,7 +72,8 @@
 	return first, first.endpoint != nil
 }
 
-// isAdapterLoadedElsewhere reports whether an endpoint other than the given one has the adapter loaded and keeps its model.
+// isAdapterLoadedElsewhere reports whether an endpoint other than the given one has the adapter loaded and keeps its
+// model.
 func (f *fleet) isAdapterLoadedElsewhere(key adapterKey, excluded *endpoint) bool {
 	return slices.ContainsFunc(f.sortedEndpoints, func(e *endpoint) bool {
 		if e == excluded || !e.isReady() || e.isUnloading(key.model) {
--- a/internal/control/placer/adapters.go
+++ b/internal/control/placer/adapters.go
@@ -9,7 +9,8 @@
 )
 
 const (
-	// adapterUtilizationShare is the share of an endpoint's time from which on an adapter is loaded at one more endpoint.
+	// adapterUtilizationShare is the share of an endpoint's time from which on an adapter is loaded at one more
+	// endpoint.
 	adapterUtilizationShare = 0.3
 	// adapterActiveWindow is how long after its last request an adapter counts as in use.
 	adapterActiveWindow = 10 * time.Second
@@ -32,8 +33,8 @@
 	unplaced bool    // it is loaded nowhere
 }
 
-// placeAdapters gives slots to the adapters that are asked for. The urgent part is those that are loaded nowhere, as far as a slot is
-// free or its adapter idle.
+// placeAdapters gives slots to the adapters that are asked for. The urgent part is those that are loaded nowhere, as
+// far as a slot is free or its adapter idle.
 func (p *Placer) placeAdapters(now time.Time, f *fleet, table *placementTable, onlyUrgent bool, out *Output) {
 	count := 0
 	for _, need := range p.adapterNeeds(now, f, table) {
@@ -63,9 +64,9 @@
 				continue
 			}
 			rate := d.slowRate.rate(observed, slowTimeConstant)
-			wantedReplicas := 1 + int(rate*requestTime/adapterUtilizationShare)
+			neededReplicas := 1 + int(rate*requestTime/adapterUtilizationShare)
 			loaded := m.adapterReplicas(name)
-			if loaded >= wantedReplicas {
+			if loaded >= neededReplicas {
 				continue
 			}
 			key := adapterKey{m.model, name}
@@ -82,8 +83,8 @@
 	return needs
 }
 
-// unplacedFor is how long the adapter has been loaded nowhere since its eviction, at most adapterActiveWindow; that much too if no
-// eviction is known.
+// unplacedFor is how long the adapter has been loaded nowhere since its eviction, at most adapterActiveWindow; the
+// same if no eviction is known.
 func (f *fleet) unplacedFor(now time.Time, key adapterKey) time.Duration {
 	if evictedAt, known := f.adapterEvictedAt[key]; known {
 		return min(adapterActiveWindow, now.Sub(evictedAt))
@@ -110,8 +111,11 @@
 	return count
 }
 
-// placeAdapter loads the adapter where a slot is free, or evicts another one for it. It reports whether an order was issued.
-func (p *Placer) placeAdapter(now time.Time, f *fleet, m *modelPlacement, need adapterNeed, mayEvictActive bool, out *Output) bool {
+// placeAdapter loads the adapter where a slot is free, or evicts another one for it. It reports whether an order was
+// issued.
+func (p *Placer) placeAdapter(
+	now time.Time, f *fleet, m *modelPlacement, need adapterNeed, mayEvictActive bool, out *Output,
+) bool {
 	unplaced := m.adapterReplicas(need.adapter) == 0 // orders of this step may have changed it
 	backoffOver := f.unplacedFor(now, need.adapterKey) >= adapterReloadBackoff
 	free, victim := p.findAdapterSlot(now, f, m, need, unplaced && mayEvictActive)
@@ -129,9 +133,11 @@
 	return p.evictAdapter(now, f, victim, need, out)
 }
 
-// findAdapterSlot returns the least utilized endpoint with a free slot for the adapter, nil if there is none, and the adapter to evict
-// where no slot is free, with a nil endpoint if there is none.
-func (p *Placer) findAdapterSlot(now time.Time, f *fleet, m *modelPlacement, need adapterNeed, mayEvictActive bool) (*endpoint, loadedAdapter) {
+// findAdapterSlot returns the least utilized endpoint with a free slot for the adapter, nil if there is none, and the
+// adapter to evict where no slot is free, with a nil endpoint if there is none.
+func (p *Placer) findAdapterSlot(
+	now time.Time, f *fleet, m *modelPlacement, need adapterNeed, mayEvictActive bool,
+) (*endpoint, loadedAdapter) {
 	var free *endpoint
 	var victim loadedAdapter
 	for _, r := range m.replicas {
@@ -167,8 +173,8 @@
 	return e.stateKnown || (!p.config.InspectEndpoints && e.inheritedOrdersOver)
 }
 
-// fillFreeSlots loads adapters that nobody has asked for yet into free slots, so that the first request finds them. Each adapter is
-// loaded once this way.
+// fillFreeSlots loads adapters that nobody has asked for yet into free slots, so that the first request finds them.
+// Each adapter is loaded once this way.
 func (p *Placer) fillFreeSlots(now time.Time, f *fleet, table *placementTable, out *Output) {
 	for _, m := range table.placements {
 		if f.models[m.model].AdapterCount > 0 {
@@ -195,7 +201,8 @@
 	}
 }
 
-// firstUnplacedAdapter is the first of the model's adapters, named a1 and so on, that is loaded nowhere; empty if there is none.
+// firstUnplacedAdapter is the first of the model's adapters, named a1 and so on, that is loaded nowhere; empty if
+// there is none.
 func (m *modelPlacement) firstUnplacedAdapter(count int) string {
 	for i := 1; i <= count; i++ {
 		name := "a" + strconv.Itoa(i)
--- a/internal/control/placer/admission.go
+++ b/internal/control/placer/admission.go
@@ -9,7 +9,7 @@
 
 // Reasons why an order is not admissible.
 var (
-	errOrderPending         = errors.New("an order may be under way, or the backoff after a rejection lasts")
+	errOrderPending         = errors.New("an order may be under way, or the backoff after a rejection is not over")
 	errStateUnknown         = errors.New("the endpoint's state is not known exactly")
 	errMemoryExceeded       = errors.New("weights_mb would be exceeded")
 	errAdapterSlotsExceeded = errors.New("adapter_slots would be exceeded")
@@ -19,8 +19,8 @@
 	errLoadRateExceeded     = errors.New("the load rate limit would be exceeded")
 )
 
-// checkAdmissible checks an order immediately before it is issued: one order at a time at an endpoint, the rules LIMIT and
-// CEILING. It relies on nothing that the planning concluded.
+// checkAdmissible checks an order immediately before it is issued: one order at a time at an endpoint, the rules
+// LIMIT and CEILING. It relies on nothing that the planning concluded.
 func (p *Placer) checkAdmissible(now time.Time, f *fleet, e *endpoint, order Order) error {
 	if e.pending != nil || now.Before(e.backoffUntil) {
 		return errOrderPending
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// issue adds an admissible order to the output and makes it the endpoint's pending one. It reports false, and counts a defect
-// of the planning, if the order is not admissible.
+// issue adds an admissible order to the output and makes it the endpoint's pending one. It reports false, and counts
+// a defect of the planning, if the order is not admissible.
 func (p *Placer) issue(now time.Time, f *fleet, e *endpoint, order Order, out *Output) bool {
 	if err := p.checkAdmissible(now, f, e, order); err != nil {
 		p.counters.Inadmissible++
--- a/internal/control/placer/admission_test.go
+++ b/internal/control/placer/admission_test.go
@@ -9,7 +9,8 @@
 	"raventrestle/internal/protocol"
 )
 
-// TestAdmissionCheckRejectsWhatThePlanningMustNotOrder has the gate judge orders that a defect in the planning might give.
+// TestAdmissionCheckRejectsWhatThePlanningMustNotOrder has the gate judge orders that a defect in the planning might
+// give.
 func TestAdmissionCheckRejectsWhatThePlanningMustNotOrder(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	for _, test := range []struct {
@@ -28,7 +29,7 @@
 			errOrderPending,
 		},
 		{
-			"within the pause after a rejection", func(_ *Placer, _ *fleet, e *endpoint) { e.backoffUntil = now.Add(1) },
+			"during the backoff after a rejection", func(_ *Placer, _ *fleet, e *endpoint) { e.backoffUntil = now.Add(1) },
 			Order{Model: "small"},
 			errOrderPending,
 		},
@@ -42,19 +43,19 @@
 		{"an adapter of a model that is not there", nil, Order{Model: "small", Adapter: "a1"}, errNotLoaded},
 		{"an adapter of a model without a configuration", nil, Order{Model: "old", Adapter: "a1"}, errNotConfigured},
 		{
-			"an adapter without room", func(_ *Placer, f *fleet, _ *endpoint) { f.engine.WeightMemoryMB = 61.5 },
+			"an adapter without memory", func(_ *Placer, f *fleet, _ *endpoint) { f.engine.WeightMemoryMB = 61.5 },
 			Order{Model: "big", Adapter: "a2"},
 			errMemoryExceeded,
 		},
 		{
-			"an adapter without a place", func(_ *Placer, f *fleet, _ *endpoint) { f.engine.AdapterSlots = 1 },
+			"an adapter without a slot", func(_ *Placer, f *fleet, _ *endpoint) { f.engine.AdapterSlots = 1 },
 			Order{Model: "big", Adapter: "a2"},
 			errAdapterSlotsExceeded,
 		},
 		{"a load of a model without a configuration", nil, Order{Model: "old"}, errNotConfigured},
 		{"a load of a model that is there", nil, Order{Model: "big"}, errAlreadyLoaded},
 		{
-			"a load without room", func(_ *Placer, f *fleet, _ *endpoint) { f.engine.WeightMemoryMB = 90.9 },
+			"a load without memory", func(_ *Placer, f *fleet, _ *endpoint) { f.engine.WeightMemoryMB = 90.9 },
 			Order{Model: "small"},
 			errMemoryExceeded,
 		},
--- a/internal/control/placer/bind.go
+++ b/internal/control/placer/bind.go
@@ -16,8 +16,9 @@
 	reason         string // for people
 }
 
-// bind makes the candidate its endpoint's plan, enters it in the table, and issues its first order. A plan elsewhere for the same
-// model whose unload is stalled ends; its unload goes on, and the room then goes to what is best at that moment.
+// bind makes the candidate its endpoint's plan, enters it in the table, and issues its first order. A plan elsewhere
+// for the same model whose unload is stalled ends; its unload goes on, and the memory is then free for the best
+// change at that moment.
 func (p *Placer) bind(now time.Time, f *fleet, table *placementTable, c *candidate, out *Output) {
 	c.endpoint.plan = &plan{
 		target:         c.placement.model,
@@ -53,8 +54,8 @@
 		len(m.replicas)+1, m.projectedRate, 100*m.fairLevel, c.gain, c.loss)
 }
 
-// advancePlan issues the next order of the endpoint's plan, or ends the plan: when the target's load is issued, or when the plan
-// can't be carried out any more.
+// advancePlan issues the next order of the endpoint's plan, or ends the plan: when the target's load is issued, or
+// when the plan can't be carried out any more.
 func (p *Placer) advancePlan(now time.Time, f *fleet, e *endpoint, out *Output) {
 	if e.pending != nil || now.Before(e.backoffUntil) || (p.config.InspectEndpoints && !e.stateKnown) {
 		return
@@ -67,7 +68,7 @@
 	case f.freeMemoryMB(e) >= f.models[current.target].WeightsMB:
 		p.loadTarget(now, f, e, out)
 	case len(current.evictions) == 0:
-		e.plan = nil // what is evicted does not make enough room any more
+		e.plan = nil // what is evicted does not free enough memory any more
 	default:
 		p.evictNext(now, f, e, out)
 	}
@@ -83,7 +84,8 @@
 	p.issue(now, f, e, Order{Model: current.target, Reason: current.reason}, out)
 }
 
-// evictNext issues the next unload of the endpoint's plan. The plan ends if the model has come into use and is served nowhere else.
+// evictNext issues the next unload of the endpoint's plan. The plan ends if the model has come into use and is served
+// nowhere else.
 func (p *Placer) evictNext(now time.Time, f *fleet, e *endpoint, out *Output) {
 	current := e.plan
 	model := current.evictions[0]
--- a/internal/control/placer/config.go
+++ b/internal/control/placer/config.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// Config holds the values of a Placer. Zero fields take the defaults below; the bounds come from the machine's settings.
+// Config has the values of a Placer. Zero fields take the defaults below; the bounds come from the machine's
+// settings.
 type Config struct {
 	LoadRateWindow   time.Duration // ceiling_window_s: in any span of this length the loads that begin are bounded
-	LoadRateFactor   float64       // ceiling_over: bound of the loads in a window, as a multiple of what loads_per_s gives; at least 1
+	LoadRateFactor   float64       // ceiling_over: bound of these loads, as a multiple of loads_per_s; at least 1
 	HandoverGap      time.Duration // no other leader has sent an order for this long before New
 	InspectEndpoints bool          // the caller carries out Output.Inspect; if not, state is learned from heartbeats alone
 
--- a/internal/control/placer/demand.go
+++ b/internal/control/placer/demand.go
@@ -20,7 +20,8 @@
 	recentDemandWindow = 3 * time.Second
 	// initialRate is the rate, in requests a second, that is assumed of a model that nobody has asked for yet.
 	initialRate = 1.0 / 30
-	// trendNoiseFactor is how many standard deviations of a model's share a trend must exceed; only the excess counts.
+	// trendNoiseFactor is how many standard deviations of a model's share a trend must exceed; only the excess
+	// counts.
 	trendNoiseFactor = 0.7
 	// minUnmetRequests is the decayed number of unserved requests above which a model without replicas is urgent.
 	minUnmetRequests = 0.3
@@ -28,8 +29,8 @@
 	middlePriorityValue = 9
 )
 
-// decayingRate is an exponentially weighted average rate of events. Its sum decays with the time constant; dividing by the
-// weight of the time observed so far corrects for the averages of a short observation.
+// decayingRate is an exponentially weighted average rate of events. Its sum decays with the time constant; dividing
+// by the weight of the time observed so far corrects for the averages of a short observation.
 type decayingRate struct {
 	sum float64 // events, weighted by their age
 }
@@ -46,12 +47,13 @@
 	return r.sum / weight
 }
 
-// demand is what routers report of the requests for one model, for one of its adapters, or for a whole service.
+// demand is what routers report of the requests for one model, for one of its adapters, or for all models of a
+// service.
 type demand struct {
 	fastRate, slowRate, longRate decayingRate // requests, over the three time constants
 	tokenRate                    decayingRate // tokens of prompts and answers, over slowTimeConstant
 	value                        float64      // of a request; one of middle priority has 1
-	unmet                        float64      // requests rejected or given up for want of a replica, decaying over unmetTimeConstant
+	unmet                        float64      // requests that no replica served, decaying over unmetTimeConstant
 	waiting, running             int          // requests queued at routers, and in flight at endpoints
 	waitingSince                 time.Time    // since when requests have waited without a break, zero: none waits
 	lastRequestAt                time.Time    // zero: there was none
@@ -109,16 +111,18 @@
 }
 
 // longTermRate is the average rate over longTimeConstant, after an observation of the given length. One request in
-// 1/initialRate seconds is taken as observed before, so that the rate of a model that is hardly known begins at initialRate.
+// 1/initialRate seconds is taken as observed before, so that the rate of a model that is hardly known begins at
+// initialRate.
 func (d *demand) longTermRate(observed time.Duration) float64 {
 	const priorSeconds = 1 / initialRate
 	weight := longTimeConstant.Seconds() * (1 - math.Exp(-observed.Seconds()/longTimeConstant.Seconds()))
 	return (d.longRate.sum + 1) / (weight + priorSeconds)
 }
 
-// projectedRate is the rate to be expected after the time ahead, given the service's total rates over the fast and the slow
-// time constant. The total is not extrapolated, only the model's share of it: demand moves from model to model faster than it
-// grows. Noise of the share, as of a Poisson process over the fast time constant, does not count as a trend.
+// projectedRate is the rate to be expected after the time ahead, given the service's total rates over the fast and
+// the slow time constant. The total is not extrapolated, only the model's share of it: demand moves from model to
+// model faster than it grows. Noise of the share, as of a Poisson process over the fast time constant, does not count
+// as a trend.
 func (d *demand) projectedRate(totalFast, totalSlow decayingRate, observed, ahead time.Duration) float64 {
 	fast, slow := totalFast.rate(observed, fastTimeConstant), totalSlow.rate(observed, slowTimeConstant)
 	if fast <= 0 || slow <= 0 {
--- a/internal/control/placer/demand_table.go
+++ b/internal/control/placer/demand_table.go
@@ -8,10 +8,11 @@
 )
 
 const (
-	// routerGaugeTTL is how long the gauges of a router's last report count; a router that has reported nothing for longer
-	// has nothing waiting or running.
+	// routerGaugeTTL is how long the gauges of a router's last report count; a router that has reported nothing for
+	// longer has nothing waiting or running.
 	routerGaugeTTL = 3 * time.Second
-	// reportGapTimeout is how long no router may report until rates are learned anew: another instance led meanwhile.
+	// reportGapTimeout is how long no router may report until rates are learned again from the start: another
+	// instance led meanwhile.
 	reportGapTimeout = 1500 * time.Millisecond
 )
 
@@ -32,15 +33,17 @@
 	totals        map[string]*demand            // by service
 	routers       map[string]routerGauges       // by node
 	advancedAt    time.Time                     // moment up to which averages have decayed
-	observedSince time.Time                     // beginning of the first report, or of the first one after a silence
+	observedSince time.Time                     // beginning of the first report, or of the first one after a gap in reports
 	lastReportAt  time.Time
 }
 
 func newDemandTable() *demandTable {
-	return &demandTable{models: map[string]map[string]*demand{}, totals: map[string]*demand{}, routers: map[string]routerGauges{}}
+	return &demandTable{
+		models: map[string]map[string]*demand{}, totals: map[string]*demand{}, routers: map[string]routerGauges{},
+	}
 }
 
-// observedFor is how long demand has been observed without a silence of all routers.
+// observedFor is how long demand has been observed without a gap in the reports of all routers.
 func (t *demandTable) observedFor(now time.Time) time.Duration {
 	if t.observedSince.IsZero() || now.Sub(t.lastReportAt) > reportGapTimeout {
 		return 0
@@ -109,7 +112,8 @@
 	}
 }
 
-// resetShortTermRates forgets the models' rates that were counted before a silence. Long-term rates and unserved requests stay.
+// resetShortTermRates forgets the models' rates that were counted before a gap in reports. Long-term rates and
+// unserved requests stay.
 func (t *demandTable) resetShortTermRates() {
 	for _, models := range t.models {
 		for _, d := range models {
--- a/internal/control/placer/doc.go
+++ b/internal/control/placer/doc.go
@@ -13,8 +13,8 @@
 //
 //  1. Plans under way go on: the models to evict leave, then the target is loaded (bind.go).
 //  2. Adapters that are asked for and loaded nowhere get a slot, if one is free or its adapter idle (adapters.go).
-//  3. For each model worth another replica, the endpoints are filtered (filter.go) and each change is scored by what the
-//     model's requests gain, less what the evicted models lose and what the orders cost (score.go, eviction.go). The best
+//  3. For each model that may gain by another replica, the endpoints are filtered (filter.go) and each change is scored by what
+//     the model's requests gain, less what the evicted models lose and what the orders cost (score.go, eviction.go). The best
 //     change becomes its endpoint's plan (bind.go), and so on until no change scores above zero.
 //  4. Adapters get further slots, evicting others in turn (adapters.go, adapter_eviction.go).
 //  5. Free slots are filled with adapters that nobody has asked for yet (adapters.go).
@@ -33,7 +33,7 @@
 //	fair_level.go        max-min fair utilization of a model's replicas
 //	value.go             value of being served, by utilization; endpoint time of a request, learned
 //	schedule.go          phases of a decision; the best change
-//	filter.go            models worth another replica, endpoints that can take one
+//	filter.go            models that may gain by a replica, endpoints that can take one
 //	score.go             gain of a replica
 //	eviction.go          how a model to evict is chosen
 //	bind.go              plans and their orders
--- a/internal/control/placer/endpoint.go
+++ b/internal/control/placer/endpoint.go
@@ -17,7 +17,8 @@
 	orderUncertain                   // no answer: the endpoint may have accepted it
 )
 
-// pendingOrder is the one order that an endpoint may be carrying out. It is over when both its answer and its effect are known.
+// pendingOrder is the one order that an endpoint may be carrying out. It is over when both its answer and its effect
+// are known.
 type pendingOrder struct {
 	order            Order
 	phase            orderPhase
@@ -70,8 +71,8 @@
 // adapterSince is when the adapter was loaded, zero if this placer has not seen it come.
 func (m *loadedModel) adapterSince(adapter string) time.Time { return m.adapterLoadedAt[adapter] }
 
-// endpoint is what the placer knows of one endpoint. Where it is uncertain it assumes less free memory: models holds all
-// that may be loaded, pending what may be arriving.
+// endpoint is what the placer knows of one endpoint. Where it is uncertain it assumes less free memory: models has
+// all that may be loaded, pending what may be arriving.
 type endpoint struct {
 	protocol.Endpoint                      // newest registration
 	models              []loadedModel      // by name
@@ -100,7 +101,8 @@
 	return nil
 }
 
-// add returns the model as loaded on the endpoint, adding it if it was not. Pointers returned before are invalid then.
+// add returns the model as loaded on the endpoint, adding it if it was not. Pointers returned before are invalid
+// then.
 func (e *endpoint) add(model string, now time.Time) *loadedModel {
 	if found := e.find(model); found != nil {
 		return found
@@ -115,7 +117,8 @@
 	e.models = slices.DeleteFunc(e.models, func(m loadedModel) bool { return m.model == model })
 }
 
-// willServe reports whether requests for the model can go to the endpoint, now or after a load that is under way or planned.
+// willServe reports whether requests for the model can go to the endpoint, now or after a load that is under way or
+// planned.
 func (e *endpoint) willServe(model string) bool {
 	if !e.isReady() || e.isUnloading(model) {
 		return false
@@ -155,12 +158,12 @@
 	return ""
 }
 
-// unloadStallTimeout is how long an unload of a plan may last until other endpoints are considered for the plan's target. An
-// unload waits for the model's running requests, for seconds where they stream.
+// unloadStallTimeout is how long an unload of a plan may last until other endpoints are considered for the plan's
+// target. An unload waits for the model's running requests, for seconds where they stream.
 const unloadStallTimeout = 700 * time.Millisecond
 
-// unloadStalled reports whether an unload of the endpoint's plan waits for running requests, so that another endpoint may
-// load the target sooner.
+// unloadStalled reports whether an unload of the endpoint's plan waits for running requests, so that another endpoint
+// may load the target sooner.
 func (e *endpoint) unloadStalled(now time.Time) bool {
 	return e.plan != nil && e.pending != nil && e.pending.order.Unload && now.Sub(e.pending.sentAt) > unloadStallTimeout
 }
--- a/internal/control/placer/eviction.go
+++ b/internal/control/placer/eviction.go
@@ -9,12 +9,13 @@
 
 // Constants of the choice of models to evict. Losses are in requests of middle priority, as in score.go.
 const (
-	// minObservation is how long reports must have been heard before anything is evicted, by a new leader or one that leads
-	// again: all routers have reported by then. Without reports nothing seems to be in use.
+	// minObservation is how long reports must have been heard before anything is evicted, by a new leader or one that
+	// leads again: all routers have reported by then. Without reports nothing seems to be in use.
 	minObservation = time.Second
-	// minResidency is how long a model that was just loaded stays if it is the last replica or nobody has asked for it.
+	// minResidency is how long a model that was just loaded stays if it is the last replica or nobody has asked for
+	// it.
 	minResidency = 4 * time.Second
-	// maxEvictable is how many of an endpoint's models are considered, as all their combinations are tried.
+	// maxEvictable is how many of an endpoint's models are considered, as all their combinations are compared.
 	maxEvictable = 8
 
 	runningRequestLoss = 0.2  // for each running request of the replica, as its unload waits for them
@@ -35,8 +36,8 @@
 	loss     float64
 }
 
-// chooseEvictions chooses the evictions with the least loss that make room for the candidate's model and its adapters, out of all
-// combinations. It reports false if no combination makes enough room.
+// chooseEvictions chooses the evictions with the least loss that free memory for the candidate's model and its
+// adapters, out of all combinations. It reports false if no combination frees enough.
 func (p *Placer) chooseEvictions(now time.Time, f *fleet, table *placementTable, c *candidate) bool {
 	model := f.models[c.placement.model]
 	needMB := model.WeightsMB + f.adapterReserveMB(model) - f.freeMemoryMB(c.endpoint)
@@ -66,8 +67,8 @@
 	return best != 0
 }
 
-// evictableModels lists the endpoint's models that may be evicted, where there are many those that lose least by memory. The list
-// is the same for all models that look for room in one choice, and is made once.
+// evictableModels lists the endpoint's models that may be evicted, where there are many those that lose least by
+// memory. The list is the same for all models that need memory in one choice, and is made once.
 func (p *Placer) evictableModels(now time.Time, f *fleet, table *placementTable, e *endpoint) []evictableModel {
 	if known, found := table.evictable[e]; found {
 		return known
@@ -87,8 +88,8 @@
 	return evictable
 }
 
-// evictionLoss is what the eviction of a model from the endpoint costs, and whether it is allowed. A model that the configuration
-// does not have any more goes for nothing; the last replica of a model in use stays.
+// evictionLoss is what the eviction of a model from the endpoint costs, and whether it is allowed. A model that the
+// configuration does not have any more goes for nothing; the last replica of a model in use stays.
 func (p *Placer) evictionLoss(now time.Time, table *placementTable, e *endpoint, loaded *loadedModel) (float64, bool) {
 	m := table.byModel[loaded.model]
 	if m == nil {
@@ -111,8 +112,8 @@
 	return p.replicaLoss(now, m, e, loaded), true
 }
 
-// replicaLoss is what the eviction of one of several replicas costs: the requests that are late at the others, what is lost of
-// redundancy, the wait for its running requests, its cached prompts, and the adapters in use.
+// replicaLoss is what the eviction of one of several replicas costs: the requests that are late at the others, what
+// is lost of redundancy, the wait for its running requests, its cached prompts, and the adapters in use.
 func (p *Placer) replicaLoss(now time.Time, m *modelPlacement, e *endpoint, loaded *loadedModel) float64 {
 	d := m.demand
 	if d == nil {
@@ -135,8 +136,9 @@
 	return sum
 }
 
-// lastReplicaLoss is what it costs to have no replica of the model: its next requests wait for a load. Of a model that nobody has
-// asked for yet nothing is known, except that somebody placed it: it may be the next to be asked for much.
+// lastReplicaLoss is what it costs to have no replica of the model: its next requests wait for a load. Of a model
+// that nobody has asked for yet nothing is known, except that somebody placed it: it may be the next to be asked for
+// much.
 func (p *Placer) lastReplicaLoss(now time.Time, m *modelPlacement) float64 {
 	if m.demand == nil || m.demand.lastRequestAt.IsZero() {
 		return dormantModelValue * math.Exp(-now.Sub(p.startedAt).Seconds()/dormantTimeConstant.Seconds())
--- a/internal/control/placer/fair_level_test.go
+++ b/internal/control/placer/fair_level_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestFairLevelWithOneMoreEndpointEqualsLevelOfAll holds the level with one more endpoint against that of all of them together.
+// TestFairLevelWithOneMoreEndpointEqualsLevelOfAll compares the level with one more endpoint with that of all of them
+// together.
 func TestFairLevelWithOneMoreEndpointEqualsLevelOfAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		utilization := rapid.Float64Range(0, 3)
--- a/internal/control/placer/fleet.go
+++ b/internal/control/placer/fleet.go
@@ -16,7 +16,7 @@
 	models           map[string]configuration.Model // by name
 	endpoints        map[string]*endpoint           // by ID
 	sortedEndpoints  []*endpoint                    // by ID
-	maxModelMB       float64                        // weights of the largest model: the most that an earlier leader's order may be loading
+	maxModelMB       float64                        // of the largest model: the most that an unknown order may load
 	secondsPerToken  float64                        // endpoint time of one token, learned over all models
 	decidedAt        time.Time                      // time of the last decision
 	adapterEvictedAt map[adapterKey]time.Time       // when adapters were last evicted
@@ -98,8 +98,8 @@
 	}
 }
 
-// addEndpoint adds an endpoint to the fleet. One that registers empty, and later than any order of an earlier leader can
-// arrive, has had no order: its state is known. Any other may be carrying out an order of an earlier leader.
+// addEndpoint adds an endpoint to the fleet. One that registers empty, and later than any order of an earlier leader
+// can arrive, has had no order: its state is known. Any other may be carrying out an order of an earlier leader.
 func (p *Placer) addEndpoint(now time.Time, f *fleet, registration protocol.Endpoint) *endpoint {
 	e := &endpoint{onDisk: map[string]bool{}, inspectAt: now}
 	e.ID = registration.ID
@@ -124,7 +124,8 @@
 	})
 }
 
-// recordWarmModels notes the endpoint's models for its address: a later incarnation there may load them from its disk.
+// recordWarmModels notes the endpoint's models for its address: a later incarnation there may load them from its
+// disk.
 func (p *Placer) recordWarmModels(f *fleet, e *endpoint) {
 	key := f.name + " " + e.Address
 	for i := range e.models {
@@ -135,8 +136,8 @@
 	}
 }
 
-// likelyWarm reports whether the endpoint's disk probably has the model. Only what this incarnation has loaded is certain:
-// the address may have been given to a new machine.
+// likelyWarm reports whether the endpoint's disk probably has the model. Only what this incarnation has loaded is
+// certain: the address may have been given to a new machine.
 func (p *Placer) likelyWarm(f *fleet, e *endpoint, model string) bool {
 	return e.onDisk[model] || p.warmModels[f.name+" "+e.Address][model]
 }
--- a/internal/control/placer/golden_clients_test.go
+++ b/internal/control/placer/golden_clients_test.go
@@ -121,7 +121,7 @@
 	return false
 }
 
-// sendReports sends each router's report every half second; all are silent for four seconds of each 70.
+// sendReports sends each router's report every half second; none comes in four seconds of each 70.
 func (f *goldenFleet) sendReports() {
 	if f.now%(70*time.Second) > 66*time.Second {
 		return
--- a/internal/control/placer/golden_endpoints_test.go
+++ b/internal/control/placer/golden_endpoints_test.go
@@ -36,13 +36,13 @@
 
 // loadInitialModels puts a few models on an endpoint before the run.
 func (f *goldenFleet) loadInitialModels(e *goldenEndpoint, engine *configuration.Engine, from int) {
-	room := engine.WeightMemoryMB * 0.8
+	freeMB := engine.WeightMemoryMB * 0.8
 	for i := range engine.Models {
 		model := engine.Models[(i+from)%len(engine.Models)]
-		if model.WeightsMB <= room {
+		if model.WeightsMB <= freeMB {
 			e.models[model.Name] = nil
 			e.onDisk[model.Name] = true
-			room -= model.WeightsMB
+			freeMB -= model.WeightsMB
 		}
 	}
 }
@@ -85,7 +85,7 @@
 	}
 }
 
-// beginForeignLoad has the endpoint begin a load that this placer has not ordered, if there is room.
+// beginForeignLoad has the endpoint begin a load that this placer has not ordered, if there is memory.
 func (f *goldenFleet) beginForeignLoad(e *goldenEndpoint) {
 	for _, service := range f.configuration.Services {
 		if service.Name != e.service || service.Engine == nil {
@@ -183,15 +183,15 @@
 func (f *goldenFleet) beginOrder(e *goldenEndpoint, order Order) {
 	e.revision++
 	e.order = &order
-	lasts := 20 * time.Millisecond
+	duration := 20 * time.Millisecond
 	switch {
 	case order.Adapter != "":
 	case order.Unload:
 		if f.chance(0.4) {
-			lasts = time.Duration(100+f.random.IntN(2400)) * time.Millisecond // it waits for its requests
+			duration = time.Duration(100+f.random.IntN(2400)) * time.Millisecond // it waits for its requests
 		}
 		if f.chance(0.02) {
-			lasts = 50 * time.Second // one of them doesn't end
+			duration = 50 * time.Second // one of them doesn't end
 		}
 	default:
 		seconds := 5.0
@@ -207,9 +207,9 @@
 		if e.onDisk[order.Model] {
 			seconds *= 0.23
 		}
-		lasts = time.Duration(seconds * (0.9 + 0.3*f.random.Float64()) * float64(time.Second))
+		duration = time.Duration(seconds * (0.9 + 0.3*f.random.Float64()) * float64(time.Second))
 	}
-	e.ends = f.now + lasts
+	e.ends = f.now + duration
 }
 
 func (f *goldenFleet) finishOrder(e *goldenEndpoint) {
--- a/internal/control/placer/golden_test.go
+++ b/internal/control/placer/golden_test.go
@@ -24,7 +24,10 @@
 	return models
 }
 
-func goldenEngine(weightsMB float64, adapterSlots int, loadsPerS float64, models ...[]configuration.Model) configuration.Engine {
+// goldenEngine makes an engine with the models.
+func goldenEngine(
+	weightsMB float64, adapterSlots int, loadsPerS float64, models ...[]configuration.Model,
+) configuration.Engine {
 	return configuration.Engine{
 		Slots: 16, WeightMemoryMB: weightsMB, AdapterSlots: adapterSlots, LoadsPerSecond: loadsPerS,
 		Models: slices.Concat(models...),
@@ -100,7 +103,7 @@
 	return scenarios
 }
 
-// exact prints a figure with all its digits.
+// exact prints a number with all its digits.
 func exact(x float64) string { return strconv.FormatFloat(x, 'g', -1, 64) }
 
 func (f *goldenFleet) record(format string, arguments ...any) {
@@ -129,8 +132,8 @@
 	}
 }
 
-// recordState records what the placer believes, with all digits. Only figures that hold a sum over adapters in the order
-// of a map are rounded, to nine digits: their last ones differ from run to run.
+// recordState records what the placer assumes, with all digits. Only numbers that contain a sum over adapters in the
+// order of a map are rounded, to nine digits: their last ones differ from run to run.
 func (f *goldenFleet) recordState() {
 	p := f.placer
 	now := time.Unix(1e9, 0).Add(f.now)
@@ -168,9 +171,9 @@
 	}
 }
 
-// TestDecisionsAreAsRecorded plays seeded fleets and compares all that the placer decides and believes with the records
-// in testdata/golden, written by the code of 73ca247. The records are not to be written anew: a difference is a change of
-// behaviour.
+// TestDecisionsAreAsRecorded plays seeded fleets and compares all that the placer decides and assumes with the
+// records in testdata/golden, written by the code of 73ca247. The records are not to be written again: a difference
+// is a change of behaviour.
 func TestDecisionsAreAsRecorded(t *testing.T) {
 	for _, s := range goldenScenarios() {
 		t.Run(s.name, func(t *testing.T) {
--- a/internal/control/placer/heartbeat.go
+++ b/internal/control/placer/heartbeat.go
@@ -7,16 +7,18 @@
 	"raventrestle/internal/protocol"
 )
 
-// Heartbeats that must agree before an effect is believed without an order's or inspection's confirmation.
+// Heartbeats that must agree before an effect is assumed without an order's or inspection's confirmation.
 const (
-	// unloadConfirmations is how many heartbeats later than the answer to an unload must lack the model if none has shown it
-	// before; the first of them may have been sent before the unload.
+	// unloadConfirmations is how many heartbeats later than the answer to an unload must lack the model if none has
+	// shown it before; the first of them may have been sent before the unload.
 	unloadConfirmations = 2
-	// maxMissedHeartbeats is how many heartbeats in a row may lack a model that nobody unloaded, until it is taken for lost.
+	// maxMissedHeartbeats is how many heartbeats in a row may lack a model that nobody unloaded, until it is taken
+	// for lost.
 	maxMissedHeartbeats = 4
 )
 
-// observeHeartbeat takes the endpoint's registration over. What it holds is looked at only if it is newer than the last one.
+// observeHeartbeat takes the endpoint's registration over. Its models are looked at only if it is newer than the last
+// one.
 func (e *endpoint) observeHeartbeat(now time.Time, registration protocol.Endpoint) {
 	newer := registration.Sequence > e.Sequence || e.heartbeats == 0
 	e.Endpoint = registration
@@ -42,8 +44,8 @@
 	return slices.IndexFunc(models, func(m protocol.LoadedModel) bool { return m.Name == model })
 }
 
-// observeModel takes in that a heartbeat shows the model. One that was neither there nor on its way has been loaded by
-// somebody else, so that the revision is not known any more.
+// observeModel takes in that a heartbeat shows the model. One that was neither there nor on its way has been loaded
+// by somebody else, so that the revision is not known any more.
 func (e *endpoint) observeModel(now time.Time, reported protocol.LoadedModel) {
 	if e.find(reported.Name) == nil {
 		if e.heartbeats > 1 && !e.isLoading(reported.Name) {
@@ -65,8 +67,9 @@
 	}
 }
 
-// observeEffect takes in that a heartbeat shows the pending order's effect. The revision counts orders by their answers, so
-// the order is not over before its answer: the next order would name a revision that is one too low, and be rejected.
+// observeEffect takes in that a heartbeat shows the pending order's effect. The revision counts orders by their
+// answers, so the order is not over before its answer: the next order would name a revision that is one too low, and
+// be rejected.
 func (e *endpoint) observeEffect(now time.Time) {
 	if e.pending.phase == orderSent {
 		e.pending.effectSeen = true
@@ -75,8 +78,8 @@
 	e.completeOrder(now)
 }
 
-// observeUnloadEffect looks whether a heartbeat shows the effect of a pending unload. A heartbeat may be older than the
-// unload; one that lacks what an earlier heartbeat has shown is not.
+// observeUnloadEffect looks whether a heartbeat shows the effect of a pending unload. A heartbeat may be older than
+// the unload; one that lacks what an earlier heartbeat has shown is not.
 func (e *endpoint) observeUnloadEffect(now time.Time, registration protocol.Endpoint) {
 	pending := e.pending
 	if pending == nil || !pending.order.Unload {
@@ -100,7 +103,8 @@
 	}
 }
 
-// removeMissingModels removes models that several heartbeats in a row did not show, unless the pending order is for them.
+// removeMissingModels removes models that several heartbeats in a row did not show, unless the pending order is for
+// them.
 func (e *endpoint) removeMissingModels(now time.Time) {
 	for _, m := range slices.Clone(e.models) {
 		if m.missedHeartbeats >= maxMissedHeartbeats && (e.pending == nil || e.pending.order.Model != m.model) {
--- a/internal/control/placer/inspection.go
+++ b/internal/control/placer/inspection.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// minLoadTime is the shortest time that a load of one of these models from the store lasts; the longest duration that there
-// is if there are none.
+// minLoadTime is the shortest time that a load of one of these models from the store lasts; the longest duration that
+// there is if there are none.
 func (f *fleet) minLoadTime(models []protocol.LoadedModel) time.Duration {
 	shortest := time.Duration(math.MaxInt64)
 	for _, loaded := range models {
@@ -61,9 +61,9 @@
 	return shortest
 }
 
-// observeInspection takes the endpoint's own report in. While an order is sent but not answered it may be from before or after
-// the order, and is ignored; so is one that is older than an accepted order, or that can't show yet whether an uncertain one
-// arrives.
+// observeInspection takes the endpoint's own report in. While an order is sent but not answered it may be from before
+// or after the order, and is ignored; so is one that is older than an accepted order, or that can't show yet whether
+// an uncertain one arrives.
 func (e *endpoint) observeInspection(now time.Time, inspection Inspection) {
 	e.inspectAt = now.Add(inspectionInterval)
 	if inspection.Failed || (e.pending != nil && e.pending.phase == orderSent) {
--- a/internal/control/placer/load_rate_limit.go
+++ b/internal/control/placer/load_rate_limit.go
@@ -5,8 +5,9 @@
 const (
 	// loadRateSlack is the constant that the operators' rule CEILING adds to what a window allows.
 	loadRateSlack = 3
-	// reservedLoads is how many of a window's loads only a leader in its first window may begin. Another leader, whose loads
-	// it does not know, may have begun all the others just before, at endpoints that nobody knows any more.
+	// reservedLoads is how many of a window's loads only a leader in its first window may begin. Another leader,
+	// whose loads it does not know, may have begun all the others just before, at endpoints that nobody knows any
+	// more.
 	reservedLoads = 2
 	// loadWindowMargin lengthens the window, for clocks that differ and for the time that the caller takes.
 	loadWindowMargin = 300 * time.Millisecond
@@ -14,11 +15,11 @@
 	maxReportAge = 500 * time.Millisecond
 )
 
-// loadRateLimiter bounds the loads from the weight store so that no window, of any position, holds more than CEILING allows,
-// over all leaders.
+// loadRateLimiter bounds the loads from the weight store so that no window, wherever it begins, has more than CEILING
+// allows, over all leaders.
 //
-// A load begins somewhere between its order and the order's answer. When one is ordered, all earlier ones that may have begun
-// within a window before now are counted; whatever their true moments, no window then holds more.
+// A load begins somewhere between its order and the order's answer. When one is ordered, all earlier ones that may
+// have begun within a window before now are counted; whatever their true moments, no window then has more.
 type loadRateLimiter struct {
 	window             time.Duration
 	limit              int // loads in a window
@@ -34,7 +35,8 @@
 	latestStart time.Time // latest moment at which it may have begun; zero: no answer yet
 }
 
-// newLoadRateLimiter returns a limiter for a leader that begins now, where no other leader has sent an order for the gap.
+// newLoadRateLimiter returns a limiter for a leader that begins now, where no other leader has sent an order for the
+// gap.
 func newLoadRateLimiter(now time.Time, window, gap time.Duration) *loadRateLimiter {
 	return &loadRateLimiter{
 		window:             window + loadWindowMargin,
@@ -49,8 +51,8 @@
 	l.limit = int(perSecond*window.Seconds()*factor + loadRateSlack)
 }
 
-// allows reports whether one more load may begin now. An endpoint carries out one order at a time, so that each endpoint can
-// have had one load of an earlier leader in the window, unless its own report shows that it had none.
+// allows reports whether one more load may begin now. An endpoint carries out one order at a time, so that each
+// endpoint can have had one load of an earlier leader in the window, unless its own report shows that it had none.
 func (l *loadRateLimiter) allows(now time.Time) bool {
 	l.expire(now)
 	own := len(l.ownLoads)
@@ -67,8 +69,8 @@
 	}
 }
 
-// observeIdle notes that the endpoint carries out no order, and that no load that it may have finished lasted less than
-// shortest: any such load began that much earlier.
+// observeIdle notes that the endpoint carries out no order, and that no load that it may have finished lasted less
+// than shortest: any such load began that much earlier.
 func (l *loadRateLimiter) observeIdle(now time.Time, endpoint string, shortest time.Duration) {
 	if !now.Add(-maxReportAge).After(l.lastInheritedStart) {
 		return // the report may be older than the last order
--- a/internal/control/placer/memory.go
+++ b/internal/control/placer/memory.go
@@ -2,8 +2,8 @@
 
 import "raventrestle/internal/configuration"
 
-// freeMemoryMB is what is certainly free of the endpoint's weights_mb. All counts that may be loaded or may be arriving; while
-// an order of an earlier leader may be under way, so does a load of the largest model.
+// freeMemoryMB is what is certainly free of the endpoint's weights_mb. All counts that may be loaded or may be
+// arriving; while an order of an earlier leader may be under way, so does a load of the largest model.
 func (f *fleet) freeMemoryMB(e *endpoint) float64 {
 	free := f.engine.WeightMemoryMB
 	for i := range e.models {
@@ -18,7 +18,8 @@
 	return free
 }
 
-// modelMemoryMB is what a loaded model takes with its adapters. One that the configuration does not know may take everything.
+// modelMemoryMB is what a loaded model takes with its adapters. One that the configuration does not know may take
+// everything.
 func (f *fleet) modelMemoryMB(loaded *loadedModel) float64 {
 	model, configured := f.models[loaded.model]
 	if !configured {
--- a/internal/control/placer/new_leader_test.go
+++ b/internal/control/placer/new_leader_test.go
@@ -9,7 +9,8 @@
 	"raventrestle/internal/protocol"
 )
 
-// newLeaderFleet is a fleet of six endpoints as a new leader finds it, each with a replica of "busy" and memory for one more model.
+// newLeaderFleet is a fleet of six endpoints as a new leader finds it, each with a replica of "busy" and memory for
+// one more model.
 func newLeaderFleet() (*configuration.Configuration, []protocol.Endpoint) {
 	models := []configuration.Model{{Name: "busy", WeightsMB: 60, LoadTimeSeconds: 6}}
 	for _, name := range []string{"m1", "m2", "m3", "m4", "m5", "m6"} {
@@ -36,7 +37,8 @@
 	return inspections
 }
 
-// reportsOfDemand is a router's report of five requests for each of the models, of which so many were unserved, and one for busy.
+// reportsOfDemand is a router's report of five requests for each of the models, of which so many were unserved, and
+// one for busy.
 func reportsOfDemand(unserved int, names ...string) []protocol.Report {
 	report := protocol.Report{Node: "r", Sequence: 1, Window: 500 * time.Millisecond}
 	for _, name := range names {
@@ -49,8 +51,8 @@
 	return []protocol.Report{report}
 }
 
-// TestNewLeaderLoadsUnservedModelsAtOnce has a new leader whose inspections show that no endpoint has begun a load lately: it need
-// not wait a window for the earlier leader's loads.
+// TestNewLeaderLoadsUnservedModelsAtOnce has a new leader whose inspections show that no endpoint has begun a load
+// lately: it need not wait a window for the earlier leader's loads.
 func TestNewLeaderLoadsUnservedModelsAtOnce(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := newLeaderFleet()
@@ -92,16 +94,17 @@
 	}
 	limiter.observeIdle(now, "a", 6*time.Second)
 	limiter.observeIdle(now, "b", 6*time.Second)
-	if got := count(now); got != 1 { // 8 at most, of these 2 spare: 3 of the earlier leader and 2 own leave 1
+	if got := count(now); got != 1 { // limit 8, of these 2 reserved: 3 of the earlier leader and 2 own leave 1
 		t.Errorf("got %d loads after inspections of two endpoints, want 1", got)
 	}
 }
 
-// TestNewLeaderEvictsNothingBeforeReports has a new leader that has heard one report only, and a model that needs memory.
+// TestNewLeaderEvictsNothingBeforeReports has a new leader that has heard one report only, and a model that needs
+// memory.
 func TestNewLeaderEvictsNothingBeforeReports(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := newLeaderFleet()
-	c.Services[0].Engine.WeightMemoryMB = 100 // no room beside the copy that is there
+	c.Services[0].Engine.WeightMemoryMB = 100 // no memory beside the replica that is there
 	p := New(Config{InspectEndpoints: true, HandoverGap: time.Second})
 	p.Step(now, Input{Configuration: c, Endpoints: table})
 	out := p.Step(now.Add(100*time.Millisecond), Input{
@@ -117,14 +120,16 @@
 	}
 }
 
-// TestLeaderEvictsNothingAfterSilenceOfReports has a leader act again after seconds in which others led.
-func TestLeaderEvictsNothingAfterSilenceOfReports(t *testing.T) {
+// TestLeaderEvictsNothingAfterAGapInReports has a leader act again after seconds in which others led.
+func TestLeaderEvictsNothingAfterAGapInReports(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := newLeaderFleet()
 	c.Services[0].Engine.WeightMemoryMB = 100
 	p := New(Config{InspectEndpoints: true, HandoverGap: time.Second})
 	p.Step(now, Input{Configuration: c, Endpoints: table})
-	p.Step(now.Add(100*time.Millisecond), Input{Endpoints: table, Inspections: inspectionsOf(table, false), Reports: reportsOfDemand(0)})
+	p.Step(now.Add(100*time.Millisecond), Input{
+		Endpoints: table, Inspections: inspectionsOf(table, false), Reports: reportsOfDemand(0),
+	})
 	again := now.Add(5 * time.Second)
 	out := p.Step(again, Input{Endpoints: table, Reports: reportsOfDemand(5, "m1")})
 	if len(out.Orders) != 0 {
@@ -136,7 +141,8 @@
 	}
 }
 
-// TestRecoveryDelaysNoReplica has a single endpoint serve what all ask for while the replicated state recovers from a fault.
+// TestRecoveryDelaysNoReplica has a single endpoint serve what all ask for while the replicated state recovers from a
+// fault.
 func TestRecoveryDelaysNoReplica(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := newLeaderFleet()
@@ -171,14 +177,17 @@
 	}
 }
 
-// TestStalledUnloadLetsAnotherEndpointLoadTheModel has the unload that makes room for an unserved model wait for running requests.
+// TestStalledUnloadLetsAnotherEndpointLoadTheModel has the unload that frees memory for an unserved model wait for
+// running requests.
 func TestStalledUnloadLetsAnotherEndpointLoadTheModel(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := newLeaderFleet()
 	c.Services[0].Engine.WeightMemoryMB = 100
 	p := New(Config{InspectEndpoints: true, HandoverGap: time.Minute})
 	p.Step(now, Input{Configuration: c, Endpoints: table})
-	p.Step(now.Add(50*time.Millisecond), Input{Endpoints: table, Inspections: inspectionsOf(table, false), Reports: reportsOfDemand(0)})
+	p.Step(now.Add(50*time.Millisecond), Input{
+		Endpoints: table, Inspections: inspectionsOf(table, false), Reports: reportsOfDemand(0),
+	})
 	endpoints := map[string]bool{}
 	var results []Result
 	for at := 500 * time.Millisecond; at < 4*time.Second; at += 100 * time.Millisecond {
@@ -199,7 +208,8 @@
 	}
 }
 
-// TestReplicaWithFewerRunningRequestsIsEvicted has three endpoints run many requests of one model, and three run few of another.
+// TestReplicaWithFewerRunningRequestsIsEvicted has three endpoints run many requests of one model, and three run few
+// of another.
 func TestReplicaWithFewerRunningRequestsIsEvicted(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := newLeaderFleet()
@@ -237,7 +247,8 @@
 	}
 }
 
-// TestStalledUnloadEvictsNoOtherReplicaInUse has all replicas run requests: one unload waits for them, and no other joins it.
+// TestStalledUnloadEvictsNoOtherReplicaInUse has all replicas run requests: one unload waits for them, and no other
+// joins it.
 func TestStalledUnloadEvictsNoOtherReplicaInUse(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := newLeaderFleet()
--- a/internal/control/placer/order_result.go
+++ b/internal/control/placer/order_result.go
@@ -6,12 +6,14 @@
 const (
 	// answerTimeout is how long an order may go without a result; it counts as Unknown then.
 	answerTimeout = 3 * time.Second
-	// adapterLoadTime is the expected time of an order for an adapter: it arrives within some milliseconds, and a heartbeat
-	// says so.
+	// adapterLoadTime is the expected time of an order for an adapter: it arrives within some milliseconds, and a
+	// heartbeat says so.
 	adapterLoadTime = 200 * time.Millisecond
-	// adapterLoadTimeout is how long after its answer an order for an adapter counts as done without a heartbeat that shows it.
+	// adapterLoadTimeout is how long after its answer an order for an adapter counts as done without a heartbeat that
+	// shows it.
 	adapterLoadTimeout = time.Second
-	// loadTimeoutFactor gives the time after which a load that nothing shows as done is given up, in load times of the model.
+	// loadTimeoutFactor gives the time after which a load that nothing shows as done is given up, in load times of
+	// the model.
 	loadTimeoutFactor = 3
 	// unloadTimeout is the same for an unload.
 	unloadTimeout = 30 * time.Second
@@ -71,7 +73,7 @@
 	}
 }
 
-// handleRejection ends an order that the endpoint rejected: its state is not what it was believed to be.
+// handleRejection ends an order that the endpoint rejected: its state is not the assumed one.
 func (p *Placer) handleRejection(now time.Time, e *endpoint, outcome Outcome) {
 	p.counters.Rejected++
 	e.pending = nil
@@ -84,7 +86,8 @@
 	e.backoffUntil = now.Add(backoff)
 }
 
-// expireOrders ends orders and plans that have taken too long, and notes which endpoints can have no order of an earlier leader.
+// expireOrders ends orders and plans that have taken too long, and notes which endpoints can have no order of an
+// earlier leader.
 func (p *Placer) expireOrders(now time.Time, f *fleet) {
 	for _, e := range f.sortedEndpoints {
 		if e.heartbeats > inheritedOrderHeartbeats && now.Sub(p.startedAt) > inheritedOrderWindow {
@@ -99,8 +102,8 @@
 	}
 }
 
-// expireOrder ends the endpoint's pending order if it has taken too long. With inspections an accepted order for a model is
-// not ended here: its end is asked for.
+// expireOrder ends the endpoint's pending order if it has taken too long. With inspections an accepted order for a
+// model is not ended here: its end is asked for.
 func (p *Placer) expireOrder(now time.Time, f *fleet, e *endpoint) {
 	pending := e.pending
 	switch {
@@ -121,8 +124,8 @@
 	return time.Duration(loadTimeoutFactor*f.models[order.Model].LoadTimeSeconds*float64(time.Second)) + answerTimeout
 }
 
-// abandonOrder ends an order of which nothing more will be heard. A model that was to be unloaded may still be there, and
-// counts as loaded.
+// abandonOrder ends an order of which nothing more will be heard. A model that was to be unloaded may still be there,
+// and counts as loaded.
 func (e *endpoint) abandonOrder(now time.Time) {
 	unloadedModel := e.pending.unloadsModel()
 	e.pending = nil
--- a/internal/control/placer/order_tracking_test.go
+++ b/internal/control/placer/order_tracking_test.go
@@ -8,7 +8,8 @@
 	"raventrestle/internal/protocol"
 )
 
-// oneEndpointFleet is a fleet of one endpoint with one model that has adapters, and a placer that has its registration.
+// oneEndpointFleet is a fleet of one endpoint with one model that has adapters, and a placer that has its
+// registration.
 func oneEndpointFleet(t *testing.T, now time.Time) (*Placer, protocol.Endpoint) {
 	t.Helper()
 	p := New(Config{InspectEndpoints: true})
@@ -39,8 +40,8 @@
 	}}
 }
 
-// TestRevisionCountsOrderWhoseEffectAHeartbeatShowsFirst has the heartbeat that shows an adapter arrive with the answer
-// to its order, and before it: the next order must name the revision with that order counted.
+// TestRevisionCountsOrderWhoseEffectAHeartbeatShowsFirst has the heartbeat that shows an adapter arrive with the
+// answer to its order, and before it: the next order must name the revision with that order counted.
 func TestRevisionCountsOrderWhoseEffectAHeartbeatShowsFirst(t *testing.T) {
 	for _, together := range []bool{true, false} {
 		now := time.Unix(1e9, 0)
@@ -68,8 +69,9 @@
 	}
 }
 
-// TestRestartedEndpointIsInspectedBeforeItsFirstOrder has an endpoint start again, empty, with a new ID at its old address: its
-// revision begins at 0. While an order of an earlier leader may be on its way, an inspection must show that first.
+// TestRestartedEndpointIsInspectedBeforeItsFirstOrder has an endpoint start again, empty, with a new ID at its old
+// address: its revision begins at 0. While an order of an earlier leader may be on its way, an inspection must show
+// that first.
 func TestRestartedEndpointIsInspectedBeforeItsFirstOrder(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	p, e := oneEndpointFleet(t, now)
@@ -138,7 +140,8 @@
 	}
 }
 
-// TestAdaptersInUseTakeTurns has four adapters asked for all the time share two slots: each stays its time, and none waits for ever.
+// TestAdaptersInUseTakeTurns has four adapters asked for all the time share two slots: each stays its time, and none
+// waits for ever.
 func TestAdaptersInUseTakeTurns(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	p, e := oneEndpointFleet(t, now)
@@ -190,7 +193,8 @@
 	}
 }
 
-// TestOneAdapterIsEvictedForOneAdapter has two endpoints with all slots taken, and one adapter that is loaded nowhere.
+// TestOneAdapterIsEvictedForOneAdapter has two endpoints with all slots taken, and one adapter that is loaded
+// nowhere.
 func TestOneAdapterIsEvictedForOneAdapter(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	p, first := oneEndpointFleet(t, now)
--- a/internal/control/placer/placement_table.go
+++ b/internal/control/placer/placement_table.go
@@ -23,11 +23,11 @@
 	replicas      []replica
 	fairLevel     float64 // utilization of the endpoints that take its requests; infinite without replicas
 
-	unloadStalled bool    // an unload that makes room for the model waits for running requests
+	unloadStalled bool    // an unload that frees memory for the model waits for running requests
 	adapterGain   float64 // value a second of the adapter slots that one more replica brings
 }
 
-// placementTable holds the placements of all models of a fleet during one step.
+// placementTable has the placements of all models of a fleet during one step.
 type placementTable struct {
 	placements []*modelPlacement // by model
 	byModel    map[string]*modelPlacement
@@ -38,8 +38,8 @@
 	storeLoadAllowed bool                           // the load rate limit allows one more load
 }
 
-// newPlacementTable makes the table of what is known now: expected demand, replicas, and the utilization of endpoints that
-// follows.
+// newPlacementTable makes the table of what is known now: expected demand, replicas, and the utilization of endpoints
+// that follows.
 func (p *Placer) newPlacementTable(now time.Time, f *fleet) *placementTable {
 	table := &placementTable{byModel: make(map[string]*modelPlacement, len(f.models))}
 	observed := p.demand.observedFor(now)
@@ -133,11 +133,11 @@
 	})
 }
 
-// distributionPasses is how often the loads are distributed anew, each among the others.
+// distributionPasses is how often the loads are distributed again, each among the others.
 const distributionPasses = 2
 
-// distributeLoads distributes each model's load over its replicas so that the least used endpoints take most. Models with few
-// replicas come first, as they have the least choice.
+// distributeLoads distributes each model's load over its replicas so that the less an endpoint is used, the more it
+// takes. Models with few replicas come first, as they have the least choice.
 func (t *placementTable) distributeLoads() {
 	order := slices.Clone(t.placements)
 	slices.SortStableFunc(order, func(x, y *modelPlacement) int { return cmp.Compare(len(x.replicas), len(y.replicas)) })
--- a/internal/control/placer/placer.go
+++ b/internal/control/placer/placer.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// busyStepInterval is the time until the next step while orders, plans or inspections are under way. Package roles steps
-// no more often than this.
+// busyStepInterval is the time until the next step while orders, plans or inspections are under way. Package roles
+// steps no more often than this.
 const busyStepInterval = 50 * time.Millisecond
 
 // idleStepInterval is the time until the next step otherwise.
@@ -70,8 +70,8 @@
 	p.loadLimiter = newLoadRateLimiter(now, p.config.LoadRateWindow, p.config.HandoverGap)
 }
 
-// observe takes in the input. Heartbeats come before answers to orders and inspections: a heartbeat often shows an order's
-// effect before its answer arrives.
+// observe takes in the input. Heartbeats come before answers to orders and inspections: a heartbeat often shows an
+// order's effect before its answer arrives.
 func (p *Placer) observe(now time.Time, in Input) {
 	if in.Configuration != nil {
 		p.configure(in.Configuration)
--- a/internal/control/placer/schedule.go
+++ b/internal/control/placer/schedule.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// urgentOnlyWindow is how long a new leader, or one that hears reports again after a silence, decides only what is urgent: it
-	// has not heard all routers yet.
+	// urgentOnlyWindow is how long a new leader, or one that gets reports again after a gap, decides only what is
+	// urgent: it has not heard all routers yet.
 	urgentOnlyWindow = 2 * time.Second
 	// maxPlansPerStep is how many plans one step begins for a service.
 	maxPlansPerStep = 8
@@ -12,8 +12,8 @@
 	concurrentLoadShare = 0.85
 )
 
-// decide goes on with the plans under way and begins what is worth it. Adapters that are loaded nowhere come before new plans:
-// an order for an adapter takes a moment, a load keeps adapters from its endpoint for seconds.
+// decide goes on with the plans under way and begins what is worth it. Adapters that are loaded nowhere come before
+// new plans: an order for an adapter takes a moment, a load keeps adapters from its endpoint for seconds.
 func (p *Placer) decide(now time.Time, f *fleet, out *Output) {
 	table := p.newPlacementTable(now, f)
 	p.learnSecondsPerToken(now, f, table, now.Sub(f.decidedAt))
@@ -36,7 +36,8 @@
 	}
 }
 
-// beginBestPlan binds the change with the highest score, of all models and endpoints. It reports false if there is none.
+// beginBestPlan binds the change with the highest score, of all models and endpoints. It reports false if there is
+// none.
 func (p *Placer) beginBestPlan(now time.Time, f *fleet, table *placementTable, onlyUrgent bool, out *Output) bool {
 	if f.loadsUnderWay() >= f.maxLoadsUnderWay(p.config.LoadRateWindow) {
 		return false
--- a/internal/control/placer/score.go
+++ b/internal/control/placer/score.go
@@ -30,7 +30,8 @@
 	score     float64
 }
 
-// highestScore bounds the candidate's score from above before its evictions are known, so that hopeless ones are left out early.
+// highestScore bounds the candidate's score from above before its evictions are known, so that hopeless ones are left
+// out early.
 func (p *Placer) highestScore(c *candidate) float64 {
 	return c.gain + packingBonus - p.config.LoadCost - p.config.OrderCost - minNetGain
 }
@@ -44,8 +45,8 @@
 	return score
 }
 
-// gain is what one more replica of the model at the endpoint brings. The utilizations are those of the model's endpoints by other
-// models, sorted.
+// gain is what one more replica of the model at the endpoint brings. The utilizations are those of the model's
+// endpoints by other models, sorted.
 func (p *Placer) gain(now time.Time, m *modelPlacement, e *endpoint, utilizations []float64) float64 {
 	d := m.demand
 	valueAfter := valueAt(fairLevelWith(utilizations, e.utilization, m.offeredLoad))
--- a/internal/control/placer/step_benchmark_test.go
+++ b/internal/control/placer/step_benchmark_test.go
@@ -10,11 +10,11 @@
 	"raventrestle/internal/sizetest"
 )
 
-// stepsPerS is the most steps a second: one takes place no sooner than busyStepInterval after the one before.
+// stepsPerS is the highest rate of steps: one takes place no sooner than busyStepInterval after the one before.
 const stepsPerS = 20
 
-// BenchmarkStepAtSize measures one of 20 steps a second at the size of the operators' plan, with its part of all routers' reports.
-// Orders are accepted and done at once, so that the placement becomes stable.
+// BenchmarkStepAtSize measures one of 20 steps a second at the size of the operators' plan, with its part of all
+// routers' reports. Orders are accepted and done at once, so that the placement becomes stable.
 func BenchmarkStepAtSize(b *testing.B) {
 	random := rand.New(rand.NewPCG(1, 1))
 	now := time.Unix(0, 0)
--- a/internal/control/placer/types.go
+++ b/internal/control/placer/types.go
@@ -14,7 +14,7 @@
 	Reports       []protocol.Report            // of routers, each once
 	Results       []Result                     // answers to Output.Orders
 	Inspections   []Inspection                 // answers to Output.Inspect
-	Recovering    bool                         // the replicated state or the links have a fault, or had one a moment ago; no decision depends on it
+	Recovering    bool                         // the replicated state or the links recover from a fault; nothing depends on it
 }
 
 // Inspection is an endpoint's answer to GET /-/report, or that none came.
@@ -56,7 +56,8 @@
 	Outcome Outcome
 }
 
-// Output is what the caller carries out. It must answer each order with one Result, and each inspection with one Inspection.
+// Output is what the caller carries out. It must answer each order with one Result, and each inspection with one
+// Inspection.
 type Output struct {
 	Orders  []Order
 	Inspect []string  // IDs of endpoints whose GET /-/report is to be asked
--- a/internal/control/placer/value.go
+++ b/internal/control/placer/value.go
@@ -20,9 +20,9 @@
 	return overloadValue / utilization
 }
 
-// How the endpoint time of a token is estimated. Routers report how many requests run; an engine that is in prefill for the
-// share u of its time has x = r·u/(1-u) requests running, where r is the number of prompts that it could read in the time in
-// which it puts out one answer undisturbed. Hence u = x/(x+r).
+// How the endpoint time of a token is estimated. Routers report how many requests run; an engine that is in prefill
+// for the share u of its time has x = r·u/(1-u) requests running, where r is the number of prompts that it could read
+// in the time in which it puts out one answer undisturbed. Hence u = x/(x+r).
 const (
 	promptsPerSlot          = 0.375      // r, by slot of the engine
 	initialSecondsPerToken  = 1.0 / 25e3 // endpoint seconds of one token of prompt and answer, until it is learned
@@ -45,8 +45,8 @@
 	return secondsPerToken * tokens
 }
 
-// learnSecondsPerToken estimates utilizations from the requests that run, and compares them with the tokens a second to learn
-// the endpoint time of a token, by model and for the service.
+// learnSecondsPerToken estimates utilizations from the requests that run, and compares them with the tokens a second
+// to learn the endpoint time of a token, by model and for the service.
 func (p *Placer) learnSecondsPerToken(now time.Time, f *fleet, table *placementTable, elapsed time.Duration) {
 	observed := p.demand.observedFor(now)
 	prompts := promptsPerSlot * float64(max(1, f.engine.Slots))
--- a/internal/control/placer/world_checks_test.go
+++ b/internal/control/placer/world_checks_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// outcomes count what clients got and what endpoints were ordered. Violations are described in words, empty if there is none.
+// outcomes count what clients got and what endpoints were ordered. Violations are described for people, empty if
+// there is none.
 type outcomes struct {
 	value, earnedValue       float64 // of all requests, and what was earned of it
 	requests, missed, late   int     // all, those never served, those served after their latency target
--- a/internal/control/placer/world_clients_test.go
+++ b/internal/control/placer/world_clients_test.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// demandShares is the share of the demand for each rotating model: in a shift it moves from each busy model to the next.
+// demandShares is the share of the demand for each rotating model: in a shift it moves from each busy model to the
+// next.
 func (w *world) demandShares() []float64 {
 	weights := []float64{0.648, 0.352}
 	shares := make([]float64, w.shape.rotatingModels)
--- a/internal/control/placer/world_faults_test.go
+++ b/internal/control/placer/world_faults_test.go
@@ -15,7 +15,7 @@
 // allFaults is a day with faults of every kind.
 var allFaults = faultKinds{true, true, true, true, true, true}
 
-// daySchedule holds the times of a day's faults and changes of demand, since the start of the world.
+// daySchedule has the times of a day's faults and changes of demand, since the start of the world.
 type daySchedule struct {
 	demandScale   float64
 	demandShifts  []time.Duration
--- a/internal/control/placer/world_fleets_test.go
+++ b/internal/control/placer/world_fleets_test.go
@@ -60,7 +60,8 @@
 		length: 34 * time.Second, initialModels: 2, crashShare: 0.17,
 	}
 	heavy := func(adapters int) fleetModel {
-		return fleetModel{configuration.Model{WeightsMB: 72700, LoadTimeSeconds: 5.7, AdapterCount: adapters, AdapterSizeMB: 66}, 1.3, 1}
+		model := configuration.Model{WeightsMB: 72700, LoadTimeSeconds: 5.7, AdapterCount: adapters, AdapterSizeMB: 66}
+		return fleetModel{model, 1.3, 1}
 	}
 	light := fleetModel{configuration.Model{WeightsMB: 42700, LoadTimeSeconds: 3.3, AdapterSizeMB: 66}, 0.89, 0.6}
 	fast := fleetModel{configuration.Model{WeightsMB: 65100, LoadTimeSeconds: 5.1, AdapterSizeMB: 12}, 1.2, 0.11}
@@ -82,7 +83,8 @@
 	s.name, s.zones, s.routers, s.memoryMB, s.concurrentLoads, s.initialModels = "wallet", 4, 8, 230000, 16, 3
 	s.prefillTokensPerMS, s.decodeStepMS = 20.4, 11
 	heavy := func(adapters int) fleetModel {
-		return fleetModel{configuration.Model{WeightsMB: 72700, LoadTimeSeconds: 6, AdapterCount: adapters, AdapterSizeMB: 66}, 1.2, 1}
+		model := configuration.Model{WeightsMB: 72700, LoadTimeSeconds: 6, AdapterCount: adapters, AdapterSizeMB: 66}
+		return fleetModel{model, 1.2, 1}
 	}
 	fast := fleetModel{configuration.Model{WeightsMB: 65100, LoadTimeSeconds: 5.4, AdapterSizeMB: 12}, 1.1, 0.13}
 	s.models = []fleetModel{heavy(37), heavy(0), heavy(20), heavy(0), heavy(20)}
--- a/internal/control/placer/world_policy_test.go
+++ b/internal/control/placer/world_policy_test.go
@@ -13,7 +13,8 @@
 	Step(now time.Time, in Input) Output
 }
 
-// stepPolicy has the policy decide, every 100 ms or when an answer came. Without a leader answers and reports are lost.
+// stepPolicy has the policy decide, every 100 ms or when an answer came. Without a leader answers and reports are
+// lost.
 func (w *world) stepPolicy() {
 	if w.now < w.leaderlessUntil {
 		w.results, w.inspections, w.reports = nil, nil, nil
@@ -33,11 +34,11 @@
 		w.configurationDue = false
 	}
 	for id, registration := range w.table {
-		switch silence := w.now - w.heardAt[id]; {
-		case silence > 6*time.Second:
+		switch sinceHeartbeat := w.now - w.heardAt[id]; {
+		case sinceHeartbeat > 6*time.Second:
 			delete(w.table, id)
 			continue
-		case silence > 2500*time.Millisecond:
+		case sinceHeartbeat > 2500*time.Millisecond:
 			registration.State = protocol.Unresponsive
 		}
 		in.Endpoints = append(in.Endpoints, registration)
--- a/internal/control/placer/world_run_test.go
+++ b/internal/control/placer/world_run_test.go
@@ -25,7 +25,8 @@
 	return New(Config{HandoverGap: gap})
 }
 
-// playDays plays days with the seeds from 0 on, and returns the sum of their outcomes. No day may violate LIMIT or CEILING.
+// playDays plays days with the seeds from 0 on, and returns the sum of their outcomes. No day may violate LIMIT or
+// CEILING.
 func playDays(t *testing.T, s fleetShape, days int, faults faultKinds, newPolicy func(time.Duration) policy) outcomes {
 	t.Helper()
 	var sum outcomes
@@ -33,7 +34,8 @@
 		w := newWorld(s, uint64(seed), faults, newPolicy)
 		got := w.run()
 		if got.limitViolation != "" || got.loadRateViolation != "" {
-			t.Errorf("%s seed %d: got violations of LIMIT %q and CEILING %q, want none", s.name, seed, got.limitViolation, got.loadRateViolation)
+			t.Errorf("%s seed %d: got violations of LIMIT %q and CEILING %q, want none",
+				s.name, seed, got.limitViolation, got.loadRateViolation)
 		}
 		sum.value += got.value
 		sum.earnedValue += got.earnedValue
--- a/internal/control/placer/world_test.go
+++ b/internal/control/placer/world_test.go
@@ -8,9 +8,9 @@
 	"raventrestle/internal/protocol"
 )
 
-// The simulated world: endpoints, routers, clients and faults around one placer, in virtual time. It checks LIMIT and CEILING from
-// the endpoints' own point of view and counts what clients get. Its parts are in the files world_*_test.go. Its numbers are of the
-// kind that the users' sheets give; none is taken from a recorded day.
+// The simulated world: endpoints, routers, clients and faults around one placer, in virtual time. It checks LIMIT and
+// CEILING from the endpoints' own point of view and counts what clients get. Its parts are in the files
+// world_*_test.go. Its numbers are of the kind that the users' sheets give; none is taken from a recorded day.
 
 // tick is the resolution of the world's simulated time.
 const tick = 20 * time.Millisecond
@@ -59,11 +59,13 @@
 	do func()
 }
 
-// newWorld makes a world whose day follows from the seed. newPolicy makes the policy at the start, and at each change of leader.
+// newWorld makes a world whose day follows from the seed. newPolicy makes the policy at the start, and at each change
+// of leader.
 func newWorld(s fleetShape, seed uint64, faults faultKinds, newPolicy func(gap time.Duration) policy) *world {
 	w := &world{
 		shape: s, random: rand.New(rand.NewPCG(seed, 7)), byModel: map[string]int{},
-		table: map[string]protocol.Endpoint{}, heardAt: map[string]time.Duration{}, newPolicy: newPolicy, trafficFrom: 10 * time.Second,
+		table: map[string]protocol.Endpoint{}, heardAt: map[string]time.Duration{},
+		newPolicy: newPolicy, trafficFrom: 10 * time.Second,
 		servedRequests: map[string]int{}, requestTimes: map[string][]time.Duration{}, reportSequence: map[string]uint64{},
 		epoch: time.Unix(1e9, 0), faults: faults, configurationDue: true,
 	}
@@ -86,7 +88,7 @@
 	return w
 }
 
-// run plays the whole day and returns its outcomes.
+// run plays the complete day and returns its outcomes.
 func (w *world) run() outcomes {
 	w.runUntil(w.trafficFrom + w.shape.length + 5*time.Second)
 	w.countUnfinished()
