--- a/internal/router/subscription/connection.go
+++ b/internal/router/subscription/connection.go
@@ -29,7 +29,7 @@
 	c := &connection{id: dial.Connection, inputs: s.inputs, opened: make(chan struct{})}
 	c.ctx, c.stop = context.WithCancel(ctx)
 	s.connections[c.id] = c
-	go c.dial(dial.Address, s.codec)
+	s.running.Go(func() { c.dial(dial.Address, s.codec) })
 }
 
 func (c *connection) dial(address string, codec *transport.Codec) {
--- a/internal/router/subscription/subscription.go
+++ b/internal/router/subscription/subscription.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"sync"
 	"sync/atomic"
 	"time"
 
@@ -54,6 +55,7 @@
 	seeds       chan []string
 	reports     chan protocol.Report
 	connections map[ConnectionID]*connection
+	running     sync.WaitGroup // dials, and the change that is being applied
 
 	ready     atomic.Bool
 	freshAsOf atomic.Pointer[time.Time]
@@ -114,8 +116,9 @@
 	}
 }
 
-// Run follows one instance after the other until the context ends.
+// Run follows one instance after the other until the context ends. It returns once its goroutines have ended.
 func (s *Subscription) Run(ctx context.Context) {
+	defer s.running.Wait()
 	defer s.closeAll()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -175,7 +178,7 @@
 		s.close(id)
 	}
 	if out.Apply != nil {
-		go s.apply(ctx, out.Apply)
+		s.running.Go(func() { s.apply(ctx, out.Apply) })
 	}
 	for _, event := range out.Events {
 		s.record(event)
--- a/internal/router/subscription/subscription_test.go
+++ b/internal/router/subscription/subscription_test.go
@@ -142,8 +142,16 @@
 		Events:     w.events,
 	})
 	ctx, stop := context.WithCancel(context.Background())
-	t.Cleanup(stop)
-	go w.Run(ctx)
+	ended := make(chan struct{})
+	go func() { defer close(ended); w.Run(ctx) }()
+	t.Cleanup(func() {
+		stop()
+		select {
+		case <-ended:
+		case <-time.After(testTimeout):
+			t.Errorf("run: got no return in %v after its context ended, want one", testTimeout)
+		}
+	})
 	return w
 }
 
