--- a/coordination/view/plan.go
+++ b/coordination/view/plan.go
@@ -21,7 +21,6 @@
 	RemoveFromChain []string // identities that should leave the chain
 	ReplaceVoters   []string // identities of voters whose votes should go to learners
 	Learners        []Member // live members without a vote whose logs are close to the head's, most preferred first
-	AvoidAsHead     []string // identities that should not become head where another one can
 	Mutation        mutation.Set
 }
 
@@ -79,8 +78,7 @@
 
 func avoidAsHead(report Report, change Reconfiguration) bool {
 	identity := report.Member.Identity
-	return report.Leaving || slices.Contains(change.AvoidAsHead, identity) ||
-		slices.Contains(change.RemoveFromChain, identity)
+	return report.Leaving || slices.Contains(change.RemoveFromChain, identity)
 }
 
 // rank orders the voters: those of the chain by their position, then the others.
