--- a/internal/router/dispatch/closing.go
+++ b/internal/router/dispatch/closing.go
@@ -9,79 +9,79 @@
 // go, and its client finds another router that does. A little later only what will end in time is taken on: whoever has
 // begun to read an answer must have the whole of it.
 const (
-	endHold    = 150 * time.Millisecond // a request is held at most, once the process is about to end
-	endReserve = 2                      // of the time until the end, one part in so many is enough for what is taken on
-	endMargin  = 100 * time.Millisecond // before the end, the deadline of what may last as long as it likes
+	shutdownQueueTimeout   = 150 * time.Millisecond // a request is held at most, once the process is about to end
+	shutdownReserveDivisor = 2                      // of the time until the end, one part in so many is enough for what is taken on
+	shutdownMargin         = 100 * time.Millisecond // before the end, the deadline of what may last as long as it likes
 )
 
-// closing are the times of Closing, all 0 while the process does not end.
-type closing struct{ holdUntil, chooseFrom, endBy time.Duration }
+// shutdown are the times of Closing, all 0 while the process does not end.
+type shutdown struct{ queueDeadline, selectiveFrom, deadline time.Duration }
 
-func (d *Decider) beginClosing(input ShutdownStarted) {
-	d.closing = closing{holdUntil: max(input.QueueDeadline.Sub(d.base), d.now)}
+func (d *Decider) startShutdown(input ShutdownStarted) {
+	d.shutdown = shutdown{queueDeadline: max(input.QueueDeadline.Sub(d.startTime), d.now)}
 	if input.SelectiveAdmissionFrom.IsZero() {
 		return
 	}
-	d.closing.chooseFrom = max(input.SelectiveAdmissionFrom.Sub(d.base), d.now)
-	d.closing.endBy = input.ShutdownDeadline.Sub(d.base)
+	d.shutdown.selectiveFrom = max(input.SelectiveAdmissionFrom.Sub(d.startTime), d.now)
+	d.shutdown.deadline = input.ShutdownDeadline.Sub(d.startTime)
 }
 
-// endsInTime says whether a request that is taken on now can be expected to end well before the process does, by its own
+// finishesBeforeShutdown says whether a request that is taken on now can be expected to end well before the process does, by its own
 // deadline or by what is known of calls like its own.
-func (d *Decider) endsInTime(r *request) bool {
-	c := &d.closing
-	if c.chooseFrom == 0 || d.now < c.chooseFrom || r.deadline <= c.endBy-endMargin {
+func (d *Decider) finishesBeforeShutdown(r *request) bool {
+	c := &d.shutdown
+	if c.selectiveFrom == 0 || d.now < c.selectiveFrom || r.deadline <= c.deadline-shutdownMargin {
 		return true
 	}
-	longest, known := d.longest(r)
-	return known && longest <= (c.endBy-d.now)/endReserve
+	longest, known := d.maxExpectedDuration(r)
+	return known && longest <= (c.deadline-d.now)/shutdownReserveDivisor
 }
 
-// turnAway refuses a request that would not end in time.
-func (d *Decider) turnAway(r *request) {
+// rejectForShutdown refuses a request that would not end in time.
+func (d *Decider) rejectForShutdown(r *request) {
 	d.counters.Rejected[ShuttingDown]++
-	d.out = append(d.out, Reject{ID: r.ID, Reason: ShuttingDown, RetryAfter: d.retryAfter(r, 0)})
+	d.outputs = append(d.outputs, Reject{ID: r.ID, Reason: ShuttingDown, RetryAfter: d.retryAfter(r, 0)})
 }
 
-// heldAtMost bounds a time until which a request is to be held.
-func (d *Decider) heldAtMost(until time.Duration) time.Duration {
-	if d.closing.holdUntil > 0 {
-		return min(until, d.closing.holdUntil)
+// capQueueDeadline bounds a time until which a request is to be held.
+func (d *Decider) capQueueDeadline(until time.Duration) time.Duration {
+	if d.shutdown.queueDeadline > 0 {
+		return min(until, d.shutdown.queueDeadline)
 	}
 	return until
 }
 
-// heldTo is until when the request is held while the process ends.
-func (d *Decider) heldTo(r *request) time.Duration {
-	return max(d.closing.holdUntil, r.arrived+endHold)
+// shutdownQueueDeadline is until when the request is held while the process ends.
+func (d *Decider) shutdownQueueDeadline(r *request) time.Duration {
+	return max(d.shutdown.queueDeadline, r.arrived+shutdownQueueTimeout)
 }
 
-// close refuses what was held for long, once the time has come.
-func (d *Decider) close() {
+// flushQueuesAtShutdown refuses what was held for long, once the time has come.
+func (d *Decider) flushQueuesAtShutdown() {
 	switch {
-	case d.closing.holdUntil == 0:
+	case d.shutdown.queueDeadline == 0:
 		return
-	case d.now < d.closing.holdUntil:
-		d.wakeBy(d.closing.holdUntil)
+	case d.now < d.shutdown.queueDeadline:
+		d.wakeBy(d.shutdown.queueDeadline)
 		return
 	}
 	for _, e := range slices.Clone(d.schedule.Active) {
-		d.dismiss(e.held)
+		d.rejectOverdue(e.queue)
 	}
-	for _, g := range slices.Clone(d.homeless) {
-		d.dismiss(g.homeless)
+	for _, g := range slices.Clone(d.unassignedGroups) {
+		d.rejectOverdue(g.unassigned)
 	}
 }
 
-// dismiss refuses those whose time is over. A stream that broke off midway is worth a wait.
-func (d *Decider) dismiss(held []*request) {
+// rejectOverdue refuses those whose time is over. A stream that broke off midway is worth a wait.
+func (d *Decider) rejectOverdue(held []*request) {
 	for _, r := range slices.Clone(held) {
 		switch {
-		case r.answering:
-		case d.now >= d.heldTo(r):
-			d.refuse(r, ShuttingDown, d.retryAfter(r, 0))
+		case r.answerStarted:
+		case d.now >= d.shutdownQueueDeadline(r):
+			d.reject(r, ShuttingDown, d.retryAfter(r, 0))
 		default:
-			d.wakeBy(d.heldTo(r))
+			d.wakeBy(d.shutdownQueueDeadline(r))
 		}
 	}
 }
--- a/internal/router/dispatch/closing_test.go
+++ b/internal/router/dispatch/closing_test.go
@@ -111,7 +111,7 @@
 // checkHeld: nothing is held for long but streams that broke off midway.
 func (w *world) checkHeld(d *Decider) {
 	for _, r := range d.requests {
-		if r.stage == waiting && !r.answering && d.now > r.arrived+endHold+worldTick {
+		if r.stage == stageQueued && !r.answerStarted && d.now > r.arrived+shutdownQueueTimeout+worldTick {
 			w.t.Errorf("request %d is held", r.ID)
 		}
 	}
@@ -236,7 +236,7 @@
 		w.play(endBy)
 		taken += w.routers[1].counters.Sent - before
 		for _, r := range w.routers[1].requests {
-			if r.arrived+w.routers[1].base.Sub(w.zero) >= choose && r.stage == sent && r.deadline > w.routers[1].closing.endBy {
+			if r.arrived+w.routers[1].startTime.Sub(w.zero) >= choose && r.stage == stageInFlight && r.deadline > w.routers[1].shutdown.deadline {
 				t.Errorf("seed %d: request %d of %s is cut", seed, r.ID, r.Service)
 			}
 		}
--- a/internal/router/dispatch/decider.go
+++ b/internal/router/dispatch/decider.go
@@ -14,98 +14,98 @@
 // MaxEndpoints endpoints at most; the retry budget and the quotas hold in every window; every request has
 // one end; the eligible head with the lowest start tag plus delta leaves first.
 type Decider struct {
-	options Config
-	seed    uint64
-	draw    *rand.Rand
-	base    time.Time
-	started bool
-	now     time.Duration // since base; never falls
-	out     []Output
-	wake    time.Duration // when a decision may change, 0: none
+	config    Config
+	seed      uint64
+	random    *rand.Rand
+	startTime time.Time
+	started   bool
+	now       time.Duration // since base; never falls
+	outputs   []Output
+	wakeAt    time.Duration // when a decision may change, 0: none
 
-	routers   int
-	services  map[string]*service
-	endpoints map[string]*endpoint
-	tenants   map[string]*tenant
-	requests  map[RequestID]*request
-	schedule  asfq.Scheduler[*endpoint]
-	timers    timers
-	homeless  []*group // with requests that have no endpoint
-	demand    demand
-	errors    PredictionErrors
-	suspects  []*endpoint // silent or failing, to be reported
-	graves    graves
-	counters  Counters
-	gone      []*endpoint // scratch
-	sweptAt   time.Duration
-	closing   closing
+	routerCount      int
+	services         map[string]*service
+	endpoints        map[string]*endpoint
+	tenants          map[string]*tenant
+	requests         map[RequestID]*request
+	schedule         asfq.Scheduler[*endpoint]
+	timers           timers
+	unassignedGroups []*modelGroup // with requests that have no endpoint
+	demand           demand
+	predictionErrors PredictionErrors
+	suspects         []*endpoint // silent or failing, to be reported
+	tombstones       tombstones
+	counters         Counters
+	departing        []*endpoint // scratch
+	lastSweepAt      time.Duration
+	shutdown         shutdown
 }
 
 // stage is where a request stands.
 type stage uint8
 
 const (
-	waiting stage = iota // held in the flow of an endpoint, or homeless
-	sent                 // out
-	ended
+	stageQueued   stage = iota // held in the flow of an endpoint, or homeless
+	stageInFlight              // out
+	stageDone
 )
 
 // request is a client's request with its history.
 type request struct {
 	Request
-	arrived, objective, deadline time.Duration
-	rank                         int // in a flow's order, 0 first
-	group                        *group
-	target                       *target
-	links                        []uint64 // see chain
-	stage                        stage
-	withdrawn                    bool
+	arrived, latencyTarget, deadline time.Duration
+	rank                             int // in a flow's order, 0 first
+	group                            *modelGroup
+	target                           *demandTarget
+	prefixHashes                     []uint64 // see chain
+	stage                            stage
+	canceled                         bool
 
-	at        *endpoint // whose flow holds it, or where it is out; nil: homeless
-	chosenAt  int       // group.changes when it was chosen
-	holdUntil time.Duration
-	timer     time.Duration // when it is looked at next
-	late      bool          // goes as one that will be late, behind all others
-	explores  bool          // goes against the estimates, which might be wrong
+	endpoint        *endpoint // whose flow holds it, or where it is out; nil: homeless
+	chosenAtVersion int       // group.changes when it was chosen
+	queueDeadline   time.Duration
+	timerAt         time.Duration // when it is looked at next
+	pastTarget      bool          // goes as one that will be late, behind all others
+	exploratory     bool          // goes against the estimates, which might be wrong
 
-	sentAt     time.Duration
-	expected   float64 // ms to the first byte, as predicted
-	slowAtSend float64
-	readAtSend float64  // thousands of tokens ahead of its first byte
-	plain      bool     // its time tells of reading alone, not of waiting for a place
-	proves     *holding // which it tries: the model is only presumed to be there
-	toRead     int      // tokens
-	answering  bool     // an endpoint began to answer
-	heard      bool     // in this call
-	trial      bool
-	abandoned  bool
-	silences   int // that it has borne
+	sentAt           time.Duration
+	predictedMS      float64 // ms to the first byte, as predicted
+	slownessAtSend   float64
+	prefillAtSend    float64    // thousands of tokens ahead of its first byte
+	uncontended      bool       // its time tells of reading alone, not of waiting for a place
+	verifying        *residency // which it tries: the model is only presumed to be there
+	prefillTokens    int        // tokens
+	answerStarted    bool       // an endpoint began to answer
+	firstByteSeen    bool       // in this call
+	probe            bool
+	abandoned        bool
+	responseTimeouts int // that it has borne
 
-	tried      []*endpoint
-	runs       int // endpoints on which it may have run
-	settled    int // how often it was put off at the end of its patience
-	rejections int // arrivals that surely did not run
-	arrivals   int
-	mayHaveRun bool
-	charged    float64
-	yields     bool // leaves its quota to more urgent ones
-	unpaid     bool // held until its tenant's quota allows it
-	spentAt    int64
-	spentNow   bool
+	attempted          []*endpoint
+	possibleExecutions int // endpoints on which it may have run
+	deferrals          int // how often it was put off at the end of its patience
+	rejections         int // arrivals that surely did not run
+	deliveries         int
+	mayHaveExecuted    bool
+	charged            float64
+	quotaPreempted     bool // leaves its quota to more urgent ones
+	awaitingQuota      bool // held until its tenant's quota allows it
+	budgetSlice        int64
+	budgetSpent        bool
 }
 
 // New returns the decider of one router.
 func New(options Config) *Decider {
 	options = options.withDefaults()
 	d := &Decider{
-		options:   options,
-		seed:      options.Seed,
-		draw:      rand.New(rand.NewPCG(options.Seed, hashSeed)),
-		routers:   options.RouterCount,
-		services:  map[string]*service{},
-		endpoints: map[string]*endpoint{},
-		tenants:   map[string]*tenant{},
-		requests:  map[RequestID]*request{},
+		config:      options,
+		seed:        options.Seed,
+		random:      rand.New(rand.NewPCG(options.Seed, hashSeed)),
+		routerCount: options.RouterCount,
+		services:    map[string]*service{},
+		endpoints:   map[string]*endpoint{},
+		tenants:     map[string]*tenant{},
+		requests:    map[RequestID]*request{},
 	}
 	d.schedule.Slots = options.Slots
 	d.schedule.Period = options.MonitorPeriod
@@ -118,85 +118,85 @@
 func (d *Decider) Step(now time.Time, inputs []Input) []Output {
 	if !d.started {
 		d.started = true
-		d.base = now.Add(-time.Second)
+		d.startTime = now.Add(-time.Second)
 	}
-	d.now = max(d.now, now.Sub(d.base))
-	d.out = d.out[:0]
-	d.wake = 0
+	d.now = max(d.now, now.Sub(d.startTime))
+	d.outputs = d.outputs[:0]
+	d.wakeAt = 0
 	for _, input := range inputs {
-		d.take(input)
+		d.handle(input)
 	}
 	d.schedule.Tick(d.now)
-	d.sweep()
-	d.fire()
+	d.expirePrefixes()
+	d.runTimers()
 	d.dispatch()
-	d.close()
-	d.report()
-	return d.out
+	d.flushQueuesAtShutdown()
+	d.emitReport()
+	return d.outputs
 }
 
 // NextWake is when Step is to be called if nothing happens before, zero: at the next input.
 func (d *Decider) NextWake() time.Time {
-	at := d.wake
+	at := d.wakeAt
 	if next, ok := d.timers.next(); ok && (at == 0 || next < at) {
 		at = next
 	}
 	if at == 0 {
 		return time.Time{}
 	}
-	return d.base.Add(at)
+	return d.startTime.Add(at)
 }
 
 func (d *Decider) wakeBy(at time.Duration) {
 	at = max(at, d.now+time.Millisecond)
-	if d.wake == 0 || at < d.wake {
-		d.wake = at
+	if d.wakeAt == 0 || at < d.wakeAt {
+		d.wakeAt = at
 	}
 }
 
-func (d *Decider) take(input Input) {
+func (d *Decider) handle(input Input) {
 	switch input := input.(type) {
 	case RequestArrived:
-		d.arrived(&input.Request)
+		d.onArrival(&input.Request)
 	case RequestCanceled:
-		d.withdraw(input.ID)
+		d.cancel(input.ID)
 	case FirstByteReceived:
-		d.firstByte(input)
+		d.onFirstByte(input)
 	case StreamProgress:
-		d.progress(input)
+		d.onProgress(input)
 	case StreamStalled:
-		d.stalled(input)
+		d.onStall(input)
 	case AttemptFinished:
-		d.finished(input)
+		d.onAttemptFinished(input)
 	case ViewChanged:
-		d.view(input)
+		d.applyView(input)
 	case ShutdownStarted:
-		d.beginClosing(input)
+		d.startShutdown(input)
 	}
 }
 
-// arrived takes in a new request.
-func (d *Decider) arrived(asked *Request) {
+// onArrival takes in a new request.
+func (d *Decider) onArrival(asked *Request) {
 	if d.requests[asked.ID] != nil {
 		return
 	}
 	d.counters.Arrived++
-	if d.unknown(asked) {
+	if d.namesUnknownModel(asked) {
 		d.counters.Rejected[NoEndpoint]++
-		d.out = append(d.out, Reject{ID: asked.ID, Reason: NoEndpoint, RetryAfter: unknownAfter})
+		d.outputs = append(d.outputs, Reject{ID: asked.ID, Reason: NoEndpoint, RetryAfter: unknownModelRetryAfter})
 		return
 	}
 	r := &request{Request: *asked}
 	r.arrived = d.now
 	if !asked.ArrivedAt.IsZero() {
-		r.arrived = min(asked.ArrivedAt.Sub(d.base), d.now)
+		r.arrived = min(asked.ArrivedAt.Sub(d.startTime), d.now)
 	}
-	r.objective = asked.LatencyTarget.Sub(d.base)
-	r.deadline = asked.Deadline.Sub(d.base)
+	r.latencyTarget = asked.LatencyTarget.Sub(d.startTime)
+	r.deadline = asked.Deadline.Sub(d.startTime)
 	r.rank = rank(asked)
-	r.group = d.serviceNamed(asked.Service).groupNamed(asked.Model)
-	if !d.endsInTime(r) {
-		d.turnAway(r)
+	r.group = d.ensureService(asked.Service).ensureGroup(asked.Model)
+	if !d.finishesBeforeShutdown(r) {
+		d.rejectForShutdown(r)
 		return
 	}
 	wait, paid := d.charge(r)
@@ -204,100 +204,100 @@
 	switch {
 	case paid:
 		d.admit(r)
-	case r.yields || !d.holdUnpaid(r):
-		d.refuse(r, QuotaExceeded, wait)
+	case r.quotaPreempted || !d.queueForQuota(r):
+		d.reject(r, QuotaExceeded, wait)
 	}
 }
 
 // admit lets in a request that is paid for.
 func (d *Decider) admit(r *request) {
-	if !d.endsInTime(r) { // it has waited to be paid
-		d.turnAway(r)
-		d.forget(r)
+	if !d.finishesBeforeShutdown(r) { // it has waited to be paid
+		d.rejectForShutdown(r)
+		d.remove(r)
 		return
 	}
 	d.countRequest(r.group.service)
 	d.countDemand(r)
-	r.holdUntil = r.patience()
-	d.timers.add(r.holdUntil, r)
-	d.place(r)
+	r.queueDeadline = r.initialQueueDeadline()
+	d.timers.add(r.queueDeadline, r)
+	d.assign(r)
 }
 
-// withdraw forgets a held request. One that is out goes on until Finished.
-func (d *Decider) withdraw(id RequestID) {
+// cancel forgets a held request. One that is out goes on until Finished.
+func (d *Decider) cancel(id RequestID) {
 	r := d.requests[id]
 	if r == nil {
 		return
 	}
-	r.withdrawn = true
-	if r.stage == waiting {
-		d.lift(r)
-		d.forget(r)
+	r.canceled = true
+	if r.stage == stageQueued {
+		d.dequeue(r)
+		d.remove(r)
 	}
 }
 
-// forget drops a request that has ended.
-func (d *Decider) forget(r *request) {
-	r.stage = ended
-	if r.unpaid {
-		d.dropUnpaid(r)
+// remove drops a request that has ended.
+func (d *Decider) remove(r *request) {
+	r.stage = stageDone
+	if r.awaitingQuota {
+		d.removeFromQuotaQueue(r)
 	}
-	d.refund(r)
+	d.refundQuota(r)
 	delete(d.requests, r.ID)
 }
 
-// refuse ends a held request.
-func (d *Decider) refuse(r *request, reason Reason, after time.Duration) {
-	d.lift(r)
+// reject ends a held request.
+func (d *Decider) reject(r *request, reason Reason, after time.Duration) {
+	d.dequeue(r)
 	if reason == NoEndpoint || reason == TargetUnreachable {
 		d.countUnserved(r)
 	}
 	d.counters.Rejected[reason]++
-	if t := d.tenants[r.Tenant]; t != nil && reason == QuotaExceeded && !r.yields {
-		t.over.note(r, d.now)
+	if t := d.tenants[r.Tenant]; t != nil && reason == QuotaExceeded && !r.quotaPreempted {
+		t.denials.record(r, d.now)
 	}
-	d.out = append(d.out, Reject{ID: r.ID, Reason: reason, RetryAfter: after})
+	d.outputs = append(d.outputs, Reject{ID: r.ID, Reason: reason, RetryAfter: after})
 	if reason != QuotaExceeded && reason != NoEndpoint {
-		r.group.service.fairness.count(r, false)
+		r.group.service.fairness.record(r, false)
 	}
-	d.forget(r)
+	d.remove(r)
 }
 
-func (d *Decider) firstByte(input FirstByteReceived) {
+func (d *Decider) onFirstByte(input FirstByteReceived) {
 	r := d.requests[input.ID]
-	if r == nil || r.stage != sent || r.at.id != input.Endpoint || r.heard {
+	if r == nil || r.stage != stageInFlight || r.endpoint.id != input.Endpoint || r.firstByteSeen {
 		return
 	}
-	e := r.at
-	r.heard = true
-	r.answering = true
-	e.unqueue(r)
-	d.tried(r)
-	d.prove(r, e)
-	d.heard(e, input.Load)
-	d.answered(r, e)
-	d.good(e, r)
-	e.changed()
+	e := r.endpoint
+	r.firstByteSeen = true
+	r.answerStarted = true
+	e.removeBacklog(r)
+	d.endVerification(r)
+	d.confirmResidency(r, e)
+	d.recordAdvertisedLoad(e, input.Load)
+	d.learnFirstByte(r, e)
+	d.recordSuccess(e, r)
+	e.capacityChanged()
 }
 
-func (d *Decider) progress(input StreamProgress) {
+func (d *Decider) onProgress(input StreamProgress) {
 	r := d.requests[input.ID]
-	if r != nil && r.stage == sent && r.at.id == input.Endpoint {
-		r.at.evidence.heardAt = d.now
+	if r != nil && r.stage == stageInFlight && r.endpoint.id == input.Endpoint {
+		r.endpoint.health.lastContactAt = d.now
 	}
 }
 
-// fire looks at the requests whose time has come.
-func (d *Decider) fire() {
+// runTimers looks at the requests whose time has come.
+func (d *Decider) runTimers() {
 	for {
-		r, ok := d.timers.due(d.now)
+		r, ok := d.timers.popDue(d.now)
 		if !ok {
 			return
 		}
-		if r.stage == waiting {
-			d.settle(r)
-		} else if r.stage == sent {
-			d.watch(r)
+		if r.stage == stageQueued {
+			d.onQueueDeadline(r)
+		} else if r.stage == stageInFlight {
+			d.checkResponse(r)
 		}
 	}
 }
--- a/internal/router/dispatch/decisions_test.go
+++ b/internal/router/dispatch/decisions_test.go
@@ -207,9 +207,9 @@
 			}
 		}
 		s.step(10*i+3, ViewChanged{Endpoints: nil})
-		s.d.endpoints["a"].evidence, s.d.endpoints["b"].evidence = evidence{}, evidence{}
+		s.d.endpoints["a"].health, s.d.endpoints["b"].health = health{}, health{}
 	}
-	if most := (0.2*60 + 56.0/9) * budgetShare; float64(again) > most || float64(again) < most/2 || spent == 0 {
+	if most := (0.2*60 + 56.0/9) * budgetUtilization; float64(again) > most || float64(again) < most/2 || spent == 0 {
 		t.Errorf("%d sent again, at most %v; %d refused for it", again, most, spent)
 	}
 }
--- a/internal/router/dispatch/ending.go
+++ b/internal/router/dispatch/ending.go
@@ -6,132 +6,132 @@
 	"raventrestle/internal/protocol"
 )
 
-// finished takes in the end of a call.
-func (d *Decider) finished(input AttemptFinished) {
+// onAttemptFinished takes in the end of a call.
+func (d *Decider) onAttemptFinished(input AttemptFinished) {
 	r := d.requests[input.ID]
-	if r == nil || r.stage != sent || r.at.id != input.Endpoint {
+	if r == nil || r.stage != stageInFlight || r.endpoint.id != input.Endpoint {
 		return
 	}
-	e := r.at
-	d.hangUp(r)
-	d.heard(e, input.Load)
-	d.judge(r, e, input)
-	e.changed()
-	if e.state == protocol.Departed && len(e.calls) == 0 {
+	e := r.endpoint
+	d.releaseAttempt(r)
+	d.recordAdvertisedLoad(e, input.Load)
+	d.evaluateResult(r, e, input)
+	e.capacityChanged()
+	if e.state == protocol.Departed && len(e.inFlight) == 0 {
 		delete(d.endpoints, e.id)
 	}
-	if !input.NeedsRetry || r.withdrawn {
-		r.group.service.fairness.count(r, input.Result == Succeeded)
-		d.forget(r)
+	if !input.NeedsRetry || r.canceled {
+		r.group.service.fairness.record(r, input.Result == Succeeded)
+		d.remove(r)
 		return
 	}
-	d.again(r)
+	d.retry(r)
 }
 
-// hangUp frees the slot of a call.
-func (d *Decider) hangUp(r *request) {
-	e := r.at
-	e.calls = without(e.calls, r)
-	if !r.heard {
-		e.unqueue(r)
+// releaseAttempt frees the slot of a call.
+func (d *Decider) releaseAttempt(r *request) {
+	e := r.endpoint
+	e.inFlight = remove(e.inFlight, r)
+	if !r.firstByteSeen {
+		e.removeBacklog(r)
 	}
-	d.tried(r)
-	if r.trial {
-		e.evidence.trials--
-		r.trial = false
+	d.endVerification(r)
+	if r.probe {
+		e.health.probes--
+		r.probe = false
 	}
-	e.service.out--
-	e.usedAt = d.now
+	e.service.inFlight--
+	e.lastUsedAt = d.now
 	d.schedule.Ended(e, (d.now - r.sentAt).Seconds(), d.now)
-	r.target.running--
-	d.changed()
-	r.at = nil
-	r.stage = waiting
+	r.target.inFlight--
+	d.markDemandChanged()
+	r.endpoint = nil
+	r.stage = stageQueued
 }
 
 // tried: the call that tried what is presumed is answered or over.
-func (d *Decider) tried(r *request) {
-	if r.proves != nil {
-		r.proves.trying--
-		r.proves.group.changes++
-		r.proves = nil
+func (d *Decider) endVerification(r *request) {
+	if r.verifying != nil {
+		r.verifying.verifications--
+		r.verifying.group.version++
+		r.verifying = nil
 	}
 }
 
-// judge draws from the end of a call what it says of the request and of the endpoint.
-func (d *Decider) judge(r *request, e *endpoint, input AttemptFinished) {
-	r.tried = append(r.tried, e)
+// evaluateResult draws from the end of a call what it says of the request and of the endpoint.
+func (d *Decider) evaluateResult(r *request, e *endpoint, input AttemptFinished) {
+	r.attempted = append(r.attempted, e)
 	switch input.Result {
 	case Succeeded:
-		r.ran()
-		d.ended(r)
-		if !r.heard {
-			d.answered(r, e)
-			d.prove(r, e)
+		r.markExecuted()
+		d.learnDuration(r)
+		if !r.firstByteSeen {
+			d.learnFirstByte(r, e)
+			d.confirmResidency(r, e)
 		}
-		d.good(e, r)
+		d.recordSuccess(e, r)
 	case Failed:
-		r.ran()
-		d.failed(e, r, failureWeight)
+		r.markExecuted()
+		d.recordFailure(e, r, failureWeight)
 	case ConnectionLost:
-		r.ran()
-		d.failed(e, r, lossWeight)
+		r.markExecuted()
+		d.recordFailure(e, r, connectionLossWeight)
 	case Canceled:
-		r.ran()
-		d.gaveUp(e, r)
+		r.markExecuted()
+		d.recordCancellation(e, r)
 	case NotSent:
-		r.arrivals--
-		d.unspend(r)
+		r.deliveries--
+		d.refundRetry(r)
 		r.rejections++
-		d.failed(e, r, deadWeight)
+		d.recordFailure(e, r, unreachableWeight)
 	case Rejected:
 		r.rejections++
-		if !d.tooEarly(r, e) {
-			d.turnedAway(e, r, input.Load)
+		if !d.loadNotFinished(r, e) {
+			d.recordRejection(e, r, input.Load)
 		}
 	case Misdirected:
 		r.rejections++
-		if !d.tooEarly(r, e) {
-			d.misdirected(e, r)
+		if !d.loadNotFinished(r, e) {
+			d.recordMisdirection(e, r)
 		}
 	}
 }
 
 // tooEarly: the endpoint was only presumed to have the model by now. The request may go there again later.
-func (d *Decider) tooEarly(r *request, e *endpoint) bool {
-	if !d.disprove(r, e) {
+func (d *Decider) loadNotFinished(r *request, e *endpoint) bool {
+	if !d.refuteResidency(r, e) {
 		return false
 	}
-	r.tried = without(r.tried, e)
-	e.evidence.heardAt = d.now
+	r.attempted = remove(r.attempted, e)
+	e.health.lastContactAt = d.now
 	return true
 }
 
 // ran: from now on it may have run on one endpoint more.
-func (r *request) ran() {
-	r.runs++
-	r.mayHaveRun = true
+func (r *request) markExecuted() {
+	r.possibleExecutions++
+	r.mayHaveExecuted = true
 }
 
-// again finds another endpoint for a request whose call ended without an answer, if that is allowed.
-func (d *Decider) again(r *request) {
+// retry finds another endpoint for a request whose call ended without an answer, if that is allowed.
+func (d *Decider) retry(r *request) {
 	switch {
-	case r.mayHaveRun && !r.Retryable, r.runs >= max(r.MaxEndpoints, 1):
-		d.refuse(r, AttemptsExhausted, 0)
-	case r.rejections > mostRejections:
-		d.refuse(r, AttemptsExhausted, d.retryAfter(r, 0))
-	case !d.mayGoAgain(r):
-		d.refuse(r, RetryBudgetExhausted, d.retryAfter(r, 0))
+	case r.mayHaveExecuted && !r.Retryable, r.possibleExecutions >= max(r.MaxEndpoints, 1):
+		d.reject(r, AttemptsExhausted, 0)
+	case r.rejections > maxRejections:
+		d.reject(r, AttemptsExhausted, d.retryAfter(r, 0))
+	case !d.mayRetry(r):
+		d.reject(r, RetryBudgetExhausted, d.retryAfter(r, 0))
 	case d.now >= r.deadline:
-		d.refuse(r, TargetUnreachable, 0)
-	case !r.answering && !d.endsInTime(r):
-		d.refuse(r, ShuttingDown, d.retryAfter(r, 0))
+		d.reject(r, TargetUnreachable, 0)
+	case !r.answerStarted && !d.finishesBeforeShutdown(r):
+		d.reject(r, ShuttingDown, d.retryAfter(r, 0))
 	default:
-		r.late = false
-		r.holdUntil = d.patienceAgain(r)
-		d.timers.add(r.holdUntil, r)
-		d.place(r)
+		r.pastTarget = false
+		r.queueDeadline = d.retryQueueDeadline(r)
+		d.timers.add(r.queueDeadline, r)
+		d.assign(r)
 	}
 }
 
-func (r *request) hasTried(e *endpoint) bool { return slices.Contains(r.tried, e) }
+func (r *request) hasAttempted(e *endpoint) bool { return slices.Contains(r.attempted, e) }
--- a/internal/router/dispatch/fairness.go
+++ b/internal/router/dispatch/fairness.go
@@ -4,86 +4,86 @@
 // A more urgent rank that is served less often than a less urgent one is to be preferred, and so is whoever
 // is served far less often than all.
 const (
-	fairMemory  = 0.98 // weight of what ended before, at each new end
-	fairLeast   = 8.0  // ends, before a share says something
-	fairMargin  = 0.1  // in shares, that may be chance
-	starvedPart = 0.5  // of the share of all, below which a rank is starved
-	largeTimes  = 1.7  // the mean size of a model's requests, from which on one is large
+	fairnessDecay      = 0.98 // weight of what ended before, at each new end
+	minFairnessSamples = 8.0  // ends, before a share says something
+	fairnessNoise      = 0.1  // in shares, that may be chance
+	starvationRatio    = 0.5  // of the share of all, below which a rank is starved
+	largeRequestFactor = 1.7  // the mean size of a model's requests, from which on one is large
 )
 
-// share is how often requests were served, with a fading memory.
-type share struct{ ended, served float64 }
+// servedRatio is how often requests were served, with a fading memory.
+type servedRatio struct{ ended, served float64 }
 
-func (s *share) add(served bool) {
-	s.ended = s.ended*fairMemory + 1
-	s.served *= fairMemory
+func (s *servedRatio) add(served bool) {
+	s.ended = s.ended*fairnessDecay + 1
+	s.served *= fairnessDecay
 	if served {
 		s.served++
 	}
 }
 
-func (s *share) known() bool { return s.ended >= fairLeast }
+func (s *servedRatio) isSignificant() bool { return s.ended >= minFairnessSamples }
 
-func (s *share) part() float64 { return s.served / s.ended }
+func (s *servedRatio) ratio() float64 { return s.served / s.ended }
 
 // fairness is the shares of one service.
 type fairness struct {
-	all, large share
-	ranks      []rankShare // the most urgent first
+	all, large servedRatio
+	ranks      []rankServedRatio // the most urgent first
 }
 
-type rankShare struct {
-	rank  int
-	share share
+type rankServedRatio struct {
+	rank   int
+	served servedRatio
 }
 
-func (f *fairness) of(rank int) *share {
+func (f *fairness) forRank(rank int) *servedRatio {
 	at := 0
 	for at < len(f.ranks) && f.ranks[at].rank < rank {
 		at++
 	}
 	if at == len(f.ranks) || f.ranks[at].rank != rank {
-		f.ranks = append(f.ranks, rankShare{})
+		f.ranks = append(f.ranks, rankServedRatio{})
 		copy(f.ranks[at+1:], f.ranks[at:])
-		f.ranks[at] = rankShare{rank: rank}
+		f.ranks[at] = rankServedRatio{rank: rank}
 	}
-	return &f.ranks[at].share
+	return &f.ranks[at].served
 }
 
-// count notes how a request ended.
-func (f *fairness) count(r *request, served bool) {
+// record notes how a request ended.
+func (f *fairness) record(r *request, served bool) {
 	f.all.add(served)
-	f.of(r.rank).add(served)
-	if r.large() {
+	f.forRank(r.rank).add(served)
+	if r.isLarge() {
 		f.large.add(served)
 	}
 }
 
 // starved: its rank is served far less often than all, or large requests are and it is one.
 func (f *fairness) starved(r *request) bool {
-	if !f.all.known() {
+	if !f.all.isSignificant() {
 		return false
 	}
-	least := f.all.part() * starvedPart
-	if r.large() && f.large.known() && f.large.part() < least {
+	least := f.all.ratio() * starvationRatio
+	if r.isLarge() && f.large.isSignificant() && f.large.ratio() < least {
 		return true
 	}
-	own := f.of(r.rank)
-	return own.known() && own.part() < least
+	own := f.forRank(r.rank)
+	return own.isSignificant() && own.ratio() < least
 }
 
 // lags: it is served less often than it should be.
-func (f *fairness) lags(r *request) bool {
+func (f *fairness) underserved(r *request) bool {
 	if f.starved(r) {
 		return true
 	}
-	own := f.of(r.rank)
-	if !own.known() {
+	own := f.forRank(r.rank)
+	if !own.isSignificant() {
 		return false
 	}
 	for i := range f.ranks {
 		other := &f.ranks[i]
-		if other.rank > r.rank && other.share.known() && other.share.part() > own.part()+fairMargin {
+		if other.rank > r.rank && other.served.isSignificant() && other.served.ratio() > own.ratio()+fairnessNoise {
 			return true
 		}
 	}
@@ -92,6 +92,6 @@
 
 // large: well above the mean of its model. Its own reading fills much of its objective, and it would be
 // refused again and again.
-func (r *request) large() bool {
-	return float64(r.PromptTokens)+float64(r.OutputTokens)/2 > largeTimes*r.group.kvTokens
+func (r *request) isLarge() bool {
+	return float64(r.PromptTokens)+float64(r.OutputTokens)/2 > largeRequestFactor*r.group.meanKVTokens
 }
--- a/internal/router/dispatch/golden_fleet_test.go
+++ b/internal/router/dispatch/golden_fleet_test.go
@@ -290,7 +290,7 @@
 	case Send:
 		expected := 0.0
 		if r := g.decider.requests[o.ID]; r != nil {
-			expected = r.expected
+			expected = r.predictedMS
 		}
 		g.record("send %d to %s %s priority %d connections %d expected %s", o.ID, o.Endpoint, o.Address, o.Priority, o.MaxConnections,
 			goldenExact(expected))
@@ -327,29 +327,29 @@
 	services := goldenSorted(d.services)
 	for _, name := range services {
 		s := d.services[name]
-		g.record("service %s endpoints %d down %d out %d behind %s duration %s budget %d %d fairness %s %s", name, s.endpoints, s.down, s.out,
-			goldenExact(s.behind), goldenExact(s.duration), s.budget.asked(), s.budget.spent(), goldenExact(s.fairness.all.served),
+		g.record("service %s endpoints %d down %d out %d behind %s duration %s budget %d %d fairness %s %s", name, s.endpoints, s.ejected, s.inFlight,
+			goldenExact(s.pastTargetFraction), goldenExact(s.durationMS), s.budget.requestCount(), s.budget.retryCount(), goldenExact(s.fairness.all.served),
 			goldenExact(s.fairness.large.served))
 		for _, model := range goldenSorted(s.groups) {
 			group := s.groups[model]
-			g.record("model %q first %s thousand %s prompt %s memory %s length %s %s", model, goldenExact(group.first(1.3)),
-				goldenExact(group.perThousand()), goldenExact(group.prompt), goldenExact(group.kvTokens),
-				goldenExact(group.lengths.streams.mean), goldenExact(group.lengths.others.deviation))
+			g.record("model %q first %s thousand %s prompt %s memory %s length %s %s", model, goldenExact(group.firstByteMS(1.3)),
+				goldenExact(group.msPerThousandTokens()), goldenExact(group.meanPrefillTokens), goldenExact(group.meanKVTokens),
+				goldenExact(group.durationBounds.streams.mean), goldenExact(group.durationBounds.others.deviation))
 		}
 	}
 	for _, id := range goldenSorted(d.endpoints) {
 		e := d.endpoints[id]
 		kept := 0
-		for _, h := range e.holdings {
-			kept += h.kept.tokens
+		for _, h := range e.residencies {
+			kept += h.prefixCache.tokens
 		}
-		g.record("endpoint %s calls %d held %d slow %s backoff %d weight %d kept %d delta %s", id, len(e.calls), len(e.held),
-			goldenExact(e.slow.factor(d.now)), e.evidence.backoff, e.evidence.weight, kept, goldenExact(e.Delta()))
+		g.record("endpoint %s calls %d held %d slow %s backoff %d weight %d kept %d delta %s", id, len(e.inFlight), len(e.queue),
+			goldenExact(e.slowness.factor(d.now)), e.health.ejectionBackoff, e.health.failureScore, kept, goldenExact(e.Delta()))
 	}
 	for _, name := range goldenSorted(d.tenants) {
 		t := d.tenants[name]
-		g.record("tenant %s level %s credit %s unpaid %d refused %s", name, goldenExact(t.level), goldenExact(t.credit), len(t.unpaid),
-			goldenExact(t.over.charge))
+		g.record("tenant %s level %s credit %s unpaid %d refused %s", name, goldenExact(t.level), goldenExact(t.credit), len(t.awaitingQuota),
+			goldenExact(t.denials.meanCharge))
 	}
 }
 
--- a/internal/router/dispatch/graves.go
+++ b/internal/router/dispatch/graves.go
@@ -3,43 +3,43 @@
 import "raventrestle/internal/protocol"
 
 // mostGraves bounds how many endpoints that left are remembered.
-const mostGraves = 1024
+const maxTombstones = 1024
 
-// graves remembers endpoints that left the table, so that late news don't bring them back.
-type graves struct {
-	of    map[string]grave
+// tombstones remembers endpoints that left the table, so that late news don't bring them back.
+type tombstones struct {
+	byID  map[string]tombstone
 	order []string
 }
 
-type grave struct {
+type tombstone struct {
 	sequence uint64
-	told     bool // that it is gone; else it only was missing in a whole table
-	drained  bool
+	explicit bool // that it is gone; else it only was missing in a whole table
+	draining bool
 }
 
-// bury notes an endpoint that left.
-func (g *graves) bury(e *endpoint, told bool) {
-	if g.of == nil {
-		g.of = map[string]grave{}
+// add notes an endpoint that left.
+func (g *tombstones) add(e *endpoint, told bool) {
+	if g.byID == nil {
+		g.byID = map[string]tombstone{}
 	}
-	if _, again := g.of[e.id]; !again {
+	if _, again := g.byID[e.id]; !again {
 		g.order = append(g.order, e.id)
 	}
-	g.of[e.id] = grave{sequence: e.sequence, told: told, drained: e.drained}
-	if len(g.order) > mostGraves {
-		delete(g.of, g.order[0])
+	g.byID[e.id] = tombstone{sequence: e.sequence, explicit: told, draining: e.drainingAtDeparture}
+	if len(g.order) > maxTombstones {
+		delete(g.byID, g.order[0])
 		g.order = g.order[1:]
 	}
 }
 
-// outdated says whether the news are older than the endpoint's leaving.
-func (g *graves) outdated(news *protocol.Endpoint) bool {
-	past, ok := g.of[news.ID]
+// isStale says whether the news are older than the endpoint's leaving.
+func (g *tombstones) isStale(news *protocol.Endpoint) bool {
+	past, ok := g.byID[news.ID]
 	if !ok {
 		return false
 	}
-	return news.Sequence < past.sequence || past.told && news.Sequence == past.sequence
+	return news.Sequence < past.sequence || past.explicit && news.Sequence == past.sequence
 }
 
-// drained says whether the endpoint was draining when it left: it takes no requests if it comes back.
-func (g *graves) drained(id string) bool { return g.of[id].drained }
+// wasDraining says whether the endpoint was draining when it left: it takes no requests if it comes back.
+func (g *tombstones) wasDraining(id string) bool { return g.byID[id].draining }
--- a/internal/router/dispatch/holding_test.go
+++ b/internal/router/dispatch/holding_test.go
@@ -118,15 +118,15 @@
 func TestWrongEstimatesAreForgotten(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"), modelEndpoint("b", 1, "m"))
 	busy := &AdvertisedLoad{Running: 40, Slots: 64}
-	g := s.d.services["lm"].groupNamed("m")
+	g := s.d.services["lm"].ensureGroup("m")
 	for range 100 {
-		g.line.add(s.d.now, 1, 3000)
-		g.service.line.add(s.d.now, 1, 3000)
+		g.firstByteLine.add(s.d.now, 1, 3000)
+		g.service.firstByteLine.add(s.d.now, 1, 3000)
 	}
 	served := 0
 	for at := 10; at < 40000; at += 200 {
 		for _, id := range []string{"a", "b"} {
-			s.d.heard(s.d.endpoints[id], busy)
+			s.d.recordAdvertisedLoad(s.d.endpoints[id], busy)
 		}
 		for _, send := range sends(s.step(at, RequestArrived{s.request("m")})) {
 			s.step(at+60, FirstByteReceived{ID: send.ID, Endpoint: send.Endpoint, Load: busy})
--- a/internal/router/dispatch/parts_test.go
+++ b/internal/router/dispatch/parts_test.go
@@ -15,7 +15,7 @@
 			key    uint64
 			tokens int
 		}
-		var p prefixes
+		var p prefixCache
 		var plain []entry
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -34,7 +34,7 @@
 				}
 				want += parts[i].Tokens
 			}
-			if got := p.length(links, parts, now); got != want {
+			if got := p.cachedTokens(links, parts, now); got != want {
 				t.Fatalf("%d tokens kept of %v, want %d", got, links, want)
 			}
 			p.add(links, parts, now, 100)
@@ -53,7 +53,7 @@
 				t.Fatalf("%d parts with %d tokens, want %d", len(p.index), p.tokens, len(plain))
 			}
 		}
-		p.expire(now + prefixLife + time.Second)
+		p.expire(now + prefixTTL + time.Second)
 		if len(p.index) != 0 || p.tokens != 0 || p.nodes != nil {
 			t.Fatalf("%d parts after their time", len(p.index))
 		}
@@ -79,7 +79,7 @@
 		}
 		before := time.Duration(0)
 		for now := time.Duration(1); now <= 100; now++ {
-			for r, ok := list.due(now); ok; r, ok = list.due(now) {
+			for r, ok := list.popDue(now); ok; r, ok = list.popDue(now) {
 				if last[r] != now || now < before {
 					t.Fatalf("due at %d, want %d", now, last[r])
 				}
@@ -107,7 +107,7 @@
 		r.Adapter = string(rune('A' + i))
 		s.step(2+i, RequestArrived{r})
 	}
-	if n := len(s.d.services["lm"].groups["m"].targets); n > leastTargets+1 {
+	if n := len(s.d.services["lm"].groups["m"].targets); n > minTrackedTargets+1 {
 		t.Errorf("%d adapters are kept account of", n)
 	}
 }
--- a/internal/router/dispatch/prefix.go
+++ b/internal/router/dispatch/prefix.go
@@ -6,18 +6,18 @@
 // part before it is. The memory is bounded by the endpoint's own, the parts left unused longest go first.
 
 const (
-	prefixLife    = 2 * time.Minute // after which a part counts as given way
-	maxPartsKept  = 1024            // of one holder
-	hashSeed      = 0x9e3779b97f4a7c15
-	hashMultplier = 0xff51afd7ed558ccd
+	prefixTTL      = 2 * time.Minute // after which a part counts as given way
+	maxCachedParts = 1024            // of one holder
+	hashSeed       = 0x9e3779b97f4a7c15
+	hashMultiplier = 0xff51afd7ed558ccd
 )
 
-// mix stirs a hash.
-func mix(h uint64) uint64 {
+// mixHash stirs a hash.
+func mixHash(h uint64) uint64 {
 	h ^= h >> 33
-	h *= hashMultplier
+	h *= hashMultiplier
 	h ^= h >> 33
-	h *= hashMultplier
+	h *= hashMultiplier
 	h ^= h >> 33
 	return h
 }
@@ -29,24 +29,24 @@
 		h ^= uint64(s[i])
 		h *= 1099511628211
 	}
-	return mix(h)
+	return mixHash(h)
 }
 
-// chain lists the hashes of the request's shared parts, each with all before it and the adapter.
-func (r *request) chain() []uint64 {
-	if r.links == nil && len(r.PromptParts) > 0 {
-		r.links = make([]uint64, len(r.PromptParts))
+// prefixChain lists the hashes of the request's shared parts, each with all before it and the adapter.
+func (r *request) prefixChain() []uint64 {
+	if r.prefixHashes == nil && len(r.PromptParts) > 0 {
+		r.prefixHashes = make([]uint64, len(r.PromptParts))
 		h := stringHash(r.Adapter) ^ hashSeed
 		for i, part := range r.PromptParts {
-			h = mix(h ^ part.Hash)
-			r.links[i] = h
+			h = mixHash(h ^ part.Hash)
+			r.prefixHashes[i] = h
 		}
 	}
-	return r.links
+	return r.prefixHashes
 }
 
-// prefixes is the memory of one holder: a doubly linked list in a slice, newest first.
-type prefixes struct {
+// prefixCache is the memory of one holder: a doubly linked list in a slice, newest first.
+type prefixCache struct {
 	index  map[uint64]int32
 	nodes  []prefixNode
 	newest int32
@@ -65,11 +65,11 @@
 const noNode = -1
 
 // kept is how many tokens of the request's prompt the holder needs not read again.
-func (p *prefixes) length(links []uint64, parts []PromptPart, now time.Duration) int {
+func (p *prefixCache) cachedTokens(links []uint64, parts []PromptPart, now time.Duration) int {
 	sum := 0
 	for i, link := range links {
 		at, ok := p.index[link]
-		if !ok || now-p.nodes[at].usedAt > prefixLife {
+		if !ok || now-p.nodes[at].usedAt > prefixTTL {
 			return sum
 		}
 		sum += parts[i].Tokens
@@ -78,16 +78,16 @@
 }
 
 // add notes that the holder reads these parts now. The last come first in giving way.
-func (p *prefixes) add(links []uint64, parts []PromptPart, now time.Duration, most int) {
+func (p *prefixCache) add(links []uint64, parts []PromptPart, now time.Duration, most int) {
 	for i := len(links) - 1; i >= 0; i-- {
 		p.touch(links[i], parts[i].Tokens, now)
 	}
-	for (p.tokens > most || len(p.index) > maxPartsKept) && len(p.index) > 0 {
+	for (p.tokens > most || len(p.index) > maxCachedParts) && len(p.index) > 0 {
 		p.drop(p.oldest)
 	}
 }
 
-func (p *prefixes) touch(key uint64, tokens int, now time.Duration) {
+func (p *prefixCache) touch(key uint64, tokens int, now time.Duration) {
 	if p.index == nil {
 		p.index = map[uint64]int32{}
 		p.newest, p.oldest = noNode, noNode
@@ -105,7 +105,7 @@
 	p.link(at)
 }
 
-func (p *prefixes) alloc() int32 {
+func (p *prefixCache) alloc() int32 {
 	if n := len(p.free); n > 0 {
 		at := p.free[n-1]
 		p.free = p.free[:n-1]
@@ -115,7 +115,7 @@
 	return int32(len(p.nodes) - 1)
 }
 
-func (p *prefixes) link(at int32) {
+func (p *prefixCache) link(at int32) {
 	p.nodes[at].newer, p.nodes[at].older = noNode, p.newest
 	if p.newest != noNode {
 		p.nodes[p.newest].newer = at
@@ -126,7 +126,7 @@
 	}
 }
 
-func (p *prefixes) unlink(at int32) {
+func (p *prefixCache) unlink(at int32) {
 	node := p.nodes[at]
 	if node.newer != noNode {
 		p.nodes[node.newer].older = node.older
@@ -140,7 +140,7 @@
 	}
 }
 
-func (p *prefixes) drop(at int32) {
+func (p *prefixCache) drop(at int32) {
 	p.unlink(at)
 	delete(p.index, p.nodes[at].key)
 	p.tokens -= int(p.nodes[at].tokens)
--- a/internal/router/dispatch/presume_test.go
+++ b/internal/router/dispatch/presume_test.go
@@ -70,7 +70,7 @@
 		t.Errorf("sent to %s", send.Endpoint)
 	}
 	s.step(s.at+5, FirstByteReceived{ID: send.ID, Endpoint: "a"})
-	if h := s.d.endpoints["a"].holding("m"); !h.has("a3") || h.unproven("a3") {
+	if h := s.d.endpoints["a"].residencyOf("m"); !h.serves("a3") || h.isUnverified("a3") {
 		t.Error("an answer did not prove it")
 	}
 }
@@ -80,7 +80,7 @@
 	s := loadingScript(t)
 	s.untilSend(150)
 	s.step(s.at+2, ViewChanged{Endpoints: []protocol.Endpoint{modelEndpoint("a", 2, "m")}})
-	if h := s.d.endpoints["a"].holding("m"); h.has("a3") {
+	if h := s.d.endpoints["a"].residencyOf("m"); h.serves("a3") {
 		t.Error("still presumed")
 	}
 }
--- a/internal/router/dispatch/timers.go
+++ b/internal/router/dispatch/timers.go
@@ -7,13 +7,13 @@
 type timers []timer
 
 type timer struct {
-	at time.Duration
-	of *request
+	at      time.Duration
+	request *request
 }
 
 // add: the request is to be looked at again then.
 func (t *timers) add(at time.Duration, r *request) {
-	r.timer = at
+	r.timerAt = at
 	*t = append(*t, timer{at, r})
 	list := *t
 	for i := len(list) - 1; i > 0; {
@@ -49,12 +49,12 @@
 	}
 }
 
-// stale says whether an entry no longer counts.
-func (t timer) stale() bool { return t.of.stage == ended || t.of.timer != t.at }
+// isStale says whether an entry no longer counts.
+func (t timer) isStale() bool { return t.request.stage == stageDone || t.request.timerAt != t.at }
 
 // next is the earliest time at which something is due.
 func (t *timers) next() (time.Duration, bool) {
-	for len(*t) > 0 && (*t)[0].stale() {
+	for len(*t) > 0 && (*t)[0].isStale() {
 		t.pop()
 	}
 	if len(*t) == 0 {
@@ -63,14 +63,14 @@
 	return (*t)[0].at, true
 }
 
-// due returns a request whose time has come.
-func (t *timers) due(now time.Duration) (*request, bool) {
+// popDue returns a request whose time has come.
+func (t *timers) popDue(now time.Duration) (*request, bool) {
 	at, ok := t.next()
 	if !ok || at > now {
 		return nil, false
 	}
-	r := (*t)[0].of
+	r := (*t)[0].request
 	t.pop()
-	r.timer = 0
+	r.timerAt = 0
 	return r, true
 }
--- a/internal/router/dispatch/world_test.go
+++ b/internal/router/dispatch/world_test.go
@@ -216,9 +216,9 @@
 				w.t.Errorf("router %d: request %d has %d ends", i, c.request.ID, c.ends)
 			}
 		}
-		if d := w.routers[i]; len(d.requests) > 0 || d.schedule.Busy != 0 || len(d.homeless) > 0 {
+		if d := w.routers[i]; len(d.requests) > 0 || d.schedule.Busy != 0 || len(d.unassignedGroups) > 0 {
 			w.t.Errorf("router %d: %d requests, %d slots in use, %d homeless", i, len(d.requests), d.schedule.Busy,
-				len(d.homeless))
+				len(d.unassignedGroups))
 		}
 	}
 	w.checkWindows()
--- a/internal/router/dispatch/worldrules_test.go
+++ b/internal/router/dispatch/worldrules_test.go
@@ -156,7 +156,7 @@
 
 // checkOrder: after a step no head that may leave is left while slots are free.
 func (w *world) checkOrder(d *Decider) {
-	if e, found := d.schedule.Next(d.offer); found {
+	if e, found := d.schedule.Next(d.offerFlow); found {
 		w.t.Fatalf("%s holds a request that may leave", e.id)
 	}
 	if d.schedule.Busy > d.schedule.Slots {
