--- a/internal/control/placer/golden_endpoints_test.go
+++ b/internal/control/placer/golden_endpoints_test.go
@@ -91,14 +91,14 @@
 		if service.Name != e.service || service.Engine == nil {
 			continue
 		}
-		room := service.Engine.WeightMemoryMB
+		freeMB := service.Engine.WeightMemoryMB
 		for _, model := range service.Engine.Models {
 			if adapters, there := e.models[model.Name]; there {
-				room -= model.WeightsMB + float64(len(adapters))*model.AdapterSizeMB
+				freeMB -= model.WeightsMB + float64(len(adapters))*model.AdapterSizeMB
 			}
 		}
 		model := service.Engine.Models[f.random.IntN(len(service.Engine.Models))]
-		if _, there := e.models[model.Name]; !there && model.WeightsMB <= room {
+		if _, there := e.models[model.Name]; !there && model.WeightsMB <= freeMB {
 			f.beginOrder(e, Order{Model: model.Name})
 		}
 	}
--- a/internal/control/placer/inspection.go
+++ b/internal/control/placer/inspection.go
@@ -55,8 +55,8 @@
 func (f *fleet) minLoadTime(models []protocol.LoadedModel) time.Duration {
 	shortest := time.Duration(math.MaxInt64)
 	for _, loaded := range models {
-		lasts := time.Duration(minLoadTimeShare * f.models[loaded.Name].LoadTimeSeconds * float64(time.Second))
-		shortest = min(shortest, lasts)
+		loadTime := time.Duration(minLoadTimeShare * f.models[loaded.Name].LoadTimeSeconds * float64(time.Second))
+		shortest = min(shortest, loadTime)
 	}
 	return shortest
 }
