--- a/internal/check/pages_test.go
+++ b/internal/check/pages_test.go
@@ -5,6 +5,7 @@
 	"go/parser"
 	"go/token"
 	"io/fs"
+	"path"
 	"path/filepath"
 	"regexp"
 	"slices"
@@ -17,7 +18,7 @@
 
 var (
 	testName   = regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z][A-Za-z0-9_]*`)
-	goFileName = regexp.MustCompile(`[A-Za-z0-9_./-]+\.go\b`)
+	goFileName = regexp.MustCompile(`[A-Za-z0-9_./*-]+\.go\b`)
 )
 
 // TestPagesNameTestsThatExist holds the names of test functions on the pages against the code.
@@ -38,14 +39,14 @@
 }
 
 // TestPagesNameGoFilesThatExist holds the names of Go files on the pages against the repository. A page may leave out
-// leading directories.
+// leading directories, and name several files by a pattern with a star.
 func TestPagesNameGoFilesThatExist(t *testing.T) {
 	known := goFileSuffixes(t)
 	mentions := 0
 	for page, text := range pages(t) {
 		for _, name := range goFileName.FindAllString(text, -1) {
 			mentions++
-			if !known[strings.TrimPrefix(name, "./")] {
+			if !matchesAny(t, strings.TrimPrefix(name, "./"), known) {
 				t.Errorf("%s: got Go file %s, want one that exists", page, name)
 			}
 		}
@@ -55,18 +56,36 @@
 	}
 }
 
+// matchesAny reports whether a path or a pattern is that of a known file.
+func matchesAny(t *testing.T, pattern string, known map[string]bool) bool {
+	t.Helper()
+	if !strings.Contains(pattern, "*") {
+		return known[pattern]
+	}
+	for file := range known {
+		matches, err := path.Match(pattern, file)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if matches {
+			return true
+		}
+	}
+	return false
+}
+
 // pages are the texts of the pages under docs/, by path, without the historical ones.
 func pages(t *testing.T) map[string]string {
 	t.Helper()
 	texts := make(map[string]string)
-	err := filepath.WalkDir(filepath.Join(root, "docs"), func(path string, entry fs.DirEntry, err error) error {
+	err := filepath.WalkDir(filepath.Join(root, "docs"), func(file string, entry fs.DirEntry, err error) error {
 		switch {
 		case err != nil:
 			return err
 		case entry.IsDir() && slices.Contains(historicalPages, entry.Name()):
 			return filepath.SkipDir
-		case strings.HasSuffix(path, ".md"):
-			texts[strings.TrimPrefix(path, root+"/")] = readFile(t, path)
+		case strings.HasSuffix(file, ".md"):
+			texts[strings.TrimPrefix(file, root+"/")] = readFile(t, file)
 		}
 		return nil
 	})
@@ -117,14 +136,14 @@
 func repositoryGoFiles(t *testing.T) map[string]bool {
 	t.Helper()
 	paths := make(map[string]bool)
-	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+	err := filepath.WalkDir(root, func(file string, entry fs.DirEntry, err error) error {
 		switch {
 		case err != nil:
 			return err
-		case entry.IsDir() && path != root && strings.HasPrefix(entry.Name(), "."):
+		case entry.IsDir() && file != root && strings.HasPrefix(entry.Name(), "."):
 			return filepath.SkipDir
-		case !entry.IsDir() && strings.HasSuffix(path, ".go"):
-			paths[path] = true
+		case !entry.IsDir() && strings.HasSuffix(file, ".go"):
+			paths[file] = true
 		}
 		return nil
 	})
