--- a/coordination/engine/disk.go
+++ b/coordination/engine/disk.go
@@ -84,7 +84,7 @@
 	e.output.DiskError = err
 }
 
-// retryDisk writes the complete state anew if the disk takes writes again.
+// retryDisk rewrites the complete state if the disk takes writes again.
 func (e *Engine) retryDisk(now time.Duration) {
 	e.diskRetryAt = now + diskRetryBackoff
 	err := e.log.CheckWritable()
--- a/coordination/engine/doc.go
+++ b/coordination/engine/doc.go
@@ -8,7 +8,7 @@
 //     out, before committed entries are applied, and before calls complete. One sync covers all inputs of a step.
 //   - When the disk fails, the member falls back to what is on the disk: the records that were not synced and the
 //     messages that depended on them are dropped. It then takes no part in anything that must survive, until it has
-//     written its complete state anew.
+//     rewritten its complete state.
 //   - The applied state and the disk agree: a snapshot from a peer is made durable, together with the log that follows
 //     it, before the replicated state machine is restored from it.
 //
--- a/coordination/engine/engine.go
+++ b/coordination/engine/engine.go
@@ -14,7 +14,7 @@
 	log    *wal.Log
 	calls  calls
 
-	diskRetryAt    time.Duration // when a disk that failed is tried again
+	diskRetryAt    time.Duration // when a disk that failed is to be retried
 	compactedBytes int64         // size of the log right after its newest checkpoint
 	snapshotBytes  int64         // size of the newest snapshot
 
@@ -70,7 +70,7 @@
 // Status returns what the member knows of itself and of the group.
 func (e *Engine) Status(now time.Duration) chain.Status { return e.node.Status(now) }
 
-// IsLeader reports whether the member is the leader and its lease lasts at this moment.
+// IsLeader reports whether the member is the leader and its lease has not expired.
 func (e *Engine) IsLeader(now time.Duration) bool { return e.node.IsLeader(now) }
 
 // SafeToLeave reports whether the member may end after Input.Leave, even with the loss of its disk.
--- a/coordination/engine/golden_test.go
+++ b/coordination/engine/golden_test.go
@@ -18,7 +18,7 @@
 )
 
 // The files in testdata/golden are what the four members of a group had on their disks at the end of a fixed script,
-// played by an earlier release. They are never written anew to make a test pass: what today's code can't read there, it
+// played by an earlier release. They are never regenerated to make a test pass: what today's code can't read there, it
 // can't read on the disks in service, and what it writes otherwise, an earlier release may not read.
 
 const (
@@ -216,7 +216,7 @@
 	}
 }
 
-// goldenState describes what a disk holds.
+// goldenState describes the content of a disk.
 func goldenState(t *testing.T, fs wal.FS) string {
 	t.Helper()
 	log, recovered, err := wal.Open(fs, wal.Config{SegmentBytes: 1200})
--- a/coordination/engine/input.go
+++ b/coordination/engine/input.go
@@ -18,8 +18,8 @@
 	Messages      []chain.Envelope
 	Results       []Result
 	Cancellations []Cancellation
-	// DiskError is the error with which the disk failed in this step. The engine goes on without the disk and tries
-	// again after a backoff.
+	// DiskError is the error with which the disk failed in this step. The engine goes on without the disk and
+	// retries after a backoff.
 	DiskError error
 }
 
--- a/coordination/engine/recover.go
+++ b/coordination/engine/recover.go
@@ -38,7 +38,7 @@
 	return e, nil
 }
 
-// recoverState returns the state that the records and the snapshot hold, and restores the replicated state machine from
+// recoverState returns the state in the records and the snapshot, and restores the replicated state machine from
 // the snapshot. On an empty disk it returns a new state.
 func (e *Engine) recoverState(recovered wal.Recovered) (chain.State, error) {
 	if recovered.Empty {
--- a/coordination/replica/config.go
+++ b/coordination/replica/config.go
@@ -17,7 +17,7 @@
 	Self Member
 	// Seeds are transport addresses by which the group is founded or found.
 	Seeds []string
-	// Bootstrap is true only at the first start of the whole group: then the seeds are the first view.
+	// Bootstrap is true only at the first start of the group: then the seeds are the first view.
 	Bootstrap bool
 	// FaultTolerance is how many disks may be lost at once.
 	FaultTolerance int
--- a/coordination/replica/errors.go
+++ b/coordination/replica/errors.go
@@ -13,7 +13,7 @@
 	ErrOutcomeUnknown = engine.ErrOutcomeUnknown
 	// ErrUnavailable means that the command was not forwarded, or that the barrier was not answered.
 	ErrUnavailable = errors.New("no member of the group could take the call")
-	// ErrStillNeeded means that the replica was stopped although the group still needs it: too few others hold
+	// ErrStillNeeded means that the replica was stopped although the group still needs it: too few others have
 	// everything that was acknowledged.
 	ErrStillNeeded = errors.New("the member is still needed")
 	// ErrStopped means that the replica was stopped.
--- a/coordination/replica/golden_frames_test.go
+++ b/coordination/replica/golden_frames_test.go
@@ -20,8 +20,8 @@
 )
 
 // The frames in testdata/golden/frames.txt.gz were sent by an earlier release: one a line, a name and the bytes in hex.
-// Processes of both releases run beside each other, so today's code sends and reads the same. The file is never written
-// anew to make a test pass.
+// Processes of both releases run beside each other, so today's code sends and reads the same. The file is never
+// regenerated to make a test pass.
 
 // goldenSent is what the transport of a golden replica was given.
 type goldenSent struct{ frames [][]byte }
--- a/coordination/replica/golden_group_test.go
+++ b/coordination/replica/golden_group_test.go
@@ -13,9 +13,9 @@
 	"raventrestle/coordination/wal"
 )
 
-// testdata/golden/group holds the data directories of the four members of a group, as an earlier release left them when
+// testdata/golden/group has the data directories of the four members of a group, as an earlier release left them when
 // all of them were killed at once: segments, a snapshot, identities, and what the voters had promised and accepted. They
-// are never written anew to make a test pass.
+// are never regenerated to make a test pass.
 
 const goldenMembers = 4
 
@@ -32,7 +32,7 @@
 	return string(text)
 }
 
-// storedState describes the state that a data directory holds.
+// storedState describes the state in a data directory.
 func storedState(t *testing.T, directory string) string {
 	t.Helper()
 	fs, err := wal.OpenDirectory(directory)
@@ -143,7 +143,7 @@
 	}
 }
 
-// Each data directory of the earlier release holds what that release found in it.
+// Each data directory of the earlier release has what that release found in it.
 func TestGoldenDirectoriesAreRecovered(t *testing.T) {
 	g := copyGolden(t)
 	for number := range goldenMembers {
@@ -154,8 +154,8 @@
 	}
 }
 
-// A group of today's code starts on the data directories of the earlier release with the same members, holds every
-// acknowledged command, takes further ones, and holds all of them after a restart.
+// A group of today's code starts on the data directories of the earlier release with the same members, has every
+// acknowledged command, takes further ones, and has all of them after a restart.
 func TestGoldenDirectoriesAreCarriedOn(t *testing.T) {
 	g := copyGolden(t)
 	want := strings.TrimSpace(goldenText(t, "words.txt"))
--- a/coordination/replica/interface.go
+++ b/coordination/replica/interface.go
@@ -34,7 +34,7 @@
 	// then, and everything that was acknowledged anywhere before it is applied here (the newest valid proof of freshness
 	// of package chain). It is zero while there was none in this epoch and incarnation.
 	ConfirmedAt time.Time
-	// PreviousLeaseExpiry is until when a leader of an earlier epoch may still hold its lease.
+	// PreviousLeaseExpiry is until when a leader of an earlier epoch may still have its lease.
 	PreviousLeaseExpiry time.Time
 }
 
@@ -56,7 +56,7 @@
 	// belongs to the replica from then on.
 	Deliver(fromAddress string, message []byte)
 	// Stop leaves the group in a planned way and ends the replica: another member becomes head first, and enough others
-	// hold everything that was acknowledged, where that is possible before the context ends. Otherwise the replica ends
+	// have everything that was acknowledged, where that is possible before the context ends. Otherwise the replica ends
 	// all the same, and the error wraps ErrStillNeeded and says why.
 	Stop(ctx context.Context) error
 }
--- a/coordination/simnet/doc.go
+++ b/coordination/simnet/doc.go
@@ -3,7 +3,7 @@
 // part of what was not synced. The state machines and the log on disk are the real ones; clock, network and disks are
 // simulated. One seed determines a history completely, so a history that fails can be replayed.
 //
-// After each step the world holds the members against a reference model of what was acknowledged (model.go), of the
+// After each step the world checks the members against a reference model of what was acknowledged (model.go), of the
 // membership (membership.go) and of majority contacts (majority_contact.go). A history ends by healing everything and
 // checking that the group commits again and that no member lacks anything acknowledged (history.go).
 //
--- a/coordination/simnet/exploration.go
+++ b/coordination/simnet/exploration.go
@@ -118,7 +118,7 @@
 }
 
 // explore plays two commands and a barrier on three healthy machines with the faults, heals everything and checks what
-// the members hold. It returns how many messages were delivered in the first 0.3 s.
+// the members have. It returns how many messages were delivered in the first 0.3 s.
 func explore(mutant mutation.Set, faults ...deliveryFault) (messages int, err error) {
 	w := NewWorld(Config{Seed: 1, Machines: 3, Seeds: 3, FaultTolerance: 1, Mutation: mutant})
 	if err := w.Run(startupDuration); err != nil {
--- a/coordination/simnet/model.go
+++ b/coordination/simnet/model.go
@@ -27,7 +27,7 @@
 }
 
 // checkApplied checks an entry as a machine applies it: all members apply the same command at an index, and at the first
-// time FaultTolerance+1 disks hold it.
+// time FaultTolerance+1 disks have it.
 func (r *model) checkApplied(w *World, m *machine, index uint64, command string) {
 	known, seen := r.committed[index]
 	if seen && known != command {
@@ -39,14 +39,14 @@
 	}
 	r.committed[index] = command
 	if w.Mutation.NoSync {
-		return // what the disks are taken to hold is not synced
+		return // the records on the disks are not synced
 	}
 	if replicas := w.replicas(m, index, command); replicas < w.FaultTolerance+1 {
 		w.fail("%q at %d is applied with %d replicas", command, index, replicas)
 	}
 }
 
-// replicas counts the members whose disks hold the entry at the index, or held it when they were lost. The member that
+// replicas counts the members whose disks have the entry at the index, or had it when they were lost. The member that
 // applies it now is one of them.
 func (w *World) replicas(applying *machine, index uint64, command string) int {
 	identities := map[string]bool{}
--- a/coordination/simnet/process_faults.go
+++ b/coordination/simnet/process_faults.go
@@ -74,7 +74,7 @@
 	defer m.recoverPowerLoss()
 	m.engine.Step(m.localTime(), inputs)
 	_ = m.engine.Maintain(m.localTime())
-	m.world.tracef("%s: power lasts through operations %d to %d", m.address, operations, m.disk.Operations)
+	m.world.tracef("%s: power is on through operations %d to %d", m.address, operations, m.disk.Operations)
 	m.disk.PowerLossAt = 0
 	m.diskUncertain = true
 	m.losePower()
--- a/coordination/simnet/state_machine.go
+++ b/coordination/simnet/state_machine.go
@@ -7,7 +7,7 @@
 	"raventrestle/coordination/engine"
 )
 
-// checkedStateMachine is the replicated state machine of a simulated process. It holds each entry against the reference
+// checkedStateMachine is the replicated state machine of a simulated process. It checks each entry against the reference
 // model, and keeps all commands in order, or passes them to an embedded state machine.
 type checkedStateMachine struct {
 	machine     *machine
--- a/coordination/wal/directory.go
+++ b/coordination/wal/directory.go
@@ -35,7 +35,7 @@
 	Close() error
 }
 
-// ErrCorrupt marks data that was synced and can't be read back.
+// ErrCorrupt is the cause of errors about data that was synced and can't be read back.
 var ErrCorrupt = errors.New("wal: corrupt")
 
 // DiskError names the step and the file at which the disk failed.
--- a/coordination/wal/golden_test.go
+++ b/coordination/wal/golden_test.go
@@ -16,7 +16,7 @@
 )
 
 // The files below testdata/golden were written by an earlier release, on the operating system's files. What is on the
-// disks in service looks like them: they are never written anew to make a test pass.
+// disks in service is like them: they are never regenerated to make a test pass.
 
 // goldenStages are the states of one directory, in the order in which the golden script passes through them.
 var goldenStages = []string{"appended", "reopened", "checkpointed", "rolled-over", "checkpointed-again"}
--- a/coordination/wal/log.go
+++ b/coordination/wal/log.go
@@ -106,7 +106,7 @@
 }
 
 // removeReplaced removes the segments and snapshots that the newest checkpoint replaces. Recovery ignores what can't be
-// removed, and the next checkpoint tries again.
+// removed, and the next checkpoint repeats the removal.
 func (l *Log) removeReplaced() {
 	names, err := l.fs.List()
 	if err != nil {
--- a/coordination/wal/modeldisk/disk.go
+++ b/coordination/wal/modeldisk/disk.go
@@ -21,7 +21,7 @@
 // PowerLoss is the value that the disk panics with at the operation at which the power is set to fail.
 type PowerLoss struct{}
 
-// Disk is one directory. It is used by one goroutine at a time, apart from SetFull.
+// Disk is one directory. It is used by one goroutine at a time, except for SetFull.
 type Disk struct {
 	entries        map[string]*file // the directory as a running process sees it
 	durableEntries map[string]*file // the directory as of its last sync
--- a/coordination/wal/segment.go
+++ b/coordination/wal/segment.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// segmentHeader is what the first frame of a segment holds before its records. Its layout is stored.
+// segmentHeader is what the first frame of a segment contains before its records. Its layout is stored.
 type segmentHeader struct {
 	previous      uint64 // number of the segment before; 0 when there is none
 	previousBytes uint64 // how many bytes of that segment are valid
