--- a/internal/router/dispatch/ending.go
+++ b/internal/router/dispatch/attempt.go
@@ -1,12 +1,41 @@
 package dispatch
 
 import (
-	"slices"
-
 	"raventrestle/internal/protocol"
 )
 
-// onAttemptFinished takes in the end of a call.
+// End of an attempt: what it says of the request and of the endpoint, and whether the request is retried.
+
+// maxRejections is how many endpoints may reject a request before it is rejected itself.
+const maxRejections = 2
+
+// onFirstByte notes that an endpoint began to answer.
+func (d *Decider) onFirstByte(input FirstByteReceived) {
+	r := d.requests[input.ID]
+	if r == nil || r.stage != stageInFlight || r.endpoint.id != input.Endpoint || r.firstByteSeen {
+		return
+	}
+	e := r.endpoint
+	r.firstByteSeen = true
+	r.answerStarted = true
+	e.removeBacklog(r)
+	d.endVerification(r)
+	d.confirmResidency(r, e)
+	d.recordAdvertisedLoad(e, input.Load)
+	d.learnFirstByte(r, e)
+	d.recordSuccess(e, r)
+	e.capacityChanged()
+}
+
+// onProgress notes that an endpoint's stream goes on.
+func (d *Decider) onProgress(input StreamProgress) {
+	r := d.requests[input.ID]
+	if r != nil && r.stage == stageInFlight && r.endpoint.id == input.Endpoint {
+		r.endpoint.health.lastContactAt = d.now
+	}
+}
+
+// onAttemptFinished processes the end of an attempt.
 func (d *Decider) onAttemptFinished(input AttemptFinished) {
 	r := d.requests[input.ID]
 	if r == nil || r.stage != stageInFlight || r.endpoint.id != input.Endpoint {
@@ -28,7 +57,7 @@
 	d.retry(r)
 }
 
-// releaseAttempt frees the slot of a call.
+// releaseAttempt frees the slot of an attempt.
 func (d *Decider) releaseAttempt(r *request) {
 	e := r.endpoint
 	e.inFlight = remove(e.inFlight, r)
@@ -49,7 +78,7 @@
 	r.stage = stageQueued
 }
 
-// tried: the call that tried what is presumed is answered or over.
+// endVerification notes that the request's attempt, if it verified a residency, is answered or over.
 func (d *Decider) endVerification(r *request) {
 	if r.verifying != nil {
 		r.verifying.verifications--
@@ -58,7 +87,7 @@
 	}
 }
 
-// evaluateResult draws from the end of a call what it says of the request and of the endpoint.
+// evaluateResult updates the request's and the endpoint's state by the result of an attempt.
 func (d *Decider) evaluateResult(r *request, e *endpoint, input AttemptFinished) {
 	r.attempted = append(r.attempted, e)
 	switch input.Result {
@@ -97,7 +126,7 @@
 	}
 }
 
-// tooEarly: the endpoint was only presumed to have the model by now. The request may go there again later.
+// loadNotFinished reports whether the endpoint was only assumed to have the model by now. Then the request may be sent there again.
 func (d *Decider) loadNotFinished(r *request, e *endpoint) bool {
 	if !d.refuteResidency(r, e) {
 		return false
@@ -107,13 +136,7 @@
 	return true
 }
 
-// ran: from now on it may have run on one endpoint more.
-func (r *request) markExecuted() {
-	r.possibleExecutions++
-	r.mayHaveExecuted = true
-}
-
-// retry finds another endpoint for a request whose call ended without an answer, if that is allowed.
+// retry finds another endpoint for a request whose attempt ended without an answer, if that is allowed.
 func (d *Decider) retry(r *request) {
 	switch {
 	case r.mayHaveExecuted && !r.Retryable, r.possibleExecutions >= max(r.MaxEndpoints, 1):
@@ -133,5 +156,3 @@
 		d.assign(r)
 	}
 }
-
-func (r *request) hasAttempted(e *endpoint) bool { return slices.Contains(r.attempted, e) }
--- a/internal/router/dispatch/choice.go
+++ b/internal/router/dispatch/choice.go
@@ -7,59 +7,60 @@
 	"raventrestle/internal/protocol"
 )
 
-// The choice among the endpoints that hold a request's model: what is kept of its prompt and the expected
-// time to the first byte count together, in ms. The shared ring breaks ties, so that routers agree on where
-// a session's parts are kept without telling each other.
+// Choice among the endpoints that have a request's model, by cost in milliseconds: the expected time to the first byte, what is cached of
+// the prompt, and smaller terms. Rendezvous hashing of the shared parts makes routers agree, without communication, on the endpoint
+// that caches them.
+
 const (
-	rendezvousHitProbability = 0.9 // chance that the ring's endpoint keeps the shared parts, though not sent by us
-	relaxedFraction          = 0.4 // of the time left until the objective, below which time costs less
+	rendezvousHitProbability = 0.9 // that the endpoint of the rendezvous hash has the shared parts, though this router didn't send them
+	relaxedFraction          = 0.4 // of the time left until the target: time below it has a lower cost
 	relaxedTimeCost          = 0.4
-	cacheMissCost            = 3.0   // of tokens read again that some endpoint keeps, in times of their reading
-	utilizationCostMS        = 30.0  // ms, of the last place of an endpoint
-	crossZoneCostMS          = 1.0   // ms, of an endpoint in another zone
-	dialCostMS               = 3.0   // ms, of a connection that must be made
-	possiblyDownCostMS       = 400.0 // ms, of an endpoint whose heartbeats stopped
-	recoveringCostMS         = 100.0 // ms, of an endpoint that just failed, for what can't be sent again
-	tieBreakCostMS           = 0.5   // ms, between endpoints that are alike
-	targetFraction           = 0.8   // of the time left until the objective, that the expected time may fill
+	cacheMissCost            = 3.0   // of tokens that some endpoint has cached, in times of their prefill
+	utilizationCostMS        = 30.0  // of an endpoint's last slot
+	crossZoneCostMS          = 1.0   // of an endpoint in another zone
+	dialCostMS               = 3.0   // of a new connection
+	possiblyDownCostMS       = 400.0 // of an endpoint whose heartbeats stopped
+	recoveringCostMS         = 100.0 // of an endpoint that just failed, for requests that can't be retried
+	tieBreakCostMS           = 0.5   // between equal endpoints
+	targetFraction           = 0.8   // of the time left until the target that the predicted time may take
 	connectionIdleTimeout    = 8 * time.Second
 )
 
-// availability is how good an endpoint is for a request, the lower the better.
+// availability says how well an endpoint can serve a request, best first.
 type availability uint8
 
 const (
-	availableNow        availability = iota // in time, or while it has plenty of places free
-	availablePastTarget                     // it can take the request, which would hardly be in time
+	availableNow        availability = iota // within the target, or while most of its slots are free
+	availablePastTarget                     // it can take the request, which would probably miss its target
 	unavailable                             // it can't take one more now
-	noCandidate
+	noCandidate                             // no endpoint has what the request needs
 )
 
-// choose returns the best holder for the request.
-func (d *Decider) choose(r *request) (best *residency, how availability) {
-	how = noCandidate
-	least := math.Inf(1)
+// choose returns the best residency for the request and how available it is.
+func (d *Decider) choose(r *request) (best *residency, status availability) {
+	status = noCandidate
+	lowestCost := math.Inf(1)
 	parts, shared := r.sharedPrefix()
-	ring := d.rendezvousChoice(r, parts)
+	preferred := d.rendezvousChoice(r, parts)
 	for _, h := range r.group.residencies {
 		if !d.eligible(h, r) {
 			continue
 		}
-		ms, cost := d.cost(h, r, shared, h == ring)
+		ms, cost := d.cost(h, r, shared, h == preferred)
 		c := d.availabilityOf(h, r, ms)
-		if c < how || c == how && cost < least {
-			best, how, least = h, c, cost
+		if c < status || c == status && cost < lowestCost {
+			best, status, lowestCost = h, c, cost
 		}
 	}
-	if how == unavailable {
+	if status == unavailable {
 		if h := d.lastResort(r); h != nil {
 			return h, availableNow
 		}
 	}
-	return best, how
+	return best, status
 }
 
-// eligible says whether the request may go to the holder at all, now or later.
+// eligible reports whether the request may be sent to the residency at all, now or later.
 func (d *Decider) eligible(h *residency, r *request) bool {
 	e := h.endpoint
 	if !e.acceptsRequests() || !h.serves(r.Adapter) {
@@ -71,7 +72,7 @@
 	return !e.isUnloading(r.Model, r.Adapter)
 }
 
-// isUnloading says whether the endpoint was ordered to drop what the request needs.
+// isUnloading reports whether the endpoint was ordered to unload what the request needs.
 func (e *endpoint) isUnloading(model, adapter string) bool {
 	for i := range e.pendingLoads {
 		l := &e.pendingLoads[i]
@@ -82,14 +83,14 @@
 	return false
 }
 
-// timeCost weighs the time to the first byte: what is far within the objective matters little.
+// timeCost weighs the time to the first byte: what is far within the target matters little.
 func timeCost(ms, left float64) float64 {
 	easy := max(left*relaxedFraction, 0)
 	return relaxedTimeCost*min(ms, easy) + max(ms-easy, 0)
 }
 
-// sharedPrefix is how many of the request's parts others may share, and their tokens. Where the parts are
-// the whole prompt, the last one is the request's own.
+// sharedPrefix returns how many of the request's parts other requests may share, and their tokens. If the parts are the complete prompt,
+// the last one is the request's own.
 func (r *request) sharedPrefix() (count, tokens int) {
 	for i := range r.PromptParts {
 		tokens += r.PromptParts[i].Tokens
@@ -102,40 +103,40 @@
 	return count, tokens
 }
 
-// rendezvousChoice is the holder that the ring gives the request's shared parts.
+// rendezvousChoice returns the residency that the rendezvous hash of the request's shared parts names.
 func (d *Decider) rendezvousChoice(r *request, shared int) *residency {
 	if shared == 0 {
 		return nil
 	}
 	key := r.prefixChain()[shared-1]
-	var top *residency
-	most := uint64(0)
+	var best *residency
+	highestScore := uint64(0)
 	for _, h := range r.group.residencies {
-		if score := mixHash(h.endpoint.hash ^ key); top == nil || score > most {
+		if score := mixHash(h.endpoint.hash ^ key); best == nil || score > highestScore {
 			if h.endpoint.state != protocol.Draining && h.serves(r.Adapter) {
-				top, most = h, score
+				best, highestScore = h, score
 			}
 		}
 	}
-	return top
+	return best
 }
 
-// cost weighs a holder: the expected time to the first byte, and what else speaks against it.
-func (d *Decider) cost(h *residency, r *request, shared int, ring bool) (ms, cost float64) {
+// cost returns the predicted time to the first byte and the cost of sending the request to the residency, both in ms.
+func (d *Decider) cost(h *residency, r *request, shared int, preferred bool) (ms, cost float64) {
 	e := h.endpoint
-	ms, kept := d.predict(h, r)
+	ms, cached := d.predict(h, r)
 	cost = timeCost(ms, milliseconds(r.latencyTarget-d.now))
 	if shared > 0 {
-		likely := float64(kept)
-		if ring {
+		likely := float64(cached)
+		if preferred {
 			likely = max(likely, rendezvousHitProbability*float64(shared))
 		}
 		perToken := h.group.msPerThousandTokens() / 1000
-		cost -= (likely - float64(kept)) * perToken
+		cost -= (likely - float64(cached)) * perToken
 		cost += cacheMissCost * perToken * max(float64(shared)-likely, 0)
 	}
-	taken, _ := d.load(e)
-	cost += utilizationCostMS * (taken + 1) / float64(e.slotCount())
+	used, _ := d.load(e)
+	cost += utilizationCostMS * (used + 1) / float64(e.slotCount())
 	if !e.sameZone {
 		cost += crossZoneCostMS
 	}
@@ -152,7 +153,7 @@
 	return ms, cost
 }
 
-// availabilityOf says how the request would fare at the holder now.
+// availabilityOf says how well the residency can serve the request now.
 func (d *Decider) availabilityOf(h *residency, r *request, ms float64) availability {
 	e := h.endpoint
 	if _, ok := d.usable(e); !ok || h.notBefore > d.now || h.awaitsVerification(r.Adapter) {
@@ -167,8 +168,8 @@
 	return availablePastTarget
 }
 
-// withinTarget says whether a request that gets its first byte after so many ms is to be sent. A stream that
-// broke off goes on wherever it can.
+// withinTarget reports whether a request whose first byte is predicted after so many ms is to be sent. A stream that broke off continues
+// wherever it can.
 func (d *Decider) withinTarget(r *request, ms float64) bool {
 	if r.answerStarted || r.exploratory {
 		return true
@@ -176,20 +177,22 @@
 	return ms <= targetFraction*milliseconds(r.latencyTarget-d.now)
 }
 
-// plenty: under half of its places are taken and nothing waits there. Then nothing is held or refused.
+// underutilized reports whether less than half of the endpoint's slots are in use and nothing waits there. Then nothing is queued or
+// rejected.
 func (d *Decider) underutilized(e *endpoint) bool {
-	taken, waiting := d.load(e)
-	return 2*(taken+waiting+1) <= float64(e.slotCount())+1 && waiting < 1
+	used, waiting := d.load(e)
+	return 2*(used+waiting+1) <= float64(e.slotCount())+1 && waiting < 1
 }
 
-// recordPrefix notes the request in the memory of the holder that it is sent to.
+// recordPrefix notes the request's parts in the prefix cache of the residency to which it is sent.
 func (d *Decider) recordPrefix(h *residency, r *request) {
 	if len(r.PromptParts) == 0 {
 		return
 	}
-	most := math.MaxInt32
+	maxTokens := math.MaxInt32
 	if engine := h.group.service.engine(); engine != nil && engine.KVTokens > 0 {
-		most = int(engine.KVTokens) / max(len(h.endpoint.residencies)-1, 1) // all but the one for requests without a model
+		models := max(len(h.endpoint.residencies)-1, 1) // without the residency of requests that name no model
+		maxTokens = int(engine.KVTokens) / models
 	}
-	h.prefixCache.add(r.prefixChain(), r.PromptParts, d.now, most)
+	h.prefixCache.add(r.prefixChain(), r.PromptParts, d.now, maxTokens)
 }
--- a/internal/router/dispatch/counters.go
+++ b/internal/router/dispatch/counters.go
@@ -1,35 +1,16 @@
 package dispatch
 
-// Counters tell what the decider did since the start, for status pages and for people who ask why.
+// Counters count events since the decider's start, for status pages and for diagnosis.
 type Counters struct {
 	Arrived        uint64 // requests
-	Sent           uint64 // calls
-	SentPastTarget uint64 // of those, expected to be late
-	Retries        uint64 // of those, beyond a request's first
-	Abandoned      uint64 // calls to endpoints that went dark
-	Requeued       uint64 // held requests that went to another endpoint's flow
+	Sent           uint64 // attempts
+	SentPastTarget uint64 // attempts expected to miss their request's latency target
+	Retries        uint64 // attempts beyond a request's first
+	Abandoned      uint64 // attempts at endpoints that became unresponsive
+	Requeued       uint64 // queued requests that moved to another endpoint's queue
 	Rejected       [ShuttingDown + 1]uint64
-	Ejected        uint64 // endpoints that were left for their failures
+	Ejected        uint64 // ejections of endpoints for failures
 }
 
-// Counters returns them.
+// Counters returns the counters since the start.
 func (d *Decider) Counters() Counters { return d.counters }
-
-// String names the reason for people.
-func (r Reason) String() string {
-	switch r {
-	case QuotaExceeded:
-		return "over quota"
-	case TargetUnreachable:
-		return "no time"
-	case NoEndpoint:
-		return "no endpoint"
-	case RetryBudgetExhausted:
-		return "retry budget spent"
-	case ShuttingDown:
-		return "leaving"
-	case AttemptsExhausted:
-		return "exhausted"
-	}
-	return "unknown"
-}
--- a/internal/router/dispatch/demand.go
+++ b/internal/router/dispatch/demand.go
@@ -8,13 +8,14 @@
 	"raventrestle/internal/protocol"
 )
 
-// Demand: what was asked for since the last report, by model and adapter. A model that nobody holds, or an
-// endpoint that fails, is reported at once; else a summary follows while anything changes. An entry is in a
-// report if it was asked for, has requests held or out, or had at the last report.
+// Demand: what was requested since the last report, by model and adapter. A model that no endpoint has, or an endpoint that fails, is
+// reported at once; else a summary is sent while anything changes. A report has an entry for what was requested, has requests queued or in
+// flight, or had at the last report.
+
 const (
-	minUrgentReportInterval    = 50 * time.Millisecond // reports
-	minShortfallReportInterval = 10 * time.Millisecond // reports of requests that wait for quota
-	repeatShortageInterval     = time.Second           // between reports at once of the same lack
+	minUrgentReportInterval    = 50 * time.Millisecond
+	minShortfallReportInterval = 10 * time.Millisecond // of reports of requests that wait for quota
+	repeatShortageInterval     = time.Second           // between urgent reports of the same shortage
 	maxValue                   = 10
 	minValue                   = 1
 )
@@ -23,36 +24,36 @@
 type demandTarget struct {
 	counts             protocol.ModelDemand // since the last report
 	queued, inFlight   int
-	shortageReportedAt time.Duration // when its lack was reported at once
-	listed             bool          // in demand.active
+	shortageReportedAt time.Duration
+	listed             bool // in demand.active
 }
 
-// demand is what the next report tells.
+// demand is the state of the next report.
 type demand struct {
 	active         []*demandTarget
 	dirty          bool
-	urgent         bool // the next report is to go at once
+	urgent         bool // to be sent after minUrgentReportInterval
 	quotaShortfall bool // requests wait for it
 	lastReportAt   time.Duration
 	sequence       uint64
 }
 
-// changed: there is something to report.
+// markDemandChanged notes that there is something to report.
 func (d *Decider) markDemandChanged() { d.demand.dirty = true }
 
-// urgent: it is to be reported at once.
+// requestUrgentReport asks for a report as soon as possible.
 func (d *Decider) requestUrgentReport() {
 	d.demand.dirty = true
 	d.demand.urgent = true
 }
 
-// lackQuota: requests wait for quota.
+// reportQuotaShortfall asks for a report because requests wait for quota.
 func (d *Decider) reportQuotaShortfall() {
 	d.demand.dirty = true
 	d.demand.quotaShortfall = true
 }
 
-// lacking: nobody holds what the request needs. It is told at once where that is new.
+// reportModelShortage notes that no endpoint has what a request needs. It is reported at once if that is new.
 func (d *Decider) reportModelShortage(t *demandTarget) {
 	if t.shortageReportedAt == 0 || d.now-t.shortageReportedAt >= repeatShortageInterval {
 		t.shortageReportedAt = d.now
@@ -60,7 +61,7 @@
 	}
 }
 
-// countDemand notes a request.
+// countDemand counts a request.
 func (d *Decider) countDemand(r *request) {
 	g := r.group
 	t := g.targets[r.Adapter]
@@ -76,6 +77,7 @@
 	d.listTarget(t)
 }
 
+// listTarget puts a target into the next report.
 func (d *Decider) listTarget(t *demandTarget) {
 	d.markDemandChanged()
 	if !t.listed {
@@ -84,13 +86,13 @@
 	}
 }
 
-// countUnserved notes a request that was refused because no endpoint could take it.
+// countUnserved counts a request that was rejected because no endpoint could take it.
 func (d *Decider) countUnserved(r *request) {
 	r.target.counts.Unserved++
 	d.listTarget(r.target)
 }
 
-// emitReport sends what is to be told, when it is time.
+// emitReport emits a report if one is due.
 func (d *Decider) emitReport() {
 	x := &d.demand
 	if !x.dirty {
@@ -122,36 +124,37 @@
 		Node: d.config.Node, Incarnation: d.config.Incarnation, Sequence: x.sequence,
 		Window: d.now - x.lastReportAt,
 	}
-	kept := x.active[:0]
+	active := x.active[:0]
 	for _, t := range x.active {
 		t.counts.Queued, t.counts.InFlight = t.queued, t.inFlight
 		report.Models = append(report.Models, t.counts)
 		t.counts.Requests, t.counts.Unserved, t.counts.Tokens, t.counts.Value = 0, 0, 0, 0
 		if t.listed = t.queued+t.inFlight > 0; t.listed {
-			kept = append(kept, t)
+			active = append(active, t)
 		}
 	}
-	x.active = kept
+	x.active = active
 	report.Tenants = d.tenantDemand()
 	report.Unreachable, report.Reachable = d.reachability()
 	return report
 }
 
+// tenantDemand returns the demand of all tenants with any, by name.
 func (d *Decider) tenantDemand() []protocol.TenantDemand {
 	var list []protocol.TenantDemand
 	for _, t := range d.tenants {
-		lack := d.quotaShortfall(t)
-		if t.requested == 0 && t.admitted == 0 && lack == 0 {
+		shortfall := d.quotaShortfall(t)
+		if t.requested == 0 && t.admitted == 0 && shortfall == 0 {
 			continue
 		}
-		list = append(list, protocol.TenantDemand{Tenant: t.name, Requested: t.requested, Admitted: t.admitted, Shortfall: lack})
+		list = append(list, protocol.TenantDemand{Tenant: t.name, Requested: t.requested, Admitted: t.admitted, Shortfall: shortfall})
 		t.requested, t.admitted = 0, 0
 	}
 	slices.SortFunc(list, func(a, b protocol.TenantDemand) int { return cmp.Compare(a.Tenant, b.Tenant) })
 	return list
 }
 
-// reachability lists the endpoints whose calls fail, and the silent ones whose calls succeed.
+// reachability returns the endpoints whose calls fail, and those without heartbeats whose calls succeed.
 func (d *Decider) reachability() (failing, reached []string) {
 	d.suspects = slices.DeleteFunc(d.suspects, func(e *endpoint) bool { return !d.updateSuspect(e) })
 	for _, e := range d.suspects {
@@ -164,13 +167,13 @@
 	return failing, reached
 }
 
-// updateSuspect says whether an endpoint may have to be told of.
+// updateSuspect reports whether the endpoint may have to be reported.
 func (d *Decider) updateSuspect(e *endpoint) bool {
 	e.inSuspects = e.listed && (e.state == protocol.Unresponsive || e.health.maxProbes > 0)
 	return e.inSuspects
 }
 
-// addSuspect puts an endpoint among those that may have to be told of.
+// addSuspect adds an endpoint to those that may have to be reported.
 func (d *Decider) addSuspect(e *endpoint) {
 	if !e.inSuspects && d.updateSuspect(e) {
 		d.suspects = append(d.suspects, e)
--- /dev/null
+++ b/internal/router/dispatch/doc.go
@@ -0,0 +1,28 @@
+// Package dispatch decides, for one router, which request is sent to which endpoint and when, and which is rejected.
+//
+// It is a pure state machine: the caller (package dispatcher) passes what happened together with the time, and carries out the
+// outputs. It has no goroutines, no clock and no I/O, and draws random numbers from a seeded source, so that equal inputs give
+// equal outputs.
+//
+// # Admission
+//
+// Requests wait in the queue of the endpoint chosen for them. Queues are flows of ASFQ (adaptive start-time fair queuing, package
+// asfq): among the flows whose head may leave, the one with the lowest start tag plus penalty (S + Δ) is served first while the router
+// has free slots. Guards (health, connection limit, expected time to the first byte) only decide whether a head is eligible. A request that
+// can't leave within about a quarter of its latency target is sent past its target or rejected (deadline.go).
+//
+// # Choice of an endpoint
+//
+// Endpoints that have the model are compared by the expected time to the first byte, what their prefix cache is expected to hold of the
+// prompt, their utilization, zone and health (choice.go). Estimates are learned from the router's own calls (estimate.go).
+//
+// # Health, retries, quota, shutdown
+//
+// Endpoints are ejected after failures of this router's own calls and readmitted by probes (health.go, health_probe.go). Retries are
+// limited by a retry budget per service (retry_budget.go), requests by their tenant's quota (quota.go). At the end of the process
+// queues are flushed and only what can finish in time is admitted (shutdown.go).
+//
+// # Units
+//
+// Inside the package times are time.Duration since the decider's start; float64 times are milliseconds.
+package dispatch
--- a/internal/router/dispatch/length.go
+++ b/internal/router/dispatch/duration.go
@@ -5,21 +5,23 @@
 	"time"
 )
 
-// How long whole calls last, for the end of the process: smoothed mean and mean deviation, as TCP estimates the time of a
-// round trip. A stream is counted by the tokens that it may put out.
+// Duration of complete calls, needed at shutdown: smoothed mean and mean deviation, as TCP estimates its round-trip time (RFC 6298,
+// section 2). A stream is measured per token of its maximum output.
+
 const (
 	durationMeanGain      = 0.125 // weight of a new call in the mean
 	durationDeviationGain = 0.25  // and in the mean deviation
-	deviationFactor       = 4.0   // above the mean: hardly any call lasts longer
-	minDurationSamples    = 3     // calls, before an estimate counts
+	deviationFactor       = 4.0   // of the deviation above the mean: hardly any call lasts longer
+	minDurationSamples    = 3     // before an estimate counts
 )
 
-// durationBound is what was learned of the calls of one kind, in ms for each unit of their size.
+// durationBound estimates an upper bound of the calls of one kind, in ms per unit of their size.
 type durationBound struct {
 	mean, deviation float64
 	count           int
 }
 
+// add takes in one call.
 func (l *durationBound) add(x float64) {
 	if l.count++; l.count == 1 {
 		l.mean, l.deviation = x, x/2
@@ -29,14 +31,15 @@
 	l.mean += (x - l.mean) * durationMeanGain
 }
 
-// upperBound is what hardly any call exceeds, false where too little is known.
+// upperBound returns what hardly any call exceeds; false if too little is known.
 func (l *durationBound) upperBound() (float64, bool) {
 	return l.mean + deviationFactor*l.deviation, l.count >= minDurationSamples
 }
 
-// durationBounds are those of streams and of other calls.
+// durationBounds are the estimates for streams and for other calls.
 type durationBounds struct{ streams, others durationBound }
 
+// forRequest returns the estimate for requests of this kind.
 func (l *durationBounds) forRequest(r *request) *durationBound {
 	if r.Streaming {
 		return &l.streams
@@ -44,7 +47,7 @@
 	return &l.others
 }
 
-// workUnits is the size by which the length of the request's call is counted.
+// workUnits returns the size by which the duration of the request's call is measured.
 func (r *request) workUnits() float64 {
 	if r.Streaming && r.OutputTokens > 0 {
 		return float64(r.OutputTokens)
@@ -54,7 +57,7 @@
 
 // learnDurationBound learns from a call that served its request from the beginning to the end.
 func (d *Decider) learnDurationBound(r *request) {
-	if r.possibleExecutions > 1 { // it may have gone on where another broke off
+	if r.possibleExecutions > 1 { // it may have resumed what another endpoint began
 		return
 	}
 	x := milliseconds(d.now-r.sentAt) / r.workUnits()
@@ -62,8 +65,8 @@
 	r.group.service.durationBounds.forRequest(r).add(x)
 }
 
-// maxExpectedDuration is how long a call of the request may be expected to last at most, false where nothing is known. Of other calls
-// than streams it is known what they are meant to take.
+// maxExpectedDuration returns how long a call of the request is expected to last at most; false if nothing is known. Calls other than
+// streams are expected to meet their latency target while nothing is known.
 func (d *Decider) maxExpectedDuration(r *request) (time.Duration, bool) {
 	most, known := r.group.durationBounds.forRequest(r).upperBound()
 	if !known {
--- a/internal/router/dispatch/presume.go
+++ b/internal/router/dispatch/expected_load.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// An endpoint tells what it holds with its heartbeats, which may come long after a load is done. So once the
-// expected time of a load has passed, the endpoint is presumed to hold what was loaded: one request tries,
-// and the others follow when it is answered. If it is turned away, the load is expected later.
+// Expected loads: endpoints announce their models with heartbeats, which may come long after a load has finished. Once the expected time
+// of a load has passed, the endpoint is assumed to have the model: one request verifies that, and others follow when it is answered. If
+// it is rejected, the load is expected later.
+
 const (
 	loadMargin          = 10 * time.Millisecond // beyond the expected end of a load
-	loadMarginFraction  = 0.03                  // of the load's time, on top
+	loadMarginFraction  = 0.03                  // of the load's remaining time, on top
 	minLoadPostponement = 100 * time.Millisecond
 	maxLoadPostponement = 2 * time.Second
 )
 
-// expectedLoad is a load of a model or an adapter that is on its way.
+// expectedLoad is a load of a model or an adapter that is under way.
 type expectedLoad struct {
 	endpoint     *endpoint
-	adapter      string
+	adapter      string // "": the model itself
 	readyAt      time.Duration
-	postponement time.Duration // after the last try that came too early
+	postponement time.Duration // after the last verification that came too early
 }
 
-// updateExpectedLoads notes what the endpoint is loading.
+// updateExpectedLoads replaces what is known of the endpoint's loads under way.
 func (d *Decider) updateExpectedLoads(e *endpoint) {
 	for _, g := range e.loadingGroups {
 		g.expectedLoads = slices.DeleteFunc(g.expectedLoads, func(a expectedLoad) bool { return a.endpoint == e })
@@ -45,7 +46,7 @@
 	}
 }
 
-// nextLoadReadyAt is when a load that is on its way will be done that the adapter needs.
+// nextLoadReadyAt returns when a load under way is expected to finish that provides the adapter.
 func (g *modelGroup) nextLoadReadyAt(adapter string, now time.Duration) (at time.Duration, known bool) {
 	for i := range g.expectedLoads {
 		a := &g.expectedLoads[i]
@@ -59,10 +60,10 @@
 	return max(at, now), known
 }
 
-// assumeLoaded takes loads that should be done by now for done, and says whether there were any for the request.
+// assumeLoaded treats loads that should have finished by now as finished, and reports whether there were any for the request.
 func (d *Decider) assumeLoaded(r *request) bool {
 	g := r.group
-	found := false
+	assumed := false
 	for i := range g.expectedLoads {
 		a := &g.expectedLoads[i]
 		if a.adapter != r.Adapter || a.readyAt > d.now || !a.endpoint.acceptsRequests() || r.hasAttempted(a.endpoint) {
@@ -78,20 +79,20 @@
 		}
 		h.unverified = append(h.unverified, a.adapter)
 		g.version++
-		found = true
+		assumed = true
 	}
-	return found
+	return assumed
 }
 
-// isUnverified says whether the holding is only presumed to serve the adapter.
+// isUnverified reports whether the residency is only assumed to have the adapter.
 func (h *residency) isUnverified(adapter string) bool { return slices.Contains(h.unverified, adapter) }
 
-// awaitsVerification says whether a request has to wait for another one that tries what is presumed.
+// awaitsVerification reports whether a request must wait for another one that verifies the assumption.
 func (h *residency) awaitsVerification(adapter string) bool {
 	return h.verifications > 0 && h.isUnverified(adapter)
 }
 
-// prove: an answer came, so it holds what was presumed.
+// confirmResidency notes that an answer proved the assumption.
 func (d *Decider) confirmResidency(r *request, e *endpoint) {
 	h := e.residencyOf(r.Model)
 	if h == nil || !h.isUnverified(r.Adapter) {
@@ -104,7 +105,7 @@
 	h.group.version++
 }
 
-// disprove: it was turned away, so the load takes longer. False if nothing was presumed.
+// refuteResidency notes that a rejection disproved the assumption: the load takes longer. False if nothing was assumed.
 func (d *Decider) refuteResidency(r *request, e *endpoint) bool {
 	h := e.residencyOf(r.Model)
 	if h == nil || !h.isUnverified(r.Adapter) {
--- a/internal/router/dispatch/fairness.go
+++ b/internal/router/dispatch/fairness.go
@@ -1,19 +1,20 @@
 package dispatch
 
-// Fairness between kinds of request: how often each rank of a service is served here, and its large requests.
-// A more urgent rank that is served less often than a less urgent one is to be preferred, and so is whoever
-// is served far less often than all.
+// Fairness between kinds of request: how often each rank of a service is served by this router, and how often large requests are. A more
+// urgent rank that is served less often than a less urgent one is preferred, and so is one that is served far less often than all.
+
 const (
-	fairnessDecay      = 0.98 // weight of what ended before, at each new end
-	minFairnessSamples = 8.0  // ends, before a share says something
-	fairnessNoise      = 0.1  // in shares, that may be chance
-	starvationRatio    = 0.5  // of the share of all, below which a rank is starved
-	largeRequestFactor = 1.7  // the mean size of a model's requests, from which on one is large
+	fairnessDecay      = 0.98 // weight of earlier ends, at each new one
+	minFairnessSamples = 8.0
+	fairnessNoise      = 0.1 // difference of ratios that may be chance
+	starvationRatio    = 0.5 // of the ratio of all requests, below which a rank is starved
+	largeRequestFactor = 1.7 // times the mean size of a model's requests
 )
 
-// servedRatio is how often requests were served, with a fading memory.
+// servedRatio is how often requests were served, with exponential decay.
 type servedRatio struct{ ended, served float64 }
 
+// add counts the end of a request.
 func (s *servedRatio) add(served bool) {
 	s.ended = s.ended*fairnessDecay + 1
 	s.served *= fairnessDecay
@@ -22,21 +23,25 @@
 	}
 }
 
+// isSignificant reports whether enough requests have ended.
 func (s *servedRatio) isSignificant() bool { return s.ended >= minFairnessSamples }
 
+// ratio returns the served fraction of the ended requests.
 func (s *servedRatio) ratio() float64 { return s.served / s.ended }
 
-// fairness is the shares of one service.
+// fairness holds the ratios of one service.
 type fairness struct {
 	all, large servedRatio
 	ranks      []rankServedRatio // the most urgent first
 }
 
+// rankServedRatio is the ratio of one rank.
 type rankServedRatio struct {
 	rank   int
 	served servedRatio
 }
 
+// forRank returns the ratio of a rank.
 func (f *fairness) forRank(rank int) *servedRatio {
 	at := 0
 	for at < len(f.ranks) && f.ranks[at].rank < rank {
@@ -50,7 +55,7 @@
 	return &f.ranks[at].served
 }
 
-// record notes how a request ended.
+// record counts the end of a request.
 func (f *fairness) record(r *request, served bool) {
 	f.all.add(served)
 	f.forRank(r.rank).add(served)
@@ -59,7 +64,7 @@
 	}
 }
 
-// starved: its rank is served far less often than all, or large requests are and it is one.
+// starved reports whether the request's rank is served far less often than all, or large requests are and it is one.
 func (f *fairness) starved(r *request) bool {
 	if !f.all.isSignificant() {
 		return false
@@ -72,7 +77,7 @@
 	return own.isSignificant() && own.ratio() < least
 }
 
-// lags: it is served less often than it should be.
+// underserved reports whether the request's rank is served less often than it should be.
 func (f *fairness) underserved(r *request) bool {
 	if f.starved(r) {
 		return true
@@ -89,9 +94,3 @@
 	}
 	return false
 }
-
-// large: well above the mean of its model. Its own reading fills much of its objective, and it would be
-// refused again and again.
-func (r *request) isLarge() bool {
-	return float64(r.PromptTokens)+float64(r.OutputTokens)/2 > largeRequestFactor*r.group.meanKVTokens
-}
--- a/internal/router/dispatch/golden_run_test.go
+++ b/internal/router/dispatch/golden_run_test.go
@@ -36,10 +36,9 @@
 }
 
 type goldenRequest struct {
-	request  Request
-	call     *goldenCall
-	answered bool
-	left     bool
+	request Request
+	call    *goldenCall
+	left    bool
 }
 
 // goldenCall is a call under way.
--- a/internal/router/dispatch/prefix.go
+++ b/internal/router/dispatch/prefix_cache.go
@@ -1,18 +1,20 @@
 package dispatch
 
-import "time"
+import (
+	"time"
+)
 
-// What this router remembers of the parts that it sent to a holder: a part counts as kept only if every
-// part before it is. The memory is bounded by the endpoint's own, the parts left unused longest go first.
+// Prefix cache of endpoints as this router expects it: which parts of prompts it sent to an endpoint lately. A part counts as cached only
+// if every part before it is. The memory is bounded by the endpoint's KV cache, eviction is least recently used.
 
 const (
-	prefixTTL      = 2 * time.Minute // after which a part counts as given way
-	maxCachedParts = 1024            // of one holder
+	prefixTTL      = 2 * time.Minute // after which a part counts as evicted
+	maxCachedParts = 1024            // of one residency
 	hashSeed       = 0x9e3779b97f4a7c15
 	hashMultiplier = 0xff51afd7ed558ccd
 )
 
-// mixHash stirs a hash.
+// mixHash is the finalizer of MurmurHash3, with its first multiplier used twice.
 func mixHash(h uint64) uint64 {
 	h ^= h >> 33
 	h *= hashMultiplier
@@ -22,7 +24,7 @@
 	return h
 }
 
-// stringHash is the same in every process: routers agree by it.
+// stringHash is FNV-1a, mixed. It is the same in every process: routers agree by it.
 func stringHash(s string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := 0; i < len(s); i++ {
@@ -32,7 +34,7 @@
 	return mixHash(h)
 }
 
-// prefixChain lists the hashes of the request's shared parts, each with all before it and the adapter.
+// prefixChain returns the hashes of the request's parts, each combined with all parts before it and with the adapter.
 func (r *request) prefixChain() []uint64 {
 	if r.prefixHashes == nil && len(r.PromptParts) > 0 {
 		r.prefixHashes = make([]uint64, len(r.PromptParts))
@@ -45,7 +47,7 @@
 	return r.prefixHashes
 }
 
-// prefixCache is the memory of one holder: a doubly linked list in a slice, newest first.
+// prefixCache holds the parts expected in one endpoint's cache: a doubly linked list in a slice, most recently used first.
 type prefixCache struct {
 	index  map[uint64]int32
 	nodes  []prefixNode
@@ -55,6 +57,7 @@
 	tokens int
 }
 
+// prefixNode is an entry of a prefixCache; newer and older are indexes of nodes, or noNode.
 type prefixNode struct {
 	key          uint64
 	tokens       int32
@@ -62,9 +65,10 @@
 	usedAt       time.Duration
 }
 
+// noNode is the index of no node.
 const noNode = -1
 
-// kept is how many tokens of the request's prompt the holder needs not read again.
+// cachedTokens returns how many leading tokens of a prompt with these parts need no prefill.
 func (p *prefixCache) cachedTokens(links []uint64, parts []PromptPart, now time.Duration) int {
 	sum := 0
 	for i, link := range links {
@@ -77,7 +81,7 @@
 	return sum
 }
 
-// add notes that the holder reads these parts now. The last come first in giving way.
+// add notes that the endpoint reads these parts now. The last parts are evicted first.
 func (p *prefixCache) add(links []uint64, parts []PromptPart, now time.Duration, most int) {
 	for i := len(links) - 1; i >= 0; i-- {
 		p.touch(links[i], parts[i].Tokens, now)
@@ -87,6 +91,7 @@
 	}
 }
 
+// touch makes a part the most recently used one.
 func (p *prefixCache) touch(key uint64, tokens int, now time.Duration) {
 	if p.index == nil {
 		p.index = map[uint64]int32{}
@@ -105,6 +110,7 @@
 	p.link(at)
 }
 
+// alloc returns the index of a free node.
 func (p *prefixCache) alloc() int32 {
 	if n := len(p.free); n > 0 {
 		at := p.free[n-1]
@@ -115,6 +121,7 @@
 	return int32(len(p.nodes) - 1)
 }
 
+// link inserts a node as the most recently used one.
 func (p *prefixCache) link(at int32) {
 	p.nodes[at].newer, p.nodes[at].older = noNode, p.newest
 	if p.newest != noNode {
@@ -126,6 +133,7 @@
 	}
 }
 
+// unlink takes a node out of the list.
 func (p *prefixCache) unlink(at int32) {
 	node := p.nodes[at]
 	if node.newer != noNode {
@@ -140,9 +148,20 @@
 	}
 }
 
+// drop evicts a part.
 func (p *prefixCache) drop(at int32) {
 	p.unlink(at)
 	delete(p.index, p.nodes[at].key)
 	p.tokens -= int(p.nodes[at].tokens)
 	p.free = append(p.free, at)
 }
+
+// expire evicts what was not used for prefixTTL, and releases the memory of an empty cache.
+func (p *prefixCache) expire(now time.Duration) {
+	for len(p.index) > 0 && now-p.nodes[p.oldest].usedAt > prefixTTL {
+		p.drop(p.oldest)
+	}
+	if len(p.index) == 0 {
+		*p = prefixCache{}
+	}
+}
--- a/internal/router/dispatch/quota.go
+++ b/internal/router/dispatch/quota.go
@@ -9,56 +9,53 @@
 	"raventrestle/internal/protocol"
 )
 
-// Quotas: a tenant's whole is shared by all routers. Each spends what the control plane granted it. Without
-// a fresh grant it spends a floor that is safe whatever the others do: all floors together are half of the
-// rate. The bucket may go into debt by this router's part of the tolerance, so that a request larger than
-// the bucket is served. A request that the bucket can't pay is held for a moment, and what it lacks is told to the
-// control plane at once, which may lend it as credit.
+// Quota: a tenant's limit is shared by all routers. Each spends what the control plane granted it. Without a valid grant it spends a rate
+// that is safe whatever the others do: all ungranted rates together are half of the limit. The token bucket may be overdrawn by this
+// router's part of the tolerance, so that a request larger than the bucket can be served.
+
 const (
-	ungrantedRateShare  = protocol.UngrantedRateShare // of its even part of the rate, that a router spends without a grant
-	overdraftShare      = protocol.OverdraftShare     // of the tolerance, that all routers together may be in debt
+	ungrantedRateShare  = protocol.UngrantedRateShare // of its even part of the limit, that a router spends without a grant
+	overdraftShare      = protocol.OverdraftShare     // of the tolerance, that all routers together may overdraw
 	longQuotaRetryAfter = time.Second
-	quotaQueueTimeout   = 80 * time.Millisecond  // that a request waits for credit
-	creditDenialBackoff = 150 * time.Millisecond // without holding, after credit was not given in time
 )
 
-// tenant is one tenant's bucket on this router.
+// tenant is one tenant's token bucket on this router.
 type tenant struct {
 	name                string
-	limit, burst        float64 // of the whole, 0: no limit
+	limit, burst        float64 // of all routers together, limit in units per second; 0: no limit
 	grant               protocol.QuotaGrant
 	grantExpiresAt      time.Duration
-	level               float64
+	level               float64 // of the bucket; negative: overdrawn
 	refilledAt          time.Duration
 	requested, admitted float64 // since the last report
 
 	credit             float64 // lent for requests that wait; spent first
 	creditExpiresAt    time.Duration
-	awaitingQuota      []*request    // held until they can be paid, in order of arrival
-	creditBackoffUntil time.Duration // nothing is held before, since credit did not come
+	awaitingQuota      []*request    // in order of arrival
+	creditBackoffUntil time.Duration // no request waits for quota before, since credit was not granted
 	denials            quotaDenials
 }
 
-// configureTenants takes over the limits of a new configuration. Levels stay, below the new bounds.
+// configureTenants applies the limits of a new configuration. Levels stay, within the new bounds.
 func (d *Decider) configureTenants(tenants []configuration.Tenant) {
-	named := make(map[string]bool, len(tenants))
+	configured := make(map[string]bool, len(tenants))
 	for i := range tenants {
-		set := &tenants[i]
-		named[set.Name] = true
-		t := d.tenants[set.Name]
+		settings := &tenants[i]
+		configured[settings.Name] = true
+		t := d.tenants[settings.Name]
 		if t == nil {
-			t = &tenant{name: set.Name, refilledAt: d.now}
-			d.tenants[set.Name] = t
-			t.limit, t.burst = set.RatePerSecond, set.Burst
+			t = &tenant{name: settings.Name, refilledAt: d.now}
+			d.tenants[settings.Name] = t
+			t.limit, t.burst = settings.RatePerSecond, settings.Burst
 			t.level = d.quotaDepth(t)
 			continue
 		}
 		d.refill(t)
-		t.limit, t.burst = set.RatePerSecond, set.Burst
+		t.limit, t.burst = settings.RatePerSecond, settings.Burst
 		t.level = min(t.level, d.quotaDepth(t))
 	}
 	for name, t := range d.tenants {
-		if !named[name] {
+		if !configured[name] {
 			for _, r := range slices.Clone(t.awaitingQuota) { // its key is not known any more, but was
 				d.removeFromQuotaQueue(r)
 				d.admit(r)
@@ -68,7 +65,7 @@
 	}
 }
 
-// applyGrant takes over this router's part of a tenant's limit.
+// applyGrant applies this router's part of a tenant's limit.
 func (d *Decider) applyGrant(granted protocol.QuotaGrant) {
 	t := d.tenants[granted.Tenant]
 	if t == nil {
@@ -87,7 +84,7 @@
 	t.level = min(t.level, d.quotaDepth(t))
 }
 
-// quotaRate is what the tenant may spend here in a second.
+// quotaRate returns what the tenant may spend at this router per second.
 func (d *Decider) quotaRate(t *tenant) float64 {
 	if d.now < t.grantExpiresAt {
 		return min(t.grant.RatePerSecond, t.limit)
@@ -95,7 +92,7 @@
 	return t.limit / float64(d.routerCount) * ungrantedRateShare
 }
 
-// quotaDepth is what the tenant's bucket holds at most.
+// quotaDepth returns the depth of the tenant's bucket.
 func (d *Decider) quotaDepth(t *tenant) float64 {
 	if d.now < t.grantExpiresAt {
 		return min(t.grant.Burst, t.burst)
@@ -103,13 +100,13 @@
 	return t.burst / float64(d.routerCount)
 }
 
-// maxOverdraft is how far the tenant's bucket may go below nothing.
+// maxOverdraft returns how far the tenant's bucket may fall below 0.
 func (d *Decider) maxOverdraft(t *tenant) float64 {
-	whole := t.limit*d.config.QuotaWindow.Seconds() + t.burst
-	return (whole*d.config.QuotaOvershootFraction + d.config.QuotaOvershootSlack) * overdraftShare / float64(d.routerCount)
+	limit := t.limit*d.config.QuotaWindow.Seconds() + t.burst
+	return (limit*d.config.QuotaOvershootFraction + d.config.QuotaOvershootSlack) * overdraftShare / float64(d.routerCount)
 }
 
-// refill brings the bucket up to now. A grant that ended meanwhile counts up to its end.
+// refill brings the bucket up to now. A grant that expired meanwhile counts until its expiry.
 func (d *Decider) refill(t *tenant) {
 	end := min(d.now, t.grantExpiresAt)
 	if end > t.refilledAt {
@@ -124,7 +121,7 @@
 	t.level = min(t.level, d.quotaDepth(t))
 }
 
-// charge takes the request's charge from its tenant, or says when there will be enough.
+// charge takes the request's charge from its tenant's bucket, or returns when there will be enough.
 func (d *Decider) charge(r *request) (wait time.Duration, ok bool) {
 	t := d.tenants[r.Tenant]
 	if t == nil || t.limit <= 0 {
@@ -143,21 +140,21 @@
 	if first && d.deductQuota(t, r) {
 		return 0, true
 	}
-	lacking := r.Charge - d.availableQuota(t)
+	missing := r.Charge - d.availableQuota(t)
 	rate := d.quotaRate(t)
-	if rate <= 0 || t.level+lacking > d.quotaDepth(t) {
+	if rate <= 0 || t.level+missing > d.quotaDepth(t) {
 		return longQuotaRetryAfter, false
 	}
-	wait = time.Duration(math.Ceil(lacking/rate*1000)) * time.Millisecond
+	wait = time.Duration(math.Ceil(missing/rate*1000)) * time.Millisecond
 	return min(wait, d.config.QuotaWindow), false
 }
 
-// availableQuota is what the tenant may spend now.
+// availableQuota returns what the tenant may spend now.
 func (d *Decider) availableQuota(t *tenant) float64 {
 	return d.remainingCredit(t) + t.level + d.maxOverdraft(t)
 }
 
-// remainingCredit is what is left of the tenant's credit.
+// remainingCredit returns what is left of the tenant's credit.
 func (d *Decider) remainingCredit(t *tenant) float64 {
 	if d.now >= t.creditExpiresAt {
 		t.credit = 0
@@ -178,55 +175,7 @@
 	return true
 }
 
-// queueForQuota keeps a request until its tenant's quota allows it, for a moment, unless credit was not given lately.
-func (d *Decider) queueForQuota(r *request) bool {
-	t := d.tenants[r.Tenant]
-	if d.now < t.creditBackoffUntil {
-		return false
-	}
-	r.awaitingQuota = true
-	r.stage = stageQueued
-	t.awaitingQuota = append(t.awaitingQuota, r)
-	r.queueDeadline = min(r.initialQueueDeadline(), r.arrived+quotaQueueTimeout)
-	d.timers.add(r.queueDeadline, r)
-	d.reportQuotaShortfall()
-	return true
-}
-
-// admitAffordable lets go those whose tenant can pay now.
-func (d *Decider) admitAffordable(t *tenant) {
-	if len(t.awaitingQuota) == 0 {
-		return
-	}
-	d.refill(t)
-	for len(t.awaitingQuota) > 0 && d.deductQuota(t, t.awaitingQuota[0]) {
-		r := t.awaitingQuota[0]
-		d.removeFromQuotaQueue(r)
-		d.admit(r)
-	}
-}
-
-// removeFromQuotaQueue takes a request off those that wait to be paid.
-func (d *Decider) removeFromQuotaQueue(r *request) {
-	r.awaitingQuota = false
-	if t := d.tenants[r.Tenant]; t != nil && slices.Contains(t.awaitingQuota, r) {
-		t.awaitingQuota = remove(t.awaitingQuota, r)
-	}
-}
-
-// onQuotaDeadline ends a request that could not be paid in time.
-func (d *Decider) onQuotaDeadline(r *request) {
-	wait, paid := d.charge(r)
-	d.removeFromQuotaQueue(r)
-	if paid {
-		d.admit(r)
-		return
-	}
-	d.tenants[r.Tenant].creditBackoffUntil = d.now + creditDenialBackoff
-	d.reject(r, QuotaExceeded, wait)
-}
-
-// quotaShortfall is what the tenant's held requests need beyond what it may spend.
+// quotaShortfall returns what the tenant's waiting requests need beyond what it may spend.
 func (d *Decider) quotaShortfall(t *tenant) float64 {
 	if len(t.awaitingQuota) == 0 {
 		return 0
@@ -239,7 +188,7 @@
 	return max(sum, 0)
 }
 
-// refundQuota gives back the charge of a request that surely has not run.
+// refundQuota returns the charge of a request that surely has not executed.
 func (d *Decider) refundQuota(r *request) {
 	if r.charged == 0 || r.mayHaveExecuted {
 		return
--- a/internal/router/dispatch/budget.go
+++ b/internal/router/dispatch/retry_budget.go
@@ -1,26 +1,28 @@
 package dispatch
 
-import "time"
+import (
+	"time"
+)
+
+// Retry budget: retries of a service, over all routers, in a sliding window. Each router keeps to its own part: the ratio of its own
+// requests, and an even part of the slack.
 
-// The retry budget: arrivals at a service beyond the first of each request, over all routers in a sliding
-// window. Each router keeps to its own part: of its own requests, and an even part of the slack.
 const (
-	budgetUtilization      = 0.7 // of the budget, that the routers together use: the rest is for what isn't known
-	budgetSlices           = 20  // pieces of a window
+	budgetUtilization      = 0.7 // of the budget, used by all routers together: the rest covers what they can't know of each other
+	budgetSlices           = 20  // of a window
 	resumedBudgetShare     = 1.0 // of this router's part, for streams under way
 	normalBudgetShare      = 0.85
-	lowPriorityBudgetShare = 0.7 // for the less urgent ones
-	maxUrgentPriority      = 2   // of route priorities, up to which a request is not one of the less urgent
+	lowPriorityBudgetShare = 0.7
+	maxUrgentPriority      = 2 // of routes; requests of routes above it use lowPriorityBudgetShare
 )
 
-// retryBudget counts a service's requests and further arrivals over the last window.
+// retryBudget counts a service's requests and retries over the last window, in slices of it.
 type retryBudget struct {
 	requests, retries [budgetSlices + 1]int
-	slice             int64 // number of the newest piece
+	slice             int64 // number of the newest slice
 }
 
-// advance drops what is older than a window. One piece more than a window is kept, so that nothing is
-// forgotten too early.
+// advance drops the slices that are older than a window. One slice more than a window is kept, so that nothing is dropped too early.
 func (b *retryBudget) advance(now, window time.Duration) {
 	piece := int64(now / (window / budgetSlices))
 	if piece-b.slice > budgetSlices {
@@ -34,7 +36,7 @@
 	}
 }
 
-// retryCount is how many further arrivals the window holds.
+// retryCount returns the retries of the window.
 func (b *retryBudget) retryCount() int {
 	sum := 0
 	for _, n := range b.retries {
@@ -43,7 +45,7 @@
 	return sum
 }
 
-// requestCount is how many requests the window holds, without its oldest piece.
+// requestCount returns the requests of the window without its oldest slice, so that the budget is never overestimated.
 func (b *retryBudget) requestCount() int {
 	sum := 0
 	oldest := (b.slice + 1) % (budgetSlices + 1)
@@ -55,15 +57,16 @@
 	return sum
 }
 
+// newestIndex returns the array index of the newest slice.
 func (b *retryBudget) newestIndex() int64 { return b.slice % (budgetSlices + 1) }
 
-// countRequest notes a request for the service.
+// countRequest counts a request for the service's retry budget.
 func (d *Decider) countRequest(s *service) {
 	s.budget.advance(d.now, d.config.RetryBudgetWindow)
 	s.budget.requests[s.budget.newestIndex()]++
 }
 
-// mayRetry says whether the budget allows one more arrival of the request.
+// mayRetry reports whether the retry budget allows one more delivery of the request.
 func (d *Decider) mayRetry(r *request) bool {
 	if r.deliveries == 0 {
 		return true
@@ -75,7 +78,7 @@
 	return float64(b.retryCount()+1) <= allowed
 }
 
-// budgetShare is how much of this router's part the request may draw on.
+// budgetShare returns how much of this router's part of the budget the request may use.
 func (r *request) budgetShare() float64 {
 	if r.answerStarted {
 		return resumedBudgetShare
@@ -86,7 +89,7 @@
 	return normalBudgetShare
 }
 
-// spendRetry takes one further arrival from the budget.
+// spendRetry takes a retry from the budget, unless it is the request's first delivery.
 func (d *Decider) spendRetry(r *request) {
 	if r.deliveries == 0 {
 		return
@@ -98,7 +101,7 @@
 	r.budgetSpent = true
 }
 
-// refundRetry gives back an arrival that never was one.
+// refundRetry returns a retry that never reached an endpoint.
 func (d *Decider) refundRetry(r *request) {
 	if !r.budgetSpent {
 		return
--- a/internal/router/dispatch/closing.go
+++ b/internal/router/dispatch/shutdown.go
@@ -5,18 +5,20 @@
 	"time"
 )
 
-// The end of the process. From a moment on nothing is held for long: the router may not live until a held request could
-// go, and its client finds another router that does. A little later only what will end in time is taken on: whoever has
-// begun to read an answer must have the whole of it.
+// Shutdown of the process. From a moment on nothing stays queued for long: the router may not live until a queued request could be sent,
+// and its client finds another router that does. A little later only what will finish in time is admitted: a client that has begun to
+// read an answer must get it completely.
+
 const (
-	shutdownQueueTimeout   = 150 * time.Millisecond // a request is held at most, once the process is about to end
-	shutdownReserveDivisor = 2                      // of the time until the end, one part in so many is enough for what is taken on
-	shutdownMargin         = 100 * time.Millisecond // before the end, the deadline of what may last as long as it likes
+	shutdownQueueTimeout   = 150 * time.Millisecond // of a request, once the process is about to end
+	shutdownReserveDivisor = 2                      // a new request must be expected to finish in the time left, divided by this
+	shutdownMargin         = 100 * time.Millisecond // before the end, the deadline of requests of unknown duration
 )
 
-// shutdown are the times of Closing, all 0 while the process does not end.
+// shutdown holds the times of ShutdownStarted, all 0 before it.
 type shutdown struct{ queueDeadline, selectiveFrom, deadline time.Duration }
 
+// startShutdown begins the shutdown.
 func (d *Decider) startShutdown(input ShutdownStarted) {
 	d.shutdown = shutdown{queueDeadline: max(input.QueueDeadline.Sub(d.startTime), d.now)}
 	if input.SelectiveAdmissionFrom.IsZero() {
@@ -26,8 +28,8 @@
 	d.shutdown.deadline = input.ShutdownDeadline.Sub(d.startTime)
 }
 
-// finishesBeforeShutdown says whether a request that is taken on now can be expected to end well before the process does, by its own
-// deadline or by what is known of calls like its own.
+// finishesBeforeShutdown reports whether a request admitted now is expected to finish well before the process ends, by its own deadline
+// or by what is known of calls of its kind.
 func (d *Decider) finishesBeforeShutdown(r *request) bool {
 	c := &d.shutdown
 	if c.selectiveFrom == 0 || d.now < c.selectiveFrom || r.deadline <= c.deadline-shutdownMargin {
@@ -37,13 +39,13 @@
 	return known && longest <= (c.deadline-d.now)/shutdownReserveDivisor
 }
 
-// rejectForShutdown refuses a request that would not end in time.
+// rejectForShutdown rejects a request that would not finish in time.
 func (d *Decider) rejectForShutdown(r *request) {
 	d.counters.Rejected[ShuttingDown]++
 	d.outputs = append(d.outputs, Reject{ID: r.ID, Reason: ShuttingDown, RetryAfter: d.retryAfter(r, 0)})
 }
 
-// capQueueDeadline bounds a time until which a request is to be held.
+// capQueueDeadline limits a queue deadline to that of the shutdown.
 func (d *Decider) capQueueDeadline(until time.Duration) time.Duration {
 	if d.shutdown.queueDeadline > 0 {
 		return min(until, d.shutdown.queueDeadline)
@@ -51,12 +53,12 @@
 	return until
 }
 
-// shutdownQueueDeadline is until when the request is held while the process ends.
+// shutdownQueueDeadline returns until when the request stays queued during the shutdown.
 func (d *Decider) shutdownQueueDeadline(r *request) time.Duration {
 	return max(d.shutdown.queueDeadline, r.arrived+shutdownQueueTimeout)
 }
 
-// flushQueuesAtShutdown refuses what was held for long, once the time has come.
+// flushQueuesAtShutdown rejects what was queued for long, once the shutdown's queue deadline has passed.
 func (d *Decider) flushQueuesAtShutdown() {
 	switch {
 	case d.shutdown.queueDeadline == 0:
@@ -73,9 +75,9 @@
 	}
 }
 
-// rejectOverdue refuses those whose time is over. A stream that broke off midway is worth a wait.
-func (d *Decider) rejectOverdue(held []*request) {
-	for _, r := range slices.Clone(held) {
+// rejectOverdue rejects those whose queue deadline has passed. A stream that broke off midway goes on waiting.
+func (d *Decider) rejectOverdue(queue []*request) {
+	for _, r := range slices.Clone(queue) {
 		switch {
 		case r.answerStarted:
 		case d.now >= d.shutdownQueueDeadline(r):
--- a/internal/router/dispatch/timers.go
+++ b/internal/router/dispatch/timers.go
@@ -1,17 +1,20 @@
 package dispatch
 
-import "time"
+import (
+	"time"
+)
 
-// timers is a heap of the times at which requests are to be looked at. Entries of requests that have
-// ended, or that were put off since, are dropped when they come up.
+// timers is a binary heap of the times at which requests are to be examined. Entries of requests that have ended, or that got a newer
+// timer, are dropped when they come up.
 type timers []timer
 
+// timer is one entry of the heap.
 type timer struct {
 	at      time.Duration
 	request *request
 }
 
-// add: the request is to be looked at again then.
+// add sets the request's timer, replacing an earlier one.
 func (t *timers) add(at time.Duration, r *request) {
 	r.timerAt = at
 	*t = append(*t, timer{at, r})
@@ -26,6 +29,7 @@
 	}
 }
 
+// pop removes the earliest entry.
 func (t *timers) pop() {
 	list := *t
 	last := len(list) - 1
@@ -49,10 +53,10 @@
 	}
 }
 
-// isStale says whether an entry no longer counts.
+// isStale reports whether the entry no longer counts.
 func (t timer) isStale() bool { return t.request.stage == stageDone || t.request.timerAt != t.at }
 
-// next is the earliest time at which something is due.
+// next returns the earliest time of a timer.
 func (t *timers) next() (time.Duration, bool) {
 	for len(*t) > 0 && (*t)[0].isStale() {
 		t.pop()
@@ -63,7 +67,7 @@
 	return (*t)[0].at, true
 }
 
-// popDue returns a request whose time has come.
+// popDue removes and returns a request whose time has come.
 func (t *timers) popDue(now time.Duration) (*request, bool) {
 	at, ok := t.next()
 	if !ok || at > now {
