--- a/internal/router/dispatcher/actor_test.go
+++ b/internal/router/dispatcher/actor_test.go
@@ -109,7 +109,7 @@
 	first.FinishAttempt(Outcome{Send: v.Send, Result: dispatch.Succeeded, Connection: c, IdleTimeout: time.Minute})
 	second := a.Submit(dispatch.Request{})
 	s.inputs(t, 3)
-	a.post(command{kind: withdraw, id: second.id})
+	a.post(command{kind: cancelRequest, id: second.id})
 	got := s.inputs(t, 2)
 	if _, ok := got[0].(dispatch.RequestCanceled); !ok {
 		t.Errorf("%v", got)
@@ -149,8 +149,8 @@
 	if f, ok := got[1].(dispatch.AttemptFinished); !ok || f.Result != dispatch.Canceled {
 		t.Errorf("%v", got)
 	}
-	if len(a.waiting) != 0 {
-		t.Errorf("%d places left", len(a.waiting))
+	if len(a.requests) != 0 {
+		t.Errorf("%d places left", len(a.requests))
 	}
 }
 
--- a/internal/router/dispatcher/ticket.go
+++ b/internal/router/dispatcher/ticket.go
@@ -9,89 +9,88 @@
 	"raventrestle/internal/router/pool"
 )
 
-// longAgo is a deadline that has passed.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a read deadline that has passed.
+var pastDeadline = time.Unix(1, 0)
 
-// Decision is what dispatch decided about a waiting request: Send or Refuse is set.
+// Decision is what dispatch decided about a request: either Send or Reject is set.
 type Decision struct {
 	Send       *dispatch.Send
-	Connection *pool.Connection // with Send: one that rested, nil where one must be dialled
+	Connection *pool.Connection // with Send: an idle one, nil if one must be dialed
 	Reject     *dispatch.Reject
 }
 
-// Ticket is a request's place with the dispatcher. Its methods are called from the request's goroutine.
+// Ticket is the handle of a submitted request. Its methods are called from the request's goroutine.
 type Ticket struct {
-	id       dispatch.RequestID
-	actor    *Actor
-	verdicts chan Decision
+	id        dispatch.RequestID
+	actor     *Actor
+	decisions chan Decision // has room for one
 
-	calling   atomic.Pointer[pool.Connection]
-	abandoned atomic.Bool
+	connection atomic.Pointer[pool.Connection] // of the current attempt
+	abandoned  atomic.Bool                     // the current attempt
 }
 
-// Wait returns the next verdict. It is false once the context is done, or the channel is closed: then the request is
-// withdrawn, and the ticket is of no more use.
-func (t *Ticket) Wait(ctx context.Context, ending <-chan struct{}) (Decision, bool) {
+// Wait returns the next decision. It returns false once the context is done or the channel stop is closed: then the request is canceled, and
+// the ticket must not be used any more.
+func (t *Ticket) Wait(ctx context.Context, stop <-chan struct{}) (Decision, bool) {
 	select {
-	case v := <-t.verdicts:
-		return v, true
+	case decision := <-t.decisions:
+		return decision, true
 	case <-ctx.Done():
-	case <-ending:
+	case <-stop:
 	}
-	t.actor.post(command{kind: withdraw, id: t.id})
+	t.actor.post(command{kind: cancelRequest, id: t.id})
 	return Decision{}, false
 }
 
-// AttachConnection names the connection of the call at hand, so that the dispatcher can abandon the call. It is false where
-// that has happened already. The connection's deadline must have been set before.
+// AttachConnection names the connection of the current attempt, so that the actor can abandon the attempt. It returns false if that has
+// happened already. The connection's deadline must have been set before.
 func (t *Ticket) AttachConnection(c *pool.Connection) bool {
-	t.calling.Store(c)
+	t.connection.Store(c)
 	return !t.abandoned.Load()
 }
 
-// abandon makes reads of the call at hand fail. It is called from the actor's goroutine, which hands a connection to
-// its next call only after the end of this one: no later call is hit.
+// abandon makes reads of the current attempt fail. It is called from the actor's goroutine, which hands a connection to its next attempt only
+// after the end of this one: no later attempt is affected.
 func (t *Ticket) abandon() {
 	t.abandoned.Store(true)
-	if c := t.calling.Load(); c != nil {
-		_ = c.Conn.SetReadDeadline(longAgo) // fails where the call has just ended
+	if c := t.connection.Load(); c != nil {
+		_ = c.Conn.SetReadDeadline(pastDeadline) // fails only if the attempt has just closed it
 	}
 }
 
-// ReportFirstByte tells that the endpoint began to answer.
+// ReportFirstByte reports that the endpoint began to answer.
 func (t *Ticket) ReportFirstByte(endpoint string, load *dispatch.AdvertisedLoad) {
-	t.actor.post(command{kind: tell, input: dispatch.FirstByteReceived{ID: t.id, Endpoint: endpoint, Load: load}})
+	t.actor.post(command{kind: passInput, input: dispatch.FirstByteReceived{ID: t.id, Endpoint: endpoint, Load: load}})
 }
 
-// ReportProgress tells of events that came since the last call.
+// ReportProgress reports events of a stream that came since the last report.
 func (t *Ticket) ReportProgress(endpoint string, events int) {
-	t.actor.post(command{kind: tell, input: dispatch.StreamProgress{ID: t.id, Endpoint: endpoint, Events: events}})
+	t.actor.post(command{kind: passInput, input: dispatch.StreamProgress{ID: t.id, Endpoint: endpoint, Events: events}})
 }
 
-// ReportStalled tells that the endpoint has paused for long in a stream that may go on elsewhere. It is false where the call
-// has been abandoned already.
+// ReportStalled reports that a resumable stream has brought no event for long. It returns false if the attempt has been abandoned already.
 func (t *Ticket) ReportStalled(endpoint string) bool {
 	if t.abandoned.Load() {
 		return false
 	}
-	t.actor.post(command{kind: tell, input: dispatch.StreamStalled{ID: t.id, Endpoint: endpoint}})
+	t.actor.post(command{kind: passInput, input: dispatch.StreamStalled{ID: t.id, Endpoint: endpoint}})
 	return true
 }
 
-// Outcome is how a call ended.
+// Outcome is how an attempt ended.
 type Outcome struct {
 	Send                *dispatch.Send
 	Result              dispatch.Result
-	NeedsRetry          bool // the request asks for another endpoint; Wait gives the answer
-	FirstByteUnreported bool // the answer's first byte has not been told by FirstByte, and has come
+	NeedsRetry          bool // the request asks for another endpoint; Wait returns the decision
+	FirstByteUnreported bool // the first byte has come, and ReportFirstByte was not called
 	Load                *dispatch.AdvertisedLoad
-	Connection          *pool.Connection // one that may serve another call, nil for none
-	IdleTimeout         time.Duration    // how long it may rest
+	Connection          *pool.Connection // one that may serve another attempt, nil for none
+	IdleTimeout         time.Duration    // how long it may stay idle
 }
 
-// FinishAttempt ends the call that the last verdict asked for.
-func (t *Ticket) FinishAttempt(e Outcome) {
-	t.calling.Store(nil)
+// FinishAttempt ends the attempt that the last decision asked for.
+func (t *Ticket) FinishAttempt(o Outcome) {
+	t.connection.Store(nil)
 	t.abandoned.Store(false)
-	t.actor.post(command{kind: finish, id: t.id, ending: &e})
+	t.actor.post(command{kind: finishAttempt, id: t.id, outcome: &o})
 }
