--- a/internal/check/on_call_test.go
+++ b/internal/check/on_call_test.go
@@ -2,10 +2,12 @@
 
 import (
 	"maps"
+	"net/http"
 	"os"
 	"path/filepath"
 	"regexp"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 )
@@ -99,6 +101,48 @@
 	}
 }
 
+// TestOnCallPageHasTheStatusesOfTheCode checks that each status that the code answers with has a row on the page.
+func TestOnCallPageHasTheStatusesOfTheCode(t *testing.T) {
+	for _, interfaces := range []struct {
+		directory, heading string
+		notOwn             []int // used to judge an endpoint's answer, or for success
+		minimum            int
+	}{
+		{"internal/control/api", "### Answers of the control API", []int{http.StatusOK}, 7},
+		{
+			"internal/router/ingress", "### Answers of a router", []int{
+				http.StatusOK, http.StatusNoContent, http.StatusNotModified, http.StatusForbidden, http.StatusMisdirectedRequest,
+			}, 13,
+		},
+	} {
+		t.Run(interfaces.directory, func(t *testing.T) {
+			described := make(map[int]bool)
+			for _, row := range tableRows(section(t, interfaces.heading), "status") {
+				for _, number := range regexp.MustCompile(`\b[1-5][0-9][0-9]\b`).FindAllString(row[0], -1) {
+					status, err := strconv.Atoi(number)
+					if err != nil {
+						t.Fatal(err)
+					}
+					described[status] = true
+				}
+			}
+			found := 0
+			for status := range statuses(t, interfaces.directory) {
+				if slices.Contains(interfaces.notOwn, status) {
+					continue
+				}
+				found++
+				if !described[status] {
+					t.Errorf("status %d of %s: got no row on the page, want one", status, interfaces.directory)
+				}
+			}
+			if found < interfaces.minimum {
+				t.Errorf("got %d statuses in the code, want %d at least", found, interfaces.minimum)
+			}
+		})
+	}
+}
+
 // describedEvents reads the tables of a section whose first column is the event.
 func describedEvents(t *testing.T, text string) map[string]logEvent {
 	t.Helper()
--- a/internal/check/logged_events_test.go
+++ b/internal/check/source_test.go
@@ -6,6 +6,7 @@
 	"go/token"
 	"io/fs"
 	"maps"
+	"net/http"
 	"path/filepath"
 	"slices"
 	"strconv"
@@ -13,7 +14,7 @@
 	"testing"
 )
 
-// Log events and texts of errors as the source code has them.
+// Log events, texts of errors and statuses as the source code has them.
 
 // logEvent is a log event as the code writes it or as the page describes it.
 type logEvent struct {
@@ -225,6 +226,31 @@
 	return texts
 }
 
+// statuses are the constants of net/http for statuses that the code below a directory names.
+func statuses(t *testing.T, directory string) map[int]bool {
+	t.Helper()
+	byName := make(map[string]int)
+	for status := 100; status < 600; status++ {
+		if text := http.StatusText(status); text != "" {
+			byName["Status"+strings.NewReplacer(" ", "", "-", "").Replace(text)] = status
+		}
+	}
+	found := make(map[int]bool)
+	for _, file := range goFiles(t, directory) {
+		ast.Inspect(file, func(node ast.Node) bool {
+			selector, isSelector := node.(*ast.SelectorExpr)
+			if !isSelector || !strings.HasPrefix(selector.Sel.Name, "Status") {
+				return true
+			}
+			if status, isStatus := byName[selector.Sel.Name]; isStatus {
+				found[status] = true
+			}
+			return true
+		})
+	}
+	return found
+}
+
 // goFiles parses the files below a directory of the repository that are no tests.
 func goFiles(t *testing.T, directory string) []*ast.File {
 	t.Helper()
