--- a/internal/router/dispatch/attempt.go
+++ b/internal/router/dispatch/attempt.go
@@ -73,7 +73,7 @@
 	e.lastUsedAt = d.now
 	d.schedule.Ended(e, (d.now - r.sentAt).Seconds(), d.now)
 	r.target.inFlight--
-	d.markDemandChanged()
+	d.noteDemandChanged()
 	r.endpoint = nil
 	r.stage = stageQueued
 }
@@ -92,7 +92,7 @@
 	r.attempted = append(r.attempted, e)
 	switch input.Result {
 	case Succeeded:
-		r.markExecuted()
+		r.noteExecution()
 		d.learnDuration(r)
 		if !r.firstByteSeen {
 			d.learnFirstByte(r, e)
@@ -100,13 +100,13 @@
 		}
 		d.recordSuccess(e, r)
 	case Failed:
-		r.markExecuted()
+		r.noteExecution()
 		d.recordFailure(e, r, failureWeight)
 	case ConnectionLost:
-		r.markExecuted()
+		r.noteExecution()
 		d.recordFailure(e, r, connectionLossWeight)
 	case Canceled:
-		r.markExecuted()
+		r.noteExecution()
 		d.recordCancellation(e, r)
 	case NotSent:
 		r.deliveries--
--- a/internal/router/dispatch/size_test.go
+++ b/internal/router/dispatch/benchmark_test.go
@@ -12,8 +12,8 @@
 	"raventrestle/internal/sizetest"
 )
 
-// large is a router at the size to design for: 2,900 endpoints, 1,100 models, 830 routers.
-func large() (*Decider, time.Time, []string) {
+// newLargeDecider is a router at the size to design for: 2,900 endpoints, 1,100 models, 830 routers.
+func newLargeDecider() (*Decider, time.Time, []string) {
 	const endpoints, models = 2900, 1100
 	engine := &configuration.Engine{Slots: 64, KVTokens: 130000}
 	config := &configuration.Configuration{
@@ -38,7 +38,7 @@
 }
 
 func BenchmarkRequestAtSize(b *testing.B) {
-	d, now, names := large()
+	d, now, names := newLargeDecider()
 	rng := rand.New(rand.NewPCG(1, 2))
 	b.ReportAllocs()
 	type call struct {
@@ -69,7 +69,7 @@
 }
 
 func BenchmarkTableAtSize(b *testing.B) {
-	d, now, names := large()
+	d, now, names := newLargeDecider()
 	b.ReportAllocs()
 	for i := range b.N {
 		now = now.Add(time.Millisecond)
--- a/internal/router/dispatch/choice.go
+++ b/internal/router/dispatch/choice.go
@@ -162,15 +162,15 @@
 	if len(e.inFlight) >= d.maxConnections(e.service) || d.schedule.Full(e) {
 		return unavailable
 	}
-	if d.withinTarget(r, ms) || d.underutilized(e) {
+	if d.meetsTarget(r, ms) || d.underutilized(e) {
 		return availableNow
 	}
 	return availablePastTarget
 }
 
-// withinTarget reports whether a request whose first byte is predicted after so many ms is to be sent. A stream that broke off continues
+// meetsTarget reports whether a request whose first byte is predicted after so many ms is to be sent. A stream that broke off continues
 // wherever it can.
-func (d *Decider) withinTarget(r *request, ms float64) bool {
+func (d *Decider) meetsTarget(r *request, ms float64) bool {
 	if r.answerStarted || r.exploratory {
 		return true
 	}
--- a/internal/router/dispatch/deadline.go
+++ b/internal/router/dispatch/deadline.go
@@ -41,7 +41,7 @@
 	case status == availablePastTarget && d.shouldExplore(h):
 		r.exploratory = true
 		d.requeue(r, h)
-	case status == availablePastTarget && d.worthSendingPastTarget(h, r):
+	case status == availablePastTarget && d.shouldSendPastTarget(h, r):
 		r.pastTarget = true
 		d.requeue(r, h)
 	default:
@@ -66,8 +66,8 @@
 	d.timers.add(r.queueDeadline, r)
 }
 
-// worthSendingPastTarget reports whether a request that can't meet its target is sent all the same.
-func (d *Decider) worthSendingPastTarget(h *residency, r *request) bool {
+// shouldSendPastTarget reports whether a request that can't meet its target is sent all the same.
+func (d *Decider) shouldSendPastTarget(h *residency, r *request) bool {
 	ms, _ := d.predict(h, r)
 	answer := d.now + time.Duration(ms*float64(time.Millisecond))
 	if answer > r.usefulDeadline() {
--- a/internal/router/dispatch/demand.go
+++ b/internal/router/dispatch/demand.go
@@ -38,8 +38,8 @@
 	sequence       uint64
 }
 
-// markDemandChanged notes that there is something to report.
-func (d *Decider) markDemandChanged() { d.demand.dirty = true }
+// noteDemandChanged notes that there is something to report.
+func (d *Decider) noteDemandChanged() { d.demand.dirty = true }
 
 // requestUrgentReport asks for a report as soon as possible.
 func (d *Decider) requestUrgentReport() {
@@ -79,7 +79,7 @@
 
 // listTarget puts a target into the next report.
 func (d *Decider) listTarget(t *demandTarget) {
-	d.markDemandChanged()
+	d.noteDemandChanged()
 	if !t.listed {
 		t.listed = true
 		d.demand.active = append(d.demand.active, t)
@@ -177,6 +177,6 @@
 func (d *Decider) addSuspect(e *endpoint) {
 	if !e.inSuspects && d.updateSuspect(e) {
 		d.suspects = append(d.suspects, e)
-		d.markDemandChanged()
+		d.noteDemandChanged()
 	}
 }
--- a/internal/router/dispatch/dispatch.go
+++ b/internal/router/dispatch/dispatch.go
@@ -82,7 +82,7 @@
 		return true
 	}
 	ms, _ := d.predict(h, r)
-	return d.withinTarget(r, ms)
+	return d.meetsTarget(r, ms)
 }
 
 // mayDispatchNow is mayDispatch with the checks of the endpoint's health and connections.
--- a/internal/router/dispatch/duration.go
+++ b/internal/router/dispatch/duration.go
@@ -68,13 +68,13 @@
 // maxExpectedDuration returns how long a call of the request is expected to last at most; false if nothing is known. Calls other than
 // streams are expected to meet their latency target while nothing is known.
 func (d *Decider) maxExpectedDuration(r *request) (time.Duration, bool) {
-	most, known := r.group.durationBounds.forRequest(r).upperBound()
+	upper, known := r.group.durationBounds.forRequest(r).upperBound()
 	if !known {
-		most, known = r.group.service.durationBounds.forRequest(r).upperBound()
+		upper, known = r.group.service.durationBounds.forRequest(r).upperBound()
 	}
 	switch {
 	case known:
-		return time.Duration(most * r.workUnits() * float64(time.Millisecond)), true
+		return time.Duration(upper * r.workUnits() * float64(time.Millisecond)), true
 	case r.Streaming:
 		return 0, false
 	}
--- a/internal/router/dispatch/presume_test.go
+++ b/internal/router/dispatch/expected_load_test.go
@@ -28,7 +28,7 @@
 	s.t.Helper()
 	for s.at < most {
 		out := s.step(s.wake())
-		if len(refusals(out)) > 0 {
+		if len(rejections(out)) > 0 {
 			break
 		}
 		if len(sends(out)) > 0 {
@@ -39,13 +39,13 @@
 	return Send{}
 }
 
-func TestOneTriesWhatShouldBeLoadedAndTheOthersFollow(t *testing.T) {
+func TestOneRequestVerifiesAnExpectedLoadAndOthersFollow(t *testing.T) {
 	s := loadingScript(t)
 	first := s.untilSend(150)
 	if s.at < 120 {
 		t.Errorf("sent at %d ms, before it can be there", s.at)
 	}
-	if out := s.step(s.wake()); len(sends(out))+len(refusals(out)) > 0 {
+	if out := s.step(s.wake()); len(sends(out))+len(rejections(out)) > 0 {
 		t.Fatalf("the second did not wait: %v", out)
 	}
 	second := s.oneSend(s.step(s.at+5, FirstByteReceived{ID: first.ID, Endpoint: "a"}))
@@ -54,12 +54,12 @@
 	}
 }
 
-func TestWhatWasTriedTooEarlyIsTriedLater(t *testing.T) {
+func TestLoadVerifiedTooEarlyIsVerifiedLater(t *testing.T) {
 	s := loadingScript(t)
 	first := s.untilSend(150)
 	early := s.at
 	out := s.step(early+3, AttemptFinished{ID: first.ID, Endpoint: "a", Result: Rejected, NeedsRetry: true})
-	if len(sends(out))+len(refusals(out)) > 0 {
+	if len(sends(out))+len(rejections(out)) > 0 {
 		t.Fatalf("%v", out)
 	}
 	send := s.untilSend(early + 300)
@@ -76,7 +76,7 @@
 }
 
 // News of the endpoint count more than what was presumed.
-func TestNewsEndPresumption(t *testing.T) {
+func TestUpdateEndsTheAssumptionOfALoad(t *testing.T) {
 	s := loadingScript(t)
 	s.untilSend(150)
 	s.step(s.at+2, ViewChanged{Endpoints: []protocol.Endpoint{modelEndpoint("a", 2, "m")}})
--- a/internal/router/dispatch/fairness.go
+++ b/internal/router/dispatch/fairness.go
@@ -69,12 +69,12 @@
 	if !f.all.isSignificant() {
 		return false
 	}
-	least := f.all.ratio() * starvationRatio
-	if r.isLarge() && f.large.isSignificant() && f.large.ratio() < least {
+	threshold := f.all.ratio() * starvationRatio
+	if r.isLarge() && f.large.isSignificant() && f.large.ratio() < threshold {
 		return true
 	}
 	own := f.forRank(r.rank)
-	return own.isSignificant() && own.ratio() < least
+	return own.isSignificant() && own.ratio() < threshold
 }
 
 // underserved reports whether the request's rank is served less often than it should be.
--- a/internal/router/dispatch/sizes_test.go
+++ b/internal/router/dispatch/fairness_test.go
@@ -8,23 +8,23 @@
 
 // TestLargeRequestsAreServedToo: under a burst far beyond what the endpoints bear, the largest tenth of a
 // kind is served at least 0.6 times as often as the whole kind.
-func TestLargeRequestsAreServedToo(t *testing.T) {
+func TestLargeRequestsAreServed(t *testing.T) {
 	for seed := range uint64(1) {
 		w := overload(t, 40+seed, 12)
 		for _, k := range w.kinds[:2] {
 			var all []*client
 			for _, list := range w.clients {
 				for _, c := range list {
-					if c.kind == k && !c.cameBack {
+					if c.kind == k && !c.retried {
 						all = append(all, c)
 					}
 				}
 			}
 			slices.SortFunc(all, func(a, b *client) int { return cmp.Compare(a.size(), b.size()) })
-			whole, tenth := servedShare(all), servedShare(all[len(all)*9/10:])
-			t.Logf("%s: %.3f of %d served, of the largest tenth %.3f", k.name, whole, len(all), tenth)
-			if tenth < 0.6*whole {
-				t.Errorf("%s: the largest tenth is served %.3f, all %.3f", k.name, tenth, whole)
+			allServed, tenth := servedFraction(all), servedFraction(all[len(all)*9/10:])
+			t.Logf("%s: %.3f of %d served, of the largest tenth %.3f", k.name, allServed, len(all), tenth)
+			if tenth < 0.6*allServed {
+				t.Errorf("%s: the largest tenth is served %.3f, all %.3f", k.name, tenth, allServed)
 			}
 		}
 	}
@@ -32,7 +32,7 @@
 
 func (c *client) size() int { return c.request.PromptTokens + 10*c.request.OutputTokens }
 
-func servedShare(list []*client) float64 {
+func servedFraction(list []*client) float64 {
 	n := 0
 	for _, c := range list {
 		if c.served {
--- a/internal/router/dispatch/golden_fleet_test.go
+++ b/internal/router/dispatch/golden_fleet_test.go
@@ -23,7 +23,7 @@
 	return e
 }
 
-func (e *goldenEndpoint) holds(model, adapter string) bool {
+func (e *goldenEndpoint) serves(model, adapter string) bool {
 	if model == "" {
 		return true
 	}
@@ -183,11 +183,11 @@
 	}
 	model := []string{"m", "n", "rare"}[g.random.IntN(3)]
 	adapter := []string{"", "", "a0", "a1", "a2"}[g.random.IntN(5)]
-	if e.holds(model, adapter) && g.random.IntN(2) == 0 {
+	if e.serves(model, adapter) && g.random.IntN(2) == 0 {
 		g.carryOutOrder(e, protocol.ModelLoad{Model: model, Adapter: adapter, Unload: true, Remaining: 30 * time.Millisecond})
 		return
 	}
-	if adapter != "" && !e.holds(model, "") {
+	if adapter != "" && !e.serves(model, "") {
 		adapter = ""
 	}
 	g.carryOutOrder(e, protocol.ModelLoad{Model: model, Adapter: adapter, Remaining: time.Duration(100+g.random.IntN(700)) * time.Millisecond})
@@ -208,7 +208,7 @@
 				func(a string) bool { return a == order.Adapter })
 		case !order.Unload && at < 0 && order.Adapter == "":
 			e.row.Models = append(e.row.Models, protocol.LoadedModel{Name: order.Model, Generation: 1})
-		case !order.Unload && at >= 0 && order.Adapter != "" && !e.holds(order.Model, order.Adapter):
+		case !order.Unload && at >= 0 && order.Adapter != "" && !e.serves(order.Model, order.Adapter):
 			e.row.Models[at].Adapters = append(slices.Clone(e.row.Models[at].Adapters), order.Adapter)
 		}
 		g.after(time.Duration(g.random.IntN(400))*time.Millisecond, func() {
@@ -262,8 +262,8 @@
 		if m.Service != "lm" || m.Queued == 0 || g.random.IntN(4) > 0 {
 			continue
 		}
-		if e := g.drawEndpoint(); e.row.Service == "lm" && len(e.row.Loading) == 0 && !e.holds(m.Model, m.Adapter) &&
-			(m.Adapter == "" || e.holds(m.Model, "")) {
+		if e := g.drawEndpoint(); e.row.Service == "lm" && len(e.row.Loading) == 0 && !e.serves(m.Model, m.Adapter) &&
+			(m.Adapter == "" || e.serves(m.Model, "")) {
 			g.carryOutOrder(e, protocol.ModelLoad{Model: m.Model, Adapter: m.Adapter, Remaining: time.Duration(20+g.random.IntN(80)) * time.Millisecond})
 		}
 	}
--- a/internal/router/dispatch/golden_run_test.go
+++ b/internal/router/dispatch/golden_run_test.go
@@ -348,7 +348,7 @@
 		end(time.Millisecond, NotSent, true)
 	case e.unresponsive:
 		end(3*time.Second, ConnectionLost, again)
-	case e.misdirected || !e.holds(client.request.Model, client.request.Adapter):
+	case e.misdirected || !e.serves(client.request.Model, client.request.Adapter):
 		end(900*time.Microsecond, Misdirected, true)
 	case e.waiting > max(e.row.Slots/2, 1) || e.row.State == protocol.Draining || x.IntN(80) == 0:
 		end(700*time.Microsecond, Rejected, true)
--- a/internal/router/dispatch/placing_test.go
+++ b/internal/router/dispatch/placement_test.go
@@ -11,35 +11,35 @@
 )
 
 const (
-	worldOrder   = 60 * time.Millisecond // from a report to the news of the load
-	worldLoad    = 3 * time.Second
-	worldAdapter = 20 * time.Millisecond
+	worldLoadOrderDelay  = 60 * time.Millisecond // from a report to the news of the load
+	worldModelLoadTime   = 3 * time.Second
+	worldAdapterLoadTime = 20 * time.Millisecond
 )
 
-// place stands in for the placer: a model that is asked for and that nobody holds is loaded somewhere.
-func (w *world) place(report protocol.Report) {
+// placeOnDemand stands in for the placer: a model that is asked for and that nobody holds is loaded somewhere.
+func (w *world) placeOnDemand(report protocol.Report) {
 	for _, m := range report.Models {
 		if m.Queued+m.Unserved == 0 || m.Service != "lm" {
 			continue
 		}
 		name := m.Model + "/" + m.Adapter
-		if m.Adapter != "" && w.held(m.Model) && !w.loading[name] && !w.has(m.Model, m.Adapter) {
+		if m.Adapter != "" && w.hasModel(m.Model) && !w.loading[name] && !w.hasAdapter(m.Model, m.Adapter) {
 			w.loading[name] = true
-			w.at(w.now+worldOrder, func(w *world) { w.loadAdapter(m.Model, m.Adapter) })
+			w.at(w.now+worldLoadOrderDelay, func(w *world) { w.loadAdapter(m.Model, m.Adapter) })
 		}
-		if w.loading[m.Model] || w.held(m.Model) {
+		if w.loading[m.Model] || w.hasModel(m.Model) {
 			continue
 		}
 		w.loading[m.Model] = true
-		w.at(w.now+worldOrder, func(w *world) { w.load(m.Model) })
+		w.at(w.now+worldLoadOrderDelay, func(w *world) { w.load(m.Model) })
 	}
 }
 
-func (w *world) held(model string) bool { return w.has(model, "") }
+func (w *world) hasModel(model string) bool { return w.hasAdapter(model, "") }
 
-func (w *world) has(model, adapter string) bool {
+func (w *world) hasAdapter(model, adapter string) bool {
 	for _, s := range w.servers {
-		if s.engine && s.row.State == protocol.Ready && s.holds(model, adapter) {
+		if s.engine && s.row.State == protocol.Ready && s.serves(model, adapter) {
 			return true
 		}
 	}
@@ -48,9 +48,9 @@
 
 func (w *world) load(model string) {
 	s := w.servers[w.rng.IntN(4)]
-	s.loads(model, "", w.now+worldLoad)
-	w.tell(s)
-	w.at(w.now+worldLoad, func(w *world) {
+	s.loads(model, "", w.now+worldModelLoadTime)
+	w.announce(s)
+	w.at(w.now+worldModelLoadTime, func(w *world) {
 		s.row.Models = append(s.row.Models, protocol.LoadedModel{Name: model, Generation: 1})
 		s.loaded(model, "")
 		w.heartbeat(s)
@@ -79,18 +79,18 @@
 
 // heartbeat tells of an endpoint when its next heartbeat comes.
 func (w *world) heartbeat(s *server) {
-	w.at(w.now+time.Duration(w.rng.IntN(1200))*time.Millisecond, func(w *world) { w.tell(s) })
+	w.at(w.now+time.Duration(w.rng.IntN(1200))*time.Millisecond, func(w *world) { w.announce(s) })
 }
 
 // loadAdapter loads an adapter of a model beside it.
 func (w *world) loadAdapter(model, adapter string) {
 	for _, s := range w.servers {
-		if !s.engine || !s.holds(model, "") {
+		if !s.engine || !s.serves(model, "") {
 			continue
 		}
-		s.loads(model, adapter, w.now+worldAdapter)
-		w.tell(s)
-		w.at(w.now+worldAdapter, func(w *world) {
+		s.loads(model, adapter, w.now+worldAdapterLoadTime)
+		w.announce(s)
+		w.at(w.now+worldAdapterLoadTime, func(w *world) {
 			for i := range s.row.Models {
 				if m := &s.row.Models[i]; m.Name == model {
 					m.Adapters = append(slices.Clone(m.Adapters), adapter)
@@ -108,22 +108,22 @@
 func TestAdaptersAreServedBeforeTheirHeartbeat(t *testing.T) {
 	w := newWorld(t, 32, 3)
 	w.loading = map[string]bool{}
-	w.usual(1)
+	w.startNormalLoad(1)
 	for i := range 20 {
 		k := &kind{
-			name: fmt.Sprint("adapter", i), model: "m", adapter: fmt.Sprint("x", i), objective: 400 * time.Millisecond,
-			within: 10 * time.Second, prompt: 600, output: 70, repeatable: true, tries: 1,
+			name: fmt.Sprint("adapter", i), model: "m", adapter: fmt.Sprint("x", i), latencyTarget: 400 * time.Millisecond,
+			timeout: 10 * time.Second, prompt: 600, output: 70, retryable: true, clientRetries: 1,
 		}
 		w.kinds = append(w.kinds, k)
-		w.at(time.Duration(1000+400*i)*time.Millisecond, func(w *world) { w.ask(k, 1, nil); w.ask(k, 1, nil) })
-		w.at(time.Duration(1200+400*i)*time.Millisecond, func(w *world) { w.ask(k, 1, nil) })
+		w.at(time.Duration(1000+400*i)*time.Millisecond, func(w *world) { w.sendRequest(k, 1, nil); w.sendRequest(k, 1, nil) })
+		w.at(time.Duration(1200+400*i)*time.Millisecond, func(w *world) { w.sendRequest(k, 1, nil) })
 	}
 	w.play(12 * time.Second)
 	w.finish()
 	inTime, asked := 0, 0
 	for _, k := range w.kinds[4:] {
 		inTime += k.inTime
-		asked += k.asked
+		asked += k.requested
 	}
 	t.Logf("%d of %d in time", inTime, asked)
 	if float64(inTime) < 0.95*float64(asked) {
@@ -132,38 +132,38 @@
 }
 
 // TestRareModelsAtOnce: models that nobody holds are loaded by what is reported, and served then.
-func TestRareModelsAtOnce(t *testing.T) {
-	w := rareDay(t)
-	w.tally(t)
+func TestRareModelsAreLoadedByDemand(t *testing.T) {
+	w := playRareModels(t)
+	w.logStatistics(t)
 	for _, k := range w.kinds {
-		if got := float64(k.inTime+k.again+k.served) / float64(k.asked); got < 0.95 {
+		if got := float64(k.inTime+k.retried+k.served) / float64(k.requested); got < 0.95 {
 			t.Errorf("%s: %.3f served", k.name, got)
 		}
 	}
 }
 
-func rareDay(t *testing.T) *world {
-	w := rareWorld(t)
+func playRareModels(t *testing.T) *world {
+	w := newRareModelsWorld(t)
 	w.play(20 * time.Second)
 	w.finish()
 	return w
 }
 
-func rareWorld(t *testing.T) *world {
+func newRareModelsWorld(t *testing.T) *world {
 	w := newWorld(t, 31, 3)
 	w.loading = map[string]bool{}
-	w.usual(1)
+	w.startNormalLoad(1)
 	engine := *w.config.Services[0].Engine
 	for i := range 6 {
 		model := fmt.Sprint("rare", i)
 		engine.Models = append(engine.Models, configuration.Model{Name: model, LoadTimeSeconds: 3})
-		aim := 500 * time.Millisecond
+		latencyTarget := 500 * time.Millisecond
 		if i%2 == 0 {
-			aim = 8 * time.Second
+			latencyTarget = 8 * time.Second
 		}
 		w.kinds = append(w.kinds, &kind{
-			name: model, model: model, objective: aim, within: 15 * time.Second, prompt: 1000,
-			output: 100, repeatable: true, tries: 1,
+			name: model, model: model, latencyTarget: latencyTarget, timeout: 15 * time.Second, prompt: 1000,
+			output: 100, retryable: true, clientRetries: 1,
 		})
 	}
 	w.config.Services[0].Engine = &engine
--- a/internal/router/dispatch/queue.go
+++ b/internal/router/dispatch/queue.go
@@ -98,7 +98,7 @@
 		return
 	}
 	r.target.queued--
-	d.markDemandChanged()
+	d.noteDemandChanged()
 	if r.endpoint != nil {
 		r.endpoint.queue = remove(r.endpoint.queue, r)
 		d.schedule.Unhold(r.endpoint)
--- a/internal/router/dispatch/holding_test.go
+++ b/internal/router/dispatch/queue_test.go
@@ -7,7 +7,7 @@
 	"raventrestle/internal/protocol"
 )
 
-func TestNothingHoldsTheModel(t *testing.T) {
+func TestModelWithoutEndpointIsReportedAndRejected(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
 	out := s.step(1, RequestArrived{s.request("rare")})
 	list := reports(out)
@@ -18,14 +18,14 @@
 	if at > 125 {
 		t.Fatalf("wakes at %d ms", at)
 	}
-	refusal := s.oneRefusal(s.step(at + 1))
+	refusal := s.oneRejection(s.step(at + 1))
 	if refusal.Reason != NoEndpoint || refusal.RetryAfter < 4*time.Second || refusal.RetryAfter > 5*time.Second {
 		t.Errorf("refused with %+v", refusal)
 	}
 }
 
 // A request that names no model is one for any endpoint of the service, whatever that holds.
-func TestWithoutAModelAnyEndpointWillDo(t *testing.T) {
+func TestRequestWithoutModelIsSentToAnyEndpoint(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"), modelEndpoint("b", 1))
 	first := s.request("")
 	first.Service = "lm"
@@ -35,14 +35,14 @@
 	s.oneSend(s.step(2, ViewChanged{Endpoints: []protocol.Endpoint{modelEndpoint("a", 2, "rare")}}, RequestArrived{second}))
 }
 
-func TestHeldForALoadThatFits(t *testing.T) {
+func TestRequestWaitsForALoadThatFinishesInTime(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
 	s.step(1, RequestArrived{s.request("rare")})
 	loads := modelEndpoint("a", 1, "m")
 	loads.Loading = []protocol.ModelLoad{{Model: "rare", Remaining: 250 * time.Millisecond}}
 	s.step(20, ViewChanged{Endpoints: []protocol.Endpoint{loads}})
-	if out := s.step(130); len(refusals(out)) > 0 {
-		t.Fatalf("refused %v though the load fits", refusals(out))
+	if out := s.step(130); len(rejections(out)) > 0 {
+		t.Fatalf("refused %v though the load fits", rejections(out))
 	}
 	loaded := ViewChanged{Endpoints: []protocol.Endpoint{modelEndpoint("a", 2, "m", "rare")}}
 	if send := s.oneSend(s.step(280, loaded)); send.ID != 1 {
@@ -50,20 +50,20 @@
 	}
 }
 
-func TestRefusedForALoadThatDoesNotFit(t *testing.T) {
+func TestRequestIsRejectedIfItsLoadFinishesTooLate(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
 	s.step(1, RequestArrived{s.request("rare")})
 	loads := modelEndpoint("a", 1, "m")
 	loads.Loading = []protocol.ModelLoad{{Model: "rare", Remaining: 2 * time.Second}}
 	s.step(20, ViewChanged{Endpoints: []protocol.Endpoint{loads}})
-	refusal := s.oneRefusal(s.step(124))
+	refusal := s.oneRejection(s.step(124))
 	if refusal.RetryAfter < 1800*time.Millisecond || refusal.RetryAfter > 2600*time.Millisecond {
 		t.Errorf("refused with %+v", refusal)
 	}
 }
 
 // A stream that pauses goes on elsewhere only where that is possible; else its call is left alone.
-func TestStalledStreamMovesOnlyWhereItCanGo(t *testing.T) {
+func TestStalledStreamMovesOnlyToAnAvailableEndpoint(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
 	first := s.oneSend(s.step(1, RequestArrived{s.request("m")}))
 	s.step(100, FirstByteReceived{ID: first.ID, Endpoint: "a"})
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestDarkEndpointIsLeft(t *testing.T) {
+func TestUnresponsiveEndpointIsAbandoned(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"), modelEndpoint("b", 1, "m"))
 	first := s.oneSend(s.step(1, RequestArrived{s.request("m")}))
 	other := "a"
@@ -115,7 +115,7 @@
 }
 
 // A router whose estimates went wrong, before endpoints that others keep busy, puts them right.
-func TestWrongEstimatesAreForgotten(t *testing.T) {
+func TestWrongEstimatesAreCorrected(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"), modelEndpoint("b", 1, "m"))
 	busy := &AdvertisedLoad{Running: 40, Slots: 64}
 	g := s.d.services["lm"].ensureGroup("m")
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestPartsOfASessionGoToOneEndpoint(t *testing.T) {
+func TestSessionIsSentToOneEndpointByAllRouters(t *testing.T) {
 	var table []protocol.Endpoint
 	for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
 		table = append(table, modelEndpoint(id, 1, "m"))
@@ -167,7 +167,7 @@
 	}
 }
 
-func TestPlacesAreTakenBeforeAnythingIsHeld(t *testing.T) {
+func TestFreeSlotsAreUsedBeforeRequestsAreQueued(t *testing.T) {
 	s := newScript(t, plainEndpoint("p", 6), plainEndpoint("q", 6))
 	used := map[string]int{}
 	for i := range 6 {
@@ -178,10 +178,10 @@
 	}
 }
 
-func TestSilentEndpointIsUsedOnlyInDoubt(t *testing.T) {
-	silent := modelEndpoint("a", 2, "m")
-	silent.State = protocol.Unresponsive
-	s := newScript(t, silent, modelEndpoint("b", 1, "m"))
+func TestEndpointWithoutHeartbeatsIsUsedOnlyAsLastResort(t *testing.T) {
+	unresponsive := modelEndpoint("a", 2, "m")
+	unresponsive.State = protocol.Unresponsive
+	s := newScript(t, unresponsive, modelEndpoint("b", 1, "m"))
 	for i := range 10 {
 		send := s.oneSend(s.step(10*i+1, RequestArrived{s.request("m")}))
 		if send.Endpoint != "b" {
@@ -201,7 +201,7 @@
 
 // A request whose client gives up before its route's objective is held until then at most, though its model is promised, or
 // being tried, a little later.
-func TestNothingIsHeldPastItsDeadline(t *testing.T) {
+func TestNoRequestStaysQueuedPastItsDeadline(t *testing.T) {
 	for name, again := range map[string]bool{"first try": false, "further try": true} {
 		t.Run(name, func(t *testing.T) {
 			loads := modelEndpoint("a", 1, "m")
@@ -222,7 +222,7 @@
 }
 
 // The same where the model should be there by now and another request tries it.
-func TestNothingWaitsForATryPastItsDeadline(t *testing.T) {
+func TestNoRequestAwaitsAVerificationPastItsDeadline(t *testing.T) {
 	loads := modelEndpoint("a", 1, "m")
 	loads.Loading = []protocol.ModelLoad{{Model: "rare", Remaining: 50 * time.Millisecond}}
 	s := newScript(t, loads)
--- a/internal/router/dispatch/quota.go
+++ b/internal/router/dispatch/quota.go
@@ -130,7 +130,7 @@
 	if !r.awaitingQuota {
 		t.requested += r.Charge
 	}
-	d.markDemandChanged()
+	d.noteDemandChanged()
 	d.refill(t)
 	first := len(t.awaitingQuota) == 0 || t.awaitingQuota[0] == r
 	r.quotaPreempted = r.Charge <= d.availableQuota(t) && r.Charge+d.reservedQuota(t, r) > d.availableQuota(t)
--- a/internal/router/dispatch/request.go
+++ b/internal/router/dispatch/request.go
@@ -107,8 +107,8 @@
 // hasAttempted reports whether the request has been sent to the endpoint before.
 func (r *request) hasAttempted(e *endpoint) bool { return slices.Contains(r.attempted, e) }
 
-// markExecuted notes that the request may have executed on one endpoint more.
-func (r *request) markExecuted() {
+// noteExecution notes that the request may have executed on one endpoint more.
+func (r *request) noteExecution() {
 	r.possibleExecutions++
 	r.mayHaveExecuted = true
 }
--- a/internal/router/dispatch/day_test.go
+++ b/internal/router/dispatch/scenario_test.go
@@ -10,7 +10,7 @@
 )
 
 // usualKinds are some kinds of request before six engines and three plain servers.
-func (w *world) usual(x float64) {
+func (w *world) startNormalLoad(x float64) {
 	for i := range 6 {
 		models := []string{"m"}
 		if i < 2 {
@@ -23,36 +23,36 @@
 	}
 	w.kinds = []*kind{
 		{
-			name: "brief", model: "m", perSecond: 13 * x, objective: 500 * time.Millisecond, within: 15 * time.Second,
-			prompt: 1460, output: 172, repeatable: true, tries: 1, tenant: "", rank: 1,
+			name: "brief", model: "m", perSecond: 13 * x, latencyTarget: 500 * time.Millisecond, timeout: 15 * time.Second,
+			prompt: 1460, output: 172, retryable: true, clientRetries: 1, tenant: "", rank: 1,
 		},
 		{
 			name: "reply", model: "m", adapter: "a1", perSecond: 8 * x,
-			objective: 400 * time.Millisecond, within: 10 * time.Second,
-			prompt: 650, output: 70, repeatable: true, tries: 1, rank: 2,
+			latencyTarget: 400 * time.Millisecond, timeout: 10 * time.Second,
+			prompt: 650, output: 70, retryable: true, clientRetries: 1, rank: 2,
 		},
 		{
-			name: "rewrite", model: "rare", perSecond: 1.2 * x, objective: 8 * time.Second, within: 30 * time.Second,
-			prompt: 1460, output: 172, tries: 1, rank: 0,
+			name: "rewrite", model: "rare", perSecond: 1.2 * x, latencyTarget: 8 * time.Second, timeout: 30 * time.Second,
+			prompt: 1460, output: 172, clientRetries: 1, rank: 0,
 		},
 		{
-			name: "push", perSecond: 11 * x, objective: 100 * time.Millisecond, within: 600 * time.Millisecond,
-			tries: 1, rank: 2,
+			name: "push", perSecond: 11 * x, latencyTarget: 100 * time.Millisecond, timeout: 600 * time.Millisecond,
+			clientRetries: 1, rank: 2,
 		},
 	}
 	w.start()
 }
 
-func (w *world) tally(t *testing.T) {
+func (w *world) logStatistics(t *testing.T) {
 	for _, k := range w.kinds {
-		t.Logf("%-8s asked %5d in time %5d again %4d late %4d missed %4d refusals %4d twice %3d worth %.3f", k.name, k.asked,
-			k.inTime, k.again, k.served, k.missed, k.refused, k.twice, k.worth())
+		t.Logf("%-8s asked %5d in time %5d again %4d late %4d missed %4d refusals %4d twice %3d worth %.3f", k.name, k.requested,
+			k.inTime, k.retried, k.served, k.failed, k.rejected, k.rejectedTwice, k.valueServed())
 	}
 	saved, shared := 0.0, 0.0
 	for _, s := range w.servers {
 		saved, shared = saved+s.saved, shared+s.shared
 	}
-	t.Logf("refused with half free: %d; %.3f of the shared tokens were kept", w.fullFree, saved/shared)
+	t.Logf("refused with half free: %d; %.3f of the shared tokens were kept", w.rejectedWhileHalfFree, saved/shared)
 	for i, d := range w.routers {
 		x := d.PredictionErrors()
 		t.Logf("router %d: predictions %d, median ratio %.2f, 95th %.2f, off by %.1f of %.1f ms", i, x.Count, x.MedianRatio,
@@ -60,27 +60,27 @@
 	}
 }
 
-func (w *world) wantServed(t *testing.T, share float64) {
+func (w *world) requireServed(t *testing.T, share float64) {
 	t.Helper()
 	for _, k := range w.kinds {
-		if got := float64(k.inTime) / float64(max(k.asked, 1)); got < share {
+		if got := float64(k.inTime) / float64(max(k.requested, 1)); got < share {
 			t.Errorf("%s: %.3f in time, want %.3f", k.name, got, share)
 		}
 	}
 }
 
-func TestQuietDay(t *testing.T) {
+func TestNormalLoadMeetsItsTargets(t *testing.T) {
 	w := newWorld(t, 1, 3)
-	w.usual(1)
+	w.startNormalLoad(1)
 	w.play(20 * time.Second)
 	w.finish()
-	w.tally(t)
-	w.wantServed(t, 0.99)
+	w.logStatistics(t)
+	w.requireServed(t, 0.99)
 }
 
-func TestBurstDay(t *testing.T) {
+func TestInvariantsDuringABurst(t *testing.T) {
 	w := newWorld(t, 2, 3)
-	w.usual(1)
+	w.startNormalLoad(1)
 	w.at(6*time.Second, func(w *world) {
 		for _, k := range w.kinds {
 			k.perSecond *= 6
@@ -93,43 +93,43 @@
 	})
 	w.play(20 * time.Second)
 	w.finish()
-	w.tally(t)
+	w.logStatistics(t)
 }
 
-func TestCrashDay(t *testing.T) {
+func TestInvariantsDuringCrashes(t *testing.T) {
 	w := newWorld(t, 3, 3)
-	w.usual(1)
+	w.startNormalLoad(1)
 	w.at(5*time.Second, func(w *world) { w.crash(w.servers[0]) })
-	w.at(5*time.Second, func(w *world) { w.servers[3].mood = isDark })
+	w.at(5*time.Second, func(w *world) { w.servers[3].condition = hung })
 	w.at(7*time.Second, func(w *world) { w.crash(w.servers[6]) })
 	w.at(9*time.Second, func(w *world) {
-		w.servers[0].mood, w.servers[3].mood, w.servers[6].mood = well, well, well
+		w.servers[0].condition, w.servers[3].condition, w.servers[6].condition = healthy, healthy, healthy
 	})
 	w.play(20 * time.Second)
 	w.finish()
-	w.tally(t)
+	w.logStatistics(t)
 }
 
 // TestCutRouterServesSoonAfter: a router that reached nobody for a while serves within half a second of the
 // link's return.
-func TestCutRouterServesSoonAfter(t *testing.T) {
+func TestDisconnectedRouterServesSoonAfterReconnection(t *testing.T) {
 	w := newWorld(t, 6, 2)
-	w.usual(1)
-	w.at(3*time.Second, func(w *world) { w.cut[0] = true })
-	w.at(8*time.Second, func(w *world) { w.cut[0] = false })
+	w.startNormalLoad(1)
+	w.at(3*time.Second, func(w *world) { w.disconnected[0] = true })
+	w.at(8*time.Second, func(w *world) { w.disconnected[0] = false })
 	w.play(8500 * time.Millisecond)
-	before := w.begun(0)
+	before := w.countAnswered(0)
 	w.play(9 * time.Second)
-	if now := w.begun(0); now < before+4 {
+	if now := w.countAnswered(0); now < before+4 {
 		t.Errorf("%d answered in half a second, half a second after the link came back", now-before)
 	}
 }
 
-// begun counts a router's requests that were answered at least in part.
-func (w *world) begun(router int) int {
+// countAnswered counts a router's requests that were answered at least in part.
+func (w *world) countAnswered(router int) int {
 	n := 0
 	for _, c := range w.clients[router] {
-		if c.began {
+		if c.answerBegan {
 			n++
 		}
 	}
@@ -138,7 +138,7 @@
 
 // crash cuts all calls of an endpoint.
 func (w *world) crash(s *server) {
-	s.mood = crashed
+	s.condition = crashed
 	for _, j := range append(append([]*job(nil), s.running...), s.queue...) {
 		if c := j.call.client; c.call == j.call {
 			w.lose(c)
@@ -148,85 +148,85 @@
 	s.cached = map[uint64]bool{}
 }
 
-func TestGreyDay(t *testing.T) {
+func TestInvariantsWithSlowAndResettingEndpoints(t *testing.T) {
 	w := newWorld(t, 4, 3)
-	w.usual(1)
+	w.startNormalLoad(1)
 	w.at(5*time.Second, func(w *world) {
 		w.servers[3].slow = 10
 		w.servers[7].slow = 8
-		w.servers[4].garble = 0.05
+		w.servers[4].resetProbability = 0.05
 	})
 	w.play(20 * time.Second)
 	w.finish()
-	w.tally(t)
+	w.logStatistics(t)
 }
 
-func TestDrainAndShiftDay(t *testing.T) {
+func TestLoadIsServedWhileEndpointsAreReplaced(t *testing.T) {
 	w := newWorld(t, 5, 3)
-	w.usual(2)
+	w.startNormalLoad(2)
 	for i := range 4 {
 		at := time.Duration(4+2*i) * time.Second
 		w.at(at, func(w *world) {
 			w.servers[i].row.State = protocol.Draining
-			w.tell(w.servers[i])
+			w.announce(w.servers[i])
 			fresh := w.addEngine("m", "rare")
-			w.tell(fresh)
+			w.announce(fresh)
 		})
 		w.at(at+3*time.Second, func(w *world) {
 			w.servers[i].row.State = protocol.Departed
-			w.tell(w.servers[i])
-			w.servers[i].gone = true
+			w.announce(w.servers[i])
+			w.servers[i].departed = true
 			w.crash(w.servers[i])
 		})
 	}
 	w.play(20 * time.Second)
 	w.finish()
-	w.tally(t)
-	w.wantServed(t, 0.9)
+	w.logStatistics(t)
+	w.requireServed(t, 0.9)
 }
 
-// worth is what the kind's requests earned, of what they were worth.
-func (k *kind) worth() float64 { return k.earned / max(k.owed, 1) }
+// valueServed is what the kind's requests earned, of what they were worth.
+func (k *kind) valueServed() float64 { return k.servedValue / max(k.offeredValue, 1) }
 
-// TestOverload tells how bursts of several sizes go.
-func TestOverload(t *testing.T) {
+// TestValueServedDuringOverload tells how bursts of several sizes go.
+func TestValueServedDuringOverload(t *testing.T) {
 	sizes := []float64{4}
 	if *overloadSeeds > 1 {
 		sizes = []float64{2, 3, 4, 6, 9}
 	}
 	for _, x := range sizes {
 		var sum kind
-		worth, owed, free := 0.0, 0.0, 0
+		value, owed, free := 0.0, 0.0, 0
 		var byRank, asked [3]float64
 		for seed := range uint64(*overloadSeeds) {
 			w := overload(t, seed+20, x)
-			free += w.fullFree
+			free += w.rejectedWhileHalfFree
 			for _, k := range w.kinds {
 				if k.model != "" {
-					byRank[k.rank] += float64(k.inTime + k.again + k.served)
-					asked[k.rank] += float64(k.asked)
+					byRank[k.rank] += float64(k.inTime + k.retried + k.served)
+					asked[k.rank] += float64(k.requested)
 				}
 			}
 			for _, k := range w.kinds[:4] {
-				sum.asked += k.asked
+				sum.requested += k.requested
 				sum.inTime += k.inTime
-				sum.again += k.again
+				sum.retried += k.retried
 				sum.served += k.served
-				sum.missed += k.missed
-				sum.twice += k.twice
-				worth += k.earned
-				owed += k.owed
+				sum.failed += k.failed
+				sum.rejectedTwice += k.rejectedTwice
+				value += k.servedValue
+				owed += k.offeredValue
 			}
 		}
 		for i := range byRank {
 			byRank[i] /= asked[i]
 		}
 		t.Logf("x %2.0f: served by rank %.3f", x, byRank)
-		part := func(n int) float64 { return float64(n) / float64(sum.asked) }
+		part := func(n int) float64 { return float64(n) / float64(sum.requested) }
 		t.Logf("x %2.0f: worth %.3f; in time %.3f again %.3f late %.3f missed %.3f twice %.3f; refused with half free %d",
-			x, worth/owed, part(sum.inTime), part(sum.again), part(sum.served), part(sum.missed), part(sum.twice), free)
-		if x <= 4 && worth < 0.9*owed {
-			t.Errorf("x %.0f: worth only %.3f", x, worth/owed)
+			x, value/owed, part(sum.inTime), part(sum.retried), part(sum.served), part(sum.failed), part(sum.rejectedTwice), free)
+		if x <= 4 && value < 0.9*owed {
+			t.Errorf("x %.0f: worth only %.3f", x, value/owed)
 		}
 	}
 }
@@ -235,7 +235,7 @@
 
 func overload(t *testing.T, seed uint64, x float64) *world {
 	w := newWorld(t, seed, 9)
-	w.fleet()
+	w.startLargeFleet()
 	w.at(4*time.Second, func(w *world) {
 		for _, k := range w.kinds {
 			k.perSecond *= x
@@ -251,8 +251,8 @@
 	return w
 }
 
-// fleet is twelve engines with two of many models each, two of them busy, and three plain servers.
-func (w *world) fleet() {
+// startLargeFleet is twelve engines with two of many models each, two of them busy, and three plain servers.
+func (w *world) startLargeFleet() {
 	for i := range 12 {
 		models := []string{"m", fmt.Sprint("rare", i)}
 		if i%3 == 2 {
@@ -267,25 +267,25 @@
 		w.addPlain(6)
 	}
 	brief := kind{
-		name: "brief", model: "m", perSecond: 15, objective: 500 * time.Millisecond, within: 15 * time.Second,
-		prompt: 1460, output: 172, repeatable: true, tries: 1, rank: 1,
+		name: "brief", model: "m", perSecond: 15, latencyTarget: 500 * time.Millisecond, timeout: 15 * time.Second,
+		prompt: 1460, output: 172, retryable: true, clientRetries: 1, rank: 1,
 	}
 	reply := kind{
-		name: "reply", model: "m", adapter: "a1", perSecond: 9, objective: 400 * time.Millisecond,
-		within: 10 * time.Second, prompt: 646, output: 70, repeatable: true, tries: 1, rank: 2,
+		name: "reply", model: "m", adapter: "a1", perSecond: 9, latencyTarget: 400 * time.Millisecond,
+		timeout: 10 * time.Second, prompt: 646, output: 70, retryable: true, clientRetries: 1, rank: 2,
 	}
 	briefN, replyN := brief, reply
 	briefN.model, briefN.perSecond = "n", 8
 	replyN.model, replyN.adapter, replyN.perSecond = "n", "", 5
 	push := kind{
-		name: "push", perSecond: 11, objective: 100 * time.Millisecond, within: 600 * time.Millisecond,
-		tries: 1, rank: 2,
+		name: "push", perSecond: 11, latencyTarget: 100 * time.Millisecond, timeout: 600 * time.Millisecond,
+		clientRetries: 1, rank: 2,
 	}
 	w.kinds = []*kind{&brief, &reply, &briefN, &replyN, &push}
 	for _, i := range []int{0, 1, 2, 4, 5, 6, 8, 9, 10} {
 		w.kinds = append(w.kinds, &kind{
 			name: "rewrite", model: fmt.Sprint("rare", i), perSecond: 0.28,
-			objective: 8 * time.Second, within: 30 * time.Second, prompt: 1460, output: 172, tries: 1,
+			latencyTarget: 8 * time.Second, timeout: 30 * time.Second, prompt: 1460, output: 172, clientRetries: 1,
 		})
 	}
 	w.start()
--- a/internal/router/dispatch/script_test.go
+++ b/internal/router/dispatch/script_test.go
@@ -86,7 +86,7 @@
 	return list
 }
 
-func refusals(out []Output) (list []Reject) {
+func rejections(out []Output) (list []Reject) {
 	for _, o := range out {
 		if o, ok := o.(Reject); ok {
 			list = append(list, o)
@@ -113,16 +113,16 @@
 	return list[0]
 }
 
-func (s *script) oneRefusal(out []Output) Reject {
+func (s *script) oneRejection(out []Output) Reject {
 	s.t.Helper()
-	list := refusals(out)
+	list := rejections(out)
 	if len(list) != 1 {
 		s.t.Fatalf("refused %v, want one; all: %v", list, out)
 	}
 	return list[0]
 }
 
-func TestFreshRouterServesAtOnce(t *testing.T) {
+func TestNewRouterServesAtOnce(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"), plainEndpoint("p", 6))
 	if send := s.oneSend(s.step(1, RequestArrived{s.request("m")})); send.Endpoint != "a" || send.MaxConnections != 32 {
 		t.Errorf("sent %+v", send)
@@ -131,7 +131,7 @@
 		t.Errorf("sent %+v", send)
 	}
 	out := s.step(40, FirstByteReceived{ID: 1, Endpoint: "a"}, AttemptFinished{ID: 2, Endpoint: "p"})
-	if len(sends(out))+len(refusals(out)) > 0 {
+	if len(sends(out))+len(rejections(out)) > 0 {
 		t.Errorf("got %v", out)
 	}
 	s.step(1000, AttemptFinished{ID: 1, Endpoint: "a"})
@@ -140,7 +140,7 @@
 	}
 }
 
-func TestIdleHasNoWake(t *testing.T) {
+func TestIdleDeciderDoesNotWake(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
 	s.step(1, RequestArrived{s.request("m")})
 	s.step(100, FirstByteReceived{ID: 1, Endpoint: "a"})
--- a/internal/router/dispatch/closing_test.go
+++ b/internal/router/dispatch/shutdown_test.go
@@ -8,12 +8,12 @@
 	"raventrestle/internal/protocol"
 )
 
-func (s *script) closing(holdUntil int) ShutdownStarted {
-	return ShutdownStarted{QueueDeadline: s.time(holdUntil)}
+func (s *script) shutdown(queueDeadline int) ShutdownStarted {
+	return ShutdownStarted{QueueDeadline: s.time(queueDeadline)}
 }
 
-// patient makes a request whose objective is far.
-func (s *script) patient(model string) Request {
+// requestWithDistantTarget makes a request whose objective is far.
+func (s *script) requestWithDistantTarget(model string) Request {
 	r := s.request(model)
 	r.LatencyTarget, r.Deadline = s.time(s.at+10000), s.time(s.at+30000)
 	return r
@@ -21,32 +21,32 @@
 
 // A request that waits for its model to be loaded would be held up to its objective: it is refused when the router lets
 // in no more clients, with a word to come back soon. What comes later and can't be sent has only a moment.
-func TestNothingIsHeldAtTheEnd(t *testing.T) {
+func TestNoRequestStaysQueuedAfterTheShutdownDeadline(t *testing.T) {
 	loading := modelEndpoint("a", 1, "m")
 	loading.Loading = []protocol.ModelLoad{{Model: "rare", Remaining: 9 * time.Second}}
 	s := newScript(t, loading)
 	s.step(1000)
-	s.step(1000, RequestArrived{s.patient("rare")})
-	if out := s.step(1100, s.closing(2500)); len(refusals(out)) > 0 {
+	s.step(1000, RequestArrived{s.requestWithDistantTarget("rare")})
+	if out := s.step(1100, s.shutdown(2500)); len(rejections(out)) > 0 {
 		t.Fatalf("refused while clients may still come: %v", out)
 	}
 	if at := s.d.NextWake(); at.IsZero() || at.After(s.time(2500)) {
 		t.Errorf("next wake %v after the start", at.Sub(s.zero))
 	}
-	refusal := s.oneRefusal(s.step(2500))
+	refusal := s.oneRejection(s.step(2500))
 	if refusal.Reason != ShuttingDown || refusal.RetryAfter <= 0 || refusal.RetryAfter > 100*time.Millisecond {
 		t.Errorf("%+v", refusal)
 	}
-	if out := s.step(2600, RequestArrived{s.patient("rare")}); len(refusals(out)) > 0 {
+	if out := s.step(2600, RequestArrived{s.requestWithDistantTarget("rare")}); len(rejections(out)) > 0 {
 		t.Errorf("refused without a moment's patience: %v", out)
 	}
 	if at := s.d.NextWake(); at.IsZero() || at.After(s.time(2750)) {
 		t.Errorf("next wake %v after the start", at.Sub(s.zero))
 	}
-	if refusal := s.oneRefusal(s.step(2751)); refusal.Reason != ShuttingDown {
+	if refusal := s.oneRejection(s.step(2751)); refusal.Reason != ShuttingDown {
 		t.Errorf("%+v", refusal)
 	}
-	if send := s.oneSend(s.step(2760, RequestArrived{s.patient("m")})); send.Endpoint != "a" {
+	if send := s.oneSend(s.step(2760, RequestArrived{s.requestWithDistantTarget("m")})); send.Endpoint != "a" {
 		t.Errorf("%+v", send)
 	}
 	if len(s.d.requests) != 1 {
@@ -55,28 +55,28 @@
 }
 
 // A load that will be done only after the router lets in no more clients is not waited for.
-func TestLoadsThatComeTooLateAreNotAwaited(t *testing.T) {
+func TestRequestsDoNotWaitForLoadsThatFinishAfterTheShutdownDeadline(t *testing.T) {
 	loading := modelEndpoint("a", 1, "m")
 	loading.Loading = []protocol.ModelLoad{{Model: "rare", Remaining: 9 * time.Second}}
 	s := newScript(t, loading)
-	s.step(0, s.closing(2500))
+	s.step(0, s.shutdown(2500))
 	r := s.request("rare")
 	r.LatencyTarget, r.Deadline = s.time(10000), s.time(30000)
 	s.step(1, RequestArrived{r})
-	refusal := s.oneRefusal(s.step(2300))
+	refusal := s.oneRejection(s.step(2300))
 	if refusal.Reason != NoEndpoint || refusal.RetryAfter < 6*time.Second {
 		t.Errorf("%+v", refusal)
 	}
 }
 
 // A stream that broke off midway is not given up for a moment without a free place.
-func TestAStreamUnderWayWaitsAtTheEnd(t *testing.T) {
+func TestBrokenStreamStaysQueuedDuringShutdown(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
-	s.step(0, s.closing(2000))
-	send := s.oneSend(s.step(2100, RequestArrived{s.patient("m")}))
+	s.step(0, s.shutdown(2000))
+	send := s.oneSend(s.step(2100, RequestArrived{s.requestWithDistantTarget("m")}))
 	s.step(2200, FirstByteReceived{ID: send.ID, Endpoint: "a"})
 	out := s.step(2300, AttemptFinished{ID: send.ID, Endpoint: "a", Result: ConnectionLost, NeedsRetry: true})
-	if len(refusals(out)) > 0 {
+	if len(rejections(out)) > 0 {
 		t.Fatalf("%v", out)
 	}
 	b := modelEndpoint("b", 1, "m")
@@ -87,21 +87,21 @@
 
 // A router that ends on days at random: from its drain on it holds nothing for long, each request has one end, and all
 // rules hold.
-func TestRoutersThatEnd(t *testing.T) {
+func TestQueuesAreFlushedDuringShutdownOfRandomScenarios(t *testing.T) {
 	for seed := range uint64(3) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		w := newWorld(t, seed, 3)
-		w.usual(0.5 + 2*rng.Float64())
+		w.startNormalLoad(0.5 + 2*rng.Float64())
 		s := w.servers[rng.IntN(len(w.servers))]
-		trouble := troubles[rng.IntN(len(troubles))]
+		trouble := faults[rng.IntN(len(faults))]
 		w.at(2*time.Second, func(w *world) { trouble(w, s, 5*time.Second) })
-		hold := 2500 * time.Millisecond
+		queueDeadline := 2500 * time.Millisecond
 		w.at(time.Second, func(w *world) {
-			w.inputs[1] = append(w.inputs[1], ShutdownStarted{QueueDeadline: w.zero.Add(hold)})
+			w.inputs[1] = append(w.inputs[1], ShutdownStarted{QueueDeadline: w.zero.Add(queueDeadline)})
 		})
-		for at := hold; at < 5*time.Second; at += worldTick {
+		for at := queueDeadline; at < 5*time.Second; at += worldTick {
 			w.play(at + worldTick)
-			w.checkHeld(w.routers[1])
+			w.checkQueued(w.routers[1])
 		}
 		w.play(7 * time.Second)
 		w.finish()
@@ -109,7 +109,7 @@
 }
 
 // checkHeld: nothing is held for long but streams that broke off midway.
-func (w *world) checkHeld(d *Decider) {
+func (w *world) checkQueued(d *Decider) {
 	for _, r := range d.requests {
 		if r.stage == stageQueued && !r.answerStarted && d.now > r.arrived+shutdownQueueTimeout+worldTick {
 			w.t.Errorf("request %d is held", r.ID)
@@ -118,10 +118,10 @@
 }
 
 // late is a time at which only what will end in time is taken on; the process ends 4.6 s later.
-const late = 12800
+const selectiveAdmissionAt = 12800
 
-// ending brings a router that has seen streams of 3 s and calls of 40 ms to that time.
-func ending(t *testing.T) *script {
+// newScriptAtSelectiveAdmission brings a router that has seen streams of 3 s and calls of 40 ms to that time.
+func newScriptAtSelectiveAdmission(t *testing.T) *script {
 	s := newScript(t, modelEndpoint("a", 1, "m"), plainEndpoint("b", 1000))
 	for i := range 4 {
 		at := 1000 + 10*i
@@ -131,42 +131,42 @@
 		s.step(at+40, AttemptFinished{ID: plain.ID, Endpoint: "b", Result: Succeeded})
 		s.step(at+3000, FirstByteReceived{ID: flow.ID, Endpoint: "a"}, AttemptFinished{ID: flow.ID, Endpoint: "a", Result: Succeeded})
 	}
-	s.step(10000, ShutdownStarted{QueueDeadline: s.time(12300), SelectiveAdmissionFrom: s.time(late), ShutdownDeadline: s.time(17400)})
-	s.step(late)
+	s.step(10000, ShutdownStarted{QueueDeadline: s.time(12300), SelectiveAdmissionFrom: s.time(selectiveAdmissionAt), ShutdownDeadline: s.time(17400)})
+	s.step(selectiveAdmissionAt)
 	return s
 }
 
 // What comes long after SIGTERM is taken on only if it will end before the process does: its own deadline sees to that,
 // or calls like it were short. All else is refused at once, with a word to come back soon.
-func TestWhatWillNotEndInTimeIsRefused(t *testing.T) {
+func TestOnlyRequestsThatFinishBeforeShutdownAreAdmitted(t *testing.T) {
 	for name, c := range map[string]struct {
 		at    int
 		model string
 		make  func(s *script, r *Request)
 		taken bool
 	}{
-		"a stream before":                  {at: late - 1, model: "m", taken: true},
-		"a stream":                         {at: late, model: "m"},
-		"a short stream":                   {at: late, model: "m", make: func(_ *script, r *Request) { r.OutputTokens = 10 }, taken: true},
-		"a short stream, near the end":     {at: late + 4000, model: "m", make: func(_ *script, r *Request) { r.OutputTokens = 10 }},
-		"a stream that may not be resumed": {at: late, model: "m", make: func(_ *script, r *Request) { r.Retryable = false }},
+		"a stream before":                  {at: selectiveAdmissionAt - 1, model: "m", taken: true},
+		"a stream":                         {at: selectiveAdmissionAt, model: "m"},
+		"a short stream":                   {at: selectiveAdmissionAt, model: "m", make: func(_ *script, r *Request) { r.OutputTokens = 10 }, taken: true},
+		"a short stream, near the end":     {at: selectiveAdmissionAt + 4000, model: "m", make: func(_ *script, r *Request) { r.OutputTokens = 10 }},
+		"a stream that may not be resumed": {at: selectiveAdmissionAt, model: "m", make: func(_ *script, r *Request) { r.Retryable = false }},
 		"a stream with a near deadline": {
-			at: late, model: "m", taken: true,
-			make: func(s *script, r *Request) { r.Deadline = s.time(late + 4000) },
+			at: selectiveAdmissionAt, model: "m", taken: true,
+			make: func(s *script, r *Request) { r.Deadline = s.time(selectiveAdmissionAt + 4000) },
 		},
-		"a stream of an unknown kind": {at: late, taken: false, make: func(s *script, r *Request) {
-			r.Streaming, r.Deadline = true, s.time(late+15000)
+		"a stream of an unknown kind": {at: selectiveAdmissionAt, taken: false, make: func(s *script, r *Request) {
+			r.Streaming, r.Deadline = true, s.time(selectiveAdmissionAt+15000)
 		}},
-		"a short call": {at: late, taken: true, make: func(s *script, r *Request) { r.Deadline = s.time(late + 15000) }},
-		"a short call, near the end": {at: late + 4400, make: func(s *script, r *Request) {
-			r.Deadline = s.time(late + 15000)
+		"a short call": {at: selectiveAdmissionAt, taken: true, make: func(s *script, r *Request) { r.Deadline = s.time(selectiveAdmissionAt + 15000) }},
+		"a short call, near the end": {at: selectiveAdmissionAt + 4400, make: func(s *script, r *Request) {
+			r.Deadline = s.time(selectiveAdmissionAt + 15000)
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := ending(t)
-			if c.at < late {
+			s := newScriptAtSelectiveAdmission(t)
+			if c.at < selectiveAdmissionAt {
 				s = newScript(t, modelEndpoint("a", 1, "m"))
-				s.step(10000, ShutdownStarted{QueueDeadline: s.time(12300), SelectiveAdmissionFrom: s.time(late), ShutdownDeadline: s.time(17400)})
+				s.step(10000, ShutdownStarted{QueueDeadline: s.time(12300), SelectiveAdmissionFrom: s.time(selectiveAdmissionAt), ShutdownDeadline: s.time(17400)})
 			}
 			s.step(c.at)
 			r := s.request(c.model)
@@ -178,7 +178,7 @@
 				s.oneSend(out)
 				return
 			}
-			if no := s.oneRefusal(out); no.Reason != ShuttingDown || no.RetryAfter <= 0 || no.RetryAfter > 100*time.Millisecond {
+			if no := s.oneRejection(out); no.Reason != ShuttingDown || no.RetryAfter <= 0 || no.RetryAfter > 100*time.Millisecond {
 				t.Errorf("%+v", no)
 			}
 			if len(s.d.requests) != 0 {
@@ -189,27 +189,27 @@
 }
 
 // What has waited to be paid until then, or goes once more, is judged anew.
-func TestWhatIsTakenUpAgainMustEndInTime(t *testing.T) {
-	s := ending(t)
+func TestRetriesAndPaidRequestsMustFinishBeforeShutdown(t *testing.T) {
+	s := newScriptAtSelectiveAdmission(t)
 	r := s.request("m")
 	r.OutputTokens = 10
-	s.oneSend(s.step(late, RequestArrived{r}))
-	if no := s.oneRefusal(s.step(late+4000, AttemptFinished{ID: r.ID, Endpoint: "a", Result: Rejected, NeedsRetry: true})); no.Reason != ShuttingDown {
+	s.oneSend(s.step(selectiveAdmissionAt, RequestArrived{r}))
+	if no := s.oneRejection(s.step(selectiveAdmissionAt+4000, AttemptFinished{ID: r.ID, Endpoint: "a", Result: Rejected, NeedsRetry: true})); no.Reason != ShuttingDown {
 		t.Errorf("%+v", no)
 	}
 	s = newScript(t, modelEndpoint("a", 1, "m"))
-	s.step(10000, ShutdownStarted{QueueDeadline: s.time(12300), SelectiveAdmissionFrom: s.time(late), ShutdownDeadline: s.time(17400)})
-	s.step(late - 100)
+	s.step(10000, ShutdownStarted{QueueDeadline: s.time(12300), SelectiveAdmissionFrom: s.time(selectiveAdmissionAt), ShutdownDeadline: s.time(17400)})
+	s.step(selectiveAdmissionAt - 100)
 	r = s.request("m")
 	r.Tenant, r.Charge = "t", 9000
-	if out := s.step(late-100, RequestArrived{r}); len(refusals(out))+len(sends(out)) > 0 {
+	if out := s.step(selectiveAdmissionAt-100, RequestArrived{r}); len(rejections(out))+len(sends(out)) > 0 {
 		t.Fatalf("not held for its quota: %v", out)
 	}
-	out := s.step(late, ViewChanged{Quotas: []protocol.QuotaGrant{{
+	out := s.step(selectiveAdmissionAt, ViewChanged{Quotas: []protocol.QuotaGrant{{
 		Tenant: "t", RatePerSecond: 9000, Burst: 9000, Credit: 99999,
 		TTL: time.Minute,
 	}}})
-	if no := s.oneRefusal(out); no.Reason != ShuttingDown {
+	if no := s.oneRejection(out); no.Reason != ShuttingDown {
 		t.Errorf("%+v", no)
 	}
 	if list := sends(out); len(list) > 0 {
@@ -219,12 +219,12 @@
 
 // On days at random: whatever a router has taken on late is over, or at its own deadline, when the process ends; and short
 // calls are still taken.
-func TestWhatIsTakenLateEndsInTime(t *testing.T) {
+func TestAdmittedRequestsFinishBeforeShutdownInRandomScenarios(t *testing.T) {
 	taken := uint64(0)
 	for seed := range uint64(6) {
 		rng := rand.New(rand.NewPCG(seed, 39))
 		w := newWorld(t, seed, 3)
-		w.usual(0.5 + 1.5*rng.Float64())
+		w.startNormalLoad(0.5 + 1.5*rng.Float64())
 		const choose, endBy = 5 * time.Second, 9600 * time.Millisecond
 		w.at(2*time.Second, func(w *world) {
 			w.inputs[1] = append(w.inputs[1], ShutdownStarted{
--- a/internal/router/dispatch/worldhost_test.go
+++ b/internal/router/dispatch/simulated_calls_test.go
@@ -19,9 +19,9 @@
 		return
 	}
 	j.call.begun = true
-	c.began = true
+	c.answerBegan = true
 	c.inTime = !w.clock().After(c.request.LatencyTarget)
-	w.tellRouter(c, FirstByteReceived{ID: c.request.ID, Endpoint: j.call.server.row.ID, Load: j.call.server.load()})
+	w.passToRouter(c, FirstByteReceived{ID: c.request.ID, Endpoint: j.call.server.row.ID, Load: j.call.server.load()})
 }
 
 func (w *world) end(j *job) {
@@ -34,14 +34,14 @@
 	w.close(c)
 }
 
-func (w *world) tellRouter(c *client, input Input) {
+func (w *world) passToRouter(c *client, input Input) {
 	w.inputs[c.router] = append(w.inputs[c.router], input)
 }
 
 func (w *world) finishCall(c *client, result Result, more bool) {
 	call := c.call
 	c.call = nil
-	w.tellRouter(c, AttemptFinished{
+	w.passToRouter(c, AttemptFinished{
 		ID: c.request.ID, Endpoint: call.server.row.ID, Result: result, NeedsRetry: more,
 		Load: call.server.load(),
 	})
@@ -56,7 +56,7 @@
 		return 1
 	case c.served:
 		return 0.3
-	case c.request.ClientRetry && c.refusedNow:
+	case c.request.ClientRetry && c.rejectedNow:
 		return -0.3
 	}
 	return 0
@@ -72,22 +72,22 @@
 
 // close counts the end of a request.
 func (w *world) close(c *client) {
-	c.ends++
-	c.kind.earned += c.kind.weight(c) * c.earns()
+	c.endCount++
+	c.kind.servedValue += c.kind.weight(c) * c.earns()
 	switch {
 	case c.served && c.inTime && c.request.ClientRetry:
-		c.kind.again++
+		c.kind.retried++
 	case c.served && c.inTime:
 		c.kind.inTime++
 	case c.served:
 		c.kind.served++
 	default:
-		c.kind.missed++
+		c.kind.failed++
 	}
 }
 
-// hosts ends calls whose time is over, and those that hang at crashed endpoints.
-func (w *world) hosts() {
+// endOverdueCalls ends calls whose time is over, and those that hang at crashed endpoints.
+func (w *world) endOverdueCalls() {
 	live := w.live
 	w.live = w.live[:0:0]
 	for _, call := range live {
--- a/internal/router/dispatch/engine_test.go
+++ b/internal/router/dispatch/simulated_endpoint_test.go
@@ -13,13 +13,13 @@
 
 const worldTick = 2 * time.Millisecond
 
-// mood is how an endpoint is.
-type mood int
+// condition is how an endpoint is.
+type condition int
 
 const (
-	well mood = iota
+	healthy condition = iota
 	crashed
-	isDark
+	hung
 )
 
 // job is a call at an endpoint.
@@ -34,26 +34,26 @@
 }
 
 type server struct {
-	row     protocol.Endpoint
-	engine  bool
-	mood    mood
-	slow    float64 // 1: as usual
-	garble  float64 // chance that a call is reset
-	running []*job
-	due     []time.Duration // of row.Loading
-	queue   []*job
-	most    int // queue
-	cached  map[uint64]bool
-	ready   float64       // ms of the step that are over
-	step    float64       // ms that it takes
-	first   []*job        // that put out their first token in it
-	saved   float64       // tokens that were kept
-	shared  float64       // tokens that could have been
-	drainAt time.Duration // when draining was told to the routers, 0: not
-	gone    bool
+	row              protocol.Endpoint
+	engine           bool
+	condition        condition
+	slow             float64 // 1: as usual
+	resetProbability float64 // chance that a call is reset
+	running          []*job
+	due              []time.Duration // of row.Loading
+	queue            []*job
+	maxQueue         int // queue
+	cached           map[uint64]bool
+	ready            float64       // ms of the step that are over
+	step             float64       // ms that it takes
+	first            []*job        // that put out their first token in it
+	saved            float64       // tokens that were kept
+	shared           float64       // tokens that could have been
+	drainAt          time.Duration // when draining was told to the routers, 0: not
+	departed         bool
 }
 
-func (s *server) holds(model, adapter string) bool {
+func (s *server) serves(model, adapter string) bool {
 	if !s.engine {
 		return true
 	}
@@ -67,7 +67,7 @@
 
 // accept takes a call in; false: turned away.
 func (s *server) accept(c *worldCall, priority int, now time.Duration, rng *rand.Rand) bool {
-	if len(s.queue) >= s.most {
+	if len(s.queue) >= s.maxQueue {
 		return false
 	}
 	r := &c.client.request
@@ -95,7 +95,7 @@
 
 // tick works for one tick and says which jobs began and which ended.
 func (s *server) tick() (begun, ended []*job) {
-	if s.mood == isDark {
+	if s.condition == hung {
 		return nil, nil
 	}
 	ms := float64(worldTick) / float64(time.Millisecond) / s.slow
--- a/internal/router/dispatch/worldrules_test.go
+++ b/internal/router/dispatch/simulation_rules_test.go
@@ -30,13 +30,13 @@
 	case Send:
 		w.send(w.clients[i][o.ID], o)
 	case Reject:
-		if w.clients[i][o.ID].left {
+		if w.clients[i][o.ID].canceled {
 			w.t.Fatalf("request %d refused after its client left", o.ID)
 		}
-		w.refuse(w.clients[i][o.ID], o)
+		w.reject(w.clients[i][o.ID], o)
 	case Report:
 		if w.loading != nil {
-			w.place(o.Report)
+			w.placeOnDemand(o.Report)
 		}
 	case Abandon:
 		c := w.clients[i][o.ID]
@@ -61,7 +61,7 @@
 	if s.drainAt > 0 && s.drainAt < w.now {
 		w.t.Fatalf("sent to %s after it was told to drain", o.Endpoint)
 	}
-	if c.ends > 0 || c.call != nil {
+	if c.endCount > 0 || c.call != nil {
 		w.t.Fatalf("request %d sent after its end, or twice", o.ID)
 	}
 	if len(c.runs) > 0 && !c.request.Retryable {
@@ -82,13 +82,13 @@
 
 // deliver lets the call arrive at its endpoint.
 func (w *world) deliver(c *client, s *server, priority int) {
-	if w.cut[c.router] {
+	if w.disconnected[c.router] {
 		c.runs[s.row.ID] = true
 		c.arrivals++
 		c.call.lost = w.now + 3*time.Second
 		return
 	}
-	if s.mood == crashed || s.gone {
+	if s.condition == crashed || s.departed {
 		w.finishCall(c, NotSent, true)
 		return
 	}
@@ -96,10 +96,10 @@
 		w.further[c.request.Service] = append(w.further[c.request.Service], w.now)
 	}
 	switch {
-	case s.mood == isDark:
+	case s.condition == hung:
 		c.runs[s.row.ID] = true
 		c.call.lost = w.now + 3*time.Second
-	case !s.holds(c.request.Model, c.request.Adapter):
+	case !s.serves(c.request.Model, c.request.Adapter):
 		w.finishCall(c, Misdirected, true)
 	case !s.accept(c.call, priority, w.now, w.rng):
 		w.finishCall(c, Rejected, true)
@@ -108,31 +108,31 @@
 		if c.arrivals == 1 {
 			w.spent[c.request.Tenant] = append(w.spent[c.request.Tenant], spending{w.now, c.request.Charge})
 		}
-		if w.rng.Float64() < s.garble {
+		if w.rng.Float64() < s.resetProbability {
 			c.call.lost = w.now + 10*time.Millisecond
 		}
 	}
 }
 
-func (w *world) refuse(c *client, o Reject) {
-	if c.ends > 0 || c.call != nil {
+func (w *world) reject(c *client, o Reject) {
+	if c.endCount > 0 || c.call != nil {
 		w.t.Fatalf("request %d refused after its end, or while it is out", o.ID)
 	}
 	if o.Reason == TargetUnreachable && len(c.runs) == 0 && w.halfFree(&c.request) {
-		w.fullFree++
+		w.rejectedWhileHalfFree++
 	}
-	c.kind.refused++
-	c.refusedNow = true
+	c.kind.rejected++
+	c.rejectedNow = true
 	c.reason = o.Reason
-	c.refusedAt, c.after = w.now, o.RetryAfter
+	c.rejectedAt, c.retryAfter = w.now, o.RetryAfter
 	if c.request.ClientRetry {
-		c.kind.twice++
+		c.kind.rejectedTwice++
 	}
-	if len(c.runs) == 0 && !c.refused && o.RetryAfter > 0 {
-		c.ends++
-		c.cameBack = true
+	if len(c.runs) == 0 && !c.rejected && o.RetryAfter > 0 {
+		c.endCount++
+		c.retried = true
 		left := c.request.Deadline.Sub(w.clock())
-		w.later = append(w.later, returning{w.now + min(o.RetryAfter, left/3), c})
+		w.returningClients = append(w.returningClients, returning{w.now + min(o.RetryAfter, left/3), c})
 		return
 	}
 	w.close(c)
@@ -142,7 +142,7 @@
 func (w *world) halfFree(r *Request) bool {
 	taken, places := 0, 0
 	for _, s := range w.servers {
-		if s.engine != (r.Model != "") || !s.holds(r.Model, r.Adapter) || s.mood != well || s.row.State != protocol.Ready {
+		if s.engine != (r.Model != "") || !s.serves(r.Model, r.Adapter) || s.condition != healthy || s.row.State != protocol.Ready {
 			continue
 		}
 		if len(s.queue) > 0 {
@@ -167,7 +167,7 @@
 // checkWindows holds what went over all routers against the budget and the quotas, in every window.
 func (w *world) checkWindows() {
 	for service, list := range w.further {
-		asks := w.asks[service]
+		asks := w.requestTimes[service]
 		for i, from := range list {
 			n := sort.Search(len(list), func(j int) bool { return list[j] > from+DefaultRetryBudgetWindow }) - i
 			most := 0.2*float64(w.most(asks, from)) + 56
--- a/internal/router/dispatch/world_test.go
+++ b/internal/router/dispatch/simulation_test.go
@@ -14,23 +14,23 @@
 
 // client is one try of a client, with the rules that it keeps account of.
 type client struct {
-	request          Request
-	router           int
-	ends             int
-	runs             map[string]bool // endpoints on which it may have run
-	arrivals         int
-	call             *worldCall
-	kind             *kind
-	served           bool
-	inTime           bool
-	refused          bool
-	left             bool
-	refusedNow       bool
-	reason           Reason
-	refusedAt, after time.Duration
+	request                Request
+	router                 int
+	endCount               int
+	runs                   map[string]bool // endpoints on which it may have run
+	arrivals               int
+	call                   *worldCall
+	kind                   *kind
+	served                 bool
+	inTime                 bool
+	rejected               bool
+	canceled               bool
+	rejectedNow            bool
+	reason                 Reason
+	rejectedAt, retryAfter time.Duration
 
-	began    bool
-	cameBack bool // another try followed, and counts instead
+	answerBegan bool
+	retried     bool // another try followed, and counts instead
 }
 
 type worldCall struct {
@@ -48,45 +48,45 @@
 
 // kind is a kind of request.
 type kind struct {
-	name              string
-	model, adapter    string
-	perSecond         float64
-	objective, within time.Duration
-	prompt, output    int
-	repeatable        bool
-	tries             int
-	tenant            string
-	rank              int
+	name                   string
+	model, adapter         string
+	perSecond              float64
+	latencyTarget, timeout time.Duration
+	prompt, output         int
+	retryable              bool
+	clientRetries          int
+	tenant                 string
+	rank                   int
 
-	owed, earned                                         float64
-	asked, inTime, served, refused, missed, again, twice int
+	offeredValue, servedValue                                           float64
+	requested, inTime, served, rejected, failed, retried, rejectedTwice int
 }
 
 // world is some routers before the same endpoints.
 type world struct {
-	t       testing.TB
-	rng     *rand.Rand
-	zero    time.Time
-	now     time.Duration
-	routers []*Decider
-	inputs  [][]Input
-	clients []map[RequestID]*client
-	servers []*server
-	kinds   []*kind
-	config  *configuration.Configuration
-	nextID  RequestID
-	later   []returning // clients that come back
+	t                testing.TB
+	rng              *rand.Rand
+	zero             time.Time
+	now              time.Duration
+	routers          []*Decider
+	inputs           [][]Input
+	clients          []map[RequestID]*client
+	servers          []*server
+	kinds            []*kind
+	config           *configuration.Configuration
+	nextID           RequestID
+	returningClients []returning // clients that come back
 
-	further  map[string][]time.Duration // arrivals beyond the first, by service
-	asks     map[string][]time.Duration
-	spent    map[string][]spending // by tenant
-	lag      time.Duration         // of views
-	tells    []telling
-	events   []worldEvent
-	live     []*worldCall
-	cut      []bool          // routers whose calls reach nobody
-	loading  map[string]bool // nil: no placer
-	fullFree int             // refusals while half of the places were free
+	further               map[string][]time.Duration // arrivals beyond the first, by service
+	requestTimes          map[string][]time.Duration
+	spent                 map[string][]spending // by tenant
+	lag                   time.Duration         // of views
+	delayedViews          []delayedView
+	events                []worldEvent
+	live                  []*worldCall
+	disconnected          []bool          // routers whose calls reach nobody
+	loading               map[string]bool // nil: no placer
+	rejectedWhileHalfFree int             // refusals while half of the places were free
 }
 
 type returning struct {
@@ -99,7 +99,7 @@
 	charge float64
 }
 
-type telling struct {
+type delayedView struct {
 	at   time.Duration
 	view ViewChanged
 }
@@ -112,7 +112,7 @@
 func newWorld(t testing.TB, seed uint64, routers int) *world {
 	w := &world{
 		t: t, rng: rand.New(rand.NewPCG(seed, 7)), zero: time.Now(), config: testConfiguration(),
-		further: map[string][]time.Duration{}, asks: map[string][]time.Duration{}, spent: map[string][]spending{},
+		further: map[string][]time.Duration{}, requestTimes: map[string][]time.Duration{}, spent: map[string][]spending{},
 		lag: 5 * time.Millisecond,
 	}
 	for i := range routers {
@@ -123,7 +123,7 @@
 		w.clients = append(w.clients, map[RequestID]*client{})
 	}
 	w.inputs = make([][]Input, routers)
-	w.cut = make([]bool, routers)
+	w.disconnected = make([]bool, routers)
 	return w
 }
 
@@ -132,11 +132,11 @@
 	for i := range row.Models {
 		row.Models[i].Adapters = []string{"a1", "a2"}
 	}
-	return w.add(&server{row: row, engine: true, most: 192})
+	return w.add(&server{row: row, engine: true, maxQueue: 192})
 }
 
 func (w *world) addPlain(slots int) *server {
-	return w.add(&server{row: plainEndpoint(fmt.Sprint("p", len(w.servers)), slots), most: 4 * slots})
+	return w.add(&server{row: plainEndpoint(fmt.Sprint("p", len(w.servers)), slots), maxQueue: 4 * slots})
 }
 
 func (w *world) add(s *server) *server {
@@ -145,12 +145,12 @@
 	return s
 }
 
-// tell sends the routers news of an endpoint.
-func (w *world) tell(s *server) {
+// announce sends the routers news of an endpoint.
+func (w *world) announce(s *server) {
 	s.row.Sequence++
 	row := s.row
 	row.Loading = s.loading(w.now)
-	w.tells = append(w.tells, telling{w.now + w.lag, ViewChanged{Endpoints: []protocol.Endpoint{row}}})
+	w.delayedViews = append(w.delayedViews, delayedView{w.now + w.lag, ViewChanged{Endpoints: []protocol.Endpoint{row}}})
 }
 
 func (w *world) start() {
@@ -173,13 +173,13 @@
 // play goes on until then.
 func (w *world) play(until time.Duration) {
 	for ; w.now < until; w.now += worldTick {
-		w.happen()
-		if w.resting() {
+		w.processEvents()
+		if w.idle() {
 			continue
 		}
 		w.arrive()
 		w.serve()
-		w.hosts()
+		w.endOverdueCalls()
 		for i := range w.routers {
 			w.step(i)
 		}
@@ -187,8 +187,8 @@
 }
 
 // resting: nothing happens until a router wakes.
-func (w *world) resting() bool {
-	if len(w.live)+len(w.later) > 0 {
+func (w *world) idle() bool {
+	if len(w.live)+len(w.returningClients) > 0 {
 		return false
 	}
 	for _, k := range w.kinds {
@@ -212,8 +212,8 @@
 	w.play(w.now + 40*time.Second)
 	for i, list := range w.clients {
 		for _, c := range list {
-			if c.ends != 1 {
-				w.t.Errorf("router %d: request %d has %d ends", i, c.request.ID, c.ends)
+			if c.endCount != 1 {
+				w.t.Errorf("router %d: request %d has %d ends", i, c.request.ID, c.endCount)
 			}
 		}
 		if d := w.routers[i]; len(d.requests) > 0 || d.schedule.Busy != 0 || len(d.unassignedGroups) > 0 {
@@ -224,7 +224,7 @@
 	w.checkWindows()
 }
 
-func (w *world) happen() {
+func (w *world) processEvents() {
 	for i := 0; i < len(w.events); i++ {
 		if w.events[i].at <= w.now {
 			do := w.events[i].do
@@ -233,19 +233,19 @@
 			do(w)
 		}
 	}
-	for len(w.tells) > 0 && w.tells[0].at <= w.now {
-		view := w.tells[0].view
-		w.tells = w.tells[1:]
+	for len(w.delayedViews) > 0 && w.delayedViews[0].at <= w.now {
+		view := w.delayedViews[0].view
+		w.delayedViews = w.delayedViews[1:]
 		for i := range w.routers {
 			w.inputs[i] = append(w.inputs[i], view)
 		}
 		for _, row := range view.Endpoints {
-			w.told(row)
+			w.noteDelivered(row)
 		}
 	}
 }
 
-func (w *world) told(row protocol.Endpoint) {
+func (w *world) noteDelivered(row protocol.Endpoint) {
 	for _, s := range w.servers {
 		if s.row.ID == row.ID && row.State == protocol.Draining {
 			s.drainAt = w.now
@@ -256,14 +256,14 @@
 func (w *world) arrive() {
 	for _, k := range w.kinds {
 		for n := w.poisson(k.perSecond * worldTick.Seconds()); n > 0; n-- {
-			w.ask(k, k.tries, nil)
+			w.sendRequest(k, k.clientRetries, nil)
 		}
 	}
-	w.later = slices.DeleteFunc(w.later, func(l returning) bool {
+	w.returningClients = slices.DeleteFunc(w.returningClients, func(l returning) bool {
 		if l.at > w.now {
 			return false
 		}
-		w.ask(l.client.kind, 0, l.client)
+		w.sendRequest(l.client.kind, 0, l.client)
 		return true
 	})
 }
@@ -276,8 +276,8 @@
 	return n
 }
 
-// ask sends a request to a router; after an earlier try of it, what that had is what is asked again.
-func (w *world) ask(k *kind, tries int, before *client) {
+// sendRequest sends a request to a router; after an earlier try of it, what that had is what is asked again.
+func (w *world) sendRequest(k *kind, clientRetries int, before *client) {
 	w.nextID++
 	c := &client{kind: k, router: w.rng.IntN(len(w.routers)), runs: map[string]bool{}}
 	spread := math.Exp(w.rng.NormFloat64()*0.7 - 0.245)
@@ -285,8 +285,8 @@
 	r := Request{
 		ID: w.nextID, Service: "lm", Model: k.model, Adapter: k.adapter, PromptTokens: prompt,
 		OutputTokens: int(float64(k.output) * (0.2 + 1.6*w.rng.Float64())), Tenant: k.tenant, RoutePriority: k.rank,
-		Streaming: k.model != "", Retryable: k.repeatable, MaxEndpoints: 2, ArrivedAt: w.clock(), LatencyTarget: w.clock().Add(k.objective),
-		Deadline: w.clock().Add(k.within),
+		Streaming: k.model != "", Retryable: k.retryable, MaxEndpoints: 2, ArrivedAt: w.clock(), LatencyTarget: w.clock().Add(k.latencyTarget),
+		Deadline: w.clock().Add(k.timeout),
 	}
 	if k.model == "" {
 		r.Service, r.PromptTokens, r.MaxEndpoints = "app", 0, 1
@@ -308,16 +308,16 @@
 		r.PromptParts = before.request.PromptParts
 		r.Charge = before.request.Charge
 	} else {
-		k.asked++
+		k.requested++
 		c.request = r
-		k.owed += k.weight(c)
+		k.offeredValue += k.weight(c)
 	}
-	if tries == 0 {
-		c.refused = true // does not come back
+	if clientRetries == 0 {
+		c.rejected = true // does not come back
 	}
 	c.request = r
 	w.clients[c.router][r.ID] = c
-	w.asks[r.Service] = append(w.asks[r.Service], w.now)
+	w.requestTimes[r.Service] = append(w.requestTimes[r.Service], w.now)
 	w.inputs[c.router] = append(w.inputs[c.router], RequestArrived{r})
 }
 
--- a/internal/router/dispatch/parts_test.go
+++ b/internal/router/dispatch/structures_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestPrefixMemory holds the memory of parts against a plain list, newest first.
-func TestPrefixMemory(t *testing.T) {
+// TestPrefixCacheMatchesAPlainList holds the memory of parts against a plain list, newest first.
+func TestPrefixCacheMatchesAPlainList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type entry struct {
 			key    uint64
@@ -60,8 +60,8 @@
 	})
 }
 
-// TestTimersComeInOrder holds the heap against a sorted list.
-func TestTimersComeInOrder(t *testing.T) {
+// TestTimersFireInOrder holds the heap against a sorted list.
+func TestTimersFireInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list timers
 		last := map[*request]time.Duration{}
@@ -93,9 +93,9 @@
 	})
 }
 
-func TestWhatClientsNameIsBounded(t *testing.T) {
+func TestNamesChosenByClientsAreBounded(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
-	refusal := s.oneRefusal(s.step(1, RequestArrived{s.request("nonsense")}))
+	refusal := s.oneRejection(s.step(1, RequestArrived{s.request("nonsense")}))
 	if refusal.Reason != NoEndpoint || refusal.RetryAfter <= 0 {
 		t.Errorf("%+v", refusal)
 	}
--- a/internal/router/dispatcher/actor_test.go
+++ b/internal/router/dispatcher/actor_test.go
@@ -11,7 +11,7 @@
 	"raventrestle/internal/router/pool"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 // script is a decider that does what a test says at each step.
 type script struct {
@@ -59,7 +59,7 @@
 		select {
 		case step := <-s.steps:
 			all = append(all, step...)
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatalf("%d inputs, want %d: %v", len(all), n, all)
 		}
 	}
@@ -73,14 +73,14 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	c, err := dialer.Dial("e", listener.Addr().String(), time.Now().Add(patience))
+	c, err := dialer.Dial("e", listener.Addr().String(), time.Now().Add(testTimeout))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-func TestConnectionGoesToTheNextCall(t *testing.T) {
+func TestIdleConnectionServesTheNextAttempt(t *testing.T) {
 	a, _, dialer := start(t, sendAll)
 	ctx := context.Background()
 	first := a.Submit(dispatch.Request{})
@@ -101,7 +101,7 @@
 }
 
 // A request whose client leaves before it has read its verdict: its call ends, and its connection rests on.
-func TestVerdictThatNobodyReads(t *testing.T) {
+func TestAttemptThatNobodyReadsEndsAndItsConnectionStaysIdle(t *testing.T) {
 	a, s, dialer := start(t, sendAll)
 	first := a.Submit(dispatch.Request{})
 	v, _ := first.Wait(context.Background(), nil)
@@ -125,7 +125,7 @@
 }
 
 // A request that is withdrawn in the very step in which it is sent.
-func TestWithdrawnWhileSent(t *testing.T) {
+func TestRequestCanceledInTheStepThatSendsIt(t *testing.T) {
 	var held dispatch.RequestID
 	a, s, _ := start(t, func(inputs []dispatch.Input) (outputs []dispatch.Output) {
 		for _, input := range inputs {
@@ -154,7 +154,7 @@
 	}
 }
 
-func TestRefusedAndGone(t *testing.T) {
+func TestRejectionReachesTheRequest(t *testing.T) {
 	a, _, _ := start(t, func(inputs []dispatch.Input) (outputs []dispatch.Output) {
 		for _, input := range inputs {
 			if i, ok := input.(dispatch.RequestArrived); ok {
@@ -170,14 +170,14 @@
 }
 
 // Apply returns after the decider has had the change, and drops connections to endpoints that are gone.
-func TestApply(t *testing.T) {
+func TestApplyViewReturnsAfterTheStepAndDropsDepartedConnections(t *testing.T) {
 	a, s, dialer := start(t, sendAll)
 	ticket := a.Submit(dispatch.Request{})
 	v, _ := ticket.Wait(context.Background(), nil)
 	c := connect(t, dialer)
 	ticket.FinishAttempt(Outcome{Send: v.Send, Connection: c, IdleTimeout: time.Minute})
-	gone := dispatch.ViewChanged{Endpoints: []protocol.Endpoint{{ID: "e", State: protocol.Departed}}}
-	if err := a.ApplyView(context.Background(), gone); err != nil {
+	departed := dispatch.ViewChanged{Endpoints: []protocol.Endpoint{{ID: "e", State: protocol.Departed}}}
+	if err := a.ApplyView(context.Background(), departed); err != nil {
 		t.Fatal(err)
 	}
 	got := s.inputs(t, 3)
@@ -190,7 +190,7 @@
 }
 
 // The decider is called at the time that it names.
-func TestWake(t *testing.T) {
+func TestDeciderIsCalledAtItsNextWake(t *testing.T) {
 	called := make(chan struct{}, 10)
 	s := &script{steps: make(chan []dispatch.Input, 10), wake: time.Now().Add(20 * time.Millisecond)}
 	s.do = func([]dispatch.Input) []dispatch.Output {
@@ -204,7 +204,7 @@
 	go a.Run(ctx)
 	select {
 	case <-called:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("never called")
 	}
 }
