--- a/internal/router/ingress/body.go
+++ b/internal/router/ingress/body.go
@@ -5,102 +5,80 @@
 	"io"
 	"net/http"
 	"os"
-	"sync/atomic"
 	"time"
 
 	"raventrestle/internal/configuration"
 )
 
 const (
-	noRoomPause    = 250 * time.Millisecond // told to clients whose bodies find no memory
-	stepBodyBytes  = 32 << 10               // memory for a body is taken as it comes, not as it is announced
-	bodyTimeFactor = 4                      // of the header timeout, for a body
-	leastBodyTime  = 10 * time.Second
+	bodyTimeoutFactor = 4 // of the header timeout
+	minBodyTimeout    = 10 * time.Second
 )
 
-// readBody reads the body whole, by its length or by its chunks.
+var (
+	errBodyTooLarge = errors.New("read body: it is larger than the configuration allows")
+	errNoBodyMemory = errors.New("read body: large bodies use all the memory that they may")
+)
+
+// readBody reads the body to its end, by its length or by its chunks. It returns the rejection if that fails.
 func (h *Handler) readBody(
-	w http.ResponseWriter, r *http.Request, limits configuration.Limits, arrived time.Time,
-) (body []byte, no refusal, ok bool) {
+	w http.ResponseWriter, r *http.Request, limits configuration.Limits, arrivedAt time.Time,
+) ([]byte, *rejection) {
 	if r.ContentLength == 0 {
-		return nil, refusal{}, true
+		return nil, nil
 	}
 	if r.ContentLength > limits.MaxBodyBytes {
-		return nil, refusal{status: http.StatusRequestEntityTooLarge, close: true}, false
+		return nil, &rejection{reason: reasonBodyTooLarge}
 	}
 	controller := http.NewResponseController(w)
-	if err := controller.SetReadDeadline(arrived.Add(bodyTime(limits))); err != nil {
-		return nil, refusal{status: http.StatusInternalServerError, close: true}, false
+	if err := controller.SetReadDeadline(arrivedAt.Add(bodyTimeout(limits))); err != nil {
+		return nil, &rejection{reason: reasonNoReadDeadline}
 	}
-	body, err := readAll(r.Body, r.ContentLength, limits.MaxBodyBytes, &h.bodies)
-	switch {
-	case err == nil:
-		if err := controller.SetReadDeadline(time.Time{}); err != nil {
-			return nil, refusal{status: http.StatusInternalServerError, close: true}, false
-		}
-		return body, refusal{}, true
-	case errors.Is(err, errTooLarge):
-		return nil, refusal{status: http.StatusRequestEntityTooLarge, close: true}, false
-	case errors.Is(err, errNoRoom):
-		return nil, refusal{status: http.StatusServiceUnavailable, retryAfter: noRoomPause, close: true}, false
-	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, refusal{status: http.StatusRequestTimeout, close: true}, false
+	body, err := readAll(r.Body, r.ContentLength, limits.MaxBodyBytes, &h.bodyMemory)
+	if err != nil {
+		return nil, &rejection{reason: bodyErrorReason(err)}
 	}
-	return nil, refusal{status: http.StatusBadRequest, close: true}, false
-}
-
-func bodyTime(limits configuration.Limits) time.Duration {
-	return max(leastBodyTime, bodyTimeFactor*time.Duration(limits.HeaderTimeoutMS)*time.Millisecond)
-}
-
-var (
-	errTooLarge = errors.New("body is too large")
-	errNoRoom   = errors.New("bodies take all memory that they may")
-)
-
-// room is the memory that large bodies may take, all together.
-type room struct {
-	most  int64
-	taken atomic.Int64
-}
-
-func (r *room) take(bytes int) bool {
-	if r.taken.Add(int64(bytes)) <= r.most {
-		return true
+	if err := controller.SetReadDeadline(time.Time{}); err != nil {
+		return nil, &rejection{reason: reasonNoReadDeadline}
 	}
-	r.give(bytes)
-	return false
+	return body, nil
 }
 
-func (r *room) give(bytes int) { r.taken.Add(-int64(bytes)) }
-
-// release gives back what readAll took for a body.
-func (r *room) release(body []byte) {
-	if largeBody(cap(body)) {
-		r.give(cap(body))
+// bodyErrorReason returns why a body that could not be read is rejected.
+func bodyErrorReason(err error) rejectionReason {
+	switch {
+	case errors.Is(err, errBodyTooLarge):
+		return reasonBodyTooLarge
+	case errors.Is(err, errNoBodyMemory):
+		return reasonNoBodyMemory
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		return reasonBodyTimeout
 	}
+	return reasonBodyUnreadable
 }
 
-// largeBody says whether a body of that size counts against the room.
-func largeBody(bytes int) bool { return bytes > stepBodyBytes }
+// bodyTimeout returns how long a body may take, from the arrival of its request.
+func bodyTimeout(limits configuration.Limits) time.Duration {
+	return max(minBodyTimeout, bodyTimeoutFactor*time.Duration(limits.HeaderTimeoutMS)*time.Millisecond)
+}
 
-// readAll reads a body of a stated length, or of any up to most where it is negative. A large one takes its memory from
-// the room; whoever uses it gives that back.
-func readAll(source io.Reader, length, most int64, memory *room) (body []byte, err error) {
+// readAll reads a body of length bytes, or of up to maxBytes if length is negative. A large body is charged to the
+// budget; the caller releases it, unless readAll fails.
+func readAll(source io.Reader, length, maxBytes int64, budget *memoryBudget) (body []byte, err error) {
 	if length < 0 {
-		length = most + 1
+		length = maxBytes + 1
 	}
-	body = make([]byte, 0, min(length, stepBodyBytes))
+	body = make([]byte, 0, min(length, uncountedBodyBytes))
 	defer func() {
 		if err != nil {
-			memory.release(body)
+			budget.release(body)
 		}
 	}()
 	for int64(len(body)) < length {
 		if len(body) == cap(body) {
 			grown := int(min(length, int64(2*cap(body))))
-			if !growInto(memory, cap(body), grown) {
-				return body, errNoRoom
+			if !budget.grow(cap(body), grown) {
+				return body, errNoBodyMemory
 			}
 			body = append(make([]byte, 0, grown), body...)
 		}
@@ -113,19 +91,8 @@
 			return body, err
 		}
 	}
-	if int64(len(body)) > most {
-		return body, errTooLarge
+	if int64(len(body)) > maxBytes {
+		return body, errBodyTooLarge
 	}
 	return body, nil
 }
-
-// growInto takes the memory by which a body grows.
-func growInto(memory *room, from, to int) bool {
-	if !largeBody(to) {
-		return true
-	}
-	if !largeBody(from) {
-		from = 0
-	}
-	return memory.take(to - from)
-}
--- a/internal/router/ingress/early_test.go
+++ b/internal/router/ingress/early_test.go
@@ -68,8 +68,8 @@
 	w := newWorld(t, endpoints...)
 	view := testView()
 	view.Limits.MaxBodyBytes = 2 * longBody
-	w.holder.Store(view)
-	w.handler.bodies.most = 8 * longBody
+	w.view.Store(view)
+	w.handler.bodyMemory.maxBytes = 8 * longBody
 	return w
 }
 
--- a/internal/router/ingress/end_test.go
+++ b/internal/router/ingress/end_test.go
@@ -40,7 +40,7 @@
 	ended := make(chan error, 1)
 	ctx, stop := context.WithTimeout(context.Background(), patience)
 	defer stop()
-	go func() { ended <- w.server.End(ctx) }()
+	go func() { ended <- w.server.Shutdown(ctx) }()
 	idle.ended()
 	half.send(text[20:])
 	halfBody.send(text[len(text)-1:])
@@ -93,7 +93,7 @@
 	held.send(request("POST", "/once/x", "r3", "b"))
 	w.double.until(t, "the held request", func() bool { return len(w.double.requests) == 3 })
 	w.handler.Drain()
-	w.handler.RefuseHeld()
+	w.handler.RejectPending()
 	if got := held.receive(); got.StatusCode != 503 || got.Header.Get("Retry-After") == "" || !got.Close {
 		t.Errorf("held: %v", got.Response)
 	}
@@ -102,17 +102,17 @@
 	}
 	ctx, stop := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer stop()
-	if err := w.server.End(ctx); !errors.Is(err, context.DeadlineExceeded) {
+	if err := w.server.Shutdown(ctx); !errors.Is(err, context.DeadlineExceeded) {
 		t.Error(err)
 	}
-	w.handler.CutCalls()
+	w.handler.InterruptAttempts()
 	if got := out.receive(); got.StatusCode != 502 || !got.Close {
 		t.Errorf("out: %v", got.Response)
 	}
 	if got := flow.receive(); got.text != event(1) || got.err == nil {
 		t.Errorf("stream: %q %v", got.text, got.err)
 	}
-	if err := w.server.End(context.Background()); err != nil {
+	if err := w.server.Shutdown(context.Background()); err != nil {
 		t.Error(err)
 	}
 	if have := w.double.results(t, 2); have[0] != dispatch.Canceled || have[1] != dispatch.Canceled {
@@ -122,13 +122,13 @@
 
 // Large bodies share a bounded memory, and give it back.
 func TestRoomForBodies(t *testing.T) {
-	memory := &room{most: 100 << 10}
+	memory := &memoryBudget{maxBytes: 100 << 10}
 	text := strings.Repeat("x", 80<<10)
 	first, err := readAll(strings.NewReader(text), int64(len(text)), 1<<20, memory)
 	if err != nil || string(first) != text {
 		t.Fatal(err)
 	}
-	if _, err := readAll(strings.NewReader(text), -1, 1<<20, memory); !errors.Is(err, errNoRoom) {
+	if _, err := readAll(strings.NewReader(text), -1, 1<<20, memory); !errors.Is(err, errNoBodyMemory) {
 		t.Errorf("a second body: %v", err)
 	}
 	if small, err := readAll(strings.NewReader("small"), 5, 1<<20, memory); err != nil || string(small) != "small" {
@@ -138,7 +138,7 @@
 		t.Error("a broken body was read")
 	}
 	memory.release(first)
-	if taken := memory.taken.Load(); taken != 0 {
+	if taken := memory.used.Load(); taken != 0 {
 		t.Errorf("%d bytes are not given back", taken)
 	}
 	e := newEndpoint(t, echo)
@@ -146,9 +146,9 @@
 	for i := range 3 {
 		w.ask(request("POST", fmt.Sprintf("/%s/x", []string{"once", "nowhere", "again"}[i]), "r", text))
 	}
-	for deadline := time.Now().Add(patience); w.handler.bodies.taken.Load() != 0; runtime.Gosched() {
+	for deadline := time.Now().Add(patience); w.handler.bodyMemory.used.Load() != 0; runtime.Gosched() {
 		if time.Now().After(deadline) {
-			t.Fatalf("%d bytes are not given back", w.handler.bodies.taken.Load())
+			t.Fatalf("%d bytes are not given back", w.handler.bodyMemory.used.Load())
 		}
 	}
 }
--- a/internal/router/ingress/golden_test.go
+++ b/internal/router/ingress/golden_test.go
@@ -190,18 +190,18 @@
 		"505-version":              {text: strings.Replace(plain, "HTTP/1.1", "HTTP/1.0", 1)},
 		"503-stale-configuration":  {text: request("POST", "/nowhere/x", "r1", "b"), prepare: stale},
 		"503-stale-key":            {text: without(plain, "Api-Key"), prepare: stale},
-		"503-no-configuration":     {text: plain, prepare: func(w *world) { w.holder.Store(nil) }},
-		"503-process-ends":         {text: plain, prepare: func(w *world) { w.handler.RefuseHeld() }},
-		"503-no-memory-for-bodies": {text: request("POST", "/once/x", "r1", strings.Repeat("x", 80<<10)), prepare: func(w *world) { w.handler.bodies.most = 70 << 10 }},
+		"503-no-configuration":     {text: plain, prepare: func(w *world) { w.view.Store(nil) }},
+		"503-process-ends":         {text: plain, prepare: func(w *world) { w.handler.RejectPending() }},
+		"503-no-memory-for-bodies": {text: request("POST", "/once/x", "r1", strings.Repeat("x", 80<<10)), prepare: func(w *world) { w.handler.bodyMemory.maxBytes = 70 << 10 }},
 		"503-unknown-service": {text: plain, prepare: func(w *world) {
 			view := testView()
 			view.Index.(*index).services = map[string]*configuration.Service{}
-			w.holder.Store(view)
+			w.view.Store(view)
 		}},
 		"header-timeout": {text: plain[:30], prepare: func(w *world) {
 			view := testView()
 			view.Limits.HeaderTimeoutMS = 1
-			w.holder.Store(view)
+			w.view.Store(view)
 		}},
 	}
 }
@@ -258,12 +258,12 @@
 		"503-draining":               {text: plain, prepare: func(w *world) { refuse(dispatch.NoEndpoint, time.Second)(w); w.handler.Drain() }},
 		"503-all-rejected":           {text: plain, endpoints: []script{rejecting, rejecting}},
 		"503-not-run-in-time":        {text: strings.Replace(plain, "X-Deadline-Ms: 5000", "X-Deadline-Ms: 0", 1), endpoints: []script{echo}},
-		"503-pending-process-ends":   {text: plain, prepare: keepPending, during: whilePending(func(w *world) { w.handler.RefuseHeld() })},
-		"503-pending-calls-end":      {text: plain, prepare: keepPending, during: whilePending(func(w *world) { w.handler.CutCalls() })},
+		"503-pending-process-ends":   {text: plain, prepare: keepPending, during: whilePending(func(w *world) { w.handler.RejectPending() })},
+		"503-pending-calls-end":      {text: plain, prepare: keepPending, during: whilePending(func(w *world) { w.handler.InterruptAttempts() })},
 		"502-reset":                  {text: plain, endpoints: []script{broken}},
 		"502-reset-then-no-endpoint": {text: request("POST", "/again/x", "r1", "b"), endpoints: []script{broken}},
 		"502-draining":               {text: plain, endpoints: []script{broken}, prepare: func(w *world) { w.handler.Drain() }},
-		"502-process-ends":           {text: plain, endpoints: []script{unresponsive}, during: atEndpoint(func(w *world) { w.handler.CutCalls() })},
+		"502-process-ends":           {text: plain, endpoints: []script{unresponsive}, during: atEndpoint(func(w *world) { w.handler.InterruptAttempts() })},
 		"502-draining-meanwhile":     drainsMeanwhile(broken),
 		"answer-draining-meanwhile":  drainsMeanwhile(echo),
 		"504-silent":                 {text: request("POST", "/short/x", "r1", "b"), endpoints: []script{mute}},
@@ -389,12 +389,13 @@
 func TestBodyTimeoutOnTheWireIsAsRecorded(t *testing.T) {
 	w := newWorld(t)
 	server := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		arrived := time.Now().Add(50*time.Millisecond - bodyTime(w.holder.Load().Limits))
-		_, no, ok := w.handler.check(rw, r, arrived)
-		if ok {
+		arrived := time.Now().Add(50*time.Millisecond - bodyTimeout(w.view.Load().Limits))
+		_, rejected := w.handler.accept(rw, r, arrived)
+		if rejected == nil {
 			t.Error("got a complete request, want a timeout of its body")
+			return
 		}
-		w.handler.refuse(rw, no)
+		w.handler.reject(rw, *rejected)
 	}))
 	t.Cleanup(server.Close)
 	w.address = server.Listener.Addr().String()
--- a/internal/router/ingress/handler.go
+++ b/internal/router/ingress/handler.go
@@ -11,107 +11,123 @@
 	"raventrestle/internal/router/pool"
 )
 
-// Handler answers the clients' requests.
+// Handler answers the clients' requests. Its methods are safe for concurrent use.
 type Handler struct {
-	view       *Holder
+	view       *CurrentView
 	dispatcher *dispatcher.Actor
 	dialer     *pool.Dialer
-	draining   atomic.Bool
-	refusing   chan struct{}   // closed: what is held is refused
-	base       context.Context // of all requests; done: calls are cut
-	cut        context.CancelFunc
-	bodies     room
-	losses     Losses
+	events     EventRecorder
 	fresh      func(now time.Time) bool
+	bodyMemory memoryBudget
 
-	leastSilence time.Duration // of an endpoint, before a resumable stream is taken up elsewhere
+	draining  atomic.Bool
+	rejecting chan struct{}      // closed: pending requests are rejected
+	base      context.Context    // of all requests; done: attempts are interrupted
+	interrupt context.CancelFunc // ends base
+
+	minEventGapTimeout time.Duration
+}
+
+// EventRecorder records what an operator should know. Its methods must not block.
+type EventRecorder interface {
+	// AnswerLost records an attempt that was sent to an endpoint and brought no complete answer.
+	AnswerLost(endpoint string, err error)
 }
 
-// Losses hears of calls that were sent and brought no whole answer. It must not block.
-type Losses interface {
-	Lost(endpoint string, err error)
+// Config holds the values that a Handler is configured with.
+type Config struct {
+	MaxBodyMemory int64 // bytes that large bodies may use, all together
 }
 
-// Options are what a handler works with.
-type Options struct {
-	View       *Holder
+// Dependencies are the collaborators of a Handler.
+type Dependencies struct {
+	View       *CurrentView
 	Dispatcher *dispatcher.Actor
 	Dialer     *pool.Dialer
-	Losses     Losses
-	BodyBytes  int64 // memory that large bodies may take, all together
-	// Fresh says whether the view in force is known to be young enough for a refusal of what is not in it; nil: always.
-	// View must hold a version before Fresh counts it.
+	Events     EventRecorder
+	// Fresh reports whether the view in force is known to be recent enough to answer a client that a route or a key does
+	// not exist. View must hold a version before Fresh counts it. Nil: always.
 	Fresh func(now time.Time) bool
 }
 
-// NewHandler returns a handler that works by the view in force.
-func NewHandler(o Options) *Handler {
-	base, cut := context.WithCancel(context.Background())
-	fresh := o.Fresh
+// NewHandler returns a handler that handles requests by the view in force.
+func NewHandler(config Config, dependencies Dependencies) *Handler {
+	base, interrupt := context.WithCancel(context.Background())
+	fresh := dependencies.Fresh
 	if fresh == nil {
 		fresh = func(time.Time) bool { return true }
 	}
 	return &Handler{
-		refusing:     make(chan struct{}),
-		base:         base,
-		cut:          cut,
-		view:         o.View,
-		dispatcher:   o.Dispatcher,
-		dialer:       o.Dialer,
-		losses:       o.Losses,
-		fresh:        fresh,
-		bodies:       room{most: o.BodyBytes},
-		leastSilence: leastSilence,
+		view:               dependencies.View,
+		dispatcher:         dependencies.Dispatcher,
+		dialer:             dependencies.Dialer,
+		events:             dependencies.Events,
+		fresh:              fresh,
+		bodyMemory:         memoryBudget{maxBytes: config.MaxBodyMemory},
+		rejecting:          make(chan struct{}),
+		base:               base,
+		interrupt:          interrupt,
+		minEventGapTimeout: minEventGapTimeout,
 	}
 }
 
-// Drain makes each answer the last one of its connection.
+// Drain makes every further answer the last one on its connection.
 func (h *Handler) Drain() { h.draining.Store(true) }
 
-// RefuseHeld refuses all requests that wait for an endpoint, and those that come, with a promise. It is called once.
-func (h *Handler) RefuseHeld() { close(h.refusing) }
+// RejectPending rejects the requests that wait for an endpoint, and all new ones, with a Retry-After. It must be called
+// at most once.
+func (h *Handler) RejectPending() { close(h.rejecting) }
 
-func (h *Handler) refusesAll() bool {
+func (h *Handler) rejectsAll() bool {
 	select {
-	case <-h.refusing:
+	case <-h.rejecting:
 		return true
 	default:
 		return false
 	}
 }
 
-// CutCalls ends the calls that are out. Clients that have seen nothing of an answer are told so.
-func (h *Handler) CutCalls() { h.cut() }
+// InterruptAttempts ends the attempts in flight. A client that has not seen the head of its answer gets a 502, other
+// answers break off.
+func (h *Handler) InterruptAttempts() { h.interrupt() }
 
 // ServeHTTP answers one request.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	arrived := time.Now()
+	arrivedAt := time.Now()
 	if h.draining.Load() {
 		w.Header()["Connection"] = []string{"close"}
 	}
-	a, no, ok := h.check(w, r, arrived)
-	if !ok {
-		h.refuse(w, no)
+	accepted, rejected := h.accept(w, r, arrivedAt)
+	if rejected != nil {
+		h.reject(w, *rejected)
 		return
 	}
-	defer h.bodies.release(a.body)
-	if c := connectionOf(r); c != nil {
-		c.Whole()
-		if len(r.TransferEncoding) > 0 && c.unseen() {
-			w.Header()["Connection"] = []string{"close"}
-		}
-	}
+	defer h.bodyMemory.release(accepted.body)
+	h.markComplete(w, r)
 	tenant := ""
-	if a.tenant != nil {
-		tenant = a.tenant.Name
+	if accepted.tenant != nil {
+		tenant = accepted.tenant.Name
+	}
+	request := &proxiedRequest{
+		acceptedRequest: accepted,
+		handler:         h,
+		w:               w,
+		r:               r,
+		message:         call.NewMessage(r, accepted.target, accepted.requestID, tenant, accepted.body),
+		ticket:          h.dispatcher.Submit(accepted.dispatchRequest(r.Header)),
 	}
-	x := &exchange{
-		handler:  h,
-		w:        w,
-		r:        r,
-		admitted: a,
-		message:  call.NewMessage(r, a.target, a.requestID, tenant, a.body),
-		ticket:   h.dispatcher.Submit(a.request(r)),
+	request.forward()
+}
+
+// markComplete notes that a request was read to its end: its connection is not closed to admit another one any more. A
+// request in chunks whose head was not scanned is the last one of its connection, as its end may be ambiguous.
+func (h *Handler) markComplete(w http.ResponseWriter, r *http.Request) {
+	c := connectionOf(r)
+	if c == nil {
+		return
+	}
+	c.Whole()
+	if len(r.TransferEncoding) > 0 && c.headUnscanned() {
+		w.Header()["Connection"] = []string{"close"}
 	}
-	x.run()
 }
--- a/internal/router/ingress/leave_test.go
+++ b/internal/router/ingress/leave_test.go
@@ -113,17 +113,17 @@
 	leave()
 	r, _ := http.NewRequest("POST", "http://"+testHost+"/again/x", nil)
 	r.Header.Set("X-Request-Id", "r1")
-	x := &exchange{
-		admitted: &admitted{route: &configuration.Route{Type: configuration.Idempotent}, deadline: time.Now().Add(patience)},
-		handler:  w.handler, w: httptest.NewRecorder(), r: r.WithContext(ctx), message: call.NewMessage(r, "/again/x", "r1", "", nil),
+	p := &proxiedRequest{
+		acceptedRequest: &acceptedRequest{route: &configuration.Route{Type: configuration.Idempotent}, deadline: time.Now().Add(patience)},
+		handler:         w.handler, w: httptest.NewRecorder(), r: r.WithContext(ctx), message: call.NewMessage(r, "/again/x", "r1", "", nil),
 		ticket: w.actor.Submit(dispatch.Request{Deadline: time.Now().Add(patience)}),
-		out:    &dispatch.Send{Endpoint: "e0", Address: e.address},
+		send:   &dispatch.Send{Endpoint: "e0", Address: e.address},
 	}
-	c, err := x.dial()
+	c, err := p.dial()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := x.ask(c); !errors.Is(err, context.Canceled) || call.MayHaveRun(err) {
+	if _, err := p.roundTrip(c); !errors.Is(err, context.Canceled) || call.MayHaveRun(err) {
 		t.Errorf("%v", err)
 	}
 	c.Close()
--- a/internal/router/ingress/refuse_test.go
+++ b/internal/router/ingress/refuse_test.go
@@ -138,7 +138,7 @@
 	w.coming.Store(testView())
 	before := testView()
 	before.Index = &index{}
-	w.holder.Store(before)
+	w.view.Store(before)
 	if got := w.ask(request("POST", "/once/x", "r1", "b")); got.StatusCode != 200 {
 		t.Errorf("denied by a version that was not in force any more: %v", got.Response)
 	}
@@ -146,7 +146,7 @@
 
 func TestBeforeTheFirstConfiguration(t *testing.T) {
 	w := newWorld(t)
-	w.holder.view.Store(nil)
+	w.view.view.Store(nil)
 	if got := w.ask(request("GET", "/once/x", "r1", "")); got.StatusCode != 503 || got.Header.Get("Retry-After") == "" {
 		t.Errorf("%v", got.Response)
 	}
@@ -215,7 +215,7 @@
 	old.receive()
 	view := *testView()
 	view.Limits = configuration.Limits{MaxHeaderBytes: 300, MaxBodyBytes: 10, HeaderTimeoutMS: 3000, IdleTimeoutMS: 15000}
-	w.holder.Store(&view)
+	w.view.Store(&view)
 	old.send(request("POST", "/once/x", "r2", "b"))
 	if got := old.receive(); got.StatusCode != 200 {
 		t.Errorf("old connection: %v", got.Response)
--- a/internal/router/ingress/server.go
+++ b/internal/router/ingress/server.go
@@ -1,5 +1,3 @@
-// Package ingress takes the clients' requests: it bounds and checks them, hands them to the dispatcher, makes the calls
-// that the dispatcher decides, and brings the answers back.
 package ingress
 
 import (
@@ -20,168 +18,183 @@
 )
 
 const (
-	unansweredBytes   = 5 * time.Second // written and not acknowledged by the client's machine for so long: it is gone
-	quietBeforeRoom   = 2 * time.Second // a connection that rests for so long makes room for a new one
-	idleMargin        = 2 * time.Second // connections live so much longer than the limit on idle ones
-	startHeaderBytes  = 16 << 10
-	startHeaderTime   = 3 * time.Second
-	startIdleTime     = 15 * time.Second
-	acceptPause       = 10 * time.Millisecond
-	busyBeforeRoom    = 3 * time.Second // a request that has not come whole by then makes room for another
-	headerMargin      = time.Second     // a connection may come some time before its first request
-	mostPendingOpened = 0               // connections wait in the kernel, not between the gate and a server
+	clientUserTimeout = 5 * time.Second       // bytes that a client's machine has not acknowledged for so long fail its connection
+	acceptBackoff     = 10 * time.Millisecond // after a failed accept
+	idleTimeoutMargin = 2 * time.Second       // beyond the configured limit, at which a client may still send a request
+	firstHeaderMargin = time.Second           // between the accept and the first request of a connection
 )
 
-// Server serves the clients of one address.
+// At the bound on connections, one that was idle, or whose request was not complete, for so long is closed to accept
+// another.
+const (
+	evictIdleAfter       = 2 * time.Second
+	evictIncompleteAfter = 3 * time.Second
+)
+
+// Limits before the first configuration.
+const (
+	initialMaxHeaderBytes = 16 << 10
+	initialHeaderTimeout  = 3 * time.Second
+	initialIdleTimeout    = 15 * time.Second
+)
+
+// Server accepts the connections of one address and serves them with a Handler.
+//
+// The limits of an http.Server can't be changed. When the configuration changes them, a new http.Server gets the connections
+// that are accepted from then on, and the one before goes on with its own.
 type Server struct {
 	handler  *Handler
 	gate     *gate.Gate
-	current  *serving
+	current  *limitedServer // owned by Run
 	errorLog *log.Logger
 	closed   atomic.Bool
 }
 
-// serving is an http.Server with the limits that it was made for. When limits change, another one takes the new
-// connections, and this one goes on with its own.
-type serving struct {
-	limits configuration.Limits
-	feed   *feed
+// limitedServer is an http.Server with the limits that it was made for.
+type limitedServer struct {
+	limits   configuration.Limits
+	listener *handoffListener
 }
 
-// Listen opens the clients' address for at most so many connections at a time. Lines of the HTTP server go to errors.
-func Listen(address string, most int, handler *Handler, errors io.Writer) (*Server, error) {
+// Listen opens the clients' address for at most maxConnections at a time. The log lines of net/http go to errorLog.
+func Listen(address string, maxConnections int, handler *Handler, errorLog io.Writer) (*Server, error) {
 	config := net.ListenConfig{Control: setUserTimeout, KeepAlive: -1}
 	listener, err := config.Listen(context.Background(), "tcp4", address)
 	if err != nil {
 		return nil, err
 	}
-	limits := gate.Limits{Quiet: quietBeforeRoom, Busy: busyBeforeRoom}
+	limits := gate.Limits{Quiet: evictIdleAfter, Busy: evictIncompleteAfter}
 	return &Server{
 		handler:  handler,
-		gate:     gate.New(listener, most, limits),
-		errorLog: log.New(errors, "", 0),
+		gate:     gate.New(listener, maxConnections, limits),
+		errorLog: log.New(errorLog, "", 0),
 	}, nil
 }
 
-// setUserTimeout sets it on the listening socket: the accepted ones inherit it.
+// setUserTimeout sets TCP_USER_TIMEOUT (RFC 5482) on the listening socket; accepted connections inherit it.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unansweredBytes.Milliseconds()))
+		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(clientUserTimeout.Milliseconds()))
 	})
 	return errors.Join(err, failed)
 }
 
-// Address is where the server listens.
+// Address returns the address that the server listens on.
 func (s *Server) Address() net.Addr { return s.gate.Addr() }
 
-// Run accepts connections until End.
+// Run accepts connections until Shutdown.
 func (s *Server) Run() error {
 	for {
 		conn, err := s.gate.Accept()
 		switch {
 		case err == nil:
-			s.hand(conn)
+			s.handOver(conn)
 		case s.closed.Load() || errors.Is(err, net.ErrClosed):
 			return nil
-		default: // out of descriptors or memory for a moment
-			time.Sleep(acceptPause)
+		default: // no descriptors or memory; connections that end free some
+			time.Sleep(acceptBackoff)
 		}
 	}
 }
 
-// hand gives a connection to the server with the limits in force.
-func (s *Server) hand(conn net.Conn) {
+// handOver gives a connection to the http.Server with the limits in force.
+func (s *Server) handOver(conn net.Conn) {
 	accepted, ok := conn.(*gate.Conn)
 	if !ok {
-		conn.Close()
+		_ = conn.Close() // it carries no request
 		return
 	}
 	limits := s.limits()
 	if s.current == nil || s.current.limits != limits {
-		s.serve(limits)
+		s.replaceServer(limits)
 	}
-	c := &connection{Conn: accepted}
-	c.begin()
-	s.current.feed.conns <- c
+	c := &clientConnection{Conn: accepted}
+	c.expectHead()
+	s.current.listener.conns <- c
 }
 
+// limits returns the limits of connections that are accepted now.
 func (s *Server) limits() configuration.Limits {
 	limits := configuration.Limits{
-		MaxHeaderBytes:  startHeaderBytes,
-		HeaderTimeoutMS: startHeaderTime.Milliseconds(),
-		IdleTimeoutMS:   startIdleTime.Milliseconds(),
+		MaxHeaderBytes:  initialMaxHeaderBytes,
+		HeaderTimeoutMS: initialHeaderTimeout.Milliseconds(),
+		IdleTimeoutMS:   initialIdleTimeout.Milliseconds(),
 	}
 	if view := s.handler.view.Load(); view != nil {
 		limits = view.Limits
 	}
-	limits.MaxBodyBytes = 0 // looked up for each request
+	limits.MaxBodyBytes = 0 // the handler applies the one in force to each request
 	return limits
 }
 
-// serve starts a server with these limits in the place of the one before.
-func (s *Server) serve(limits configuration.Limits) {
+// replaceServer starts an http.Server with these limits. The one before gets no further connections; its goroutine ends
+// with its listener.
+func (s *Server) replaceServer(limits configuration.Limits) {
 	server := &http.Server{
 		Handler:                      s.handler,
 		DisableGeneralOptionsHandler: true,
-		ReadHeaderTimeout:            time.Duration(limits.HeaderTimeoutMS)*time.Millisecond + headerMargin,
-		IdleTimeout:                  time.Duration(limits.IdleTimeoutMS)*time.Millisecond + idleMargin,
+		ReadHeaderTimeout:            time.Duration(limits.HeaderTimeoutMS)*time.Millisecond + firstHeaderMargin,
+		IdleTimeout:                  time.Duration(limits.IdleTimeoutMS)*time.Millisecond + idleTimeoutMargin,
 		MaxHeaderBytes:               int(limits.MaxHeaderBytes),
 		BaseContext:                  func(net.Listener) context.Context { return s.handler.base },
-		ConnContext:                  withConnection,
-		ConnState:                    s.setState,
+		ConnContext:                  withClientConnection,
+		ConnState:                    s.connectionStateChanged,
 		ErrorLog:                     s.errorLog,
 	}
 	if s.current != nil {
-		close(s.current.feed.conns)
-	}
-	s.current = &serving{
-		limits: limits,
-		feed:   &feed{conns: make(chan net.Conn, mostPendingOpened), address: s.gate.Addr()},
+		close(s.current.listener.conns)
 	}
-	go server.Serve(s.current.feed) // ends with the feed
+	// The channel is not buffered: connections that are not accepted yet wait in the kernel.
+	listener := &handoffListener{conns: make(chan net.Conn), address: s.gate.Addr()}
+	s.current = &limitedServer{limits: limits, listener: listener}
+	go func() { _ = server.Serve(listener) }() // returns the listener's error only
 }
 
-// setState hears of a connection from its server.
-func (s *Server) setState(conn net.Conn, state http.ConnState) {
-	c, ok := conn.(*connection)
+// connectionStateChanged is the ConnState hook of the http.Servers.
+func (s *Server) connectionStateChanged(conn net.Conn, state http.ConnState) {
+	c, ok := conn.(*clientConnection)
 	if !ok {
 		return
 	}
 	if state == http.StateIdle {
-		c.begin()
+		c.expectHead()
 	}
 	s.gate.SetState(c.Conn, state)
 }
 
-// Empty closes connections between requests and waits for the others, until none is left or the context ends. New ones
-// are accepted all the while.
-func (s *Server) Empty(ctx context.Context) error { return s.gate.Empty(ctx) }
+// DrainConnections closes idle connections and waits for the others, until none is left or the context ends. New ones are
+// accepted all the while.
+func (s *Server) DrainConnections(ctx context.Context) error { return s.gate.Empty(ctx) }
 
-// End accepts no more connections, closes those between requests and waits for the others until the context ends.
-func (s *Server) End(ctx context.Context) error {
+// Shutdown accepts no more connections, closes idle ones and waits for the others until the context ends. It may be
+// called again to wait longer.
+func (s *Server) Shutdown(ctx context.Context) error {
 	s.closed.Store(true)
 	err := s.gate.End(ctx)
-	if ctx.Err() == nil && errors.Is(err, net.ErrClosed) { // an earlier End has closed the listener
+	if ctx.Err() == nil && errors.Is(err, net.ErrClosed) { // an earlier Shutdown has closed the listener
 		return nil
 	}
 	return err
 }
 
-// feed is a listener whose connections another one has accepted.
-type feed struct {
+// handoffListener is the listener of an http.Server whose connections the gate has accepted.
+type handoffListener struct {
 	conns   chan net.Conn
 	address net.Addr
 }
 
-func (f *feed) Accept() (net.Conn, error) {
-	conn, ok := <-f.conns
+// Accept returns the next connection, net.ErrClosed once conns is closed.
+func (l *handoffListener) Accept() (net.Conn, error) {
+	conn, ok := <-l.conns
 	if !ok {
 		return nil, net.ErrClosed
 	}
 	return conn, nil
 }
 
-func (f *feed) Close() error { return nil }
+// Close does nothing: Server closes conns.
+func (l *handoffListener) Close() error { return nil }
 
-func (f *feed) Addr() net.Addr { return f.address }
+// Addr returns the address of the accepting listener.
+func (l *handoffListener) Addr() net.Addr { return l.address }
--- a/internal/router/ingress/stream_test.go
+++ b/internal/router/ingress/stream_test.go
@@ -188,8 +188,8 @@
 	defer close(release)
 	e0 := newEndpoint(t, streaming(2, "s0", func(c net.Conn) { <-release }))
 	w := newWorld(t, e0, newEndpoint(t, streaming(4, "s1", nil)))
-	w.handler.leastSilence = 50 * time.Millisecond
-	route, _ := w.holder.Load().Index.Route(testHost, "/resumable/")
+	w.handler.minEventGapTimeout = 50 * time.Millisecond
+	route, _ := w.view.Load().Index.Route(testHost, "/resumable/")
 	route.EventGapTargetMS = 10
 	if got := w.ask(request("POST", "/resumable/x", "r1", "b")); got.text != eventsTo(1, 4) {
 		t.Errorf("%q", got.text)
@@ -212,8 +212,8 @@
 		})(c, r)
 	})
 	w = newWorld(t, e0)
-	w.handler.leastSilence = 20 * time.Millisecond
-	route, _ := w.holder.Load().Index.Route(testHost, "/resumable/")
+	w.handler.minEventGapTimeout = 20 * time.Millisecond
+	route, _ := w.view.Load().Index.Route(testHost, "/resumable/")
 	route.EventGapTargetMS = 5
 	if got := w.ask(request("POST", "/resumable/x", "r1", "b")); got.text != eventsTo(1, 4) || got.err != nil {
 		t.Errorf("%q %v", got.text, got.err)
--- a/internal/router/ingress/split.go
+++ b/internal/router/ingress/traffic_split.go
@@ -7,21 +7,22 @@
 	"raventrestle/internal/configuration"
 )
 
-// serviceFor chooses one of a route's services by weight, the same for each look at one request.
+// serviceFor returns the service that a request goes to: one of the route's services, chosen in proportion to their
+// weights by a hash of the request's id, so that a client's retry goes to the same one.
 func serviceFor(route *configuration.Route, requestID string) string {
 	if len(route.TrafficSplit) == 0 {
 		return route.Backend
 	}
-	var sum uint64
+	var total uint64
 	for _, split := range route.TrafficSplit {
-		sum += uint64(max(0, split.Weight))
+		total += uint64(max(0, split.Weight))
 	}
-	if sum == 0 {
+	if total == 0 {
 		return route.Backend
 	}
 	hash := fnv.New64a()
-	io.WriteString(hash, requestID)
-	point := scramble(hash.Sum64()) % sum
+	_, _ = io.WriteString(hash, requestID) // a hash returns no error
+	point := mix(hash.Sum64()) % total
 	for _, split := range route.TrafficSplit {
 		weight := uint64(max(0, split.Weight))
 		if point < weight {
@@ -32,8 +33,9 @@
 	return route.Backend
 }
 
-// scramble spreads the hash over all bits: fnv's low ones follow the last bytes too closely.
-func scramble(x uint64) uint64 {
+// mix spreads a hash over all bits (half of the finalizer of MurmurHash3): the low bits of FNV depend on the last bytes of
+// the input too much.
+func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
--- a/internal/router/ingress/view.go
+++ b/internal/router/ingress/view.go
@@ -7,68 +7,72 @@
 	"raventrestle/internal/configuration"
 )
 
-// Index finds what a configuration says of a request. It is *configuration.Index, or a stand-in for tests.
+// Index answers lookups in a configuration. It is *configuration.Index, or a fake in tests.
 type Index interface {
 	Route(host, path string) (*configuration.Route, bool)
 	Tenant(key string) (*configuration.Tenant, bool)
 	Service(name string) (*configuration.Service, bool)
 }
 
-// View is the configuration that is in force in this process.
+// View is a snapshot of one configuration version, as requests are handled by it. It does not change, but for what it
+// learns of clients.
 type View struct {
-	Index      Index
-	Generation int64
-	Limits     configuration.Limits
-	Tenants    bool // requests need a key, unless their route is public
+	Index                  Index
+	Generation             int64
+	Limits                 configuration.Limits
+	AuthenticationRequired bool // requests need a tenant's key, unless their route is public
 
-	longest map[string]*atomic.Int64 // by route: the longest that a client waits, as far as seen
+	// The longest timeout that a client of a route was seen with, in nanoseconds, by the route's name.
+	longestTimeouts map[string]*atomic.Int64
 }
 
-// againPart of the usual wait: a client that waits for less has tried before.
-const againPart = 0.9
+// clientRetryFraction is the part of the usual timeout below which a request counts as a retry: a client that sends a
+// request again states the time that is left.
+const clientRetryFraction = 0.9
 
-// Holder hands the view in force to whoever handles a request.
-type Holder struct{ view atomic.Pointer[View] }
+// CurrentView holds the view in force. It is safe for concurrent use.
+type CurrentView struct{ view atomic.Pointer[View] }
 
-// Load is the view in force, nil before the first.
-func (h *Holder) Load() *View { return h.view.Load() }
+// Load returns the view in force, nil before the first.
+func (c *CurrentView) Load() *View { return c.view.Load() }
 
 // Store puts a view in force.
-func (h *Holder) Store(v *View) { h.view.Store(v) }
+func (c *CurrentView) Store(v *View) { c.view.Store(v) }
 
-// NewView makes the view of a configuration, which must not change any more. What was learned of clients under the
-// view before, which may be nil, goes on.
-func NewView(c *configuration.Configuration, before *View) *View {
+// NewView returns the view of a configuration, which must not be changed any more. The view takes over what the previous
+// one learned of clients; previous may be nil.
+func NewView(c *configuration.Configuration, previous *View) *View {
 	v := &View{
-		Index:      configuration.NewIndex(c),
-		Generation: c.Generation,
-		Limits:     c.Limits,
-		Tenants:    len(c.Tenants) > 0,
-		longest:    make(map[string]*atomic.Int64, len(c.Routes)),
+		Index:                  configuration.NewIndex(c),
+		Generation:             c.Generation,
+		Limits:                 c.Limits,
+		AuthenticationRequired: len(c.Tenants) > 0,
+		longestTimeouts:        make(map[string]*atomic.Int64, len(c.Routes)),
 	}
 	for i := range c.Routes {
 		name := c.Routes[i].Name
-		if before != nil && before.longest[name] != nil {
-			v.longest[name] = before.longest[name]
+		if previous != nil && previous.longestTimeouts[name] != nil {
+			v.longestTimeouts[name] = previous.longestTimeouts[name]
 		} else {
-			v.longest[name] = new(atomic.Int64)
+			v.longestTimeouts[name] = new(atomic.Int64)
 		}
 	}
 	return v
 }
 
-// again says whether a client that waits so long seems to have tried before: others on the route wait longer.
-func (v *View) again(route *configuration.Route, within time.Duration) bool {
-	longest := v.longest[route.Name]
+// isClientRetry reports whether a request with this timeout seems to be a retry of the client: other clients of the
+// route wait longer. It also records the timeout.
+func (v *View) isClientRetry(route *configuration.Route, timeout time.Duration) bool {
+	longest := v.longestTimeouts[route.Name]
 	if longest == nil {
 		return false
 	}
 	known := longest.Load()
-	for int64(within) > known {
-		if longest.CompareAndSwap(known, int64(within)) {
+	for int64(timeout) > known {
+		if longest.CompareAndSwap(known, int64(timeout)) {
 			return false
 		}
 		known = longest.Load()
 	}
-	return float64(within) < againPart*float64(known)
+	return float64(timeout) < clientRetryFraction*float64(known)
 }
--- a/internal/router/ingress/world_test.go
+++ b/internal/router/ingress/world_test.go
@@ -74,8 +74,8 @@
 	short := route("/short/", configuration.NonIdempotent)
 	short.TimeoutMS = 60
 	return &View{
-		Generation: 1,
-		Tenants:    true,
+		Generation:             1,
+		AuthenticationRequired: true,
 		Limits: configuration.Limits{
 			MaxHeaderBytes: 16 << 10, MaxBodyBytes: 1 << 20, HeaderTimeoutMS: 3000, IdleTimeoutMS: 15000,
 		},
@@ -202,7 +202,7 @@
 	coming  atomic.Pointer[View] // a view that comes while that is looked at
 	t       *testing.T
 	double  *double
-	holder  *Holder
+	view    *CurrentView
 	handler *Handler
 	server  *Server
 	actor   *dispatcher.Actor
@@ -219,22 +219,22 @@
 
 func newWorld(t *testing.T, endpoints ...*endpoint) *world {
 	t.Helper()
-	w := &world{t: t, double: newDouble(), holder: &Holder{}}
+	w := &world{t: t, double: newDouble(), view: &CurrentView{}}
 	for _, e := range endpoints {
 		w.double.endpoints = append(w.double.endpoints, e.address)
 	}
-	w.holder.Store(testView())
+	w.view.Store(testView())
 	dialer := pool.NewDialer()
 	actor := dispatcher.New(w.double, pool.NewIdle(dialer, 100), func(protocol.Report) {})
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	go actor.Run(ctx)
 	w.actor = actor
-	w.handler = NewHandler(Options{
-		View: w.holder, Dispatcher: actor, Dialer: dialer, Losses: noLosses{}, BodyBytes: 4 << 20,
+	w.handler = NewHandler(Config{MaxBodyMemory: 4 << 20}, Dependencies{
+		View: w.view, Dispatcher: actor, Dialer: dialer, Events: ignoredEvents{},
 		Fresh: func(time.Time) bool {
 			if view := w.coming.Load(); view != nil {
-				w.holder.Store(view)
+				w.view.Store(view)
 			}
 			return !w.stale.Load()
 		},
@@ -250,9 +250,9 @@
 	return w
 }
 
-type noLosses struct{}
+type ignoredEvents struct{}
 
-func (noLosses) Lost(string, error) {}
+func (ignoredEvents) AnswerLost(string, error) {}
 
 // client is a raw connection of a client.
 type client struct {
--- a/internal/router/node/events.go
+++ b/internal/router/node/events.go
@@ -20,8 +20,8 @@
 	skipped int
 }
 
-// Lost writes the event down, or counts it where another has just been written.
-func (l *losses) Lost(endpoint string, err error) {
+// AnswerLost writes the event down, or counts it where another has just been written.
+func (l *losses) AnswerLost(endpoint string, err error) {
 	l.mutex.Lock()
 	now := time.Now()
 	if now.Before(l.next) {
--- a/internal/router/node/force.go
+++ b/internal/router/node/force.go
@@ -14,7 +14,7 @@
 // configuration finds its service there.
 type force struct {
 	actor *dispatcher.Actor
-	view  *ingress.Holder
+	view  *ingress.CurrentView
 	node  *Node
 }
 
--- a/internal/router/node/node.go
+++ b/internal/router/node/node.go
@@ -57,13 +57,14 @@
 	decider := options(settings, seed)
 	idle := pool.NewIdle(dialer, connections(settings)-decider.Slots)
 	n.actor = dispatcher.New(dispatch.New(decider), idle, n.report)
-	view := &ingress.Holder{}
-	n.handler = ingress.NewHandler(ingress.Options{
+	view := &ingress.CurrentView{}
+	n.handler = ingress.NewHandler(ingress.Config{
+		MaxBodyMemory: int64(settings.Limits.MemoryMB) << 20 / bodyPart,
+	}, ingress.Dependencies{
 		View:       view,
 		Dispatcher: n.actor,
 		Dialer:     dialer,
-		Losses:     &losses{log: logger},
-		BodyBytes:  int64(settings.Limits.MemoryMB) << 20 / bodyPart,
+		Events:     &losses{log: logger},
 		Fresh:      n.fresh,
 	})
 	force := &force{actor: n.actor, view: view, node: n}
@@ -163,14 +164,14 @@
 	n.log.Info().Msg("router.ending")
 	n.pause(course.drain, signals)
 	n.handler.Drain()
-	_ = n.by(began.Add(course.close), n.server.Empty) // what is left goes on
-	if n.by(began.Add(course.refuse), n.server.End) != nil {
-		n.handler.RefuseHeld()
+	_ = n.by(began.Add(course.close), n.server.DrainConnections) // what is left goes on
+	if n.by(began.Add(course.refuse), n.server.Shutdown) != nil {
+		n.handler.RejectPending()
 	}
-	err := n.by(began.Add(course.cut), n.server.End)
+	err := n.by(began.Add(course.cut), n.server.Shutdown)
 	if err != nil {
-		n.handler.CutCalls()
-		err = n.by(began.Add(course.end), n.server.End)
+		n.handler.InterruptAttempts()
+		err = n.by(began.Add(course.end), n.server.Shutdown)
 	}
 	n.log.Info().Dur("after", time.Since(began)).Bool("open", err != nil).Msg("router.ended")
 	return nil
--- a/internal/router/node/node_test.go
+++ b/internal/router/node/node_test.go
@@ -153,7 +153,7 @@
 	t.Cleanup(func() {
 		ctx, stop := context.WithCancel(context.Background())
 		stop()
-		n.server.End(ctx)
+		n.server.Shutdown(ctx)
 	})
 	return r
 }
