--- a/cmd/raventrestle-router/main.go
+++ b/cmd/raventrestle-router/main.go
@@ -1,4 +1,5 @@
-// Command raventrestle-router is the data plane: it takes the clients' requests and brings them to endpoints.
+// Command raventrestle-router is the data plane of the system: it forwards client requests to endpoints. See package
+// raventrestle/internal/router/node for the process.
 package main
 
 import (
@@ -28,27 +29,28 @@
 	os.Exit(int(commander.Execute(context.Background())))
 }
 
-// run serves until SIGTERM.
+// run is the subcommand that serves until SIGTERM. Exit status 2 means that the settings file is invalid or missing, 1 that
+// an address can't be opened or a listener failed.
 type run struct{}
 
 func (*run) Name() string             { return "run" }
-func (*run) Synopsis() string         { return "take the clients' requests until SIGTERM" }
+func (*run) Synopsis() string         { return "forward client requests to endpoints until SIGTERM" }
 func (*run) SetFlags(f *flag.FlagSet) {}
 func (*run) Usage() string {
-	return "run\n\tThe settings file is named by " + nodeconfig.EnvironmentVariable + ". SIGHUP reads its seeds again.\n"
+	return "run\n\tThe settings file is named by " + nodeconfig.EnvironmentVariable + ". SIGHUP reloads its seeds.\n"
 }
 
 func (*run) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	settings, err := nodeconfig.FromEnvironment()
+	config, err := nodeconfig.FromEnvironment()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "raventrestle-router:", err)
 		return subcommands.ExitUsageError
 	}
-	settings.Limits.ApplyRuntimeLimits()
-	logger := &log.Logger{Level: log.ParseLevel(settings.LogLevel), Writer: &log.IOWriter{Writer: os.Stderr}}
-	n, err := node.New(settings, nodeconfig.FromEnvironment, logger)
+	config.Limits.ApplyRuntimeLimits()
+	logger := &log.Logger{Level: log.ParseLevel(config.LogLevel), Writer: &log.IOWriter{Writer: os.Stderr}}
+	n, err := node.New(config, nodeconfig.FromEnvironment, logger)
 	if err == nil {
 		err = n.Run(signals)
 	}
--- a/internal/router/node/cost_test.go
+++ b/internal/router/node/cost_test.go
@@ -38,7 +38,7 @@
 		var n *Node
 		logger := &log.Logger{Level: log.ErrorLevel, Writer: &log.IOWriter{Writer: os.Stderr}}
 		if n, err = New(settings, nodeconfig.FromEnvironment, logger); err == nil {
-			n.servesOn = time.Millisecond
+			n.drainDelay = time.Millisecond
 			err = n.Run(signals)
 		}
 	}
--- a/internal/router/node/events.go
+++ b/internal/router/node/events.go
@@ -6,42 +6,86 @@
 	"time"
 
 	"github.com/phuslu/log"
+
+	"raventrestle/internal/router/ingress"
+	"raventrestle/internal/router/subscription"
 )
 
-// lossInterval is how often a lost call is written down, at most; those in between are counted.
-const lossInterval = time.Second
+// Log events. Their names are stable: alerts and the on-call page use them. router.* is the process, settings.* its
+// settings file, control.* and configuration.* its subscription to the control plane, call.lost an endpoint that broke
+// off an answer, http.error a line of net/http.
+
+// minLostAnswerInterval is the time between two call.lost events; those in between are counted.
+const minLostAnswerInterval = time.Second
 
-// losses writes down calls that were sent and brought no whole answer.
-type losses struct {
+// lostAnswerLog logs attempts that were sent and brought no complete answer, at a bounded rate. It is safe for concurrent
+// use.
+type lostAnswerLog struct {
 	log *log.Logger
 
 	mutex   sync.Mutex
-	next    time.Time
-	skipped int
+	nextAt  time.Time
+	skipped int // since the last event
 }
 
-// AnswerLost writes the event down, or counts it where another has just been written.
-func (l *losses) AnswerLost(endpoint string, err error) {
+var _ ingress.EventRecorder = (*lostAnswerLog)(nil)
+
+// AnswerLost logs the attempt, or counts it if another one was logged just before.
+func (l *lostAnswerLog) AnswerLost(endpoint string, err error) {
+	if skipped, due := l.due(time.Now()); due {
+		l.log.Warn().Str("endpoint", endpoint).Int("others", skipped).Err(err).Msg("call.lost")
+	}
+}
+
+// due reports whether an event may be logged now, and how many were skipped before it.
+func (l *lostAnswerLog) due(now time.Time) (skipped int, due bool) {
 	l.mutex.Lock()
-	now := time.Now()
-	if now.Before(l.next) {
+	defer l.mutex.Unlock()
+	if now.Before(l.nextAt) {
 		l.skipped++
-		l.mutex.Unlock()
-		return
+		return 0, false
 	}
-	skipped := l.skipped
+	skipped = l.skipped
 	l.skipped = 0
-	l.next = now.Add(lossInterval)
-	l.mutex.Unlock()
-	l.log.Warn().Str("endpoint", endpoint).Int("others", skipped).Err(err).Msg("call.lost")
+	l.nextAt = now.Add(minLostAnswerInterval)
+	return skipped, true
 }
 
-// httpErrors takes the lines that http.Server writes about single connections.
-type httpErrors struct{ log *log.Logger }
+// httpErrorLog logs the lines that net/http writes about single connections.
+type httpErrorLog struct{ log *log.Logger }
 
-var _ io.Writer = (*httpErrors)(nil)
+var _ io.Writer = (*httpErrorLog)(nil)
 
-func (e *httpErrors) Write(line []byte) (int, error) {
-	e.log.Warn().Bytes("line", line).Msg("http.error")
+// Write logs one line.
+func (l *httpErrorLog) Write(line []byte) (int, error) {
+	l.log.Warn().Bytes("line", line).Msg("http.error")
 	return len(line), nil
 }
+
+// subscriptionLog logs the events of the subscription to the control plane.
+type subscriptionLog struct{ log *log.Logger }
+
+var _ subscription.EventRecorder = (*subscriptionLog)(nil)
+
+// InstanceFollowed logs that the first update of this instance is applied.
+func (l *subscriptionLog) InstanceFollowed(instance string) {
+	l.log.Info().Str("instance", instance).Msg("control.followed")
+}
+
+// InstanceLeft logs that this instance is no longer followed.
+func (l *subscriptionLog) InstanceLeft(instance string, err error) {
+	l.log.Warn().Str("instance", instance).Err(err).Msg("control.left")
+}
+
+// ControlPlaneUnreachable logs that no instance can be followed.
+func (l *subscriptionLog) ControlPlaneUnreachable(instance string, err error) {
+	l.log.Warn().Str("instance", instance).Err(err).Msg("control.unreachable")
+}
+
+// ConfigurationApplied logs that requests are handled by this version from now on.
+func (l *subscriptionLog) ConfigurationApplied(generation int64) {
+	l.log.Info().Int64("generation", generation).Msg("configuration.in_force")
+}
+
+// RouterReady logs that the readiness probe is answered with 200 from now on.
+func (l *subscriptionLog) RouterReady() { l.log.Info().Msg("router.ready") }
--- a/internal/router/node/node_test.go
+++ b/internal/router/node/node_test.go
@@ -142,7 +142,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.servesOn = 100 * time.Millisecond
+	n.drainDelay = 100 * time.Millisecond
 	var addresses []string
 	for _, c := range controls {
 		addresses = append(addresses, c.server.Address())
@@ -158,8 +158,8 @@
 	return r
 }
 
-// until waits for a state that something outside the test brings about.
-func until(t *testing.T, what string, reached func() bool) {
+// waitUntil waits for a state that something outside the test brings about.
+func waitUntil(t *testing.T, what string, reached func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(patience); !reached(); {
 		if time.Now().After(deadline) {
@@ -252,14 +252,14 @@
 		"Content-Length: 0\r\n\r\n")
 	<-inWork
 	r.signals <- syscall.SIGTERM
-	until(t, "the failing probe", func() bool { return r.probe() == 503 })
+	waitUntil(t, "the failing probe", func() bool { return r.probe() == 503 })
 	if got := ask(t, r.dial(), "/once/x"); got.StatusCode != 200 {
 		t.Errorf("a new connection after SIGTERM: %v", got)
 	}
 	if _, err := idle.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("idle connection: %v", err)
 	}
-	until(t, "the closed address", func() bool {
+	waitUntil(t, "the closed address", func() bool {
 		c, err := net.Dial("tcp4", r.server.Address().String())
 		if err == nil {
 			c.Close()
@@ -288,9 +288,9 @@
 	})
 	r := newRouter(t, ctl)
 	<-ctl.confirmed
-	until(t, "a 404", func() bool { return ask(t, r.dial(), "/nowhere/x").StatusCode == 404 })
+	waitUntil(t, "a 404", func() bool { return ask(t, r.dial(), "/nowhere/x").StatusCode == 404 })
 	ctl.server.Close()
-	until(t, "a 503 in its place", func() bool { return ask(t, r.dial(), "/nowhere/x").StatusCode == 503 })
+	waitUntil(t, "a 503 in its place", func() bool { return ask(t, r.dial(), "/nowhere/x").StatusCode == 503 })
 	if got := ask(t, r.dial(), "/once/x"); got.StatusCode != 200 {
 		t.Errorf("what it knows: %v", got)
 	}
--- a/internal/router/node/ending_test.go
+++ b/internal/router/node/shutdown_test.go
@@ -41,7 +41,7 @@
 		GenerationConfirmed: true, RouterCount: 1, Endpoints: []protocol.Endpoint{e},
 	})
 	r := newRouter(t, ctl)
-	r.settings.Bounds.GracePeriod = grace
+	r.config.Bounds.GracePeriod = grace
 	<-ctl.confirmed
 	clients := map[string]net.Conn{}
 	for _, path := range []string{"/once/x", "/flow/x", "/held/x"} {
@@ -123,19 +123,19 @@
 		GenerationConfirmed: true, RouterCount: 1, Endpoints: []protocol.Endpoint{e},
 	})
 	r := newRouter(t, ctl)
-	r.settings.Bounds.GracePeriod = grace
+	r.config.Bounds.GracePeriod = grace
 	<-ctl.confirmed
 	client := r.dial()
 	began := time.Now()
 	r.signals <- syscall.SIGTERM
-	course := ending(grace, r.servesOn)
-	until(t, "the choice", func() bool { return time.Since(began) > course.choose+course.choose/50 })
+	schedule := newShutdownSchedule(grace, r.drainDelay)
+	waitUntil(t, "the choice", func() bool { return time.Since(began) > schedule.selectiveAdmit+schedule.selectiveAdmit/50 })
 	asked := time.Now()
 	got := ask(t, client, "/flow/x")
 	if got.StatusCode != http.StatusServiceUnavailable || got.Header.Get("Retry-After") == "" || !got.Close {
 		t.Errorf("%v", got)
 	}
-	if after := time.Since(asked); after > (course.cut-course.choose)/2 {
+	if after := time.Since(asked); after > (schedule.interrupt-schedule.selectiveAdmit)/2 {
 		t.Errorf("refused after %v", after)
 	}
 	if err := <-r.ended; err != nil {
@@ -148,19 +148,19 @@
 func TestCourseOfTheEnd(t *testing.T) {
 	for _, ms := range []time.Duration{0, 100, 1000, 3000, 8000, 60000} {
 		grace := ms * time.Millisecond
-		c := ending(grace, servesOn)
-		if !slices.IsSorted([]time.Duration{0, c.drain, c.close, c.refuse, c.cut, c.end, grace}) || ms > 0 && c.end == grace {
-			t.Errorf("%v: %+v", grace, c)
+		s := newShutdownSchedule(grace, drainDelay)
+		if !slices.IsSorted([]time.Duration{0, s.drain, s.stopAccept, s.reject, s.interrupt, s.exit, grace}) || ms > 0 && s.exit == grace {
+			t.Errorf("%v: got schedule %+v, want its steps in order", grace, s)
 		}
-		if !slices.IsSorted([]time.Duration{c.drain, c.choose, min(c.refuse, 3*time.Second)}) {
-			t.Errorf("%v: %+v", grace, c)
+		if !slices.IsSorted([]time.Duration{s.drain, s.selectiveAdmit, min(s.reject, 3*time.Second)}) {
+			t.Errorf("%v: got schedule %+v, want its steps in order", grace, s)
 		}
 	}
-	want := course{
-		drain: servesOn, choose: 2800 * time.Millisecond, close: 4340 * time.Millisecond, refuse: 6500 * time.Millisecond, cut: 7400 * time.Millisecond,
-		end: 7600 * time.Millisecond,
+	want := shutdownSchedule{
+		drain: drainDelay, selectiveAdmit: 2800 * time.Millisecond, stopAccept: 4340 * time.Millisecond,
+		reject: 6500 * time.Millisecond, interrupt: 7400 * time.Millisecond, exit: 7600 * time.Millisecond,
 	}
-	if c := ending(8*time.Second, servesOn); c != want {
-		t.Errorf("%+v", c)
+	if got := newShutdownSchedule(8*time.Second, drainDelay); got != want {
+		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
