--- a/internal/router/dispatch/benchmark_test.go
+++ b/internal/router/dispatch/benchmark_test.go
@@ -12,7 +12,7 @@
 	"raventrestle/internal/sizetest"
 )
 
-// newLargeDecider is a router at the size to design for: 2,900 endpoints, 1,100 models, 830 routers.
+// newLargeDecider returns a router's decider at the size to design for: 2,900 endpoints, 1,100 models, 830 routers.
 func newLargeDecider() (*Decider, time.Time, []string) {
 	const endpoints, models = 2900, 1100
 	engine := &configuration.Engine{Slots: 64, KVTokens: 130000}
@@ -78,7 +78,7 @@
 	}
 }
 
-// BenchmarkConfigurationAtSize is a new version and the whole table put in force, as after a change of instance.
+// BenchmarkConfigurationAtSize applies a new configuration and a complete table, as after a change of the control instance.
 func BenchmarkConfigurationAtSize(b *testing.B) {
 	d := New(Config{Seed: 1, Zone: "zone01", RouterCount: sizetest.Routers, RetryBudgetRatio: 0.2, RetryBudgetSlack: 56})
 	now := time.Now()
@@ -91,7 +91,7 @@
 	}
 }
 
-// BenchmarkMemoryAtSize tells the heap of a router's tables.
+// BenchmarkMemoryAtSize measures the heap that a router's tables take.
 func BenchmarkMemoryAtSize(b *testing.B) {
 	var before, after runtime.MemStats
 	for b.Loop() {
--- a/internal/router/dispatch/decider.go
+++ b/internal/router/dispatch/decider.go
@@ -9,7 +9,7 @@
 
 // Decider decides for one router. It is not safe for concurrent use: package dispatcher owns it.
 //
-// Invariants, checked after each step by the simulation of world_test.go: nothing is sent to an endpoint that drains or has departed;
+// Invariants, checked after each step by the simulation of simulation_test.go: nothing is sent to an endpoint that drains or has departed;
 // a request that is not retryable is never sent again once it may have executed; a request may have executed on at most MaxEndpoints
 // endpoints; the retry budget and the quotas hold in every window; every request ends exactly once; among eligible heads of queues
 // the one with the lowest start tag plus penalty is sent first.
--- a/internal/router/dispatch/expected_load_test.go
+++ b/internal/router/dispatch/expected_load_test.go
@@ -7,7 +7,7 @@
 	"raventrestle/internal/protocol"
 )
 
-// loadingScript has endpoint a load an adapter of m by 120 ms, and two requests that wait for it.
+// loadingScript returns a script in which endpoint a loads an adapter of m until 120 ms, and two requests wait for it.
 func loadingScript(t *testing.T) *script {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
 	loads := modelEndpoint("a", 1, "m")
@@ -23,7 +23,7 @@
 
 func (s *script) wake() int { return int(s.d.NextWake().Sub(s.zero)/time.Millisecond) + 1 }
 
-// untilSend steps whenever it is time, until something is sent.
+// untilSend steps at each wake time until something is sent.
 func (s *script) untilSend(most int) Send {
 	s.t.Helper()
 	for s.at < most {
@@ -35,7 +35,7 @@
 			return s.oneSend(out)
 		}
 	}
-	s.t.Fatalf("nothing sent until %d ms", s.at)
+	s.t.Fatalf("nothing sent until %d ms, want one request sent", s.at)
 	return Send{}
 }
 
@@ -43,14 +43,14 @@
 	s := loadingScript(t)
 	first := s.untilSend(150)
 	if s.at < 120 {
-		t.Errorf("sent at %d ms, before it can be there", s.at)
+		t.Errorf("sent at %d ms, want 120 at the earliest, when the load can be finished", s.at)
 	}
 	if out := s.step(s.wake()); len(sends(out))+len(rejections(out)) > 0 {
-		t.Fatalf("the second did not wait: %v", out)
+		t.Fatalf("got %v, want the second request to wait for the verification", out)
 	}
 	second := s.oneSend(s.step(s.at+5, FirstByteReceived{ID: first.ID, Endpoint: "a"}))
 	if second.ID == first.ID {
-		t.Errorf("sent %d twice", first.ID)
+		t.Errorf("sent request %d twice, want the other one", first.ID)
 	}
 }
 
@@ -60,27 +60,27 @@
 	early := s.at
 	out := s.step(early+3, AttemptFinished{ID: first.ID, Endpoint: "a", Result: Rejected, NeedsRetry: true})
 	if len(sends(out))+len(rejections(out)) > 0 {
-		t.Fatalf("%v", out)
+		t.Fatalf("got %v, want the request to stay queued", out)
 	}
 	send := s.untilSend(early + 300)
 	if s.at < early+90 {
-		t.Errorf("tried again after %d ms", s.at-early)
+		t.Errorf("verified again after %d ms, want 90 at least", s.at-early)
 	}
 	if send.Endpoint != "a" {
-		t.Errorf("sent to %s", send.Endpoint)
+		t.Errorf("sent to %s, want a", send.Endpoint)
 	}
 	s.step(s.at+5, FirstByteReceived{ID: send.ID, Endpoint: "a"})
 	if h := s.d.endpoints["a"].residencyOf("m"); !h.serves("a3") || h.isUnverified("a3") {
-		t.Error("an answer did not prove it")
+		t.Error("adapter a3 is not confirmed after an answer, want it confirmed")
 	}
 }
 
-// News of the endpoint count more than what was presumed.
+// An update of the endpoint outweighs the assumption.
 func TestUpdateEndsTheAssumptionOfALoad(t *testing.T) {
 	s := loadingScript(t)
 	s.untilSend(150)
 	s.step(s.at+2, ViewChanged{Endpoints: []protocol.Endpoint{modelEndpoint("a", 2, "m")}})
 	if h := s.d.endpoints["a"].residencyOf("m"); h.serves("a3") {
-		t.Error("still presumed")
+		t.Error("adapter a3 is still assumed to be loaded, want it gone with the update")
 	}
 }
--- a/internal/router/dispatch/fairness_test.go
+++ b/internal/router/dispatch/fairness_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestLargeRequestsAreServedToo: under a burst far beyond what the endpoints bear, the largest tenth of a
-// kind is served at least 0.6 times as often as the whole kind.
+// TestLargeRequestsAreServed checks that in a burst far beyond the capacity the largest tenth of a kind's
+// requests is served at least 0.6 times as often as all of the kind.
 func TestLargeRequestsAreServed(t *testing.T) {
 	for seed := range uint64(1) {
 		w := overload(t, 40+seed, 12)
@@ -24,7 +24,7 @@
 			allServed, tenth := servedFraction(all), servedFraction(all[len(all)*9/10:])
 			t.Logf("%s: %.3f of %d served, of the largest tenth %.3f", k.name, allServed, len(all), tenth)
 			if tenth < 0.6*allServed {
-				t.Errorf("%s: the largest tenth is served %.3f, all %.3f", k.name, tenth, allServed)
+				t.Errorf("%s: the largest tenth is served %.3f, want at least 0.6 of all's %.3f", k.name, tenth, allServed)
 			}
 		}
 	}
--- a/internal/router/dispatch/golden_fleet_test.go
+++ b/internal/router/dispatch/golden_fleet_test.go
@@ -14,8 +14,10 @@
 func (g *goldenRun) addEndpoint(service string, slots int, models ...string) *goldenEndpoint {
 	g.number++
 	id := fmt.Sprintf("%s-%d", service, g.number)
-	e := &goldenEndpoint{slow: 1 + 0.4*g.random.Float64(), row: protocol.Endpoint{ID: id, Service: service, Address: id + ":1",
-		Zone: fmt.Sprintf("z%d", g.number%3), Slots: slots, Sequence: uint64(g.number)}}
+	e := &goldenEndpoint{slow: 1 + 0.4*g.random.Float64(), row: protocol.Endpoint{
+		ID: id, Service: service, Address: id + ":1",
+		Zone: fmt.Sprintf("z%d", g.number%3), Slots: slots, Sequence: uint64(g.number),
+	}}
 	for _, model := range models {
 		e.row.Models = append(e.row.Models, protocol.LoadedModel{Name: model, Generation: 1, Adapters: []string{"a0", "a1"}})
 	}
@@ -251,8 +253,10 @@
 	var quotas []protocol.QuotaGrant
 	for _, t := range report.Tenants {
 		if t.Shortfall > 0 && g.grants > 0 && g.random.IntN(3) > 0 {
-			quotas = append(quotas, protocol.QuotaGrant{Tenant: t.Tenant, RatePerSecond: 2100 * g.quota, Burst: 1900 * g.quota,
-				TTL: 800 * time.Millisecond, Credit: t.Shortfall * (0.5 + g.random.Float64())})
+			quotas = append(quotas, protocol.QuotaGrant{
+				Tenant: t.Tenant, RatePerSecond: 2100 * g.quota, Burst: 1900 * g.quota,
+				TTL: 800 * time.Millisecond, Credit: t.Shortfall * (0.5 + g.random.Float64()),
+			})
 		}
 	}
 	if len(quotas) > 0 {
@@ -272,8 +276,10 @@
 func (g *goldenRun) grant() {
 	var quotas []protocol.QuotaGrant
 	for _, name := range []string{"t", "u", "nobody"} {
-		quotas = append(quotas, protocol.QuotaGrant{Tenant: name, RatePerSecond: (800 + 2500*g.random.Float64()) * g.quota,
-			Burst: (700 + 1500*g.random.Float64()) * g.quota, TTL: time.Duration(300+g.random.IntN(900)) * time.Millisecond})
+		quotas = append(quotas, protocol.QuotaGrant{
+			Tenant: name, RatePerSecond: (800 + 2500*g.random.Float64()) * g.quota,
+			Burst: (700 + 1500*g.random.Float64()) * g.quota, TTL: time.Duration(300+g.random.IntN(900)) * time.Millisecond,
+		})
 	}
 	g.input(ViewChanged{Quotas: quotas})
 }
--- a/internal/router/dispatch/golden_run_test.go
+++ b/internal/router/dispatch/golden_run_test.go
@@ -61,8 +61,10 @@
 }
 
 func newGoldenRun(s goldenScenario) *goldenRun {
-	return &goldenRun{goldenScenario: s, random: rand.New(rand.NewPCG(s.seed, 5)), decider: New(s.config),
-		zero: time.Unix(1e9, 0), requests: map[RequestID]*goldenRequest{}}
+	return &goldenRun{
+		goldenScenario: s, random: rand.New(rand.NewPCG(s.seed, 5)), decider: New(s.config),
+		zero: time.Unix(1e9, 0), requests: map[RequestID]*goldenRequest{},
+	}
 }
 
 // after has an event happen later.
@@ -196,9 +198,11 @@
 // arrive has a client send a request.
 func (g *goldenRun) arrive() {
 	x := g.random
-	r := Request{Service: "lm", Model: "m", PromptTokens: 50 + x.IntN(1500), OutputTokens: 10 + x.IntN(150), Retryable: x.IntN(4) > 0,
+	r := Request{
+		Service: "lm", Model: "m", PromptTokens: 50 + x.IntN(1500), OutputTokens: 10 + x.IntN(150), Retryable: x.IntN(4) > 0,
 		Streaming: x.IntN(3) > 0, Tenant: []string{"t", "u", "open", "unknown"}[x.IntN(4)], RoutePriority: x.IntN(6),
-		TenantPriority: x.IntN(8) / 7, MaxEndpoints: 1 + x.IntN(3)}
+		TenantPriority: x.IntN(8) / 7, MaxEndpoints: 1 + x.IntN(3),
+	}
 	objective, deadline := 150+x.IntN(500), 1000+x.IntN(6000)
 	switch x.IntN(10) {
 	case 0:
--- a/internal/router/dispatch/golden_test.go
+++ b/internal/router/dispatch/golden_test.go
@@ -33,37 +33,61 @@
 const restAfter = 3 * time.Second
 
 func goldenScenarios() []goldenScenario {
-	normal := Config{Node: "r1", Incarnation: 7, Zone: "z1", Seed: 11, Slots: 80, RouterCount: 3, RetryBudgetRatio: 0.2, RetryBudgetSlack: 56,
-		QuotaOvershootFraction: 0.1, QuotaOvershootSlack: 1100}
+	normal := Config{
+		Node: "r1", Incarnation: 7, Zone: "z1", Seed: 11, Slots: 80, RouterCount: 3, RetryBudgetRatio: 0.2, RetryBudgetSlack: 56,
+		QuotaOvershootFraction: 0.1, QuotaOvershootSlack: 1100,
+	}
 	narrow := normal
 	narrow.Slots, narrow.Seed, narrow.RetryBudgetSlack, narrow.RetryBudgetRatio = 9, 12, 4, 0.05
-	other := Config{Node: "r2", Seed: 13, RetryBudgetRatio: 0.1, RetryBudgetSlack: 10, RetryBudgetWindow: 3 * time.Second,
+	other := Config{
+		Node: "r2", Seed: 13, RetryBudgetRatio: 0.1, RetryBudgetSlack: 10, RetryBudgetWindow: 3 * time.Second,
 		QuotaWindow: 2 * time.Second, QuotaOvershootFraction: 0.05, QuotaOvershootSlack: 300, MonitorPeriod: 100 * time.Millisecond,
-		ReportInterval: 200 * time.Millisecond}
+		ReportInterval: 200 * time.Millisecond,
+	}
 	return []goldenScenario{
 		{name: "quiet", seed: 1, config: normal, load: 0.4, loads: 0.3, grants: 500 * time.Millisecond, quota: 1, length: 12 * time.Second},
-		{name: "faults", seed: 2, config: normal, load: 0.8, faults: 2, loads: 0.5, grants: 500 * time.Millisecond, quota: 2,
-			length: 9 * time.Second, outage: 4 * time.Second},
-		{name: "overload", seed: 3, config: normal, load: 2.6, faults: 0.2, loads: 0.5, grants: 400 * time.Millisecond, quota: 5,
-			length: 4 * time.Second},
-		{name: "stale-tables", seed: 13, config: normal, load: 0.8, faults: 0.2, loads: 1, grants: 400 * time.Millisecond, quota: 2,
-			length: 8 * time.Second, stale: 3},
+		{
+			name: "faults", seed: 2, config: normal, load: 0.8, faults: 2, loads: 0.5, grants: 500 * time.Millisecond, quota: 2,
+			length: 9 * time.Second, outage: 4 * time.Second,
+		},
+		{
+			name: "overload", seed: 3, config: normal, load: 2.6, faults: 0.2, loads: 0.5, grants: 400 * time.Millisecond, quota: 5,
+			length: 4 * time.Second,
+		},
+		{
+			name: "stale-tables", seed: 13, config: normal, load: 0.8, faults: 0.2, loads: 1, grants: 400 * time.Millisecond, quota: 2,
+			length: 8 * time.Second, stale: 3,
+		},
 		{name: "rest", seed: 14, config: normal, load: 0.6, faults: 0.3, loads: 0.3, quota: 2, length: 136 * time.Second, rest: 130 * time.Second},
-		{name: "shutdown-early", seed: 15, config: normal, load: 0.8, loads: 0.5, grants: 500 * time.Millisecond, quota: 2,
-			length: 3 * time.Second, closing: 20 * time.Millisecond},
-		{name: "few-slots", seed: 4, config: narrow, load: 1, faults: 1, loads: 0.4, grants: 700 * time.Millisecond, quota: 2,
-			length: 6 * time.Second},
-		{name: "loads", seed: 5, config: normal, load: 0.7, faults: 0.5, loads: 4, grants: 500 * time.Millisecond, quota: 2,
-			length: 9 * time.Second},
-		{name: "quota", seed: 6, config: normal, load: 1, loads: 0.2, grants: 300 * time.Millisecond, quota: 0.25, length: 7 * time.Second,
-			changes: true},
+		{
+			name: "shutdown-early", seed: 15, config: normal, load: 0.8, loads: 0.5, grants: 500 * time.Millisecond, quota: 2,
+			length: 3 * time.Second, closing: 20 * time.Millisecond,
+		},
+		{
+			name: "few-slots", seed: 4, config: narrow, load: 1, faults: 1, loads: 0.4, grants: 700 * time.Millisecond, quota: 2,
+			length: 6 * time.Second,
+		},
+		{
+			name: "loads", seed: 5, config: normal, load: 0.7, faults: 0.5, loads: 4, grants: 500 * time.Millisecond, quota: 2,
+			length: 9 * time.Second,
+		},
+		{
+			name: "quota", seed: 6, config: normal, load: 1, loads: 0.2, grants: 300 * time.Millisecond, quota: 0.25, length: 7 * time.Second,
+			changes: true,
+		},
 		{name: "ungranted", seed: 7, config: other, load: 0.8, faults: 0.6, loads: 0.5, quota: 0.5, length: 9 * time.Second, changes: true},
-		{name: "shutdown", seed: 8, config: normal, load: 1.6, faults: 0.6, loads: 0.5, grants: 500 * time.Millisecond, quota: 2,
-			length: 6 * time.Second, closing: 3 * time.Second},
-		{name: "shutdown-partial", seed: 9, config: other, load: 1.5, faults: 1, loads: 1, grants: 500 * time.Millisecond, quota: 1,
-			length: 6 * time.Second, closing: 4 * time.Second, partial: true},
-		{name: "changes", seed: 10, config: other, load: 0.7, faults: 1.5, loads: 1.5, grants: 500 * time.Millisecond, quota: 1,
-			length: 15 * time.Second, changes: true, outage: 7 * time.Second},
+		{
+			name: "shutdown", seed: 8, config: normal, load: 1.6, faults: 0.6, loads: 0.5, grants: 500 * time.Millisecond, quota: 2,
+			length: 6 * time.Second, closing: 3 * time.Second,
+		},
+		{
+			name: "shutdown-partial", seed: 9, config: other, load: 1.5, faults: 1, loads: 1, grants: 500 * time.Millisecond, quota: 1,
+			length: 6 * time.Second, closing: 4 * time.Second, partial: true,
+		},
+		{
+			name: "changes", seed: 10, config: other, load: 0.7, faults: 1.5, loads: 1.5, grants: 500 * time.Millisecond, quota: 1,
+			length: 15 * time.Second, changes: true, outage: 7 * time.Second,
+		},
 	}
 }
 
@@ -72,10 +96,15 @@
 	c := &configuration.Configuration{
 		Generation: int64(changes + 1),
 		Services: []configuration.Service{
-			{Name: "lm", MaxConnections: 90, Engine: &configuration.Engine{Slots: 12, KVTokens: 24000, TokensPerEvent: 2,
-				Models: []configuration.Model{{Name: "m", LoadTimeSeconds: 0.9, AdapterCount: 3},
-					{Name: "n", LoadTimeSeconds: 1.4}, {Name: "rare", LoadTimeSeconds: 0.5, AdapterCount: 1}},
-				WeightMemoryMB: 100, AdapterSlots: 8}},
+			{Name: "lm", MaxConnections: 90, Engine: &configuration.Engine{
+				Slots: 12, KVTokens: 24000, TokensPerEvent: 2,
+				Models: []configuration.Model{
+					{Name: "m", LoadTimeSeconds: 0.9, AdapterCount: 3},
+					{Name: "n", LoadTimeSeconds: 1.4},
+					{Name: "rare", LoadTimeSeconds: 0.5, AdapterCount: 1},
+				},
+				WeightMemoryMB: 100, AdapterSlots: 8,
+			}},
 			{Name: "app", MaxConnections: 60},
 			{Name: "bare"},
 		},
--- a/internal/router/dispatch/placement_test.go
+++ b/internal/router/dispatch/placement_test.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	worldLoadOrderDelay  = 60 * time.Millisecond // from a report to the news of the load
+	worldLoadOrderDelay  = 60 * time.Millisecond // from a report to the update that announces the load
 	worldModelLoadTime   = 3 * time.Second
 	worldAdapterLoadTime = 20 * time.Millisecond
 )
 
-// placeOnDemand stands in for the placer: a model that is asked for and that nobody holds is loaded somewhere.
+// placeOnDemand simulates the placer: a model that is requested and that no endpoint has is loaded somewhere.
 func (w *world) placeOnDemand(report protocol.Report) {
 	for _, m := range report.Models {
 		if m.Queued+m.Unserved == 0 || m.Service != "lm" {
@@ -62,7 +62,7 @@
 	s.due = append(s.due, due)
 }
 
-// loading is what is told now of the loads under way.
+// loading returns the loads under way as an update states them now.
 func (s *server) loading(now time.Duration) []protocol.ModelLoad {
 	list := slices.Clone(s.row.Loading)
 	for i := range list {
@@ -77,12 +77,12 @@
 	s.due = slices.Delete(s.due, i, i+1)
 }
 
-// heartbeat tells of an endpoint when its next heartbeat comes.
+// heartbeat announces an endpoint's state at its next heartbeat.
 func (w *world) heartbeat(s *server) {
 	w.at(w.now+time.Duration(w.rng.IntN(1200))*time.Millisecond, func(w *world) { w.announce(s) })
 }
 
-// loadAdapter loads an adapter of a model beside it.
+// loadAdapter loads an adapter at the first endpoint that has its model.
 func (w *world) loadAdapter(model, adapter string) {
 	for _, s := range w.servers {
 		if !s.engine || !s.serves(model, "") {
@@ -103,8 +103,8 @@
 	}
 }
 
-// TestAdaptersAreServedBeforeTheirHeartbeat: an adapter is loaded in some ms, and its endpoint tells of it up to
-// 1.2 s later. Requests with objectives of 400 ms are in time all the same.
+// TestAdaptersAreServedBeforeTheirHeartbeat: an adapter is loaded in some ms, and its endpoint announces it up to
+// 1.2 s later. Requests with latency targets of 400 ms meet them nevertheless.
 func TestAdaptersAreServedBeforeTheirHeartbeat(t *testing.T) {
 	w := newWorld(t, 32, 3)
 	w.loading = map[string]bool{}
@@ -127,17 +127,17 @@
 	}
 	t.Logf("%d of %d in time", inTime, asked)
 	if float64(inTime) < 0.95*float64(asked) {
-		t.Errorf("%d of %d in time", inTime, asked)
+		t.Errorf("%d of %d in time, want 0.95 of them", inTime, asked)
 	}
 }
 
-// TestRareModelsAtOnce: models that nobody holds are loaded by what is reported, and served then.
+// TestRareModelsAreLoadedByDemand: models that no endpoint has are loaded because of the reports, and served then.
 func TestRareModelsAreLoadedByDemand(t *testing.T) {
 	w := playRareModels(t)
 	w.logStatistics(t)
 	for _, k := range w.kinds {
 		if got := float64(k.inTime+k.retried+k.served) / float64(k.requested); got < 0.95 {
-			t.Errorf("%s: %.3f served", k.name, got)
+			t.Errorf("%s: %.3f served, want 0.95", k.name, got)
 		}
 	}
 }
--- a/internal/router/dispatch/queue_test.go
+++ b/internal/router/dispatch/queue_test.go
@@ -12,19 +12,19 @@
 	out := s.step(1, RequestArrived{s.request("rare")})
 	list := reports(out)
 	if len(list) != 1 || list[0].Models[0].Model != "rare" || list[0].Models[0].Queued != 1 {
-		t.Fatalf("reported %+v", list)
+		t.Fatalf("reported %+v, want one report of one queued request for rare", list)
 	}
 	at := int(s.d.NextWake().Sub(s.zero) / time.Millisecond)
 	if at > 125 {
-		t.Fatalf("wakes at %d ms", at)
+		t.Fatalf("wakes at %d ms, want 125 at the latest", at)
 	}
-	refusal := s.oneRejection(s.step(at + 1))
-	if refusal.Reason != NoEndpoint || refusal.RetryAfter < 4*time.Second || refusal.RetryAfter > 5*time.Second {
-		t.Errorf("refused with %+v", refusal)
+	rejection := s.oneRejection(s.step(at + 1))
+	if rejection.Reason != NoEndpoint || rejection.RetryAfter < 4*time.Second || rejection.RetryAfter > 5*time.Second {
+		t.Errorf("rejected with %+v, want NoEndpoint and 4s to 5s", rejection)
 	}
 }
 
-// A request that names no model is one for any endpoint of the service, whatever that holds.
+// A request that names no model may be sent to any endpoint of the service, whatever models that has.
 func TestRequestWithoutModelIsSentToAnyEndpoint(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"), modelEndpoint("b", 1))
 	first := s.request("")
@@ -42,11 +42,11 @@
 	loads.Loading = []protocol.ModelLoad{{Model: "rare", Remaining: 250 * time.Millisecond}}
 	s.step(20, ViewChanged{Endpoints: []protocol.Endpoint{loads}})
 	if out := s.step(130); len(rejections(out)) > 0 {
-		t.Fatalf("refused %v though the load fits", rejections(out))
+		t.Fatalf("rejected %v, want the request to wait for the load", rejections(out))
 	}
 	loaded := ViewChanged{Endpoints: []protocol.Endpoint{modelEndpoint("a", 2, "m", "rare")}}
 	if send := s.oneSend(s.step(280, loaded)); send.ID != 1 {
-		t.Errorf("sent %+v", send)
+		t.Errorf("sent %+v, want request 1", send)
 	}
 }
 
@@ -56,30 +56,30 @@
 	loads := modelEndpoint("a", 1, "m")
 	loads.Loading = []protocol.ModelLoad{{Model: "rare", Remaining: 2 * time.Second}}
 	s.step(20, ViewChanged{Endpoints: []protocol.Endpoint{loads}})
-	refusal := s.oneRejection(s.step(124))
-	if refusal.RetryAfter < 1800*time.Millisecond || refusal.RetryAfter > 2600*time.Millisecond {
-		t.Errorf("refused with %+v", refusal)
+	rejection := s.oneRejection(s.step(124))
+	if rejection.RetryAfter < 1800*time.Millisecond || rejection.RetryAfter > 2600*time.Millisecond {
+		t.Errorf("rejected with %+v, want RetryAfter of 1.8s to 2.6s", rejection)
 	}
 }
 
-// A stream that pauses goes on elsewhere only where that is possible; else its call is left alone.
+// A stalled stream moves to another endpoint only if one is available; else its attempt continues.
 func TestStalledStreamMovesOnlyToAnAvailableEndpoint(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
 	first := s.oneSend(s.step(1, RequestArrived{s.request("m")}))
 	s.step(100, FirstByteReceived{ID: first.ID, Endpoint: "a"})
 	if hasAbandon(s.step(1700, StreamStalled{ID: first.ID, Endpoint: "a"})) {
-		t.Error("left an endpoint with nowhere else to go")
+		t.Error("abandoned an attempt without another endpoint, want it to continue")
 	}
 	s.step(1800, ViewChanged{Endpoints: []protocol.Endpoint{modelEndpoint("b", 1, "m")}})
 	if !hasAbandon(s.step(2100, StreamStalled{ID: first.ID, Endpoint: "a"})) {
-		t.Error("stayed at a silent endpoint")
+		t.Error("an attempt at a stalled endpoint was not abandoned, want Abandon")
 	}
 	if hasAbandon(s.step(2500, StreamStalled{ID: first.ID, Endpoint: "a"})) {
-		t.Error("abandoned twice")
+		t.Error("an attempt was abandoned twice, want once")
 	}
 	out := s.step(2501, AttemptFinished{ID: first.ID, Endpoint: "a", Result: ConnectionLost, NeedsRetry: true})
 	if send := s.oneSend(out); send.Endpoint != "b" {
-		t.Errorf("sent to %s", send.Endpoint)
+		t.Errorf("sent to %s, want b", send.Endpoint)
 	}
 }
 
@@ -93,15 +93,15 @@
 	at := 1
 	for !hasAbandon(s.step(at)) {
 		if at += 5; at > 600 {
-			t.Fatal("it waits on")
+			t.Fatal("no attempt abandoned after 600 ms, want Abandon")
 		}
 	}
 	out := s.step(at+1, AttemptFinished{ID: 1, Endpoint: first.Endpoint, Result: ConnectionLost, NeedsRetry: true})
 	if send := s.oneSend(out); send.Endpoint != other {
-		t.Errorf("sent %+v", send)
+		t.Errorf("sent %+v, want it to %s", send, other)
 	}
 	if send := s.oneSend(s.step(at+2, RequestArrived{s.request("m")})); send.Endpoint != other {
-		t.Errorf("sent %+v", send)
+		t.Errorf("sent %+v, want it to %s", send, other)
 	}
 }
 
@@ -114,7 +114,7 @@
 	return false
 }
 
-// A router whose estimates went wrong, before endpoints that others keep busy, puts them right.
+// A router whose estimates are far too high corrects them, although other routers keep the endpoints busy.
 func TestWrongEstimatesAreCorrected(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"), modelEndpoint("b", 1, "m"))
 	busy := &AdvertisedLoad{Running: 40, Slots: 64}
@@ -135,7 +135,7 @@
 		}
 	}
 	if served < 50 {
-		t.Errorf("only %d of 200 were sent", served)
+		t.Errorf("only %d of 200 requests were sent, want 50", served)
 	}
 }
 
@@ -156,14 +156,14 @@
 			send := s.oneSend(s.step(10+20*i, RequestArrived{r}))
 			s.step(10+20*i+10, FirstByteReceived{ID: r.ID, Endpoint: send.Endpoint}, AttemptFinished{ID: r.ID, Endpoint: send.Endpoint})
 			if before, known := where[session]; known && before != send.Endpoint {
-				t.Fatalf("router %d sent session %d to %s, before to %s", router, session, send.Endpoint, before)
+				t.Fatalf("router %d sent session %d to %s, want %s as before", router, session, send.Endpoint, before)
 			}
 			where[session] = send.Endpoint
 			used[send.Endpoint] = true
 		}
 	}
 	if len(used) < 4 {
-		t.Errorf("12 sessions use only %v", used)
+		t.Errorf("12 sessions use only %v, want four endpoints", used)
 	}
 }
 
@@ -174,7 +174,7 @@
 		used[s.oneSend(s.step(1+i, RequestArrived{s.request("")})).Endpoint]++
 	}
 	if used["p"] != 3 || used["q"] != 3 {
-		t.Errorf("sent %v", used)
+		t.Errorf("sent %v, want three to each endpoint", used)
 	}
 }
 
@@ -185,35 +185,35 @@
 	for i := range 10 {
 		send := s.oneSend(s.step(10*i+1, RequestArrived{s.request("m")}))
 		if send.Endpoint != "b" {
-			t.Fatalf("sent to %s", send.Endpoint)
+			t.Fatalf("sent to %s, want b", send.Endpoint)
 		}
 		s.step(10*i+5, FirstByteReceived{ID: send.ID, Endpoint: "b"}, AttemptFinished{ID: send.ID, Endpoint: "b"})
 	}
 	s.step(200, ViewChanged{Endpoints: []protocol.Endpoint{{ID: "b", Service: "lm", State: protocol.Departed, Sequence: 3}}})
 	if send := s.oneSend(s.step(201, RequestArrived{s.request("m")})); send.Endpoint != "a" {
-		t.Errorf("sent to %s", send.Endpoint)
+		t.Errorf("sent to %s, want a", send.Endpoint)
 	}
 	out := s.step(700, FirstByteReceived{ID: s.id, Endpoint: "a"}, RequestArrived{s.request("m")})
 	if list := reports(out); len(list) != 1 || len(list[0].Reachable) != 1 {
-		t.Errorf("reported %+v", list)
+		t.Errorf("reported %+v, want one report with one reachable endpoint", list)
 	}
 }
 
-// A request whose client gives up before its route's objective is held until then at most, though its model is promised, or
-// being tried, a little later.
+// A request whose client gives up before its latency target is queued until then at most, though its model is expected, or
+// being verified, a little later.
 func TestNoRequestStaysQueuedPastItsDeadline(t *testing.T) {
-	for name, again := range map[string]bool{"first try": false, "further try": true} {
+	for name, again := range map[string]bool{"first attempt of the client": false, "retry of the client": true} {
 		t.Run(name, func(t *testing.T) {
 			loads := modelEndpoint("a", 1, "m")
 			loads.Loading = []protocol.ModelLoad{{Model: "rare", Remaining: 450 * time.Millisecond}}
 			s := newScript(t, loads)
-			r := s.request("rare") // objective 500 ms
+			r := s.request("rare") // latency target 500 ms
 			r.Deadline, r.ClientRetry = s.time(200), again
 			s.step(0, RequestArrived{r})
 			at := 0
 			for len(s.d.requests) > 0 {
 				if at = int(s.d.NextWake().Sub(s.zero) / time.Millisecond); at > 210 {
-					t.Fatalf("looked at again after %d ms", at)
+					t.Fatalf("wakes after %d ms, want 210 at the latest", at)
 				}
 				s.step(at)
 			}
@@ -221,7 +221,7 @@
 	}
 }
 
-// The same where the model should be there by now and another request tries it.
+// The same if the model is assumed to be loaded by now and another request verifies that.
 func TestNoRequestAwaitsAVerificationPastItsDeadline(t *testing.T) {
 	loads := modelEndpoint("a", 1, "m")
 	loads.Loading = []protocol.ModelLoad{{Model: "rare", Remaining: 50 * time.Millisecond}}
@@ -233,9 +233,9 @@
 		s.step(at)
 	}
 	if s.d.requests[second.ID] != nil {
-		t.Error("held past its deadline")
+		t.Error("the request is queued past its deadline, want it rejected")
 	}
 	if s.d.requests[first.ID] == nil {
-		t.Error("nobody tries the model: the test shows nothing")
+		t.Error("the first request has ended, want it in flight: else the test shows nothing")
 	}
 }
--- a/internal/router/dispatch/random_scenario_test.go
+++ b/internal/router/dispatch/random_scenario_test.go
@@ -13,11 +13,11 @@
 )
 
 var (
-	randomScenarios = flag.Int("days", 8, "random days to play")
-	firstRandomSeed = flag.Uint64("first-day", 1, "seed of the first random day")
+	randomScenarios = flag.Int("days", 8, "random scenarios to play")
+	firstRandomSeed = flag.Uint64("first-day", 1, "seed of the first random scenario")
 )
 
-// TestInvariantsInRandomScenarios plays days with troubles at random, and holds each step against the rules.
+// TestInvariantsInRandomScenarios plays scenarios with random faults, and checks the invariants after each step.
 func TestInvariantsInRandomScenarios(t *testing.T) {
 	for i := range *randomScenarios {
 		seed := *firstRandomSeed + uint64(i)
@@ -49,13 +49,13 @@
 	}
 }
 
-// troubles each begin now and end then.
+// faults each begin now and end at the given time.
 var faults = []func(w *world, s *server, until time.Duration){
-	func(w *world, s *server, until time.Duration) { // crash, and back under another id
+	func(w *world, s *server, until time.Duration) { // crash, and restart under another ID
 		w.crash(s)
 		w.at(until, func(w *world) { w.replace(s, protocol.Departed) })
 	},
-	func(w *world, s *server, until time.Duration) { // dark
+	func(w *world, s *server, until time.Duration) { // hangs
 		s.condition = hung
 		w.at(until, func(*world) { s.condition = healthy })
 	},
@@ -63,11 +63,11 @@
 		s.slow = 2 + 10*w.rng.Float64()
 		w.at(until, func(*world) { s.slow = 1 })
 	},
-	func(w *world, s *server, until time.Duration) { // garbled
+	func(w *world, s *server, until time.Duration) { // resets connections
 		s.resetProbability = 0.3 * w.rng.Float64()
 		w.at(until, func(*world) { s.resetProbability = 0 })
 	},
-	func(w *world, s *server, until time.Duration) { // planned end
+	func(w *world, s *server, until time.Duration) { // drains and departs
 		s.row.State = protocol.Draining
 		w.announce(s)
 		w.at(until, func(w *world) {
@@ -91,7 +91,7 @@
 		k.perSecond *= x
 		w.at(until, func(*world) { k.perSecond /= x })
 	},
-	func(w *world, s *server, until time.Duration) { // a model goes and comes back, without news for a while
+	func(w *world, s *server, until time.Duration) { // a model is unloaded and loaded again, without an update for a while
 		if !s.engine || len(s.row.Models) == 0 {
 			return
 		}
@@ -119,12 +119,12 @@
 			}
 		}
 	},
-	func(w *world, s *server, until time.Duration) { // a router is cut off
+	func(w *world, s *server, until time.Duration) { // a router is disconnected from all endpoints
 		i := w.rng.IntN(len(w.routers))
 		w.disconnected[i] = true
 		w.at(until, func(*world) { w.disconnected[i] = false })
 	},
-	func(w *world, s *server, until time.Duration) { // the whole table anew
+	func(w *world, s *server, until time.Duration) { // a complete table
 		var rows []protocol.Endpoint
 		for _, s := range w.servers {
 			if !s.departed {
@@ -144,7 +144,7 @@
 	return ids
 }
 
-// leave lets a client go.
+// leave cancels a client's request.
 func (w *world) leave(router int, c *client) {
 	w.inputs[router] = append(w.inputs[router], RequestCanceled{c.request.ID})
 	c.canceled = true
--- a/internal/router/dispatch/rules_test.go
+++ b/internal/router/dispatch/rules_test.go
@@ -118,7 +118,7 @@
 	s.step(3, ViewChanged{Endpoints: []protocol.Endpoint{drains, modelEndpoint("b", 2, "rare", "m")}})
 	out := s.step(4, AttemptFinished{ID: 1, Endpoint: "a"})
 	if send := s.oneSend(out); send.Endpoint != "b" || send.ID != 2 {
-		t.Errorf("sent %+v", send)
+		t.Errorf("sent %+v, want request 2 to b", send)
 	}
 	late := modelEndpoint("a", 9, "m")
 	s.step(5, ViewChanged{Endpoints: []protocol.Endpoint{late}})
@@ -158,7 +158,7 @@
 	departed := protocol.Endpoint{ID: second.Endpoint, Service: "lm", State: protocol.Departed, Sequence: 9}
 	s.step(401, ViewChanged{Endpoints: []protocol.Endpoint{departed}})
 	if send := s.oneSend(s.step(402, RequestArrived{s.request("m")})); send.Endpoint != first.Endpoint {
-		t.Errorf("sent %+v", send)
+		t.Errorf("sent %+v, want it to %s", send, first.Endpoint)
 	}
 }
 
--- a/internal/router/dispatch/scenario_test.go
+++ b/internal/router/dispatch/scenario_test.go
@@ -9,7 +9,7 @@
 	"raventrestle/internal/protocol"
 )
 
-// usualKinds are some kinds of request before six engines and three plain servers.
+// startNormalLoad starts four kinds of request, six engines and three plain servers; x scales the load.
 func (w *world) startNormalLoad(x float64) {
 	for i := range 6 {
 		models := []string{"m"}
@@ -45,14 +45,14 @@
 
 func (w *world) logStatistics(t *testing.T) {
 	for _, k := range w.kinds {
-		t.Logf("%-8s asked %5d in time %5d again %4d late %4d missed %4d refusals %4d twice %3d worth %.3f", k.name, k.requested,
+		t.Logf("%-8s requests %5d in time %5d after a retry %4d past target %4d failed %4d rejections %4d twice %3d value %.3f", k.name, k.requested,
 			k.inTime, k.retried, k.served, k.failed, k.rejected, k.rejectedTwice, k.valueServed())
 	}
 	saved, shared := 0.0, 0.0
 	for _, s := range w.servers {
 		saved, shared = saved+s.saved, shared+s.shared
 	}
-	t.Logf("refused with half free: %d; %.3f of the shared tokens were kept", w.rejectedWhileHalfFree, saved/shared)
+	t.Logf("rejected with half of the slots free: %d; %.3f of the shared tokens were cached", w.rejectedWhileHalfFree, saved/shared)
 	for i, d := range w.routers {
 		x := d.PredictionErrors()
 		t.Logf("router %d: predictions %d, median ratio %.2f, 95th %.2f, off by %.1f of %.1f ms", i, x.Count, x.MedianRatio,
@@ -110,7 +110,7 @@
 	w.logStatistics(t)
 }
 
-// TestCutRouterServesSoonAfter: a router that reached nobody for a while serves within half a second of the
+// TestDisconnectedRouterServesSoonAfterReconnection: a router that reached no endpoint for a while serves within half a second of the
 // link's return.
 func TestDisconnectedRouterServesSoonAfterReconnection(t *testing.T) {
 	w := newWorld(t, 6, 2)
@@ -121,7 +121,7 @@
 	before := w.countAnswered(0)
 	w.play(9 * time.Second)
 	if now := w.countAnswered(0); now < before+4 {
-		t.Errorf("%d answered in half a second, half a second after the link came back", now-before)
+		t.Errorf("%d answered in half a second, half a second after the reconnection; want 4", now-before)
 	}
 }
 
@@ -136,7 +136,7 @@
 	return n
 }
 
-// crash cuts all calls of an endpoint.
+// crash breaks off all calls of an endpoint.
 func (w *world) crash(s *server) {
 	s.condition = crashed
 	for _, j := range append(append([]*job(nil), s.running...), s.queue...) {
@@ -185,10 +185,10 @@
 	w.requireServed(t, 0.9)
 }
 
-// valueServed is what the kind's requests earned, of what they were worth.
+// valueServed returns the part of the kind's value that was served.
 func (k *kind) valueServed() float64 { return k.servedValue / max(k.offeredValue, 1) }
 
-// TestValueServedDuringOverload tells how bursts of several sizes go.
+// TestValueServedDuringOverload checks the value that is served during bursts of several sizes.
 func TestValueServedDuringOverload(t *testing.T) {
 	sizes := []float64{4}
 	if *overloadSeeds > 1 {
@@ -223,10 +223,10 @@
 		}
 		t.Logf("x %2.0f: served by rank %.3f", x, byRank)
 		part := func(n int) float64 { return float64(n) / float64(sum.requested) }
-		t.Logf("x %2.0f: worth %.3f; in time %.3f again %.3f late %.3f missed %.3f twice %.3f; refused with half free %d",
+		t.Logf("x %2.0f: value %.3f; in time %.3f after a retry %.3f past target %.3f failed %.3f rejected twice %.3f; rejected with half of the slots free %d",
 			x, value/owed, part(sum.inTime), part(sum.retried), part(sum.served), part(sum.failed), part(sum.rejectedTwice), free)
 		if x <= 4 && value < 0.9*owed {
-			t.Errorf("x %.0f: worth only %.3f", x, value/owed)
+			t.Errorf("x %.0f: value served %.3f, want 0.9", x, value/owed)
 		}
 	}
 }
@@ -251,7 +251,7 @@
 	return w
 }
 
-// startLargeFleet is twelve engines with two of many models each, two of them busy, and three plain servers.
+// startLargeFleet starts twelve engines with two of many models each, two models busy, and three plain servers.
 func (w *world) startLargeFleet() {
 	for i := range 12 {
 		models := []string{"m", fmt.Sprint("rare", i)}
--- a/internal/router/dispatch/script_test.go
+++ b/internal/router/dispatch/script_test.go
@@ -8,7 +8,7 @@
 	"raventrestle/internal/protocol"
 )
 
-// script plays inputs by hand against a decider, with times in ms since the start.
+// script passes single inputs to a decider, with times in ms since the start.
 type script struct {
 	t    *testing.T
 	d    *Decider
@@ -17,7 +17,7 @@
 	id   RequestID
 }
 
-// testConfiguration has a service of models and one without.
+// testConfiguration has a service with models and one without.
 func testConfiguration() *configuration.Configuration {
 	return &configuration.Configuration{
 		Generation: 1,
@@ -54,7 +54,7 @@
 	return s
 }
 
-// step goes on to a time and plays inputs.
+// step advances to a time, passes the inputs and returns the outputs.
 func (s *script) step(at int, inputs ...Input) []Output {
 	s.at = at
 	return append([]Output(nil), s.d.Step(s.time(at), inputs)...)
@@ -62,7 +62,7 @@
 
 func (s *script) time(at int) time.Time { return s.zero.Add(time.Duration(at) * time.Millisecond) }
 
-// request makes one for the model, or for the service without models.
+// request returns a new request for the model, or for the service without models.
 func (s *script) request(model string) Request {
 	s.id++
 	r := Request{
@@ -117,7 +117,7 @@
 	s.t.Helper()
 	list := rejections(out)
 	if len(list) != 1 {
-		s.t.Fatalf("refused %v, want one; all: %v", list, out)
+		s.t.Fatalf("rejected %v, want one; all: %v", list, out)
 	}
 	return list[0]
 }
@@ -125,18 +125,18 @@
 func TestNewRouterServesAtOnce(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"), plainEndpoint("p", 6))
 	if send := s.oneSend(s.step(1, RequestArrived{s.request("m")})); send.Endpoint != "a" || send.MaxConnections != 32 {
-		t.Errorf("sent %+v", send)
+		t.Errorf("sent %+v, want it to a with 32 connections", send)
 	}
 	if send := s.oneSend(s.step(2, RequestArrived{s.request("")})); send.Endpoint != "p" {
-		t.Errorf("sent %+v", send)
+		t.Errorf("sent %+v, want it to p", send)
 	}
 	out := s.step(40, FirstByteReceived{ID: 1, Endpoint: "a"}, AttemptFinished{ID: 2, Endpoint: "p"})
 	if len(sends(out))+len(rejections(out)) > 0 {
-		t.Errorf("got %v", out)
+		t.Errorf("got %v, want nothing sent or rejected", out)
 	}
 	s.step(1000, AttemptFinished{ID: 1, Endpoint: "a"})
 	if len(s.d.requests) > 0 || s.d.schedule.Busy != 0 {
-		t.Errorf("%d requests left, %d slots in use", len(s.d.requests), s.d.schedule.Busy)
+		t.Errorf("%d requests left and %d slots in use, want none", len(s.d.requests), s.d.schedule.Busy)
 	}
 }
 
@@ -152,5 +152,5 @@
 		}
 		s.step(int(at.Sub(s.zero)/time.Millisecond) + 1)
 	}
-	t.Error("it wakes again and again")
+	t.Error("the idle decider still has a wake time after 10 steps, want none")
 }
--- a/internal/router/dispatch/shutdown_test.go
+++ b/internal/router/dispatch/shutdown_test.go
@@ -12,15 +12,15 @@
 	return ShutdownStarted{QueueDeadline: s.time(queueDeadline)}
 }
 
-// requestWithDistantTarget makes a request whose objective is far.
+// requestWithDistantTarget returns a request whose latency target is distant.
 func (s *script) requestWithDistantTarget(model string) Request {
 	r := s.request(model)
 	r.LatencyTarget, r.Deadline = s.time(s.at+10000), s.time(s.at+30000)
 	return r
 }
 
-// A request that waits for its model to be loaded would be held up to its objective: it is refused when the router lets
-// in no more clients, with a word to come back soon. What comes later and can't be sent has only a moment.
+// A request that waits for its model to be loaded would be queued up to its latency target: it is rejected when the router
+// accepts no more clients, with a short Retry-After. What arrives later and can't be sent is queued for a moment only.
 func TestNoRequestStaysQueuedAfterTheShutdownDeadline(t *testing.T) {
 	loading := modelEndpoint("a", 1, "m")
 	loading.Loading = []protocol.ModelLoad{{Model: "rare", Remaining: 9 * time.Second}}
@@ -28,33 +28,33 @@
 	s.step(1000)
 	s.step(1000, RequestArrived{s.requestWithDistantTarget("rare")})
 	if out := s.step(1100, s.shutdown(2500)); len(rejections(out)) > 0 {
-		t.Fatalf("refused while clients may still come: %v", out)
+		t.Fatalf("got %v, want no rejection before the queue deadline", out)
 	}
 	if at := s.d.NextWake(); at.IsZero() || at.After(s.time(2500)) {
-		t.Errorf("next wake %v after the start", at.Sub(s.zero))
+		t.Errorf("next wake %v after the start, want 2.5s at the latest", at.Sub(s.zero))
 	}
-	refusal := s.oneRejection(s.step(2500))
-	if refusal.Reason != ShuttingDown || refusal.RetryAfter <= 0 || refusal.RetryAfter > 100*time.Millisecond {
-		t.Errorf("%+v", refusal)
+	rejection := s.oneRejection(s.step(2500))
+	if rejection.Reason != ShuttingDown || rejection.RetryAfter <= 0 || rejection.RetryAfter > 100*time.Millisecond {
+		t.Errorf("rejected with %+v, want ShuttingDown and 100ms at most", rejection)
 	}
 	if out := s.step(2600, RequestArrived{s.requestWithDistantTarget("rare")}); len(rejections(out)) > 0 {
-		t.Errorf("refused without a moment's patience: %v", out)
+		t.Errorf("got %v, want the request to stay queued for a moment", out)
 	}
 	if at := s.d.NextWake(); at.IsZero() || at.After(s.time(2750)) {
-		t.Errorf("next wake %v after the start", at.Sub(s.zero))
+		t.Errorf("next wake %v after the start, want 2.75s at the latest", at.Sub(s.zero))
 	}
-	if refusal := s.oneRejection(s.step(2751)); refusal.Reason != ShuttingDown {
-		t.Errorf("%+v", refusal)
+	if rejection := s.oneRejection(s.step(2751)); rejection.Reason != ShuttingDown {
+		t.Errorf("rejected with %+v, want ShuttingDown", rejection)
 	}
 	if send := s.oneSend(s.step(2760, RequestArrived{s.requestWithDistantTarget("m")})); send.Endpoint != "a" {
-		t.Errorf("%+v", send)
+		t.Errorf("sent %+v, want it to a", send)
 	}
 	if len(s.d.requests) != 1 {
-		t.Errorf("%d requests", len(s.d.requests))
+		t.Errorf("%d requests, want 1", len(s.d.requests))
 	}
 }
 
-// A load that will be done only after the router lets in no more clients is not waited for.
+// A load that will finish only after the router accepts no more clients is not waited for.
 func TestRequestsDoNotWaitForLoadsThatFinishAfterTheShutdownDeadline(t *testing.T) {
 	loading := modelEndpoint("a", 1, "m")
 	loading.Loading = []protocol.ModelLoad{{Model: "rare", Remaining: 9 * time.Second}}
@@ -63,13 +63,13 @@
 	r := s.request("rare")
 	r.LatencyTarget, r.Deadline = s.time(10000), s.time(30000)
 	s.step(1, RequestArrived{r})
-	refusal := s.oneRejection(s.step(2300))
-	if refusal.Reason != NoEndpoint || refusal.RetryAfter < 6*time.Second {
-		t.Errorf("%+v", refusal)
+	rejection := s.oneRejection(s.step(2300))
+	if rejection.Reason != NoEndpoint || rejection.RetryAfter < 6*time.Second {
+		t.Errorf("rejected with %+v, want NoEndpoint and 6s at least", rejection)
 	}
 }
 
-// A stream that broke off midway is not given up for a moment without a free place.
+// A stream that broke off midway is not rejected because no slot is free for a moment.
 func TestBrokenStreamStaysQueuedDuringShutdown(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
 	s.step(0, s.shutdown(2000))
@@ -77,16 +77,16 @@
 	s.step(2200, FirstByteReceived{ID: send.ID, Endpoint: "a"})
 	out := s.step(2300, AttemptFinished{ID: send.ID, Endpoint: "a", Result: ConnectionLost, NeedsRetry: true})
 	if len(rejections(out)) > 0 {
-		t.Fatalf("%v", out)
+		t.Fatalf("got %v, want the stream to stay queued", out)
 	}
 	b := modelEndpoint("b", 1, "m")
 	if send := s.oneSend(s.step(2350, ViewChanged{Endpoints: []protocol.Endpoint{b}})); send.Endpoint != "b" {
-		t.Errorf("%+v", send)
+		t.Errorf("sent %+v, want it to b", send)
 	}
 }
 
-// A router that ends on days at random: from its drain on it holds nothing for long, each request has one end, and all
-// rules hold.
+// A router that shuts down in random scenarios: from its queue deadline on nothing stays queued for long, each request ends once,
+// and all invariants hold.
 func TestQueuesAreFlushedDuringShutdownOfRandomScenarios(t *testing.T) {
 	for seed := range uint64(3) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -108,19 +108,19 @@
 	}
 }
 
-// checkHeld: nothing is held for long but streams that broke off midway.
+// checkQueued checks that nothing is queued for long but streams that broke off midway.
 func (w *world) checkQueued(d *Decider) {
 	for _, r := range d.requests {
 		if r.stage == stageQueued && !r.answerStarted && d.now > r.arrived+shutdownQueueTimeout+worldTick {
-			w.t.Errorf("request %d is held", r.ID)
+			w.t.Errorf("request %d is queued since %v, want %v at most", r.ID, d.now-r.arrived, shutdownQueueTimeout)
 		}
 	}
 }
 
-// late is a time at which only what will end in time is taken on; the process ends 4.6 s later.
+// selectiveAdmissionAt is when selective admission begins, in ms; the process ends 4.6 s later.
 const selectiveAdmissionAt = 12800
 
-// newScriptAtSelectiveAdmission brings a router that has seen streams of 3 s and calls of 40 ms to that time.
+// newScriptAtSelectiveAdmission returns a router that has seen streams of 3 s and calls of 40 ms, at that time.
 func newScriptAtSelectiveAdmission(t *testing.T) *script {
 	s := newScript(t, modelEndpoint("a", 1, "m"), plainEndpoint("b", 1000))
 	for i := range 4 {
@@ -136,8 +136,8 @@
 	return s
 }
 
-// What comes long after SIGTERM is taken on only if it will end before the process does: its own deadline sees to that,
-// or calls like it were short. All else is refused at once, with a word to come back soon.
+// What arrives long after SIGTERM is admitted only if it will finish before the process ends: by its own deadline,
+// or because calls like it were short. All else is rejected at once, with a short Retry-After.
 func TestOnlyRequestsThatFinishBeforeShutdownAreAdmitted(t *testing.T) {
 	for name, c := range map[string]struct {
 		at    int
@@ -179,23 +179,23 @@
 				return
 			}
 			if no := s.oneRejection(out); no.Reason != ShuttingDown || no.RetryAfter <= 0 || no.RetryAfter > 100*time.Millisecond {
-				t.Errorf("%+v", no)
+				t.Errorf("rejected with %+v, want ShuttingDown and 100ms at most", no)
 			}
 			if len(s.d.requests) != 0 {
-				t.Errorf("%d requests are left", len(s.d.requests))
+				t.Errorf("%d requests are left, want none", len(s.d.requests))
 			}
 		})
 	}
 }
 
-// What has waited to be paid until then, or goes once more, is judged anew.
+// What has waited for quota until then, or is retried, is checked again.
 func TestRetriesAndPaidRequestsMustFinishBeforeShutdown(t *testing.T) {
 	s := newScriptAtSelectiveAdmission(t)
 	r := s.request("m")
 	r.OutputTokens = 10
 	s.oneSend(s.step(selectiveAdmissionAt, RequestArrived{r}))
 	if no := s.oneRejection(s.step(selectiveAdmissionAt+4000, AttemptFinished{ID: r.ID, Endpoint: "a", Result: Rejected, NeedsRetry: true})); no.Reason != ShuttingDown {
-		t.Errorf("%+v", no)
+		t.Errorf("rejected with %+v, want ShuttingDown", no)
 	}
 	s = newScript(t, modelEndpoint("a", 1, "m"))
 	s.step(10000, ShutdownStarted{QueueDeadline: s.time(12300), SelectiveAdmissionFrom: s.time(selectiveAdmissionAt), ShutdownDeadline: s.time(17400)})
@@ -203,22 +203,22 @@
 	r = s.request("m")
 	r.Tenant, r.Charge = "t", 9000
 	if out := s.step(selectiveAdmissionAt-100, RequestArrived{r}); len(rejections(out))+len(sends(out)) > 0 {
-		t.Fatalf("not held for its quota: %v", out)
+		t.Fatalf("got %v, want the request to wait for quota", out)
 	}
 	out := s.step(selectiveAdmissionAt, ViewChanged{Quotas: []protocol.QuotaGrant{{
 		Tenant: "t", RatePerSecond: 9000, Burst: 9000, Credit: 99999,
 		TTL: time.Minute,
 	}}})
 	if no := s.oneRejection(out); no.Reason != ShuttingDown {
-		t.Errorf("%+v", no)
+		t.Errorf("rejected with %+v, want ShuttingDown", no)
 	}
 	if list := sends(out); len(list) > 0 {
-		t.Errorf("sent %v", list)
+		t.Errorf("sent %v, want nothing", list)
 	}
 }
 
-// On days at random: whatever a router has taken on late is over, or at its own deadline, when the process ends; and short
-// calls are still taken.
+// In random scenarios: whatever a router admitted after SelectiveAdmissionFrom has finished, or is at its own deadline, when the
+// process ends; and short calls are still admitted.
 func TestAdmittedRequestsFinishBeforeShutdownInRandomScenarios(t *testing.T) {
 	taken := uint64(0)
 	for seed := range uint64(6) {
@@ -237,14 +237,14 @@
 		taken += w.routers[1].counters.Sent - before
 		for _, r := range w.routers[1].requests {
 			if r.arrived+w.routers[1].startTime.Sub(w.zero) >= choose && r.stage == stageInFlight && r.deadline > w.routers[1].shutdown.deadline {
-				t.Errorf("seed %d: request %d of %s is cut", seed, r.ID, r.Service)
+				t.Errorf("seed %d: request %d of %s is in flight at the shutdown, want it finished", seed, r.ID, r.Service)
 			}
 		}
 		w.play(endBy + 5*time.Second)
 		w.finish()
 	}
 	if taken == 0 {
-		t.Error("nothing was taken late")
+		t.Error("no request was admitted after SelectiveAdmissionFrom, want some")
 	}
-	t.Logf("%d taken late", taken)
+	t.Logf("%d admitted after SelectiveAdmissionFrom", taken)
 }
--- a/internal/router/dispatch/simulated_calls_test.go
+++ b/internal/router/dispatch/simulated_calls_test.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// serve lets the endpoints work.
+// serve advances the endpoints by one tick.
 func (w *world) serve() {
 	for _, s := range w.servers {
 		begun, ended := s.tick()
@@ -47,7 +47,7 @@
 	})
 }
 
-// earns is what the try's end is worth, as a part of the request's worth.
+// earns returns the value of the attempt's end, as a part of the request's value.
 func (c *client) earns() float64 {
 	switch {
 	case c.served && c.inTime && c.request.ClientRetry:
@@ -62,7 +62,7 @@
 	return 0
 }
 
-// weight is the request's worth against its kind's.
+// weight returns the request's value relative to its kind's.
 func (k *kind) weight(c *client) float64 {
 	if k.output == 0 {
 		return 1
@@ -86,7 +86,7 @@
 	}
 }
 
-// endOverdueCalls ends calls whose time is over, and those that hang at crashed endpoints.
+// endOverdueCalls ends calls past their deadline, and those that hang at crashed endpoints.
 func (w *world) endOverdueCalls() {
 	live := w.live
 	w.live = w.live[:0:0]
@@ -107,7 +107,7 @@
 	}
 }
 
-// lose breaks a call off after it was written.
+// lose breaks a call off after its request was written.
 func (w *world) lose(c *client) {
 	more := c.request.Retryable
 	w.finishCall(c, ConnectionLost, more)
--- a/internal/router/dispatch/simulated_endpoint_test.go
+++ b/internal/router/dispatch/simulated_endpoint_test.go
@@ -9,11 +9,11 @@
 	"raventrestle/internal/protocol"
 )
 
-// The endpoints of the world: batch engines with prefill in pieces, and plain servers. Time goes in ticks.
+// Simulated endpoints: batch engines with chunked prefill, and plain servers. Time advances in ticks.
 
 const worldTick = 2 * time.Millisecond
 
-// condition is how an endpoint is.
+// condition is the state of an endpoint's process.
 type condition int
 
 const (
@@ -27,9 +27,9 @@
 	call     *worldCall
 	priority int
 	at       time.Duration
-	read     float64 // tokens of the prompt still to be read
+	read     float64 // prompt tokens left to prefill
 	size     float64 // tokens in memory
-	put      float64 // tokens still to be put out, or ms of work
+	put      float64 // tokens left to decode, or ms of work
 	begun    bool    // first byte sent
 }
 
@@ -37,19 +37,19 @@
 	row              protocol.Endpoint
 	engine           bool
 	condition        condition
-	slow             float64 // 1: as usual
-	resetProbability float64 // chance that a call is reset
+	slow             float64 // factor of its times, 1: normal
+	resetProbability float64 // of a call
 	running          []*job
 	due              []time.Duration // of row.Loading
 	queue            []*job
-	maxQueue         int // queue
+	maxQueue         int
 	cached           map[uint64]bool
-	ready            float64       // ms of the step that are over
+	ready            float64       // ms of the step that have passed
 	step             float64       // ms that it takes
-	first            []*job        // that put out their first token in it
-	saved            float64       // tokens that were kept
-	shared           float64       // tokens that could have been
-	drainAt          time.Duration // when draining was told to the routers, 0: not
+	first            []*job        // that decode their first token in it
+	saved            float64       // tokens that were cached
+	shared           float64       // tokens that could have been cached
+	drainAt          time.Duration // when the routers were notified of draining, 0: not
 	departed         bool
 }
 
@@ -65,7 +65,7 @@
 	return false
 }
 
-// accept takes a call in; false: turned away.
+// accept queues a call; false: rejected.
 func (s *server) accept(c *worldCall, priority int, now time.Duration, rng *rand.Rand) bool {
 	if len(s.queue) >= s.maxQueue {
 		return false
@@ -93,7 +93,7 @@
 	return true
 }
 
-// tick works for one tick and says which jobs began and which ended.
+// tick advances the endpoint by one tick and returns the jobs that began to answer and those that ended.
 func (s *server) tick() (begun, ended []*job) {
 	if s.condition == hung {
 		return nil, nil
@@ -120,12 +120,12 @@
 }
 
 const (
-	chunk     = 1024.0 // tokens read in a step at most
+	chunk     = 1024.0 // maximum of prompt tokens read in a step
 	perMS     = 19.2   // tokens read in a ms
 	kvInWorld = 130518.0
 )
 
-// stepOnce begins a step of the batch: a token for each that runs, and a piece of the first prompts.
+// stepOnce begins a step of the batch: a token for each running request, and a chunk of the first prompts.
 func (s *server) stepOnce() {
 	left := chunk
 	memory := kvInWorld
@@ -176,7 +176,7 @@
 	return ended
 }
 
-// drop takes a call out, as its connection was closed.
+// drop removes a call whose connection was closed.
 func (s *server) drop(c *worldCall) {
 	gone := func(j *job) bool { return j.call == c }
 	s.running = slices.DeleteFunc(s.running, gone)
--- a/internal/router/dispatch/simulation_rules_test.go
+++ b/internal/router/dispatch/simulation_rules_test.go
@@ -31,7 +31,7 @@
 		w.send(w.clients[i][o.ID], o)
 	case Reject:
 		if w.clients[i][o.ID].canceled {
-			w.t.Fatalf("request %d refused after its client left", o.ID)
+			w.t.Fatalf("request %d rejected after its client left, want no output", o.ID)
 		}
 		w.reject(w.clients[i][o.ID], o)
 	case Report:
@@ -41,7 +41,7 @@
 	case Abandon:
 		c := w.clients[i][o.ID]
 		if !c.request.Retryable || c.call == nil || c.call.begun {
-			w.t.Fatalf("abandoned %+v", c.request)
+			w.t.Fatalf("abandoned %+v, want only retryable requests without an answer", c.request)
 		}
 		c.call.server.drop(c.call)
 		w.finishCall(c, ConnectionLost, true)
@@ -51,7 +51,7 @@
 func (w *world) serverOf(id string) *server {
 	at := slices.IndexFunc(w.servers, func(s *server) bool { return s.row.ID == id })
 	if at < 0 {
-		w.t.Fatalf("no endpoint %s", id)
+		w.t.Fatalf("sent to %s, want an endpoint that exists", id)
 	}
 	return w.servers[at]
 }
@@ -59,16 +59,16 @@
 func (w *world) send(c *client, o Send) {
 	s := w.serverOf(o.Endpoint)
 	if s.drainAt > 0 && s.drainAt < w.now {
-		w.t.Fatalf("sent to %s after it was told to drain", o.Endpoint)
+		w.t.Fatalf("sent to %s after it began to drain, want another endpoint", o.Endpoint)
 	}
 	if c.endCount > 0 || c.call != nil {
-		w.t.Fatalf("request %d sent after its end, or twice", o.ID)
+		w.t.Fatalf("request %d sent after its end or while in flight, want one attempt at a time", o.ID)
 	}
 	if len(c.runs) > 0 && !c.request.Retryable {
-		w.t.Fatalf("request %d sent again after it may have run", o.ID)
+		w.t.Fatalf("request %d sent again after it may have executed, want it rejected", o.ID)
 	}
 	if len(c.runs) >= c.request.MaxEndpoints {
-		w.t.Fatalf("request %d sent to more than %d endpoints", o.ID, c.request.MaxEndpoints)
+		w.t.Fatalf("request %d sent to another endpoint, want %d at most", o.ID, c.request.MaxEndpoints)
 	}
 	c.call = &worldCall{client: c, server: s}
 	w.live = append(w.live, c.call)
@@ -116,7 +116,7 @@
 
 func (w *world) reject(c *client, o Reject) {
 	if c.endCount > 0 || c.call != nil {
-		w.t.Fatalf("request %d refused after its end, or while it is out", o.ID)
+		w.t.Fatalf("request %d rejected after its end or while in flight, want one end", o.ID)
 	}
 	if o.Reason == TargetUnreachable && len(c.runs) == 0 && w.halfFree(&c.request) {
 		w.rejectedWhileHalfFree++
@@ -157,10 +157,10 @@
 // checkOrder: after a step no head that may leave is left while slots are free.
 func (w *world) checkOrder(d *Decider) {
 	if e, found := d.schedule.Next(d.offerFlow); found {
-		w.t.Fatalf("%s holds a request that may leave", e.id)
+		w.t.Fatalf("%s has a queued request that may leave, want it sent", e.id)
 	}
 	if d.schedule.Busy > d.schedule.Slots {
-		w.t.Fatalf("%d slots of %d in use", d.schedule.Busy, d.schedule.Slots)
+		w.t.Fatalf("%d slots in use, want %d at most", d.schedule.Busy, d.schedule.Slots)
 	}
 }
 
@@ -172,7 +172,7 @@
 			n := sort.Search(len(list), func(j int) bool { return list[j] > from+DefaultRetryBudgetWindow }) - i
 			most := 0.2*float64(w.most(asks, from)) + 56
 			if float64(n) > most {
-				w.t.Fatalf("%s: %d further arrivals from %v on, %v allowed", service, n, from, most)
+				w.t.Fatalf("%s: %d retries from %v on, want %v at most", service, n, from, most)
 			}
 		}
 	}
@@ -187,7 +187,7 @@
 				j++
 			}
 			if sum > most {
-				w.t.Fatalf("tenant %s spent %v of %v until %v", t.Name, sum, most, list[i].at)
+				w.t.Fatalf("tenant %s spent %v, want %v at most, until %v", t.Name, sum, most, list[i].at)
 			}
 		}
 	}
--- a/internal/router/dispatch/simulation_test.go
+++ b/internal/router/dispatch/simulation_test.go
@@ -12,12 +12,12 @@
 	"raventrestle/internal/protocol"
 )
 
-// client is one try of a client, with the rules that it keeps account of.
+// client is one attempt of a client, with what the checks of the invariants need.
 type client struct {
 	request                Request
 	router                 int
 	endCount               int
-	runs                   map[string]bool // endpoints on which it may have run
+	runs                   map[string]bool // endpoints on which it may have executed
 	arrivals               int
 	call                   *worldCall
 	kind                   *kind
@@ -30,7 +30,7 @@
 	rejectedAt, retryAfter time.Duration
 
 	answerBegan bool
-	retried     bool // another try followed, and counts instead
+	retried     bool // another attempt followed and counts instead
 }
 
 type worldCall struct {
@@ -38,7 +38,7 @@
 	server *server
 	links  []worldLink
 	begun  bool
-	lost   time.Duration // when the host gives it up as lost, 0: not
+	lost   time.Duration // when the caller reports ConnectionLost, 0: not
 }
 
 type worldLink struct {
@@ -62,7 +62,7 @@
 	requested, inTime, served, rejected, failed, retried, rejectedTwice int
 }
 
-// world is some routers before the same endpoints.
+// world is a simulation of several routers with the same endpoints.
 type world struct {
 	t                testing.TB
 	rng              *rand.Rand
@@ -77,16 +77,16 @@
 	nextID           RequestID
 	returningClients []returning // clients that come back
 
-	further               map[string][]time.Duration // arrivals beyond the first, by service
+	further               map[string][]time.Duration // retries, by service
 	requestTimes          map[string][]time.Duration
 	spent                 map[string][]spending // by tenant
 	lag                   time.Duration         // of views
 	delayedViews          []delayedView
 	events                []worldEvent
 	live                  []*worldCall
-	disconnected          []bool          // routers whose calls reach nobody
+	disconnected          []bool          // routers whose calls reach no endpoint
 	loading               map[string]bool // nil: no placer
-	rejectedWhileHalfFree int             // refusals while half of the places were free
+	rejectedWhileHalfFree int             // rejections while half of the slots were free
 }
 
 type returning struct {
@@ -145,7 +145,7 @@
 	return s
 }
 
-// announce sends the routers news of an endpoint.
+// announce sends the routers an update of an endpoint.
 func (w *world) announce(s *server) {
 	s.row.Sequence++
 	row := s.row
@@ -170,7 +170,7 @@
 	w.events = append(w.events, worldEvent{at, do})
 }
 
-// play goes on until then.
+// play advances the simulation to the given time.
 func (w *world) play(until time.Duration) {
 	for ; w.now < until; w.now += worldTick {
 		w.processEvents()
@@ -186,7 +186,7 @@
 	}
 }
 
-// resting: nothing happens until a router wakes.
+// idle reports whether nothing happens until a router wakes.
 func (w *world) idle() bool {
 	if len(w.live)+len(w.returningClients) > 0 {
 		return false
@@ -204,7 +204,7 @@
 	return true
 }
 
-// finish lets everything end.
+// finish ends all load and checks that every request has ended.
 func (w *world) finish() {
 	for _, k := range w.kinds {
 		k.perSecond = 0
@@ -213,11 +213,11 @@
 	for i, list := range w.clients {
 		for _, c := range list {
 			if c.endCount != 1 {
-				w.t.Errorf("router %d: request %d has %d ends", i, c.request.ID, c.endCount)
+				w.t.Errorf("router %d: request %d has %d ends, want 1", i, c.request.ID, c.endCount)
 			}
 		}
 		if d := w.routers[i]; len(d.requests) > 0 || d.schedule.Busy != 0 || len(d.unassignedGroups) > 0 {
-			w.t.Errorf("router %d: %d requests, %d slots in use, %d homeless", i, len(d.requests), d.schedule.Busy,
+			w.t.Errorf("router %d: %d requests, %d slots in use, %d unassigned; want none", i, len(d.requests), d.schedule.Busy,
 				len(d.unassignedGroups))
 		}
 	}
@@ -276,7 +276,7 @@
 	return n
 }
 
-// sendRequest sends a request to a router; after an earlier try of it, what that had is what is asked again.
+// sendRequest sends a request to a random router; with before, a retry of that client's request.
 func (w *world) sendRequest(k *kind, clientRetries int, before *client) {
 	w.nextID++
 	c := &client{kind: k, router: w.rng.IntN(len(w.routers)), runs: map[string]bool{}}
@@ -313,7 +313,7 @@
 		k.offeredValue += k.weight(c)
 	}
 	if clientRetries == 0 {
-		c.rejected = true // does not come back
+		c.rejected = true // does not retry
 	}
 	c.request = r
 	w.clients[c.router][r.ID] = c
--- a/internal/router/dispatch/structures_test.go
+++ b/internal/router/dispatch/structures_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestPrefixCacheMatchesAPlainList holds the memory of parts against a plain list, newest first.
+// TestPrefixCacheMatchesAPlainList compares the prefix cache with a plain list, most recently used first.
 func TestPrefixCacheMatchesAPlainList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type entry struct {
@@ -55,12 +55,12 @@
 		}
 		p.expire(now + prefixTTL + time.Second)
 		if len(p.index) != 0 || p.tokens != 0 || p.nodes != nil {
-			t.Fatalf("%d parts after their time", len(p.index))
+			t.Fatalf("%d parts after their TTL, want none", len(p.index))
 		}
 	})
 }
 
-// TestTimersFireInOrder holds the heap against a sorted list.
+// TestTimersFireInOrder compares the heap with a sorted list.
 func TestTimersFireInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list timers
@@ -88,19 +88,19 @@
 			}
 		}
 		if len(last) > 0 || len(list) > 0 {
-			t.Fatalf("%d never came, %d left", len(last), len(list))
+			t.Fatalf("%d timers never fired and %d are left, want none", len(last), len(list))
 		}
 	})
 }
 
 func TestNamesChosenByClientsAreBounded(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
-	refusal := s.oneRejection(s.step(1, RequestArrived{s.request("nonsense")}))
-	if refusal.Reason != NoEndpoint || refusal.RetryAfter <= 0 {
-		t.Errorf("%+v", refusal)
+	rejection := s.oneRejection(s.step(1, RequestArrived{s.request("nonsense")}))
+	if rejection.Reason != NoEndpoint || rejection.RetryAfter <= 0 {
+		t.Errorf("rejected with %+v, want NoEndpoint and a RetryAfter", rejection)
 	}
 	if s.d.services["lm"].groups["nonsense"] != nil {
-		t.Error("it is remembered")
+		t.Error("the unknown model has a group, want none")
 	}
 	for i := range 500 {
 		r := s.request("m")
@@ -108,6 +108,6 @@
 		s.step(2+i, RequestArrived{r})
 	}
 	if n := len(s.d.services["lm"].groups["m"].targets); n > minTrackedTargets+1 {
-		t.Errorf("%d adapters are kept account of", n)
+		t.Errorf("%d adapters are tracked, want %d at most", n, minTrackedTargets+1)
 	}
 }
--- a/internal/router/dispatcher/actor_test.go
+++ b/internal/router/dispatcher/actor_test.go
@@ -13,7 +13,7 @@
 
 const testTimeout = 10 * time.Second
 
-// script is a decider that does what a test says at each step.
+// script is a decider whose steps the test defines.
 type script struct {
 	steps chan []dispatch.Input
 	do    func(inputs []dispatch.Input) []dispatch.Output
@@ -30,7 +30,7 @@
 
 func (s *script) NextWake() time.Time { return s.wake }
 
-// sendAll sends whatever arrives.
+// sendAll sends every request that arrives.
 func sendAll(inputs []dispatch.Input) (outputs []dispatch.Output) {
 	for _, input := range inputs {
 		if a, ok := input.(dispatch.RequestArrived); ok {
@@ -51,7 +51,7 @@
 	return a, s, dialer
 }
 
-// inputs waits until the decider has had so many inputs.
+// inputs waits until the decider has received so many inputs.
 func (s *script) inputs(t *testing.T, n int) []dispatch.Input {
 	t.Helper()
 	var all []dispatch.Input
@@ -70,12 +70,12 @@
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listen: got %v, want no error", err)
 	}
 	t.Cleanup(func() { listener.Close() })
 	c, err := dialer.Dial("e", listener.Addr().String(), time.Now().Add(testTimeout))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("dial: got %v, want no error", err)
 	}
 	return c
 }
@@ -86,21 +86,21 @@
 	first := a.Submit(dispatch.Request{})
 	v, _ := first.Wait(ctx, nil)
 	if v.Connection != nil {
-		t.Fatal("a connection from nowhere")
+		t.Fatal("got a connection before any was idle, want none")
 	}
 	c := connect(t, dialer)
 	first.FinishAttempt(Outcome{Send: v.Send, Result: dispatch.Succeeded, Connection: c, IdleTimeout: time.Minute})
 	second := a.Submit(dispatch.Request{})
 	if v, _ = second.Wait(ctx, nil); v.Connection != c || !c.Reused {
-		t.Error("the connection that rested was not handed out")
+		t.Error("the idle connection was not handed out, want it reused")
 	}
 	third := a.Submit(dispatch.Request{})
 	if v, _ = third.Wait(ctx, nil); v.Connection != nil {
-		t.Error("one connection for two calls")
+		t.Error("got a connection that another attempt uses, want none")
 	}
 }
 
-// A request whose client leaves before it has read its verdict: its call ends, and its connection rests on.
+// A request whose client leaves before it has read its decision: its attempt ends, and its connection stays idle.
 func TestAttemptThatNobodyReadsEndsAndItsConnectionStaysIdle(t *testing.T) {
 	a, s, dialer := start(t, sendAll)
 	first := a.Submit(dispatch.Request{})
@@ -112,19 +112,19 @@
 	a.post(command{kind: cancelRequest, id: second.id})
 	got := s.inputs(t, 2)
 	if _, ok := got[0].(dispatch.RequestCanceled); !ok {
-		t.Errorf("%v", got)
+		t.Errorf("got %v, want RequestCanceled first", got)
 	}
 	f, ok := got[1].(dispatch.AttemptFinished)
 	if !ok || f.ID != second.id || f.Result != dispatch.Canceled || f.NeedsRetry {
-		t.Errorf("%v", got)
+		t.Errorf("got %v, want the canceled attempt's end second", got)
 	}
 	third := a.Submit(dispatch.Request{})
 	if v, _ = third.Wait(context.Background(), nil); v.Connection != c {
-		t.Error("the connection is lost")
+		t.Error("the idle connection was not handed out again, want it")
 	}
 }
 
-// A request that is withdrawn in the very step in which it is sent.
+// A request that is canceled in the very step in which it is sent.
 func TestRequestCanceledInTheStepThatSendsIt(t *testing.T) {
 	var held dispatch.RequestID
 	a, s, _ := start(t, func(inputs []dispatch.Input) (outputs []dispatch.Output) {
@@ -132,7 +132,7 @@
 			switch i := input.(type) {
 			case dispatch.RequestArrived:
 				held = i.Request.ID
-			case dispatch.RequestCanceled: // as where another call's end in the same step had made room for it
+			case dispatch.RequestCanceled: // as if another attempt's end in the same step had freed a slot
 				outputs = append(outputs, dispatch.Send{ID: held, Endpoint: "e"})
 			}
 		}
@@ -143,14 +143,14 @@
 	ctx, leave := context.WithCancel(context.Background())
 	leave()
 	if _, ok := ticket.Wait(ctx, nil); ok {
-		t.Fatal("a verdict for nobody")
+		t.Fatal("Wait returned a decision after its context was done, want none")
 	}
 	got := s.inputs(t, 2)
 	if f, ok := got[1].(dispatch.AttemptFinished); !ok || f.Result != dispatch.Canceled {
-		t.Errorf("%v", got)
+		t.Errorf("got %v, want the canceled attempt's end second", got)
 	}
 	if len(a.requests) != 0 {
-		t.Errorf("%d places left", len(a.requests))
+		t.Errorf("%d requests left, want none", len(a.requests))
 	}
 }
 
@@ -165,11 +165,11 @@
 	})
 	v, ok := a.Submit(dispatch.Request{}).Wait(context.Background(), nil)
 	if !ok || v.Reject == nil || v.Reject.Reason != dispatch.TargetUnreachable {
-		t.Errorf("%+v", v)
+		t.Errorf("got %+v, want a rejection with TargetUnreachable", v)
 	}
 }
 
-// Apply returns after the decider has had the change, and drops connections to endpoints that are gone.
+// ApplyView returns after the decider has had the change, and drops connections to departed endpoints.
 func TestApplyViewReturnsAfterTheStepAndDropsDepartedConnections(t *testing.T) {
 	a, s, dialer := start(t, sendAll)
 	ticket := a.Submit(dispatch.Request{})
@@ -178,14 +178,14 @@
 	ticket.FinishAttempt(Outcome{Send: v.Send, Connection: c, IdleTimeout: time.Minute})
 	departed := dispatch.ViewChanged{Endpoints: []protocol.Endpoint{{ID: "e", State: protocol.Departed}}}
 	if err := a.ApplyView(context.Background(), departed); err != nil {
-		t.Fatal(err)
+		t.Fatalf("ApplyView: got %v, want no error", err)
 	}
 	got := s.inputs(t, 3)
 	if _, ok := got[2].(dispatch.ViewChanged); !ok {
-		t.Errorf("%v", got)
+		t.Errorf("got %v, want ViewChanged third", got)
 	}
 	if v, _ = a.Submit(dispatch.Request{}).Wait(context.Background(), nil); v.Connection != nil {
-		t.Error("a connection to an endpoint that was gone")
+		t.Error("got a connection to a departed endpoint, want none")
 	}
 }
 
@@ -205,6 +205,6 @@
 	select {
 	case <-called:
 	case <-time.After(testTimeout):
-		t.Fatal("never called")
+		t.Fatalf("the decider was not called within %v, want a call at its wake time", testTimeout)
 	}
 }
