--- a/internal/router/dispatch/choice.go
+++ b/internal/router/dispatch/choice.go
@@ -42,28 +42,28 @@
 	lowestCost := math.Inf(1)
 	parts, shared := r.sharedPrefix()
 	preferred := d.rendezvousChoice(r, parts)
-	for _, h := range r.group.residencies {
-		if !d.eligible(h, r) {
+	for _, res := range r.group.residencies {
+		if !d.eligible(res, r) {
 			continue
 		}
-		ms, cost := d.cost(h, r, shared, h == preferred)
-		c := d.availabilityOf(h, r, ms)
+		ms, cost := d.cost(res, r, shared, res == preferred)
+		c := d.availabilityOf(res, r, ms)
 		if c < status || c == status && cost < lowestCost {
-			best, status, lowestCost = h, c, cost
+			best, status, lowestCost = res, c, cost
 		}
 	}
 	if status == unavailable {
-		if h := d.lastResort(r); h != nil {
-			return h, availableNow
+		if res := d.lastResort(r); res != nil {
+			return res, availableNow
 		}
 	}
 	return best, status
 }
 
 // eligible reports whether the request may be sent to the residency at all, now or later.
-func (d *Decider) eligible(h *residency, r *request) bool {
-	e := h.endpoint
-	if !e.acceptsRequests() || !h.serves(r.Adapter) {
+func (d *Decider) eligible(res *residency, r *request) bool {
+	e := res.endpoint
+	if !e.acceptsRequests() || !res.serves(r.Adapter) {
 		return false
 	}
 	if len(r.attempted) > 0 && r.hasAttempted(e) {
@@ -111,10 +111,10 @@
 	key := r.prefixChain()[shared-1]
 	var best *residency
 	highestScore := uint64(0)
-	for _, h := range r.group.residencies {
-		if score := mixHash(h.endpoint.hash ^ key); best == nil || score > highestScore {
-			if h.endpoint.state != protocol.Draining && h.serves(r.Adapter) {
-				best, highestScore = h, score
+	for _, res := range r.group.residencies {
+		if score := mixHash(res.endpoint.hash ^ key); best == nil || score > highestScore {
+			if res.endpoint.state != protocol.Draining && res.serves(r.Adapter) {
+				best, highestScore = res, score
 			}
 		}
 	}
@@ -122,16 +122,16 @@
 }
 
 // cost returns the predicted time to the first byte and the cost of sending the request to the residency, both in ms.
-func (d *Decider) cost(h *residency, r *request, shared int, preferred bool) (ms, cost float64) {
-	e := h.endpoint
-	ms, cached := d.predict(h, r)
+func (d *Decider) cost(res *residency, r *request, shared int, preferred bool) (ms, cost float64) {
+	e := res.endpoint
+	ms, cached := d.predict(res, r)
 	cost = timeCost(ms, milliseconds(r.latencyTarget-d.now))
 	if shared > 0 {
 		likely := float64(cached)
 		if preferred {
 			likely = max(likely, rendezvousHitProbability*float64(shared))
 		}
-		perToken := h.group.msPerThousandTokens() / 1000
+		perToken := res.group.msPerThousandTokens() / 1000
 		cost -= (likely - float64(cached)) * perToken
 		cost += cacheMissCost * perToken * max(float64(shared)-likely, 0)
 	}
@@ -154,9 +154,9 @@
 }
 
 // availabilityOf says how well the residency can serve the request now.
-func (d *Decider) availabilityOf(h *residency, r *request, ms float64) availability {
-	e := h.endpoint
-	if _, ok := d.usable(e); !ok || h.notBefore > d.now || h.awaitsVerification(r.Adapter) {
+func (d *Decider) availabilityOf(res *residency, r *request, ms float64) availability {
+	e := res.endpoint
+	if _, ok := d.usable(e); !ok || res.notBefore > d.now || res.awaitsVerification(r.Adapter) {
 		return unavailable
 	}
 	if len(e.inFlight) >= d.maxConnections(e.service) || d.schedule.Full(e) {
@@ -185,14 +185,14 @@
 }
 
 // recordPrefix notes the request's parts in the prefix cache of the residency to which it is sent.
-func (d *Decider) recordPrefix(h *residency, r *request) {
+func (d *Decider) recordPrefix(res *residency, r *request) {
 	if len(r.PromptParts) == 0 {
 		return
 	}
 	maxTokens := math.MaxInt32
-	if engine := h.group.service.engine(); engine != nil && engine.KVTokens > 0 {
-		models := max(len(h.endpoint.residencies)-1, 1) // without the residency of requests that name no model
+	if engine := res.group.service.engine(); engine != nil && engine.KVTokens > 0 {
+		models := max(len(res.endpoint.residencies)-1, 1) // without the residency of requests that name no model
 		maxTokens = int(engine.KVTokens) / models
 	}
-	h.prefixCache.add(r.prefixChain(), r.PromptParts, d.now, maxTokens)
+	res.prefixCache.add(r.prefixChain(), r.PromptParts, d.now, maxTokens)
 }
--- a/internal/router/dispatch/deadline.go
+++ b/internal/router/dispatch/deadline.go
@@ -24,54 +24,54 @@
 		d.onQuotaDeadline(r)
 		return
 	}
-	h, status := d.choose(r)
+	res, status := d.choose(r)
 	if status == noCandidate && d.assumeLoaded(r) {
-		h, status = d.choose(r)
+		res, status = d.choose(r)
 	}
 	switch {
 	case status == noCandidate:
 		d.onUnassignedDeadline(r)
-	case status == unavailable && h.awaitsVerification(r.Adapter) && d.now+recheckInterval < d.capQueueDeadline(r.fullValueDeadline()):
+	case status == unavailable && res.awaitsVerification(r.Adapter) && d.now+recheckInterval < d.capQueueDeadline(r.fullValueDeadline()):
 		r.queueDeadline = d.now + recheckInterval
 		d.timers.add(r.queueDeadline, r)
 	case r.deferrals >= maxDeferrals || d.schedule.Busy >= d.schedule.Slots:
-		d.reject(r, TargetUnreachable, d.overloadRetryAfter(r, h))
+		d.reject(r, TargetUnreachable, d.overloadRetryAfter(r, res))
 	case status == availableNow:
-		d.requeue(r, h)
-	case status == availablePastTarget && d.shouldExplore(h):
+		d.requeue(r, res)
+	case status == availablePastTarget && d.shouldExplore(res):
 		r.exploratory = true
-		d.requeue(r, h)
-	case status == availablePastTarget && d.shouldSendPastTarget(h, r):
+		d.requeue(r, res)
+	case status == availablePastTarget && d.shouldSendPastTarget(res, r):
 		r.pastTarget = true
-		d.requeue(r, h)
+		d.requeue(r, res)
 	default:
-		d.reject(r, TargetUnreachable, d.overloadRetryAfter(r, h))
+		d.reject(r, TargetUnreachable, d.overloadRetryAfter(r, res))
 	}
 }
 
 // shouldExplore reports whether a request is sent against the estimates, which might be wrong and could not be corrected otherwise: if
 // slots seem to be free and nothing was sent for a while.
-func (d *Decider) shouldExplore(h *residency) bool {
-	g := h.group
-	used, waiting := d.load(h.endpoint)
-	return used+waiting+1 <= h.endpoint.capacity(g.meanKVTokens) && d.now-g.lastOnTargetSendAt >= explorationInterval
+func (d *Decider) shouldExplore(res *residency) bool {
+	g := res.group
+	used, waiting := d.load(res.endpoint)
+	return used+waiting+1 <= res.endpoint.capacity(g.meanKVTokens) && d.now-g.lastOnTargetSendAt >= explorationInterval
 }
 
 // requeue moves the request to the queue of an endpoint that is available now: it leaves in this step if its turn comes.
-func (d *Decider) requeue(r *request, h *residency) {
+func (d *Decider) requeue(r *request, res *residency) {
 	d.dequeue(r)
-	d.enqueue(r, h.endpoint)
+	d.enqueue(r, res.endpoint)
 	r.deferrals++
 	r.queueDeadline = d.now + minQueueTime
 	d.timers.add(r.queueDeadline, r)
 }
 
 // shouldSendPastTarget reports whether a request that can't meet its target is sent all the same.
-func (d *Decider) shouldSendPastTarget(h *residency, r *request) bool {
-	ms, _ := d.predict(h, r)
+func (d *Decider) shouldSendPastTarget(res *residency, r *request) bool {
+	ms, _ := d.predict(res, r)
 	answer := d.now + time.Duration(ms*float64(time.Millisecond))
 	if answer > r.usefulDeadline() {
-		return r.ClientRetry && d.hasShortQueue(h.endpoint)
+		return r.ClientRetry && d.hasShortQueue(res.endpoint)
 	}
 	return r.ClientRetry || r.deliveries > 0 || r.group.service.fairness.starved(r) || !r.canRetryInTime(d.now)
 }
--- a/internal/router/dispatch/demand.go
+++ b/internal/router/dispatch/demand.go
@@ -94,38 +94,38 @@
 
 // emitReport emits a report if one is due.
 func (d *Decider) emitReport() {
-	x := &d.demand
-	if !x.dirty {
+	state := &d.demand
+	if !state.dirty {
 		return
 	}
-	due := x.lastReportAt + d.config.ReportInterval
-	if x.urgent {
-		due = x.lastReportAt + minUrgentReportInterval
+	due := state.lastReportAt + d.config.ReportInterval
+	if state.urgent {
+		due = state.lastReportAt + minUrgentReportInterval
 	}
-	if x.quotaShortfall {
-		due = x.lastReportAt + minShortfallReportInterval
+	if state.quotaShortfall {
+		due = state.lastReportAt + minShortfallReportInterval
 	}
 	if d.now < due {
 		d.wakeBy(due)
 		return
 	}
 	d.outputs = append(d.outputs, Report{d.buildReport()})
-	x.dirty = false
-	x.urgent = false
-	x.quotaShortfall = false
-	x.lastReportAt = d.now
+	state.dirty = false
+	state.urgent = false
+	state.quotaShortfall = false
+	state.lastReportAt = d.now
 }
 
 // buildReport makes the report and starts the next.
 func (d *Decider) buildReport() protocol.Report {
-	x := &d.demand
-	x.sequence++
+	state := &d.demand
+	state.sequence++
 	report := protocol.Report{
-		Node: d.config.Node, Incarnation: d.config.Incarnation, Sequence: x.sequence,
-		Window: d.now - x.lastReportAt,
+		Node: d.config.Node, Incarnation: d.config.Incarnation, Sequence: state.sequence,
+		Window: d.now - state.lastReportAt,
 	}
-	active := x.active[:0]
-	for _, t := range x.active {
+	active := state.active[:0]
+	for _, t := range state.active {
 		t.counts.Queued, t.counts.InFlight = t.queued, t.inFlight
 		report.Models = append(report.Models, t.counts)
 		t.counts.Requests, t.counts.Unserved, t.counts.Tokens, t.counts.Value = 0, 0, 0, 0
@@ -133,7 +133,7 @@
 			active = append(active, t)
 		}
 	}
-	x.active = active
+	state.active = active
 	report.Tenants = d.tenantDemand()
 	report.Unreachable, report.Reachable = d.reachability()
 	return report
--- a/internal/router/dispatch/dispatch.go
+++ b/internal/router/dispatch/dispatch.go
@@ -74,14 +74,14 @@
 
 // mayDispatch reports whether the request may be sent to the endpoint now.
 func (d *Decider) mayDispatch(e *endpoint, r *request) bool {
-	h := e.residencyOf(r.Model)
-	if h == nil || h.notBefore > d.now || !h.serves(r.Adapter) || h.awaitsVerification(r.Adapter) || e.isUnloading(r.Model, r.Adapter) {
+	res := e.residencyOf(r.Model)
+	if res == nil || res.notBefore > d.now || !res.serves(r.Adapter) || res.awaitsVerification(r.Adapter) || e.isUnloading(r.Model, r.Adapter) {
 		return false
 	}
 	if r.pastTarget || d.underutilized(e) {
 		return true
 	}
-	ms, _ := d.predict(h, r)
+	ms, _ := d.predict(res, r)
 	return d.meetsTarget(r, ms)
 }
 
@@ -93,8 +93,8 @@
 
 // send sends a request to the endpoint in whose queue it is.
 func (d *Decider) send(e *endpoint, r *request) {
-	h := e.residencyOf(r.Model)
-	ms, cached := d.predict(h, r)
+	res := e.residencyOf(r.Model)
+	ms, cached := d.predict(res, r)
 	e.queue = remove(e.queue, r)
 	e.dispatched++
 	d.schedule.Sent(e, d.now)
@@ -104,7 +104,7 @@
 	d.spendRetry(r)
 	r.deliveries++
 	r.beginAttempt(d.now)
-	d.recordPrediction(e, h, r, ms, cached)
+	d.recordPrediction(e, res, r, ms, cached)
 	e.inFlight = append(e.inFlight, r)
 	e.openConnections = max(e.openConnections, len(e.inFlight))
 	e.lastUsedAt = d.now
@@ -113,11 +113,11 @@
 		r.probe = true
 		e.health.probes++
 	}
-	if h.isUnverified(r.Adapter) {
-		h.verifications++
-		r.verifying = h
+	if res.isUnverified(r.Adapter) {
+		res.verifications++
+		r.verifying = res
 	}
-	d.recordPrefix(h, r)
+	d.recordPrefix(res, r)
 	d.timers.add(d.now+r.responseTimeout(), r)
 	d.outputs = append(d.outputs, Send{
 		ID: r.ID, Endpoint: e.id, Address: e.address, Priority: r.priorityHeader(),
--- a/internal/router/dispatch/endpoint.go
+++ b/internal/router/dispatch/endpoint.go
@@ -58,8 +58,8 @@
 
 // capacityChanged notes that a slot may have become free for all models of the endpoint.
 func (e *endpoint) capacityChanged() {
-	for _, h := range e.residencies {
-		h.group.version++
+	for _, res := range e.residencies {
+		res.group.version++
 	}
 }
 
--- a/internal/router/dispatch/estimate.go
+++ b/internal/router/dispatch/estimate.go
@@ -72,11 +72,11 @@
 }
 
 // predict estimates the time from sending to the first byte, in ms, and the cached tokens of the prompt.
-func (d *Decider) predict(h *residency, r *request) (ms float64, cached int) {
-	e, g := h.endpoint, h.group
+func (d *Decider) predict(res *residency, r *request) (ms float64, cached int) {
+	e, g := res.endpoint, res.group
 	g.firstByteLine.decay(d.now)
 	g.service.firstByteLine.decay(d.now)
-	cached = min(h.prefixCache.cachedTokens(r.prefixChain(), r.PromptParts, d.now), r.PromptTokens)
+	cached = min(res.prefixCache.cachedTokens(r.prefixChain(), r.PromptParts, d.now), r.PromptTokens)
 	running, othersWaiting := d.othersLoad(e)
 	ahead := e.backlog
 	calls := float64(len(e.inFlight))
@@ -115,8 +115,8 @@
 }
 
 // recordPrediction stores what was predicted for an attempt, to be compared with what is observed.
-func (d *Decider) recordPrediction(e *endpoint, h *residency, r *request, ms float64, cached int) {
-	g := h.group
+func (d *Decider) recordPrediction(e *endpoint, res *residency, r *request, ms float64, cached int) {
+	g := res.group
 	r.predictedMS = ms
 	r.prefillTokens = r.prefillBeyond(cached)
 	r.prefillAtSend = float64(r.prefillTokens+e.backlog.tokens-e.pastTargetBacklog.tokens) / 1000
--- a/internal/router/dispatch/expected_load.go
+++ b/internal/router/dispatch/expected_load.go
@@ -69,15 +69,15 @@
 		if a.adapter != r.Adapter || a.readyAt > d.now || !a.endpoint.acceptsRequests() || r.hasAttempted(a.endpoint) {
 			continue
 		}
-		h := a.endpoint.residencyOf(g.model)
+		res := a.endpoint.residencyOf(g.model)
 		switch {
-		case a.adapter == "" && h == nil:
+		case a.adapter == "" && res == nil:
 			d.ensureResidency(a.endpoint, g.model, nil, false)
-			h = a.endpoint.residencyOf(g.model)
-		case a.adapter == "" || h == nil || h.serves(a.adapter):
+			res = a.endpoint.residencyOf(g.model)
+		case a.adapter == "" || res == nil || res.serves(a.adapter):
 			continue
 		}
-		h.unverified = append(h.unverified, a.adapter)
+		res.unverified = append(res.unverified, a.adapter)
 		g.version++
 		assumed = true
 	}
@@ -85,42 +85,44 @@
 }
 
 // isUnverified reports whether the residency is only assumed to have the adapter.
-func (h *residency) isUnverified(adapter string) bool { return slices.Contains(h.unverified, adapter) }
+func (res *residency) isUnverified(adapter string) bool {
+	return slices.Contains(res.unverified, adapter)
+}
 
 // awaitsVerification reports whether a request must wait for another one that verifies the assumption.
-func (h *residency) awaitsVerification(adapter string) bool {
-	return h.verifications > 0 && h.isUnverified(adapter)
+func (res *residency) awaitsVerification(adapter string) bool {
+	return res.verifications > 0 && res.isUnverified(adapter)
 }
 
 // confirmResidency notes that an answer proved the assumption.
 func (d *Decider) confirmResidency(r *request, e *endpoint) {
-	h := e.residencyOf(r.Model)
-	if h == nil || !h.isUnverified(r.Adapter) {
+	res := e.residencyOf(r.Model)
+	if res == nil || !res.isUnverified(r.Adapter) {
 		return
 	}
-	h.unverified = remove(slices.Clone(h.unverified), r.Adapter)
+	res.unverified = remove(slices.Clone(res.unverified), r.Adapter)
 	if r.Adapter != "" {
-		h.adapters = append(slices.Clone(h.adapters), r.Adapter)
+		res.adapters = append(slices.Clone(res.adapters), r.Adapter)
 	}
-	h.group.version++
+	res.group.version++
 }
 
 // refuteResidency notes that a rejection disproved the assumption: the load takes longer. False if nothing was assumed.
 func (d *Decider) refuteResidency(r *request, e *endpoint) bool {
-	h := e.residencyOf(r.Model)
-	if h == nil || !h.isUnverified(r.Adapter) {
+	res := e.residencyOf(r.Model)
+	if res == nil || !res.isUnverified(r.Adapter) {
 		return false
 	}
-	h.unverified = remove(slices.Clone(h.unverified), r.Adapter)
-	for i := range h.group.expectedLoads {
-		a := &h.group.expectedLoads[i]
+	res.unverified = remove(slices.Clone(res.unverified), r.Adapter)
+	for i := range res.group.expectedLoads {
+		a := &res.group.expectedLoads[i]
 		if a.endpoint == e && a.adapter == r.Adapter {
 			a.postponement = min(max(2*a.postponement, minLoadPostponement), maxLoadPostponement)
 			a.readyAt = d.now + a.postponement
 		}
 	}
 	if r.Adapter == "" {
-		d.removeResidency(e, h)
+		d.removeResidency(e, res)
 	}
 	d.reassignQueued(e)
 	return true
--- a/internal/router/dispatch/expected_load_test.go
+++ b/internal/router/dispatch/expected_load_test.go
@@ -24,9 +24,9 @@
 func (s *script) wake() int { return int(s.d.NextWake().Sub(s.zero)/time.Millisecond) + 1 }
 
 // untilSend steps at each wake time until something is sent.
-func (s *script) untilSend(most int) Send {
+func (s *script) untilSend(until int) Send {
 	s.t.Helper()
-	for s.at < most {
+	for s.at < until {
 		out := s.step(s.wake())
 		if len(rejections(out)) > 0 {
 			break
@@ -70,7 +70,7 @@
 		t.Errorf("sent to %s, want a", send.Endpoint)
 	}
 	s.step(s.at+5, FirstByteReceived{ID: send.ID, Endpoint: "a"})
-	if h := s.d.endpoints["a"].residencyOf("m"); !h.serves("a3") || h.isUnverified("a3") {
+	if res := s.d.endpoints["a"].residencyOf("m"); !res.serves("a3") || res.isUnverified("a3") {
 		t.Error("adapter a3 is not confirmed after an answer, want it confirmed")
 	}
 }
@@ -80,7 +80,7 @@
 	s := loadingScript(t)
 	s.untilSend(150)
 	s.step(s.at+2, ViewChanged{Endpoints: []protocol.Endpoint{modelEndpoint("a", 2, "m")}})
-	if h := s.d.endpoints["a"].residencyOf("m"); h.serves("a3") {
+	if res := s.d.endpoints["a"].residencyOf("m"); res.serves("a3") {
 		t.Error("adapter a3 is still assumed to be loaded, want it gone with the update")
 	}
 }
--- a/internal/router/dispatch/golden_fleet_test.go
+++ b/internal/router/dispatch/golden_fleet_test.go
@@ -346,8 +346,8 @@
 	for _, id := range goldenSorted(d.endpoints) {
 		e := d.endpoints[id]
 		kept := 0
-		for _, h := range e.residencies {
-			kept += h.prefixCache.tokens
+		for _, res := range e.residencies {
+			kept += res.prefixCache.tokens
 		}
 		g.record("endpoint %s calls %d held %d slow %s backoff %d weight %d kept %d delta %s", id, len(e.inFlight), len(e.queue),
 			goldenExact(e.slowness.factor(d.now)), e.health.ejectionBackoff, e.health.failureScore, kept, goldenExact(e.Delta()))
--- a/internal/router/dispatch/health.go
+++ b/internal/router/dispatch/health.go
@@ -46,61 +46,61 @@
 
 // recordSuccess notes an answer. Calls sent before the ejection say nothing new.
 func (d *Decider) recordSuccess(e *endpoint, r *request) {
-	x := &e.health
-	x.lastContactAt = d.now
-	if r.sentAt < x.ejectedAt {
+	h := &e.health
+	h.lastContactAt = d.now
+	if r.sentAt < h.ejectedAt {
 		return
 	}
-	if x.maxProbes > 0 && e.service.mostlyEjected() {
+	if h.maxProbes > 0 && e.service.mostlyEjected() {
 		d.readmitAll(e.service)
 	}
-	x.hasSucceeded = true
-	x.lastSuccessAt = d.now
+	h.hasSucceeded = true
+	h.lastSuccessAt = d.now
 	e.Trouble = false
-	x.failureScore = 0
-	x.ejectionBackoff = 0
-	x.rejectionBackoff = 0
-	if x.maxProbes > 0 {
-		x.maxProbes *= 2
-	}
-	if x.maxProbes >= recoveredProbes {
-		x.maxProbes = 0
+	h.failureScore = 0
+	h.ejectionBackoff = 0
+	h.rejectionBackoff = 0
+	if h.maxProbes > 0 {
+		h.maxProbes *= 2
+	}
+	if h.maxProbes >= recoveredProbes {
+		h.maxProbes = 0
 		e.service.ejected--
 	}
 }
 
 // recordFailure notes a failed call. Calls sent before the ejection say nothing new.
 func (d *Decider) recordFailure(e *endpoint, r *request, weight int) {
-	x := &e.health
+	h := &e.health
 	if weight == failureWeight {
-		x.lastContactAt = d.now
+		h.lastContactAt = d.now
 	}
-	if r.sentAt < x.ejectedAt {
+	if r.sentAt < h.ejectedAt {
 		return
 	}
-	x.lastFailureAt = d.now
-	x.failureScore += weight
-	if x.maxProbes > 0 || x.failureScore >= ejectionThreshold {
+	h.lastFailureAt = d.now
+	h.failureScore += weight
+	if h.maxProbes > 0 || h.failureScore >= ejectionThreshold {
 		d.eject(e)
 	}
 }
 
 // eject excludes an endpoint until its backoff is over.
 func (d *Decider) eject(e *endpoint) {
-	x := &e.health
+	h := &e.health
 	if !e.listed {
 		return
 	}
-	x.ejectionBackoff = min(max(2*x.ejectionBackoff, minEjectionBackoff), maxEjectionBackoff)
-	x.notBefore = d.now + d.jitter(x.ejectionBackoff)
-	x.ejectedAt = d.now
+	h.ejectionBackoff = min(max(2*h.ejectionBackoff, minEjectionBackoff), maxEjectionBackoff)
+	h.notBefore = d.now + d.jitter(h.ejectionBackoff)
+	h.ejectedAt = d.now
 	d.counters.Ejected++
-	if x.maxProbes == 0 {
+	if h.maxProbes == 0 {
 		e.service.ejected++
 	}
-	x.maxProbes = 1
+	h.maxProbes = 1
 	e.Trouble = true
-	x.probes = 0
+	h.probes = 0
 	for _, r := range e.inFlight {
 		r.probe = false
 	}
@@ -118,31 +118,31 @@
 // recordRejection notes that the endpoint did not execute the request. If it advertised free slots, an order concerning the model is
 // the cause and only this model backs off; else the endpoint is full.
 func (d *Decider) recordRejection(e *endpoint, r *request, load *AdvertisedLoad) {
-	x := &e.health
-	x.lastContactAt = d.now
-	h := e.residencyOf(r.Model)
-	if h != nil && load != nil && r.Model != "" && load.Running+load.Waiting < load.Slots {
-		h.rejectionBackoff = min(max(2*h.rejectionBackoff, minRejectionBackoff), maxRejectionBackoff)
-		h.notBefore = d.now + d.jitter(h.rejectionBackoff)
+	h := &e.health
+	h.lastContactAt = d.now
+	res := e.residencyOf(r.Model)
+	if res != nil && load != nil && r.Model != "" && load.Running+load.Waiting < load.Slots {
+		res.rejectionBackoff = min(max(2*res.rejectionBackoff, minRejectionBackoff), maxRejectionBackoff)
+		res.notBefore = d.now + d.jitter(res.rejectionBackoff)
 		return
 	}
-	x.rejectionBackoff = min(max(2*x.rejectionBackoff, minRejectionBackoff), maxRejectionBackoff)
-	x.notBefore = max(x.notBefore, d.now+d.jitter(x.rejectionBackoff))
+	h.rejectionBackoff = min(max(2*h.rejectionBackoff, minRejectionBackoff), maxRejectionBackoff)
+	h.notBefore = max(h.notBefore, d.now+d.jitter(h.rejectionBackoff))
 }
 
 // recordMisdirection notes that the model is not there, or that another incarnation has the address.
 func (d *Decider) recordMisdirection(e *endpoint, r *request) {
 	e.health.lastContactAt = d.now
-	h := e.residencyOf(r.Model)
-	if h == nil {
+	res := e.residencyOf(r.Model)
+	if res == nil {
 		return
 	}
-	if h.misdirections == nil {
-		h.misdirections = map[string]misdirection{}
+	if res.misdirections == nil {
+		res.misdirections = map[string]misdirection{}
 	}
-	before := h.misdirections[r.Adapter]
-	h.misdirectionTTL = min(max(2*h.misdirectionTTL, minMisdirectionTTL), maxMisdirectionTTL)
-	h.misdirections[r.Adapter] = misdirection{sequence: max(e.sequence, before.sequence), expiresAt: d.now + h.misdirectionTTL}
+	before := res.misdirections[r.Adapter]
+	res.misdirectionTTL = min(max(2*res.misdirectionTTL, minMisdirectionTTL), maxMisdirectionTTL)
+	res.misdirections[r.Adapter] = misdirection{sequence: max(e.sequence, before.sequence), expiresAt: d.now + res.misdirectionTTL}
 	if r.Model == "" {
 		d.eject(e)
 	}
@@ -158,14 +158,14 @@
 
 // usable reports whether the endpoint may take a call now, and if not, from when on it may; 0: not known.
 func (d *Decider) usable(e *endpoint) (from time.Duration, ok bool) {
-	x := &e.health
-	if x.notBefore > d.now {
-		return x.notBefore, false
+	h := &e.health
+	if h.notBefore > d.now {
+		return h.notBefore, false
 	}
-	if x.maxProbes > 0 && x.probes >= x.maxProbes {
+	if h.maxProbes > 0 && h.probes >= h.maxProbes {
 		return 0, false
 	}
-	if x.maxProbes == 0 && d.unresponsive(e) {
+	if h.maxProbes == 0 && d.unresponsive(e) {
 		return 0, false
 	}
 	return 0, true
--- a/internal/router/dispatch/health_probe.go
+++ b/internal/router/dispatch/health_probe.go
@@ -10,9 +10,9 @@
 // readmitAll allows probes of all the service's endpoints soon, because one answers again after nearly all had failed.
 func (d *Decider) readmitAll(s *service) {
 	for _, e := range d.endpoints {
-		if x := &e.health; e.service == s && x.notBefore > d.now {
-			x.notBefore = d.now
-			x.ejectionBackoff = 0
+		if h := &e.health; e.service == s && h.notBefore > d.now {
+			h.notBefore = d.now
+			h.ejectionBackoff = 0
 		}
 	}
 }
@@ -28,13 +28,13 @@
 		return nil
 	}
 	var best *residency
-	for _, h := range g.residencies {
-		x := &h.endpoint.health
-		if !d.eligible(h, r) || x.maxProbes == 0 || x.probes > 0 || h.notBefore > d.now {
+	for _, res := range g.residencies {
+		h := &res.endpoint.health
+		if !d.eligible(res, r) || h.maxProbes == 0 || h.probes > 0 || res.notBefore > d.now {
 			continue
 		}
-		if best == nil || x.notBefore < best.endpoint.health.notBefore {
-			best = h
+		if best == nil || h.notBefore < best.endpoint.health.notBefore {
+			best = res
 		}
 	}
 	if best != nil {
--- a/internal/router/dispatch/limits.go
+++ b/internal/router/dispatch/limits.go
@@ -32,8 +32,8 @@
 	}
 	d.lastSweepAt = d.now
 	for _, e := range d.endpoints {
-		for _, h := range e.residencies {
-			h.prefixCache.expire(d.now)
+		for _, res := range e.residencies {
+			res.prefixCache.expire(d.now)
 		}
 	}
 }
--- a/internal/router/dispatch/prediction_error.go
+++ b/internal/router/dispatch/prediction_error.go
@@ -21,32 +21,32 @@
 )
 
 // add counts one prediction; times in ms.
-func (x *PredictionErrors) add(predicted, seen float64) {
-	x.Count++
-	x.sumAbs += math.Abs(predicted - seen)
-	x.sumTotal += predicted
+func (p *PredictionErrors) add(predicted, seen float64) {
+	p.Count++
+	p.sumAbs += math.Abs(predicted - seen)
+	p.sumTotal += predicted
 	at := int(math.Log2(max(seen, 0.01)/max(predicted, 0.01))/errorBucketSize) + errorBuckets/2
-	x.buckets[min(max(at, 0), errorBuckets-1)]++
+	p.buckets[min(max(at, 0), errorBuckets-1)]++
 }
 
 // PredictionErrors returns the errors since the start.
 func (d *Decider) PredictionErrors() PredictionErrors {
-	x := d.predictionErrors
-	if x.Count == 0 {
-		return x
+	p := d.predictionErrors
+	if p.Count == 0 {
+		return p
 	}
-	x.MeanAbsoluteMS = x.sumAbs / float64(x.Count)
-	x.MeanPredictedMS = x.sumTotal / float64(x.Count)
-	x.MedianRatio = x.quantile(0.5)
-	x.Percentile95 = x.quantile(0.95)
-	return x
+	p.MeanAbsoluteMS = p.sumAbs / float64(p.Count)
+	p.MeanPredictedMS = p.sumTotal / float64(p.Count)
+	p.MedianRatio = p.quantile(0.5)
+	p.Percentile95 = p.quantile(0.95)
+	return p
 }
 
 // quantile returns the ratio below which the given fraction of the predictions is.
-func (x *PredictionErrors) quantile(part float64) float64 {
-	want := part * float64(x.Count)
+func (p *PredictionErrors) quantile(part float64) float64 {
+	want := part * float64(p.Count)
 	sum := 0
-	for i, n := range x.buckets {
+	for i, n := range p.buckets {
 		sum += n
 		if float64(sum) >= want {
 			return math.Exp2(float64(i-errorBuckets/2) * errorBucketSize)
--- a/internal/router/dispatch/queue.go
+++ b/internal/router/dispatch/queue.go
@@ -41,16 +41,16 @@
 
 // assign puts the request into the queue of the best endpoint, or among the unassigned.
 func (d *Decider) assign(r *request) {
-	h, status := d.choose(r)
+	res, status := d.choose(r)
 	if status == noCandidate && d.assumeLoaded(r) {
-		h, status = d.choose(r)
+		res, status = d.choose(r)
 	}
 	r.chosenAtVersion = r.group.version
 	if status == noCandidate {
 		d.enqueueUnassigned(r)
 		return
 	}
-	d.enqueue(r, h.endpoint)
+	d.enqueue(r, res.endpoint)
 }
 
 // enqueue puts the request into an endpoint's queue.
@@ -151,10 +151,10 @@
 				continue
 			}
 			r.chosenAtVersion = r.group.version
-			if h, status := d.choose(r); h != nil && h.endpoint != e && status == availableNow {
+			if res, status := d.choose(r); res != nil && res.endpoint != e && status == availableNow {
 				d.counters.Requeued++
 				d.dequeue(r)
-				d.enqueue(r, h.endpoint)
+				d.enqueue(r, res.endpoint)
 				j--
 			}
 		}
--- a/internal/router/dispatch/quota_preemption.go
+++ b/internal/router/dispatch/quota_preemption.go
@@ -24,26 +24,26 @@
 }
 
 // record takes in a rejection; less urgent ones than the recorded rank don't count.
-func (x *quotaDenials) record(r *request, now time.Duration) {
-	if now < x.until && r.rank > x.rank {
+func (denials *quotaDenials) record(r *request, now time.Duration) {
+	if now < denials.until && r.rank > denials.rank {
 		return
 	}
-	if now >= x.until || r.rank < x.rank {
-		x.meanCharge = r.Charge
+	if now >= denials.until || r.rank < denials.rank {
+		denials.meanCharge = r.Charge
 	}
-	x.rank = r.rank
-	x.meanCharge += (r.Charge - x.meanCharge) * deniedChargeSmoothing
-	x.until = now + preemptionWindow
+	denials.rank = r.rank
+	denials.meanCharge += (r.Charge - denials.meanCharge) * deniedChargeSmoothing
+	denials.until = now + preemptionWindow
 }
 
 // reservedQuota returns what the request must leave in its tenant's bucket.
 func (d *Decider) reservedQuota(t *tenant, r *request) float64 {
-	x := &t.denials
-	if d.now >= x.until || r.rank <= x.rank || r.awaitingQuota {
+	denials := &t.denials
+	if d.now >= denials.until || r.rank <= denials.rank || r.awaitingQuota {
 		return 0
 	}
-	if x.lessUrgentSince++; x.lessUrgentSince%preemptionExemptInterval == 0 {
+	if denials.lessUrgentSince++; denials.lessUrgentSince%preemptionExemptInterval == 0 {
 		return 0
 	}
-	return min(x.meanCharge, maxPreemptedFraction*(d.quotaDepth(t)+d.maxOverdraft(t)))
+	return min(denials.meanCharge, maxPreemptedFraction*(d.quotaDepth(t)+d.maxOverdraft(t)))
 }
--- a/internal/router/dispatch/residency.go
+++ b/internal/router/dispatch/residency.go
@@ -33,10 +33,10 @@
 func (d *Decider) updateResidencies(e *endpoint, models []protocol.LoadedModel, newer bool) {
 	d.ensureResidency(e, "", nil, newer) // requests that name no model may be sent to any endpoint
 	for i := len(e.residencies) - 1; i >= 0; i-- {
-		h := e.residencies[i]
-		loaded := func(m protocol.LoadedModel) bool { return m.Name == h.group.model }
-		if h.group.model != "" && !slices.ContainsFunc(models, loaded) {
-			d.removeResidency(e, h)
+		res := e.residencies[i]
+		loaded := func(m protocol.LoadedModel) bool { return m.Name == res.group.model }
+		if res.group.model != "" && !slices.ContainsFunc(models, loaded) {
+			d.removeResidency(e, res)
 		}
 	}
 	for i := range models {
@@ -46,59 +46,59 @@
 
 // ensureResidency adds or updates the residency of a model.
 func (d *Decider) ensureResidency(e *endpoint, model string, adapters []string, newer bool) {
-	h := e.residencyOf(model)
-	if h == nil {
+	res := e.residencyOf(model)
+	if res == nil {
 		g := e.service.ensureGroup(model)
-		h = &residency{group: g, endpoint: e}
-		e.residencies = append(e.residencies, h)
-		g.residencies = append(g.residencies, h)
+		res = &residency{group: g, endpoint: e}
+		e.residencies = append(e.residencies, res)
+		g.residencies = append(g.residencies, res)
 	}
-	if newer || len(h.unverified) == 0 {
-		h.adapters = adapters
+	if newer || len(res.unverified) == 0 {
+		res.adapters = adapters
 	}
 	if newer {
-		h.unverified = nil
-		d.expireMisdirections(h)
+		res.unverified = nil
+		d.expireMisdirections(res)
 	}
 }
 
 // expireMisdirections forgets answers 421 that are older than the table.
-func (d *Decider) expireMisdirections(h *residency) {
-	for adapter, w := range h.misdirections {
-		if h.endpoint.sequence > w.sequence && d.now >= w.expiresAt {
-			delete(h.misdirections, adapter)
+func (d *Decider) expireMisdirections(res *residency) {
+	for adapter, w := range res.misdirections {
+		if res.endpoint.sequence > w.sequence && d.now >= w.expiresAt {
+			delete(res.misdirections, adapter)
 		}
 	}
 }
 
 // removeResidency removes a residency with its prefix cache: the endpoint no longer has the model.
-func (d *Decider) removeResidency(e *endpoint, h *residency) {
-	e.residencies = remove(e.residencies, h)
-	h.group.residencies = remove(h.group.residencies, h)
-	h.group.version++
+func (d *Decider) removeResidency(e *endpoint, res *residency) {
+	e.residencies = remove(e.residencies, res)
+	res.group.residencies = remove(res.group.residencies, res)
+	res.group.version++
 }
 
 // residencyOf returns the endpoint's residency of a model, nil without.
 func (e *endpoint) residencyOf(model string) *residency {
-	for _, h := range e.residencies {
-		if h.group.model == model {
-			return h
+	for _, res := range e.residencies {
+		if res.group.model == model {
+			return res
 		}
 	}
 	return nil
 }
 
 // serves reports whether the residency has the adapter, as far as is known.
-func (h *residency) serves(adapter string) bool {
-	if len(h.misdirections) > 0 {
-		if _, misdirected := h.misdirections[adapter]; misdirected {
+func (res *residency) serves(adapter string) bool {
+	if len(res.misdirections) > 0 {
+		if _, misdirected := res.misdirections[adapter]; misdirected {
 			return false
 		}
-		if _, misdirected := h.misdirections[""]; misdirected {
+		if _, misdirected := res.misdirections[""]; misdirected {
 			return false
 		}
 	}
-	return adapter == "" || slices.Contains(h.adapters, adapter) || h.isUnverified(adapter)
+	return adapter == "" || slices.Contains(res.adapters, adapter) || res.isUnverified(adapter)
 }
 
 // remove returns the list without its member x. The list's array is reused.
--- a/internal/router/dispatch/response_timeout.go
+++ b/internal/router/dispatch/response_timeout.go
@@ -79,8 +79,8 @@
 	if r.possibleExecutions+1 >= max(r.MaxEndpoints, 1) || !d.mayRetry(r) {
 		return
 	}
-	h, class := d.choose(r)
-	if h == nil || h.endpoint == e || class != availableNow {
+	res, class := d.choose(r)
+	if res == nil || res.endpoint == e || class != availableNow {
 		return
 	}
 	r.abandoned = true
--- a/internal/router/dispatch/retry_after.go
+++ b/internal/router/dispatch/retry_after.go
@@ -29,17 +29,17 @@
 }
 
 // overloadRetryAfter returns when to retry at a model whose endpoints are overloaded: the longer that lasts, the later.
-func (d *Decider) overloadRetryAfter(r *request, h *residency) time.Duration {
+func (d *Decider) overloadRetryAfter(r *request, res *residency) time.Duration {
 	g := r.group
 	if d.now-g.overloadedAt > time.Second {
 		g.overloadedSince = d.now
 	}
 	g.overloadedAt = d.now
 	wait := d.overloadBackoff(r, g)
-	if h != nil {
-		ms, _ := d.predict(h, r)
+	if res != nil {
+		ms, _ := d.predict(res, r)
 		wait = max(wait, time.Duration(ms*float64(time.Millisecond))-(r.latencyTarget-r.arrived)/2)
-		wait = max(wait, h.endpoint.health.notBefore-d.now)
+		wait = max(wait, res.endpoint.health.notBefore-d.now)
 	}
 	return d.retryAfter(r, wait)
 }
--- a/internal/router/dispatch/shutdown_test.go
+++ b/internal/router/dispatch/shutdown_test.go
@@ -93,8 +93,8 @@
 		w := newWorld(t, seed, 3)
 		w.startNormalLoad(0.5 + 2*rng.Float64())
 		s := w.servers[rng.IntN(len(w.servers))]
-		trouble := faults[rng.IntN(len(faults))]
-		w.at(2*time.Second, func(w *world) { trouble(w, s, 5*time.Second) })
+		fault := faults[rng.IntN(len(faults))]
+		w.at(2*time.Second, func(w *world) { fault(w, s, 5*time.Second) })
 		queueDeadline := 2500 * time.Millisecond
 		w.at(time.Second, func(w *world) {
 			w.inputs[1] = append(w.inputs[1], ShutdownStarted{QueueDeadline: w.zero.Add(queueDeadline)})
--- a/internal/router/dispatch/simulated_endpoint_test.go
+++ b/internal/router/dispatch/simulated_endpoint_test.go
@@ -178,9 +178,9 @@
 
 // drop removes a call whose connection was closed.
 func (s *server) drop(c *worldCall) {
-	gone := func(j *job) bool { return j.call == c }
-	s.running = slices.DeleteFunc(s.running, gone)
-	s.queue = slices.DeleteFunc(s.queue, gone)
+	isCall := func(j *job) bool { return j.call == c }
+	s.running = slices.DeleteFunc(s.running, isCall)
+	s.queue = slices.DeleteFunc(s.queue, isCall)
 }
 
 func (s *server) load() *AdvertisedLoad {
--- a/internal/router/dispatch/tombstones.go
+++ b/internal/router/dispatch/tombstones.go
@@ -21,23 +21,23 @@
 }
 
 // add remembers an endpoint that departed.
-func (g *tombstones) add(e *endpoint, told bool) {
-	if g.byID == nil {
-		g.byID = map[string]tombstone{}
+func (t *tombstones) add(e *endpoint, explicit bool) {
+	if t.byID == nil {
+		t.byID = map[string]tombstone{}
 	}
-	if _, again := g.byID[e.id]; !again {
-		g.order = append(g.order, e.id)
+	if _, again := t.byID[e.id]; !again {
+		t.order = append(t.order, e.id)
 	}
-	g.byID[e.id] = tombstone{sequence: e.sequence, explicit: told, draining: e.drainingAtDeparture}
-	if len(g.order) > maxTombstones {
-		delete(g.byID, g.order[0])
-		g.order = g.order[1:]
+	t.byID[e.id] = tombstone{sequence: e.sequence, explicit: explicit, draining: e.drainingAtDeparture}
+	if len(t.order) > maxTombstones {
+		delete(t.byID, t.order[0])
+		t.order = t.order[1:]
 	}
 }
 
 // isStale reports whether the update is older than the endpoint's departure.
-func (g *tombstones) isStale(update *protocol.Endpoint) bool {
-	last, ok := g.byID[update.ID]
+func (t *tombstones) isStale(update *protocol.Endpoint) bool {
+	last, ok := t.byID[update.ID]
 	if !ok {
 		return false
 	}
@@ -45,4 +45,4 @@
 }
 
 // wasDraining reports whether the endpoint was draining when it departed: it takes no requests if it comes back.
-func (g *tombstones) wasDraining(id string) bool { return g.byID[id].draining }
+func (t *tombstones) wasDraining(id string) bool { return t.byID[id].draining }
