--- a/internal/control/placer/golden_fleet_test.go
+++ b/internal/control/placer/golden_fleet_test.go
@@ -25,7 +25,7 @@
 	faultRate   float64         // faults a second over the whole fleet
 	orderLoss   float64         // share of orders whose delivery or answer is disturbed
 	takeovers   []time.Duration // when a new placer takes over
-	handoverGap time.Duration   // QuietBefore of those that take over
+	handoverGap time.Duration   // HandoverGap of those that take over
 	changes     map[time.Duration]func(c *configuration.Configuration)
 }
 
@@ -35,10 +35,10 @@
 	endpoints         int
 	zones             int
 	engine            configuration.Engine
-	requestsPerSecond float64 // requests a second
-	busyModels        int     // models that are asked for most, at a time
-	dormantModels     int     // the last so many models are never asked for
-	phase             time.Duration
+	requestsPerSecond float64
+	busyModels        int           // models that are busy at a time
+	dormantModels     int           // the last so many models are never asked for
+	phase             time.Duration // time after which the next models are busy
 }
 
 // goldenFleet simulates endpoints, routers and clients around one placer. Everything is iterated in a fixed order, so
@@ -50,7 +50,7 @@
 	configuration    *configuration.Configuration
 	configurationDue bool // the placer has not seen the configuration yet
 	endpoints        []*goldenEndpoint
-	started          int // endpoints, for their IDs
+	started          int // number of endpoints started, for their IDs
 	table            map[string]protocol.Endpoint
 	heardAt          map[string]time.Duration
 	demand           map[goldenKey]*goldenDemand
@@ -63,6 +63,7 @@
 	lines            []string
 }
 
+// goldenEvent is a message on its way, or a planned change.
 type goldenEvent struct {
 	at time.Duration
 	do func()
--- a/internal/control/placer/golden_test.go
+++ b/internal/control/placer/golden_test.go
@@ -172,8 +172,8 @@
 }
 
 // TestDecisionsAreAsRecorded plays seeded fleets and compares all that the placer decides and assumes with the
-// records in testdata/golden, written by the code of 73ca247. The records are not to be written again: a difference
-// is a change of behaviour.
+// records in testdata/golden, written by the code of 73ca247. A difference is a change of
+// behaviour; the records are written again only where that is meant.
 func TestDecisionsAreAsRecorded(t *testing.T) {
 	for _, s := range goldenScenarios() {
 		t.Run(s.name, func(t *testing.T) {
