--- a/internal/router/dispatch/decider.go
+++ b/internal/router/dispatch/decider.go
@@ -131,10 +131,12 @@
 		if !ok {
 			return
 		}
-		if r.stage == stageQueued {
+		switch r.stage {
+		case stageQueued:
 			d.onQueueDeadline(r)
-		} else if r.stage == stageInFlight {
+		case stageInFlight:
 			d.checkResponse(r)
+		case stageDone: // its timers are stale and never fire
 		}
 	}
 }
--- a/internal/router/dispatch/expected_load_test.go
+++ b/internal/router/dispatch/expected_load_test.go
@@ -9,6 +9,7 @@
 
 // loadingScript returns a script in which endpoint a loads an adapter of m until 120 ms, and two requests wait for it.
 func loadingScript(t *testing.T) *script {
+	t.Helper()
 	s := newScript(t, modelEndpoint("a", 1, "m"))
 	loads := modelEndpoint("a", 1, "m")
 	loads.Loading = []protocol.ModelLoad{{Model: "m", Adapter: "a3", Remaining: 60 * time.Millisecond}}
--- a/internal/router/dispatch/placement_test.go
+++ b/internal/router/dispatch/placement_test.go
@@ -143,6 +143,7 @@
 }
 
 func playRareModels(t *testing.T) *world {
+	t.Helper()
 	w := newRareModelsWorld(t)
 	w.play(20 * time.Second)
 	w.finish()
@@ -150,6 +151,7 @@
 }
 
 func newRareModelsWorld(t *testing.T) *world {
+	t.Helper()
 	w := newWorld(t, 31, 3)
 	w.loading = map[string]bool{}
 	w.startNormalLoad(1)
--- a/internal/router/dispatch/random_scenario_test.go
+++ b/internal/router/dispatch/random_scenario_test.go
@@ -26,6 +26,7 @@
 }
 
 func playRandomScenario(t *testing.T, seed uint64) {
+	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 99))
 	w := newWorld(t, seed, 1+rng.IntN(4))
 	if rng.IntN(3) == 0 {
--- a/internal/router/dispatch/scenario_test.go
+++ b/internal/router/dispatch/scenario_test.go
@@ -44,6 +44,7 @@
 }
 
 func (w *world) logStatistics(t *testing.T) {
+	t.Helper()
 	for _, k := range w.kinds {
 		t.Logf("%-8s requests %5d in time %5d after a retry %4d past target %4d failed %4d rejections %4d twice %3d value %.3f", k.name, k.requested,
 			k.inTime, k.retried, k.served, k.failed, k.rejected, k.rejectedTwice, k.valueServed())
@@ -234,6 +235,7 @@
 var overloadSeeds = flag.Int("overload-seeds", 1, "plays of each burst")
 
 func overload(t *testing.T, seed uint64, x float64) *world {
+	t.Helper()
 	w := newWorld(t, seed, 9)
 	w.startLargeFleet()
 	w.at(4*time.Second, func(w *world) {
--- a/internal/router/dispatch/script_test.go
+++ b/internal/router/dispatch/script_test.go
@@ -46,6 +46,7 @@
 }
 
 func newScript(t *testing.T, endpoints ...protocol.Endpoint) *script {
+	t.Helper()
 	s := &script{t: t, zero: time.Now(), d: New(Config{
 		Seed: 1, Zone: "z", RouterCount: 9, RetryBudgetRatio: 0.2, RetryBudgetSlack: 56,
 		QuotaOvershootFraction: 0.1, QuotaOvershootSlack: 11000,
--- a/internal/router/dispatch/shutdown_test.go
+++ b/internal/router/dispatch/shutdown_test.go
@@ -122,6 +122,7 @@
 
 // newScriptAtSelectiveAdmission returns a router that has seen streams of 3 s and calls of 40 ms, at that time.
 func newScriptAtSelectiveAdmission(t *testing.T) *script {
+	t.Helper()
 	s := newScript(t, modelEndpoint("a", 1, "m"), plainEndpoint("b", 1000))
 	for i := range 4 {
 		at := 1000 + 10*i
--- a/internal/router/dispatch/simulation_test.go
+++ b/internal/router/dispatch/simulation_test.go
@@ -109,9 +109,10 @@
 	do func(*world)
 }
 
-func newWorld(t testing.TB, seed uint64, routers int) *world {
+func newWorld(tb testing.TB, seed uint64, routers int) *world {
+	tb.Helper()
 	w := &world{
-		t: t, rng: rand.New(rand.NewPCG(seed, 7)), zero: time.Now(), config: testConfiguration(),
+		t: tb, rng: rand.New(rand.NewPCG(seed, 7)), zero: time.Now(), config: testConfiguration(),
 		further: map[string][]time.Duration{}, requestTimes: map[string][]time.Duration{}, spent: map[string][]spending{},
 		lag: 5 * time.Millisecond,
 	}
--- a/internal/router/dispatch/view.go
+++ b/internal/router/dispatch/view.go
@@ -99,12 +99,7 @@
 		return
 	}
 	if e == nil {
-		e = &endpoint{id: update.ID, service: d.ensureService(update.Service)}
-		e.hash = stringHash(update.ID)
-		if d.tombstones.wasDraining(update.ID) {
-			e.state = protocol.Draining
-		}
-		d.endpoints[update.ID] = e
+		e = d.addEndpoint(update)
 	}
 	if !e.listed {
 		e.listed = true
@@ -128,6 +123,17 @@
 	e.capacityChanged()
 }
 
+// addEndpoint adds an endpoint that the decider does not know, or no longer.
+func (d *Decider) addEndpoint(update *protocol.Endpoint) *endpoint {
+	e := &endpoint{id: update.ID, service: d.ensureService(update.Service)}
+	e.hash = stringHash(update.ID)
+	if d.tombstones.wasDraining(update.ID) {
+		e.state = protocol.Draining
+	}
+	d.endpoints[update.ID] = e
+	return e
+}
+
 // removeEndpoint takes an endpoint out of the table. While it has calls in flight its record remains.
 func (d *Decider) removeEndpoint(e *endpoint) {
 	if e.listed {
--- a/internal/router/dispatcher/ticket.go
+++ b/internal/router/dispatcher/ticket.go
@@ -54,7 +54,7 @@
 func (t *Ticket) abandon() {
 	t.abandoned.Store(true)
 	if c := t.connection.Load(); c != nil {
-		_ = c.Conn.SetReadDeadline(pastDeadline) // fails only if the attempt has just closed it
+		_ = c.SetReadDeadline(pastDeadline) // fails only if the attempt has just closed it
 	}
 }
 
