--- a/internal/router/dispatch/fairness_test.go
+++ b/internal/router/dispatch/fairness_test.go
@@ -12,7 +12,7 @@
 	for seed := range uint64(1) {
 		w := overload(t, 40+seed, 12)
 		for _, k := range w.kinds[:2] {
-			var all []*client
+			var all []*simulatedClient
 			for _, list := range w.clients {
 				for _, c := range list {
 					if c.kind == k && !c.retried {
@@ -20,7 +20,7 @@
 					}
 				}
 			}
-			slices.SortFunc(all, func(a, b *client) int { return cmp.Compare(a.size(), b.size()) })
+			slices.SortFunc(all, func(a, b *simulatedClient) int { return cmp.Compare(a.size(), b.size()) })
 			allServed, tenth := servedFraction(all), servedFraction(all[len(all)*9/10:])
 			t.Logf("%s: %.3f of %d served, of the largest tenth %.3f", k.name, allServed, len(all), tenth)
 			if tenth < 0.6*allServed {
@@ -30,9 +30,9 @@
 	}
 }
 
-func (c *client) size() int { return c.request.PromptTokens + 10*c.request.OutputTokens }
+func (c *simulatedClient) size() int { return c.request.PromptTokens + 10*c.request.OutputTokens }
 
-func servedFraction(list []*client) float64 {
+func servedFraction(list []*simulatedClient) float64 {
 	n := 0
 	for _, c := range list {
 		if c.served {
--- a/internal/router/dispatch/prefix_cache.go
+++ b/internal/router/dispatch/prefix_cache.go
@@ -82,11 +82,11 @@
 }
 
 // add notes that the endpoint reads these parts now. The last parts are evicted first.
-func (p *prefixCache) add(links []uint64, parts []PromptPart, now time.Duration, most int) {
+func (p *prefixCache) add(links []uint64, parts []PromptPart, now time.Duration, maxTokens int) {
 	for i := len(links) - 1; i >= 0; i-- {
 		p.touch(links[i], parts[i].Tokens, now)
 	}
-	for (p.tokens > most || len(p.index) > maxCachedParts) && len(p.index) > 0 {
+	for (p.tokens > maxTokens || len(p.index) > maxCachedParts) && len(p.index) > 0 {
 		p.drop(p.oldest)
 	}
 }
--- a/internal/router/dispatch/random_scenario_test.go
+++ b/internal/router/dispatch/random_scenario_test.go
@@ -28,7 +28,7 @@
 func playRandomScenario(t *testing.T, seed uint64) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 99))
-	w := newWorld(t, seed, 1+rng.IntN(4))
+	w := newSimulation(t, seed, 1+rng.IntN(4))
 	if rng.IntN(3) == 0 {
 		for _, d := range w.routers {
 			d.schedule.Slots = 4 + rng.IntN(60)
@@ -41,7 +41,7 @@
 		until := at + time.Duration(500+rng.IntN(4000))*time.Millisecond
 		fault := faults[rng.IntN(len(faults))]
 		s := w.servers[rng.IntN(len(w.servers))]
-		w.at(at, func(w *world) { fault(w, s, until) })
+		w.at(at, func(w *simulation) { fault(w, s, until) })
 	}
 	w.play(7 * time.Second)
 	w.finish()
@@ -51,67 +51,67 @@
 }
 
 // faults each begin now and end at the given time.
-var faults = []func(w *world, s *server, until time.Duration){
-	func(w *world, s *server, until time.Duration) { // crash, and restart under another ID
+var faults = []func(w *simulation, s *simulatedEndpoint, until time.Duration){
+	func(w *simulation, s *simulatedEndpoint, until time.Duration) { // crash, and restart under another ID
 		w.crash(s)
-		w.at(until, func(w *world) { w.replace(s, protocol.Departed) })
+		w.at(until, func(w *simulation) { w.replace(s, protocol.Departed) })
 	},
-	func(w *world, s *server, until time.Duration) { // hangs
+	func(w *simulation, s *simulatedEndpoint, until time.Duration) { // hangs
 		s.condition = hung
-		w.at(until, func(*world) { s.condition = healthy })
+		w.at(until, func(*simulation) { s.condition = healthy })
 	},
-	func(w *world, s *server, until time.Duration) { // slow
+	func(w *simulation, s *simulatedEndpoint, until time.Duration) { // slow
 		s.slow = 2 + 10*w.rng.Float64()
-		w.at(until, func(*world) { s.slow = 1 })
+		w.at(until, func(*simulation) { s.slow = 1 })
 	},
-	func(w *world, s *server, until time.Duration) { // resets connections
+	func(w *simulation, s *simulatedEndpoint, until time.Duration) { // resets connections
 		s.resetProbability = 0.3 * w.rng.Float64()
-		w.at(until, func(*world) { s.resetProbability = 0 })
+		w.at(until, func(*simulation) { s.resetProbability = 0 })
 	},
-	func(w *world, s *server, until time.Duration) { // drains and departs
+	func(w *simulation, s *simulatedEndpoint, until time.Duration) { // drains and departs
 		s.row.State = protocol.Draining
 		w.announce(s)
-		w.at(until, func(w *world) {
+		w.at(until, func(w *simulation) {
 			w.crash(s)
 			w.replace(s, protocol.Departed)
 		})
 	},
-	func(w *world, s *server, until time.Duration) { // heartbeats lost
+	func(w *simulation, s *simulatedEndpoint, until time.Duration) { // heartbeats lost
 		s.row.State = protocol.Unresponsive
 		w.announce(s)
-		w.at(until, func(w *world) {
+		w.at(until, func(w *simulation) {
 			if s.row.State == protocol.Unresponsive {
 				s.row.State = protocol.Ready
 				w.announce(s)
 			}
 		})
 	},
-	func(w *world, s *server, until time.Duration) { // burst of one kind
+	func(w *simulation, s *simulatedEndpoint, until time.Duration) { // burst of one kind
 		k := w.kinds[w.rng.IntN(len(w.kinds))]
 		x := 2 + 8*w.rng.Float64()
 		k.perSecond *= x
-		w.at(until, func(*world) { k.perSecond /= x })
+		w.at(until, func(*simulation) { k.perSecond /= x })
 	},
-	func(w *world, s *server, until time.Duration) { // a model is unloaded and loaded again, without an update for a while
+	func(w *simulation, s *simulatedEndpoint, until time.Duration) { // a model is unloaded and loaded again, without an update for a while
 		if !s.engine || len(s.row.Models) == 0 {
 			return
 		}
 		models := slices.Clone(s.row.Models)
 		s.row.Models = s.row.Models[:len(models)-1]
-		w.at(w.now+200*time.Millisecond, func(w *world) { w.announce(s) })
-		w.at(until, func(w *world) {
+		w.at(w.now+200*time.Millisecond, func(w *simulation) { w.announce(s) })
+		w.at(until, func(w *simulation) {
 			s.row.Models = models
 			w.announce(s)
 		})
 	},
-	func(w *world, s *server, until time.Duration) { // another configuration: lower limits, fewer connections
+	func(w *simulation, s *simulatedEndpoint, until time.Duration) { // another configuration: lower limits, fewer connections
 		next := *w.config
 		next.Tenants = []configuration.Tenant{w.config.Tenants[0]}
 		next.Generation++
 		w.config = &next
 		w.delayedViews = append(w.delayedViews, delayedView{w.now, ViewChanged{Configuration: w.config, RouterCount: len(w.routers)}})
 	},
-	func(w *world, s *server, until time.Duration) { // clients leave
+	func(w *simulation, s *simulatedEndpoint, until time.Duration) { // clients leave
 		for i, list := range w.clients {
 			for _, id := range sortedIDs(list) {
 				if c := list[id]; c.endCount == 0 && w.rng.IntN(2) == 0 {
@@ -120,12 +120,12 @@
 			}
 		}
 	},
-	func(w *world, s *server, until time.Duration) { // a router is disconnected from all endpoints
+	func(w *simulation, s *simulatedEndpoint, until time.Duration) { // a router is disconnected from all endpoints
 		i := w.rng.IntN(len(w.routers))
 		w.disconnected[i] = true
-		w.at(until, func(*world) { w.disconnected[i] = false })
+		w.at(until, func(*simulation) { w.disconnected[i] = false })
 	},
-	func(w *world, s *server, until time.Duration) { // a complete table
+	func(w *simulation, s *simulatedEndpoint, until time.Duration) { // a complete table
 		var rows []protocol.Endpoint
 		for _, s := range w.servers {
 			if !s.departed {
@@ -136,7 +136,7 @@
 	},
 }
 
-func sortedIDs(list map[RequestID]*client) []RequestID {
+func sortedIDs(list map[RequestID]*simulatedClient) []RequestID {
 	ids := make([]RequestID, 0, len(list))
 	for id := range list {
 		ids = append(ids, id)
@@ -146,7 +146,7 @@
 }
 
 // leave cancels a client's request.
-func (w *world) leave(router int, c *client) {
+func (w *simulation) leave(router int, c *simulatedClient) {
 	w.inputs[router] = append(w.inputs[router], RequestCanceled{c.request.ID})
 	c.canceled = true
 	if c.call != nil {
@@ -157,14 +157,14 @@
 }
 
 // replace starts a new incarnation of an endpoint.
-func (w *world) replace(s *server, state protocol.EndpointState) {
+func (w *simulation) replace(s *simulatedEndpoint, state protocol.EndpointState) {
 	if s.departed {
 		return
 	}
 	s.departed = true
 	s.row.State = state
 	w.announce(s)
-	fresh := &server{engine: s.engine, maxQueue: s.maxQueue, row: s.row}
+	fresh := &simulatedEndpoint{engine: s.engine, maxQueue: s.maxQueue, row: s.row}
 	fresh.row.ID = fmt.Sprint("x", len(w.servers))
 	fresh.row.State = protocol.Ready
 	fresh.row.Sequence = 0
--- a/internal/router/dispatch/scenario_test.go
+++ b/internal/router/dispatch/scenario_test.go
@@ -10,7 +10,7 @@
 )
 
 // startNormalLoad starts four kinds of request, six engines and three plain servers; x scales the load.
-func (w *world) startNormalLoad(x float64) {
+func (w *simulation) startNormalLoad(x float64) {
 	for i := range 6 {
 		models := []string{"m"}
 		if i < 2 {
@@ -21,7 +21,7 @@
 	for range 3 {
 		w.addPlain(6)
 	}
-	w.kinds = []*kind{
+	w.kinds = []*requestKind{
 		{
 			name: "brief", model: "m", perSecond: 13 * x, latencyTarget: 500 * time.Millisecond, timeout: 15 * time.Second,
 			prompt: 1460, output: 172, retryable: true, clientRetries: 1, tenant: "", rank: 1,
@@ -43,7 +43,7 @@
 	w.start()
 }
 
-func (w *world) logStatistics(t *testing.T) {
+func (w *simulation) logStatistics(t *testing.T) {
 	t.Helper()
 	for _, k := range w.kinds {
 		t.Logf("%-8s requests %5d in time %5d after a retry %4d past target %4d failed %4d rejections %4d twice %3d value %.3f", k.name, k.requested,
@@ -61,7 +61,7 @@
 	}
 }
 
-func (w *world) requireServed(t *testing.T, share float64) {
+func (w *simulation) requireServed(t *testing.T, share float64) {
 	t.Helper()
 	for _, k := range w.kinds {
 		if got := float64(k.inTime) / float64(max(k.requested, 1)); got < share {
@@ -71,7 +71,7 @@
 }
 
 func TestNormalLoadMeetsItsTargets(t *testing.T) {
-	w := newWorld(t, 1, 3)
+	w := newSimulation(t, 1, 3)
 	w.startNormalLoad(1)
 	w.play(20 * time.Second)
 	w.finish()
@@ -80,14 +80,14 @@
 }
 
 func TestInvariantsDuringABurst(t *testing.T) {
-	w := newWorld(t, 2, 3)
+	w := newSimulation(t, 2, 3)
 	w.startNormalLoad(1)
-	w.at(6*time.Second, func(w *world) {
+	w.at(6*time.Second, func(w *simulation) {
 		for _, k := range w.kinds {
 			k.perSecond *= 6
 		}
 	})
-	w.at(11*time.Second, func(w *world) {
+	w.at(11*time.Second, func(w *simulation) {
 		for _, k := range w.kinds {
 			k.perSecond /= 6
 		}
@@ -98,12 +98,12 @@
 }
 
 func TestInvariantsDuringCrashes(t *testing.T) {
-	w := newWorld(t, 3, 3)
+	w := newSimulation(t, 3, 3)
 	w.startNormalLoad(1)
-	w.at(5*time.Second, func(w *world) { w.crash(w.servers[0]) })
-	w.at(5*time.Second, func(w *world) { w.servers[3].condition = hung })
-	w.at(7*time.Second, func(w *world) { w.crash(w.servers[6]) })
-	w.at(9*time.Second, func(w *world) {
+	w.at(5*time.Second, func(w *simulation) { w.crash(w.servers[0]) })
+	w.at(5*time.Second, func(w *simulation) { w.servers[3].condition = hung })
+	w.at(7*time.Second, func(w *simulation) { w.crash(w.servers[6]) })
+	w.at(9*time.Second, func(w *simulation) {
 		w.servers[0].condition, w.servers[3].condition, w.servers[6].condition = healthy, healthy, healthy
 	})
 	w.play(20 * time.Second)
@@ -114,10 +114,10 @@
 // TestDisconnectedRouterServesSoonAfterReconnection: a router that reached no endpoint for a while serves within half a second of the
 // link's return.
 func TestDisconnectedRouterServesSoonAfterReconnection(t *testing.T) {
-	w := newWorld(t, 6, 2)
+	w := newSimulation(t, 6, 2)
 	w.startNormalLoad(1)
-	w.at(3*time.Second, func(w *world) { w.disconnected[0] = true })
-	w.at(8*time.Second, func(w *world) { w.disconnected[0] = false })
+	w.at(3*time.Second, func(w *simulation) { w.disconnected[0] = true })
+	w.at(8*time.Second, func(w *simulation) { w.disconnected[0] = false })
 	w.play(8500 * time.Millisecond)
 	before := w.countAnswered(0)
 	w.play(9 * time.Second)
@@ -127,7 +127,7 @@
 }
 
 // countAnswered counts a router's requests that were answered at least in part.
-func (w *world) countAnswered(router int) int {
+func (w *simulation) countAnswered(router int) int {
 	n := 0
 	for _, c := range w.clients[router] {
 		if c.answerBegan {
@@ -138,7 +138,7 @@
 }
 
 // crash breaks off all calls of an endpoint.
-func (w *world) crash(s *server) {
+func (w *simulation) crash(s *simulatedEndpoint) {
 	s.condition = crashed
 	for _, j := range append(append([]*job(nil), s.running...), s.queue...) {
 		if c := j.call.client; c.call == j.call {
@@ -150,9 +150,9 @@
 }
 
 func TestInvariantsWithSlowAndResettingEndpoints(t *testing.T) {
-	w := newWorld(t, 4, 3)
+	w := newSimulation(t, 4, 3)
 	w.startNormalLoad(1)
-	w.at(5*time.Second, func(w *world) {
+	w.at(5*time.Second, func(w *simulation) {
 		w.servers[3].slow = 10
 		w.servers[7].slow = 8
 		w.servers[4].resetProbability = 0.05
@@ -163,17 +163,17 @@
 }
 
 func TestLoadIsServedWhileEndpointsAreReplaced(t *testing.T) {
-	w := newWorld(t, 5, 3)
+	w := newSimulation(t, 5, 3)
 	w.startNormalLoad(2)
 	for i := range 4 {
 		at := time.Duration(4+2*i) * time.Second
-		w.at(at, func(w *world) {
+		w.at(at, func(w *simulation) {
 			w.servers[i].row.State = protocol.Draining
 			w.announce(w.servers[i])
 			fresh := w.addEngine("m", "rare")
 			w.announce(fresh)
 		})
-		w.at(at+3*time.Second, func(w *world) {
+		w.at(at+3*time.Second, func(w *simulation) {
 			w.servers[i].row.State = protocol.Departed
 			w.announce(w.servers[i])
 			w.servers[i].departed = true
@@ -187,7 +187,7 @@
 }
 
 // valueServed returns the part of the kind's value that was served.
-func (k *kind) valueServed() float64 { return k.servedValue / max(k.offeredValue, 1) }
+func (k *requestKind) valueServed() float64 { return k.servedValue / max(k.offeredValue, 1) }
 
 // TestValueServedDuringOverload checks the value that is served during bursts of several sizes.
 func TestValueServedDuringOverload(t *testing.T) {
@@ -196,7 +196,7 @@
 		sizes = []float64{2, 3, 4, 6, 9}
 	}
 	for _, x := range sizes {
-		var sum kind
+		var sum requestKind
 		value, owed, free := 0.0, 0.0, 0
 		var byRank, asked [3]float64
 		for seed := range uint64(*overloadSeeds) {
@@ -234,16 +234,16 @@
 
 var overloadSeeds = flag.Int("overload-seeds", 1, "plays of each burst")
 
-func overload(t *testing.T, seed uint64, x float64) *world {
+func overload(t *testing.T, seed uint64, x float64) *simulation {
 	t.Helper()
-	w := newWorld(t, seed, 9)
+	w := newSimulation(t, seed, 9)
 	w.startLargeFleet()
-	w.at(4*time.Second, func(w *world) {
+	w.at(4*time.Second, func(w *simulation) {
 		for _, k := range w.kinds {
 			k.perSecond *= x
 		}
 	})
-	w.at(9*time.Second, func(w *world) {
+	w.at(9*time.Second, func(w *simulation) {
 		for _, k := range w.kinds {
 			k.perSecond /= x
 		}
@@ -254,7 +254,7 @@
 }
 
 // startLargeFleet starts twelve engines with two of many models each, two models busy, and three plain servers.
-func (w *world) startLargeFleet() {
+func (w *simulation) startLargeFleet() {
 	for i := range 12 {
 		models := []string{"m", fmt.Sprint("rare", i)}
 		if i%3 == 2 {
@@ -268,24 +268,24 @@
 	for range 3 {
 		w.addPlain(6)
 	}
-	brief := kind{
+	brief := requestKind{
 		name: "brief", model: "m", perSecond: 15, latencyTarget: 500 * time.Millisecond, timeout: 15 * time.Second,
 		prompt: 1460, output: 172, retryable: true, clientRetries: 1, rank: 1,
 	}
-	reply := kind{
+	reply := requestKind{
 		name: "reply", model: "m", adapter: "a1", perSecond: 9, latencyTarget: 400 * time.Millisecond,
 		timeout: 10 * time.Second, prompt: 646, output: 70, retryable: true, clientRetries: 1, rank: 2,
 	}
 	briefN, replyN := brief, reply
 	briefN.model, briefN.perSecond = "n", 8
 	replyN.model, replyN.adapter, replyN.perSecond = "n", "", 5
-	push := kind{
+	push := requestKind{
 		name: "push", perSecond: 11, latencyTarget: 100 * time.Millisecond, timeout: 600 * time.Millisecond,
 		clientRetries: 1, rank: 2,
 	}
-	w.kinds = []*kind{&brief, &reply, &briefN, &replyN, &push}
+	w.kinds = []*requestKind{&brief, &reply, &briefN, &replyN, &push}
 	for _, i := range []int{0, 1, 2, 4, 5, 6, 8, 9, 10} {
-		w.kinds = append(w.kinds, &kind{
+		w.kinds = append(w.kinds, &requestKind{
 			name: "rewrite", model: fmt.Sprint("rare", i), perSecond: 0.28,
 			latencyTarget: 8 * time.Second, timeout: 30 * time.Second, prompt: 1460, output: 172, clientRetries: 1,
 		})
--- a/internal/router/dispatch/shutdown_test.go
+++ b/internal/router/dispatch/shutdown_test.go
@@ -90,17 +90,17 @@
 func TestQueuesAreFlushedDuringShutdownOfRandomScenarios(t *testing.T) {
 	for seed := range uint64(3) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		w := newWorld(t, seed, 3)
+		w := newSimulation(t, seed, 3)
 		w.startNormalLoad(0.5 + 2*rng.Float64())
 		s := w.servers[rng.IntN(len(w.servers))]
 		fault := faults[rng.IntN(len(faults))]
-		w.at(2*time.Second, func(w *world) { fault(w, s, 5*time.Second) })
+		w.at(2*time.Second, func(w *simulation) { fault(w, s, 5*time.Second) })
 		queueDeadline := 2500 * time.Millisecond
-		w.at(time.Second, func(w *world) {
+		w.at(time.Second, func(w *simulation) {
 			w.inputs[1] = append(w.inputs[1], ShutdownStarted{QueueDeadline: w.zero.Add(queueDeadline)})
 		})
-		for at := queueDeadline; at < 5*time.Second; at += worldTick {
-			w.play(at + worldTick)
+		for at := queueDeadline; at < 5*time.Second; at += simulationTick {
+			w.play(at + simulationTick)
 			w.checkQueued(w.routers[1])
 		}
 		w.play(7 * time.Second)
@@ -109,9 +109,9 @@
 }
 
 // checkQueued checks that nothing is queued for long but streams that broke off midway.
-func (w *world) checkQueued(d *Decider) {
+func (w *simulation) checkQueued(d *Decider) {
 	for _, r := range d.requests {
-		if r.stage == stageQueued && !r.answerStarted && d.now > r.arrived+shutdownQueueTimeout+worldTick {
+		if r.stage == stageQueued && !r.answerStarted && d.now > r.arrived+shutdownQueueTimeout+simulationTick {
 			w.t.Errorf("request %d is queued since %v, want %v at most", r.ID, d.now-r.arrived, shutdownQueueTimeout)
 		}
 	}
@@ -224,10 +224,10 @@
 	taken := uint64(0)
 	for seed := range uint64(6) {
 		rng := rand.New(rand.NewPCG(seed, 39))
-		w := newWorld(t, seed, 3)
+		w := newSimulation(t, seed, 3)
 		w.startNormalLoad(0.5 + 1.5*rng.Float64())
 		const choose, endBy = 5 * time.Second, 9600 * time.Millisecond
-		w.at(2*time.Second, func(w *world) {
+		w.at(2*time.Second, func(w *simulation) {
 			w.inputs[1] = append(w.inputs[1], ShutdownStarted{
 				QueueDeadline: w.zero.Add(choose - 500*time.Millisecond), SelectiveAdmissionFrom: w.zero.Add(choose), ShutdownDeadline: w.zero.Add(endBy),
 			})
--- a/internal/router/dispatch/simulated_calls_test.go
+++ b/internal/router/dispatch/simulated_calls_test.go
@@ -1,7 +1,7 @@
 package dispatch
 
 // serve advances the endpoints by one tick.
-func (w *world) serve() {
+func (w *simulation) serve() {
 	for _, s := range w.servers {
 		begun, ended := s.tick()
 		for _, j := range begun {
@@ -13,7 +13,7 @@
 	}
 }
 
-func (w *world) begin(j *job) {
+func (w *simulation) begin(j *job) {
 	c := j.call.client
 	if c.call != j.call {
 		return
@@ -24,7 +24,7 @@
 	w.passToRouter(c, FirstByteReceived{ID: c.request.ID, Endpoint: j.call.server.row.ID, Load: j.call.server.load()})
 }
 
-func (w *world) end(j *job) {
+func (w *simulation) end(j *job) {
 	c := j.call.client
 	if c.call != j.call {
 		return
@@ -34,11 +34,11 @@
 	w.close(c)
 }
 
-func (w *world) passToRouter(c *client, input Input) {
+func (w *simulation) passToRouter(c *simulatedClient, input Input) {
 	w.inputs[c.router] = append(w.inputs[c.router], input)
 }
 
-func (w *world) finishCall(c *client, result Result, more bool) {
+func (w *simulation) finishCall(c *simulatedClient, result Result, more bool) {
 	call := c.call
 	c.call = nil
 	w.passToRouter(c, AttemptFinished{
@@ -48,7 +48,7 @@
 }
 
 // earns returns the value of the attempt's end, as a part of the request's value.
-func (c *client) earns() float64 {
+func (c *simulatedClient) earns() float64 {
 	switch {
 	case c.served && c.inTime && c.request.ClientRetry:
 		return 0.65
@@ -63,7 +63,7 @@
 }
 
 // weight returns the request's value relative to its kind's.
-func (k *kind) weight(c *client) float64 {
+func (k *requestKind) weight(c *simulatedClient) float64 {
 	if k.output == 0 {
 		return 1
 	}
@@ -71,7 +71,7 @@
 }
 
 // close counts the end of a request.
-func (w *world) close(c *client) {
+func (w *simulation) close(c *simulatedClient) {
 	c.endCount++
 	c.kind.servedValue += c.kind.weight(c) * c.earns()
 	switch {
@@ -87,7 +87,7 @@
 }
 
 // endOverdueCalls ends calls past their deadline, and those that hang at crashed endpoints.
-func (w *world) endOverdueCalls() {
+func (w *simulation) endOverdueCalls() {
 	live := w.live
 	w.live = w.live[:0:0]
 	for _, call := range live {
@@ -108,7 +108,7 @@
 }
 
 // lose breaks a call off after its request was written.
-func (w *world) lose(c *client) {
+func (w *simulation) lose(c *simulatedClient) {
 	more := c.request.Retryable
 	w.finishCall(c, ConnectionLost, more)
 	if !more {
--- a/internal/router/dispatch/simulated_endpoint_test.go
+++ b/internal/router/dispatch/simulated_endpoint_test.go
@@ -11,7 +11,7 @@
 
 // Simulated endpoints: batch engines with chunked prefill, and plain servers. Time advances in ticks.
 
-const worldTick = 2 * time.Millisecond
+const simulationTick = 2 * time.Millisecond
 
 // condition is the state of an endpoint's process.
 type condition int
@@ -24,7 +24,7 @@
 
 // job is a call at an endpoint.
 type job struct {
-	call     *worldCall
+	call     *simulatedCall
 	priority int
 	at       time.Duration
 	read     float64 // prompt tokens left to prefill
@@ -33,7 +33,7 @@
 	begun    bool    // first byte sent
 }
 
-type server struct {
+type simulatedEndpoint struct {
 	row              protocol.Endpoint
 	engine           bool
 	condition        condition
@@ -53,7 +53,7 @@
 	departed         bool
 }
 
-func (s *server) serves(model, adapter string) bool {
+func (s *simulatedEndpoint) serves(model, adapter string) bool {
 	if !s.engine {
 		return true
 	}
@@ -66,7 +66,7 @@
 }
 
 // accept queues a call; false: rejected.
-func (s *server) accept(c *worldCall, priority int, now time.Duration, rng *rand.Rand) bool {
+func (s *simulatedEndpoint) accept(c *simulatedCall, priority int, now time.Duration, rng *rand.Rand) bool {
 	if len(s.queue) >= s.maxQueue {
 		return false
 	}
@@ -94,11 +94,11 @@
 }
 
 // tick advances the endpoint by one tick and returns the jobs that began to answer and those that ended.
-func (s *server) tick() (begun, ended []*job) {
+func (s *simulatedEndpoint) tick() (begun, ended []*job) {
 	if s.condition == hung {
 		return nil, nil
 	}
-	ms := float64(worldTick) / float64(time.Millisecond) / s.slow
+	ms := float64(simulationTick) / float64(time.Millisecond) / s.slow
 	if !s.engine {
 		return s.work(ms)
 	}
@@ -120,20 +120,20 @@
 }
 
 const (
-	chunk     = 1024.0 // maximum of prompt tokens read in a step
-	perMS     = 19.2   // tokens read in a ms
-	kvInWorld = 130518.0
+	prefillChunk       = 1024.0 // maximum of prompt tokens read in a step
+	prefillTokensPerMS = 19.2   // tokens read in a ms
+	kvCacheTokens      = 130518.0
 )
 
 // stepOnce begins a step of the batch: a token for each running request, and a chunk of the first prompts.
-func (s *server) stepOnce() {
-	left := chunk
-	memory := kvInWorld
+func (s *simulatedEndpoint) stepOnce() {
+	left := prefillChunk
+	memory := kvCacheTokens
 	for _, j := range s.running {
 		j.put--
 		memory -= j.size
 	}
-	s.step = 10.5 + 0.00733*float64(len(s.running)) + 0.0171*(kvInWorld-memory)/1000
+	s.step = 10.5 + 0.00733*float64(len(s.running)) + 0.0171*(kvCacheTokens-memory)/1000
 	for len(s.queue) > 0 && len(s.running) < s.row.Slots && left > 0 {
 		j := s.queue[0]
 		if memory -= j.size; memory < 0 {
@@ -149,10 +149,10 @@
 		s.running = append(s.running, j)
 		s.queue = s.queue[1:]
 	}
-	s.step += (chunk - left) / perMS
+	s.step += (prefillChunk - left) / prefillTokensPerMS
 }
 
-func (s *server) work(ms float64) (begun, ended []*job) {
+func (s *simulatedEndpoint) work(ms float64) (begun, ended []*job) {
 	for len(s.queue) > 0 && len(s.running) < s.row.Slots {
 		s.running = append(s.running, s.queue[0])
 		s.queue = s.queue[1:]
@@ -166,7 +166,7 @@
 	return begun, s.reap()
 }
 
-func (s *server) reap() (ended []*job) {
+func (s *simulatedEndpoint) reap() (ended []*job) {
 	s.running = slices.DeleteFunc(s.running, func(j *job) bool {
 		if j.put <= 0 {
 			ended = append(ended, j)
@@ -177,12 +177,12 @@
 }
 
 // drop removes a call whose connection was closed.
-func (s *server) drop(c *worldCall) {
+func (s *simulatedEndpoint) drop(c *simulatedCall) {
 	isCall := func(j *job) bool { return j.call == c }
 	s.running = slices.DeleteFunc(s.running, isCall)
 	s.queue = slices.DeleteFunc(s.queue, isCall)
 }
 
-func (s *server) load() *AdvertisedLoad {
+func (s *simulatedEndpoint) load() *AdvertisedLoad {
 	return &AdvertisedLoad{Running: len(s.running), Waiting: len(s.queue), Slots: s.row.Slots}
 }
--- a/internal/router/dispatch/simulation_rules_test.go
+++ b/internal/router/dispatch/simulation_rules_test.go
@@ -11,7 +11,7 @@
 // What the world's routers do is carried out here, and held against the rules.
 
 // step steps one router, if something happened or its time has come.
-func (w *world) step(i int) {
+func (w *simulation) step(i int) {
 	d := w.routers[i]
 	wake := d.NextWake()
 	if len(w.inputs[i]) == 0 && (wake.IsZero() || wake.After(w.clock())) {
@@ -25,7 +25,7 @@
 	w.checkOrder(d)
 }
 
-func (w *world) carryOut(i int, o Output) {
+func (w *simulation) carryOut(i int, o Output) {
 	switch o := o.(type) {
 	case Send:
 		w.send(w.clients[i][o.ID], o)
@@ -48,15 +48,15 @@
 	}
 }
 
-func (w *world) serverOf(id string) *server {
-	at := slices.IndexFunc(w.servers, func(s *server) bool { return s.row.ID == id })
+func (w *simulation) serverOf(id string) *simulatedEndpoint {
+	at := slices.IndexFunc(w.servers, func(s *simulatedEndpoint) bool { return s.row.ID == id })
 	if at < 0 {
 		w.t.Fatalf("sent to %s, want an endpoint that exists", id)
 	}
 	return w.servers[at]
 }
 
-func (w *world) send(c *client, o Send) {
+func (w *simulation) send(c *simulatedClient, o Send) {
 	s := w.serverOf(o.Endpoint)
 	if s.drainAt > 0 && s.drainAt < w.now {
 		w.t.Fatalf("sent to %s after it began to drain, want another endpoint", o.Endpoint)
@@ -70,18 +70,18 @@
 	if len(c.runs) >= c.request.MaxEndpoints {
 		w.t.Fatalf("request %d sent to another endpoint, want %d at most", o.ID, c.request.MaxEndpoints)
 	}
-	c.call = &worldCall{client: c, server: s}
+	c.call = &simulatedCall{client: c, server: s}
 	w.live = append(w.live, c.call)
 	key := uint64(0)
 	for _, p := range c.request.PromptParts {
 		key = key*1000 + p.Hash
-		c.call.links = append(c.call.links, worldLink{key, float64(p.Tokens)})
+		c.call.links = append(c.call.links, promptPrefix{key, float64(p.Tokens)})
 	}
 	w.deliver(c, s, o.Priority)
 }
 
 // deliver lets the call arrive at its endpoint.
-func (w *world) deliver(c *client, s *server, priority int) {
+func (w *simulation) deliver(c *simulatedClient, s *simulatedEndpoint, priority int) {
 	if w.disconnected[c.router] {
 		c.runs[s.row.ID] = true
 		c.arrivals++
@@ -114,7 +114,7 @@
 	}
 }
 
-func (w *world) reject(c *client, o Reject) {
+func (w *simulation) reject(c *simulatedClient, o Reject) {
 	if c.endCount > 0 || c.call != nil {
 		w.t.Fatalf("request %d rejected after its end or while in flight, want one end", o.ID)
 	}
@@ -139,7 +139,7 @@
 }
 
 // halfFree: under half of the places of the endpoints that hold what it needs are taken, and none waits.
-func (w *world) halfFree(r *Request) bool {
+func (w *simulation) halfFree(r *Request) bool {
 	taken, places := 0, 0
 	for _, s := range w.servers {
 		if s.engine != (r.Model != "") || !s.serves(r.Model, r.Adapter) || s.condition != healthy || s.row.State != protocol.Ready {
@@ -155,7 +155,7 @@
 }
 
 // checkOrder: after a step no head that may leave is left while slots are free.
-func (w *world) checkOrder(d *Decider) {
+func (w *simulation) checkOrder(d *Decider) {
 	if e, found := d.schedule.Next(d.offerFlow); found {
 		w.t.Fatalf("%s has a queued request that may leave, want it sent", e.id)
 	}
@@ -165,7 +165,7 @@
 }
 
 // checkWindows holds what went over all routers against the budget and the quotas, in every window.
-func (w *world) checkWindows() {
+func (w *simulation) checkWindows() {
 	for service, list := range w.further {
 		asks := w.requestTimes[service]
 		for i, from := range list {
@@ -194,7 +194,7 @@
 }
 
 // most is how many requests the window from then on holds, the one before, or the one half a window before.
-func (w *world) most(asks []time.Duration, from time.Duration) int {
+func (w *simulation) most(asks []time.Duration, from time.Duration) int {
 	most := 0
 	for _, back := range []time.Duration{0, DefaultRetryBudgetWindow / 2, DefaultRetryBudgetWindow} {
 		low := sort.Search(len(asks), func(i int) bool { return asks[i] >= from-back })
--- a/internal/router/dispatch/simulation_test.go
+++ b/internal/router/dispatch/simulation_test.go
@@ -12,15 +12,15 @@
 	"raventrestle/internal/protocol"
 )
 
-// client is one attempt of a client, with what the checks of the invariants need.
-type client struct {
+// simulatedClient is one attempt of a client, with what the checks of the invariants need.
+type simulatedClient struct {
 	request                Request
 	router                 int
 	endCount               int
 	runs                   map[string]bool // endpoints on which it may have executed
 	arrivals               int
-	call                   *worldCall
-	kind                   *kind
+	call                   *simulatedCall
+	kind                   *requestKind
 	served                 bool
 	inTime                 bool
 	rejected               bool
@@ -33,21 +33,21 @@
 	retried     bool // another attempt followed and counts instead
 }
 
-type worldCall struct {
-	client *client
-	server *server
-	links  []worldLink
+type simulatedCall struct {
+	client *simulatedClient
+	server *simulatedEndpoint
+	links  []promptPrefix
 	begun  bool
 	lost   time.Duration // when the caller reports ConnectionLost, 0: not
 }
 
-type worldLink struct {
+type promptPrefix struct {
 	key    uint64
 	tokens float64
 }
 
-// kind is a kind of request.
-type kind struct {
+// requestKind is a kind of request.
+type requestKind struct {
 	name                   string
 	model, adapter         string
 	perSecond              float64
@@ -62,17 +62,17 @@
 	requested, inTime, served, rejected, failed, retried, rejectedTwice int
 }
 
-// world is a simulation of several routers with the same endpoints.
-type world struct {
+// simulation is a simulation of several routers with the same endpoints.
+type simulation struct {
 	t                testing.TB
 	rng              *rand.Rand
 	zero             time.Time
 	now              time.Duration
 	routers          []*Decider
 	inputs           [][]Input
-	clients          []map[RequestID]*client
-	servers          []*server
-	kinds            []*kind
+	clients          []map[RequestID]*simulatedClient
+	servers          []*simulatedEndpoint
+	kinds            []*requestKind
 	config           *configuration.Configuration
 	nextID           RequestID
 	returningClients []returning // clients that come back
@@ -82,8 +82,8 @@
 	spent                 map[string][]spending // by tenant
 	lag                   time.Duration         // of views
 	delayedViews          []delayedView
-	events                []worldEvent
-	live                  []*worldCall
+	events                []scheduledEvent
+	live                  []*simulatedCall
 	disconnected          []bool          // routers whose calls reach no endpoint
 	loading               map[string]bool // nil: no placer
 	rejectedWhileHalfFree int             // rejections while half of the slots were free
@@ -91,7 +91,7 @@
 
 type returning struct {
 	at     time.Duration
-	client *client
+	client *simulatedClient
 }
 
 type spending struct {
@@ -104,14 +104,14 @@
 	view ViewChanged
 }
 
-type worldEvent struct {
+type scheduledEvent struct {
 	at time.Duration
-	do func(*world)
+	do func(*simulation)
 }
 
-func newWorld(tb testing.TB, seed uint64, routers int) *world {
+func newSimulation(tb testing.TB, seed uint64, routers int) *simulation {
 	tb.Helper()
-	w := &world{
+	w := &simulation{
 		t: tb, rng: rand.New(rand.NewPCG(seed, 7)), zero: time.Now(), config: testConfiguration(),
 		further: map[string][]time.Duration{}, requestTimes: map[string][]time.Duration{}, spent: map[string][]spending{},
 		lag: 5 * time.Millisecond,
@@ -121,40 +121,40 @@
 			Node: fmt.Sprint("r", i), Seed: seed + uint64(i), Zone: "z",
 			RouterCount: routers, RetryBudgetRatio: 0.2, RetryBudgetSlack: 56, QuotaOvershootFraction: 0.1, QuotaOvershootSlack: 11000,
 		}))
-		w.clients = append(w.clients, map[RequestID]*client{})
+		w.clients = append(w.clients, map[RequestID]*simulatedClient{})
 	}
 	w.inputs = make([][]Input, routers)
 	w.disconnected = make([]bool, routers)
 	return w
 }
 
-func (w *world) addEngine(models ...string) *server {
+func (w *simulation) addEngine(models ...string) *simulatedEndpoint {
 	row := modelEndpoint(fmt.Sprint("e", len(w.servers)), 1, models...)
 	for i := range row.Models {
 		row.Models[i].Adapters = []string{"a1", "a2"}
 	}
-	return w.add(&server{row: row, engine: true, maxQueue: 192})
+	return w.add(&simulatedEndpoint{row: row, engine: true, maxQueue: 192})
 }
 
-func (w *world) addPlain(slots int) *server {
-	return w.add(&server{row: plainEndpoint(fmt.Sprint("p", len(w.servers)), slots), maxQueue: 4 * slots})
+func (w *simulation) addPlain(slots int) *simulatedEndpoint {
+	return w.add(&simulatedEndpoint{row: plainEndpoint(fmt.Sprint("p", len(w.servers)), slots), maxQueue: 4 * slots})
 }
 
-func (w *world) add(s *server) *server {
+func (w *simulation) add(s *simulatedEndpoint) *simulatedEndpoint {
 	s.slow, s.cached = 1, map[uint64]bool{}
 	w.servers = append(w.servers, s)
 	return s
 }
 
 // announce sends the routers an update of an endpoint.
-func (w *world) announce(s *server) {
+func (w *simulation) announce(s *simulatedEndpoint) {
 	s.row.Sequence++
 	row := s.row
 	row.Loading = s.loading(w.now)
 	w.delayedViews = append(w.delayedViews, delayedView{w.now + w.lag, ViewChanged{Endpoints: []protocol.Endpoint{row}}})
 }
 
-func (w *world) start() {
+func (w *simulation) start() {
 	var rows []protocol.Endpoint
 	for _, s := range w.servers {
 		rows = append(rows, s.row)
@@ -167,13 +167,13 @@
 	}
 }
 
-func (w *world) at(at time.Duration, do func(*world)) {
-	w.events = append(w.events, worldEvent{at, do})
+func (w *simulation) at(at time.Duration, do func(*simulation)) {
+	w.events = append(w.events, scheduledEvent{at, do})
 }
 
 // play advances the simulation to the given time.
-func (w *world) play(until time.Duration) {
-	for ; w.now < until; w.now += worldTick {
+func (w *simulation) play(until time.Duration) {
+	for ; w.now < until; w.now += simulationTick {
 		w.processEvents()
 		if w.idle() {
 			continue
@@ -188,7 +188,7 @@
 }
 
 // idle reports whether nothing happens until a router wakes.
-func (w *world) idle() bool {
+func (w *simulation) idle() bool {
 	if len(w.live)+len(w.returningClients) > 0 {
 		return false
 	}
@@ -206,7 +206,7 @@
 }
 
 // finish ends all load and checks that every request has ended.
-func (w *world) finish() {
+func (w *simulation) finish() {
 	for _, k := range w.kinds {
 		k.perSecond = 0
 	}
@@ -225,7 +225,7 @@
 	w.checkWindows()
 }
 
-func (w *world) processEvents() {
+func (w *simulation) processEvents() {
 	for i := 0; i < len(w.events); i++ {
 		if w.events[i].at <= w.now {
 			do := w.events[i].do
@@ -246,7 +246,7 @@
 	}
 }
 
-func (w *world) noteDelivered(row protocol.Endpoint) {
+func (w *simulation) noteDelivered(row protocol.Endpoint) {
 	for _, s := range w.servers {
 		if s.row.ID == row.ID && row.State == protocol.Draining {
 			s.drainAt = w.now
@@ -254,9 +254,9 @@
 	}
 }
 
-func (w *world) arrive() {
+func (w *simulation) arrive() {
 	for _, k := range w.kinds {
-		for n := w.poisson(k.perSecond * worldTick.Seconds()); n > 0; n-- {
+		for n := w.poisson(k.perSecond * simulationTick.Seconds()); n > 0; n-- {
 			w.sendRequest(k, k.clientRetries, nil)
 		}
 	}
@@ -269,7 +269,7 @@
 	})
 }
 
-func (w *world) poisson(mean float64) int {
+func (w *simulation) poisson(mean float64) int {
 	n, p := 0, math.Exp(-mean)
 	for u := w.rng.Float64(); u > p; n++ {
 		u *= w.rng.Float64()
@@ -278,9 +278,9 @@
 }
 
 // sendRequest sends a request to a random router; with before, a retry of that client's request.
-func (w *world) sendRequest(k *kind, clientRetries int, before *client) {
+func (w *simulation) sendRequest(k *requestKind, clientRetries int, before *simulatedClient) {
 	w.nextID++
-	c := &client{kind: k, router: w.rng.IntN(len(w.routers)), runs: map[string]bool{}}
+	c := &simulatedClient{kind: k, router: w.rng.IntN(len(w.routers)), runs: map[string]bool{}}
 	spread := math.Exp(w.rng.NormFloat64()*0.7 - 0.245)
 	prompt := int(float64(k.prompt) * min(spread, 3))
 	r := Request{
@@ -322,4 +322,4 @@
 	w.inputs[c.router] = append(w.inputs[c.router], RequestArrived{r})
 }
 
-func (w *world) clock() time.Time { return w.zero.Add(w.now) }
+func (w *simulation) clock() time.Time { return w.zero.Add(w.now) }
