--- a/internal/router/dispatch/simulation_rules_test.go
+++ b/internal/router/dispatch/simulation_rules_test.go
@@ -170,9 +170,9 @@
 		asks := w.requestTimes[service]
 		for i, from := range list {
 			n := sort.Search(len(list), func(j int) bool { return list[j] > from+DefaultRetryBudgetWindow }) - i
-			most := 0.2*float64(w.most(asks, from)) + 56
-			if float64(n) > most {
-				w.t.Fatalf("%s: %d retries from %v on, want %v at most", service, n, from, most)
+			allowed := 0.2*float64(w.most(asks, from)) + 56
+			if float64(n) > allowed {
+				w.t.Fatalf("%s: %d retries from %v on, want %v at most", service, n, from, allowed)
 			}
 		}
 	}
