--- a/internal/router/dispatch/simulation_rules_test.go
+++ b/internal/router/dispatch/simulation_rules_test.go
@@ -164,13 +164,13 @@
 	}
 }
 
-// checkWindows holds what went over all routers against the budget and the quotas, in every window.
+// checkWindows checks the retry budget and the quotas over all routers in every window.
 func (w *simulation) checkWindows() {
 	for service, list := range w.further {
 		asks := w.requestTimes[service]
 		for i, from := range list {
 			n := sort.Search(len(list), func(j int) bool { return list[j] > from+DefaultRetryBudgetWindow }) - i
-			allowed := 0.2*float64(w.most(asks, from)) + 56
+			allowed := 0.2*float64(w.maxRequests(asks, from)) + 56
 			if float64(n) > allowed {
 				w.t.Fatalf("%s: %d retries from %v on, want %v at most", service, n, from, allowed)
 			}
@@ -178,7 +178,7 @@
 	}
 	for _, t := range w.config.Tenants {
 		list := w.spent[t.Name]
-		most := (t.RatePerSecond*DefaultQuotaWindow.Seconds()+t.Burst)*1.1 + 11000
+		allowed := (t.RatePerSecond*DefaultQuotaWindow.Seconds()+t.Burst)*1.1 + 11000
 		sum := 0.0
 		for i, j := 0, 0; i < len(list); i++ {
 			sum += list[i].charge
@@ -186,20 +186,20 @@
 				sum -= list[j].charge
 				j++
 			}
-			if sum > most {
-				w.t.Fatalf("tenant %s spent %v, want %v at most, until %v", t.Name, sum, most, list[i].at)
+			if sum > allowed {
+				w.t.Fatalf("tenant %s spent %v, want %v at most, until %v", t.Name, sum, allowed, list[i].at)
 			}
 		}
 	}
 }
 
-// most is how many requests the window from then on holds, the one before, or the one half a window before.
-func (w *simulation) most(asks []time.Duration, from time.Duration) int {
-	most := 0
+// maxRequests is how many requests the window from then on holds, the one before, or the one half a window before.
+func (w *simulation) maxRequests(asks []time.Duration, from time.Duration) int {
+	count := 0
 	for _, back := range []time.Duration{0, DefaultRetryBudgetWindow / 2, DefaultRetryBudgetWindow} {
 		low := sort.Search(len(asks), func(i int) bool { return asks[i] >= from-back })
 		high := sort.Search(len(asks), func(i int) bool { return asks[i] > from-back+DefaultRetryBudgetWindow })
-		most = max(most, high-low)
+		count = max(count, high-low)
 	}
-	return most
+	return count
 }
