--- a/internal/router/ingress/rejection_test.go
+++ b/internal/router/ingress/rejection_test.go
@@ -249,3 +249,20 @@
 		t.Errorf("got %v, want about 9 parts of a, 1 of b and none of c", count)
 	}
 }
+
+// Each reason has a status, and the statuses of requests that may have run do not promise that they have not.
+func TestEveryRejectionReasonHasAStatus(t *testing.T) {
+	if got, want := len(rejectionAnswers), int(reasonDeadlinePassed)+1; got != want {
+		t.Errorf("got %d answers, want one for each of %d reasons", got, want)
+	}
+	for reason, answer := range rejectionAnswers {
+		if answer.status < http.StatusBadRequest {
+			t.Errorf("reason %d: got status %d, want 4xx or 5xx", reason, answer.status)
+		}
+	}
+	for _, reason := range []rejectionReason{reasonOutcomeUnknown, reasonDeadlinePassed} {
+		if got := rejectionAnswers[reason]; promisesNotRun(got.status) || got.retryAfter > 0 {
+			t.Errorf("reason %d: got %+v, want an answer that does not say that the request has not run", reason, got)
+		}
+	}
+}
