--- a/internal/check/on_call_test.go
+++ b/internal/check/on_call_test.go
@@ -143,6 +143,33 @@
 	}
 }
 
+// TestOnCallPageHasTheReasonsOfTheRouter checks the reasons for which a router answers by itself, in both directions.
+func TestOnCallPageHasTheReasonsOfTheRouter(t *testing.T) {
+	described := make(map[string]int)
+	for _, row := range tableRows(section(t, "### Answers of a router"), "status") {
+		if len(row) != 4 {
+			t.Fatalf("row %q: got %d columns, want 4", row, len(row))
+		}
+		for _, name := range quoted(row[3]) {
+			described[name]++
+		}
+	}
+	reasons := constantsWithPrefix(t, "internal/router/ingress", "reason")
+	if len(reasons) < 20 {
+		t.Errorf("got %d reasons in the code, want 20 at least", len(reasons))
+	}
+	for _, name := range reasons {
+		if described[name] != 1 {
+			t.Errorf("reason %s of the code: got %d rows on the page, want 1", name, described[name])
+		}
+	}
+	for name := range described {
+		if !slices.Contains(reasons, name) {
+			t.Errorf("reason %s of the page: got none in the code, want one", name)
+		}
+	}
+}
+
 // describedEvents reads the tables of a section whose first column is the event.
 func describedEvents(t *testing.T, text string) map[string]logEvent {
 	t.Helper()
--- a/internal/check/source_test.go
+++ b/internal/check/source_test.go
@@ -226,6 +226,32 @@
 	return texts
 }
 
+// constantsWithPrefix are the names of the constants below a directory that begin with a prefix.
+func constantsWithPrefix(t *testing.T, directory, prefix string) []string {
+	t.Helper()
+	var names []string
+	for _, file := range goFiles(t, directory) {
+		for _, declaration := range file.Decls {
+			general, isGeneral := declaration.(*ast.GenDecl)
+			if !isGeneral || general.Tok != token.CONST {
+				continue
+			}
+			for _, spec := range general.Specs {
+				value, isValue := spec.(*ast.ValueSpec)
+				if !isValue {
+					continue
+				}
+				for _, name := range value.Names {
+					if strings.HasPrefix(name.Name, prefix) {
+						names = append(names, name.Name)
+					}
+				}
+			}
+		}
+	}
+	return names
+}
+
 // statuses are the constants of net/http for statuses that the code below a directory names.
 func statuses(t *testing.T, directory string) map[int]bool {
 	t.Helper()
