--- a/cmd/raventrestle-control/golden_test.go
+++ b/cmd/raventrestle-control/golden_test.go
@@ -14,9 +14,13 @@
 		want string
 	}{
 		{
-			groupView{Self: "self-1", Epoch: 2, Committed: 3, Generation: 4, Leader: true, LeaseMS: 5, AsOfMS: &age,
-				Members: []memberView{{Identity: "member-1", Address: "member-2", Control: "member-3", Zone: "member-4",
-					Live: true, Voter: true, Position: 6}}},
+			groupView{
+				Self: "self-1", Epoch: 2, Committed: 3, Generation: 4, Leader: true, LeaseMS: 5, AsOfMS: &age,
+				Members: []memberView{{
+					Identity: "member-1", Address: "member-2", Control: "member-3", Zone: "member-4",
+					Live: true, Voter: true, Position: 6,
+				}},
+			},
 			`{"self":"self-1","epoch":2,"committed":3,"generation":4,"leader":true,"lease_ms":5,"as_of_ms":7,"members":[` +
 				`{"identity":"member-1","address":"member-2","control":"member-3","zone":"member-4","live":true,` +
 				`"voter":true,"place":6}]}`,
--- a/coordination/simnet/catchup_test.go
+++ b/coordination/simnet/catchup_test.go
@@ -118,7 +118,8 @@
 		{"one in 100 of 1 MiB", writeLoad{2 << 10, 1 << 20, 100, slowLinkRate, 0}, 20 * time.Second, 8 * time.Second},
 		{"one in 250 of 4 MiB", writeLoad{2 << 10, 4 << 20, 250, slowLinkRate, 0}, 20 * time.Second, 12 * time.Second},
 		{
-			"commands of 100 KiB, fast links, lost messages", writeLoad{100 << 10, 0, 0, 100 * slowLinkRate, 0.02},
+			"commands of 100 KiB, fast links, lost messages",
+			writeLoad{100 << 10, 0, 0, 100 * slowLinkRate, 0.02},
 			7 * time.Second, 4 * time.Second,
 		},
 	} {
--- a/internal/check/golden_test.go
+++ b/internal/check/golden_test.go
@@ -27,8 +27,10 @@
 			Build: "make everything", Packages: []string{"gcc", "libc6-dev"},
 			Roles: map[string]role{
 				"router": {Run: "target/router run", Class: "edge", Share: pointerTo(0.75), Serves: []string{"edge"}},
-				"control": {Run: "target/control run", Class: "core", Count: pointerTo(3), FromEnd: true,
-					Serves: []string{"control_plane"}},
+				"control": {
+					Run: "target/control run", Class: "core", Count: pointerTo(3), FromEnd: true,
+					Serves: []string{"control_plane"},
+				},
 			},
 		}},
 		{filepath.Join("..", "..", "deploy", "system.toml"), deployFile{
@@ -37,8 +39,10 @@
 			Packages: []string{"gcc", "libc6-dev", "ca-certificates"},
 			Roles: map[string]role{
 				"router": {Run: "target/raventrestle-router run", Class: "edge", Share: pointerTo(1.0), Serves: []string{"edge"}},
-				"control": {Run: "target/raventrestle-control run", Class: "core", Share: pointerTo(0.5),
-					Serves: []string{"control_plane"}},
+				"control": {
+					Run: "target/raventrestle-control run", Class: "core", Share: pointerTo(0.5),
+					Serves: []string{"control_plane"},
+				},
 			},
 		}},
 	} {
@@ -113,8 +117,10 @@
 		{"-deploy", "build = \"b\"\npackages = [\"A\", \"gcc\", \"gcc\"]\n" + goodRole, []string{"packages", "packages"}},
 		{"-deploy", "build = \"b\"\n[roles.r]\n", []string{"role r", "role r", "role r"}},
 		{"-deploy", "build = \"b\"\n[roles.r]\nrun = \"x\"\non = \"edge\"\nshare = 1.5\ncount = 0\n", []string{"role r"}},
-		{"-deploy", "build = \"b\"\n[roles.r]\nrun = \"x\"\non = \"edge\"\ncount = 0\nserves = [\"all\"]\n",
-			[]string{"role r", "role r"}},
+		{
+			"-deploy", "build = \"b\"\n[roles.r]\nrun = \"x\"\non = \"edge\"\ncount = 0\nserves = [\"all\"]\n",
+			[]string{"role r", "role r"},
+		},
 		{"-deploy", "build = \"b\"\n" + goodRole + "serves = [\"edge\"]\n" + strings.ReplaceAll(goodRole, "roles.r", "roles.s") +
 			"serves = [\"edge\"]\n" + strings.ReplaceAll(goodRole, "roles.r", "roles.t"), []string{"role s", "role t"}},
 		{"-settings", "node_name=n\nrole=r\nserves=\nip=here\nephemeral_ports=1,2\nseeds=\n", []string{"line 4: ip", "zone"}},
@@ -150,10 +156,14 @@
 		text, want string
 		status     subcommands.ExitStatus
 	}{
-		{`{"generation":1,"routes":[],"services":[]}`,
-			`{"good":true,"summary":"generation 1: 0 routes, 0 services, 0 tenants"}` + "\n", subcommands.ExitSuccess},
-		{`{"generation":0,"routes":[],"services":[]}`,
-			`{"good":false,"faults":[{"item":"generation","reason":"0 is not above 0"}]}` + "\n", subcommands.ExitFailure},
+		{
+			`{"generation":1,"routes":[],"services":[]}`,
+			`{"good":true,"summary":"generation 1: 0 routes, 0 services, 0 tenants"}` + "\n", subcommands.ExitSuccess,
+		},
+		{
+			`{"generation":0,"routes":[],"services":[]}`,
+			`{"good":false,"faults":[{"item":"generation","reason":"0 is not above 0"}]}` + "\n", subcommands.ExitFailure,
+		},
 	} {
 		if got, status := runCheck(t, test.text, "-json"); got != test.want || status != test.status {
 			t.Errorf("%s: got %s and %d, want %s and %d", test.text, got, status, test.want, test.status)
--- a/internal/configuration/golden_test.go
+++ b/internal/configuration/golden_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/hex"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -29,28 +30,42 @@
 	return &Configuration{
 		Generation: 7,
 		Routes: []Route{
-			{Name: "r-1", Hostname: "Ficu95.example", PathPrefix: "/lohu930/", Type: Streaming, TimeoutMS: 15000,
+			{
+				Name: "r-1", Hostname: "Ficu95.example", PathPrefix: "/lohu930/", Type: Streaming, TimeoutMS: 15000,
 				LatencyTargetMS: 500, Priority: 11, Backend: "huvo11a",
 				TrafficSplit: []Split{{Backend: "huvo11a", Weight: 90}, {Backend: "wuno96b", Weight: 10}},
-				MaxAttempts:  2, Public: true, SessionAffinity: true, Resumable: true, EventGapTargetMS: 300},
-			{Name: "r-2", Hostname: "ficu95.example", PathPrefix: "/a/", Type: Idempotent, TimeoutMS: 30000,
-				Backend: "wuno96b", Public: true},
-			{Name: "r-3", Hostname: "ficu95.example", PathPrefix: "/b/", Type: NonIdempotent, TimeoutMS: 1,
-				Backend: "wuno96b", SessionAffinity: true},
-			{Name: "r-4", Hostname: "ficu95.example", PathPrefix: "/c/", Type: Streaming, TimeoutMS: 2,
-				Backend: "wuno96b", Resumable: true},
+				MaxAttempts:  2, Public: true, SessionAffinity: true, Resumable: true, EventGapTargetMS: 300,
+			},
+			{
+				Name: "r-2", Hostname: "ficu95.example", PathPrefix: "/a/", Type: Idempotent, TimeoutMS: 30000,
+				Backend: "wuno96b", Public: true,
+			},
+			{
+				Name: "r-3", Hostname: "ficu95.example", PathPrefix: "/b/", Type: NonIdempotent, TimeoutMS: 1,
+				Backend: "wuno96b", SessionAffinity: true,
+			},
+			{
+				Name: "r-4", Hostname: "ficu95.example", PathPrefix: "/c/", Type: Streaming, TimeoutMS: 2,
+				Backend: "wuno96b", Resumable: true,
+			},
 		},
 		Services: []Service{
-			{Name: "huvo11a", HealthCheck: "/healthz", MaxConnections: 370, Protocol: "h1", TLS: true, WarmUpRate: 0.75,
-				Engine: &Engine{Slots: 64, KVTokens: 132037, KVBytesPerToken: 163840, LinkMbps: 88000.5, TokensPerEvent: 3,
+			{
+				Name: "huvo11a", HealthCheck: "/healthz", MaxConnections: 370, Protocol: "h1", TLS: true, WarmUpRate: 0.75,
+				Engine: &Engine{
+					Slots: 64, KVTokens: 132037, KVBytesPerToken: 163840, LinkMbps: 88000.5, TokensPerEvent: 3,
 					Models:         []Model{{Name: "daka510000", WeightsMB: 72700.25, LoadTimeSeconds: 6.5, AdapterCount: 37, AdapterSizeMB: 66.5}},
-					WeightMemoryMB: 230000.75, AdapterSlots: 8, LoadsPerSecond: 2.8}},
+					WeightMemoryMB: 230000.75, AdapterSlots: 8, LoadsPerSecond: 2.8,
+				},
+			},
 			{Name: "wuno96b", HealthCheck: "/healthz", MaxConnections: 110, Protocol: "h1"},
 		},
 		Limits: Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 4194304, HeaderTimeoutMS: 3000, IdleTimeoutMS: 15001},
 		Tenants: []Tenant{
-			{Name: "huka270", APIKeys: []string{"3d3zji9n73hh2b9wu3fe", "xd9dnn2ctnfzs989anu6"}, Priority: 12,
-				Unit: "token_count", DefaultTokens: 200, RatePerSecond: 35285.5, Burst: 35286.5},
+			{
+				Name: "huka270", APIKeys: []string{"3d3zji9n73hh2b9wu3fe", "xd9dnn2ctnfzs989anu6"}, Priority: 12,
+				Unit: "token_count", DefaultTokens: 200, RatePerSecond: 35285.5, Burst: 35286.5,
+			},
 			{Name: "t-2", APIKeys: []string{"k3"}},
 		},
 	}
@@ -172,7 +187,8 @@
 		{`{"generation":"x","routes":[],"services":[],"limits":7}`, []string{"generation", "limits"}},
 		{`{"generation":7,"routes":[7,{},{"name":3},{"name":"a","timeout_ms":"1"}],"services":[{"name":"b","tls":1}],` +
 			`"tenants":[{"name":"c","name":"d"}]}`, []string{
-			"routes[0]", "routes[1]", "routes[2]", `routes[3] "a"`, `services[0] "b"`, "tenants[0]"}},
+			"routes[0]", "routes[1]", "routes[2]", `routes[3] "a"`, `services[0] "b"`, "tenants[0]",
+		}},
 		{`{"generation":7,"routes":[],"services":[],"limits":{"a":1,"a":2}}`, []string{"limits"}},
 		{base + `]}`, nil},
 		{base + route + `}]}`, nil},
@@ -180,10 +196,14 @@
 		{`{"generation":7,"routes":[],"services":[{"name":""},{"name":"s"},{"name":"s"}]}`, []string{"service", `service "s"`}},
 		{base + route + `},` + route + `}]}`, []string{`route "r"`, `route "r"`}}, // twice, and one place
 		{base + `{"name":""}]}`, []string{"route", `route ""`, `route ""`, `route ""`, `route ""`, `route ""`}},
-		{base + strings.Replace(route, `"backend":"s"`, `"traffic_split":[{"backend":"x","weight":-1}]`, 1) + `}]}`,
-			[]string{`route "r"`, `route "r"`, `route "r"`}},
-		{base + `],"tenants":[{"name":""},{"name":"t","api_keys":["k"]},{"name":"t","api_keys":["k"]}]}`,
-			[]string{"tenant", `tenant "t"`, `tenant "t"`}},
+		{
+			base + strings.Replace(route, `"backend":"s"`, `"traffic_split":[{"backend":"x","weight":-1}]`, 1) + `}]}`,
+			[]string{`route "r"`, `route "r"`, `route "r"`},
+		},
+		{
+			base + `],"tenants":[{"name":""},{"name":"t","api_keys":["k"]},{"name":"t","api_keys":["k"]}]}`,
+			[]string{"tenant", `tenant "t"`, `tenant "t"`},
+		},
 	} {
 		if got := itemsOf(t, parseAndCheck(test.text, &Configuration{Generation: 6})); !cmp.Equal(got, test.items) {
 			t.Errorf("%s: got items %q, want %q", test.text, got, test.items)
@@ -203,8 +223,10 @@
 		{`{"generation":8,"upsert":{"routes":1,"tenants":[{}]}}`, []string{"routes", "tenants[0]", "upsert of tenants"}},
 		{`{"generation":8,"upsert":{"routes":[` + route + `},` + route + `}]}}`, []string{`upsert of routes "r"`}},
 		{`{"generation":8,"upsert":{"services":[{"name":""}]}}`, []string{"upsert of services"}},
-		{`{"generation":8,"delete":{"routes":7,"tenants":[7,"t",8]}}`,
-			[]string{"delete of routes", "delete of tenants", "delete of tenants"}},
+		{
+			`{"generation":8,"delete":{"routes":7,"tenants":[7,"t",8]}}`,
+			[]string{"delete of routes", "delete of tenants", "delete of tenants"},
+		},
 		{`{"generation":8,"upsert":{"list":7,"object":[{"name":"y"}]}}`, []string{"upsert of list", "upsert of object"}},
 		{`{"generation":8,"upsert":{"limits":7}}`, []string{"limits"}},
 		{`{"generation":"8"}`, []string{"generation"}},
@@ -226,8 +248,8 @@
 	if err == nil {
 		return nil
 	}
-	invalid, is := err.(*InvalidError)
-	if !is {
+	var invalid *InvalidError
+	if !errors.As(err, &invalid) {
 		t.Errorf("got %T, want an *InvalidError", err)
 		return nil
 	}
--- a/internal/deadletter/golden_test.go
+++ b/internal/deadletter/golden_test.go
@@ -23,15 +23,15 @@
 )
 
 const (
-	goldenFile   = "testdata/golden/letters.db"
-	goldenText   = "testdata/golden/letters.txt"  // what stands in goldenFile: bucket, key and value, the last two in hex
-	goldenLetter = "testdata/golden/letter.json"  // goldenLetters' first, as operators' commands show it
-	goldenStates = "testdata/golden/states.txt"   // numbers and words of the states
-	goldenNumber = "testdata/golden/effects.json" // numbers of effects and groups
+	goldenFile       = "testdata/golden/letters.db"
+	goldenText       = "testdata/golden/letters.txt"  // what stands in goldenFile: bucket, key and value, the last two in hex
+	goldenDeadLetter = "testdata/golden/letter.json"  // goldenLetters' first, as operators' commands show it
+	goldenStates     = "testdata/golden/states.txt"   // numbers and words of the states
+	goldenNumber     = "testdata/golden/effects.json" // numbers of effects and groups
 )
 
-// goldenLetters are the dead letters of goldenFile: in the first each field is set, and each to another value.
-func goldenLetters() []*Letter {
+// goldenDeadLetters are the dead letters of goldenFile: in the first each field is set, and each to another value.
+func goldenDeadLetters() []*Letter {
 	full := &Letter{
 		ID: "id-1", Key: "key-2", Class: "class-3", Tenant: "tenant-4", Dest: 5, Taken: 6_000_000_000, Until: 7_000_000_000,
 		Failed: 8_000_000_000, Why: "why-9", Effect: raventrestle.Unsafe, Group: raventrestle.GroupZone, Window: 12, Deadline: 13,
@@ -96,8 +96,8 @@
 	return strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 }
 
-// goldenFolder returns a folder that holds a copy of the stored file.
-func goldenFolder(t *testing.T) string {
+// goldenDirectory returns a folder that holds a copy of the stored file.
+func goldenDirectory(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile(goldenFile)
 	if err != nil {
@@ -110,13 +110,13 @@
 	return dir
 }
 
-func TestStoredLettersAreReadAndContinued(t *testing.T) {
-	dir := goldenFolder(t)
+func TestStoredDeadLettersAreReadAndContinued(t *testing.T) {
+	dir := goldenDirectory(t)
 	s := open(t, dir, large)
-	if s.Spoilt != 0 || s.Letters != len(goldenLetters()) {
-		t.Errorf("got %d letters and %d spoilt, want %d and 0", s.Letters, s.Spoilt, len(goldenLetters()))
+	if s.Spoilt != 0 || s.Letters != len(goldenDeadLetters()) {
+		t.Errorf("got %d letters and %d spoilt, want %d and 0", s.Letters, s.Spoilt, len(goldenDeadLetters()))
 	}
-	for _, want := range goldenLetters() {
+	for _, want := range goldenDeadLetters() {
 		got, err := s.Get(want.ID)
 		if err != nil {
 			t.Fatalf("%s: %v", want.ID, err)
@@ -149,14 +149,14 @@
 	}
 }
 
-func TestLettersAreWrittenAsStored(t *testing.T) {
+func TestDeadLettersAreWrittenAsStored(t *testing.T) {
 	want := goldenLines(t, goldenText)
 	if diff := cmp.Diff(want, contents(t, goldenFile)); diff != "" {
 		t.Fatalf("%s and %s differ (-text +file):\n%s", goldenText, goldenFile, diff)
 	}
 	dir := t.TempDir()
 	s := open(t, dir, large)
-	if _, err := s.Put(goldenLetters()...); err != nil {
+	if _, err := s.Put(goldenDeadLetters()...); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Close(); err != nil {
@@ -167,13 +167,13 @@
 	}
 }
 
-func TestOperatorsSeeALetterAsBefore(t *testing.T) {
-	l := goldenLetters()[0]
+func TestOperatorsSeeADeadLetterAsBefore(t *testing.T) {
+	l := goldenDeadLetters()[0]
 	got, err := json.MarshalIndent(Item{Letter: l, StateWord: "status-36", Reason: "reason-37", Sentence: "explanation-38", Never: true, Content: l.Body}, "", "\t")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(goldenLines(t, goldenLetter), strings.Split(string(got), "\n")); diff != "" {
+	if diff := cmp.Diff(goldenLines(t, goldenDeadLetter), strings.Split(string(got), "\n")); diff != "" {
 		t.Errorf("item (-stored +written):\n%s", diff)
 	}
 }
--- a/internal/fleet/lease/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -323,7 +323,7 @@
 // reckon brings floors and parts up to what was told since. It is not done at each version: a life that has lost its
 // state is told several, from old ones on, and what follows from the first of them alone is wrong. An older list may have
 // this member alone on it, which would then no longer reckon with generations that a member of a newer list uses; and
-// a floor never goes back (TestLifeThatLostItsStateReckonsWithEachGenerationInAnyOrder).
+// a floor never goes back (TestMemberThatLostItsStateReckonsWithEachGenerationInAnyOrder).
 func (b *Book) reckon(now time.Duration) {
 	if !b.pending {
 		return
--- a/internal/fleet/lease/lease_test.go
+++ b/internal/fleet/lease/lease_test.go
@@ -32,9 +32,9 @@
 	return n.offset + time.Duration(float64(t)*n.speed)
 }
 
-// mayHold is the oldest list and generation that the newest life or the next one goes by: an authority that knows no
+// oldestKnown is the oldest list and generation that the newest life or the next one goes by: an authority that knows no
 // more than what was acknowledged counts on a life that ends before it has stored what it was told.
-func (n *node) mayHold() (list, gen uint64) {
+func (n *node) oldestKnown() (list, gen uint64) {
 	if n.snap == nil {
 		return n.list, n.gen
 	}
@@ -216,7 +216,7 @@
 		if w.r.IntN(2) == 0 {
 			n.snap = nil
 		}
-		n.list, n.gen = n.mayHold() // what was told after the snapshot, and acknowledged to nobody, is forgotten
+		n.list, n.gen = n.oldestKnown() // what was told after the snapshot, and acknowledged to nobody, is forgotten
 		return
 	}
 	n.epoch++
@@ -236,7 +236,7 @@
 	n.list, n.gen = uint64(len(w.lists)-1), uint64(len(w.sizes)-1)
 	list, gen := n.list, n.gen
 	for _, o := range w.nodes {
-		l, g := o.mayHold()
+		l, g := o.oldestKnown()
 		list, gen = min(list, l), min(gen, g)
 	}
 	w.tell(n, n.gen, gen, n.list, list)
--- a/internal/fleet/lease/restart_test.go
+++ b/internal/fleet/lease/restart_test.go
@@ -55,7 +55,7 @@
 
 // A member that lost its state learns the lists and generations that others may still hold one by one, in any order.
 // With the first list alone it would be the only member, and would no longer reckon with the older generation.
-func TestLifeThatLostItsStateReckonsWithEachGenerationInAnyOrder(t *testing.T) {
+func TestMemberThatLostItsStateReckonsWithEachGenerationInAnyOrder(t *testing.T) {
 	lists := []List{
 		{Version: 1, Since: 1, Members: []Member{{Name: "m01"}}},
 		{Version: 2, Since: 1, Members: []Member{{Name: "m00"}, {Name: "m01"}}},
@@ -114,7 +114,7 @@
 }
 
 // Who comes on the list with an older generation than the others' uses nothing of it. A restart changes nothing there.
-func TestNextLifeIsBoundByWhatBoundTheOneBefore(t *testing.T) {
+func TestRestartedMemberIsBoundByWhatBoundItBefore(t *testing.T) {
 	lists := []List{
 		{Version: 1, Since: 1, Members: []Member{{Name: "m00"}}},
 		{Version: 2, Since: 1, Members: []Member{{Name: "m00"}, {Name: "m01"}}},
--- a/internal/journal/golden_test.go
+++ b/internal/journal/golden_test.go
@@ -154,8 +154,8 @@
 	}
 }
 
-// goldenFolder returns a folder that holds a copy of the stored journal.
-func goldenFolder(t *testing.T) string {
+// goldenDirectory returns a folder that holds a copy of the stored journal.
+func goldenDirectory(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile(goldenFile)
 	if err != nil {
@@ -169,7 +169,7 @@
 }
 
 func TestStoredJournalIsReadAndContinued(t *testing.T) {
-	dir := goldenFolder(t)
+	dir := goldenDirectory(t)
 	o := Options{Limit: 1 << 20, Tries: true}
 	s, kept, err := Open(dir, o, quiet)
 	if err != nil {
@@ -215,7 +215,7 @@
 	}
 }
 
-func TestHistoryOfALifeIsWrittenAsStored(t *testing.T) {
+func TestHistoryOfAnIncarnationIsWrittenAsStored(t *testing.T) {
 	want, err := os.ReadFile(goldenFile)
 	if err != nil {
 		t.Fatal(err)
@@ -241,7 +241,7 @@
 }
 
 func TestStoredJournalIsFollowed(t *testing.T) {
-	f := Follow(goldenFolder(t))
+	f := Follow(goldenDirectory(t))
 	defer func() {
 		if err := f.Close(); err != nil {
 			t.Error(err)
--- a/internal/lab/system/clients.go
+++ b/internal/lab/system/clients.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-const requestWithin = 12 * time.Second
+const requestTimeout = 12 * time.Second
 
 // ask is one request of a client.
 type ask struct {
@@ -60,16 +60,16 @@
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	w.tell("")
+	w.printf("")
 	for _, endpoint := range w.endpoints {
-		w.tell("endpoint %s at %s: %d served, holds %s", endpoint.ID(), endpoint.Address(), endpoint.Served(),
+		w.printf("endpoint %s at %s: %d served, holds %s", endpoint.ID(), endpoint.Address(), endpoint.Served(),
 			strings.Join(endpoint.Models(), " "))
 	}
 	return nil
 }
 
 func (w *world) send(ctx context.Context, number int, one ask) (result, error) {
-	ctx, cancel := context.WithTimeout(ctx, requestWithin)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	url := "http://" + w.places.front(one.router) + one.path
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader("a text"))
@@ -113,10 +113,10 @@
 	return first, events, lines.Err()
 }
 
-// tellNext says what a newcomer may try.
-func (w *world) tellNext() {
+// printNextSteps says what a newcomer may try.
+func (w *world) printNextSteps() {
 	control := w.options.Programs + "/raventrestle-control"
-	w.tell(`
+	w.printf(`
 To try next, in another shell while this runs:
 
   curl -sN -H 'Host: %[1]s' -H 'Api-Key: %[2]s' -H 'X-Request-Id: my-1' -H 'X-Model: sparrow' \
@@ -132,8 +132,8 @@
 
 Settings and logs are in %[10]s.`,
 		host, tenantKey, w.places.front(0), writerPath, control, w.places.control(1),
-		w.controls[0].run.Process.Pid, w.controls[0].name, w.places.readiness(0), w.folder)
+		w.controls[0].run.Process.Pid, w.controls[0].name, w.places.readiness(0), w.directory)
 	if w.options.Stay {
-		w.tell("Ctrl-C ends it.")
+		w.printf("Ctrl-C ends it.")
 	}
 }
--- a/internal/lab/system/operator.go
+++ b/internal/lab/system/operator.go
@@ -17,17 +17,17 @@
 
 // Names in the configuration.
 const (
-	host          = "books.example"
-	writerService = "writer"
-	ledgerService = "ledger"
-	writerPath    = "/write/"
-	ledgerPath    = "/ledger/"
-	tenantName    = "library"
-	tenantKey     = "key-of-the-library"
-	modelMB       = 40000
-	roomMB        = 90000
-	tryAgainIn    = 50 * time.Millisecond
-	callWithin    = 2 * time.Second
+	host             = "books.example"
+	writerService    = "writer"
+	ledgerService    = "ledger"
+	writerPath       = "/write/"
+	ledgerPath       = "/ledger/"
+	tenantName       = "library"
+	tenantKey        = "key-of-the-library"
+	modelMB          = 40000
+	endpointMemoryMB = 90000
+	retryBackoff     = 50 * time.Millisecond
+	callTimeout      = 2 * time.Second
 )
 
 // models are those of the writer service; the last one is held nowhere at the start.
@@ -37,7 +37,7 @@
 func firstConfiguration() *configuration.Configuration {
 	engine := &configuration.Engine{
 		Slots: slots, KVTokens: 130000, KVBytesPerToken: 163840, LinkMbps: 10000, TokensPerEvent: 1,
-		WeightMemoryMB: roomMB, AdapterSlots: 2, LoadsPerSecond: 2,
+		WeightMemoryMB: endpointMemoryMB, AdapterSlots: 2, LoadsPerSecond: 2,
 	}
 	for _, name := range models {
 		engine.Models = append(engine.Models, configuration.Model{
@@ -83,7 +83,7 @@
 		if err = w.put(ctx, w.places.control(number%instances), 0, text); err == nil {
 			return nil
 		}
-		if !pause(ctx, tryAgainIn) {
+		if !sleep(ctx, retryBackoff) {
 			return fmt.Errorf("the configuration was not taken in time: %w", err)
 		}
 	}
@@ -91,7 +91,7 @@
 
 // put sends a whole configuration that builds on version base.
 func (w *world) put(ctx context.Context, control string, base int64, text []byte) error {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+control+"/-/config", bytes.NewReader(text))
 	if err != nil {
@@ -104,9 +104,9 @@
 		return err
 	}
 	defer func() { _ = answer.Body.Close() }() // it has been read
-	told, err := io.ReadAll(answer.Body)
+	reply, err := io.ReadAll(answer.Body)
 	if err == nil && answer.StatusCode != http.StatusOK {
-		err = fmt.Errorf("%s: %s", answer.Status, strings.TrimSpace(string(told)))
+		err = fmt.Errorf("%s: %s", answer.Status, strings.TrimSpace(string(reply)))
 	}
 	return err
 }
@@ -120,7 +120,7 @@
 		if err == nil {
 			return nil
 		}
-		if !pause(ctx, tryAgainIn) {
+		if !sleep(ctx, retryBackoff) {
 			return fmt.Errorf("router %d: %w; see %s", number+1, err, w.routers[number].log)
 		}
 	}
@@ -142,8 +142,8 @@
 	return nil
 }
 
-// pause waits; false if the context ended.
-func pause(ctx context.Context, wait time.Duration) bool {
+// sleep waits; false if the context ended.
+func sleep(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
--- a/internal/lab/system/places.go
+++ b/internal/lab/system/places.go
@@ -11,12 +11,12 @@
 // Each process has a loopback address of its own, as each machine has one. All use the same ports, which are looked
 // for anew in each run.
 const (
-	controlNet  = "127.77.0."
-	routerNet   = "127.77.1."
-	endpointNet = "127.77.2."
-	firstPort   = 20000
-	portRange   = 10000
-	portTries   = 50
+	controlNet   = "127.77.0."
+	routerNet    = "127.77.1."
+	endpointNet  = "127.77.2."
+	firstPort    = 20000
+	portRange    = 10000
+	portAttempts = 50
 
 	portControl   = 0 // from the first port on
 	portFront     = 1
@@ -34,7 +34,7 @@
 
 // findPlaces looks for ports that are free on all addresses.
 func findPlaces() (places, error) {
-	for range portTries {
+	for range portAttempts {
 		at := places{first: firstPort + rand.IntN(portRange)/portsInAll*portsInAll}
 		if at.free() {
 			return at, nil
--- a/internal/lab/system/process.go
+++ b/internal/lab/system/process.go
@@ -47,7 +47,7 @@
 func stopAll(ctx context.Context, processes []*process) error {
 	var running []*process
 	for _, p := range processes {
-		if !p.gone() {
+		if !p.exited() {
 			running = append(running, p)
 			_ = p.run.Process.Signal(syscall.SIGTERM) // it ends by itself otherwise
 		}
@@ -59,8 +59,8 @@
 	return all
 }
 
-// gone says whether the process has ended by now.
-func (p *process) gone() bool {
+// exited says whether the process has ended by now.
+func (p *process) exited() bool {
 	select {
 	case <-p.ended:
 		return true
--- a/internal/lab/system/system.go
+++ b/internal/lab/system/system.go
@@ -18,8 +18,8 @@
 const (
 	instances    = 3
 	routers      = 2
-	startWithin  = 20 * time.Second
-	endWithin    = 12 * time.Second
+	startTimeout = 20 * time.Second
+	stopTimeout  = 12 * time.Second
 	heartbeat    = 500 * time.Millisecond
 	eventEvery   = 15 * time.Millisecond
 	eventsEach   = 12
@@ -41,7 +41,7 @@
 // world is what runs.
 type world struct {
 	options   Options
-	folder    string
+	directory string
 	places    places
 	controls  []*process
 	routers   []*process
@@ -61,7 +61,7 @@
 	if err := w.play(ctx); err != nil {
 		return err
 	}
-	w.tellNext()
+	w.printNextSteps()
 	if options.Stay {
 		<-ctx.Done()
 	}
@@ -73,12 +73,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("folder of the run: %w", err)
 	}
-	return &world{options: options, folder: folder}, nil
+	return &world{options: options, directory: folder}, nil
 }
 
 // start brings up all processes and endpoints and the first configuration.
 func (w *world) start(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, startWithin)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	began := time.Now()
 	var err error
@@ -101,13 +101,13 @@
 	if err := w.configure(ctx); err != nil {
 		return err
 	}
-	w.tell("configuration 1 is taken after %d ms", time.Since(began).Milliseconds())
+	w.printf("configuration 1 is taken after %d ms", time.Since(began).Milliseconds())
 	for number := range routers {
 		if err := w.awaitReady(ctx, number); err != nil {
 			return err
 		}
 	}
-	w.tell("%d control instances, %d routers and %d endpoints are up after %d ms", instances, routers,
+	w.printf("%d control instances, %d routers and %d endpoints are up after %d ms", instances, routers,
 		len(w.endpoints), time.Since(began).Milliseconds())
 	return nil
 }
@@ -174,7 +174,7 @@
 
 // end stops routers first, then endpoints, then the control plane.
 func (w *world) end(failed bool) error {
-	ctx, cancel := context.WithTimeout(context.Background(), endWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	err := stopAll(ctx, w.routers)
 	for _, endpoint := range w.endpoints {
@@ -182,15 +182,15 @@
 	}
 	err = errors.Join(err, stopAll(ctx, w.controls))
 	if w.options.Keep || failed {
-		w.tell("settings and logs are kept in %s", w.folder)
+		w.printf("settings and logs are kept in %s", w.directory)
 		return err
 	}
-	return errors.Join(err, os.RemoveAll(w.folder))
+	return errors.Join(err, os.RemoveAll(w.directory))
 }
 
-func (w *world) tell(format string, arguments ...any) {
+func (w *world) printf(format string, arguments ...any) {
 	_, _ = fmt.Fprintf(w.options.Out, format+"\n", arguments...) // nobody listens any more otherwise
 }
 
 // file is a path in the folder of the run.
-func (w *world) file(name string) string { return filepath.Join(w.folder, name) }
+func (w *world) file(name string) string { return filepath.Join(w.directory, name) }
--- a/internal/lab/system/system_test.go
+++ b/internal/lab/system/system_test.go
@@ -10,7 +10,7 @@
 
 // What the run writes for the programs is what they take.
 func TestSettingsAreGood(t *testing.T) {
-	w := &world{folder: t.TempDir(), places: places{first: firstPort}}
+	w := &world{directory: t.TempDir(), places: places{first: firstPort}}
 	for number := range instances {
 		settings, err := nodeconfig.Parse("control", []byte(w.controlSettings(number)))
 		if err != nil {
--- a/internal/lab/system/upgrade.go
+++ b/internal/lab/system/upgrade.go
@@ -12,7 +12,7 @@
 
 const (
 	replaceTimeout   = 20 * time.Second       // for one process to end and its successor to be in service
-	settleInterval   = 500 * time.Millisecond // load on the whole system between two processes
+	stepInterval     = 500 * time.Millisecond // load on the whole system between two processes
 	memberPoll       = 100 * time.Millisecond
 	clientCount      = 8
 	changeInterval   = 200 * time.Millisecond // between two changes of the configuration
@@ -63,7 +63,7 @@
 		if err := w.replaceAll(ctx, programs); err != nil {
 			return err
 		}
-		w.tell("all %d processes run %s after %.1f s", instances+routers, programs, time.Since(began).Seconds())
+		w.printf("all %d processes run %s after %.1f s", instances+routers, programs, time.Since(began).Seconds())
 	}
 	return nil
 }
@@ -98,7 +98,7 @@
 	if err := w.awaitMember(ctx, number); err != nil {
 		return err
 	}
-	pause(ctx, settleInterval)
+	sleep(ctx, stepInterval)
 	return nil
 }
 
@@ -116,7 +116,7 @@
 	if err := w.awaitReady(ctx, number); err != nil {
 		return err
 	}
-	pause(ctx, settleInterval)
+	sleep(ctx, stepInterval)
 	return nil
 }
 
@@ -136,7 +136,7 @@
 		if err == nil {
 			return nil
 		}
-		if !pause(ctx, memberPoll) {
+		if !sleep(ctx, memberPoll) {
 			return fmt.Errorf("control instance %d did not come back into the chain: %w; see %s", number+1, err,
 				w.controls[number].log)
 		}
@@ -161,7 +161,7 @@
 
 // getJSON decodes the answer to a GET that must have status 200.
 func getJSON(ctx context.Context, url string, into any) error {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/lab/system/upgrade_load.go
+++ b/internal/lab/system/upgrade_load.go
@@ -72,7 +72,7 @@
 				break // it may have run, and runs once at most
 			}
 		}
-		if !pause(ctx, attemptBackoff) {
+		if !sleep(ctx, attemptBackoff) {
 			break
 		}
 	}
@@ -99,7 +99,7 @@
 
 // operator changes the configuration again and again, reads it after each change, and finishes the change it has begun.
 func (l *load) operator(ctx context.Context) {
-	for number := 0; pause(ctx, changeInterval); number++ {
+	for number := 0; sleep(ctx, changeInterval); number++ {
 		began := time.Now()
 		version := l.acknowledged + 1
 		text, err := json.Marshal(changedConfiguration(version))
@@ -138,7 +138,7 @@
 		if err == nil {
 			return true
 		}
-		if !pause(ctx, attemptBackoff) {
+		if !sleep(ctx, attemptBackoff) {
 			l.fail("change to version %d was not acknowledged: %v", version, err)
 			return false
 		}
@@ -176,7 +176,7 @@
 			if err == nil {
 				break
 			}
-			if !pause(ctx, memberPoll) {
+			if !sleep(ctx, memberPoll) {
 				return fmt.Errorf("control instance %d answers no configuration: %w", instance+1, err)
 			}
 		}
@@ -194,9 +194,9 @@
 // verdict prints what was counted.
 func (l *load) verdict() error {
 	w := l.world
-	w.tell("%d requests served, %d lost; attempts: %d rejected by promise (429, 503), %d without a complete answer",
+	w.printf("%d requests served, %d lost; attempts: %d rejected by promise (429, 503), %d without a complete answer",
 		l.served, len(l.lost), l.rejected, l.broken)
-	w.tell("%d changes acknowledged, the slowest after %s; %d reads or changes wrong", l.changes,
+	w.printf("%d changes acknowledged, the slowest after %s; %d reads or changes wrong", l.changes,
 		l.longest.Round(time.Millisecond), len(l.stale))
 	var all error
 	for _, line := range append(l.lost, l.stale...) {
--- a/internal/learned/golden_test.go
+++ b/internal/learned/golden_test.go
@@ -44,8 +44,8 @@
 	}}
 }
 
-// goldenFolder returns a folder that holds a copy of the stored file.
-func goldenFolder(t *testing.T) string {
+// goldenDirectory returns a folder that holds a copy of the stored file.
+func goldenDirectory(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile(goldenFile)
 	if err != nil {
@@ -59,7 +59,7 @@
 }
 
 func TestStoredFileIsReadAndReplaced(t *testing.T) {
-	dir := goldenFolder(t)
+	dir := goldenDirectory(t)
 	got, err := Load(dir)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/net/upgrade/golden_test.go
+++ b/internal/net/upgrade/golden_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestStateFolderOfTheLifeBeforeIsTakenOver(t *testing.T) {
+func TestStateDirectoryOfThePreviousProcessIsTakenOver(t *testing.T) {
 	state := t.TempDir()
 	if err := os.CopyFS(state, os.DirFS(goldenState)); err != nil {
 		t.Fatal(err)
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestStateFolderOfARunningLifeIsFollowed(t *testing.T) {
+func TestStateDirectoryOfARunningProcessIsFollowed(t *testing.T) {
 	state := t.TempDir()
 	if err := os.CopyFS(state, os.DirFS(goldenState)); err != nil {
 		t.Fatal(err)
--- a/internal/nodeconfig/golden_test.go
+++ b/internal/nodeconfig/golden_test.go
@@ -36,8 +36,10 @@
 		Bootstrap: true, CountsForQuorum: true,
 		Limits:  Limits{CPUShare: 0.4, Cores: 3, MemoryMB: 284, MaxFDs: 4100, LinkMbps: 1250.5, DiskMB: 777},
 		DataDir: "/data/my-core", HeartbeatInterval: 1300 * time.Millisecond, LogLevel: "warn",
-		Contracts: []string{"base", "drain", "config", "cost", "retry", "recover", "fleet", "stream", "engine",
-			"tenants", "quota"},
+		Contracts: []string{
+			"base", "drain", "config", "cost", "retry", "recover", "fleet", "stream", "engine",
+			"tenants", "quota",
+		},
 		FaultToleranceMachines: 2, FaultToleranceZones: 4, FaultToleranceRegions: 5, FaultToleranceSpecified: true,
 		Bounds: Bounds{
 			SeedListLag: 11 * time.Second, AddressReuseDelay: 12 * time.Second, LivenessWindow: 13 * time.Millisecond,
--- a/internal/transport/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -93,6 +93,7 @@
 	want := bytes.Join(readGoldenFrames(t), nil)
 	for name, send := range map[string]func(t *testing.T, address string){
 		"connection": func(t *testing.T, address string) {
+			t.Helper()
 			c := dial(t, address, newRecorder())
 			for _, message := range goldenMessages() {
 				if err := c.Send(message); err != nil {
@@ -101,6 +102,7 @@
 			}
 		},
 		"mesh": func(t *testing.T, address string) {
+			t.Helper()
 			mesh := newTestMesh(t, newRecorder())
 			for _, message := range goldenMessages() {
 				mesh.Send(address, message)
--- a/tools/lintbaseline/main.go
+++ b/tools/lintbaseline/main.go
@@ -1,6 +1,6 @@
 // Command lintbaseline holds a report of golangci-lint against the findings that are still allowed.
 //
-// The baseline lists, for each folder and rule, how many findings earlier code has left. It may only shrink: a count
+// The baseline lists, for each directory and rule, how many findings earlier code has left. It may only shrink: a count
 // above it fails, and so does one below it until the baseline has been lowered with -lower, which never raises a count
 // and never adds a line. Tests of what the program decides are in main_test.go.
 package main
@@ -29,10 +29,10 @@
 	}
 }
 
-// rule is a rule of one linter in one folder.
+// rule is a rule of one linter in one directory.
 type rule struct {
-	folder string
-	name   string // linter, with the rule's own code where the linter has several
+	directory string
+	name      string // linter, with the rule's own code where the linter has several
 }
 
 // counts holds how many findings each rule has.
@@ -90,7 +90,7 @@
 	if code, _, has := strings.Cut(f.Text, ":"); has && !strings.Contains(code, " ") {
 		name += "/" + code
 	}
-	return rule{folder: filepath.ToSlash(filepath.Dir(f.Pos.Filename)), name: name}
+	return rule{directory: filepath.ToSlash(filepath.Dir(f.Pos.Filename)), name: name}
 }
 
 func count(findings []finding) counts {
@@ -115,24 +115,24 @@
 		if err != nil || n < 1 {
 			return nil, fmt.Errorf("line %d: %q is no positive count", number+1, fields[2])
 		}
-		allowed[rule{folder: fields[0], name: fields[1]}] = n
+		allowed[rule{directory: fields[0], name: fields[1]}] = n
 	}
 	return allowed, nil
 }
 
 func format(allowed counts) string {
 	var text strings.Builder
-	text.WriteString("# Findings of the linter that earlier code has left: folder, rule, count. A count may only fall;\n" +
+	text.WriteString("# Findings of the linter that earlier code has left: directory, rule, count. A count may only fall;\n" +
 		"# ./check.sh says when it has, and ./lint.sh -lower writes the lower one.\n")
 	for _, r := range sorted(allowed) {
-		fmt.Fprintf(&text, "%s %s %d\n", r.folder, r.name, allowed[r])
+		fmt.Fprintf(&text, "%s %s %d\n", r.directory, r.name, allowed[r])
 	}
 	return text.String()
 }
 
 func sorted(of counts) []rule {
 	return slices.SortedFunc(maps.Keys(of), func(a, b rule) int {
-		return strings.Compare(a.folder+" "+a.name, b.folder+" "+b.name)
+		return strings.Compare(a.directory+" "+a.name, b.directory+" "+b.name)
 	})
 }
 
@@ -157,7 +157,7 @@
 			continue
 		}
 		changed = true
-		fmt.Fprintf(out, "%s: %d findings of %s, %d allowed:\n", r.folder, found[r], r.name, allowed[r])
+		fmt.Fprintf(out, "%s: %d findings of %s, %d allowed:\n", r.directory, found[r], r.name, allowed[r])
 		for _, f := range findings {
 			if ruleOf(f) == r {
 				fmt.Fprintf(out, "    %s:%d: %s\n", f.Pos.Filename, f.Pos.Line, f.Text)
@@ -170,7 +170,7 @@
 		if found[r] < allowed[r] {
 			changed = true
 			fmt.Fprintf(out, "%s: %d findings of %s, %d in the baseline: run ./lint.sh -lower\n",
-				r.folder, found[r], r.name, allowed[r])
+				r.directory, found[r], r.name, allowed[r])
 		}
 	}
 	if changed {
--- a/tools/lintbaseline/main_test.go
+++ b/tools/lintbaseline/main_test.go
@@ -31,8 +31,8 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			folder := t.TempDir()
-			reportPath, baselinePath := filepath.Join(folder, "report.json"), filepath.Join(folder, "baseline.txt")
+			directory := t.TempDir()
+			reportPath, baselinePath := filepath.Join(directory, "report.json"), filepath.Join(directory, "baseline.txt")
 			write(t, reportPath, report)
 			write(t, baselinePath, test.baseline)
 			var out strings.Builder
