--- a/coordination/chain/node_test.go
+++ b/coordination/chain/node_test.go
@@ -112,7 +112,7 @@
 		t.Fatalf("got %d records and last index %d, want the command appended", len(out.Records), n.log.lastIndex())
 	}
 	n.PersistFailed(time.Second)
-	if !reflect.DeepEqual(before.log, n.durableState.log) || !n.DiskFailing() {
+	if !reflect.DeepEqual(before.log, n.log) || !n.DiskFailing() {
 		t.Errorf("got log %+v and disk failing %v after a failed write, want log %+v and true",
 			n.log, n.DiskFailing(), before.log)
 	}
--- a/internal/configuration/patch_test.go
+++ b/internal/configuration/patch_test.go
@@ -12,27 +12,27 @@
 	"pgregory.net/rapid"
 )
 
-func mustParsePatch(t testing.TB, text string) *Patch {
-	t.Helper()
+func mustParsePatch(tb testing.TB, text string) *Patch {
+	tb.Helper()
 	patch, err := ParsePatch([]byte(text))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return patch
 }
 
 // sameJSON wants two texts to have the same meaning.
-func sameJSON(t testing.TB, got []byte, want string) {
-	t.Helper()
+func sameJSON(tb testing.TB, got []byte, want string) {
+	tb.Helper()
 	var a, b any
 	if err := json.Unmarshal(got, &a); err != nil {
-		t.Fatalf("%s: %v", got, err)
+		tb.Fatalf("%s: %v", got, err)
 	}
 	if err := json.Unmarshal([]byte(want), &b); err != nil {
-		t.Fatalf("%s: %v", want, err)
+		tb.Fatalf("%s: %v", want, err)
 	}
 	if difference := cmp.Diff(b, a); difference != "" {
-		t.Errorf("got another text than wanted (-want +got):\n%s", difference)
+		tb.Errorf("got another text than wanted (-want +got):\n%s", difference)
 	}
 }
 
--- a/internal/configuration/validate_test.go
+++ b/internal/configuration/validate_test.go
@@ -24,22 +24,22 @@
  "tenants": [{"name":"t1","api_keys":["k1","k2"],"rate_per_s":35285,"burst":35285},{"name":"t2","api_keys":["k3"]}]}
 `
 
-func mustParse(t testing.TB, text string) *Document {
-	t.Helper()
+func mustParse(tb testing.TB, text string) *Document {
+	tb.Helper()
 	d, err := ParseDocument([]byte(text))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatalf("parse %s: got error %v, want none", text, err)
 	}
 	return d
 }
 
 // replaced returns the sample with one part in the place of another that is there.
-func replaced(t testing.TB, old, new string) string {
-	t.Helper()
-	if !strings.Contains(sample, old) {
-		t.Fatalf("the sample has no %s", old)
+func replaced(tb testing.TB, before, after string) string {
+	tb.Helper()
+	if !strings.Contains(sample, before) {
+		tb.Fatalf("got a sample without %s, want it there to be replaced", before)
 	}
-	return strings.Replace(sample, old, new, 1)
+	return strings.Replace(sample, before, after, 1)
 }
 
 func TestSampleIsAccepted(t *testing.T) {
--- a/internal/router/call/call_test.go
+++ b/internal/router/call/call_test.go
@@ -121,7 +121,7 @@
 	for {
 		n, err := answer.Read(b)
 		body = append(body, b[:n]...)
-		if err == io.EOF {
+		if err == io.EOF { //nolint:errorlint // Answer.Read returns io.EOF itself at the end; a wrapped one is a failure
 			return string(body), answer, nil
 		}
 		if err != nil {
@@ -217,7 +217,7 @@
 	for n := range len(broken) + 1 {
 		c, _ := connection(broken[:n] + ours)
 		c.Reused = true
-		if answer, err := m.Receive(c); err == nil && answer.StatusCode != 500 {
+		if answer, err := m.Receive(c); err == nil && answer.StatusCode != http.StatusInternalServerError {
 			t.Errorf("%d bytes before ours: %v", n, answer.Response)
 		}
 	}
--- a/internal/router/call/message.go
+++ b/internal/router/call/message.go
@@ -166,12 +166,12 @@
 // send writes the request, a large body behind the head. It returns how many bytes the connection took.
 func (m *Message) send(c *pool.Connection, head []byte) (int, error) {
 	if m.joined() {
-		return c.Conn.Write(append(head, m.Body...))
+		return c.Write(append(head, m.Body...))
 	}
-	n, err := c.Conn.Write(head)
+	n, err := c.Write(head)
 	if err != nil {
 		return n, err
 	}
-	more, err := c.Conn.Write(m.Body)
+	more, err := c.Write(m.Body)
 	return n + more, err
 }
--- a/internal/router/call/round_trip.go
+++ b/internal/router/call/round_trip.go
@@ -45,7 +45,7 @@
 
 // stop ends the writing where it stands. The connection is of no more use then.
 func (w *pendingWrite) stop() error {
-	_ = w.connection.Conn.SetWriteDeadline(time.Unix(1, 0)) // long past; fails where the connection is closed, and writing with it
+	_ = w.connection.SetWriteDeadline(time.Unix(1, 0)) // long past; fails where the connection is closed, and writing with it
 	<-w.ended
 	return w.err
 }
--- a/internal/router/ingress/response.go
+++ b/internal/router/ingress/response.go
@@ -67,7 +67,9 @@
 
 // isEnd reports whether an error of reading an answer is its end. A wrapped io.EOF is not: it would be a failure that must
 // not look like a complete answer.
-func isEnd(err error) bool { return err == io.EOF }
+func isEnd(err error) bool {
+	return err == io.EOF //nolint:errorlint // see above
+}
 
 // forwardComplete gives the client a complete answer. A failure is kept instead while another endpoint may do better.
 func (p *proxiedRequest) forwardComplete(connection *attemptConnection, complete *completeAnswer) (answered bool) {
--- a/internal/router/pool/connection.go
+++ b/internal/router/pool/connection.go
@@ -90,7 +90,7 @@
 
 // Discard closes a connection and reuses its buffer. No one else may use the connection any more.
 func (d *Dialer) Discard(c *Connection) {
-	c.Conn.Close()
+	c.Close()
 	if c.Reader == nil {
 		return
 	}
@@ -131,7 +131,7 @@
 		return false
 	}
 	until := c.OnReadTimeout()
-	return !until.IsZero() && c.Conn.SetReadDeadline(until) == nil
+	return !until.IsZero() && c.SetReadDeadline(until) == nil
 }
 
 // BeginHead bounds what Read returns until EndHead, so that an endpoint can't exhaust memory.
--- a/internal/router/pool/idle_test.go
+++ b/internal/router/pool/idle_test.go
@@ -61,12 +61,12 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { c.Conn.Close() })
+	w.t.Cleanup(func() { c.Close() })
 	return c
 }
 
 func closed(c *Connection) bool {
-	return errors.Is(c.Conn.SetDeadline(time.Time{}), net.ErrClosed)
+	return errors.Is(c.SetDeadline(time.Time{}), net.ErrClosed)
 }
 
 func TestTheConnectionUsedLastIsHandedOutFirst(t *testing.T) {
--- a/internal/router/stream/relay.go
+++ b/internal/router/stream/relay.go
@@ -82,7 +82,7 @@
 		if err != nil {
 			return err
 		}
-		if failed == io.EOF {
+		if failed == io.EOF { //nolint:errorlint // Source returns io.EOF itself at the end; a wrapped one is a failure
 			return r.passRemainder(source.Framed())
 		}
 		if passed > 0 {
--- a/internal/router/stream/relay_test.go
+++ b/internal/router/stream/relay_test.go
@@ -173,11 +173,13 @@
 		for attempts := 0; ; attempts++ {
 			from := 0
 			if honours := rapid.Bool().Draw(t, "honours Last-Event-Id"); honours && relay.LastID() != "" {
-				fmt.Sscan(relay.LastID(), &from)
+				if _, err := fmt.Sscan(relay.LastID(), &from); err != nil {
+					t.Fatalf("last id %q: got error %v, want a number", relay.LastID(), err)
+				}
 				from /= stride
 			}
 			text := events(ids[from:]...)
-			end := error(io.EOF)
+			end := io.EOF
 			if attempts < 5 {
 				text = text[:rapid.IntRange(0, len(text)).Draw(t, "break at")]
 				end = errBroken
--- a/internal/router/stream/splitter_test.go
+++ b/internal/router/stream/splitter_test.go
@@ -1,6 +1,7 @@
 package stream
 
 import (
+	"errors"
 	"io"
 	"strings"
 	"testing"
@@ -26,7 +27,7 @@
 		}
 		var s Splitter
 		var joined strings.Builder
-		for err := error(nil); err != io.EOF; {
+		for err := error(nil); !errors.Is(err, io.EOF); {
 			err = s.Fill(source)
 			for e, ok := s.Next(); ok; e, ok = s.Next() {
 				checkEvent(t, e, end)
@@ -62,7 +63,7 @@
 	var s Splitter
 	source := strings.NewReader(strings.Repeat("x", 2*maxEventBytes))
 	for {
-		if err := s.Fill(source); err == ErrEventTooLong {
+		if err := s.Fill(source); errors.Is(err, ErrEventTooLong) {
 			return
 		} else if err != nil {
 			t.Fatal(err)
