--- a/coordination/replica/errors.go
+++ b/coordination/replica/errors.go
@@ -11,7 +11,8 @@
 var (
 	// ErrOutcomeUnknown means that the command may or may not be applied, now or later.
 	ErrOutcomeUnknown = engine.ErrOutcomeUnknown
-	// ErrUnavailable means that the command was not forwarded, or that the barrier was not answered.
+	// ErrUnavailable means that the command was not forwarded, so that it is never applied, or that the barrier was not
+	// answered. The control API's UnavailableError is another condition: it concerns endpoints' requests and tables.
 	ErrUnavailable = errors.New("no member of the group could take the call")
 	// ErrStillNeeded means that the replica was stopped although the group still needs it: too few others have
 	// everything that was acknowledged.
--- a/internal/control/api/errors.go
+++ b/internal/control/api/errors.go
@@ -10,27 +10,39 @@
 //
 // The status decides what a caller does next. An operator ends at once on 400, 409, 412, 413 or 422, so these are
 // answered only for what is decided for good: by the request's own bytes, or by the chain. All else is answered 503 with
-// Retry-After (408 for a body that did not arrive): the caller sends the same request again, to any instance.
+// Retry-After (408 for a body that did not arrive): the caller sends the same request again, to any instance. One 503
+// stays however often the change is sent, that of configstore.ErrForgotten: the caller reads the newest version instead.
 
 // A write of the configuration is answered 503 for one of these:
 var (
 	// ErrUndecided says that the chain has not decided a change in time, or can't tell any more: it may be decided
-	// either way, now or later.
+	// either way, now or later. It wraps the cause:
+	//   - replica.ErrUnavailable: the command never left this instance before the caller left or changeTimeout (longer
+	//     with a large body) was over. It has no view yet, is a head that is not complete, is sealed (a later view is being agreed) or has a failing disk,
+	//     or the replica's loop was blocked by its disk;
+	//   - replica.ErrOutcomeUnknown: the command may have been forwarded and was not seen to commit in that time, or a
+	//     snapshot covered it before it was applied here;
+	//   - replica.ErrStopped, beside one of these two: the replica has stopped;
+	//   - configstore.ErrForgotten: the change builds on a version that is too old to tell. Permanent;
+	//   - an error of encoding the command or of decoding its result.
 	ErrUndecided = errors.New("not decided yet, send it again")
-	// ErrTooManyLargeChanges says that the memory for large changes is in use.
+	// ErrTooManyLargeChanges says that the memory for large changes is in use: maxLargeChanges are under way here, and
+	// none ended within largeChangeTimeout. The change was not read.
 	ErrTooManyLargeChanges = errors.New("other large changes are under way")
 )
 
 // A read is answered 503 for one of these:
 var (
-	// ErrVersionUnknown says that the chain has not answered which version is the newest.
+	// ErrVersionUnknown says that the chain has not answered which version is the newest within readTimeout. It wraps
+	// the replica's error.
 	ErrVersionUnknown = errors.New("newest version is not known now")
 	// ErrNoQuorumContact says that this instance has nothing to show yet that was ever confirmed by a majority.
 	ErrNoQuorumContact = errors.New("instance has had no contact with a majority of the others yet")
 )
 
 // UnavailableError is answered 503. This instance can't acknowledge an endpoint's request or show a table: it has no
-// contact with a majority (host.ErrIsolated), stops (host.ErrStopped), or did not get to it in time.
+// contact with a majority or can't confirm a drain (host.ErrIsolated), stops (host.ErrStopped), or did not get to it in
+// time. Not to be confused with replica.ErrUnavailable, a cause of ErrUndecided and ErrVersionUnknown.
 type UnavailableError struct{ Err error }
 
 // Error is the text of the cause alone.
--- a/internal/control/api/instances.go
+++ b/internal/control/api/instances.go
@@ -32,7 +32,9 @@
 
 const maxWarmUp = time.Hour
 
-// putInstance takes in a heartbeat. One that reports draining is answered once no router chooses the endpoint any more.
+// putInstance takes in a heartbeat. One that reports draining is answered once every connected router has confirmed that
+// it does not choose the endpoint any more, or after registry.DrainAckTimeout once a majority of the reachable instances
+// has the record.
 func (a *API) putInstance(w http.ResponseWriter, r *http.Request) error {
 	body, err := readHeartbeatBody(w, r)
 	if err != nil {
--- a/internal/control/registry/doc.go
+++ b/internal/control/registry/doc.go
@@ -12,8 +12,10 @@
 //     database maintenance", PODC 1987).
 //
 // Deregistration is stronger. An endpoint that reports draining or sends DELETE ends some time after it is acknowledged,
-// so the acknowledgement promises that no router chooses it any more (PROTOCOL.md, Service discovery). drain_ack.go
-// decides who acknowledges a drain, and when; in_force_ack.go is what the other instances contribute.
+// so the acknowledgement waits until every connected router has confirmed that it does not choose it any more
+// (PROTOCOL.md, Service discovery). After DrainAckTimeout it is given without that, if a majority of the reachable
+// instances has the record. drain_ack.go decides who acknowledges a drain, and when; in_force_ack.go is what the other
+// instances contribute.
 //
 // Invariants:
 //   - The record with the highest sequence of an endpoint wins. A deregistered endpoint never returns while its
--- a/internal/control/registry/output.go
+++ b/internal/control/registry/output.go
@@ -23,7 +23,11 @@
 type Reply struct {
 	RequestID uint64
 	InForce   bool // in force at every connected router; false for a drain whose time was up
-	Rejected  bool // this instance has no contact with a majority: the endpoint is to ask another
+
+	// Rejected says that the endpoint is to ask another instance: this one has no contact with a majority, has only
+	// started, or could neither prove a contact newer than the drain nor that a majority has the record by
+	// QuorumConfirmTimeout.
+	Rejected bool
 }
 
 // Send is a message for another instance, by the address of its transport.
