--- a/internal/control/controller/state.go
+++ b/internal/control/controller/state.go
@@ -18,7 +18,8 @@
 // Members returns all control instances that are known, by identity. They must not be changed.
 func (c *Controller) Members() []protocol.Member { return c.replica.members }
 
-// Isolated says whether this instance was without contact with a majority of the voters in the last step.
+// Isolated says whether this instance had, when membership was derived last, been without contact with a majority of the
+// voters for isolatedAfter, or always: the condition that the registry calls quorum lost.
 func (c *Controller) Isolated() bool { return c.replica.isolated }
 
 // ConfirmedAt returns the newest moment of which this instance knows everything that was acknowledged anywhere before;
--- a/internal/control/distribution/doc.go
+++ b/internal/control/distribution/doc.go
@@ -3,7 +3,7 @@
 //
 // Invariants, each with its test:
 //   - A router gets committed configurations only, and never an older one after a newer one (TestVersionsOnlyRise).
-//   - Update.Confirmed is set only after a barrier that began after the router's subscription
+//   - Update.GenerationConfirmed is set only after a barrier that began after the router's subscription
 //     (TestSubscriptionGetsEverythingAndIsConfirmedByALaterBarrier).
 //   - No connection goes without a message for longer than two BeaconIntervals while the host runs
 //     (TestBeaconsOnlyWhereNothingElseIsSent).
--- a/internal/control/distribution/input.go
+++ b/internal/control/distribution/input.go
@@ -22,13 +22,13 @@
 type UpdateConfirmed struct {
 	Connection ConnectionID
 	Sequence   uint64 // of the update
-	Echo       uint64 // returned in the standing of later messages; 0: none
+	Echo       uint64 // returned in the freshness proof of later messages; 0: none
 }
 
-// Probed is an input: who is on the connection, subscribed or not, asks for the instance's standing.
+// Probed is an input: who is on the connection, subscribed or not, asks for the instance's freshness proof.
 type Probed struct {
 	Connection ConnectionID
-	Echo       uint64 // returned in the standing of later messages
+	Echo       uint64 // returned in the freshness proof of later messages
 }
 
 // ConnectionClosed is an input: the connection ended.
--- a/internal/control/distribution/standing.go
+++ b/internal/control/distribution/standing.go
@@ -18,7 +18,7 @@
 	return !h.contact.ConfirmedAt.IsZero() && now.Sub(h.contact.ConfirmedAt) <= QuorumContactTTL
 }
 
-// standing is what a message that is decided now states on a connection.
+// standing is the freshness proof that a message which is decided now carries on a connection.
 func (h *Hub) standing(now time.Time, connection ConnectionID) protocol.FreshnessProof {
 	standing := protocol.FreshnessProof{
 		Epoch:              h.contact.Epoch,
--- a/internal/control/host/commands.go
+++ b/internal/control/host/commands.go
@@ -12,7 +12,7 @@
 	"raventrestle/internal/transport"
 )
 
-// Errors of calls to the host.
+// Errors of calls to the host. ErrIsolated means that the registry rejects an endpoint's request: the quorum is lost, or, for a drain, the instance has only started or could not confirm it in time (registry.Reply.Rejected).
 var (
 	ErrStopped  = errors.New("instance stops")
 	ErrIsolated = errors.New("instance has no contact with a majority of the others")
@@ -98,7 +98,7 @@
 	h.post(context.Background(), controller.GrantsIssued{Batches: batches})
 }
 
-// View is the soft state for people and for the singleton roles.
+// View is the soft state for people and for the singleton roles. It has nothing to do with the group's view (package view).
 type View struct {
 	Endpoints   []protocol.Endpoint
 	Routers     []string // connected here
--- a/internal/control/registry/entry.go
+++ b/internal/control/registry/entry.go
@@ -36,6 +36,10 @@
 
 // hashContent covers what an endpoint reports of itself, except what changes with each heartbeat (sequence, warm-up).
 // Instances compare the hashes, so its input is part of the protocol between them.
+//
+// A field that is left out here is not sent on when it alone changes. One that is added makes builds with and without it
+// disagree while they run together: their digests differ all the time, they exchange summaries each
+// minFullExchangeInterval, and a record that the older build passes on lacks the field. Both end with the older build.
 func hashContent(e *protocol.Endpoint) uint64 {
 	digest := xxhash.New()
 	writeText := func(text string) {
--- a/internal/router/dispatch/doc.go
+++ b/internal/router/dispatch/doc.go
@@ -7,9 +7,10 @@
 // # Admission
 //
 // Requests wait in the queue of the endpoint chosen for them. Queues are flows of ASFQ (adaptive start-time fair queuing, package
-// asfq): among the flows whose head may leave, the one with the lowest start tag plus penalty (S + Δ) is served first while the router
-// has free slots. Guards (health, connection limit, expected time to the first byte) only decide whether a head is eligible. A request that
-// can't leave within about a quarter of its latency target is sent past its target or rejected (deadline.go).
+// asfq). While the router has free slots, it serves the flows whose first request may be sent now, the one with the lowest sum of start
+// tag and penalty (the flow's delta) first. Health, connection limit and expected time to the first byte do not change that order; they
+// only decide whether a first request may be sent now. A request that can't be sent within about a quarter of its latency target is
+// rejected, or sent although that target will be missed (deadline.go).
 //
 // # Choice of an endpoint
 //
--- a/internal/router/dispatch/view.go
+++ b/internal/router/dispatch/view.go
@@ -9,7 +9,7 @@
 	"raventrestle/internal/protocol"
 )
 
-// The view: endpoints, configuration and grants from the control plane.
+// What the control plane sends: endpoints, configuration and grants. The group's view (package view) is another thing.
 
 // applyView applies what the control plane sent.
 func (d *Decider) applyView(change ViewChanged) {
--- a/internal/router/ingress/doc.go
+++ b/internal/router/ingress/doc.go
@@ -5,7 +5,7 @@
 //
 //  1. Server accepts the connection (server.go, client_connection.go).
 //  2. Handler.ServeHTTP accepts or rejects the request (handler.go, accept.go): syntax (syntax.go), body (body.go,
-//     memory_budget.go), route, tenant, deadline and service in the view in force (lookup.go, traffic_split.go, view.go).
+//     memory_budget.go), route, tenant, deadline and service in the configuration in force (lookup.go, traffic_split.go, view.go).
 //  3. The dispatcher is given what it needs to know of the request (dispatch_request.go).
 //  4. proxiedRequest carries out the dispatcher's decisions (forward.go), each of them by one attempt at one endpoint
 //     (attempt.go), until the client has an answer.
--- a/internal/router/node/config.go
+++ b/internal/router/node/config.go
@@ -14,7 +14,7 @@
 	otherDescriptors    = 64                     // listeners, control plane, probes, the runtime
 	minConnections      = 16                     // of clients
 	bodyMemoryDivisor   = 4                      // of the memory limit, for large bodies
-	minStaleTimeout     = 750 * time.Millisecond // below it an ordinary delay between two beacons would count as stale
+	minStaleTimeout     = 750 * time.Millisecond // of staleTimeout and TrustTTL; below it an ordinary delay between two beacons would count as stale
 )
 
 // maxClientConnections returns how many clients may be connected. Each may have an attempt in flight, which needs a
--- a/internal/router/subscription/trust.go
+++ b/internal/router/subscription/trust.go
@@ -3,7 +3,9 @@
 import "time"
 
 // How long a router trusts an instance, from the newest moment at which that one is proven to have had contact with a
-// majority:
+// majority. TrustTTL comes from subscriptionConfig in internal/router/node/config.go: half of the shorter of the
+// settings' bounds on configuration propagation and on draining, and no less than minStaleTimeout there.
+//
 //
 //	up to TrustTTL*3/4    trusted with a margin: others may be left for it
 //	from TrustTTL*7/8 on  still trusted; if it is the followed one, it is probed for a newer proof
