--- a/internal/control/placer/golden_test.go
+++ b/internal/control/placer/golden_test.go
@@ -3,8 +3,6 @@
 import (
 	"fmt"
 	"maps"
-	"os"
-	"path/filepath"
 	"slices"
 	"strconv"
 	"strings"
@@ -12,6 +10,7 @@
 	"time"
 
 	"raventrestle/internal/configuration"
+	"raventrestle/internal/goldentest"
 )
 
 // goldenModels makes count models of one kind, named from the prefix and a number.
@@ -178,20 +177,7 @@
 	for _, s := range goldenScenarios() {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
-			content, err := os.ReadFile(filepath.Join("testdata", "golden", s.name+".txt"))
-			if err != nil {
-				t.Fatalf("read the record: %v", err)
-			}
-			want := strings.Split(strings.TrimSuffix(string(content), "\n"), "\n")
-			got := newGoldenFleet(s).run()
-			for i := range min(len(got), len(want)) {
-				if got[i] != want[i] {
-					t.Fatalf("line %d differs\ngot  %s\nwant %s", i+1, got[i], want[i])
-				}
-			}
-			if len(got) != len(want) {
-				t.Errorf("%d lines, want %d", len(got), len(want))
-			}
+			goldentest.CompareLines(t, s.name, newGoldenFleet(s).run())
 		})
 	}
 }
--- a/internal/deadletter/golden_test.go
+++ b/internal/deadletter/golden_test.go
@@ -20,6 +20,7 @@
 
 	"raventrestle"
 	"raventrestle/internal/deadletter/rule"
+	"raventrestle/internal/goldentest"
 )
 
 const (
@@ -99,15 +100,7 @@
 // goldenDirectory returns a folder that holds a copy of the stored file.
 func goldenDirectory(t *testing.T) string {
 	t.Helper()
-	text, err := os.ReadFile(goldenFile)
-	if err != nil {
-		t.Fatal(err)
-	}
-	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, "letters.db"), text, 0o600); err != nil {
-		t.Fatal(err)
-	}
-	return dir
+	return goldentest.CopyFile(t, goldenFile, "letters.db")
 }
 
 func TestStoredDeadLettersAreReadAndContinued(t *testing.T) {
--- a/internal/journal/golden_test.go
+++ b/internal/journal/golden_test.go
@@ -12,6 +12,8 @@
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
+
+	"raventrestle/internal/goldentest"
 )
 
 const (
@@ -157,15 +159,7 @@
 // goldenDirectory returns a folder that holds a copy of the stored journal.
 func goldenDirectory(t *testing.T) string {
 	t.Helper()
-	text, err := os.ReadFile(goldenFile)
-	if err != nil {
-		t.Fatal(err)
-	}
-	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, "journal"), text, 0o600); err != nil {
-		t.Fatal(err)
-	}
-	return dir
+	return goldentest.CopyFile(t, goldenFile, "journal")
 }
 
 func TestStoredJournalIsReadAndContinued(t *testing.T) {
--- a/internal/learned/golden_test.go
+++ b/internal/learned/golden_test.go
@@ -14,6 +14,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"raventrestle"
+	"raventrestle/internal/goldentest"
 	"raventrestle/internal/net/nettest"
 )
 
@@ -47,15 +48,7 @@
 // goldenDirectory returns a folder that holds a copy of the stored file.
 func goldenDirectory(t *testing.T) string {
 	t.Helper()
-	text, err := os.ReadFile(goldenFile)
-	if err != nil {
-		t.Fatal(err)
-	}
-	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, "beliefs"), text, 0o600); err != nil {
-		t.Fatal(err)
-	}
-	return dir
+	return goldentest.CopyFile(t, goldenFile, "beliefs")
 }
 
 func TestStoredFileIsReadAndReplaced(t *testing.T) {
--- a/internal/router/dispatch/golden_test.go
+++ b/internal/router/dispatch/golden_test.go
@@ -1,13 +1,11 @@
 package dispatch
 
 import (
-	"os"
-	"path/filepath"
-	"strings"
 	"testing"
 	"time"
 
 	"raventrestle/internal/configuration"
+	"raventrestle/internal/goldentest"
 )
 
 // goldenScenario is one seeded sequence of inputs. What is drawn depends on the seed and on the decider's outputs alone.
@@ -137,20 +135,7 @@
 	for _, s := range goldenScenarios() {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
-			content, err := os.ReadFile(filepath.Join("testdata", "golden", s.name+".txt"))
-			if err != nil {
-				t.Fatalf("read the record: %v", err)
-			}
-			want := strings.Split(strings.TrimSuffix(string(content), "\n"), "\n")
-			got := newGoldenRun(s).run()
-			for i := range min(len(got), len(want)) {
-				if got[i] != want[i] {
-					t.Fatalf("line %d differs\ngot  %s\nwant %s", i+1, got[i], want[i])
-				}
-			}
-			if len(got) != len(want) {
-				t.Errorf("%d lines, want %d", len(got), len(want))
-			}
+			goldentest.CompareLines(t, s.name, newGoldenRun(s).run())
 		})
 	}
 }
