--- a/cmd/raventrestle-control/events.go
+++ b/cmd/raventrestle-control/events.go
@@ -94,10 +94,10 @@
 	e.info(eventRouterDisconnected).Str("router", node).Str("reason", reason).Msg("")
 }
 
-// Isolated implements host.EventRecorder.
-func (e *eventLog) Isolated(isolated bool, live, voters int) {
+// QuorumChanged implements host.EventRecorder.
+func (e *eventLog) QuorumChanged(lost bool, live, voters int) {
 	event := eventQuorumRegained
-	if isolated {
+	if lost {
 		event = eventQuorumLost
 	}
 	e.warn(event).Int("live", live).Int("voters", voters).Msg("")
--- a/cmd/raventrestle-control/events_test.go
+++ b/cmd/raventrestle-control/events_test.go
@@ -51,9 +51,9 @@
 			"router.disconnected", func(e *eventLog) { e.RouterClosed("r", "slow") },
 			`{"level":"info","event":"router.disconnected","router":"r","reason":"slow"}`,
 		},
-		{"quorum.lost", func(e *eventLog) { e.Isolated(true, 1, 3) }, `{"level":"warn","event":"quorum.lost","live":1,"voters":3}`},
+		{"quorum.lost", func(e *eventLog) { e.QuorumChanged(true, 1, 3) }, `{"level":"warn","event":"quorum.lost","live":1,"voters":3}`},
 		{
-			"quorum.regained", func(e *eventLog) { e.Isolated(false, 2, 3) },
+			"quorum.regained", func(e *eventLog) { e.QuorumChanged(false, 2, 3) },
 			`{"level":"warn","event":"quorum.regained","live":2,"voters":3}`,
 		},
 		{
--- a/internal/control/api/errors.go
+++ b/internal/control/api/errors.go
@@ -41,7 +41,7 @@
 )
 
 // UnavailableError is answered 503. This instance can't acknowledge an endpoint's request or show a table: it has no
-// contact with a majority or can't confirm a drain (host.ErrIsolated), stops (host.ErrStopped), or did not get to it in
+// contact with a majority or can't confirm a drain (host.ErrRejected), stops (host.ErrStopped), or did not get to it in
 // time. Not to be confused with replica.ErrUnavailable, a cause of ErrUndecided and ErrVersionUnknown.
 type UnavailableError struct{ Err error }
 
--- a/internal/control/api/errors_test.go
+++ b/internal/control/api/errors_test.go
@@ -19,7 +19,7 @@
 		{ErrTooManyLargeChanges, http.StatusServiceUnavailable},
 		{ErrVersionUnknown, http.StatusServiceUnavailable},
 		{ErrNoQuorumContact, http.StatusServiceUnavailable},
-		{&UnavailableError{Err: host.ErrIsolated}, http.StatusServiceUnavailable},
+		{&UnavailableError{Err: host.ErrRejected}, http.StatusServiceUnavailable},
 		{&UnavailableError{Err: ErrMalformed}, http.StatusServiceUnavailable},
 		{fmt.Errorf("%w: %w", ErrUndecided, &RejectedError{Reason: "r"}), http.StatusServiceUnavailable},
 		{fmt.Errorf("%w: %w", ErrUndecided, context.DeadlineExceeded), http.StatusServiceUnavailable},
--- a/internal/control/api/golden_test.go
+++ b/internal/control/api/golden_test.go
@@ -287,7 +287,7 @@
 func TestGoldenInstancesThatAreNotAnswered(t *testing.T) {
 	s := startGoldenServer(t)
 	for suffix, err := range map[string]error{
-		"-isolated": host.ErrIsolated, "-stopping": host.ErrStopped, "-unanswered": context.DeadlineExceeded,
+		"-isolated": host.ErrRejected, "-stopping": host.ErrStopped, "-unanswered": context.DeadlineExceeded,
 	} {
 		s.instances.err = err
 		s.check(t, "heartbeat"+suffix)
--- a/internal/control/controller/output.go
+++ b/internal/control/controller/output.go
@@ -13,7 +13,7 @@
 	RouterMessages []RouterMessage
 	PeerMessages   []registry.Send         // to other instances, with this process's origin and clock
 	Reports        []*protocol.ReportBatch // for the singleton roles of this instance
-	Isolation      *Isolation              // nil: as before
+	QuorumChange   *QuorumChange           // nil: as before
 	Subscribed     []protocol.Subscribe    // routers that were taken in, for the log
 	Close          []Closing
 	Answers        []Answer
@@ -40,8 +40,8 @@
 	Result registry.Reply
 }
 
-// Isolation says that the instance lost its contact with a majority of the voters, or regained it.
-type Isolation struct {
-	Isolated     bool
+// QuorumChange says that the instance lost its contact with a majority of the voters, or regained it.
+type QuorumChange struct {
+	Lost         bool
 	Live, Voters int // members heard from lately; voters of the newest view
 }
--- a/internal/control/controller/replica.go
+++ b/internal/control/controller/replica.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	statusInterval = 100 * time.Millisecond    // membership is derived from the replica's status no more often
-	isolatedAfter  = registry.QuorumContactTTL // without contact with a majority
+	statusInterval   = 100 * time.Millisecond    // membership is derived from the replica's status no more often
+	quorumContactTTL = registry.QuorumContactTTL // without contact with a majority
 )
 
 // replicaView is what was derived last from the replica's status.
@@ -25,7 +25,7 @@
 	members    []protocol.Member
 	generation int64
 	contact    distribution.QuorumContact
-	isolated   bool
+	quorumLost bool
 }
 
 // observeCommitted gives the hub and the registry what is committed and the contact with a majority that covers it.
@@ -59,22 +59,22 @@
 }
 
 // observeMembership derives leader, peers and members from the status: each statusInterval, and at once when the
-// replica changed or the instance became isolated or is no longer.
+// replica changed or the quorum was lost or regained.
 func (c *Controller) observeMembership(now time.Time, status replica.Status) {
-	isolated := c.isolatedAt(now)
-	if isolated == c.replica.isolated && now.Sub(c.replica.observedAt) < statusInterval {
+	quorumLost := c.quorumLostAt(now)
+	if quorumLost == c.replica.quorumLost && now.Sub(c.replica.observedAt) < statusInterval {
 		return
 	}
 	c.replica.observedAt = now
 	c.replica.leader = headOf(status)
-	c.observePeers(status, isolated)
+	c.observePeers(status, quorumLost)
 	c.observeMembers(status)
 }
 
-// isolatedAt says whether this instance has had no contact with a majority of the voters for isolatedAfter, or never.
-func (c *Controller) isolatedAt(now time.Time) bool {
+// quorumLostAt says whether this instance has had no contact with a majority of the voters for quorumContactTTL, or never.
+func (c *Controller) quorumLostAt(now time.Time) bool {
 	confirmedAt := c.replica.contact.ConfirmedAt
-	return confirmedAt.IsZero() || now.Sub(confirmedAt) > isolatedAfter
+	return confirmedAt.IsZero() || now.Sub(confirmedAt) > quorumContactTTL
 }
 
 // headOf returns the address of the chain's head, which leads the singleton roles during its lease.
@@ -85,18 +85,18 @@
 	return status.View.Chain[0].Address
 }
 
-// observePeers gives the registry the live instances, where they or the isolation changed.
-func (c *Controller) observePeers(status replica.Status, isolated bool) {
+// observePeers gives the registry the live instances, where they changed or the quorum was lost or regained.
+func (c *Controller) observePeers(status replica.Status, quorumLost bool) {
 	peers := livePeers(status, c.config.Origin.Address)
-	isolationChanged := isolated != c.replica.isolated
-	if c.replica.peersGiven && !isolationChanged && slices.Equal(peers, c.replica.peers) {
+	quorumChanged := quorumLost != c.replica.quorumLost
+	if c.replica.peersGiven && !quorumChanged && slices.Equal(peers, c.replica.peers) {
 		return
 	}
-	if c.replica.peersGiven && isolationChanged {
-		c.out.Isolation = &Isolation{Isolated: isolated, Live: len(status.LiveMembers), Voters: len(status.View.Voters)}
+	if c.replica.peersGiven && quorumChanged {
+		c.out.QuorumChange = &QuorumChange{Lost: quorumLost, Live: len(status.LiveMembers), Voters: len(status.View.Voters)}
 	}
 	c.replica.peersGiven = true
-	c.replica.peers, c.replica.isolated = peers, isolated
+	c.replica.peers, c.replica.quorumLost = peers, quorumLost
 	c.toRegistry(registry.Peers{Reachable: peers})
 }
 
--- a/internal/control/controller/replica_test.go
+++ b/internal/control/controller/replica_test.go
@@ -88,28 +88,28 @@
 	}
 	observe(start, 4, time.Time{})
 	contact := c.replica.contact
-	if contact.Epoch != 4 || !contact.ConfirmedAt.IsZero() || !c.ConfirmedAt().IsZero() || !c.Isolated() {
-		t.Fatalf("without a contact: %+v, isolated %v; want epoch 4, none, true", contact, c.Isolated())
+	if contact.Epoch != 4 || !contact.ConfirmedAt.IsZero() || !c.ConfirmedAt().IsZero() || !c.QuorumLost() {
+		t.Fatalf("without a contact: %+v, quorum lost %v; want epoch 4, none, true", contact, c.QuorumLost())
 	}
 	now := start.Add(time.Second)
 	out := observe(now, 4, now)
 	known := c.replica.contact
-	if known.Epoch != 4 || !known.ConfirmedAt.Equal(now) || c.Isolated() {
-		t.Fatalf("with a contact: %+v, isolated %v; want epoch 4, %v, false", known, c.Isolated(), now)
+	if known.Epoch != 4 || !known.ConfirmedAt.Equal(now) || c.QuorumLost() {
+		t.Fatalf("with a contact: %+v, quorum lost %v; want epoch 4, %v, false", known, c.QuorumLost(), now)
 	}
-	if out.Isolation == nil || out.Isolation.Isolated {
-		t.Errorf("isolation %+v, want its end", out.Isolation)
+	if out.QuorumChange == nil || out.QuorumChange.Lost {
+		t.Errorf("quorum change %+v, want its end", out.QuorumChange)
 	}
 	observe(now.Add(time.Millisecond), 5, time.Time{})
-	if c.replica.contact != known || c.Isolated() || !c.ConfirmedAt().Equal(known.ConfirmedAt) {
-		t.Errorf("in a new epoch: %+v, isolated %v; want %+v, false", c.replica.contact, c.Isolated(), known)
+	if c.replica.contact != known || c.QuorumLost() || !c.ConfirmedAt().Equal(known.ConfirmedAt) {
+		t.Errorf("in a new epoch: %+v, quorum lost %v; want %+v, false", c.replica.contact, c.QuorumLost(), known)
 	}
-	if observe(known.ConfirmedAt.Add(isolatedAfter), 5, time.Time{}); c.Isolated() {
-		t.Errorf("isolated after %v, want after more than that", isolatedAfter)
+	if observe(known.ConfirmedAt.Add(quorumContactTTL), 5, time.Time{}); c.QuorumLost() {
+		t.Errorf("quorum lost after %v, want after more than that", quorumContactTTL)
 	}
-	out = observe(known.ConfirmedAt.Add(isolatedAfter+1), 5, time.Time{})
-	if !c.Isolated() || out.Isolation == nil || !out.Isolation.Isolated {
-		t.Errorf("isolated %v, isolation %+v; the earlier epoch's contact is believed for ever", c.Isolated(), out.Isolation)
+	out = observe(known.ConfirmedAt.Add(quorumContactTTL+1), 5, time.Time{})
+	if !c.QuorumLost() || out.QuorumChange == nil || !out.QuorumChange.Lost {
+		t.Errorf("quorum lost %v, quorum change %+v; the earlier epoch's contact is believed for ever", c.QuorumLost(), out.QuorumChange)
 	}
 	now = now.Add(2 * time.Second)
 	observe(now, 5, now)
--- a/internal/control/controller/state.go
+++ b/internal/control/controller/state.go
@@ -18,9 +18,9 @@
 // Members returns all control instances that are known, by identity. They must not be changed.
 func (c *Controller) Members() []protocol.Member { return c.replica.members }
 
-// Isolated says whether this instance had, when membership was derived last, been without contact with a majority of the
-// voters for isolatedAfter, or always: the condition that the registry calls quorum lost.
-func (c *Controller) Isolated() bool { return c.replica.isolated }
+// QuorumLost says whether this instance had, when membership was derived last, been without contact with a majority of the
+// voters for quorumContactTTL, or always: the condition that the registry calls quorum lost.
+func (c *Controller) QuorumLost() bool { return c.replica.quorumLost }
 
 // ConfirmedAt returns the newest moment of which this instance knows everything that was acknowledged anywhere before;
 // zero: it knows of none. It never moves back.
--- a/internal/control/distribution/beacons.go
+++ b/internal/control/distribution/beacons.go
@@ -35,6 +35,6 @@
 
 func (h *Hub) sendBeacon(now time.Time, s *subscriber) {
 	s.sentAt, s.advertisedStale = now, !h.fresh(now)
-	beacon := &protocol.Beacon{Sequence: s.sequence, Generation: h.generation, Freshness: h.standing(now, s.connection)}
+	beacon := &protocol.Beacon{Sequence: s.sequence, Generation: h.generation, Freshness: h.freshnessProof(now, s.connection)}
 	h.out.Messages = append(h.out.Messages, Message{Connection: s.connection, Content: beacon})
 }
--- a/internal/control/distribution/doc.go
+++ b/internal/control/distribution/doc.go
@@ -8,5 +8,5 @@
 //   - No connection goes without a message for longer than two BeaconIntervals while the host runs
 //     (TestBeaconsOnlyWhereNothingElseIsSent).
 //   - Each message states how old the instance's newest contact with a majority is. Without a fresh one no router is
-//     sent a snapshot, which replaces its own table (TestStandingsAreTrue).
+//     sent a snapshot, which replaces its own table (TestFreshnessProofsAreTrue).
 package distribution
--- a/internal/control/distribution/standing.go
+++ b/internal/control/distribution/freshness_proof.go
@@ -18,18 +18,18 @@
 	return !h.contact.ConfirmedAt.IsZero() && now.Sub(h.contact.ConfirmedAt) <= QuorumContactTTL
 }
 
-// standing is the freshness proof that a message which is decided now carries on a connection.
-func (h *Hub) standing(now time.Time, connection ConnectionID) protocol.FreshnessProof {
-	standing := protocol.FreshnessProof{
+// freshnessProof is the freshness proof that a message which is decided now carries on a connection.
+func (h *Hub) freshnessProof(now time.Time, connection ConnectionID) protocol.FreshnessProof {
+	proof := protocol.FreshnessProof{
 		Epoch:              h.contact.Epoch,
 		HasMajorityContact: !h.contact.ConfirmedAt.IsZero(),
 		SentAt:             now.Sub(h.started),
 		EchoedSequence:     h.echoes[connection],
 	}
-	if standing.HasMajorityContact {
-		standing.MajorityContactAge = max(0, now.Sub(h.contact.ConfirmedAt))
+	if proof.HasMajorityContact {
+		proof.MajorityContactAge = max(0, now.Sub(h.contact.ConfirmedAt))
 	}
-	return standing
+	return proof
 }
 
 // noteEcho keeps the newest echo of a connection: echoes only rise.
@@ -42,7 +42,7 @@
 // answerProbe answers at once, whoever asks.
 func (h *Hub) answerProbe(now time.Time, in Probed) {
 	h.noteEcho(in.Connection, in.Echo)
-	answer := &protocol.ProbeReply{Generation: h.generation, Freshness: h.standing(now, in.Connection)}
+	answer := &protocol.ProbeReply{Generation: h.generation, Freshness: h.freshnessProof(now, in.Connection)}
 	h.out.Messages = append(h.out.Messages, Message{Connection: in.Connection, Content: answer})
 }
 
--- a/internal/control/distribution/standing_test.go
+++ b/internal/control/distribution/freshness_proof_test.go
@@ -14,18 +14,18 @@
 
 func contactAt(at time.Time) QuorumContact { return QuorumContact{Epoch: epoch, ConfirmedAt: at} }
 
-// standingsTo returns what all messages to a connection state.
-func standingsTo(out Output, connection ConnectionID) []protocol.FreshnessProof {
-	var standings []protocol.FreshnessProof
+// proofsTo returns what all messages to a connection state.
+func proofsTo(out Output, connection ConnectionID) []protocol.FreshnessProof {
+	var proofs []protocol.FreshnessProof
 	for _, message := range out.Messages {
 		if message.Connection == connection {
-			standings = append(standings, standingOf(message.Content))
+			proofs = append(proofs, proofOf(message.Content))
 		}
 	}
-	return standings
+	return proofs
 }
 
-func standingOf(message any) protocol.FreshnessProof {
+func proofOf(message any) protocol.FreshnessProof {
 	switch message := message.(type) {
 	case *protocol.Update:
 		return message.Freshness
@@ -34,7 +34,7 @@
 	case *protocol.ProbeReply:
 		return message.Freshness
 	}
-	panic("a message without standing")
+	panic("a message without proof")
 }
 
 // oneTombstone is a table of an endpoint and, where tombstones are asked for, that of another.
@@ -55,26 +55,26 @@
 	want := protocol.FreshnessProof{
 		Epoch: epoch, HasMajorityContact: true, MajorityContactAge: 30 * time.Millisecond, SentAt: 2 * time.Second,
 	}
-	if got := standingsTo(out, 1); len(got) != 1 || got[0] != want {
+	if got := proofsTo(out, 1); len(got) != 1 || got[0] != want {
 		t.Errorf("first update states %+v, want %+v", got, want)
 	}
 	out = h.Step(at.Add(BeaconInterval), noTable)
 	want.MajorityContactAge, want.SentAt = 30*time.Millisecond+BeaconInterval, at.Add(BeaconInterval).Sub(begin)
-	if got := standingsTo(out, 1); beaconsTo(out, 1) != 1 || got[0] != want {
+	if got := proofsTo(out, 1); beaconsTo(out, 1) != 1 || got[0] != want {
 		t.Errorf("beacon states %+v, want %+v", got, want)
 	}
 	out = h.Step(at.Add(BeaconInterval), noTable, Probed{Connection: 2, Echo: 9})
 	want.EchoedSequence = 9
-	if got := standingsTo(out, 2); len(got) != 1 || got[0] != want {
+	if got := proofsTo(out, 2); len(got) != 1 || got[0] != want {
 		t.Errorf("answer to a probe states %+v, want %+v", got, want)
 	}
 }
 
-func TestWithoutContactTheStandingSaysSo(t *testing.T) {
+func TestWithoutContactTheProofSaysSo(t *testing.T) {
 	h := New(begin)
 	out := h.Step(begin.Add(time.Second), noTable, QuorumContact{Epoch: epoch}, subscribed(1, "r1", 0))
 	want := protocol.FreshnessProof{Epoch: epoch, SentAt: time.Second}
-	if got := standingsTo(out, 1); len(got) != 1 || got[0] != want {
+	if got := proofsTo(out, 1); len(got) != 1 || got[0] != want {
 		t.Errorf("the update states %+v, want %+v", got, want)
 	}
 }
@@ -82,7 +82,7 @@
 func TestContactAfterTheStepIsNotOlderThanTheMessage(t *testing.T) {
 	h := New(begin)
 	out := h.Step(begin, noTable, contactAt(begin.Add(time.Millisecond)), subscribed(1, "r1", 0))
-	if got := standingsTo(out, 1); !got[0].HasMajorityContact || got[0].MajorityContactAge != 0 {
+	if got := proofsTo(out, 1); !got[0].HasMajorityContact || got[0].MajorityContactAge != 0 {
 		t.Errorf("the update states %+v, want a known age of 0", got)
 	}
 }
@@ -107,17 +107,17 @@
 	h := New(begin)
 	h.Step(begin, noTable, Probed{Connection: 1, Echo: 5}, Probed{Connection: 2, Echo: 50})
 	out := h.Step(begin, noTable, subscribed(1, "r1", 0))
-	if got := standingsTo(out, 1); got[0].EchoedSequence != 5 {
+	if got := proofsTo(out, 1); got[0].EchoedSequence != 5 {
 		t.Errorf("the update states %+v, want echo 5 of the probe", got)
 	}
 	h.Step(begin, noTable, UpdateConfirmed{Connection: 1, Sequence: 1, Echo: 7}, Probed{Connection: 1, Echo: 6})
 	h.Step(begin, noTable, UpdateConfirmed{Connection: 1, Sequence: 1})
-	if got := standingsTo(h.Step(begin.Add(BeaconInterval), noTable), 1); got[0].EchoedSequence != 7 {
+	if got := proofsTo(h.Step(begin.Add(BeaconInterval), noTable), 1); got[0].EchoedSequence != 7 {
 		t.Errorf("the beacon states %+v, want echo 7: echoes only rise", got)
 	}
 	router := subscribed(3, "r3", 0)
 	router.Router.EchoSequence = 11
-	if got := standingsTo(h.Step(begin, noTable, router), 3); got[0].EchoedSequence != 11 {
+	if got := proofsTo(h.Step(begin, noTable, router), 3); got[0].EchoedSequence != 11 {
 		t.Errorf("the update states %+v, want echo 11 of the subscription", got)
 	}
 	h.Step(begin, noTable, ConnectionClosed{Connection: 1}, ConnectionClosed{Connection: 2}, ConnectionClosed{Connection: 3})
@@ -200,7 +200,7 @@
 	h.Step(begin, noTable, contactAt(begin.Add(-QuorumContactTTL)), subscribed(1, "r1", 0))
 	at := begin.Add(10 * time.Millisecond)
 	out := h.Step(at, noTable, contactAt(at)) // the router was sent one that is fresh no longer
-	if got := standingsTo(out, 1); len(got) != 1 || got[0].MajorityContactAge != 0 {
+	if got := proofsTo(out, 1); len(got) != 1 || got[0].MajorityContactAge != 0 {
 		t.Fatalf("messages state %+v, want one of age 0", got)
 	}
 	at = at.Add(time.Millisecond)
@@ -208,10 +208,10 @@
 		t.Errorf("sent again: %+v, want nothing", out.Messages)
 	}
 	out = h.Step(at, noTable, subscribed(2, "r2", 0), QuorumContact{}, subscribed(3, "r3", 0), contactAt(at))
-	if got := standingsTo(out, 2); len(got) != 1 {
+	if got := proofsTo(out, 2); len(got) != 1 {
 		t.Errorf("to a router that knows of the contact: %+v, want one message", got)
 	}
-	if got := standingsTo(out, 3); len(got) != 2 || !got[1].HasMajorityContact {
+	if got := proofsTo(out, 3); len(got) != 2 || !got[1].HasMajorityContact {
 		t.Errorf("to a router that was sent none in this step: %+v, want a second message that states it", got)
 	}
 }
@@ -232,8 +232,8 @@
 	}
 }
 
-// TestStandingsAreTrue draws random contacts, echoes and changes: no message states what is not so.
-func TestStandingsAreTrue(t *testing.T) {
+// TestFreshnessProofsAreTrue draws random contacts, echoes and changes: no message states what is not so.
+func TestFreshnessProofsAreTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := New(begin)
 		now := begin
@@ -267,19 +267,19 @@
 				inputs = append(inputs, in)
 			}
 			for _, message := range h.Step(now, oneTombstone, inputs...).Messages {
-				standing := standingOf(message.Content)
-				if standing.SentAt != now.Sub(begin) || standing.EchoedSequence != echoes[message.Connection] {
-					t.Fatalf("states %+v, want time %v and echo %d", standing, now.Sub(begin), echoes[message.Connection])
+				proof := proofOf(message.Content)
+				if proof.SentAt != now.Sub(begin) || proof.EchoedSequence != echoes[message.Connection] {
+					t.Fatalf("states %+v, want time %v and echo %d", proof, now.Sub(begin), echoes[message.Connection])
 				}
-				if standing.HasMajorityContact == contact.ConfirmedAt.IsZero() {
-					t.Fatalf("states known: %v, the contact is %+v", standing.HasMajorityContact, contact)
+				if proof.HasMajorityContact == contact.ConfirmedAt.IsZero() {
+					t.Fatalf("states known: %v, the contact is %+v", proof.HasMajorityContact, contact)
 				}
-				if standing.HasMajorityContact && now.Add(-standing.MajorityContactAge).After(contact.ConfirmedAt) {
-					t.Fatalf("states an age of %v, want %v at least", standing.MajorityContactAge, now.Sub(contact.ConfirmedAt))
+				if proof.HasMajorityContact && now.Add(-proof.MajorityContactAge).After(contact.ConfirmedAt) {
+					t.Fatalf("states an age of %v, want %v at least", proof.MajorityContactAge, now.Sub(contact.ConfirmedAt))
 				}
 				update, isUpdate := message.Content.(*protocol.Update)
-				if isUpdate && update.Snapshot && (!standing.HasMajorityContact || standing.MajorityContactAge > QuorumContactTTL) {
-					t.Fatalf("a snapshot with a contact of %+v, want a fresh one", standing)
+				if isUpdate && update.Snapshot && (!proof.HasMajorityContact || proof.MajorityContactAge > QuorumContactTTL) {
+					t.Fatalf("a snapshot with a contact of %+v, want a fresh one", proof)
 				}
 			}
 		}
--- a/internal/control/distribution/updates.go
+++ b/internal/control/distribution/updates.go
@@ -101,7 +101,7 @@
 
 // newUpdate begins an update with the configuration, members and router count, where the router lacks them.
 func (h *Hub) newUpdate(now time.Time, s *subscriber) *protocol.Update {
-	update := &protocol.Update{Generation: h.generation, Freshness: h.standing(now, s.connection)}
+	update := &protocol.Update{Generation: h.generation, Freshness: h.freshnessProof(now, s.connection)}
 	if h.generation > s.generation {
 		update.Document = h.document
 	}
--- a/internal/control/host/commands.go
+++ b/internal/control/host/commands.go
@@ -12,10 +12,10 @@
 	"raventrestle/internal/transport"
 )
 
-// Errors of calls to the host. ErrIsolated means that the registry rejects an endpoint's request: the quorum is lost, or, for a drain, the instance has only started or could not confirm it in time (registry.Reply.Rejected).
+// Errors of calls to the host. ErrRejected means that the registry rejects an endpoint's request: the quorum is lost, or, for a drain, the instance has only started or could not confirm it in time (registry.Reply.Rejected).
 var (
 	ErrStopped  = errors.New("instance stops")
-	ErrIsolated = errors.New("instance has no contact with a majority of the others")
+	ErrRejected = errors.New("instance has no contact with a majority of the others")
 )
 
 // viewRequest asks for the soft state as the newest step left it. All other commands of the queue are events of the
@@ -58,7 +58,7 @@
 	h.post(context.Background(), controller.ConnectionClosed{Connection: c})
 }
 
-// Heartbeat takes in an endpoint's state and returns once the endpoint may be answered. The error is ErrIsolated where
+// Heartbeat takes in an endpoint's state and returns once the endpoint may be answered. The error is ErrRejected where
 // another instance is to be asked, ErrStopped, or wraps the context's.
 func (h *Host) Heartbeat(ctx context.Context, endpoint protocol.Endpoint) error {
 	answer := make(chan registry.Reply, 1)
@@ -78,7 +78,7 @@
 	select {
 	case result := <-answer:
 		if result.Rejected {
-			return ErrIsolated
+			return ErrRejected
 		}
 		return nil
 	case <-h.ended:
@@ -104,7 +104,7 @@
 	Routers     []string // connected here
 	RouterCount int      // of all instances; 0 while unknown
 	Members     []protocol.Member
-	Isolated    bool
+	QuorumLost  bool
 }
 
 // View returns the soft state as the newest step left it. The error is ErrStopped or wraps the context's.
@@ -129,6 +129,6 @@
 		Routers:     h.controller.Routers(),
 		RouterCount: h.controller.RouterCount(),
 		Members:     h.controller.Members(),
-		Isolated:    h.controller.Isolated(),
+		QuorumLost:  h.controller.QuorumLost(),
 	}
 }
--- a/internal/control/host/standing_test.go
+++ b/internal/control/host/freshness_proof_test.go
@@ -26,17 +26,17 @@
 	double.SetPartitioned(false)
 	h.step(time.Now())
 	known := h.controller.ConfirmedAt()
-	if known.IsZero() || h.view().Isolated {
-		t.Fatalf("confirmed at %v, isolated %v with a contact; want some time, false", known, h.view().Isolated)
+	if known.IsZero() || h.view().QuorumLost {
+		t.Fatalf("confirmed at %v, quorum lost %v with a contact; want some time, false", known, h.view().QuorumLost)
 	}
 	double.SetStatus(replica.Status{View: replica.View{Epoch: 5}})
 	double.NeverReachMajority()
 	h.step(time.Now())
-	if confirmedAt := h.ConfirmedAt(); !confirmedAt.Equal(known) || h.view().Isolated {
-		t.Errorf("in a new epoch: confirmed at %v, isolated %v; want %v, false", confirmedAt, h.view().Isolated, known)
+	if confirmedAt := h.ConfirmedAt(); !confirmedAt.Equal(known) || h.view().QuorumLost {
+		t.Errorf("in a new epoch: confirmed at %v, quorum lost %v; want %v, false", confirmedAt, h.view().QuorumLost, known)
 	}
-	if h.step(known.Add(registry.QuorumContactTTL + 1)); !h.view().Isolated {
-		t.Errorf("not isolated %v after the earlier epoch's contact, want isolated", registry.QuorumContactTTL+1)
+	if h.step(known.Add(registry.QuorumContactTTL + 1)); !h.view().QuorumLost {
+		t.Errorf("quorum not lost %v after the earlier epoch's contact, want it lost", registry.QuorumContactTTL+1)
 	}
 	double.SetPartitioned(false)
 	h.step(time.Now())
@@ -77,8 +77,8 @@
 	}
 	select {
 	case answer := <-p.probed:
-		standing := answer.Freshness
-		if answer.Generation != 7 || standing.EchoedSequence != 6 || standing.Epoch != 1 || !standing.HasMajorityContact {
+		proof := answer.Freshness
+		if answer.Generation != 7 || proof.EchoedSequence != 6 || proof.Epoch != 1 || !proof.HasMajorityContact {
 			t.Errorf("answer %+v, want version 7, number 6 returned, epoch 1, a known contact", answer)
 		}
 	case <-time.After(testTimeout):
@@ -94,7 +94,7 @@
 }
 
 // TestIsolatedInstanceStatesTheAgeOfItsContact: a router stays subscribed and sees the age grow.
-func TestIsolatedInstanceStatesTheAgeOfItsContact(t *testing.T) {
+func TestInstanceWithoutQuorumStatesTheAgeOfItsContact(t *testing.T) {
 	nodes := startNodes(t, 1)
 	c := subscribe(t, nodes[0], protocol.Subscribe{Node: "r1"}, false)
 	c.await("first", func(u *protocol.Update) bool { return u.Sequence == 1 })
--- a/internal/control/host/host.go
+++ b/internal/control/host/host.go
@@ -35,7 +35,7 @@
 type EventRecorder interface {
 	RouterSubscribed(node, zone string, generation int64)
 	RouterClosed(node, reason string)
-	Isolated(isolated bool, live, voters int)
+	QuorumChanged(lost bool, live, voters int)
 }
 
 // Config is fixed at the start of the process.
--- a/internal/control/host/host_test.go
+++ b/internal/control/host/host_test.go
@@ -43,7 +43,7 @@
 
 func (f *fakeDependencies) RouterSubscribed(string, string, int64) {}
 func (f *fakeDependencies) RouterClosed(string, string)            {}
-func (f *fakeDependencies) Isolated(bool, int, int)                {}
+func (f *fakeDependencies) QuorumChanged(bool, int, int)           {}
 
 // node is a host with its transport on the loopback interface.
 type node struct {
@@ -209,7 +209,7 @@
 		if err == nil {
 			return
 		}
-		if !errors.Is(err, ErrIsolated) || time.Now().After(deadline) {
+		if !errors.Is(err, ErrRejected) || time.Now().After(deadline) {
 			t.Fatal(err)
 		}
 	}
@@ -308,18 +308,18 @@
 	}
 }
 
-func TestIsolatedInstanceRejectsHeartbeats(t *testing.T) {
+func TestInstanceWithoutQuorumRejectsHeartbeats(t *testing.T) {
 	nodes := startNodes(t, 3)
 	call(t, nodes[0], endpointAs("e1", 1, protocol.Ready))
 	nodes[0].replica.SetPartitioned(true)
 	deadline := time.Now().Add(testTimeout)
 	for sequence := uint64(2); ; sequence++ {
 		err := nodes[0].host.Heartbeat(t.Context(), endpointAs("e1", sequence, protocol.Ready))
-		if errors.Is(err, ErrIsolated) {
+		if errors.Is(err, ErrRejected) {
 			return
 		}
 		if err != nil || time.Now().After(deadline) {
-			t.Fatalf("heartbeat to an isolated instance: error %v, want %v", err, ErrIsolated)
+			t.Fatalf("heartbeat to an isolated instance: error %v, want %v", err, ErrRejected)
 		}
 	}
 }
--- a/internal/control/host/output.go
+++ b/internal/control/host/output.go
@@ -20,8 +20,8 @@
 	for _, batch := range output.Reports {
 		h.dependencies.Roles.HandleReports(batch)
 	}
-	if isolation := output.Isolation; isolation != nil {
-		h.dependencies.Events.Isolated(isolation.Isolated, isolation.Live, isolation.Voters)
+	if change := output.QuorumChange; change != nil {
+		h.dependencies.Events.QuorumChanged(change.Lost, change.Live, change.Voters)
 	}
 	for _, router := range output.Subscribed {
 		h.dependencies.Events.RouterSubscribed(router.Node, router.Zone, router.Generation)
