--- a/internal/fleet/exchange.go
+++ b/internal/fleet/exchange.go
@@ -46,13 +46,13 @@
 	}
 	room, size := int(x.host.limits.Bytes)-around, 0
 	for i := range all {
-		size += all[i].WireMost()
+		size += all[i].MaxEncodedSize()
 	}
 	if size > room || len(all) > x.host.limits.Facts {
 		slices.SortFunc(all, func(a, b facts.Fact) int { return cmp.Compare(b.TTL-b.Age, a.TTL-a.Age) })
 		n := 0
-		for size = 0; n < min(len(all), x.host.limits.Facts) && size+all[n].WireMost() <= room; n++ {
-			size += all[n].WireMost()
+		for size = 0; n < min(len(all), x.host.limits.Facts) && size+all[n].MaxEncodedSize() <= room; n++ {
+			size += all[n].MaxEncodedSize()
 		}
 		x.host.Counters.Left.Add(uint64(len(all) - n))
 		all = all[:n]
@@ -75,7 +75,7 @@
 		}
 	case errors.Is(err, facts.ErrVersion):
 		c.OtherVersion.Add(1)
-	case errors.Is(err, facts.ErrSize):
+	case errors.Is(err, facts.ErrTooLarge):
 		c.TooLarge.Add(1)
 	default:
 		c.Garbled.Add(1)
--- a/internal/fleet/facts/epoch.go
+++ b/internal/fleet/facts/epoch.go
@@ -1,17 +1,19 @@
 package facts
 
-// NextEpoch draws the epoch of a new life: one more than the largest epoch that is known of this name, and at least
-// the milliseconds of the wall clock.
+// NextEpoch returns the epoch for a new incarnation of a member: at least one more than the largest known epoch of the
+// member's name, and at least the wall clock in milliseconds.
 //
-// With the folder, stored is the last life's epoch and the new one is larger, whatever the clock says. After the
-// folder was lost stored is 0, and the clock alone makes it larger: every life before began at an earlier millisecond,
-// and an epoch runs ahead of the clock only by lives that began faster than one a millisecond. Where the folder was
-// lost and the clock went back as well, neither helps; so members tell a joining life the largest epoch that they
-// heard of its name, and it draws again with that as heard before it tells anything. A life that hears only later
-// of an epoch of its name not below its own draws again then; until it has, its facts are dead to whoever
-// heard the other. Nothing but a life's own name depends on that clock, and no other machine's clock comes in.
+// If the state directory was preserved, stored is the epoch of the previous incarnation, and the new epoch is larger
+// whatever the clock says. If the directory was lost, stored is 0, and the clock alone makes the epoch larger: every
+// previous incarnation started in an earlier millisecond, and an epoch gets ahead of the clock only if incarnations
+// start more often than once per millisecond. If the directory was lost and the clock was also set back, neither
+// helps. Members therefore send a joining member the largest epoch that they received under its name, and the joining
+// member calls NextEpoch again with it as heard before it sends any fact. An incarnation that learns of such an epoch
+// only later, at or above its own, calls NextEpoch at that time; until then its facts are retired for every member
+// that has received the other epoch. The clock affects only the member's own epochs, and no other machine's clock is
+// used.
 //
-// Facts with an epoch over MaxEpoch are refused, so that heard can't run out of room by a garbled fact.
+// Facts with an epoch above MaxEpoch are refused, so that a corrupt fact can't exhaust the range of epochs.
 func NextEpoch(stored uint64, wallMillis int64, heard uint64) uint64 {
 	return max(max(stored, heard)+1, uint64(max(wallMillis, 1)))
 }
--- a/internal/fleet/facts/facts.go
+++ b/internal/fleet/facts/facts.go
@@ -1,32 +1,35 @@
-// Package facts holds what couriers that know one another tell one another: a pure table of evidence, its merge,
-// its form on the wire, and how a life's epoch is drawn. It has no clock, socket, file, goroutine or log.
+// Package facts implements the replicated state that the members of a fleet (load balancer processes) share: a table
+// of observations, its merge function, its wire format, and the choice of a member's epoch. The package is pure: it
+// uses no clock, socket, file, goroutine or log.
 //
-// The invariant: a table below its bounds is the join of all facts that it took in, whatever their order, loss and
-// doubling; so any two tables that took in the same facts read the same. TestMergeIsAJoin breaks without it.
+// The table is a state-based CRDT. Invariant: a table below its limits is the join of all facts merged into it,
+// whatever their order, loss and duplication. Two tables that merged the same facts therefore return the same
+// evidence. TestMergeIsAJoin fails without it.
 //
-// Why the merge is safe in any order. A table keeps one register for each (subject, kind, origin). Only its origin
-// writes it, and numbers what it writes: (epoch, seq). The registers are totally ordered by (epoch, seq, value,
-// time to live, earlier birth), and a merge keeps the larger; the largest of a totally ordered set does not depend on
-// the order of asking, so the merge is commutative, associative and idempotent. An origin's epoch is merged by
-// maximum, which is a join too, and the table is the product of these.
-//   - An equal (epoch, seq) with another value is a garbled or lying copy. It is settled before the birth is looked
-//     at, because the value is the same on every machine and the birth is not: settled by birth, two machines that
-//     heard it over unlike ways would keep unlike values for good.
-//   - Of equal copies the one born earlier wins. What travels is an age, and the time on the way is not counted in
-//     it: every copy is told too young, and the oldest is nearest to the truth.
-//   - An origin's higher epoch retires its registers of lower epochs. They stay as evidence marked Dead, are read only
-//     where nothing live is, and are never told again.
-//   - A fact that arrives past its time to live is refused, which is the same as its having been lost. One that was
-//     taken in keeps its register, unread, until the longest time to live is over: until then a delayed copy of an
-//     earlier fact of its origin could still come and would be read in its place (TestExpiredStillSupersedes).
-//   - What is about an endpoint that is gone is refused while the table remembers it. An endpoint is its id and not
-//     its address, and ids do not come back; the memory need only outlast the copies on their way.
+// Why the merge is safe in any order: the table keeps one register for each (subject, kind, origin). Only the origin
+// writes this register, and it numbers each write with (epoch, seq). Registers are totally ordered by (epoch, seq,
+// value, time to live, earlier creation), and a merge keeps the larger one. The maximum of a totally ordered set does
+// not depend on the order of comparison, so the merge is commutative, associative and idempotent. An origin's epoch is
+// merged by maximum, which is a join too, and the table is the product of these joins.
+//   - An equal (epoch, seq) with another value is a corrupt or forged copy. The value is compared before the creation
+//     time, because the value is the same on every machine and the computed creation time is not: if the creation
+//     time decided, two machines that received the fact over different paths would keep different values forever.
+//   - Of equal copies the one created earlier wins. A message carries the fact's age, which excludes the transmission
+//     delay. Every copy therefore looks too young, and the oldest one is nearest to the truth.
+//   - A higher epoch of an origin retires the origin's registers of lower epochs. They remain as evidence marked
+//     Retired, are returned only if there is no live evidence, and are never sent again.
+//   - A fact that arrives after its time to live is refused, which equals its loss on the way. A fact that was merged
+//     in time keeps its register, without being read, until the maximum time to live has passed: until then a delayed
+//     copy of an earlier fact of the same origin could arrive and would be read instead (TestExpiredStillSupersedes).
+//   - Facts about a removed endpoint are refused while the table remembers the removal. An endpoint is identified by
+//     its id, not by its address, and ids are not reused. The removal need only be remembered until no delayed copy
+//     can arrive.
 //
-// At the bounds less holds. Merging what is held already changes nothing, and each register held is one that was
-// told, never a mixture: these always hold. That the order does not matter does not hold there: which registers were
-// dropped depends on it, and a copy of an earlier fact may come back in place of a dropped later one until its own
-// time to live is over. What is dropped first: what is past its time, then what is of a dead epoch, then what has the
-// least time to live left; ties by subject, kind and origin.
+// At the limits, the guarantees are weaker. Two always remain: merging a fact that the table already has changes
+// nothing, and each register is a fact that was sent, never a mixture of several. Order independence is lost: which
+// registers were evicted depends on the order, and a copy of an earlier fact may return in place of an evicted later
+// one until its own time to live has passed. Eviction takes expired facts first, then facts of retired epochs, then
+// the facts with the least time to live remaining; ties are broken by subject, kind and origin.
 package facts
 
 import (
@@ -38,71 +41,71 @@
 	"unicode/utf8"
 )
 
-// Subject is what a fact is about.
+// Subject identifies what a fact is about.
 type Subject struct {
-	Dest     int64  // 0: the site as a whole
-	Endpoint string // an endpoint's id; "": the whole destination, or the site
+	Dest     int64  // 0: the whole site
+	Endpoint string // id of an endpoint; "": the whole destination, or the site
 }
 
-// Kind says what is told, and what the two parts of the Value mean.
+// Kind is the type of an observation; it determines what the two parts of the Value mean.
 type Kind uint8
 
 const (
-	ListVersion Kind = iota + 1 // Number: version of the list of endpoints, a whole number; For: unused
-	Wait                        // For: the wait told, counted from the fact's birth; Number: unused
-	Limit                       // Number: calls allowed in each For; where For is 0, calls out at once
-	Outage                      // For: how long it had lasted when the fact was born; Number: share of calls failed, 0 to 1
-	OutageEnd                   // For: how long the outage had lasted; Number: unused
-	Cold                        // For: how long the subject had been cold when the fact was born; Number: unused
-	Pace                        // Number: calls answered a second; For: median time to the answer
-	kinds
+	ListVersion Kind = iota + 1 // Number: version of the list of endpoints, an integer; For: unused
+	Wait                        // For: the requested wait before the next call, measured from the fact's creation; Number: unused
+	Limit                       // Number: calls allowed in each For; if For is 0, calls allowed in flight
+	Outage                      // For: length of the outage when the fact was created; Number: fraction of calls that failed, 0 to 1
+	OutageEnd                   // For: total length of the outage; Number: unused
+	WarmUp                      // For: how long the subject had been warming up when the fact was created; Number: unused
+	Throughput                  // Number: calls answered per second; For: median response time
+	kindEnd
 )
 
-// String is the word that operators see.
+// String returns the name of the kind, as it appears in logs.
 func (k Kind) String() string {
-	if k == 0 || k >= kinds {
+	if k == 0 || k >= kindEnd {
 		return fmt.Sprintf("kind-%d", uint8(k))
 	}
 	return [...]string{"list_version", "wait", "limit", "outage", "outage_end", "cold", "pace"}[k-1]
 }
 
-// Value is what is told; its meaning is the kind's.
+// Value is the observed value; its meaning depends on the Kind.
 type Value struct {
 	Number float64
 	For    time.Duration
 }
 
-// Fact is a fact as it is told: with its age, never with a time of day.
+// Fact is an observation as it is sent: with its age, because the members' clocks are not synchronized.
 type Fact struct {
 	Subject
 	Kind
 	Value
-	Origin     string // the courier that learned it
-	Epoch, Seq uint64 // the origin's life, and its count within that
+	Origin     string // name of the member that made the observation
+	Epoch, Seq uint64 // incarnation of the origin, and sequence number within it
 	Age, TTL   time.Duration
 }
 
 const (
-	MaxName  = 128                 // bytes of an origin's or endpoint's name
-	MaxValue = 30 * 24 * time.Hour // no duration told is longer
-	MaxEpoch = 1 << 62             // far above any wall clock's milliseconds
-	maxWhole = 1 << 53             // beyond it a float64 doesn't count in ones
+	MaxName         = 128                 // maximum length of an origin's or endpoint's name in bytes
+	MaxValue        = 30 * 24 * time.Hour // maximum duration in a Value
+	MaxEpoch        = 1 << 62             // far above the milliseconds of any wall clock
+	maxExactInteger = 1 << 53             // above it a float64 can't represent every integer
 )
 
-// Reasons to refuse what was told; each is counted by who asked.
+// Reasons for refusing a fact. The caller counts each of them.
 var (
-	ErrGone    = errors.New("the endpoint is gone: nothing about it is taken in")
-	ErrOrigins = errors.New("the table knows as many origins as it may: raise the bound or wait until silent ones are swept")
+	ErrEndpointRemoved = errors.New("the endpoint was removed: facts about it are refused")
+	ErrTooManyOrigins  = errors.New("the table has its maximum number of origins: raise the limit or wait until inactive ones are swept")
 )
 
-// FieldError names the field of a fact that can't be true.
+// FieldError names a field with an impossible value.
 type FieldError struct{ Field, Problem string }
 
 func (e *FieldError) Error() string {
-	return "fact refused: " + e.Field + " " + e.Problem + "; the member that told it must be mended"
+	return "fact refused: " + e.Field + " " + e.Problem + "; the member that sent it is faulty"
 }
 
-// Check refuses a fact with a field that no courier in order tells.
+// Check returns a FieldError if a field has a value that no correct member sends.
 func (f *Fact) Check(maxTTL time.Duration) error {
 	wrong := func(field, problem string) error { return &FieldError{field, problem} }
 	name := func(s string) string {
@@ -121,14 +124,14 @@
 		return wrong("endpoint", p)
 	}
 	switch n := f.Number; {
-	case f.Kind == 0 || f.Kind >= kinds:
+	case f.Kind == 0 || f.Kind >= kindEnd:
 		return wrong("kind", "is unknown")
 	case f.Dest < 0:
 		return wrong("dest", "is negative")
 	case math.IsNaN(n) || math.IsInf(n, 0) || math.Signbit(n):
 		return wrong("number", "is negative or no number")
-	case f.Kind == ListVersion && (n != math.Trunc(n) || n > maxWhole):
-		return wrong("number", "is no list version")
+	case f.Kind == ListVersion && (n != math.Trunc(n) || n > maxExactInteger):
+		return wrong("number", "is not a valid list version")
 	case f.Kind == Outage && n > 1:
 		return wrong("number", "is a share above 1")
 	case f.For < 0 || f.For > MaxValue:
@@ -145,13 +148,13 @@
 	return nil
 }
 
-// Key is what evidence is read by.
+// Key identifies the evidence that a reader asks for.
 type Key struct {
 	Subject
 	Kind
 }
 
-// Key of the fact.
+// Key returns the subject and kind of the fact.
 func (f *Fact) Key() Key { return Key{f.Subject, f.Kind} }
 
 func compareKeys(a, b Key) int {
--- a/internal/fleet/facts/facts_test.go
+++ b/internal/fleet/facts/facts_test.go
@@ -15,25 +15,25 @@
 
 const sec = time.Second
 
-func limits() Limits {
-	return Limits{Facts: 1000, Bytes: 1 << 20, Origins: 100, Gone: 10, GoneFor: time.Minute, MaxTTL: time.Hour}
+func testLimits() Limits {
+	return Limits{Facts: 1000, Bytes: 1 << 20, Origins: 100, RemovedEndpoints: 10, RemovedTTL: time.Minute, MaxTTL: time.Hour}
 }
 
-// birth is a fact as its origin learned it; it can be told at any later moment.
-type birth struct {
-	fact Fact
-	born time.Duration
+// observation is a fact with its creation time; it can be sent at any later time.
+type observation struct {
+	fact      Fact
+	createdAt time.Duration
 }
 
-func (b birth) at(now time.Duration) Fact {
-	b.fact.Age = now - b.born
+func (b observation) factAt(now time.Duration) Fact {
+	b.fact.Age = now - b.createdAt
 	return b.fact
 }
 
-func genBirth(t *rapid.T) birth {
+func drawObservation(t *rapid.T) observation {
 	f := Fact{
 		Subject: Subject{rapid.Int64Range(0, 1).Draw(t, "dest"), rapid.SampledFrom([]string{"", "e1"}).Draw(t, "endpoint")},
-		Kind:    Kind(rapid.IntRange(1, int(kinds)-1).Draw(t, "kind")),
+		Kind:    Kind(rapid.IntRange(1, int(kindEnd)-1).Draw(t, "kind")),
 		Value: Value{
 			float64(rapid.IntRange(0, 1).Draw(t, "number")),
 			time.Duration(rapid.SampledFrom([]int{0, 5, 30, 90}).Draw(t, "for")) * sec,
@@ -42,11 +42,11 @@
 		Epoch:  rapid.Uint64Range(1, 3).Draw(t, "epoch"), Seq: rapid.Uint64Range(1, 3).Draw(t, "seq"),
 		TTL: time.Duration(rapid.SampledFrom([]int{20, 27, 35, 46, 60}).Draw(t, "ttl")) * sec,
 	}
-	return birth{f, -time.Duration(rapid.IntRange(0, 9).Draw(t, "born")) * sec}
+	return observation{f, -time.Duration(rapid.IntRange(0, 9).Draw(t, "age")) * sec}
 }
 
-// reads is what a reader sees of everything at several moments.
-func reads(t *Table) map[time.Duration]map[Key]Evidence {
+// readAll reads every key at several times.
+func readAll(t *Table) map[time.Duration]map[Key]Evidence {
 	out := map[time.Duration]map[Key]Evidence{}
 	for now := 11 * sec; now < 100*sec; now += 8 * sec {
 		out[now] = map[Key]Evidence{}
@@ -59,36 +59,36 @@
 	return out
 }
 
-func mustMerge(t *rapid.T, table *Table, now time.Duration, b birth) bool {
-	change, err := table.Merge(now, b.at(now))
+func mustMerge(t *rapid.T, table *Table, now time.Duration, b observation) bool {
+	change, err := table.Merge(now, b.factAt(now))
 	if err != nil {
 		t.Fatalf("merge of %+v: %v", b, err)
 	}
-	return change != Known
+	return change != Unchanged
 }
 
 func TestMergeIsAJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := rapid.SliceOfN(rapid.Custom(genBirth), 1, 24).Draw(t, "facts")
+		all := rapid.SliceOfN(rapid.Custom(drawObservation), 1, 24).Draw(t, "facts")
 		moment := rapid.IntRange(0, 9)
-		// One after another, and in another order at other times, with some told again.
-		a, b := New(limits()), New(limits())
+		// The same facts in another order, at other times, and half of them twice.
+		a, b := New(testLimits()), New(testLimits())
 		for _, f := range all {
 			mustMerge(t, a, time.Duration(moment.Draw(t, "when"))*sec, f)
 		}
 		for _, f := range rapid.Permutation(append(slices.Clone(all), all[:len(all)/2]...)).Draw(t, "order") {
 			mustMerge(t, b, time.Duration(moment.Draw(t, "when"))*sec, f)
 		}
-		if d := cmp.Diff(reads(a), reads(b)); d != "" {
-			t.Fatalf("another order reads otherwise:\n%s", d)
+		if d := cmp.Diff(readAll(a), readAll(b)); d != "" {
+			t.Fatalf("reads differ after another merge order:\n%s", d)
 		}
 		for _, f := range all {
 			if mustMerge(t, b, 10*sec, f) {
-				t.Fatalf("told again, %+v changed the table", f)
+				t.Fatalf("merging %+v a second time changed the table", f)
 			}
 		}
-		// Two tables that each lost some, and then told each other all, each in its own grouping.
-		c, d := New(limits()), New(limits())
+		// Two tables that each missed some facts and then exchanged all live ones.
+		c, d := New(testLimits()), New(testLimits())
 		for _, f := range all {
 			switch rapid.IntRange(0, 2).Draw(t, "lost by") {
 			case 0:
@@ -109,43 +109,43 @@
 		}
 		live := func(t *Table) []Fact { return slices.Collect(t.Live(10 * sec)) }
 		if diff := cmp.Diff(live(c), live(d)); diff != "" {
-			t.Fatalf("after telling each other all:\n%s", diff)
+			t.Fatalf("the tables differ after the exchange:\n%s", diff)
 		}
 		if diff := cmp.Diff(live(a), live(c)); diff != "" {
-			t.Fatalf("against the table that lost none:\n%s", diff)
+			t.Fatalf("the exchanged tables differ from the one that missed no fact:\n%s", diff)
 		}
 	})
 }
 
-// The plain meaning of Read, against the fronts.
-func TestReadDecides(t *testing.T) {
+// Read agrees with a linear scan over all registers.
+func TestReadMatchesLinearScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table := New(limits())
-		for _, f := range rapid.SliceOfN(rapid.Custom(genBirth), 1, 40).Draw(t, "facts") {
+		table := New(testLimits())
+		for _, f := range rapid.SliceOfN(rapid.Custom(drawObservation), 1, 40).Draw(t, "facts") {
 			f.fact.Subject, f.fact.Kind = Subject{1, "e1"}, Wait+Kind(rapid.IntRange(0, 1).Draw(t, "of few kinds"))
 			f.fact.Origin, f.fact.Epoch = rapid.StringMatching("[a-l]").Draw(t, "of many origins"), 1+f.fact.Epoch/3
 			mustMerge(t, table, 0, f)
-			_, _ = table.Read(0, f.fact.Subject, f.fact.Kind) // fronts are made, and then changed in place
+			_, _ = table.Read(0, f.fact.Subject, f.fact.Kind) // builds the front, which later merges then update
 		}
 		for now := time.Duration(0); now < 100*sec; now += 3 * sec {
 			for k, g := range table.groups {
 				got, ok := table.Read(now, k.Subject, k.Kind)
 				var want *register
-				better := func(r, than register) bool {
-					end, thanEnd := r.born+r.value.For, than.born+than.value.For
+				better := func(r, other register) bool {
+					end, otherEnd := r.createdAt+r.value.For, other.createdAt+other.value.For
 					switch {
-					case r.dead() != than.dead():
-						return than.dead()
-					case k.Kind == Wait && end != thanEnd:
-						return end > thanEnd
-					case k.Kind == ListVersion && r.value.Number != than.value.Number:
-						return r.value.Number > than.value.Number
+					case r.retired() != other.retired():
+						return other.retired()
+					case k.Kind == Wait && end != otherEnd:
+						return end > otherEnd
+					case k.Kind == ListVersion && r.value.Number != other.value.Number:
+						return r.value.Number > other.value.Number
 					}
-					return r.born > than.born
+					return r.createdAt > other.createdAt
 				}
 				for i, r := range g.regs {
-					over := now-r.born > r.ttl || k.Kind == Wait && r.value.For <= now-r.born
-					if !over && (want == nil || better(r, *want)) {
+					expired := now-r.createdAt > r.ttl || k.Kind == Wait && r.value.For <= now-r.createdAt
+					if !expired && (want == nil || better(r, *want)) {
 						want = &g.regs[i]
 					}
 				}
@@ -155,70 +155,70 @@
 				if !ok {
 					continue
 				}
-				ev := Evidence{Value: want.value, Age: now - want.born, Origin: want.origin.name, Epoch: want.epoch, Seq: want.seq, Dead: want.dead()}
+				ev := Evidence{Value: want.value, Age: now - want.createdAt, Origin: want.origin.name, Epoch: want.epoch, Seq: want.seq, Retired: want.retired()}
 				if k.Kind == Wait {
-					ev.Left = want.born + want.value.For - now
+					ev.Remaining = want.createdAt + want.value.For - now
 				}
 				if d := cmp.Diff(ev, got); d != "" {
 					t.Fatalf("at %v %v:\n%s", now, k, d)
 				}
 			}
 		}
-		table.Forget(0, "e1")
-		table.Shed(0, table.Len()/2, math.MaxInt64)
-		if table.Sweep(24 * time.Hour); table.Len() != 0 || table.Bytes() != 0 || len(table.groups)+len(table.origins)+len(table.gone) != 0 {
-			t.Fatalf("after all is over %d facts, %d bytes, %v", table.Len(), table.Bytes(), table.origins)
+		table.RemoveEndpoint(0, "e1")
+		table.Evict(0, table.Len()/2, math.MaxInt64)
+		if table.Sweep(24 * time.Hour); table.Len() != 0 || table.Bytes() != 0 || len(table.groups)+len(table.origins)+len(table.removed) != 0 {
+			t.Fatalf("after everything expired: %d facts, %d bytes, %v", table.Len(), table.Bytes(), table.origins)
 		}
 	})
 }
 
-func fact(origin string, epoch, seq uint64, ttl time.Duration) Fact {
+func newFact(origin string, epoch, seq uint64, ttl time.Duration) Fact {
 	return Fact{Subject: Subject{7, "e1"}, Kind: Limit, Value: Value{100, sec}, Origin: origin, Epoch: epoch, Seq: seq, TTL: ttl}
 }
 
 func TestExpiredStillSupersedes(t *testing.T) {
-	table := New(limits())
-	_, _ = table.Merge(0, fact("a", 1, 2, 5*sec))
+	table := New(testLimits())
+	_, _ = table.Merge(0, newFact("a", 1, 2, 5*sec))
 	table.Sweep(20 * sec)
-	older := fact("a", 1, 1, time.Hour)
+	older := newFact("a", 1, 1, time.Hour)
 	older.Age = 21 * sec
-	if change, err := table.Merge(20*sec, older); change != Known || err != nil {
-		t.Fatalf("an earlier fact came back: %v, %v", change, err)
+	if change, err := table.Merge(20*sec, older); change != Unchanged || err != nil {
+		t.Fatalf("an earlier fact was accepted after a later one had expired: %v, %v", change, err)
 	}
 	if ev, ok := table.Read(20*sec, older.Subject, Limit); ok {
 		t.Fatalf("read %+v", ev)
 	}
 	if n := table.Sweep(time.Hour + sec); n != 1 || table.Len() != 0 {
-		t.Fatalf("swept %d, left %d", n, table.Len())
+		t.Fatalf("swept %d, %d remain", n, table.Len())
 	}
 }
 
-func TestOfEqualCopiesTheOldest(t *testing.T) {
-	table, f := New(limits()), fact("a", 1, 1, time.Minute)
+func TestMergeKeepsOldestOfEqualCopies(t *testing.T) {
+	table, f := New(testLimits()), newFact("a", 1, 1, time.Minute)
 	for _, step := range []struct {
 		age, read time.Duration
 		want      Change
-	}{{2 * sec, 2 * sec, News}, {3 * sec, 3 * sec, Older}, {sec, 3 * sec, Known}, {3 * sec, 3 * sec, Known}} {
+	}{{2 * sec, 2 * sec, Updated}, {3 * sec, 3 * sec, AgeCorrected}, {sec, 3 * sec, Unchanged}, {3 * sec, 3 * sec, Unchanged}} {
 		f.Age = step.age
 		change, err := table.Merge(0, f)
 		if ev, _ := table.Read(0, f.Subject, Limit); change != step.want || err != nil || ev.Age != step.read {
-			t.Errorf("told at the age of %v: %v, %v, read %v", step.age, change, err, ev.Age)
+			t.Errorf("merged at age %v: got %v, %v; read age %v", step.age, change, err, ev.Age)
 		}
 	}
-	f.Number, f.Age = f.Number+1, sec // an unlike copy: the larger value, however young
+	f.Number, f.Age = f.Number+1, sec // a copy with another value: the larger value wins, whatever its age
 	_, _ = table.Merge(0, f)
 	f.Number, f.Age = f.Number-1, 9*sec
-	if change, _ := table.Merge(0, f); change != Known {
-		t.Errorf("of unlike copies the birth decided")
+	if change, _ := table.Merge(0, f); change != Unchanged {
+		t.Errorf("the age decided between copies with different values")
 	}
 }
 
-// What is told in between takes its place in the front, and what it covers leaves.
-func TestFrontChangesInPlace(t *testing.T) {
-	table := New(limits())
-	for i, told := range []struct{ age, until time.Duration }{{9, 20}, {8, 20}, {7, 20}, {6, 60}, {5, 30}, {4, 10}, {10, 90}} {
-		f := fact(string(rune('a'+i)), 1, 1, (told.until+told.age)*sec)
-		f.Age = told.age * sec
+// A merge inserts its entry into the existing front and removes the entries that it dominates.
+func TestFrontIsUpdatedByMerge(t *testing.T) {
+	table := New(testLimits())
+	for i, sent := range []struct{ age, expires time.Duration }{{9, 20}, {8, 20}, {7, 20}, {6, 60}, {5, 30}, {4, 10}, {10, 90}} {
+		f := newFact(string(rune('a'+i)), 1, 1, (sent.expires+sent.age)*sec)
+		f.Age = sent.age * sec
 		_, _ = table.Merge(0, f)
 		table.Read(0, f.Subject, Limit)
 	}
@@ -229,38 +229,38 @@
 	}
 }
 
-func TestForget(t *testing.T) {
-	table := New(limits())
-	_, _ = table.Merge(0, fact("a", 1, 1, time.Minute))
-	whole := fact("a", 1, 2, time.Minute)
-	whole.Endpoint = ""
-	_, _ = table.Merge(0, whole)
-	table.Forget(sec, "e1")
-	table.Forget(sec, "")
-	if _, err := table.Merge(2*sec, fact("b", 1, 1, time.Minute)); !errors.Is(err, ErrGone) {
-		t.Fatalf("taken in about a gone endpoint: %v", err)
+func TestRemoveEndpoint(t *testing.T) {
+	table := New(testLimits())
+	_, _ = table.Merge(0, newFact("a", 1, 1, time.Minute))
+	destinationFact := newFact("a", 1, 2, time.Minute)
+	destinationFact.Endpoint = ""
+	_, _ = table.Merge(0, destinationFact)
+	table.RemoveEndpoint(sec, "e1")
+	table.RemoveEndpoint(sec, "")
+	if _, err := table.Merge(2*sec, newFact("b", 1, 1, time.Minute)); !errors.Is(err, ErrEndpointRemoved) {
+		t.Fatalf("a fact about a removed endpoint: got %v, want ErrEndpointRemoved", err)
 	}
-	if _, ok := table.Read(2*sec, whole.Subject, Limit); !ok || table.Len() != 1 {
-		t.Fatalf("the destination's own fact went with its endpoint")
+	if _, ok := table.Read(2*sec, destinationFact.Subject, Limit); !ok || table.Len() != 1 {
+		t.Fatalf("the fact about the destination was dropped with its endpoint")
 	}
-	for i := range 10 { // the bound: e1 is to be forgotten soonest
-		table.Forget(2*sec, strings.Repeat("x", i+1))
+	for i := range 10 { // reaches the limit: e1 would expire first
+		table.RemoveEndpoint(2*sec, strings.Repeat("x", i+1))
 	}
-	if _, err := table.Merge(3*sec, fact("b", 1, 1, time.Minute)); err != nil || len(table.gone) != 10 {
-		t.Fatalf("remembered %d: %v", len(table.gone), err)
+	if _, err := table.Merge(3*sec, newFact("b", 1, 1, time.Minute)); err != nil || len(table.removed) != 10 {
+		t.Fatalf("%d removals are remembered: %v", len(table.removed), err)
 	}
 }
 
-func TestBounds(t *testing.T) {
-	lim := limits()
+func TestEvictionOrder(t *testing.T) {
+	lim := testLimits()
 	lim.Facts = 3
 	table := New(lim)
 	put := func(origin string, epoch uint64, ttl time.Duration) {
-		if _, err := table.Merge(0, fact(origin, epoch, 1, ttl)); err != nil {
+		if _, err := table.Merge(0, newFact(origin, epoch, 1, ttl)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	names := func() (out []string) {
+	origins := func() (out []string) {
 		for _, g := range table.groups {
 			for _, r := range g.regs {
 				out = append(out, r.origin.name)
@@ -269,35 +269,35 @@
 		return out
 	}
 	put("dead", 1, time.Hour)
-	_ = table.Raise(0, "dead", 2)
+	_ = table.RaiseEpoch(0, "dead", 2)
 	put("short", 1, sec)
 	put("long", 1, time.Hour)
-	for _, step := range []struct{ add, left string }{
-		{"n1", "long n1 short"}, // of a dead epoch
-		{"n2", "long n1 n2"},    // least time left
-		{"n3", "long n2 n3"},    // ties by origin
+	for _, step := range []struct{ add, remaining string }{
+		{"n1", "long n1 short"}, // a retired epoch goes first
+		{"n2", "long n1 n2"},    // least time to live remaining
+		{"n3", "long n2 n3"},    // ties are broken by origin
 	} {
 		put(step.add, 1, time.Minute)
-		if got := strings.Join(names(), " "); got != step.left {
-			t.Fatalf("after %s: %s, want %s", step.add, got, step.left)
+		if got := strings.Join(origins(), " "); got != step.remaining {
+			t.Fatalf("after %s: %s, want %s", step.add, got, step.remaining)
 		}
 	}
-	if n := table.Shed(2*time.Minute, 1, lim.Bytes); n != 2 || strings.Join(names(), " ") != "long" {
-		t.Fatalf("expired first: dropped %d, left %v", n, names())
+	if n := table.Evict(2*time.Minute, 1, lim.Bytes); n != 2 || strings.Join(origins(), " ") != "long" {
+		t.Fatalf("expired facts go first: dropped %d, %v remain", n, origins())
 	}
 }
 
 func TestCheckNamesTheField(t *testing.T) {
 	long := strings.Repeat("x", MaxName+1)
 	for _, c := range []struct {
-		field string
-		spoil func(*Fact)
+		field   string
+		corrupt func(*Fact)
 	}{
 		{"origin", func(f *Fact) { f.Origin = long }},
 		{"origin", func(f *Fact) { f.Origin = "" }},
 		{"endpoint", func(f *Fact) { f.Endpoint = long }},
 		{"endpoint", func(f *Fact) { f.Endpoint = "\xff" }},
-		{"kind", func(f *Fact) { f.Kind = kinds }},
+		{"kind", func(f *Fact) { f.Kind = kindEnd }},
 		{"dest", func(f *Fact) { f.Dest = -1 }},
 		{"number", func(f *Fact) { f.Number = -1 }},
 		{"number", func(f *Fact) { f.Number = math.NaN() }},
@@ -313,13 +313,13 @@
 		{"age", func(f *Fact) { f.Age = -1 }},
 		{"age", func(f *Fact) { f.Age = f.TTL + 1 }},
 	} {
-		f := fact("a", 1, 1, time.Minute)
-		c.spoil(&f)
-		table := New(limits())
+		f := newFact("a", 1, 1, time.Minute)
+		c.corrupt(&f)
+		table := New(testLimits())
 		_, err := table.Merge(0, f)
 		var fe *FieldError
 		if !errors.As(err, &fe) || fe.Field != c.field || table.Len() != 0 || table.Epoch(f.Origin) != 0 {
-			t.Errorf("%s of %+v: got %v, table of %d", c.field, f, err, table.Len())
+			t.Errorf("%s of %+v: got %v, table has %d facts", c.field, f, err, table.Len())
 		}
 	}
 }
@@ -331,9 +331,9 @@
 		heard  uint64
 		want   uint64
 	}{
-		"first life": {0, 5000, 0, 5000}, "folder kept": {5000, 6000, 0, 6000}, "clock went back": {5000, 10, 0, 5001},
-		"folder lost": {0, 6000, 5000, 6000}, "folder lost and clock back": {0, 10, 5000, 5001},
-		"two lives in a millisecond": {5000, 5000, 5000, 5001}, "no clock at all": {0, -4, 0, 1},
+		"first incarnation": {0, 5000, 0, 5000}, "directory kept": {5000, 6000, 0, 6000}, "clock set back": {5000, 10, 0, 5001},
+		"directory lost": {0, 6000, 5000, 6000}, "directory lost and clock set back": {0, 10, 5000, 5001},
+		"two incarnations in a millisecond": {5000, 5000, 5000, 5001}, "negative clock": {0, -4, 0, 1},
 	} {
 		if got := NextEpoch(c.stored, c.wall, c.heard); got != c.want {
 			t.Errorf("%s: %d, want %d", name, got, c.want)
@@ -353,8 +353,8 @@
 	c := newTestCodec(t)
 	rapid.Check(t, func(t *rapid.T) {
 		batch := []Fact{}
-		for _, b := range rapid.SliceOfN(rapid.Custom(genBirth), 0, 30).Draw(t, "facts") {
-			f := b.at(0)
+		for _, b := range rapid.SliceOfN(rapid.Custom(drawObservation), 0, 30).Draw(t, "facts") {
+			f := b.factAt(0)
 			f.Number = rapid.Float64Range(0, math.MaxFloat64).Draw(t, "number")
 			batch = append(batch, f)
 		}
@@ -366,38 +366,38 @@
 		if d := cmp.Diff(batch, got); err != nil || d != "" {
 			t.Fatalf("%v\n%s", err, d)
 		}
-		most := 16
+		maxBytes := 16
 		for _, f := range batch {
-			most += f.WireMost()
+			maxBytes += f.MaxEncodedSize()
 			one, _ := c.EncodeOne(f)
 			if got, err := c.DecodeOne(one); err != nil || got != f {
 				t.Fatalf("%+v, %v", got, err)
 			}
 		}
-		if len(data) > most {
-			t.Fatalf("%d bytes, said at most %d", len(data), most)
+		if len(data) > maxBytes {
+			t.Fatalf("%d bytes, MaxEncodedSize allows %d", len(data), maxBytes)
 		}
-		cut := rapid.IntRange(0, len(data)-1).Draw(t, "cut")
-		if _, err := c.Decode(data[:cut]); !errors.Is(err, ErrForm) {
-			t.Fatalf("cut to %d of %d: %v", cut, len(data), err)
+		length := rapid.IntRange(0, len(data)-1).Draw(t, "length")
+		if _, err := c.Decode(data[:length]); !errors.Is(err, ErrMalformed) {
+			t.Fatalf("truncated to %d of %d bytes: %v", length, len(data), err)
 		}
 	})
-	if _, err := c.Encode(make([]Fact, 101)); !errors.Is(err, ErrSize) {
+	if _, err := c.Encode(make([]Fact, 101)); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("101 facts: %v", err)
 	}
 	for name, bad := range map[string]struct {
 		data []byte
 		want error
 	}{
-		"version 2":           {[]byte{0x82, 2, 0x80}, ErrVersion},
-		"indefinite length":   {[]byte{0x82, 1, 0x9f, 0xff}, ErrForm},
-		"null body":           {[]byte{0x82, 1, 0xf6}, ErrForm},
-		"null fact":           {[]byte{0x82, 1, 0x81, 0xf6}, ErrForm},
-		"map body":            {[]byte{0x82, 1, 0xa0}, ErrForm},
-		"long form of 1":      {[]byte{0x82, 0x18, 1, 0x80}, ErrForm},
-		"more after it":       {[]byte{0x82, 1, 0x80, 0}, ErrForm},
-		"a billion announced": {[]byte{0x82, 1, 0x9a, 0x40, 0, 0, 0}, ErrForm},
-		"over the size":       {make([]byte, 16<<10+1), ErrSize},
+		"version 2":         {[]byte{0x82, 2, 0x80}, ErrVersion},
+		"indefinite length": {[]byte{0x82, 1, 0x9f, 0xff}, ErrMalformed},
+		"null body":         {[]byte{0x82, 1, 0xf6}, ErrMalformed},
+		"null fact":         {[]byte{0x82, 1, 0x81, 0xf6}, ErrMalformed},
+		"map body":          {[]byte{0x82, 1, 0xa0}, ErrMalformed},
+		"long form of 1":    {[]byte{0x82, 0x18, 1, 0x80}, ErrMalformed},
+		"trailing bytes":    {[]byte{0x82, 1, 0x80, 0}, ErrMalformed},
+		"huge array length": {[]byte{0x82, 1, 0x9a, 0x40, 0, 0, 0}, ErrMalformed},
+		"oversized":         {make([]byte, 16<<10+1), ErrTooLarge},
 	} {
 		if got, err := c.Decode(bad.data); !errors.Is(err, bad.want) {
 			t.Errorf("%s: %v, %v", name, got, err)
@@ -405,8 +405,8 @@
 	}
 }
 
-// Whole milliseconds are short, others exact, and what no duration is told as is refused.
-func TestSpan(t *testing.T) {
+// Whole milliseconds have a short encoding, other durations are exact, and a negative duration is refused.
+func TestDurationEncoding(t *testing.T) {
 	c := newTestCodec(t)
 	f := Fact{Kind: Wait, Value: Value{For: 1500 * time.Millisecond}, Origin: "a", Epoch: 1, Seq: 1, TTL: 30 * sec, Age: 250 * time.Millisecond}
 	short, err := c.EncodeOne(f)
@@ -416,19 +416,19 @@
 		t.Errorf("%d and %d bytes, %v, %v", len(short), len(long), err, err2)
 	}
 	for _, d := range []time.Duration{0, 1, time.Millisecond - 1, time.Millisecond, time.Millisecond + 1, sec, MaxValue, MaxValue - 1} {
-		if got := unspan(span(d)); got != d {
-			t.Errorf("%v came back as %v", d, got)
+		if got := decodeDuration(encodeDuration(d)); got != d {
+			t.Errorf("%v was decoded as %v", d, got)
 		}
 	}
 	f.Age = -time.Millisecond
 	if _, err := c.EncodeOne(f); err == nil {
-		t.Error("a negative age was written")
+		t.Error("a negative age was encoded")
 	}
 }
 
 func FuzzDecode(f *testing.F) {
 	c := newTestCodec(f)
-	good, _ := c.Encode([]Fact{fact("a", 1, 1, time.Minute), fact("b", 3, 2, time.Hour)})
+	good, _ := c.Encode([]Fact{newFact("a", 1, 1, time.Minute), newFact("b", 3, 2, time.Hour)})
 	f.Add(good)
 	f.Add(good[:len(good)-1])
 	f.Add([]byte{0x82, 1, 0x80})
@@ -438,23 +438,23 @@
 		if err != nil {
 			return
 		}
-		table := New(limits())
+		table := New(testLimits())
 		for _, fact := range batch {
 			_, _ = table.Merge(0, fact)
 		}
 		for fact := range table.Live(0) {
 			if err := fact.Check(time.Hour); err != nil {
-				t.Errorf("told on: %v", err)
+				t.Errorf("a live fact is invalid: %v", err)
 			}
 		}
 	})
 }
 
-// Merge and read of the freshest, and of one that is not, among 300 origins.
+// Measures Merge and Read for a key with 300 origins: for the most recent fact, and for one that is not.
 func BenchmarkMerge(b *testing.B) {
 	for name, step := range map[string]time.Duration{"freshest": 1, "other": 0} {
 		b.Run(name, func(b *testing.B) {
-			table, f, now := New(DefaultLimits()), fact("", 1, 1, time.Minute), time.Duration(0)
+			table, f, now := New(DefaultLimits()), newFact("", 1, 1, time.Minute), time.Duration(0)
 			for i := range 300 {
 				f.Origin, f.Age = fmt.Sprintf("courier-%03d", i), time.Duration(300-i)
 				_, _ = table.Merge(0, f)
--- a/internal/fleet/facts/front.go
+++ b/internal/fleet/facts/front.go
@@ -7,50 +7,50 @@
 	"time"
 )
 
-// Evidence is what decides for a subject and kind at some moment. It is another process's word, with its age.
+// Evidence is the fact that answers a read of a subject and kind at some time. It was reported by Origin, Age ago.
 type Evidence struct {
 	Value
-	Age    time.Duration // at least: the time on its way is not counted
-	Left   time.Duration // what is left of a Wait; 0 for other kinds
-	Origin string
-	Epoch  uint64
-	Seq    uint64
-	Dead   bool // of a life of its origin that is over, and nothing live is known: it may hold back, it decides nothing
+	Age       time.Duration // lower bound, as transmission delays are not counted
+	Remaining time.Duration // remaining time of a Wait; 0 for other kinds
+	Origin    string
+	Epoch     uint64
+	Seq       uint64
+	Retired   bool // from a previous incarnation of its origin, with no live evidence: a reason for caution, but not for a decision
 }
 
-// Front answers reads of one subject and kind at any later moment; it is immutable and safe for many readers.
-// Its entries go from the one that decides first to those that decide when all before them have expired; whatever
-// expires before one that precedes it is left out, so expiries ascend and a read is a search by halves.
+// Front answers reads of one subject and kind at any later time. It is immutable and safe for concurrent use. The
+// entries are a Pareto front of precedence and expiry: they are sorted by precedence, and an entry that expires no
+// later than one of higher precedence is left out. Expiry times therefore ascend, and a read is a binary search.
 type Front struct{ entries []entry }
 
 type entry struct {
-	until  time.Duration // read up to then
-	born   time.Duration
-	rank   float64
-	value  Value
-	origin string
-	epoch  uint64
-	seq    uint64
-	wait   bool
-	dead   bool
+	expires   time.Duration // last instant at which the entry may be read
+	createdAt time.Duration
+	rank      float64
+	value     Value
+	origin    string
+	epoch     uint64
+	seq       uint64
+	isWait    bool
+	retired   bool
 }
 
-// Read gives the evidence that decides at now, on the clock of the table that the front is of.
+// Read returns the evidence at now, on the clock of the table that the front belongs to.
 func (f *Front) Read(now time.Duration) (Evidence, bool) {
 	if f == nil {
 		return Evidence{}, false
 	}
 	i := 0
-	if len(f.entries) > 0 && f.entries[0].until < now {
-		i = sort.Search(len(f.entries), func(i int) bool { return f.entries[i].until >= now })
+	if len(f.entries) > 0 && f.entries[0].expires < now {
+		i = sort.Search(len(f.entries), func(i int) bool { return f.entries[i].expires >= now })
 	}
 	if i == len(f.entries) {
 		return Evidence{}, false
 	}
 	e := &f.entries[i]
-	ev := Evidence{Value: e.value, Age: now - e.born, Origin: e.origin, Epoch: e.epoch, Seq: e.seq, Dead: e.dead}
-	if e.wait {
-		ev.Left = e.value.For - ev.Age
+	ev := Evidence{Value: e.value, Age: now - e.createdAt, Origin: e.origin, Epoch: e.epoch, Seq: e.seq, Retired: e.retired}
+	if e.isWait {
+		ev.Remaining = e.value.For - ev.Age
 	}
 	return ev, true
 }
@@ -62,59 +62,60 @@
 	return int64(len(f.entries)) * entryBytes
 }
 
-func entryOf(kind Kind, r register) entry {
+func newEntry(kind Kind, r register) entry {
 	e := entry{
-		until: r.born + r.ttl, born: r.born, rank: float64(r.born), value: r.value, wait: kind == Wait,
-		origin: r.origin.name, epoch: r.epoch, seq: r.seq, dead: r.dead(),
+		expires: r.createdAt + r.ttl, createdAt: r.createdAt, rank: float64(r.createdAt), value: r.value, isWait: kind == Wait,
+		origin: r.origin.name, epoch: r.epoch, seq: r.seq, retired: r.retired(),
 	}
 	switch kind {
 	case ListVersion:
 		e.rank = r.value.Number
-	case Wait: // a wait that is over says nothing more
-		e.until = min(e.until, r.born+r.value.For-1)
-		e.rank = float64(r.born + r.value.For)
+	case Wait: // a wait that has ended is not read
+		e.expires = min(e.expires, r.createdAt+r.value.For-1)
+		e.rank = float64(r.createdAt + r.value.For)
 	}
 	return e
 }
 
-// compare puts first what decides first.
+// compare orders entries by precedence, highest first.
 func (e *entry) compare(o *entry) int {
-	if e.dead != o.dead {
-		if e.dead {
+	if e.retired != o.retired {
+		if e.retired {
 			return 1
 		}
 		return -1
 	}
-	return cmp.Or(cmp.Compare(o.rank, e.rank), cmp.Compare(o.born, e.born), cmp.Compare(e.origin, o.origin))
+	return cmp.Or(cmp.Compare(o.rank, e.rank), cmp.Compare(o.createdAt, e.createdAt), cmp.Compare(e.origin, o.origin))
 }
 
-// covers says that the other is never read while e is there.
-func (e *entry) covers(o *entry) bool { return e.compare(o) < 0 && e.until >= o.until }
+// dominates reports whether o is never read while e is present.
+func (e *entry) dominates(o *entry) bool { return e.compare(o) < 0 && e.expires >= o.expires }
 
-func frontOf(kind Kind, regs []register) *Front {
+func newFront(kind Kind, regs []register) *Front {
 	all := make([]entry, len(regs))
 	for i, r := range regs {
-		all[i] = entryOf(kind, r)
+		all[i] = newEntry(kind, r)
 	}
 	slices.SortFunc(all, func(a, b entry) int { return a.compare(&b) })
 	kept := all[:0]
 	for _, e := range all {
-		if len(kept) == 0 || e.until > kept[len(kept)-1].until {
+		if len(kept) == 0 || e.expires > kept[len(kept)-1].expires {
 			kept = append(kept, e)
 		}
 	}
 	return &Front{slices.Clone(kept)}
 }
 
-// with gives the front with the origin's entry in place of its former one: f itself if nothing is read otherwise, nil
-// if it has to be made anew, as the former one hid others that the new one may not. That is rare: what an origin tells
-// later mostly covers what it told before, and most origins are not in the front.
-func (f *Front) with(e entry) *Front {
-	former := slices.IndexFunc(f.entries, func(o entry) bool { return o.origin == e.origin })
-	if former >= 0 && !e.covers(&f.entries[former]) {
+// withEntry returns the front with e in place of the previous entry of the same origin. It returns f itself if no read
+// changes, and nil if the front has to be rebuilt, because the previous entry may have dominated entries that e does
+// not dominate. Rebuilding is rare: a later fact of an origin mostly dominates the earlier one, and most origins have
+// no entry in the front.
+func (f *Front) withEntry(e entry) *Front {
+	previous := slices.IndexFunc(f.entries, func(o entry) bool { return o.origin == e.origin })
+	if previous >= 0 && !e.dominates(&f.entries[previous]) {
 		return nil
 	}
-	if slices.ContainsFunc(f.entries, func(o entry) bool { return o.covers(&e) }) {
+	if slices.ContainsFunc(f.entries, func(o entry) bool { return o.dominates(&e) }) {
 		return f
 	}
 	next := make([]entry, 0, len(f.entries)+1)
@@ -124,7 +125,7 @@
 		if !placed && e.compare(o) < 0 {
 			next, placed = append(next, e), true
 		}
-		if i != former && !e.covers(o) {
+		if i != previous && !e.dominates(o) {
 			next = append(next, *o)
 		}
 	}
--- a/internal/fleet/facts/golden_test.go
+++ b/internal/fleet/facts/golden_test.go
@@ -1,7 +1,7 @@
 package facts
 
-// The form of facts, on the wire and in snapshots, as the build 73ca247 wrote it. The file in testdata/golden is never
-// written anew.
+// The encoding of facts, on the wire and in snapshots, as build 73ca247 wrote it. The file in testdata/golden is never
+// rewritten.
 
 import (
 	"encoding/hex"
@@ -13,11 +13,11 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-const goldenText = "testdata/golden/facts.txt" // name and bytes in hex, one a line: each kind by itself, and all in a batch
+const goldenText = "testdata/golden/facts.txt" // one line each: name and hex bytes; every kind by itself, and all in a batch
 
-// goldenFacts has a fact of each kind with every field set to another value.
+// goldenFacts returns a fact of each kind with a different value in every field.
 func goldenFacts() (all []Fact) {
-	for i, kind := range []Kind{ListVersion, Wait, Limit, Outage, OutageEnd, Cold, Pace} {
+	for i, kind := range []Kind{ListVersion, Wait, Limit, Outage, OutageEnd, WarmUp, Throughput} {
 		n := int64(100 * (i + 1))
 		all = append(all, Fact{
 			Subject: Subject{Dest: n + 1, Endpoint: "endpoint-" + kind.String()}, Kind: kind,
--- a/internal/fleet/facts/table.go
+++ b/internal/fleet/facts/table.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// Limits bound a table.
+// Limits bounds the size of a table.
 type Limits struct {
-	Facts   int           // registers
-	Bytes   int64         // of memory, as counted by the constants below
-	Origins int           // names of couriers known
-	Gone    int           // endpoints remembered as gone; beyond it the one to be forgotten soonest goes
-	GoneFor time.Duration // and for how long each is
-	MaxTTL  time.Duration // longest time to live accepted
+	Facts            int           // number of registers
+	Bytes            int64         // memory, as estimated by the constants below
+	Origins          int           // number of known origins
+	RemovedEndpoints int           // number of remembered removals; above it, the one that would expire first is dropped
+	RemovedTTL       time.Duration // how long a removal is remembered
+	MaxTTL           time.Duration // maximum time to live of a fact
 }
 
-// DefaultLimits fit 300 couriers and 60 endpoints into 4 MB.
+// DefaultLimits returns limits for 300 members and 60 endpoints in 4 MB.
 func DefaultLimits() Limits {
-	return Limits{Facts: 20_000, Bytes: 7 << 19, Origins: 512, Gone: 256, GoneFor: 2 * time.Hour, MaxTTL: time.Hour}
+	return Limits{Facts: 20_000, Bytes: 7 << 19, Origins: 512, RemovedEndpoints: 256, RemovedTTL: 2 * time.Hour, MaxTTL: time.Hour}
 }
 
-// What a table takes up, rounded up: a register with its slack, an entry of a front, a key and an origin with their
-// maps' shares. Front entries are counted when the front is made.
+// Estimated memory, rounded up: a register with its unused slice capacity, an entry of a front, and a key and an origin
+// with their shares of the maps. Entries of a front are counted when the front is built.
 const (
 	registerBytes = 64 * 5 / 4
 	entryBytes    = 96
@@ -34,75 +34,77 @@
 )
 
 type origin struct {
-	name  string
-	epoch uint64
-	heard time.Duration // last time
-	held  int           // registers
+	name      string
+	epoch     uint64
+	lastHeard time.Duration // time of the last fact or epoch
+	registers int           // number of registers in the table
 }
 
-// register is 64 bytes; there are many.
+// register is the latest fact of one origin under one key. It takes 64 bytes; a table has many.
 type register struct {
-	origin     *origin
-	epoch, seq uint64
-	value      Value
-	ttl, born  time.Duration
+	origin         *origin
+	epoch, seq     uint64
+	value          Value
+	ttl, createdAt time.Duration
 }
 
-func (r register) dead() bool { return r.epoch < r.origin.epoch }
+func (r register) retired() bool { return r.epoch < r.origin.epoch }
 
-// compare is the total order that the merge takes the larger of. Values are not negative, so comparing their parts is
-// comparing their bytes.
+// compare is the total order of registers; a merge keeps the larger one. Values are not negative, so comparing their
+// parts equals comparing their bytes.
 func (r register) compare(o register) int {
 	return cmp.Or(cmp.Compare(r.epoch, o.epoch), cmp.Compare(r.seq, o.seq),
 		cmp.Compare(math.Float64bits(r.value.Number), math.Float64bits(o.value.Number)), cmp.Compare(r.value.For, o.value.For),
-		cmp.Compare(r.ttl, o.ttl), cmp.Compare(o.born, r.born))
+		cmp.Compare(r.ttl, o.ttl), cmp.Compare(o.createdAt, r.createdAt))
 }
 
-// fact is the register as it is told. Its age is cut to whole milliseconds, which are short to write: a copy is too young
-// by its time on the way in any case.
+// fact returns the register in the form in which it is sent. The age is truncated to whole milliseconds, which have a
+// short encoding; every copy is too young by its transmission delay anyway.
 func (r register) fact(k Key, now time.Duration) Fact {
-	return Fact{k.Subject, k.Kind, r.value, r.origin.name, r.epoch, r.seq, (now - r.born).Truncate(time.Millisecond), r.ttl}
+	return Fact{k.Subject, k.Kind, r.value, r.origin.name, r.epoch, r.seq, (now - r.createdAt).Truncate(time.Millisecond), r.ttl}
 }
 
-// told says whether the register may still be told to others.
-func (r register) told(now time.Duration) bool {
-	return !r.dead() && now <= r.born+r.ttl && now >= r.born
+// sendable reports whether the register may still be sent to other members.
+func (r register) sendable(now time.Duration) bool {
+	return !r.retired() && now <= r.createdAt+r.ttl && now >= r.createdAt
 }
 
 type group struct {
-	regs  []register // by origin's name
-	front *Front     // nil: to be made
+	regs  []register // sorted by the origin's name
+	front *Front     // nil: to be rebuilt at the next read
 }
 
 func (g *group) find(name string) (int, bool) {
 	return slices.BinarySearchFunc(g.regs, name, func(r register, n string) int { return cmp.Compare(r.origin.name, n) })
 }
 
-// Table is the table of one owner; it is not safe for several goroutines. All times are of the owner's one monotonic
-// clock, passed in as now.
+// Table is a replicated table of facts. It is not safe for concurrent use. All times are on one monotonic clock of the
+// caller, passed in as now.
 type Table struct {
 	lim     Limits
 	groups  map[Key]*group
 	origins map[string]*origin
-	gone    map[string]time.Duration // remembered until
-	changed map[Key]struct{}         // since Changed was asked
+	removed map[string]time.Duration // by endpoint: when the removal may be forgotten
+	changed map[Key]struct{}         // keys changed since the last DrainChanged
 	count   int
 	bytes   int64
 }
 
-// New table, empty.
+// New returns an empty table.
 func New(lim Limits) *Table {
 	return &Table{
-		lim: lim, groups: map[Key]*group{}, origins: map[string]*origin{}, gone: map[string]time.Duration{},
+		lim: lim, groups: map[Key]*group{}, origins: map[string]*origin{}, removed: map[string]time.Duration{},
 		changed: map[Key]struct{}{},
 	}
 }
 
-// Len and Bytes are what the bounds are about.
-func (t *Table) Len() int     { return t.count }
+// Len returns the number of registers.
+func (t *Table) Len() int { return t.count }
+
+// Bytes returns the estimated memory in bytes.
 func (t *Table) Bytes() int64 { return t.bytes }
 
-// Epoch is the largest heard of the origin, 0 if none.
+// Epoch returns the largest known epoch of the origin, or 0.
 func (t *Table) Epoch(name string) uint64 {
 	if o := t.origins[name]; o != nil {
 		return o.epoch
@@ -110,33 +112,33 @@
 	return 0
 }
 
-// Raise takes note of an origin's epoch and retires what it told in lower ones.
-func (t *Table) Raise(now time.Duration, name string, epoch uint64) error {
-	f := Fact{Kind: Cold, Origin: name, Epoch: epoch, Seq: 1, TTL: 1}
+// RaiseEpoch records an epoch of an origin and retires the origin's facts of lower epochs.
+func (t *Table) RaiseEpoch(now time.Duration, name string, epoch uint64) error {
+	f := Fact{Kind: WarmUp, Origin: name, Epoch: epoch, Seq: 1, TTL: 1}
 	if err := f.Check(1); err != nil {
 		return err
 	}
-	_, err := t.raise(now, name, epoch)
+	_, err := t.raiseEpoch(now, name, epoch)
 	return err
 }
 
-func (t *Table) raise(now time.Duration, name string, epoch uint64) (*origin, error) {
+func (t *Table) raiseEpoch(now time.Duration, name string, epoch uint64) (*origin, error) {
 	o := t.origins[name]
 	if o == nil {
 		if len(t.origins) >= t.lim.Origins {
-			return nil, ErrOrigins
+			return nil, ErrTooManyOrigins
 		}
-		o = &origin{name: name, heard: now}
+		o = &origin{name: name, lastHeard: now}
 		t.origins[name] = o
 		t.bytes += originBytes + int64(len(name))
 	}
-	o.heard = max(o.heard, now)
+	o.lastHeard = max(o.lastHeard, now)
 	if epoch > o.epoch {
 		o.epoch = epoch
-		if o.held > 0 {
+		if o.registers > 0 {
 			for k, g := range t.groups {
 				if _, ok := g.find(name); ok {
-					t.touch(k, g)
+					t.invalidate(k, g)
 				}
 			}
 		}
@@ -144,76 +146,78 @@
 	return o, nil
 }
 
-func (t *Table) touch(k Key, g *group) { t.show(k, g, nil) }
+// invalidate discards the front of a key; the next read rebuilds it.
+func (t *Table) invalidate(k Key, g *group) { t.replaceFront(k, g, nil) }
 
-func (t *Table) show(k Key, g *group, f *Front) {
+func (t *Table) replaceFront(k Key, g *group, f *Front) {
 	t.bytes += f.bytes() - g.front.bytes()
 	g.front = f
 	t.changed[k] = struct{}{}
 }
 
-// Change is what a merge did.
+// Change is the effect of a merge.
 type Change uint8
 
 const (
-	Known Change = iota // nothing
-	Older               // a copy of what was held shows it to be older; not worth passing on
-	News                // the origin's word is another one now
+	Unchanged    Change = iota // the table did not change
+	AgeCorrected               // an equal copy showed the fact to be older than assumed; not worth sending on
+	Updated                    // the origin's register has a new value, epoch, sequence number or time to live
 )
 
-// Merge takes a fact in.
+// Merge adds a fact to the table.
 func (t *Table) Merge(now time.Duration, f Fact) (Change, error) {
 	if err := f.Check(t.lim.MaxTTL); err != nil {
-		return Known, err
+		return Unchanged, err
 	}
-	if until, ok := t.gone[f.Endpoint]; ok && now < until {
-		return Known, ErrGone
+	if until, ok := t.removed[f.Endpoint]; ok && now < until {
+		return Unchanged, ErrEndpointRemoved
 	}
-	o, err := t.raise(now, f.Origin, f.Epoch)
+	o, err := t.raiseEpoch(now, f.Origin, f.Epoch)
 	if err != nil {
-		return Known, err
+		return Unchanged, err
 	}
 	k := f.Key()
-	r := register{origin: o, epoch: f.Epoch, seq: f.Seq, value: f.Value, ttl: f.TTL, born: now - f.Age}
+	r := register{origin: o, epoch: f.Epoch, seq: f.Seq, value: f.Value, ttl: f.TTL, createdAt: now - f.Age}
 	g := t.groups[k]
 	if g == nil {
 		g = &group{}
 		t.groups[k] = g
 		t.bytes += groupBytes + int64(len(k.Endpoint))
 	}
-	change := News
-	i, held := g.find(f.Origin)
+	change := Updated
+	i, found := g.find(f.Origin)
 	switch {
-	case !held:
-		if len(g.regs) == cap(g.regs) { // by an eighth: the slack of append would be most of the table
+	case !found:
+		if len(g.regs) == cap(g.regs) { // grow by an eighth: the spare capacity of append would be most of the table
 			g.regs = append(make([]register, 0, len(g.regs)+len(g.regs)/8+2), g.regs...)
 		}
 		g.regs = slices.Insert(g.regs, i, r)
-		o.held++
+		o.registers++
 		t.count++
 		t.bytes += registerBytes
 	case r.compare(g.regs[i]) > 0:
-		if was := g.regs[i]; was.epoch == r.epoch && was.seq == r.seq && was.value == r.value && was.ttl == r.ttl {
-			change = Older
+		if old := g.regs[i]; old.epoch == r.epoch && old.seq == r.seq && old.value == r.value && old.ttl == r.ttl {
+			change = AgeCorrected
 		}
 		g.regs[i] = r
 	default:
-		return Known, nil
+		return Unchanged, nil
 	}
 	if g.front == nil {
-		t.touch(k, g)
-	} else if next := g.front.with(entryOf(k.Kind, r)); next != g.front {
-		t.show(k, g, next)
+		t.invalidate(k, g)
+	} else if next := g.front.withEntry(newEntry(k.Kind, r)); next != g.front {
+		t.replaceFront(k, g, next)
 	}
 	if t.count > t.lim.Facts || t.bytes > t.lim.Bytes {
-		// A little more than needed goes at once, so that a full table doesn't sort itself for each fact.
-		t.Shed(now, t.lim.Facts-t.lim.Facts/32, t.lim.Bytes-t.lim.Bytes/32)
+		// Evict slightly more than needed, so that a full table does not sort itself for every fact.
+		t.Evict(now, t.lim.Facts-t.lim.Facts/32, t.lim.Bytes-t.lim.Bytes/32)
 	}
 	return change, nil
 }
 
-// Read gives the evidence that decides: for Wait the one that ends last, for ListVersion the largest version, for the
-// others the freshest; what is live before what is dead. What has expired is not read.
+// Read returns the evidence with the highest precedence: for a Wait the one that ends last, for a ListVersion the
+// largest version, and for other kinds the most recent. Live evidence precedes retired evidence, and expired facts are
+// never returned.
 func (t *Table) Read(now time.Duration, s Subject, k Kind) (Evidence, bool) {
 	return t.front(Key{s, k}).Read(now)
 }
@@ -224,36 +228,37 @@
 		return nil
 	}
 	if g.front == nil {
-		g.front = frontOf(k.Kind, g.regs)
+		g.front = newFront(k.Kind, g.regs)
 		t.bytes += g.front.bytes()
 	}
 	return g.front
 }
 
-// Changed hands out the front of each key that changed since it was last asked; nil where nothing is left.
-func (t *Table) Changed(yield func(Key, *Front)) {
+// DrainChanged calls visit with the front of each key that changed since the last call; the front is nil if the key has
+// no facts left.
+func (t *Table) DrainChanged(visit func(Key, *Front)) {
 	for k := range t.changed {
-		yield(k, t.front(k))
+		visit(k, t.front(k))
 	}
 	clear(t.changed)
 }
 
-// Get is what the origin last told, if it may be told on.
+// Get returns the latest fact of an origin, if it may still be sent.
 func (t *Table) Get(now time.Duration, k Key, name string) (Fact, bool) {
 	if g := t.groups[k]; g != nil {
-		if i, ok := g.find(name); ok && g.regs[i].told(now) {
+		if i, ok := g.find(name); ok && g.regs[i].sendable(now) {
 			return g.regs[i].fact(k, now), true
 		}
 	}
 	return Fact{}, false
 }
 
-// Live are all facts that may be told on, by key and origin.
+// Live returns all facts that may still be sent, sorted by key and origin.
 func (t *Table) Live(now time.Duration) iter.Seq[Fact] {
 	return func(yield func(Fact) bool) {
 		for _, k := range slices.SortedFunc(maps.Keys(t.groups), compareKeys) {
 			for _, r := range t.groups[k].regs {
-				if r.told(now) && !yield(r.fact(k, now)) {
+				if r.sendable(now) && !yield(r.fact(k, now)) {
 					return
 				}
 			}
@@ -261,40 +266,40 @@
 	}
 }
 
-// Forget drops all that is about the endpoint, and refuses more about it for a while.
-func (t *Table) Forget(now time.Duration, endpoint string) {
+// RemoveEndpoint drops all facts about the endpoint and refuses further ones for Limits.RemovedTTL.
+func (t *Table) RemoveEndpoint(now time.Duration, endpoint string) {
 	if endpoint == "" || len(endpoint) > MaxName {
-		return // the whole destination is never gone
+		return // facts about the whole destination are never removed
 	}
 	for k, g := range t.groups {
 		if k.Endpoint == endpoint {
-			t.keep(k, g, func(register) bool { return false })
+			t.retain(k, g, func(register) bool { return false })
 		}
 	}
-	if _, known := t.gone[endpoint]; !known && len(t.gone) >= t.lim.Gone {
-		t.forgetGone(slices.MinFunc(slices.Collect(maps.Keys(t.gone)), func(a, b string) int {
-			return cmp.Or(cmp.Compare(t.gone[a], t.gone[b]), cmp.Compare(a, b))
+	if _, known := t.removed[endpoint]; !known && len(t.removed) >= t.lim.RemovedEndpoints {
+		t.dropRemoved(slices.MinFunc(slices.Collect(maps.Keys(t.removed)), func(a, b string) int {
+			return cmp.Or(cmp.Compare(t.removed[a], t.removed[b]), cmp.Compare(a, b))
 		}))
 	}
-	if _, known := t.gone[endpoint]; !known {
+	if _, known := t.removed[endpoint]; !known {
 		t.bytes += int64(len(endpoint)) + 48
 	}
-	t.gone[endpoint] = now + t.lim.GoneFor
+	t.removed[endpoint] = now + t.lim.RemovedTTL
 }
 
-func (t *Table) forgetGone(endpoint string) {
-	delete(t.gone, endpoint)
+func (t *Table) dropRemoved(endpoint string) {
+	delete(t.removed, endpoint)
 	t.bytes -= int64(len(endpoint)) + 48
 }
 
-// keep leaves in the group only the registers asked for, and gives the number dropped.
-func (t *Table) keep(k Key, g *group, wanted func(register) bool) int {
+// retain drops the registers of a group for which keep is false, and returns how many were dropped.
+func (t *Table) retain(k Key, g *group, keep func(register) bool) int {
 	before := len(g.regs)
 	g.regs = slices.DeleteFunc(g.regs, func(r register) bool {
-		if wanted(r) {
+		if keep(r) {
 			return false
 		}
-		r.origin.held--
+		r.origin.registers--
 		return true
 	})
 	dropped := before - len(g.regs)
@@ -303,7 +308,7 @@
 	if dropped == 0 {
 		return 0
 	}
-	t.touch(k, g)
+	t.invalidate(k, g)
 	if len(g.regs) == 0 {
 		delete(t.groups, k)
 		t.bytes -= groupBytes + int64(len(k.Endpoint))
@@ -313,21 +318,21 @@
 	return dropped
 }
 
-// Sweep drops registers that no delayed copy can need any more, endpoints gone long ago and origins long silent; it
-// gives the number of registers dropped.
+// Sweep drops registers that are no longer needed to supersede delayed copies, expired removals, and origins that have been
+// inactive for long. It returns the number of dropped registers.
 func (t *Table) Sweep(now time.Duration) int {
 	n := 0
 	for k, g := range t.groups {
-		n += t.keep(k, g, func(r register) bool { return now <= r.born+t.lim.MaxTTL })
+		n += t.retain(k, g, func(r register) bool { return now <= r.createdAt+t.lim.MaxTTL })
 	}
-	for e, until := range t.gone {
+	for e, until := range t.removed {
 		if now >= until {
-			t.forgetGone(e)
+			t.dropRemoved(e)
 		}
 	}
-	// What a silent origin told in lower epochs has expired too, so its epoch guards nothing any more.
+	// The facts that an inactive origin sent in lower epochs have expired too, so its epoch is no longer needed.
 	for name, o := range t.origins {
-		if o.held == 0 && now > o.heard+t.lim.MaxTTL {
+		if o.registers == 0 && now > o.lastHeard+t.lim.MaxTTL {
 			delete(t.origins, name)
 			t.bytes -= originBytes + int64(len(name))
 		}
@@ -335,40 +340,40 @@
 	return n
 }
 
-// Shed drops registers, in the order that the package's comment states, until no more than so many and so many bytes
-// are held; it gives the number dropped.
-func (t *Table) Shed(now time.Duration, most int, mostBytes int64) int {
-	if t.count <= most && t.bytes <= mostBytes {
+// Evict drops registers, in the order that the package comment describes, until at most maxFacts registers and
+// maxBytes bytes remain. It returns the number of dropped registers.
+func (t *Table) Evict(now time.Duration, maxFacts int, maxBytes int64) int {
+	if t.count <= maxFacts && t.bytes <= maxBytes {
 		return 0
 	}
 	type victim struct {
-		class int // 0 expired, 1 dead, 2 live
-		left  time.Duration
-		key   Key
-		name  string
+		class    int // 0: expired, 1: retired, 2: live
+		timeLeft time.Duration
+		key      Key
+		name     string
 	}
 	all := make([]victim, 0, t.count)
 	for k, g := range t.groups {
 		for _, r := range g.regs {
-			v := victim{2, r.born + r.ttl - now, k, r.origin.name}
+			v := victim{2, r.createdAt + r.ttl - now, k, r.origin.name}
 			switch {
-			case v.left < 0:
+			case v.timeLeft < 0:
 				v.class = 0
-			case r.dead():
+			case r.retired():
 				v.class = 1
 			}
 			all = append(all, v)
 		}
 	}
 	slices.SortFunc(all, func(a, b victim) int {
-		return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.left, b.left), compareKeys(a.key, b.key), cmp.Compare(a.name, b.name))
+		return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.timeLeft, b.timeLeft), compareKeys(a.key, b.key), cmp.Compare(a.name, b.name))
 	})
 	n := 0
 	for _, v := range all {
-		if t.count <= most && t.bytes <= mostBytes {
+		if t.count <= maxFacts && t.bytes <= maxBytes {
 			break
 		}
-		n += t.keep(v.key, t.groups[v.key], func(r register) bool { return r.origin.name != v.name })
+		n += t.retain(v.key, t.groups[v.key], func(r register) bool { return r.origin.name != v.name })
 	}
 	return n
 }
--- a/internal/fleet/host.go
+++ b/internal/fleet/host.go
@@ -315,21 +315,21 @@
 // repeats says whether others read the same already.
 func (h *Host) repeats(known *store.Store, now time.Duration, s facts.Subject, k facts.Kind, v facts.Value, ttl time.Duration) bool {
 	e, ok := known.Read(now, s, k)
-	if !ok || e.Dead {
+	if !ok || e.Retired {
 		return false
 	}
 	young := e.Age < ttl/2
 	switch k {
 	case facts.Wait: // all calls of a moment are told the same
-		return e.Left >= v.For-v.For/16
+		return e.Remaining >= v.For-v.For/16
 	case facts.ListVersion:
 		return young && e.Number >= v.Number
 	case facts.Outage: // one that began anew is another
 		end, ended := known.Read(now, s, facts.OutageEnd)
-		return young && (!ended || end.Dead || end.Age > e.Age)
+		return young && (!ended || end.Retired || end.Age > e.Age)
 	case facts.OutageEnd:
 		out, was := known.Read(now, s, facts.Outage)
-		return young && (!was || out.Dead || out.Age >= e.Age)
+		return young && (!was || out.Retired || out.Age >= e.Age)
 	}
 	return young && e.Value == v
 }
--- a/internal/fleet/host_test.go
+++ b/internal/fleet/host_test.go
@@ -91,7 +91,7 @@
 }
 
 func (l *life) knows(s facts.Subject, k facts.Kind, dead bool) func() bool {
-	return func() bool { e, ok := l.Read(s, k); return ok && e.Dead == dead }
+	return func() bool { e, ok := l.Read(s, k); return ok && e.Retired == dead }
 }
 
 // What one is told the other reads, by gossip and by the table on joining; the next life of a name has a larger epoch,
--- a/internal/fleet/store/snapshot.go
+++ b/internal/fleet/store/snapshot.go
@@ -68,7 +68,7 @@
 	}
 	kept := slices.SortedFunc(slices.Values(snap.Facts), func(a, b facts.Fact) int { return cmp.Compare(b.TTL-b.Age, a.TTL-a.Age) })
 	for i := range kept {
-		if room -= int64(kept[i].WireMost()); room < 0 {
+		if room -= int64(kept[i].MaxEncodedSize()); room < 0 {
 			kept, left = kept[:i], len(kept)-i
 			break
 		}
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -125,7 +125,7 @@
 		return nil, errors.New("fleet store: Name is empty or too long: give the courier's name")
 	case cfg.Epoch == 0:
 		return nil, errors.New("fleet store: Epoch is zero: draw it by facts.NextEpoch")
-	case min(cfg.Shards, cfg.Workers, cfg.Mailbox, cfg.Queue, cfg.Passes, cfg.Limits.Facts, cfg.Limits.Origins, cfg.Limits.Gone) < 1 ||
+	case min(cfg.Shards, cfg.Workers, cfg.Mailbox, cfg.Queue, cfg.Passes, cfg.Limits.Facts, cfg.Limits.Origins, cfg.Limits.RemovedEndpoints) < 1 ||
 		cfg.Limits.MaxTTL <= 0 || cfg.Limits.Bytes <= 0:
 		return nil, errors.New("fleet store: every bound has to be at least 1: start from DefaultConfig")
 	}
@@ -332,12 +332,12 @@
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	for name, epoch := range raised {
-		if sh.table.Raise(j.now, name, epoch) != nil {
+		if sh.table.RaiseEpoch(j.now, name, epoch) != nil {
 			s.count.raises.Add(1)
 		}
 	}
 	if j.forget != "" {
-		sh.table.Forget(j.now, j.forget)
+		sh.table.RemoveEndpoint(j.now, j.forget)
 	}
 	if j.sweep {
 		s.count.swept.Add(uint64(sh.table.Sweep(j.now)))
@@ -346,15 +346,15 @@
 	for _, f := range part {
 		change, err := sh.table.Merge(j.now, f)
 		switch {
-		case errors.Is(err, facts.ErrGone):
+		case errors.Is(err, facts.ErrEndpointRemoved):
 			s.count.gone.Add(1)
-		case errors.Is(err, facts.ErrOrigins):
+		case errors.Is(err, facts.ErrTooManyOrigins):
 			s.count.origins.Add(1)
 		case err != nil:
 			s.count.absurd.Add(1)
-		case change == facts.Older:
+		case change == facts.AgeCorrected:
 			s.count.older.Add(1)
-		case change == facts.News:
+		case change == facts.Updated:
 			s.count.changed.Add(1)
 			news = append(news, told{f.Key(), f.Origin})
 		default:
@@ -380,7 +380,7 @@
 			next, copied = maps.Clone(old), true
 		}
 	}
-	sh.table.Changed(func(k facts.Key, f *facts.Front) {
+	sh.table.DrainChanged(func(k facts.Key, f *facts.Front) {
 		c := next[k]
 		switch {
 		case f == nil && c != nil:
@@ -424,7 +424,7 @@
 		}
 		fullest.mu.Lock()
 		t := fullest.table
-		s.count.shed.Add(uint64(t.Shed(now, max(t.Len()-int(max(facts, 0)), 0), t.Bytes()-max(bytes, 0))))
+		s.count.shed.Add(uint64(t.Evict(now, max(t.Len()-int(max(facts, 0)), 0), t.Bytes()-max(bytes, 0))))
 		s.publish(fullest)
 		fullest.mu.Unlock()
 	}
@@ -459,7 +459,7 @@
 			again = append(again, passed{w, s.cfg.Passes, number})
 			continue
 		}
-		if size += f.WireMost(); size > mostBytes {
+		if size += f.MaxEncodedSize(); size > mostBytes {
 			s.queueMu.Lock()
 			s.queue.again(w, line, number)
 			s.queueMu.Unlock()
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -140,7 +140,7 @@
 	settle(t, s)
 	for i := range 60 {
 		ev, ok := s.Read(12*sec, sub(i), facts.Wait)
-		if !ok || ev.Left != 3*sec || ev.Age != 2*sec || ev.Origin != "me" || ev.Epoch != 100 || ev.Seq != uint64(i+1) {
+		if !ok || ev.Remaining != 3*sec || ev.Age != 2*sec || ev.Origin != "me" || ev.Epoch != 100 || ev.Seq != uint64(i+1) {
 			t.Fatalf("wait of %d: %+v %v", i, ev, ok)
 		}
 		if ev, ok := s.Read(12*sec, sub(i), facts.Limit); !ok || ev.Number != 250 || ev.Age != 3*sec || ev.Origin != "b" {
@@ -183,7 +183,7 @@
 	next.Epoch = 2
 	take(t, s, next)
 	for i := range 30 {
-		if ev, ok := s.Read(0, sub(i), facts.Limit); !ok || !ev.Dead {
+		if ev, ok := s.Read(0, sub(i), facts.Limit); !ok || !ev.Retired {
 			t.Fatalf("%d of a dead epoch is read as %+v", i, ev)
 		}
 	}
@@ -192,7 +192,7 @@
 	}
 	mine := from("me", 1, 7)
 	take(t, s, mine) // of a former life, as a snapshot has it
-	if ev, ok := s.Read(0, mine.Subject, facts.Limit); !ok || !ev.Dead || len(s.Whole(0)) != 1 {
+	if ev, ok := s.Read(0, mine.Subject, facts.Limit); !ok || !ev.Retired || len(s.Whole(0)) != 1 {
 		t.Errorf("of our own former life: %+v", ev)
 	}
 	mine.Epoch = 300
@@ -203,7 +203,7 @@
 	s.Raise(0, "me", 301)
 	_ = s.Learn(0, sub(1), facts.Limit, facts.Value{Number: 9}, time.Minute)
 	settle(t, s)
-	if ev, _ := s.Read(0, sub(1), facts.Limit); ev.Epoch != 301 || ev.Dead {
+	if ev, _ := s.Read(0, sub(1), facts.Limit); ev.Epoch != 301 || ev.Retired {
 		t.Errorf("after drawing again: %+v", ev)
 	}
 }
@@ -218,7 +218,7 @@
 	s.queueMu.mu.Lock()
 	defer s.queueMu.mu.Unlock()
 	for range 3 * s.cfg.Mailbox { // the workers are stuck, posts are not
-		_ = s.Learn(0, sub(1), facts.Cold, facts.Value{}, sec)
+		_ = s.Learn(0, sub(1), facts.WarmUp, facts.Value{}, sec)
 	}
 	if _, ok := s.Read(0, sub(1), facts.Limit); !ok {
 		t.Error("nothing read")
@@ -318,7 +318,7 @@
 		wg.Go(func() {
 			for i := range 300 {
 				s.Take(time.Duration(i), []facts.Fact{from("o"+strconv.Itoa(w), i%50, uint64(i+1))})
-				_ = s.Learn(time.Duration(i), sub(i%7), facts.Pace, facts.Value{Number: 1}, time.Minute)
+				_ = s.Learn(time.Duration(i), sub(i%7), facts.Throughput, facts.Value{Number: 1}, time.Minute)
 				if ev, ok := s.Read(time.Duration(i), sub(i%50), facts.Limit); ok && ev.Number != 250 {
 					t.Errorf("read %+v", ev)
 				}
@@ -527,7 +527,7 @@
 	for _, c := range []struct{ members, most, want int }{{1, 14, 6}, {2, 14, 6}, {32, 14, 10}, {100, 14, 11}, {300, 14, 13}, {300, 9, 9}} {
 		s := stopped(t, func(cfg *Config) { cfg.Passes = c.most })
 		s.Fleet(c.members)
-		if err := s.Learn(0, facts.Subject{Endpoint: "a"}, facts.Cold, facts.Value{}, sec); err != nil {
+		if err := s.Learn(0, facts.Subject{Endpoint: "a"}, facts.WarmUp, facts.Value{}, sec); err != nil {
 			t.Fatal(err)
 		}
 		s.Drain()
--- a/internal/lab/spread/network.go
+++ b/internal/lab/spread/network.go
@@ -173,10 +173,10 @@
 			var told []*record
 			var c cargo
 			room := f.figures.Datagram - f.figures.Packet - members.Head(m.name) - f.figures.Piece - batchHead
-			for len(left) > 0 && room >= left[0].fact.WireMost() {
+			for len(left) > 0 && room >= left[0].fact.MaxEncodedSize() {
 				x := left[0].fact
 				x.Age = f.now - left[0].born - left[0].way[m.i]
-				room -= x.WireMost()
+				room -= x.MaxEncodedSize()
 				batch, told, c.ways = append(batch, x), append(told, left[0]), append(c.ways, left[0].way[m.i])
 				left = left[1:]
 			}
--- a/internal/lab/spread/result.go
+++ b/internal/lab/spread/result.go
@@ -81,7 +81,7 @@
 			b, is := m.store.Read(m.clock(f.now), k.Subject, k.Kind)
 			apart := a.Age - b.Age
 			if k.Kind == facts.Wait {
-				apart = a.Left - b.Left // 0 for one that isn't read: it is over
+				apart = a.Remaining - b.Remaining // 0 for one that isn't read: it is over
 			}
 			if (is != was || a.Origin != b.Origin || a.Seq != b.Seq) && apart.Abs() > within {
 				n++
--- a/internal/net/courier/fleet.go
+++ b/internal/net/courier/fleet.go
@@ -150,7 +150,7 @@
 	c.look()
 	read := func(s facts.Subject, k facts.Kind) (facts.Evidence, bool) {
 		e, ok := c.fleet.Read(s, k)
-		if ok = ok && !e.Dead; ok {
+		if ok = ok && !e.Retired; ok {
 			c.takes(s, k, e)
 		}
 		return e, ok
@@ -159,8 +159,8 @@
 		r := c.peers[id]
 		s := c.route(r)
 		a := raventrestle.Advice{Target: id}
-		if e, ok := read(s, facts.Wait); ok && e.Origin != c.conf.Name && e.Left > 0 {
-			a.Until = t + e.Left
+		if e, ok := read(s, facts.Wait); ok && e.Origin != c.conf.Name && e.Remaining > 0 {
+			a.Until = t + e.Remaining
 			r.Hold(time.Unix(0, int64(a.Until)))
 		}
 		if e, ok := read(s, facts.Limit); ok && e.Origin != c.conf.Name && e.For > 0 {
--- a/internal/net/courier/fleet_test.go
+++ b/internal/net/courier/fleet_test.go
@@ -88,13 +88,13 @@
 	want("its end", key("a", facts.OutageEnd))
 
 	waits := func() time.Duration { return c.policy.View()[0].Wait }
-	for _, e := range []facts.Evidence{{Left: time.Minute, Origin: "other", Dead: true}, {Left: time.Minute, Origin: "me"}, {Left: -1, Origin: "other"}} {
+	for _, e := range []facts.Evidence{{Remaining: time.Minute, Origin: "other", Retired: true}, {Remaining: time.Minute, Origin: "me"}, {Remaining: -1, Origin: "other"}} {
 		f.says[key("", facts.Wait)] = e
 		if c.share(); waits() > 0 {
 			t.Errorf("%+v is heeded", e)
 		}
 	}
-	f.says[key("", facts.Wait)] = facts.Evidence{Left: time.Minute, Origin: "other"}
+	f.says[key("", facts.Wait)] = facts.Evidence{Remaining: time.Minute, Origin: "other"}
 	if c.share(); waits() < 50*time.Second {
 		t.Errorf("it waits %v", waits())
 	}
--- a/internal/net/courier/history_test.go
+++ b/internal/net/courier/history_test.go
@@ -71,7 +71,7 @@
 		}
 	}
 	wait := facts.Key{Subject: facts.Subject{Dest: 7}, Kind: facts.Wait}
-	f.says[wait] = facts.Evidence{Left: time.Minute, Age: time.Second, Origin: "o", Epoch: 4, Seq: 9}
+	f.says[wait] = facts.Evidence{Remaining: time.Minute, Age: time.Second, Origin: "o", Epoch: 4, Seq: 9}
 	c.share()
 	want("a wait", "fact taken o/4/9wait dest 7", "wait heard  a", "wait heard  b", "decided advise  o/4/9 1s of 0s")
 	c.share()
