--- a/internal/fleet/exchange.go
+++ b/internal/fleet/exchange.go
@@ -19,8 +19,8 @@
 // around is what a batch takes beside its facts: array, version, and an array's length.
 const around = 16
 
-// Changes are in one piece: its head stands once.
-func (x *exchange) Changes(limit, overhead int) [][]byte {
+// Updates are in one piece: its head stands once.
+func (x *exchange) Updates(limit, overhead int) [][]byte {
 	if x.host.retired.Load() {
 		return nil
 	}
@@ -36,10 +36,10 @@
 	return [][]byte{b}
 }
 
-func (x *exchange) Take(_ string, b []byte) error { return x.TakeWhole(b) }
+func (x *exchange) ReceiveUpdate(_ string, b []byte) error { return x.ReceiveFullState(b) }
 
-// Whole is all that is told on, as far as it has room: what has the least time left is left out.
-func (x *exchange) Whole() []byte {
+// FullState is all that is told on, as far as it has room: what has the least time left is left out.
+func (x *exchange) FullState() []byte {
 	var all []facts.Fact
 	if !x.host.retired.Load() {
 		all = x.facts.Whole(x.host.cfg.Clock())
@@ -64,8 +64,8 @@
 	return b
 }
 
-// TakeWhole refuses what is no batch, whole; single facts that can't be true are refused and counted by the store.
-func (x *exchange) TakeWhole(b []byte) error {
+// ReceiveFullState refuses what is no batch, whole; single facts that can't be true are refused and counted by the store.
+func (x *exchange) ReceiveFullState(b []byte) error {
 	now := x.host.cfg.Clock()
 	batch, err := x.codec.Decode(b)
 	switch c := &x.host.Counters; {
--- a/internal/fleet/figures/figures_test.go
+++ b/internal/fleet/figures/figures_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.Counters.Dropped[members.Full].Add(3)
+	g.Counters.Dropped[members.TooManyMembers].Add(3)
 	reg := prometheus.NewPedanticRegistry()
 	if err := reg.Register(Collector(g)); err != nil {
 		t.Fatal(err)
--- a/internal/fleet/host.go
+++ b/internal/fleet/host.go
@@ -121,7 +121,7 @@
 		h.member.Seeds = append(h.member.Seeds, a)
 	}
 	if s.KeyFile != "" {
-		if h.member.Keys, err = members.Keys(s.KeyFile); err != nil {
+		if h.member.Keys, err = members.ReadKeys(s.KeyFile); err != nil {
 			return nil, err
 		}
 	}
@@ -183,15 +183,15 @@
 		return err
 	}
 	m := h.member
-	m.Epoch, m.Superseded, m.Outgrown = epoch, h.superseded, h.outgrown
+	m.Epoch, m.Superseded, m.EpochTooLow = epoch, h.superseded, h.outgrown
 	m.Events = func(e members.Event) {
-		if e.What == members.Joined || e.What == members.NewLife { // what its earlier lives told is dead
+		if e.Kind == members.Joined || e.Kind == members.Restarted { // what its earlier lives told is dead
 			known.Raise(h.cfg.Clock(), e.Member.Name, e.Member.Epoch)
 		}
 		if g := h.group.Load(); g != nil { // how often a fact is passed on goes by how many there are
 			known.Fleet(len(g.Alive()))
 		}
-		h.cfg.Log.Info("fleet_member", "what", e.What.String(), "name", e.Member.Name, "site", e.Member.Site, "epoch", e.Member.Epoch)
+		h.cfg.Log.Info("fleet_member", "what", e.Kind.String(), "name", e.Member.Name, "site", e.Member.Site, "epoch", e.Member.Epoch)
 	}
 	chance := rand.New(rand.NewPCG(h.cfg.Chance.Uint64(), h.cfg.Chance.Uint64()))
 	group, err := members.New(m, &exchange{host: h, facts: known, codec: codec}, chance, h.cfg.Log)
--- a/internal/fleet/host_test.go
+++ b/internal/fleet/host_test.go
@@ -177,7 +177,7 @@
 	if err := a.facts.Load().Settle(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	whole := x.Whole()
+	whole := x.FullState()
 	other := append([]byte(nil), whole...)
 	other[1] = 9 // the version
 	c := &a.Counters
@@ -193,7 +193,7 @@
 		{make([]byte, 1<<17), c.TooLarge.Load},
 	} {
 		before := in.grew()
-		if x.Take("b", in.b) == nil || x.TakeWhole(in.b) == nil || in.grew() != before+2 {
+		if x.ReceiveUpdate("b", in.b) == nil || x.ReceiveFullState(in.b) == nil || in.grew() != before+2 {
 			t.Errorf("%d bytes: taken, or not counted", len(in.b))
 		}
 	}
@@ -205,7 +205,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := x.Take("b", b); err != nil {
+	if err := x.ReceiveUpdate("b", b); err != nil {
 		t.Fatal(err)
 	}
 	until(t, "the good fact", a.knows(facts.Subject{Dest: 9}, facts.Wait, false))
@@ -214,7 +214,7 @@
 	}
 	for limit := 60; limit < 400; limit += 17 { // what goes out is never longer than allowed
 		a.Learn(facts.Subject{Dest: int64(limit)}, facts.Limit, facts.Value{Number: 1.1, For: time.Second})
-		for _, p := range x.Changes(limit, 2) {
+		for _, p := range x.Updates(limit, 2) {
 			if len(p)+2 > limit {
 				t.Errorf("%d bytes of %d", len(p)+2, limit)
 			}
--- a/internal/fleet/members/budget.go
+++ b/internal/fleet/members/budget.go
@@ -8,43 +8,43 @@
 	"golang.org/x/time/rate"
 )
 
-// Figures are the rates and sizes of a fleet's traffic, as the package's comment reckons them; a model of a fleet takes
-// them from here.
-type Figures struct {
-	Gossip   time.Duration // changes are passed on so often
-	FanOut   int           // to so many members, each with changes of its own choosing
-	Datagram int           // bytes
-	Exchange time.Duration // each member begins an exchange of everything so often
-	Stream   time.Duration // after which an exchange is given up
-	Probes   int           // bytes a second sent for probing and its answers
-	Listed   int           // bytes of a member in an exchange
-	Packet   int           // bytes around a message in a packet
-	Piece    int           // bytes around a piece in a message
+// TrafficModel contains the rates and sizes of a fleet's traffic that the package comment explains. Simulations of a
+// fleet use it.
+type TrafficModel struct {
+	GossipInterval   time.Duration // time between two rounds of gossip
+	FanOut           int           // members that receive gossip in each round, each with its own selection of updates
+	MaxDatagram      int           // bytes
+	ExchangeInterval time.Duration // time between two full exchanges that a member starts
+	StreamTimeout    time.Duration // after it an exchange is given up
+	ProbeRate        int           // bytes per second for probes and their answers
+	MemberBytes      int           // bytes of a member in an exchange
+	PacketOverhead   int           // bytes around a message in a packet
+	UpdateOverhead   int           // bytes around an update in a message
 }
 
 const (
 	fanOut      = 4
-	probeBytes  = 150
-	listedBytes = 130
+	probeRate   = 150
+	memberBytes = 130
 )
 
-// Figures of a fleet of so many members.
-func (c Config) Figures(members int) Figures {
-	c = c.defaults()
-	exchange := c.exchange()
-	if members > 32 { // memberlist's own scaling
-		exchange *= time.Duration(math.Ceil(math.Log2(float64(members))-5) + 1)
+// TrafficModel returns the model for a fleet of the given number of members.
+func (c Config) TrafficModel(members int) TrafficModel {
+	c = c.withDefaults()
+	interval := c.exchangeInterval()
+	if members > 32 { // scaling by memberlist
+		interval *= time.Duration(math.Ceil(math.Log2(float64(members))-5) + 1)
 	}
-	return Figures{
-		Gossip: c.GossipInterval, FanOut: fanOut, Datagram: c.MaxDatagram, Exchange: exchange, Stream: tcpTime,
-		Probes: probeBytes, Listed: listedBytes, Packet: packetOverhead, Piece: pieceOverhead,
+	return TrafficModel{
+		GossipInterval: c.GossipInterval, FanOut: fanOut, MaxDatagram: c.MaxDatagram, ExchangeInterval: interval, StreamTimeout: tcpTimeout,
+		ProbeRate: probeRate, MemberBytes: memberBytes, PacketOverhead: packetOverhead, UpdateOverhead: updateOverhead,
 	}
 }
 
-// Head is the length of what stands before each payload of the named courier: version, kind, and the node that sends it.
-func Head(name string) int { return 3 + len(name) + len(tagMark) + tagBytes }
+// HeaderSize returns the size of the header before each payload of the named member: format version, kind and node.
+func HeaderSize(name string) int { return 3 + len(name) + len(tagSeparator) + tagBytes }
 
-func (c Config) defaults() Config {
+func (c Config) withDefaults() Config {
 	c.MaxMembers = cmp.Or(c.MaxMembers, 512)
 	c.MaxBytes = cmp.Or(c.MaxBytes, 2<<20)
 	c.MaxDatagram = cmp.Or(c.MaxDatagram, 1400)
@@ -54,33 +54,36 @@
 	return c
 }
 
-func (c Config) exchange() time.Duration {
+// exchangeInterval is the interval of full exchanges for up to 32 live members.
+func (c Config) exchangeInterval() time.Duration {
 	return max(30*time.Second, 60*c.GossipInterval) * time.Duration(max(1, (c.MaxMembers+1023)/1024))
 }
 
-// Budget bounds what one life sends: see the package's comment. It is safe for several goroutines.
-type Budget struct{ gossip, whole *rate.Limiter }
+// Budget limits the traffic of one member, as the package comment explains. It is safe for concurrent use.
+type Budget struct{ gossip, fullState *rate.Limiter }
 
-// NewBudget of a life that begins at now.
+// NewBudget returns the budget of a member that starts at now.
 func NewBudget(now time.Time, c Config) *Budget {
-	c = c.defaults()
-	b := &Budget{rate.NewLimiter(gossipRate, 8*c.MaxDatagram), rate.NewLimiter(wholeRate, max(c.MaxBytes, 64<<10))}
-	b.whole.AllowN(now, b.whole.Burst()-min(b.whole.Burst(), 64<<10)) // a new life has no credit for megabytes
+	c = c.withDefaults()
+	b := &Budget{rate.NewLimiter(gossipRate, 8*c.MaxDatagram), rate.NewLimiter(fullStateRate, max(c.MaxBytes, 64<<10))}
+	b.fullState.AllowN(now, b.fullState.Burst()-min(b.fullState.Burst(), 64<<10)) // start with tokens for at most 64 KiB of full states, not for megabytes
 	return b
 }
 
-// Room is what of a packet's limit may be used for facts: of a bucket that runs low no more than a round's share, since
-// the first packet of a round would otherwise take all, and news reach one member a round in place of fanOut.
-func (b *Budget) Room(now time.Time, limit int) int {
+// PacketAllowance returns how many bytes of a packet's limit may be used for facts. If the bucket is low, a packet gets
+// at most its share of a round: otherwise the first packet of the round would take everything, and news would reach
+// one member per round instead of fanOut.
+func (b *Budget) PacketAllowance(now time.Time, limit int) int {
 	return min(limit, int(b.gossip.TokensAt(now)/fanOut))
 }
 
-// Spent charges a packet's bytes, which Room allowed.
-func (b *Budget) Spent(now time.Time, bytes int) { b.gossip.AllowN(now, bytes) }
+// ChargePacket charges bytes that PacketAllowance permitted.
+func (b *Budget) ChargePacket(now time.Time, bytes int) { b.gossip.AllowN(now, bytes) }
 
-// WholeDue says whether a whole table may go into an exchange; WholeSent charges one.
-func (b *Budget) WholeDue(now time.Time) bool { return b.whole.TokensAt(now) >= 0 }
+// FullStateAllowed reports whether a full state may be part of an exchange now.
+func (b *Budget) FullStateAllowed(now time.Time) bool { return b.fullState.TokensAt(now) >= 0 }
 
-func (b *Budget) WholeSent(now time.Time, bytes int) {
-	b.whole.ReserveN(now, min(bytes, b.whole.Burst()))
+// ChargeFullState charges a full state of the given size.
+func (b *Budget) ChargeFullState(now time.Time, bytes int) {
+	b.fullState.ReserveN(now, min(bytes, b.fullState.Burst()))
 }
--- a/internal/fleet/members/budget_test.go
+++ b/internal/fleet/members/budget_test.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// A bucket that is nearly empty still has room for each packet of a round, and no second costs more than the rate.
+// An almost empty bucket still allows something for each packet of a round, and the rate is never exceeded.
 func TestBudget(t *testing.T) {
 	now := time.Unix(0, 0)
 	c := Config{}
-	b, f := NewBudget(now, c), c.Figures(300)
-	spent, late := 0, 0
+	b, f := NewBudget(now, c), c.TrafficModel(300)
+	charged, chargedLate := 0, 0
 	for round := range 240 {
-		least := f.Datagram
+		smallest := f.MaxDatagram
 		for range f.FanOut {
-			room := b.Room(now, f.Datagram)
-			least = min(least, room)
-			b.Spent(now, room)
-			if spent += room; round >= 120 {
-				late += room
+			allowance := b.PacketAllowance(now, f.MaxDatagram)
+			smallest = min(smallest, allowance)
+			b.ChargePacket(now, allowance)
+			if charged += allowance; round >= 120 {
+				chargedLate += allowance
 			}
 		}
-		if least < 100 {
-			t.Fatalf("round %d: %d bytes are left for the last packet", round, least)
+		if smallest < 100 {
+			t.Fatalf("round %d: %d bytes are allowed for the last packet", round, smallest)
 		}
-		now = now.Add(f.Gossip)
+		now = now.Add(f.GossipInterval)
 	}
-	if most := 8*f.Datagram + 120*gossipRate; spent > most || late < 59*gossipRate {
-		t.Errorf("spent %d, at most %d; %d in the last minute", spent, most, late)
+	if limit := 8*f.MaxDatagram + 120*gossipRate; charged > limit || chargedLate < 59*gossipRate {
+		t.Errorf("charged %d, limit %d; %d in the last minute", charged, limit, chargedLate)
 	}
-	if f.Exchange != 150*time.Second {
-		t.Errorf("300 members exchange every %v", f.Exchange)
+	if f.ExchangeInterval != 150*time.Second {
+		t.Errorf("300 members exchange every %v", f.ExchangeInterval)
 	}
-	if sum := gossipRate + wholeRate + f.Probes + f.FanOut*2*f.Packet + int(2*300*float64(f.Listed)/f.Exchange.Seconds()); sum > 5050 {
+	if sum := gossipRate + fullStateRate + f.ProbeRate + f.FanOut*2*f.PacketOverhead + int(2*300*float64(f.MemberBytes)/f.ExchangeInterval.Seconds()); sum > 5050 {
 		t.Errorf("%d bytes a second at 300 members", sum)
 	}
 }
--- a/internal/fleet/members/delegate.go
+++ b/internal/fleet/members/delegate.go
@@ -8,17 +8,17 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// format is the version of what this package puts on the wire around the exchange's bytes. Others are dropped.
-const format = 1
+// formatVersion is the version of this package's wire format around the shared data. Other versions are dropped.
+const formatVersion = 1
 
 const (
-	kindPieces = 1
-	kindWhole  = 2
-	// packetOverhead is what memberlist puts around a message in a packet: type, checksum, encryption and compound.
+	kindUpdates   = 1
+	kindFullState = 2
+	// packetOverhead is what memberlist adds to a message in a packet: type, checksum, encryption and compound header.
 	packetOverhead = 1 + 5 + 45 + 4
 )
 
-// meta is a node's record in memberlist, a CBOR array of at most 512 bytes.
+// meta is the metadata of a node in memberlist, a CBOR array of at most 512 bytes.
 type meta struct {
 	_       struct{} `cbor:",toarray"`
 	Format  uint64
@@ -27,69 +27,72 @@
 	Leaving bool
 }
 
-// readMeta looks at the version first: another one's record may have another form.
+// readMeta checks the format version first, as metadata of another version may have another structure.
 func readMeta(b []byte) (meta, error) {
 	var parts []cbor.RawMessage
 	var m meta
 	if err := cbor.Unmarshal(b, &parts); err != nil || len(parts) == 0 || cbor.Unmarshal(parts[0], &m.Format) != nil {
 		return meta{}, &Dropped{Garbled}
 	}
-	if m.Format != format {
+	if m.Format != formatVersion {
 		return meta{}, &Dropped{OtherVersion}
 	}
-	if err := cbor.Unmarshal(b, &m); err != nil || len(m.Site) > maxName {
+	if err := cbor.Unmarshal(b, &m); err != nil || len(m.Site) > maxNameBytes {
 		return meta{}, &Dropped{Garbled}
 	}
 	return m, nil
 }
 
-// delegate is what memberlist asks and tells.
+// delegate implements memberlist.Delegate.
 type delegate struct{ g *Group }
 
-// NodeMeta is this life's record.
+// NodeMeta returns the metadata of this incarnation.
 func (d delegate) NodeMeta(int) []byte {
-	b, err := cbor.Marshal(meta{Format: format, Epoch: d.g.epoch.Load(), Site: d.g.cfg.Site, Leaving: d.g.leaving.Load()})
+	b, err := cbor.Marshal(meta{Format: formatVersion, Epoch: d.g.epoch.Load(), Site: d.g.cfg.Site, Leaving: d.g.leaving.Load()})
 	if err != nil {
-		panic(err) // a record of fixed types
+		panic(err) // can't fail for a struct of fixed types
 	}
 	return b
 }
 
-// head is the length of what stands before each payload: version, kind, and the node that sends it.
-func (g *Group) head() int { return 3 + len(g.node) }
+// headerSize returns the size of the header before each payload: format version, kind and node.
+func (g *Group) headerSize() int { return 3 + len(g.node) }
 
-func (g *Group) frame(kind byte, room int) []byte {
-	out := make([]byte, 0, g.head()+room)
-	out = append(out, format, kind, byte(len(g.node)))
+// newFrame returns a buffer with the header and capacity for the payload.
+func (g *Group) newFrame(kind byte, capacity int) []byte {
+	out := make([]byte, 0, g.headerSize()+capacity)
+	out = append(out, formatVersion, kind, byte(len(g.node)))
 	return append(out, g.node...)
 }
 
-// piece adds one to a frame, its length before it.
-func piece(frame, b []byte) []byte { return append(binary.AppendUvarint(frame, uint64(len(b))), b...) }
+// appendUpdate appends an update to a frame, preceded by its length.
+func appendUpdate(frame, b []byte) []byte {
+	return append(binary.AppendUvarint(frame, uint64(len(b))), b...)
+}
 
-// pieceOverhead is its length's, for a piece that fits a packet.
-const pieceOverhead = 2
+// updateOverhead is the size of the length field of an update that fits a packet.
+const updateOverhead = 2
 
-// unframe returns a payload's courier and the payload, if it is from a life that counts.
+// unframe returns the sender and the payload of a frame, if the sender is a current incarnation.
 func (g *Group) unframe(kind byte, b []byte) (string, []byte, error) {
 	switch {
 	case len(b) < 3:
 		return "", nil, &Dropped{Garbled}
-	case b[0] != format:
+	case b[0] != formatVersion:
 		return "", nil, &Dropped{OtherVersion}
 	case b[1] != kind || len(b) < 3+int(b[2]):
 		return "", nil, &Dropped{Garbled}
 	}
-	name, err := g.view.from(string(b[3 : 3+int(b[2])]))
+	name, err := g.view.senderName(string(b[3 : 3+int(b[2])]))
 	if err == nil && name == g.cfg.Name {
-		err = &Dropped{Stranger} // this life's own name, from another
+		err = &Dropped{UnknownSender} // another node uses this member's own name
 	}
 	return name, b[3+int(b[2]):], err
 }
 
-// NotifyMsg has pieces from another courier. memberlist uses its buffer again.
+// NotifyMsg handles updates of another member. It copies them, as memberlist reuses its buffer.
 func (d delegate) NotifyMsg(b []byte) {
-	from, rest, err := d.g.unframe(kindPieces, b)
+	from, rest, err := d.g.unframe(kindUpdates, b)
 	rest = bytes.Clone(rest)
 	for err == nil && len(rest) > 0 {
 		n, size := binary.Uvarint(rest)
@@ -100,67 +103,67 @@
 			err = &Dropped{Oversized}
 		default:
 			end := size + int(n)
-			var refused error
-			if d.g.exchange.Take(from, rest[size:end:end]) != nil {
-				refused = &Dropped{Refused} // the others of the packet are none the worse
+			var dropErr error
+			if d.g.exchange.ReceiveUpdate(from, rest[size:end:end]) != nil {
+				dropErr = &Dropped{RejectedByExchange} // the other updates in the packet may still be valid
 			}
-			d.g.taken(refused, &d.g.Counters.PiecesIn)
+			d.g.countReceived(dropErr, &d.g.Counters.UpdatesIn)
 			rest = rest[end:]
 		}
 	}
 	d.g.Counters.drop(err)
 }
 
-// GetBroadcasts fills a packet, as far as the bucket goes. All pieces are one message: the sender's name stands once.
+// GetBroadcasts fills a packet within the budget. All updates are in one message, so that the sender's name is sent once.
 func (d delegate) GetBroadcasts(overhead, limit int) [][]byte {
-	now, around := time.Now(), overhead+d.g.head()
-	room := d.g.budget.Room(now, limit)
-	if room <= around+pieceOverhead || d.g.leaving.Load() {
+	now, headers := time.Now(), overhead+d.g.headerSize()
+	allowance := d.g.budget.PacketAllowance(now, limit)
+	if allowance <= headers+updateOverhead || d.g.leaving.Load() {
 		return nil
 	}
-	pieces := d.g.exchange.Changes(room-around, pieceOverhead)
-	if len(pieces) == 0 {
+	updates := d.g.exchange.Updates(allowance-headers, updateOverhead)
+	if len(updates) == 0 {
 		return nil
 	}
-	out := d.g.frame(kindPieces, room-around)
-	for _, b := range pieces {
-		if overhead+len(out)+pieceOverhead+len(b) > limit {
+	out := d.g.newFrame(kindUpdates, allowance-headers)
+	for _, b := range updates {
+		if overhead+len(out)+updateOverhead+len(b) > limit {
 			d.g.Counters.OversizedOut.Add(1)
 			continue
 		}
-		out = piece(out, b)
-		d.g.Counters.PiecesOut.Add(1)
+		out = appendUpdate(out, b)
+		d.g.Counters.UpdatesOut.Add(1)
 	}
-	d.g.budget.Spent(now, min(overhead+len(out), room))
+	d.g.budget.ChargePacket(now, min(overhead+len(out), allowance))
 	return [][]byte{out}
 }
 
-// LocalState is the whole table, if one is due.
+// LocalState returns the full state if the budget allows it; a joining member always gets it.
 func (d delegate) LocalState(join bool) []byte {
 	now := time.Now()
-	if !join && !d.g.budget.WholeDue(now) {
-		d.g.Counters.WholesDeferred.Add(1)
+	if !join && !d.g.budget.FullStateAllowed(now) {
+		d.g.Counters.FullStatesDeferred.Add(1)
 		return nil
 	}
-	b := d.g.exchange.Whole()
+	b := d.g.exchange.FullState()
 	if len(b) > d.g.cfg.MaxBytes {
 		d.g.Counters.OversizedOut.Add(1)
 		return nil
 	}
-	d.g.budget.WholeSent(now, len(b))
-	d.g.Counters.WholesOut.Add(1)
-	return append(d.g.frame(kindWhole, len(b)), b...)
+	d.g.budget.ChargeFullState(now, len(b))
+	d.g.Counters.FullStatesOut.Add(1)
+	return append(d.g.newFrame(kindFullState, len(b)), b...)
 }
 
-// MergeRemoteState has another courier's table. Its members were merged before, so that it is no stranger.
+// MergeRemoteState handles another member's full state. memberlist merges its node list first, so the sender is known.
 func (d delegate) MergeRemoteState(b []byte, _ bool) {
-	_, table, err := d.g.unframe(kindWhole, b)
+	_, state, err := d.g.unframe(kindFullState, b)
 	switch {
 	case err != nil:
-	case len(table) > d.g.cfg.MaxBytes:
+	case len(state) > d.g.cfg.MaxBytes:
 		err = &Dropped{Oversized}
-	case d.g.exchange.TakeWhole(table) != nil:
-		err = &Dropped{Refused}
+	case d.g.exchange.ReceiveFullState(state) != nil:
+		err = &Dropped{RejectedByExchange}
 	}
-	d.g.taken(err, &d.g.Counters.WholesIn)
+	d.g.countReceived(err, &d.g.Counters.FullStatesIn)
 }
--- a/internal/fleet/members/keys.go
+++ b/internal/fleet/members/keys.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	keyFileBytes = 64 << 10
-	keysMost     = 16
+	maxKeyFileBytes = 64 << 10
+	maxKeys         = 16
 )
 
-// Keys reads a file of base64 keys, one a line, of 16, 24 or 32 bytes; empty lines and those that begin with # are
-// passed over. The first is the one to encrypt with. To change it without a cut: add the new one as the last on all
-// couriers, then move it to the front on all, then take the old one out.
-func Keys(path string) ([][]byte, error) {
+// ReadKeys reads a file with one base64 key of 16, 24 or 32 bytes per line; empty lines and lines that begin with # are
+// ignored. The first key encrypts. To change it without an interruption, add the new key as the last one on all members,
+// then move it to the front on all, then remove the old one.
+func ReadKeys(path string) ([][]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("fleet.key_file: %w", err)
 	}
 	defer f.Close()
 	var keys [][]byte
-	scan := bufio.NewScanner(io.LimitReader(f, keyFileBytes))
-	for n := 1; scan.Scan(); n++ {
-		line := strings.TrimSpace(scan.Text())
+	scanner := bufio.NewScanner(io.LimitReader(f, maxKeyFileBytes))
+	for n := 1; scanner.Scan(); n++ {
+		line := strings.TrimSpace(scanner.Text())
 		if line == "" || line[0] == '#' {
 			continue
 		}
@@ -37,18 +37,18 @@
 			err = memberlist.ValidateKey(key)
 		}
 		if err != nil {
-			// The line itself is a secret.
-			return nil, fmt.Errorf("fleet.key_file: %s:%d: no base64 of 16, 24 or 32 bytes", path, n)
+			// Do not log the line itself: it is a secret.
+			return nil, fmt.Errorf("fleet.key_file: %s:%d: no base64 key of 16, 24 or 32 bytes", path, n)
 		}
-		if keys = append(keys, key); len(keys) > keysMost {
-			return nil, fmt.Errorf("fleet.key_file: %s:%d: more than %d keys", path, n, keysMost)
+		if keys = append(keys, key); len(keys) > maxKeys {
+			return nil, fmt.Errorf("fleet.key_file: %s:%d: more than %d keys", path, n, maxKeys)
 		}
 	}
-	if err := scan.Err(); err != nil {
+	if err := scanner.Err(); err != nil {
 		return nil, fmt.Errorf("fleet.key_file: %s: %w", path, err)
 	}
 	if len(keys) == 0 {
-		return nil, fmt.Errorf("fleet.key_file: %s: no key in it; name no key_file to go without", path)
+		return nil, fmt.Errorf("fleet.key_file: %s: no key in it; leave key_file empty to run without encryption", path)
 	}
 	return keys, nil
 }
--- a/internal/fleet/members/traffic_test.go
+++ b/internal/fleet/members/traffic_test.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// BenchmarkTraffic measures whole fleets over loopback in one process, with the default figures and 60 endpoints' facts
-// (300 of 60 bytes): the time until a change is at each other member, and what a member sends, holds and allocates.
-// Run it with -benchtime 1x.
+// BenchmarkTraffic measures whole fleets over loopback in one process, with the default settings and the facts of 60
+// endpoints (300 facts of 60 bytes): the time until a change has reached each other member, and the traffic, memory and
+// allocations per member. Run it with -benchtime 1x.
 func BenchmarkTraffic(b *testing.B) {
 	const facts, size, changes = 300, 60, 60
 	for _, c := range []struct {
 		n           int
-		every, wait time.Duration // between changes; after all are joined
+		every, wait time.Duration // between changes; after all have joined
 	}{{32, 500 * time.Millisecond, 0}, {300, 500 * time.Millisecond, 0}, {300, 500 * time.Millisecond, 40 * time.Second}} {
 		b.Run(fmt.Sprintf("members=%d/change_every=%v/settled=%v", c.n, c.every, c.wait), func(b *testing.B) {
 			for range b.N {
@@ -31,34 +31,34 @@
 	heap := func() (m runtime.MemStats) { runtime.GC(); runtime.GC(); runtime.ReadMemStats(&m); return }
 	before := heap()
 	var mu sync.Mutex
-	begun := map[uint64]time.Time{}
-	var spread []float64
-	all := make(chan struct{})
+	changedAt := map[uint64]time.Time{}
+	var delays []float64
+	complete := make(chan struct{})
 	arrived := func(k uint64) {
 		mu.Lock()
 		defer mu.Unlock()
-		if at, ok := begun[k]; ok {
-			if spread = append(spread, time.Since(at).Seconds()); len(spread) == changes*(n-1) {
-				close(all)
+		if at, ok := changedAt[k]; ok {
+			if delays = append(delays, time.Since(at).Seconds()); len(delays) == changes*(n-1) {
+				close(complete)
 			}
 		}
 	}
-	var fleet []*running
+	var fleet []*testGroup
 	for i := range n {
-		s := &store{left: map[uint64]int{}, size: size, fresh: arrived}
+		s := &numberExchange{sendsLeft: map[uint64]int{}, size: size, onNew: arrived}
 		for k := range facts {
-			s.left[uint64(k)] = 0
+			s.sendsLeft[uint64(k)] = 0
 		}
 		c := Config{Name: fmt.Sprintf("courier-%03d", i), Epoch: 1, Site: "lazimpat", Bind: netip.MustParseAddrPort("127.0.0.1:0")}
 		for j := range min(3, i) {
 			c.Seeds = append(c.Seeds, fleet[j].Alive()[0].Addr)
 		}
-		fleet = append(fleet, runWith(b, c, s))
-		<-time.After(time.Duration(seed.Int64N(int64(1e9 / n)))) // or all would gossip at the same instants
+		fleet = append(fleet, startGroupWith(b, c, s))
+		<-time.After(time.Duration(testRand.Int64N(int64(1e9 / n)))) // otherwise all would gossip at the same times
 	}
 	joined := time.Now()
 	for _, g := range fleet {
-		countsIn(b, 2*time.Minute, "whole fleet", func() bool { return len(g.Alive()) == n })
+		waitUpTo(b, 2*time.Minute, "complete list", func() bool { return len(g.Alive()) == n })
 	}
 	b.ReportMetric(time.Since(joined).Seconds(), "s-to-join")
 	sent := func() (sum, packets uint64) {
@@ -77,31 +77,31 @@
 		<-tick.C
 		id := uint64(1<<32 + k)
 		mu.Lock()
-		begun[id] = time.Now()
+		changedAt[id] = time.Now()
 		mu.Unlock()
-		s := fleet[seed.IntN(n)].store
+		s := fleet[testRand.IntN(n)].numbers
 		s.mu.Lock()
-		s.left[id] = 10
+		s.sendsLeft[id] = 10
 		s.mu.Unlock()
 	}
-	took := time.Since(start).Seconds() // the traffic while there are changes, not that of the wait for the last of them
+	took := time.Since(start).Seconds() // traffic while there are changes, without the wait for the last of them
 	bytes1, packets1 := sent()
 	var end runtime.MemStats
 	runtime.ReadMemStats(&end)
 	select {
-	case <-all:
-	case <-time.After(10 * time.Second): // what comes by a whole table later is missing
+	case <-complete:
+	case <-time.After(10 * time.Second): // a change that only arrives later by a full state counts as missing
 	}
 	now := heap()
 	mu.Lock()
 	defer mu.Unlock()
-	slices.Sort(spread)
-	whole := float64(changes * (n - 1))
-	at := func(q float64) float64 { return spread[min(len(spread)-1, int(q*whole))] }
+	slices.Sort(delays)
+	expected := float64(changes * (n - 1))
+	at := func(q float64) float64 { return delays[min(len(delays)-1, int(q*expected))] }
 	member := float64(n)
 	b.ReportMetric(at(0.5), "s-p50")
 	b.ReportMetric(at(0.99), "s-p99")
-	b.ReportMetric(100*(1-float64(len(spread))/whole), "%-missing")
+	b.ReportMetric(100*(1-float64(len(delays))/expected), "%-missing")
 	b.ReportMetric(float64(bytes1-bytes0)/took/member, "B/s/member")
 	b.ReportMetric(float64(packets1-packets0)/took/member, "packets/s/member")
 	b.ReportMetric(float64(end.Mallocs-begin.Mallocs)/took/member, "allocs/s/member")
--- a/internal/fleet/members/view.go
+++ b/internal/fleet/members/view.go
@@ -16,87 +16,88 @@
 )
 
 const (
-	maxName  = 64
-	tagMark  = "~"
-	tagBytes = 8
-	// kept bounds the nodes, living or lately dead, for each courier: a fleet that restarts twice in the time that
-	// memberlist remembers the dead has three lives of each.
-	kept = 4
-	// deadTime is how long memberlist may remember a dead node, beside two rounds of probes.
-	deadTime = 30 * time.Second
+	maxNameBytes = 64
+	tagSeparator = "~"
+	tagBytes     = 8
+	// nodesPerMember limits the nodes, alive or recently dead, for each member: a fleet that restarts twice during the
+	// time that memberlist remembers dead nodes has three incarnations of each member.
+	nodesPerMember = 4
+	// deadNodeTTL is how long memberlist may remember a dead node, in addition to two rounds of probes.
+	deadNodeTTL = 30 * time.Second
 )
 
-// view is what the group makes of memberlist's nodes. memberlist calls it with its own lock held, so that nothing here
-// calls back; the lock order is memberlist's, then mu.
+// view derives the member list from memberlist's nodes. memberlist calls it with its own lock held, so no method may
+// call memberlist. Lock order: memberlist's lock, then mu.
 type view struct {
 	cfg      Config
 	self     string
 	counters *Counters
 
-	mu     sync.Mutex
-	lives  map[string]life      // up, by node
-	dead   map[string]time.Time // since when, by node
-	best   map[string]life      // by courier: the life that counts
-	events []Event
-	rivals []life // lives of this courier's name that are to be looked into
+	mu        sync.Mutex
+	alive     map[string]incarnation // nodes that are up, by node name
+	dead      map[string]time.Time   // nodes that are down, by node name, and since when
+	current   map[string]incarnation // by member name: the incarnation with the largest epoch
+	events    []Event
+	conflicts []incarnation // other incarnations of this member's name, to be resolved
 
-	list    atomic.Pointer[[]Member]
-	version atomic.Uint64
-	told    chan struct{} // events or rivals wait
-	changed chan struct{} // the list changed
+	list         atomic.Pointer[[]Member]
+	version      atomic.Uint64
+	hooksPending chan struct{} // signals that events or conflicts are waiting
+	listChanged  chan struct{} // signals that the list changed
 }
 
-type life struct {
+// incarnation is a node of memberlist as an incarnation of a member.
+type incarnation struct {
 	Member
-	node memberlist.Node // a copy: memberlist changes its own under its lock
+	node memberlist.Node // a copy, as memberlist changes its own under its lock
 }
 
 func newView(cfg Config, self string, counters *Counters) *view {
 	v := &view{
-		cfg: cfg, self: self, counters: counters, lives: map[string]life{}, dead: map[string]time.Time{}, best: map[string]life{},
-		told: make(chan struct{}, 1), changed: make(chan struct{}, 1),
+		cfg: cfg, self: self, counters: counters, alive: map[string]incarnation{}, dead: map[string]time.Time{}, current: map[string]incarnation{},
+		hooksPending: make(chan struct{}, 1), listChanged: make(chan struct{}, 1),
 	}
 	v.list.Store(&[]Member{{Name: cfg.Name, Epoch: cfg.Epoch, Site: cfg.Site, Addr: cfg.Advertise}})
 	return v
 }
 
 func validName(s string) bool {
-	bad := func(r rune) bool { return r <= ' ' || r == 0x7f || r == 0xfffd || string(r) == tagMark }
-	return s != "" && len(s) <= maxName && !strings.ContainsFunc(s, bad)
+	forbidden := func(r rune) bool { return r <= ' ' || r == 0x7f || r == 0xfffd || string(r) == tagSeparator }
+	return s != "" && len(s) <= maxNameBytes && !strings.ContainsFunc(s, forbidden)
 }
 
-// courier is the name in a node's name, "" if it has none.
-func courier(node string) string {
-	name, tag, ok := strings.Cut(node, tagMark)
+// memberName returns the member's name from a node name, or "" if the node name is invalid.
+func memberName(node string) string {
+	name, tag, ok := strings.Cut(node, tagSeparator)
 	if !ok || len(tag) != tagBytes || !validName(name) {
 		return ""
 	}
 	return name
 }
 
-// read makes a life of a node, or says why it is none.
-func read(n *memberlist.Node) (life, meta, error) {
-	name := courier(n.Name)
+// parseNode returns the incarnation that a node represents, or the reason to refuse the node.
+func parseNode(n *memberlist.Node) (incarnation, meta, error) {
+	name := memberName(n.Name)
 	addr, ok := netip.AddrFromSlice(n.Addr)
 	if name == "" || !ok || n.Port == 0 {
-		return life{}, meta{}, &Dropped{Garbled}
+		return incarnation{}, meta{}, &Dropped{Garbled}
 	}
 	m, err := readMeta(n.Meta)
-	l := life{Member{name, m.Epoch, m.Site, netip.AddrPortFrom(addr.Unmap(), n.Port)}, *n}
+	l := incarnation{Member{name, m.Epoch, m.Site, netip.AddrPortFrom(addr.Unmap(), n.Port)}, *n}
 	return l, m, err
 }
 
-// NotifyAlive refuses nodes that can't be members, before memberlist learns of them.
+// NotifyAlive implements memberlist.AliveDelegate. It refuses nodes that can't be members before memberlist adds them.
 func (v *view) NotifyAlive(n *memberlist.Node) error {
-	l, _, err := read(n)
+	l, _, err := parseNode(n)
 	if err == nil {
 		v.mu.Lock()
 		defer v.mu.Unlock()
-		_, up := v.lives[n.Name]
+		_, up := v.alive[n.Name]
 		_, down := v.dead[n.Name]
-		_, known := v.best[l.Name]
-		if !up && !down && (!known && len(v.best) >= v.cfg.MaxMembers || !v.room()) {
-			err = &Dropped{Full}
+		_, known := v.current[l.Name]
+		if !up && !down && (!known && len(v.current) >= v.cfg.MaxMembers || !v.hasCapacity()) {
+			err = &Dropped{TooManyMembers}
 		}
 	}
 	if err != nil {
@@ -105,147 +106,152 @@
 	return err
 }
 
-// NotifyMerge refuses another group's list before any of it is read, if it is longer than ours may be.
+// NotifyMerge implements memberlist.MergeDelegate. It refuses a list that is longer than the own one may be.
 func (v *view) NotifyMerge(peers []*memberlist.Node) error {
-	if len(peers) <= kept*v.cfg.MaxMembers {
+	if len(peers) <= nodesPerMember*v.cfg.MaxMembers {
 		return nil
 	}
-	err := &Dropped{Full}
+	err := &Dropped{TooManyMembers}
 	v.counters.drop(err)
 	return fmt.Errorf("%d nodes: %w", len(peers), err)
 }
 
-// room forgets the dead that memberlist has forgotten, and says whether one more node is in bounds.
-func (v *view) room() bool {
-	most := kept * v.cfg.MaxMembers
-	if len(v.lives)+len(v.dead) < most {
+// hasCapacity forgets dead nodes that memberlist has forgotten, and reports whether one more node is allowed.
+func (v *view) hasCapacity() bool {
+	maxNodes := nodesPerMember * v.cfg.MaxMembers
+	if len(v.alive)+len(v.dead) < maxNodes {
 		return true
 	}
-	long := deadTime + 2*time.Duration(len(v.lives)+len(v.dead))*v.cfg.ProbeInterval
-	maps.DeleteFunc(v.dead, func(_ string, since time.Time) bool { return time.Since(since) > long })
-	return len(v.lives)+len(v.dead) < most
+	ttl := deadNodeTTL + 2*time.Duration(len(v.alive)+len(v.dead))*v.cfg.ProbeInterval
+	maps.DeleteFunc(v.dead, func(_ string, since time.Time) bool { return time.Since(since) > ttl })
+	return len(v.alive)+len(v.dead) < maxNodes
 }
 
-func (v *view) NotifyJoin(n *memberlist.Node)   { v.see(n) }
-func (v *view) NotifyUpdate(n *memberlist.Node) { v.see(n) }
-func (v *view) NotifyLeave(n *memberlist.Node)  { v.gone(n.Name, Failed) }
+// NotifyJoin, NotifyUpdate and NotifyLeave implement memberlist.EventDelegate.
+func (v *view) NotifyJoin(n *memberlist.Node)   { v.nodeUp(n) }
+func (v *view) NotifyUpdate(n *memberlist.Node) { v.nodeUp(n) }
+func (v *view) NotifyLeave(n *memberlist.Node)  { v.nodeDown(n.Name, Failed) }
 
-func (v *view) see(n *memberlist.Node) {
-	l, m, err := read(n)
+// nodeUp records a node that joined or changed.
+func (v *view) nodeUp(n *memberlist.Node) {
+	l, m, err := parseNode(n)
 	if err != nil {
-		return // NotifyAlive has refused and counted it
+		return // already refused and counted by NotifyAlive
 	}
 	if m.Leaving {
-		v.gone(n.Name, Left)
+		v.nodeDown(n.Name, Left)
 		return
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	delete(v.dead, n.Name)
-	v.lives[n.Name] = l
+	v.alive[n.Name] = l
 	if l.Name == v.cfg.Name && n.Name != v.self {
 		v.counters.Conflicts.Add(1)
-		v.rivals = append(v.rivals, l)
+		v.conflicts = append(v.conflicts, l)
 	}
-	v.settle(l.Name, Failed)
+	v.selectCurrent(l.Name, Failed)
 }
 
-func (v *view) gone(node string, how Happening) {
+// nodeDown records that a node left or failed.
+func (v *view) nodeDown(node string, kind EventKind) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	l, ok := v.lives[node]
+	l, ok := v.alive[node]
 	if !ok || node == v.self {
 		return
 	}
-	delete(v.lives, node)
+	delete(v.alive, node)
 	v.dead[node] = time.Now()
-	v.settle(l.Name, how)
+	v.selectCurrent(l.Name, kind)
 }
 
-// settle decides anew which life of a courier counts, and publishes the list if that changed it.
-func (v *view) settle(name string, how Happening) {
-	old, had := v.best[name]
-	var now life
-	has := false
-	for _, l := range v.lives {
-		if l.Name == name && (!has || cmp.Or(cmp.Compare(l.Epoch, now.Epoch), strings.Compare(l.node.Name, now.node.Name)) > 0) {
-			now, has = l, true
+// selectCurrent updates the current incarnation of a member, and publishes the list if that changed.
+func (v *view) selectCurrent(name string, kind EventKind) {
+	old, hadCurrent := v.current[name]
+	var newest incarnation
+	hasCurrent := false
+	for _, l := range v.alive {
+		if l.Name == name && (!hasCurrent || cmp.Or(cmp.Compare(l.Epoch, newest.Epoch), strings.Compare(l.node.Name, newest.node.Name)) > 0) {
+			newest, hasCurrent = l, true
 		}
 	}
-	if had == has && old.Member == now.Member && old.node.Name == now.node.Name {
-		v.poke()
+	if hadCurrent == hasCurrent && old.Member == newest.Member && old.node.Name == newest.node.Name {
+		v.notifyHooks()
 		return
 	}
 	switch {
-	case !has:
-		delete(v.best, name)
-		v.event(Event{how, old.Member})
-	case !had:
-		v.best[name] = now
-		v.event(Event{Joined, now.Member})
+	case !hasCurrent:
+		delete(v.current, name)
+		v.addEvent(Event{kind, old.Member})
+	case !hadCurrent:
+		v.current[name] = newest
+		v.addEvent(Event{Joined, newest.Member})
 	default:
-		v.best[name] = now
-		v.event(Event{NewLife, now.Member})
+		v.current[name] = newest
+		v.addEvent(Event{Restarted, newest.Member})
 	}
-	list := make([]Member, 0, len(v.best))
-	for _, l := range v.best {
+	list := make([]Member, 0, len(v.current))
+	for _, l := range v.current {
 		list = append(list, l.Member)
 	}
 	slices.SortFunc(list, func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
 	v.list.Store(&list)
 	v.version.Add(1)
-	poke(v.changed)
-	v.poke()
+	notify(v.listChanged)
+	v.notifyHooks()
 }
 
-func (v *view) event(e Event) {
+// addEvent queues an event for the hook, unless it is about this member itself.
+func (v *view) addEvent(e Event) {
 	if e.Member.Name == v.cfg.Name {
 		return
 	}
-	v.counters.Events[e.What].Add(1)
-	if len(v.events) >= kept*v.cfg.MaxMembers {
+	v.counters.Events[e.Kind].Add(1)
+	if len(v.events) >= nodesPerMember*v.cfg.MaxMembers {
 		v.counters.EventsDropped.Add(1)
 		return
 	}
 	v.events = append(v.events, e)
 }
 
-func (v *view) poke() {
-	if len(v.events)+len(v.rivals) > 0 {
-		poke(v.told)
+// notifyHooks signals runHooks if something is queued.
+func (v *view) notifyHooks() {
+	if len(v.events)+len(v.conflicts) > 0 {
+		notify(v.hooksPending)
 	}
 }
 
-// take hands over what waits to be told.
-func (v *view) take() ([]Event, []life) {
+// takePending removes and returns the queued events and conflicts.
+func (v *view) takePending() ([]Event, []incarnation) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	events, rivals := v.events, v.rivals
-	v.events, v.rivals = nil, nil
-	return events, rivals
+	events, conflicts := v.events, v.conflicts
+	v.events, v.conflicts = nil, nil
+	return events, conflicts
 }
 
-// node is the member's, for sending.
+// node returns the node of a member's current incarnation.
 func (v *view) node(name string) (memberlist.Node, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	l, ok := v.best[name]
+	l, ok := v.current[name]
 	return l.node, ok
 }
 
-// from is the courier of a node that is up and counts.
-func (v *view) from(node string) (string, error) {
+// senderName returns the member whose current incarnation is the node.
+func (v *view) senderName(node string) (string, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	l, ok := v.lives[node]
-	if !ok || v.best[l.Name].node.Name != node {
-		return "", &Dropped{Stranger}
+	l, ok := v.alive[node]
+	if !ok || v.current[l.Name].node.Name != node {
+		return "", &Dropped{UnknownSender}
 	}
 	return l.Name, nil
 }
 
-// up says whether a life at the address is up.
-func (v *view) up() map[netip.AddrPort]bool {
+// upAddrs returns the addresses of all live members.
+func (v *view) upAddrs() map[netip.AddrPort]bool {
 	all := map[netip.AddrPort]bool{}
 	for _, m := range *v.list.Load() {
 		all[m.Addr] = true
@@ -253,14 +259,15 @@
 	return all
 }
 
-// Dropped says why something that came in was not taken.
-type Dropped struct{ Why Reason }
+// Dropped is the error for input that was dropped.
+type Dropped struct{ Reason Reason }
 
-func (d *Dropped) Error() string { return "members: dropped: " + d.Why.String() }
+func (d *Dropped) Error() string { return "members: dropped: " + d.Reason.String() }
 
+// drop counts err if it is a Dropped.
 func (c *Counters) drop(err error) {
 	var d *Dropped
 	if errors.As(err, &d) {
-		c.Dropped[d.Why].Add(1)
+		c.Dropped[d.Reason].Add(1)
 	}
 }
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -53,8 +53,8 @@
 		m := &group.Counters
 		fields := []any{
 			"up", len(group.Alive()), "packet_bytes_in", m.PacketBytesIn.Load(), "packet_bytes_out", m.PacketBytesOut.Load(),
-			"stream_bytes_in", m.StreamBytesIn.Load(), "stream_bytes_out", m.StreamBytesOut.Load(), "joins_tried", m.JoinsTried.Load(),
-			"joins", m.Joins.Load(), "open_failed", m.OpenFailed.Load(), "superseded", m.Superseded.Load(), "outgrown", m.Outgrown.Load(),
+			"stream_bytes_in", m.StreamBytesIn.Load(), "stream_bytes_out", m.StreamBytesOut.Load(), "joins_tried", m.JoinAttempts.Load(),
+			"joins", m.Joins.Load(), "open_failed", m.OpenFailed.Load(), "superseded", m.Superseded.Load(), "outgrown", m.EpochTooLow.Load(),
 		}
 		for r := range m.Dropped {
 			if n := m.Dropped[r].Load(); n > 0 {
--- a/internal/lab/spread/network.go
+++ b/internal/lab/spread/network.go
@@ -53,7 +53,7 @@
 	way, waits := f.delay(), time.Duration(0)
 	for range 1 + bytes/segment {
 		for again := resend; f.lost(); again *= 2 {
-			if waits += again; waits > f.figures.Stream {
+			if waits += again; waits > f.figures.StreamTimeout {
 				return 0, false
 			}
 		}
@@ -64,21 +64,21 @@
 // gossip is memberlist's round, with a packet filled as members' delegate fills it.
 func (f *fleet) gossip(m *member) {
 	const compound, part = 2, 2 // memberlist's own, around the messages of a packet and each of them
-	head := members.Head(m.name)
+	head := members.HeaderSize(m.name)
 	for _, to := range f.others(m, f.figures.FanOut) {
 		now := m.wall(f.now)
-		room := m.budget.Room(now, f.figures.Datagram-compound)
+		room := m.budget.PacketAllowance(now, f.figures.MaxDatagram-compound)
 		around := part + head
-		if room <= around+f.figures.Piece+batchHead {
+		if room <= around+f.figures.UpdateOverhead+batchHead {
 			return
 		}
-		batch := m.store.Changes(m.clock(f.now), room-around-f.figures.Piece-batchHead)
+		batch := m.store.Changes(m.clock(f.now), room-around-f.figures.UpdateOverhead-batchHead)
 		if len(batch) == 0 {
 			return
 		}
 		c, size := f.loaded(m, batch), f.size(batch)
-		m.budget.Spent(now, min(around+f.figures.Piece+size, room))
-		f.datagram(m, to, size+f.figures.Piece+head+f.figures.Packet, func(way time.Duration) { f.arrive(to, c, way) })
+		m.budget.ChargePacket(now, min(around+f.figures.UpdateOverhead+size, room))
+		f.datagram(m, to, size+f.figures.UpdateOverhead+head+f.figures.PacketOverhead, func(way time.Duration) { f.arrive(to, c, way) })
 	}
 }
 
@@ -113,21 +113,21 @@
 	f.at(f.now+there+back+way, func() {
 		answer, bytes := f.whole(to)
 		f.arrive(to, c, there+back+way)
-		if back, ok := f.stream(to, m, bytes); ok && way+back <= f.figures.Stream {
+		if back, ok := f.stream(to, m, bytes); ok && way+back <= f.figures.StreamTimeout {
 			f.at(f.now+back, func() { f.arrive(m, answer, back) })
 		}
 	})
 }
 
 func (f *fleet) whole(m *member) (cargo, int) {
-	listed, now := f.Members*f.figures.Listed, m.wall(f.now)
-	if !m.budget.WholeDue(now) {
+	listed, now := f.Members*f.figures.MemberBytes, m.wall(f.now)
+	if !m.budget.FullStateAllowed(now) {
 		return cargo{}, listed
 	}
 	c := f.loaded(m, m.store.Whole(m.clock(f.now)))
 	size := f.size(c.facts)
-	m.budget.WholeSent(now, size)
-	return c, listed + size + members.Head(m.name)
+	m.budget.ChargeFullState(now, size)
+	return c, listed + size + members.HeaderSize(m.name)
 }
 
 func (f *fleet) reach(r *record, m *member) bool {
@@ -172,7 +172,7 @@
 			var batch []facts.Fact
 			var told []*record
 			var c cargo
-			room := f.figures.Datagram - f.figures.Packet - members.Head(m.name) - f.figures.Piece - batchHead
+			room := f.figures.MaxDatagram - f.figures.PacketOverhead - members.HeaderSize(m.name) - f.figures.UpdateOverhead - batchHead
 			for len(left) > 0 && room >= left[0].fact.MaxEncodedSize() {
 				x := left[0].fact
 				x.Age = f.now - left[0].born - left[0].way[m.i]
@@ -181,7 +181,7 @@
 				left = left[1:]
 			}
 			c.facts = batch
-			f.datagram(m, f.members[to], f.size(batch)+f.figures.Piece+members.Head(m.name)+f.figures.Packet, func(way time.Duration) {
+			f.datagram(m, f.members[to], f.size(batch)+f.figures.UpdateOverhead+members.HeaderSize(m.name)+f.figures.PacketOverhead, func(way time.Duration) {
 				f.acknowledge(m, f.members[to], told, c, way)
 			})
 		}
@@ -198,7 +198,7 @@
 	}
 	f.arrive(to, c, way)
 	const bytes = 16 // which packet
-	f.datagram(to, m, bytes+f.figures.Packet, func(time.Duration) {
+	f.datagram(to, m, bytes+f.figures.PacketOverhead, func(time.Duration) {
 		m.out[to.i] = slices.DeleteFunc(m.out[to.i], func(r *record) bool { return slices.Contains(told, r) })
 	})
 }
--- a/internal/lab/spread/result.go
+++ b/internal/lab/spread/result.go
@@ -27,7 +27,7 @@
 		r.AgeLow, r.AgeP99, r.AgeTop = f.ages[0], f.ages[n*99/100], f.ages[n-1]
 	}
 	seconds := max(1, int(f.Tell/time.Second))
-	probes := f.figures.Probes
+	probes := f.figures.ProbeRate
 	for _, m := range f.members {
 		sum := 0
 		for s := range min(seconds, len(m.sent)) {
--- a/internal/lab/spread/spread.go
+++ b/internal/lab/spread/spread.go
@@ -1,6 +1,6 @@
 // Package spread measures how facts spread in a fleet of couriers, in virtual time: the real stores, tables, codec and
 // traffic budgets of internal/fleet, on a modelled network. Nothing is copied from there: rates, sizes and intervals are
-// members.Figures, and the passes are the store's own.
+// members.TrafficModel, and the passes are the store's own.
 //
 // The invariant: a run is a function of its Config alone (TestSameRun), and what it plays may not break what the tables
 // promise: no table states an age further from the truth than the clocks' drift below it, and than drift, the time on
@@ -134,7 +134,7 @@
 
 type fleet struct {
 	Config
-	figures       members.Figures
+	figures       members.TrafficModel
 	now           time.Duration
 	queue         events
 	order         uint64
@@ -168,7 +168,7 @@
 		return Result{}, err
 	}
 	f := &fleet{
-		Config: cfg, figures: members.Config{}.Figures(cfg.Members), chance: rand.New(rand.NewPCG(cfg.Seed, 1)),
+		Config: cfg, figures: members.Config{}.TrafficModel(cfg.Members), chance: rand.New(rand.NewPCG(cfg.Seed, 1)),
 		load: rand.New(rand.NewPCG(cfg.Seed, 2)), codec: codec, index: map[string]int{}, equal: -1,
 	}
 	f.last = max(cfg.Tell, cfg.CutAt+cfg.CutFor)
@@ -205,11 +205,11 @@
 		m.budget = members.NewBudget(m.wall(0), members.Config{})
 		f.members, f.index[m.name] = append(f.members, m), i
 		if f.Coordinator {
-			f.every(m, f.figures.Gossip, func() { f.report(m) })
+			f.every(m, f.figures.GossipInterval, func() { f.report(m) })
 			continue
 		}
-		f.every(m, f.figures.Gossip, func() { f.gossip(m) })
-		f.every(m, f.figures.Exchange, func() { f.exchange(m) })
+		f.every(m, f.figures.GossipInterval, func() { f.gossip(m) })
+		f.every(m, f.figures.ExchangeInterval, func() { f.exchange(m) })
 		f.every(m, 5*time.Second, func() { m.store.Sweep(m.clock(f.now)); m.store.Drain() })
 	}
 	return nil
