--- a/internal/fleet/exchange.go
+++ b/internal/fleet/exchange.go
@@ -24,7 +24,7 @@
 	if x.host.retired.Load() {
 		return nil
 	}
-	batch := x.facts.Changes(x.host.cfg.Clock(), limit-overhead-around)
+	batch := x.facts.Updates(x.host.cfg.Clock(), limit-overhead-around)
 	if len(batch) == 0 {
 		return nil
 	}
@@ -42,7 +42,7 @@
 func (x *exchange) FullState() []byte {
 	var all []facts.Fact
 	if !x.host.retired.Load() {
-		all = x.facts.Whole(x.host.cfg.Clock())
+		all = x.facts.FullState(x.host.cfg.Clock())
 	}
 	room, size := int(x.host.limits.Bytes)-around, 0
 	for i := range all {
@@ -71,7 +71,7 @@
 	switch c := &x.host.Counters; {
 	case err == nil:
 		if len(batch) > 0 {
-			x.facts.Take(now, batch)
+			x.facts.Receive(now, batch)
 		}
 	case errors.Is(err, facts.ErrVersion):
 		c.OtherVersion.Add(1)
--- a/internal/fleet/host.go
+++ b/internal/fleet/host.go
@@ -150,7 +150,7 @@
 		return
 	}
 	known, group := h.facts.Load(), h.group.Load()
-	known.Take(h.cfg.Clock(), loaded.Facts)
+	known.Receive(h.cfg.Clock(), loaded.Facts)
 	h.cfg.Log.Info("fleet_life", "name", h.cfg.Name, "epoch", epoch, "bind", h.member.Bind.String(), "seeds", len(h.member.Seeds),
 		"encrypted", len(h.member.Keys) > 0, "facts", len(loaded.Facts), "expired", loaded.Expired)
 	h.save(loaded.Facts) // the epoch first
@@ -161,7 +161,7 @@
 	work.Go(func() error { return known.Run(working) })
 	telling.Go(func() error { return group.Run(ctx) })
 	h.tick(ctx)
-	h.save(known.Whole(h.cfg.Clock()))
+	h.save(known.FullState(h.cfg.Clock()))
 	if err := telling.Wait(); err != nil {
 		h.fault("fleet_members_ended", err)
 	}
@@ -186,10 +186,10 @@
 	m.Epoch, m.Superseded, m.EpochTooLow = epoch, h.superseded, h.outgrown
 	m.Events = func(e members.Event) {
 		if e.Kind == members.Joined || e.Kind == members.Restarted { // what its earlier lives told is dead
-			known.Raise(h.cfg.Clock(), e.Member.Name, e.Member.Epoch)
+			known.RaiseEpoch(h.cfg.Clock(), e.Member.Name, e.Member.Epoch)
 		}
 		if g := h.group.Load(); g != nil { // how often a fact is passed on goes by how many there are
-			known.Fleet(len(g.Alive()))
+			known.SetMemberCount(len(g.Alive()))
 		}
 		h.cfg.Log.Info("fleet_member", "what", e.Kind.String(), "name", e.Member.Name, "site", e.Member.Site, "epoch", e.Member.Epoch)
 	}
@@ -220,7 +220,7 @@
 			h.lookBack()
 			sweep.Reset(pause(sweepEvery))
 		case <-save.C:
-			h.save(h.facts.Load().Whole(h.cfg.Clock()))
+			h.save(h.facts.Load().FullState(h.cfg.Clock()))
 			save.Reset(pause(saveEvery))
 		}
 	}
@@ -253,7 +253,7 @@
 		return
 	}
 	epoch := h.draw(known.Epoch(), heard)
-	known.Raise(h.cfg.Clock(), h.cfg.Name, epoch)
+	known.RaiseEpoch(h.cfg.Clock(), h.cfg.Name, epoch)
 	group.Renew(epoch)
 	h.cfg.Log.Info("fleet_epoch", "name", h.cfg.Name, "heard", heard, "epoch", epoch)
 }
@@ -262,7 +262,7 @@
 // the members settle among themselves.
 func (h *Host) lookBack() {
 	known, group := h.facts.Load(), h.group.Load()
-	heard := known.Heard(h.cfg.Name)
+	heard := known.KnownEpoch(h.cfg.Name)
 	for _, m := range group.Alive() {
 		if m.Name == h.cfg.Name && m.Epoch > known.Epoch() {
 			return
@@ -345,7 +345,7 @@
 // Forget drops what is about an endpoint that is gone from the list. It waits for nobody.
 func (h *Host) Forget(endpoint string) {
 	if known := h.facts.Load(); known != nil {
-		known.Forget(h.cfg.Clock(), endpoint)
+		known.RemoveEndpoint(h.cfg.Clock(), endpoint)
 	}
 }
 
@@ -357,12 +357,12 @@
 	}
 	loaded, err := store.Load(h.cfg.Folder, h.cfg.Room/2, h.cfg.Wall())
 	switch {
-	case errors.Is(err, store.ErrNone):
+	case errors.Is(err, store.ErrNoSnapshot):
 	case err != nil:
 		h.fault("fleet_snapshot_unused", err)
 	case loaded.Name != h.cfg.Name:
 		h.cfg.Log.Warn("fleet_snapshot_of_another", "name", h.cfg.Name, "of", loaded.Name, "facts", len(loaded.Facts))
-	case loaded.ClockBack:
+	case loaded.ClockSetBack:
 		h.cfg.Log.Warn("fleet_clock_back", "name", h.cfg.Name, "expired", loaded.Expired)
 	}
 	return loaded
--- a/internal/fleet/host_test.go
+++ b/internal/fleet/host_test.go
@@ -157,8 +157,8 @@
 	a.addr(t)
 	known := a.facts.Load()
 	ahead := known.Epoch() + 1000
-	known.Take(a.cfg.Clock(), []facts.Fact{{Subject: dest, Kind: facts.Wait, Value: wait, Origin: "a", Epoch: ahead, Seq: 1, TTL: time.Minute}})
-	if err := known.Settle(t.Context()); err != nil {
+	known.Receive(a.cfg.Clock(), []facts.Fact{{Subject: dest, Kind: facts.Wait, Value: wait, Origin: "a", Epoch: ahead, Seq: 1, TTL: time.Minute}})
+	if err := known.WaitIdle(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	a.outgrown(facts.MaxEpoch) // none can be larger: not believed
@@ -174,7 +174,7 @@
 	a.addr(t)
 	a.Learn(dest, facts.Wait, wait)
 	x := a.exchange()
-	if err := a.facts.Load().Settle(t.Context()); err != nil {
+	if err := a.facts.Load().WaitIdle(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	whole := x.FullState()
@@ -209,8 +209,8 @@
 		t.Fatal(err)
 	}
 	until(t, "the good fact", a.knows(facts.Subject{Dest: 9}, facts.Wait, false))
-	if s := a.facts.Load().Stats(); s.Facts != 2 || s.Absurd != 1 {
-		t.Errorf("%d facts, %d absurd", s.Facts, s.Absurd)
+	if s := a.facts.Load().Stats(); s.Facts != 2 || s.Invalid != 1 {
+		t.Errorf("%d facts, %d absurd", s.Facts, s.Invalid)
 	}
 	for limit := 60; limit < 400; limit += 17 { // what goes out is never longer than allowed
 		a.Learn(facts.Subject{Dest: int64(limit)}, facts.Limit, facts.Value{Number: 1.1, For: time.Second})
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -45,9 +45,9 @@
 		"silenced", c.Silenced.Load(), "epochs", c.Epochs.Load())
 	if known := h.facts.Load(); known != nil {
 		var s store.Stats = known.Stats()
-		log.Info("counters: facts", "facts", s.Facts, "bytes", s.Bytes, "waiting", s.Waiting, "learned", s.Learned, "taken", s.Taken,
-			"changed", s.Changed, "older", s.Older, "known", s.Known, "absurd", s.Absurd, "gone", s.Gone, "origins", s.Origins,
-			"mail_dropped", s.MailDropped, "queue_dropped", s.QueueDropped, "shed", s.Shed, "swept", s.Swept, "passed", s.Passed)
+		log.Info("counters: facts", "facts", s.Facts, "bytes", s.Bytes, "waiting", s.Queued, "learned", s.Learned, "taken", s.Received,
+			"changed", s.Changed, "older", s.AgeCorrected, "known", s.Unchanged, "absurd", s.Invalid, "gone", s.EndpointRemoved, "origins", s.TooManyOrigins,
+			"mail_dropped", s.JobsDropped, "queue_dropped", s.GossipDropped, "shed", s.Evicted, "swept", s.Swept, "passed", s.Sent)
 	}
 	if group := h.group.Load(); group != nil {
 		m := &group.Counters
--- a/internal/fleet/store/golden_test.go
+++ b/internal/fleet/store/golden_test.go
@@ -1,7 +1,7 @@
 package store
 
-// The stored form of the shared facts, as the build 73ca247 wrote it. The file in testdata/golden is never written
-// anew. The form of each fact is package facts'.
+// The stored form of the shared facts, as build 73ca247 wrote it. The file in testdata/golden is never rewritten. The
+// encoding of each fact is tested in package facts.
 
 import (
 	"os"
@@ -65,9 +65,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Loaded{Snapshot: goldenSnapshot(), Away: 21 * time.Millisecond}
+	want := Loaded{Snapshot: goldenSnapshot(), Age: 21 * time.Millisecond}
 	for i := range want.Facts {
-		want.Facts[i].Age += want.Away
+		want.Facts[i].Age += want.Age
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("loaded (-want +got):\n%s", diff)
--- a/internal/fleet/store/gossip.go
+++ b/internal/fleet/store/gossip.go
@@ -6,86 +6,86 @@
 	"raventrestle/internal/fleet/facts"
 )
 
-// one register: what its origin last told under a key.
-type told struct {
+// registerID identifies a register: its key and its origin.
+type registerID struct {
 	key    facts.Key
 	origin string
 }
 
-// gossip is the queue of registers to pass on. It holds names and not facts: what is passed on is what the table holds
-// at that moment, with its age of that moment, and nothing if it has expired, is dead or is gone.
+// gossipQueue contains the registers to send. It stores ids and not facts: a send uses the fact that the table has at
+// that time, with its current age, and nothing if the fact has expired, is retired or was removed.
 //
-// There is one line for each number of times passed on so far; lines are served from the first, so that news goes
-// before repeats. A register that changes again goes back to the first line.
-type gossip struct {
-	most  int
-	turn  map[told]turn // where each stands
-	lines [][]queued    // first in, first out; entries whose turn is another are skipped
-	last  uint64
+// There is one FIFO queue for each number of sends so far. They are served in ascending order, so that new facts precede
+// repeated ones. A register that changes returns to the first queue.
+type gossipQueue struct {
+	maxEntries int
+	positions  map[registerID]position // current position of each register
+	bySends    [][]queueEntry          // FIFO queues by number of sends; an entry whose number is not the register's current one is skipped
+	lastNumber uint64
 }
 
-type turn struct {
-	line   int
+type position struct {
+	sends  int
 	number uint64
 }
 
-type queued struct {
-	told
+type queueEntry struct {
+	registerID
 	number uint64
 }
 
-func newGossip(most, passes int) gossip {
-	return gossip{most: most, turn: map[told]turn{}, lines: make([][]queued, passes)}
+func newGossipQueue(maxEntries, maxSends int) gossipQueue {
+	return gossipQueue{maxEntries: maxEntries, positions: map[registerID]position{}, bySends: make([][]queueEntry, maxSends)}
 }
 
-// add puts the register in a line and gives the number of others that were dropped for it: of those passed on most,
-// the one that has waited longest.
-func (g *gossip) add(w told, line int) (dropped int) {
-	if line >= len(g.lines) {
-		delete(g.turn, w)
+// add puts the register into the queue for its number of sends, and returns the number of other registers dropped for
+// it: of those with the most sends, the one that has waited longest.
+func (g *gossipQueue) add(id registerID, sends int) (dropped int) {
+	if sends >= len(g.bySends) {
+		delete(g.positions, id)
 		return 0
 	}
-	if _, in := g.turn[w]; !in && len(g.turn) >= g.most {
-		for l := len(g.lines) - 1; l >= 0; l-- {
-			if q, ok := g.pop(l); ok {
-				delete(g.turn, q)
+	if _, present := g.positions[id]; !present && len(g.positions) >= g.maxEntries {
+		for n := len(g.bySends) - 1; n >= 0; n-- {
+			if q, ok := g.pop(n); ok {
+				delete(g.positions, q)
 				dropped++
 				break
 			}
 		}
 	}
-	g.last++
-	g.turn[w] = turn{line, g.last}
-	g.lines[line] = append(g.lines[line], queued{w, g.last})
-	if n := g.lines[line]; len(n) > 2*g.most+16 { // mostly skipped entries: keep those that count
-		kept := n[:0]
-		for _, q := range n {
-			if g.turn[q.told].number == q.number {
+	g.lastNumber++
+	g.positions[id] = position{sends, g.lastNumber}
+	g.bySends[sends] = append(g.bySends[sends], queueEntry{id, g.lastNumber})
+	if entries := g.bySends[sends]; len(entries) > 2*g.maxEntries+16 { // mostly skipped entries: keep only the current ones
+		kept := entries[:0]
+		for _, q := range entries {
+			if g.positions[q.registerID].number == q.number {
 				kept = append(kept, q)
 			}
 		}
-		clear(n[len(kept):])
-		g.lines[line] = kept
+		clear(entries[len(kept):])
+		g.bySends[sends] = kept
 	}
 	return dropped
 }
 
-// again puts what was taken from the line and not handed out at its head, unless it was added anew meanwhile.
-func (g *gossip) again(w told, line int, number uint64) {
-	if g.turn[w].number == number {
-		g.lines[line] = slices.Insert(g.lines[line], 0, queued{w, number})
+// putBack returns an entry from pop to the head of its queue, unless the register was added again meanwhile.
+func (g *gossipQueue) putBack(id registerID, sends int, number uint64) {
+	if g.positions[id].number == number {
+		g.bySends[sends] = slices.Insert(g.bySends[sends], 0, queueEntry{id, number})
 	}
 }
 
-// pop takes the first of the line; add or again follows.
-func (g *gossip) pop(line int) (told, bool) {
-	for len(g.lines[line]) > 0 {
-		q := g.lines[line][0]
-		g.lines[line][0] = queued{}
-		g.lines[line] = g.lines[line][1:]
-		if g.turn[q.told].number == q.number {
-			return q.told, true
+// pop removes and returns the first register of a queue; the caller must call add or putBack afterwards.
+func (g *gossipQueue) pop(sends int) (registerID, bool) {
+	for len(g.bySends[sends]) > 0 {
+		q := g.bySends[sends][0]
+		g.bySends[sends][0] = queueEntry{}
+		g.bySends[sends] = g.bySends[sends][1:]
+		if g.positions[q.registerID].number == q.number {
+			return q.registerID, true
 		}
 	}
-	return told{}, false
+	return registerID{}, false
 }
--- a/internal/lab/spread/network.go
+++ b/internal/lab/spread/network.go
@@ -72,7 +72,7 @@
 		if room <= around+f.figures.UpdateOverhead+batchHead {
 			return
 		}
-		batch := m.store.Changes(m.clock(f.now), room-around-f.figures.UpdateOverhead-batchHead)
+		batch := m.store.Updates(m.clock(f.now), room-around-f.figures.UpdateOverhead-batchHead)
 		if len(batch) == 0 {
 			return
 		}
@@ -124,7 +124,7 @@
 	if !m.budget.FullStateAllowed(now) {
 		return cargo{}, listed
 	}
-	c := f.loaded(m, m.store.Whole(m.clock(f.now)))
+	c := f.loaded(m, m.store.FullState(m.clock(f.now)))
 	size := f.size(c.facts)
 	m.budget.ChargeFullState(now, size)
 	return c, listed + size + members.HeaderSize(m.name)
--- a/internal/lab/spread/result.go
+++ b/internal/lab/spread/result.go
@@ -39,7 +39,7 @@
 			r.Hub = sum/seconds + probes
 		}
 		s := m.store.Stats()
-		r.Dropped += s.MailDropped + s.QueueDropped + s.Shed + s.Origins + s.RaisesRefused
+		r.Dropped += s.JobsDropped + s.GossipDropped + s.Evicted + s.TooManyOrigins + s.EpochsDropped
 	}
 	r.Mean = r.Mean/seconds/f.Members + probes
 	if f.equal >= 0 && f.TTL > f.last+f.After {
@@ -61,7 +61,7 @@
 	keys := map[facts.Key]bool{}
 	for _, m := range f.members {
 		held := map[id]bool{}
-		for _, x := range m.store.Whole(m.clock(f.now)) {
+		for _, x := range m.store.FullState(m.clock(f.now)) {
 			held[id{x.Key(), x.Origin, x.Seq}] = true
 			keys[x.Key()] = true
 		}
--- a/internal/lab/spread/spread.go
+++ b/internal/lab/spread/spread.go
@@ -194,13 +194,13 @@
 			offset: time.Duration(f.chance.Int64N(int64(1000 * time.Hour))), pace: 1 + drift*(2*f.chance.Float64()-1),
 		}
 		c := store.DefaultConfig(m.name, epoch)
-		c.Passes = cmp.Or(f.Passes, c.Passes)
+		c.MaxSends = cmp.Or(f.Passes, c.MaxSends)
 		var err error
 		if m.store, err = store.New(c); err != nil {
 			return err
 		}
 		if f.Passes == 0 {
-			m.store.Fleet(f.Members)
+			m.store.SetMemberCount(f.Members)
 		}
 		m.budget = members.NewBudget(m.wall(0), members.Config{})
 		f.members, f.index[m.name] = append(f.members, m), i
@@ -312,7 +312,7 @@
 		for p := r; p != nil && f.reach(p, m); p = p.prev {
 		}
 	}
-	m.store.Take(m.clock(f.now), slices.Clone(c.facts))
+	m.store.Receive(m.clock(f.now), slices.Clone(c.facts))
 	m.store.Drain()
 	if f.missing == 0 && f.equal < 0 && f.now >= f.last {
 		f.equal = f.now - f.last
