--- a/cmd/raventrestle/fleet.go
+++ b/cmd/raventrestle/fleet.go
@@ -25,10 +25,10 @@
 	}
 	began, drawn := time.Now(), make(chan uint64, 1)
 	host, err := fleet.New(fleet.Config{
-		Settings: *set.Fleet, Name: d.conf.Name, Folder: folder, Room: room, Memory: d.conf.Settings.ColdFor,
-		Clock: func() time.Duration { return time.Since(began) }, Wall: time.Now,
-		Chance: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), Log: d.log,
-		Drawn: func(epoch uint64) { drawn <- epoch },
+		Settings: *set.Fleet, Name: d.conf.Name, StateDir: folder, SnapshotSpace: room, FactTTL: d.conf.Settings.ColdFor,
+		Clock: func() time.Duration { return time.Since(began) }, WallClock: time.Now,
+		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), Log: d.log,
+		EpochChosen: func(epoch uint64) { drawn <- epoch },
 	})
 	if err != nil {
 		d.log.Error("fleet_not_up", "name", d.conf.Name, "error", err.Error())
--- a/cmd/raventrestle/serve.go
+++ b/cmd/raventrestle/serve.go
@@ -144,7 +144,7 @@
 	}
 	shared := int64(0) // of the folder, for what the couriers of a fleet share
 	if remembers && set.Fleet != nil {
-		shared = fleet.Room(disk)
+		shared = fleet.SnapshotSpace(disk)
 		disk -= shared
 	}
 	var kept []journal.Kept
@@ -493,7 +493,7 @@
 	d.log.Info("counters: tries", tries...)
 	d.log.Info("counters: decisions", "steps", out.Steps.Load(), "late", out.LateSteps.Load(), "panics", out.Panics.Load())
 	if d.fleet != nil {
-		d.fleet.Count(d.log)
+		d.fleet.LogCounters(d.log)
 	}
 	if d.deadLetters == nil {
 		return
--- a/internal/fleet/host.go
+++ b/internal/fleet/host.go
@@ -1,15 +1,15 @@
-// Package fleet is the host of what couriers share: it hangs beside a courier's actor and puts the parts together, the
-// store of facts (store), the members of the fleet (members) and the snapshot in the folder that lasts. It decides
-// nothing about messages; whether a fact is taken in is decided by package facts alone.
+// Package fleet connects one process to a fleet of processes that share observations: it combines the store of facts
+// (store), the fleet membership (members) and the snapshot in the state directory. It makes no decision about requests;
+// only package facts decides which facts are accepted.
 //
-// The invariant: a courier serves alone as well as with it. Nothing here makes a courier fail to start, to step or to
-// stop: an address that is taken, a key that is wrong, a garbled snapshot, a full disk are logged and counted
-// (TestNothingStopsIt), Learn, Read and Forget wait for nobody and do nothing while the host is not up (TestBeforeAndAfter), and
-// bytes that are no facts change none (TestGarbledInput).
+// Invariant: a process serves alone as well as with a fleet. Nothing here prevents it from starting, serving or stopping:
+// an occupied address, a wrong key, a corrupt snapshot or a full disk is logged and counted (TestFaultsDoNotStopHost).
+// Learn, Read and Forget do not block, and do nothing while the host is not running (TestCallsBeforeStartAndAfterEnd).
+// Malformed input changes no fact (TestMalformedInputIsRejected).
 //
-// A life draws its epoch from its snapshot, the wall clock and what it hears (facts.NextEpoch), and saves it before it
-// tells anything. A snapshot of another courier's name gives its facts, as evidence with their ages, and not its epoch
-// (TestSnapshotOfAnother).
+// An incarnation, one run of the process, chooses its epoch from its snapshot, the wall clock and the epochs it has
+// received (facts.NextEpoch), and saves it before it sends anything. From a snapshot of a member with another name it
+// uses the facts, as evidence with their ages, but not the epoch (TestSnapshotOfAnotherMember).
 package fleet
 
 import (
@@ -30,64 +30,64 @@
 	"raventrestle/internal/settings"
 )
 
-// Config of a host.
+// Config configures a Host.
 type Config struct {
-	Settings settings.Fleet
-	Name     string               // of the courier, the same in all its lives
-	Folder   string               // that lasts; "" keeps no snapshot
-	Room     int64                // bytes that the folder has for it: see Room
-	Memory   time.Duration        // how long limits and outages count
-	Clock    func() time.Duration // monotonic
-	Wall     func() time.Time
-	Chance   *rand.Rand // the host's alone
-	Log      *slog.Logger
-	Drawn    func(epoch uint64) // hears this life's epoch, before anything is told; nil for nobody
+	Settings      settings.Fleet
+	Name          string               // of this member, the same for all its incarnations
+	StateDir      string               // directory that survives restarts; "" for no snapshot
+	SnapshotSpace int64                // bytes of the directory for snapshots: see the function SnapshotSpace
+	FactTTL       time.Duration        // how long a fact other than a Wait is valid
+	Clock         func() time.Duration // monotonic
+	WallClock     func() time.Time
+	Rand          *rand.Rand // used only by the host
+	Log           *slog.Logger
+	EpochChosen   func(epoch uint64) // called with this incarnation's epoch before anything is sent; may be nil
 }
 
 const (
-	mostSnapshot  = 1 << 20
-	leastSnapshot = 16 << 10
-	saveEvery     = 5 * time.Second
-	sweepEvery    = 5 * time.Second
+	maxSnapshotBytes = 1 << 20
+	minSnapshotBytes = 16 << 10
+	saveInterval     = 5 * time.Second
+	sweepInterval    = 5 * time.Second
 )
 
-// Room is what of the folder's bytes the snapshot takes, the old file and the next one while that is written; 0 where
-// the folder is too small for any.
-func Room(disk int64) int64 {
-	if disk/16 < leastSnapshot {
+// SnapshotSpace returns how many of the state directory's bytes the snapshot may use, for the current file and its
+// replacement together; 0 if the directory is too small for a snapshot.
+func SnapshotSpace(disk int64) int64 {
+	if disk/16 < minSnapshotBytes {
 		return 0
 	}
-	return 2 * min(disk/16, mostSnapshot)
+	return 2 * min(disk/16, maxSnapshotBytes)
 }
 
-// Counters only grow.
+// Counters count events since the start.
 type Counters struct {
-	Faults       atomic.Uint64 // of the host, each logged
-	Saves        atomic.Uint64 // snapshots
-	SaveFails    atomic.Uint64
-	Left         atomic.Uint64 // facts that a snapshot or a whole table had no room for
-	Garbled      atomic.Uint64 // pieces and tables that were no facts
-	OtherVersion atomic.Uint64 // or in another version's form
+	Faults       atomic.Uint64 // faults of the host, each of them logged
+	Saves        atomic.Uint64 // saved snapshots
+	FailedSaves  atomic.Uint64
+	OmittedFacts atomic.Uint64 // facts that did not fit into a snapshot or a full state
+	Garbled      atomic.Uint64 // malformed updates and full states
+	OtherVersion atomic.Uint64 // updates and full states in another format version
 	TooLarge     atomic.Uint64
-	Repeats      atomic.Uint64 // told by the actor and known already
-	Silenced     atomic.Uint64 // told by the actor after this life was superseded
-	Epochs       atomic.Uint64 // drawn
+	Repeats      atomic.Uint64 // observations that were not sent because others already know them
+	Silenced     atomic.Uint64 // observations that were not sent because this incarnation is superseded
+	Epochs       atomic.Uint64 // epochs chosen
 }
 
-// Host is one courier's. Learn, Read and Forget are for its actor, the rest for any goroutine.
+// Host connects one process to the fleet. Learn, Read and Forget are for its request path, the rest for any goroutine.
 type Host struct {
-	Counters Counters
-	cfg      Config
-	member   members.Config
-	limits   facts.Limits
-	facts    atomic.Pointer[store.Store]
-	group    atomic.Pointer[members.Group]
-	retired  atomic.Bool // another process of this name serves
-	overdue  uint64      // an epoch of this name heard at the last sweep
-	failing  string      // of the snapshot, as last logged
+	Counters       Counters
+	cfg            Config
+	memberConfig   members.Config
+	limits         facts.Limits
+	store          atomic.Pointer[store.Store]
+	group          atomic.Pointer[members.Group]
+	isSuperseded   atomic.Bool // another process with this name is up
+	lastKnownEpoch uint64      // largest epoch of this name at the last sweep
+	lastSaveError  string      // of saving the snapshot, as last logged
 }
 
-// New checks what the settings say; it opens nothing.
+// New checks the settings. It opens nothing before Run.
 func New(cfg Config) (*Host, error) {
 	s := &cfg.Settings
 	h := &Host{cfg: cfg, limits: facts.DefaultLimits()}
@@ -100,81 +100,82 @@
 	if s.MaxMembers > 0 {
 		h.limits.Origins = 2 * s.MaxMembers
 	}
-	h.member = members.Config{
+	h.memberConfig = members.Config{
 		Name: cfg.Name, Site: s.Site, MaxMembers: s.MaxMembers, MaxBytes: int(h.limits.Bytes), MaxDatagram: s.MaxDatagram,
 		GossipInterval: s.GossipInterval.Duration(), ProbeInterval: s.ProbeInterval.Duration(), SeedsInterval: s.SeedsInterval.Duration(),
 	}
 	var err error
-	if h.member.Bind, err = netip.ParseAddrPort(s.Bind); err != nil {
-		return nil, fmt.Errorf("fleet.bind: %w: give IP:port", err)
+	if h.memberConfig.Bind, err = netip.ParseAddrPort(s.Bind); err != nil {
+		return nil, fmt.Errorf("fleet.bind: %w: want IP:port", err)
 	}
 	if s.Advertise != "" {
-		if h.member.Advertise, err = netip.ParseAddrPort(s.Advertise); err != nil {
-			return nil, fmt.Errorf("fleet.advertise: %w: give IP:port", err)
+		if h.memberConfig.Advertise, err = netip.ParseAddrPort(s.Advertise); err != nil {
+			return nil, fmt.Errorf("fleet.advertise: %w: want IP:port", err)
 		}
 	}
 	for i, seed := range s.Seeds {
 		a, err := netip.ParseAddrPort(seed)
 		if err != nil {
-			return nil, fmt.Errorf("fleet.seeds[%d]: %w: give IP:port", i, err)
+			return nil, fmt.Errorf("fleet.seeds[%d]: %w: want IP:port", i, err)
 		}
-		h.member.Seeds = append(h.member.Seeds, a)
+		h.memberConfig.Seeds = append(h.memberConfig.Seeds, a)
 	}
 	if s.KeyFile != "" {
-		if h.member.Keys, err = members.ReadKeys(s.KeyFile); err != nil {
+		if h.memberConfig.Keys, err = members.ReadKeys(s.KeyFile); err != nil {
 			return nil, err
 		}
 	}
 	return h, nil
 }
 
-// Run is a life in the fleet; it ends with the context, saves what is known and tells the others that it goes, which
-// takes up to 1.5 s. What could not be done is logged, and the courier serves alone.
+// Run runs this member until the context is cancelled. Then it saves the facts and announces that it leaves, which takes
+// up to 1.5 s. Faults are logged, and the process serves alone.
 func (h *Host) Run(ctx context.Context) {
-	loaded := h.load()
-	heard := uint64(0)
-	for i := range loaded.Facts { // of another's folder too: what it has heard of us is so
+	loaded := h.loadSnapshot()
+	heardEpoch := uint64(0)
+	for i := range loaded.Facts { // also from another member's directory: it shows which epochs of this name were seen
 		if f := &loaded.Facts[i]; f.Origin == h.cfg.Name && f.Check(h.limits.MaxTTL) == nil {
-			heard = max(heard, f.Epoch)
+			heardEpoch = max(heardEpoch, f.Epoch)
 		}
 	}
 	if loaded.Name != h.cfg.Name {
 		loaded.Epoch = 0
 	}
-	epoch := h.draw(loaded.Epoch, heard)
-	if h.cfg.Drawn != nil {
-		h.cfg.Drawn(epoch)
+	epoch := h.chooseEpoch(loaded.Epoch, heardEpoch)
+	if h.cfg.EpochChosen != nil {
+		h.cfg.EpochChosen(epoch)
 	}
-	if err := h.open(epoch); err != nil {
-		h.fault("fleet_not_up", err)
+	if err := h.start(epoch); err != nil {
+		h.reportFault("fleet_not_up", err)
 		return
 	}
-	known, group := h.facts.Load(), h.group.Load()
-	known.Receive(h.cfg.Clock(), loaded.Facts)
-	h.cfg.Log.Info("fleet_life", "name", h.cfg.Name, "epoch", epoch, "bind", h.member.Bind.String(), "seeds", len(h.member.Seeds),
-		"encrypted", len(h.member.Keys) > 0, "facts", len(loaded.Facts), "expired", loaded.Expired)
-	h.save(loaded.Facts) // the epoch first
+	factStore, group := h.store.Load(), h.group.Load()
+	factStore.Receive(h.cfg.Clock(), loaded.Facts)
+	h.cfg.Log.Info("fleet_life", "name", h.cfg.Name, "epoch", epoch, "bind", h.memberConfig.Bind.String(), "seeds", len(h.memberConfig.Seeds),
+		"encrypted", len(h.memberConfig.Keys) > 0, "facts", len(loaded.Facts), "expired", loaded.Expired)
+	h.saveSnapshot(loaded.Facts) // save the epoch before anything is sent
 
-	working, stop := context.WithCancel(context.WithoutCancel(ctx)) // the store serves on while the others are told
-	defer stop()
-	var work, telling errgroup.Group
-	work.Go(func() error { return known.Run(working) })
-	telling.Go(func() error { return group.Run(ctx) })
-	h.tick(ctx)
-	h.save(known.FullState(h.cfg.Clock()))
-	if err := telling.Wait(); err != nil {
-		h.fault("fleet_members_ended", err)
-	}
-	stop()
-	if err := work.Wait(); err != nil {
-		h.fault("fleet_store_ended", err)
+	workersCtx, stopWorkers := context.WithCancel(context.WithoutCancel(ctx)) // the store must work until the membership has ended
+	defer stopWorkers()
+	var workers, membership errgroup.Group
+	workers.Go(func() error { return factStore.Run(workersCtx) })
+	membership.Go(func() error { return group.Run(ctx) })
+	h.runTimers(ctx)
+	h.saveSnapshot(factStore.FullState(h.cfg.Clock()))
+	if err := membership.Wait(); err != nil {
+		h.reportFault("fleet_members_ended", err)
+	}
+	stopWorkers()
+	if err := workers.Wait(); err != nil {
+		h.reportFault("fleet_store_ended", err)
 	}
 }
 
-func (h *Host) open(epoch uint64) error {
-	conf := store.DefaultConfig(h.cfg.Name, epoch)
-	conf.Limits = h.limits
-	known, err := store.New(conf)
+// start creates the store and the group.
+func (h *Host) start(epoch uint64) error {
+	storeConfig := store.DefaultConfig(h.cfg.Name, epoch)
+	storeConfig.Limits = h.limits
+	factStore, err := store.New(storeConfig)
 	if err != nil {
 		return err
 	}
@@ -182,33 +183,33 @@
 	if err != nil {
 		return err
 	}
-	m := h.member
-	m.Epoch, m.Superseded, m.EpochTooLow = epoch, h.superseded, h.outgrown
-	m.Events = func(e members.Event) {
-		if e.Kind == members.Joined || e.Kind == members.Restarted { // what its earlier lives told is dead
-			known.RaiseEpoch(h.cfg.Clock(), e.Member.Name, e.Member.Epoch)
+	memberConfig := h.memberConfig
+	memberConfig.Epoch, memberConfig.Superseded, memberConfig.EpochTooLow = epoch, h.handleSuperseded, h.raiseEpoch
+	memberConfig.Events = func(e members.Event) {
+		if e.Kind == members.Joined || e.Kind == members.Restarted { // retire facts of earlier incarnations
+			factStore.RaiseEpoch(h.cfg.Clock(), e.Member.Name, e.Member.Epoch)
 		}
-		if g := h.group.Load(); g != nil { // how often a fact is passed on goes by how many there are
-			known.SetMemberCount(len(g.Alive()))
+		if g := h.group.Load(); g != nil { // the number of members determines how often a fact is sent
+			factStore.SetMemberCount(len(g.Alive()))
 		}
 		h.cfg.Log.Info("fleet_member", "what", e.Kind.String(), "name", e.Member.Name, "site", e.Member.Site, "epoch", e.Member.Epoch)
 	}
-	chance := rand.New(rand.NewPCG(h.cfg.Chance.Uint64(), h.cfg.Chance.Uint64()))
-	group, err := members.New(m, &exchange{host: h, facts: known, codec: codec}, chance, h.cfg.Log)
+	rng := rand.New(rand.NewPCG(h.cfg.Rand.Uint64(), h.cfg.Rand.Uint64()))
+	group, err := members.New(memberConfig, &exchange{host: h, store: factStore, codec: codec}, rng, h.cfg.Log)
 	if err != nil {
 		return err
 	}
 	h.group.Store(group)
-	h.facts.Store(known)
+	h.store.Store(factStore)
 	return nil
 }
 
-// tick sweeps and saves until the context ends, both drawn apart from other couriers'.
-func (h *Host) tick(ctx context.Context) {
-	pause := func(mean time.Duration) time.Duration {
-		return time.Duration((0.75 + 0.5*h.cfg.Chance.Float64()) * float64(mean))
+// runTimers sweeps and saves until the context is cancelled, with jitter between the members.
+func (h *Host) runTimers(ctx context.Context) {
+	jittered := func(mean time.Duration) time.Duration {
+		return time.Duration((0.75 + 0.5*h.cfg.Rand.Float64()) * float64(mean))
 	}
-	sweep, save := time.NewTimer(pause(sweepEvery)), time.NewTimer(pause(saveEvery))
+	sweep, save := time.NewTimer(jittered(sweepInterval)), time.NewTimer(jittered(saveInterval))
 	defer sweep.Stop()
 	defer save.Stop()
 	for {
@@ -216,150 +217,152 @@
 		case <-ctx.Done():
 			return
 		case <-sweep.C:
-			h.facts.Load().Sweep(h.cfg.Clock())
-			h.lookBack()
-			sweep.Reset(pause(sweepEvery))
+			h.store.Load().Sweep(h.cfg.Clock())
+			h.checkOwnEpoch()
+			sweep.Reset(jittered(sweepInterval))
 		case <-save.C:
-			h.save(h.facts.Load().FullState(h.cfg.Clock()))
-			save.Reset(pause(saveEvery))
+			h.saveSnapshot(h.store.Load().FullState(h.cfg.Clock()))
+			save.Reset(jittered(saveInterval))
 		}
 	}
 }
 
-func (h *Host) fault(what string, err error) {
+// reportFault counts and logs a fault.
+func (h *Host) reportFault(event string, err error) {
 	h.Counters.Faults.Add(1)
-	h.cfg.Log.Error(what, "name", h.cfg.Name, "error", err.Error())
+	h.cfg.Log.Error(event, "name", h.cfg.Name, "error", err.Error())
 }
 
-// ---- the life's epoch ----
+// Choice of the epoch.
 
-func (h *Host) draw(stored, heard uint64) uint64 {
+// chooseEpoch returns an epoch above the stored and the heard one.
+func (h *Host) chooseEpoch(stored, heard uint64) uint64 {
 	h.Counters.Epochs.Add(1)
-	return facts.NextEpoch(within(stored), h.cfg.Wall().UnixMilli(), within(heard))
+	return facts.NextEpoch(usableEpoch(stored), h.cfg.WallClock().UnixMilli(), usableEpoch(heard))
 }
 
-// within passes over an epoch that none could be drawn above: no life has it.
-func within(epoch uint64) uint64 {
+// usableEpoch replaces an epoch without a valid successor by 0: no correct member has such an epoch.
+func usableEpoch(epoch uint64) uint64 {
 	if epoch >= facts.MaxEpoch {
 		return 0
 	}
 	return epoch
 }
 
-// outgrown draws a larger epoch than an earlier life of this name seems to have had.
-func (h *Host) outgrown(heard uint64) {
-	known, group := h.facts.Load(), h.group.Load()
-	if h.retired.Load() || known == nil || group == nil || heard < known.Epoch() || within(heard) == 0 {
+// raiseEpoch chooses an epoch above one that an earlier incarnation of this name seems to have had.
+func (h *Host) raiseEpoch(heard uint64) {
+	factStore, group := h.store.Load(), h.group.Load()
+	if h.isSuperseded.Load() || factStore == nil || group == nil || heard < factStore.Epoch() || usableEpoch(heard) == 0 {
 		return
 	}
-	epoch := h.draw(known.Epoch(), heard)
-	known.RaiseEpoch(h.cfg.Clock(), h.cfg.Name, epoch)
+	epoch := h.chooseEpoch(factStore.Epoch(), heard)
+	factStore.RaiseEpoch(h.cfg.Clock(), h.cfg.Name, epoch)
 	group.Renew(epoch)
 	h.cfg.Log.Info("fleet_epoch", "name", h.cfg.Name, "heard", heard, "epoch", epoch)
 }
 
-// lookBack finds an epoch that only facts tell of: one still heard at the second sweep, of no life that is up, which
-// the members settle among themselves.
-func (h *Host) lookBack() {
-	known, group := h.facts.Load(), h.group.Load()
-	heard := known.KnownEpoch(h.cfg.Name)
+// checkOwnEpoch raises the epoch if facts contain a larger one of this name, at two sweeps in a row. It does nothing if
+// that incarnation is up, as package members resolves that conflict.
+func (h *Host) checkOwnEpoch() {
+	factStore, group := h.store.Load(), h.group.Load()
+	heard := factStore.KnownEpoch(h.cfg.Name)
 	for _, m := range group.Alive() {
-		if m.Name == h.cfg.Name && m.Epoch > known.Epoch() {
+		if m.Name == h.cfg.Name && m.Epoch > factStore.Epoch() {
 			return
 		}
 	}
-	if heard > known.Epoch() && heard == h.overdue {
-		h.outgrown(heard)
+	if heard > factStore.Epoch() && heard == h.lastKnownEpoch {
+		h.raiseEpoch(heard)
 	}
-	h.overdue = heard
+	h.lastKnownEpoch = heard
 }
 
-// superseded: another process of this name serves. This one goes on for its clients, alone.
-func (h *Host) superseded(by members.Member) {
-	if !h.retired.Swap(true) {
+// handleSuperseded handles that another process with this name is up. This one continues to serve its clients, alone.
+func (h *Host) handleSuperseded(by members.Member) {
+	if !h.isSuperseded.Swap(true) {
 		h.cfg.Log.Warn("fleet_superseded", "name", h.cfg.Name, "by", by.Addr.String(), "epoch", by.Epoch,
-			"do", "give each courier a name of its own, or end this process")
+			"do", "give each courier its own name, or stop this process")
 	}
 }
 
-// ---- the actor's side ----
+// Methods for the request path.
 
-// Learn tells the others what this courier was told or saw. What all know already is not told again before half its time
-// is over. It waits for nobody.
+// Learn shares an observation of this process. An observation that all members already know is sent again only after
+// half its time to live. Learn does not block.
 func (h *Host) Learn(s facts.Subject, k facts.Kind, v facts.Value) {
-	known := h.facts.Load()
+	factStore := h.store.Load()
 	switch {
-	case known == nil:
+	case factStore == nil:
 		return
-	case h.retired.Load():
+	case h.isSuperseded.Load():
 		h.Counters.Silenced.Add(1)
 		return
 	}
 	ttl := h.ttl(k, v)
-	if now := h.cfg.Clock(); h.repeats(known, now, s, k, v, ttl) {
+	if now := h.cfg.Clock(); h.isKnown(factStore, now, s, k, v, ttl) {
 		h.Counters.Repeats.Add(1)
-	} else if err := known.Learn(now, s, k, v, ttl); err != nil { // counted there
+	} else if err := factStore.Learn(now, s, k, v, ttl); err != nil { // already counted by the store
 		h.cfg.Log.Debug("fleet_not_told", "kind", k.String(), "dest", s.Dest, "endpoint", s.Endpoint, "error", err.Error())
 	}
 }
 
-// ttl: a wait is told for as long as it lasts, what changes for as long as it counts.
+// ttl returns the time to live of an observation: that of a Wait is its duration, and all others have FactTTL.
 func (h *Host) ttl(k facts.Kind, v facts.Value) time.Duration {
-	ttl := h.cfg.Memory
+	ttl := h.cfg.FactTTL
 	if k == facts.Wait {
 		ttl = v.For
 	}
 	return min(max(ttl, time.Second), h.limits.MaxTTL)
 }
 
-// repeats says whether others read the same already.
-func (h *Host) repeats(known *store.Store, now time.Duration, s facts.Subject, k facts.Kind, v facts.Value, ttl time.Duration) bool {
-	e, ok := known.Read(now, s, k)
+// isKnown reports whether the other members already read the same evidence.
+func (h *Host) isKnown(factStore *store.Store, now time.Duration, s facts.Subject, k facts.Kind, v facts.Value, ttl time.Duration) bool {
+	e, ok := factStore.Read(now, s, k)
 	if !ok || e.Retired {
 		return false
 	}
-	young := e.Age < ttl/2
+	recent := e.Age < ttl/2
 	switch k {
-	case facts.Wait: // all calls of a moment are told the same
+	case facts.Wait: // several requests may receive the same wait at the same time
 		return e.Remaining >= v.For-v.For/16
 	case facts.ListVersion:
-		return young && e.Number >= v.Number
-	case facts.Outage: // one that began anew is another
-		end, ended := known.Read(now, s, facts.OutageEnd)
-		return young && (!ended || end.Retired || end.Age > e.Age)
+		return recent && e.Number >= v.Number
+	case facts.Outage: // an outage that started again is a new one
+		end, ended := factStore.Read(now, s, facts.OutageEnd)
+		return recent && (!ended || end.Retired || end.Age > e.Age)
 	case facts.OutageEnd:
-		out, was := known.Read(now, s, facts.Outage)
-		return young && (!was || out.Retired || out.Age >= e.Age)
+		outage, hadOutage := factStore.Read(now, s, facts.Outage)
+		return recent && (!hadOutage || outage.Retired || outage.Age >= e.Age)
 	}
-	return young && e.Value == v
+	return recent && e.Value == v
 }
 
-// Read gives what is known of the subject. It waits for nobody.
+// Read returns the evidence about a subject. It does not block.
 func (h *Host) Read(s facts.Subject, k facts.Kind) (facts.Evidence, bool) {
-	if known := h.facts.Load(); known != nil {
-		return known.Read(h.cfg.Clock(), s, k)
+	if factStore := h.store.Load(); factStore != nil {
+		return factStore.Read(h.cfg.Clock(), s, k)
 	}
 	return facts.Evidence{}, false
 }
 
-// Forget drops what is about an endpoint that is gone from the list. It waits for nobody.
+// Forget drops the facts about an endpoint that was removed from the list. It does not block.
 func (h *Host) Forget(endpoint string) {
-	if known := h.facts.Load(); known != nil {
-		known.RemoveEndpoint(h.cfg.Clock(), endpoint)
+	if factStore := h.store.Load(); factStore != nil {
+		factStore.RemoveEndpoint(h.cfg.Clock(), endpoint)
 	}
 }
 
-// ---- the snapshot ----
+// Snapshot.
 
-func (h *Host) load() store.Loaded {
-	if h.cfg.Folder == "" || h.cfg.Room == 0 {
+func (h *Host) loadSnapshot() store.Loaded {
+	if h.cfg.StateDir == "" || h.cfg.SnapshotSpace == 0 {
 		return store.Loaded{}
 	}
-	loaded, err := store.Load(h.cfg.Folder, h.cfg.Room/2, h.cfg.Wall())
+	loaded, err := store.Load(h.cfg.StateDir, h.cfg.SnapshotSpace/2, h.cfg.WallClock())
 	switch {
 	case errors.Is(err, store.ErrNoSnapshot):
 	case err != nil:
-		h.fault("fleet_snapshot_unused", err)
+		h.reportFault("fleet_snapshot_unused", err)
 	case loaded.Name != h.cfg.Name:
 		h.cfg.Log.Warn("fleet_snapshot_of_another", "name", h.cfg.Name, "of", loaded.Name, "facts", len(loaded.Facts))
 	case loaded.ClockSetBack:
@@ -368,21 +371,21 @@
 	return loaded
 }
 
-func (h *Host) save(all []facts.Fact) {
-	known := h.facts.Load()
-	if h.cfg.Folder == "" || h.cfg.Room == 0 {
+func (h *Host) saveSnapshot(all []facts.Fact) {
+	factStore := h.store.Load()
+	if h.cfg.StateDir == "" || h.cfg.SnapshotSpace == 0 {
 		return
 	}
-	left, err := store.Save(h.cfg.Folder, h.cfg.Room/2, h.cfg.Wall(), store.Snapshot{Name: h.cfg.Name, Epoch: known.Epoch(), Facts: all})
-	word := ""
+	omitted, err := store.Save(h.cfg.StateDir, h.cfg.SnapshotSpace/2, h.cfg.WallClock(), store.Snapshot{Name: h.cfg.Name, Epoch: factStore.Epoch(), Facts: all})
+	message := ""
 	if err != nil {
-		h.Counters.SaveFails.Add(1)
-		if word = err.Error(); word != h.failing { // a disk that stays full is one line
-			h.fault("fleet_snapshot_not_saved", err)
+		h.Counters.FailedSaves.Add(1)
+		if message = err.Error(); message != h.lastSaveError { // log a permanent fault, such as a full disk, only once
+			h.reportFault("fleet_snapshot_not_saved", err)
 		}
 	} else {
 		h.Counters.Saves.Add(1)
 	}
-	h.failing = word
-	h.Counters.Left.Add(uint64(left))
+	h.lastSaveError = message
+	h.Counters.OmittedFacts.Add(uint64(omitted))
 }
--- a/internal/fleet/host_test.go
+++ b/internal/fleet/host_test.go
@@ -17,35 +17,35 @@
 	"raventrestle/internal/settings"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 var (
-	dest = facts.Subject{Dest: 7}
-	wait = facts.Value{For: 20 * time.Second}
+	destination = facts.Subject{Dest: 7}
+	waitValue   = facts.Value{For: 20 * time.Second}
 )
 
-type life struct {
+type runningHost struct {
 	*Host
 	stop func()
 }
 
-// hosts counts the hosts of these tests: each has a seed of its own, as two of one name must not draw alike.
-var hosts atomic.Uint64
+// hostCount provides a different random seed for each host, as two hosts of one name must not choose alike.
+var hostCount atomic.Uint64
 
-func config(t testing.TB, name, folder string, seeds ...string) Config {
+func testConfig(t testing.TB, name, dir string, seeds ...string) Config {
 	t.Helper()
-	began := time.Now()
+	start := time.Now()
 	return Config{
 		Settings: settings.Fleet{
 			Bind: "127.0.0.1:0", Seeds: seeds, Site: "here", MaxMembers: 16, MaxFacts: 512, MaxBytes: 1 << 16,
 			GossipInterval: 0.02, ProbeInterval: 0.1, SeedsInterval: 0.2,
-		}, Name: name, Folder: folder, Room: Room(3e6), Memory: 12 * time.Second,
-		Clock: func() time.Duration { return time.Since(began) }, Wall: time.Now, Chance: rand.New(rand.NewPCG(hosts.Add(1), 7)),
+		}, Name: name, StateDir: dir, SnapshotSpace: SnapshotSpace(3e6), FactTTL: 12 * time.Second,
+		Clock: func() time.Duration { return time.Since(start) }, WallClock: time.Now, Rand: rand.New(rand.NewPCG(hostCount.Add(1), 7)),
 		Log: slog.New(slog.DiscardHandler),
 	}
 }
 
-func live(t testing.TB, c Config) *life {
+func startHost(t testing.TB, c Config) *runningHost {
 	t.Helper()
 	h, err := New(c)
 	if err != nil {
@@ -54,153 +54,153 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); h.Run(ctx) }()
-	l := &life{h, func() { cancel(); <-done }}
+	l := &runningHost{h, func() { cancel(); <-done }}
 	t.Cleanup(l.stop)
 	return l
 }
 
-func (l *life) addr(t testing.TB) string {
+func (l *runningHost) addr(t testing.TB) string {
 	t.Helper()
-	until(t, "host up", func() bool { return l.facts.Load() != nil })
+	waitFor(t, "running host", func() bool { return l.store.Load() != nil })
 	select {
 	case <-l.group.Load().Ready():
-	case <-time.After(patience):
-		t.Fatal("no address")
+	case <-time.After(testTimeout):
+		t.Fatal("the address was not opened")
 	}
 	for _, m := range l.Status().Members {
 		if m.Name == l.cfg.Name && m.Addr.Port() != 0 {
 			return m.Addr.String()
 		}
 	}
-	t.Fatal("not in its own list")
+	t.Fatal("the host is not in its own list")
 	return ""
 }
 
-// until waits for what has no event: gossip's arrival.
-func until(t testing.TB, what string, ok func() bool) {
+// waitFor waits for a condition without an event, such as the arrival of gossip.
+func waitFor(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	tick := time.NewTicker(2 * time.Millisecond)
 	defer tick.Stop()
-	for end := time.After(patience); !ok(); {
+	for end := time.After(testTimeout); !ok(); {
 		select {
 		case <-tick.C:
 		case <-end:
-			t.Fatalf("not within %v: %s", patience, what)
+			t.Fatalf("not within %v: %s", testTimeout, what)
 		}
 	}
 }
 
-func (l *life) knows(s facts.Subject, k facts.Kind, dead bool) func() bool {
-	return func() bool { e, ok := l.Read(s, k); return ok && e.Retired == dead }
+func (l *runningHost) reads(s facts.Subject, k facts.Kind, retired bool) func() bool {
+	return func() bool { e, ok := l.Read(s, k); return ok && e.Retired == retired }
 }
 
-// What one is told the other reads, by gossip and by the table on joining; the next life of a name has a larger epoch,
-// with its folder and without, and what the life before told is dead.
-func TestTwoLives(t *testing.T) {
-	folder := t.TempDir()
-	a := live(t, config(t, "a", folder))
+// Another member reads what one member learned, by gossip and by the full state on joining. The next incarnation of a
+// name has a larger epoch, with and without its state directory, and the facts of the previous one are retired.
+func TestRestartRaisesEpoch(t *testing.T) {
+	dir := t.TempDir()
+	a := startHost(t, testConfig(t, "a", dir))
 	seed := a.addr(t)
-	a.Learn(dest, facts.Wait, wait)
-	b := live(t, config(t, "b", "", seed))
+	a.Learn(destination, facts.Wait, waitValue)
+	b := startHost(t, testConfig(t, "b", "", seed))
 	b.addr(t)
-	until(t, "the wait by the table", b.knows(dest, facts.Wait, false))
-	a.Learn(dest, facts.Limit, facts.Value{Number: 9, For: time.Second})
-	until(t, "the limit by gossip", b.knows(dest, facts.Limit, false))
-	a.Learn(dest, facts.Limit, facts.Value{Number: 9, For: time.Second})
+	waitFor(t, "the wait by full state", b.reads(destination, facts.Wait, false))
+	a.Learn(destination, facts.Limit, facts.Value{Number: 9, For: time.Second})
+	waitFor(t, "the limit by gossip", b.reads(destination, facts.Limit, false))
+	a.Learn(destination, facts.Limit, facts.Value{Number: 9, For: time.Second})
 	if a.Counters.Repeats.Load() != 1 {
-		t.Error("told again what all know")
+		t.Error("an observation that all members know was not counted as a repeat")
 	}
 	for _, lost := range []bool{false, true} {
 		old := a.Status().Epoch
 		a.stop()
 		if lost {
-			if err := os.Remove(filepath.Join(folder, "facts.snapshot")); err != nil {
+			if err := os.Remove(filepath.Join(dir, "facts.snapshot")); err != nil {
 				t.Fatal(err)
 			}
 		}
-		a = live(t, config(t, "a", folder, b.addr(t)))
+		a = startHost(t, testConfig(t, "a", dir, b.addr(t)))
 		a.addr(t)
 		if now := a.Status().Epoch; now <= old {
 			t.Fatalf("epoch %d after %d", now, old)
 		}
-		until(t, "the earlier life's wait dead", b.knows(dest, facts.Wait, true))
-		a.Learn(dest, facts.Wait, wait)
-		until(t, "its new life's wait", b.knows(dest, facts.Wait, false))
+		waitFor(t, "the retired wait of the previous incarnation", b.reads(destination, facts.Wait, true))
+		a.Learn(destination, facts.Wait, waitValue)
+		waitFor(t, "the wait of the new incarnation", b.reads(destination, facts.Wait, false))
 	}
 }
 
-// Two lives of one name at once: the one with the larger epoch goes on, the other is told so and tells nothing more.
+// Of two running incarnations with the same name, the one with the larger epoch continues, and the other stops sending.
 func TestSuperseded(t *testing.T) {
-	old := live(t, config(t, "a", ""))
-	b := live(t, config(t, "b", "", old.addr(t)))
-	next := live(t, config(t, "a", "", b.addr(t)))
+	old := startHost(t, testConfig(t, "a", ""))
+	b := startHost(t, testConfig(t, "b", "", old.addr(t)))
+	next := startHost(t, testConfig(t, "a", "", b.addr(t)))
 	next.addr(t)
-	until(t, "superseded", func() bool { return old.Status().Superseded || next.Status().Superseded })
+	waitFor(t, "superseded", func() bool { return old.Status().Superseded || next.Status().Superseded })
 	first, second := old, next
 	if next.Status().Superseded {
 		first, second = next, old
 	}
-	first.Learn(dest, facts.Wait, wait)
+	first.Learn(destination, facts.Wait, waitValue)
 	if first.Counters.Silenced.Load() != 1 {
-		t.Error("it tells on")
+		t.Error("the superseded host still sends")
 	}
-	second.Learn(dest, facts.Limit, facts.Value{Number: 3, For: time.Second})
-	until(t, "the other's word", b.knows(dest, facts.Limit, false))
-	if b.knows(dest, facts.Wait, false)() {
-		t.Error("a superseded life was heard")
+	second.Learn(destination, facts.Limit, facts.Value{Number: 3, For: time.Second})
+	waitFor(t, "the limit of the remaining incarnation", b.reads(destination, facts.Limit, false))
+	if b.reads(destination, facts.Wait, false)() {
+		t.Error("a fact of the superseded incarnation was accepted")
 	}
 }
 
-// An epoch of its own name that only a fact tells of is outgrown.
-func TestOutgrown(t *testing.T) {
-	a := live(t, config(t, "a", ""))
+// A host that receives a larger epoch of its own name only in a fact chooses a larger one.
+func TestUnknownOwnEpochIsExceeded(t *testing.T) {
+	a := startHost(t, testConfig(t, "a", ""))
 	a.addr(t)
-	known := a.facts.Load()
-	ahead := known.Epoch() + 1000
-	known.Receive(a.cfg.Clock(), []facts.Fact{{Subject: dest, Kind: facts.Wait, Value: wait, Origin: "a", Epoch: ahead, Seq: 1, TTL: time.Minute}})
-	if err := known.WaitIdle(t.Context()); err != nil {
+	factStore := a.store.Load()
+	heardEpoch := factStore.Epoch() + 1000
+	factStore.Receive(a.cfg.Clock(), []facts.Fact{{Subject: destination, Kind: facts.Wait, Value: waitValue, Origin: "a", Epoch: heardEpoch, Seq: 1, TTL: time.Minute}})
+	if err := factStore.WaitIdle(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	a.outgrown(facts.MaxEpoch) // none can be larger: not believed
-	a.outgrown(ahead)
-	if got := known.Epoch(); got <= ahead || got > ahead+1e6 {
-		t.Errorf("epoch %d after %d was heard", got, ahead)
+	a.raiseEpoch(facts.MaxEpoch) // has no valid successor and is ignored
+	a.raiseEpoch(heardEpoch)
+	if got := factStore.Epoch(); got <= heardEpoch || got > heardEpoch+1e6 {
+		t.Errorf("epoch %d after %d was heard", got, heardEpoch)
 	}
 }
 
-// Garbled, foreign and oversized input is refused and counted by its reason, and changes no fact.
-func TestGarbledInput(t *testing.T) {
-	a := live(t, config(t, "a", ""))
+// Malformed input, another format version and oversized input are refused, counted by reason, and change no fact.
+func TestMalformedInputIsRejected(t *testing.T) {
+	a := startHost(t, testConfig(t, "a", ""))
 	a.addr(t)
-	a.Learn(dest, facts.Wait, wait)
+	a.Learn(destination, facts.Wait, waitValue)
 	x := a.exchange()
-	if err := a.facts.Load().WaitIdle(t.Context()); err != nil {
+	if err := a.store.Load().WaitIdle(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	whole := x.FullState()
-	other := append([]byte(nil), whole...)
+	state := x.FullState()
+	other := append([]byte(nil), state...)
 	other[1] = 9 // the version
 	c := &a.Counters
 	for _, in := range []struct {
-		b    []byte
-		grew func() uint64
+		b       []byte
+		counter func() uint64
 	}{
 		{nil, c.Garbled.Load},
 		{[]byte("no facts"), c.Garbled.Load},
-		{whole[:len(whole)-1], c.Garbled.Load},
-		{append(whole[:len(whole):len(whole)], 0), c.Garbled.Load},
+		{state[:len(state)-1], c.Garbled.Load},
+		{append(state[:len(state):len(state)], 0), c.Garbled.Load},
 		{other, c.OtherVersion.Load},
 		{make([]byte, 1<<17), c.TooLarge.Load},
 	} {
-		before := in.grew()
-		if x.ReceiveUpdate("b", in.b) == nil || x.ReceiveFullState(in.b) == nil || in.grew() != before+2 {
-			t.Errorf("%d bytes: taken, or not counted", len(in.b))
+		before := in.counter()
+		if x.ReceiveUpdate("b", in.b) == nil || x.ReceiveFullState(in.b) == nil || in.counter() != before+2 {
+			t.Errorf("input of %d bytes was accepted or not counted", len(in.b))
 		}
 	}
-	// A fact that can't be true is refused by itself.
+	// A fact with an invalid field is refused without the other facts of its batch.
 	b, err := x.codec.Encode([]facts.Fact{
-		{Subject: dest, Kind: 99, Origin: "b", Epoch: 1, Seq: 1, TTL: time.Second},
-		{Subject: facts.Subject{Dest: 9}, Kind: facts.Wait, Value: wait, Origin: "b", Epoch: 1, Seq: 2, TTL: time.Minute},
+		{Subject: destination, Kind: 99, Origin: "b", Epoch: 1, Seq: 1, TTL: time.Second},
+		{Subject: facts.Subject{Dest: 9}, Kind: facts.Wait, Value: waitValue, Origin: "b", Epoch: 1, Seq: 2, TTL: time.Minute},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -208,86 +208,87 @@
 	if err := x.ReceiveUpdate("b", b); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the good fact", a.knows(facts.Subject{Dest: 9}, facts.Wait, false))
-	if s := a.facts.Load().Stats(); s.Facts != 2 || s.Invalid != 1 {
-		t.Errorf("%d facts, %d absurd", s.Facts, s.Invalid)
+	waitFor(t, "the valid fact", a.reads(facts.Subject{Dest: 9}, facts.Wait, false))
+	if s := a.store.Load().Stats(); s.Facts != 2 || s.Invalid != 1 {
+		t.Errorf("%d facts, %d invalid", s.Facts, s.Invalid)
 	}
-	for limit := 60; limit < 400; limit += 17 { // what goes out is never longer than allowed
+	for limit := 60; limit < 400; limit += 17 { // updates never exceed the limit
 		a.Learn(facts.Subject{Dest: int64(limit)}, facts.Limit, facts.Value{Number: 1.1, For: time.Second})
 		for _, p := range x.Updates(limit, 2) {
 			if len(p)+2 > limit {
-				t.Errorf("%d bytes of %d", len(p)+2, limit)
+				t.Errorf("%d bytes, limit %d", len(p)+2, limit)
 			}
 		}
 	}
 }
 
-func (l *life) exchange() *exchange {
+func (l *runningHost) exchange() *exchange {
 	codec, err := facts.NewCodec(l.limits.Facts, int(l.limits.Bytes))
 	if err != nil {
 		panic(err)
 	}
-	return &exchange{l.Host, l.facts.Load(), codec}
+	return &exchange{l.Host, l.store.Load(), codec}
 }
 
-// A folder of another courier's name: its facts are evidence, its epoch is not ours, though one that it heard of us is.
-func TestSnapshotOfAnother(t *testing.T) {
-	folder, now := t.TempDir(), time.Now()
-	far, heard := uint64(now.UnixMilli())*3, uint64(now.UnixMilli())*2
-	if _, err := store.Save(folder, Room(3e6)/2, now.Add(-2*time.Second), store.Snapshot{Name: "b", Epoch: far, Facts: []facts.Fact{
-		{Subject: dest, Kind: facts.Wait, Value: wait, Origin: "b", Epoch: far, Seq: 1, TTL: wait.For},
-		{Subject: dest, Kind: facts.Limit, Value: facts.Value{Number: 4, For: time.Second}, Origin: "a", Epoch: heard, Seq: 1, TTL: time.Minute},
+// From a snapshot of another member's name, the facts are used as evidence. Its epoch is not used as the own one, but an
+// epoch in its facts about the own name is.
+func TestSnapshotOfAnotherMember(t *testing.T) {
+	dir, now := t.TempDir(), time.Now()
+	otherEpoch, heard := uint64(now.UnixMilli())*3, uint64(now.UnixMilli())*2
+	if _, err := store.Save(dir, SnapshotSpace(3e6)/2, now.Add(-2*time.Second), store.Snapshot{Name: "b", Epoch: otherEpoch, Facts: []facts.Fact{
+		{Subject: destination, Kind: facts.Wait, Value: waitValue, Origin: "b", Epoch: otherEpoch, Seq: 1, TTL: waitValue.For},
+		{Subject: destination, Kind: facts.Limit, Value: facts.Value{Number: 4, For: time.Second}, Origin: "a", Epoch: heard, Seq: 1, TTL: time.Minute},
 	}}); err != nil {
 		t.Fatal(err)
 	}
-	a := live(t, config(t, "a", folder))
-	until(t, "the other's wait", a.knows(dest, facts.Wait, false))
-	if e, _ := a.Read(dest, facts.Wait); e.Age < 2*time.Second || e.Origin != "b" {
+	a := startHost(t, testConfig(t, "a", dir))
+	waitFor(t, "the other member's wait", a.reads(destination, facts.Wait, false))
+	if e, _ := a.Read(destination, facts.Wait); e.Age < 2*time.Second || e.Origin != "b" {
 		t.Errorf("%+v", e)
 	}
-	until(t, "our own limit of an earlier life dead", a.knows(dest, facts.Limit, true))
+	waitFor(t, "the retired limit of an earlier own incarnation", a.reads(destination, facts.Limit, true))
 	if got := a.Status().Epoch; got != heard+1 {
-		t.Errorf("epoch %d, heard %d, the other's %d", got, heard, far)
+		t.Errorf("epoch %d, heard %d, the other member's %d", got, heard, otherEpoch)
 	}
 	a.stop()
-	if loaded, err := store.Load(folder, Room(3e6)/2, time.Now()); err != nil || loaded.Name != "a" || loaded.Epoch != heard+1 {
+	if loaded, err := store.Load(dir, SnapshotSpace(3e6)/2, time.Now()); err != nil || loaded.Name != "a" || loaded.Epoch != heard+1 {
 		t.Errorf("%v %+v", err, loaded.Snapshot)
 	}
 }
 
-// Faults of the surroundings are counted, and the host runs and ends.
-func TestNothingStopsIt(t *testing.T) {
-	for name, spoil := range map[string]func(t *testing.T, c *Config){
-		"garbled snapshot": func(t *testing.T, c *Config) {
-			if err := os.WriteFile(filepath.Join(c.Folder, "facts.snapshot"), []byte("garbled"), 0o600); err != nil {
+// Faults of the environment are counted, and the host still runs and stops.
+func TestFaultsDoNotStopHost(t *testing.T) {
+	for name, injectFault := range map[string]func(t *testing.T, c *Config){
+		"corrupt snapshot": func(t *testing.T, c *Config) {
+			if err := os.WriteFile(filepath.Join(c.StateDir, "facts.snapshot"), []byte("garbled"), 0o600); err != nil {
 				t.Fatal(err)
 			}
 		},
-		"no folder":     func(_ *testing.T, c *Config) { c.Folder = filepath.Join(c.Folder, "none") },
+		"no directory":  func(_ *testing.T, c *Config) { c.StateDir = filepath.Join(c.StateDir, "none") },
 		"name too long": func(_ *testing.T, c *Config) { c.Name = string(make([]byte, 300)) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := config(t, "a", t.TempDir())
-			spoil(t, &c)
-			a := live(t, c)
-			until(t, "the fault counted", func() bool { return a.Counters.Faults.Load() > 0 })
-			a.Learn(dest, facts.Wait, wait)
+			c := testConfig(t, "a", t.TempDir())
+			injectFault(t, &c)
+			a := startHost(t, c)
+			waitFor(t, "a counted fault", func() bool { return a.Counters.Faults.Load() > 0 })
+			a.Learn(destination, facts.Wait, waitValue)
 			a.stop()
 		})
 	}
-	taken := live(t, config(t, "a", ""))
-	c := config(t, "b", "")
-	c.Settings.Bind = taken.addr(t)
-	b := live(t, c)
-	until(t, "the address found taken", func() bool { g := b.group.Load(); return g != nil && g.Counters.OpenFailed.Load() > 0 })
-	b.Learn(dest, facts.Wait, wait)
-	until(t, "its own word", b.knows(dest, facts.Wait, false))
-	for field, spoil := range map[string]func(*settings.Fleet){
+	occupant := startHost(t, testConfig(t, "a", ""))
+	c := testConfig(t, "b", "")
+	c.Settings.Bind = occupant.addr(t)
+	b := startHost(t, c)
+	waitFor(t, "the failure to open the occupied address", func() bool { g := b.group.Load(); return g != nil && g.Counters.OpenFailed.Load() > 0 })
+	b.Learn(destination, facts.Wait, waitValue)
+	waitFor(t, "its own observation", b.reads(destination, facts.Wait, false))
+	for field, corrupt := range map[string]func(*settings.Fleet){
 		"bind": func(s *settings.Fleet) { s.Bind = "here" }, "seeds": func(s *settings.Fleet) { s.Seeds = []string{"there:1"} },
 		"key_file": func(s *settings.Fleet) { s.KeyFile = "/nowhere/at/all" }, "advertise": func(s *settings.Fleet) { s.Advertise = "x" },
 	} {
-		c := config(t, "c", "")
-		if spoil(&c.Settings); true {
+		c := testConfig(t, "c", "")
+		if corrupt(&c.Settings); true {
 			if _, err := New(c); err == nil || field == "key_file" && !errors.Is(err, fs.ErrNotExist) {
 				t.Errorf("%s: %v", field, err)
 			}
@@ -295,30 +296,30 @@
 	}
 }
 
-// Before it is up and after it has ended the actor's calls do nothing harmful, and a life that ended has saved its facts.
-func TestBeforeAndAfter(t *testing.T) {
-	folder := t.TempDir()
-	h, err := New(config(t, "a", folder))
+// Before the start and after the end the methods for the request path do no harm, and a host saves its facts at its end.
+func TestCallsBeforeStartAndAfterEnd(t *testing.T) {
+	dir := t.TempDir()
+	h, err := New(testConfig(t, "a", dir))
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.Learn(dest, facts.Wait, wait)
+	h.Learn(destination, facts.Wait, waitValue)
 	h.Forget("e")
-	if _, ok := h.Read(dest, facts.Wait); ok || len(h.Status().Members) != 0 || h.Group() != nil {
-		t.Error("known before it was up")
+	if _, ok := h.Read(destination, facts.Wait); ok || len(h.Status().Members) != 0 || h.Group() != nil {
+		t.Error("the host returned data before its start")
 	}
-	a := live(t, config(t, "a", folder))
+	a := startHost(t, testConfig(t, "a", dir))
 	a.addr(t)
-	a.Learn(dest, facts.Wait, wait)
-	until(t, "its own word", a.knows(dest, facts.Wait, false))
+	a.Learn(destination, facts.Wait, waitValue)
+	waitFor(t, "its own observation", a.reads(destination, facts.Wait, false))
 	a.stop()
 	for i := range 1000 {
-		a.Learn(facts.Subject{Dest: int64(i)}, facts.Wait, wait)
+		a.Learn(facts.Subject{Dest: int64(i)}, facts.Wait, waitValue)
 	}
-	if !a.knows(dest, facts.Wait, false)() {
-		t.Error("forgotten at the end")
+	if !a.reads(destination, facts.Wait, false)() {
+		t.Error("the fact is unreadable after the end")
 	}
-	loaded, err := store.Load(folder, Room(3e6)/2, time.Now())
+	loaded, err := store.Load(dir, SnapshotSpace(3e6)/2, time.Now())
 	if err != nil || len(loaded.Facts) != 1 {
 		t.Errorf("%v %+v", err, loaded)
 	}
--- a/internal/fleet/figures/figures.go
+++ b/internal/fleet/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package figures shows a group's counters to Prometheus. It stands apart from package members because client_golang makes
-// a process 5 MB larger from its start on, used or not: a courier that shares nothing must not pay for it.
-package figures
+// Package metrics exports a group's counters to Prometheus. It is separate from package members because client_golang
+// makes a process 5 MB larger from its start on, used or not, and a process that shares nothing must not pay for that.
+package metrics
 
 import (
 	"sync/atomic"
@@ -10,42 +10,42 @@
 	"raventrestle/internal/fleet/members"
 )
 
-// figure is one series of the collector.
-type figure struct {
+// metric is one time series of the collector.
+type metric struct {
 	desc  *prometheus.Desc
 	label []string
 	value func(*members.Group) float64
 	kind  prometheus.ValueType
 }
 
-// Collector shows the group's figures.
+// Collector returns a Prometheus collector for the group's counters.
 func Collector(g *members.Group) prometheus.Collector {
 	const prefix = "raventrestle_fleet_"
-	var all collector
+	var collector groupCollector
 	counter := func(name, help, label, value string, count *atomic.Uint64) {
-		f := figure{kind: prometheus.CounterValue, value: func(*members.Group) float64 { return float64(count.Load()) }}
+		f := metric{kind: prometheus.CounterValue, value: func(*members.Group) float64 { return float64(count.Load()) }}
 		var labels []string
 		if label != "" {
 			labels, f.label = []string{label}, []string{value}
 		}
 		f.desc = prometheus.NewDesc(prefix+name, help, labels, nil)
-		all.figures = append(all.figures, f)
+		collector.metrics = append(collector.metrics, f)
 	}
-	all.g = g
+	collector.group = g
 	c := &g.Counters
-	const in, out, way = "in", "out", "direction"
-	counter("packets_total", "UDP packets.", way, in, &c.PacketsIn)
-	counter("packets_total", "UDP packets.", way, out, &c.PacketsOut)
-	counter("packet_bytes_total", "Bytes in UDP packets.", way, in, &c.PacketBytesIn)
-	counter("packet_bytes_total", "Bytes in UDP packets.", way, out, &c.PacketBytesOut)
-	counter("streams_total", "TCP connections.", way, in, &c.StreamsIn)
-	counter("streams_total", "TCP connections.", way, out, &c.StreamsOut)
-	counter("stream_bytes_total", "Bytes in TCP connections.", way, in, &c.StreamBytesIn)
-	counter("stream_bytes_total", "Bytes in TCP connections.", way, out, &c.StreamBytesOut)
-	counter("pieces_total", "Messages of facts by gossip or to one member.", way, in, &c.UpdatesIn)
-	counter("pieces_total", "Messages of facts by gossip or to one member.", way, out, &c.UpdatesOut)
-	counter("tables_total", "Whole tables of facts.", way, in, &c.FullStatesIn)
-	counter("tables_total", "Whole tables of facts.", way, out, &c.FullStatesOut)
+	const in, out, direction = "in", "out", "direction"
+	counter("packets_total", "UDP packets.", direction, in, &c.PacketsIn)
+	counter("packets_total", "UDP packets.", direction, out, &c.PacketsOut)
+	counter("packet_bytes_total", "Bytes in UDP packets.", direction, in, &c.PacketBytesIn)
+	counter("packet_bytes_total", "Bytes in UDP packets.", direction, out, &c.PacketBytesOut)
+	counter("streams_total", "TCP connections.", direction, in, &c.StreamsIn)
+	counter("streams_total", "TCP connections.", direction, out, &c.StreamsOut)
+	counter("stream_bytes_total", "Bytes in TCP connections.", direction, in, &c.StreamBytesIn)
+	counter("stream_bytes_total", "Bytes in TCP connections.", direction, out, &c.StreamBytesOut)
+	counter("pieces_total", "Messages of facts by gossip or to one member.", direction, in, &c.UpdatesIn)
+	counter("pieces_total", "Messages of facts by gossip or to one member.", direction, out, &c.UpdatesOut)
+	counter("tables_total", "Whole tables of facts.", direction, in, &c.FullStatesIn)
+	counter("tables_total", "Whole tables of facts.", direction, out, &c.FullStatesOut)
 	counter("tables_deferred_total", "Tables left out of an exchange for their rate.", "", "", &c.FullStatesDeferred)
 	counter("oversized_out_total", "Facts not sent, being above a bound.", "", "", &c.OversizedOut)
 	counter("joins_tried_total", "Seeds tried.", "", "", &c.JoinAttempts)
@@ -63,26 +63,29 @@
 	for r := range c.Dropped {
 		counter("dropped_total", "What came in and was not taken.", "reason", members.Reason(r).String(), &c.Dropped[r])
 	}
-	all.figures = append(all.figures, figure{
+	collector.metrics = append(collector.metrics, metric{
 		desc: prometheus.NewDesc(prefix+"members", "Couriers that are up, this one included.", nil, nil),
 		kind: prometheus.GaugeValue, value: func(g *members.Group) float64 { return float64(len(g.Alive())) },
 	})
-	return all
+	return collector
 }
 
-type collector struct {
-	g       *members.Group
-	figures []figure
+// groupCollector implements prometheus.Collector.
+type groupCollector struct {
+	group   *members.Group
+	metrics []metric
 }
 
-func (c collector) Describe(to chan<- *prometheus.Desc) {
-	for _, f := range c.figures {
+// Describe implements prometheus.Collector.
+func (c groupCollector) Describe(to chan<- *prometheus.Desc) {
+	for _, f := range c.metrics {
 		to <- f.desc
 	}
 }
 
-func (c collector) Collect(to chan<- prometheus.Metric) {
-	for _, f := range c.figures {
-		to <- prometheus.MustNewConstMetric(f.desc, f.kind, f.value(c.g), f.label...)
+// Collect implements prometheus.Collector.
+func (c groupCollector) Collect(to chan<- prometheus.Metric) {
+	for _, f := range c.metrics {
+		to <- prometheus.MustNewConstMetric(f.desc, f.kind, f.value(c.group), f.label...)
 	}
 }
--- a/internal/fleet/figures/figures_test.go
+++ b/internal/fleet/metrics/metrics_test.go
@@ -1,4 +1,4 @@
-package figures
+package metrics
 
 import (
 	"log/slog"
@@ -11,7 +11,7 @@
 	"raventrestle/internal/fleet/members"
 )
 
-func TestCollector(t *testing.T) {
+func TestCollectorCountsDrops(t *testing.T) {
 	g, err := members.New(members.Config{Name: "a", Epoch: 1, Bind: netip.MustParseAddrPort("127.0.0.1:0")}, nil, rand.New(rand.NewPCG(1, 2)), slog.Default())
 	if err != nil {
 		t.Fatal(err)
@@ -32,5 +32,5 @@
 			}
 		}
 	}
-	t.Fatal("no count of what was dropped")
+	t.Fatal("no series with the count of dropped input")
 }
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -7,25 +7,26 @@
 	"raventrestle/internal/fleet/store"
 )
 
-// Status is what operators see of a courier's part in its fleet.
+// Status describes the membership of this process for operators.
 type Status struct {
 	Epoch      uint64           `json:"epoch"`
 	Site       string           `json:"site"`
-	Superseded bool             `json:"superseded,omitempty"` // another process of this name serves
-	Members    []members.Member `json:"members"`              // that are up, this one included
+	Superseded bool             `json:"superseded,omitempty"` // another process with this name is up
+	Members    []members.Member `json:"members"`              // live members, including this one
 	Facts      int64            `json:"facts"`
 	FactBytes  int64            `json:"fact_bytes"`
-	BytesIn    uint64           `json:"bytes_in"` // of UDP and TCP, since the start
+	BytesIn    uint64           `json:"bytes_in"` // UDP and TCP, since the start
 	BytesOut   uint64           `json:"bytes_out"`
 	Faults     uint64           `json:"faults,omitempty"`
 }
 
-// Status of now; it takes locks, so it is not for the actor. The epoch is 0 while the host is not up.
+// Status returns the current status. It takes locks, so it must not be called from the request path. The epoch is 0
+// while the host is not running.
 func (h *Host) Status() Status {
-	s := Status{Site: h.cfg.Settings.Site, Superseded: h.retired.Load(), Members: []members.Member{}, Faults: h.Counters.Faults.Load()}
-	if known := h.facts.Load(); known != nil {
-		all := known.Stats()
-		s.Epoch, s.Facts, s.FactBytes = known.Epoch(), all.Facts, all.Bytes
+	s := Status{Site: h.cfg.Settings.Site, Superseded: h.isSuperseded.Load(), Members: []members.Member{}, Faults: h.Counters.Faults.Load()}
+	if factStore := h.store.Load(); factStore != nil {
+		stats := factStore.Stats()
+		s.Epoch, s.Facts, s.FactBytes = factStore.Epoch(), stats.Facts, stats.Bytes
 	}
 	if group := h.group.Load(); group != nil {
 		c := &group.Counters
@@ -34,20 +35,20 @@
 	return s
 }
 
-// Group is the members' part, for their figures; nil while the host is not up.
+// Group returns the membership, for its metrics; nil while the host is not running.
 func (h *Host) Group() *members.Group { return h.group.Load() }
 
-// Count logs the counters.
-func (h *Host) Count(log *slog.Logger) {
+// LogCounters logs all counters.
+func (h *Host) LogCounters(log *slog.Logger) {
 	c := &h.Counters
-	log.Info("counters: fleet", "faults", c.Faults.Load(), "saves", c.Saves.Load(), "save_fails", c.SaveFails.Load(), "left_out", c.Left.Load(),
+	log.Info("counters: fleet", "faults", c.Faults.Load(), "saves", c.Saves.Load(), "save_fails", c.FailedSaves.Load(), "left_out", c.OmittedFacts.Load(),
 		"garbled", c.Garbled.Load(), "other_version", c.OtherVersion.Load(), "too_large", c.TooLarge.Load(), "repeats", c.Repeats.Load(),
 		"silenced", c.Silenced.Load(), "epochs", c.Epochs.Load())
-	if known := h.facts.Load(); known != nil {
-		var s store.Stats = known.Stats()
-		log.Info("counters: facts", "facts", s.Facts, "bytes", s.Bytes, "waiting", s.Queued, "learned", s.Learned, "taken", s.Received,
-			"changed", s.Changed, "older", s.AgeCorrected, "known", s.Unchanged, "absurd", s.Invalid, "gone", s.EndpointRemoved, "origins", s.TooManyOrigins,
-			"mail_dropped", s.JobsDropped, "queue_dropped", s.GossipDropped, "shed", s.Evicted, "swept", s.Swept, "passed", s.Sent)
+	if factStore := h.store.Load(); factStore != nil {
+		var stats store.Stats = factStore.Stats()
+		log.Info("counters: facts", "facts", stats.Facts, "bytes", stats.Bytes, "waiting", stats.Queued, "learned", stats.Learned, "taken", stats.Received,
+			"changed", stats.Changed, "older", stats.AgeCorrected, "known", stats.Unchanged, "absurd", stats.Invalid, "gone", stats.EndpointRemoved, "origins", stats.TooManyOrigins,
+			"mail_dropped", stats.JobsDropped, "queue_dropped", stats.GossipDropped, "shed", stats.Evicted, "swept", stats.Swept, "passed", stats.Sent)
 	}
 	if group := h.group.Load(); group != nil {
 		m := &group.Counters
