--- a/internal/fleet/facts/facts_test.go
+++ b/internal/fleet/facts/facts_test.go
@@ -70,14 +70,14 @@
 func TestMergeIsAJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := rapid.SliceOfN(rapid.Custom(drawObservation), 1, 24).Draw(t, "facts")
-		moment := rapid.IntRange(0, 9)
+		mergeTime := rapid.IntRange(0, 9)
 		// The same facts in another order, at other times, and half of them twice.
 		a, b := New(testLimits()), New(testLimits())
 		for _, f := range all {
-			mustMerge(t, a, time.Duration(moment.Draw(t, "when"))*sec, f)
+			mustMerge(t, a, time.Duration(mergeTime.Draw(t, "when"))*sec, f)
 		}
 		for _, f := range rapid.Permutation(append(slices.Clone(all), all[:len(all)/2]...)).Draw(t, "order") {
-			mustMerge(t, b, time.Duration(moment.Draw(t, "when"))*sec, f)
+			mustMerge(t, b, time.Duration(mergeTime.Draw(t, "when"))*sec, f)
 		}
 		if d := cmp.Diff(readAll(a), readAll(b)); d != "" {
 			t.Fatalf("reads differ after another merge order:\n%s", d)
--- a/internal/fleet/members/members_test.go
+++ b/internal/fleet/members/members_test.go
@@ -60,8 +60,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out [][]byte
-	for n, left := range s.sendsLeft {
-		if left > 0 && limit >= overhead+s.size {
+	for n, remaining := range s.sendsLeft {
+		if remaining > 0 && limit >= overhead+s.size {
 			s.sendsLeft[n]--
 			limit -= overhead + s.size
 			out = append(out, s.appendEncoded(nil, n))
--- a/internal/fleet/store/snapshot.go
+++ b/internal/fleet/store/snapshot.go
@@ -28,7 +28,7 @@
 
 // Loaded is a snapshot that was read back.
 type Loaded struct {
-	Snapshot                   // the facts are not expired, and Age is added to their ages
+	Snapshot                   // only the unexpired facts, with Age added to their ages
 	Age          time.Duration // time since the snapshot was saved
 	ClockSetBack bool          // Age is unknown, so all facts are considered expired
 	Expired      int           // number of facts left out
