--- a/internal/router/dispatch/admission.go
+++ b/internal/router/dispatch/admission.go
@@ -4,57 +4,60 @@
 	"time"
 )
 
-// Admission of arriving requests: unknown models, shutdown and quota are checked here, and what passes is assigned to an endpoint.
+// Admission: an arriving request is checked for an unknown model, a coming shutdown and its tenant's quota. A request
+// that passes is put into the queue of an endpoint.
 
-// onArrival takes in a new request.
-func (d *Decider) onArrival(asked *Request) {
-	if d.requests[asked.ID] != nil {
+// onArrival handles a new request: it admits the request, queues it until its tenant's quota covers it, or rejects
+// it. A request whose ID is already known is ignored.
+func (d *Decider) onArrival(incoming *Request) {
+	if d.requests[incoming.ID] != nil {
 		return
 	}
 	d.counters.Arrived++
-	if d.namesUnknownModel(asked) {
+	if d.namesUnknownModel(incoming) {
 		d.counters.Rejected[NoEndpoint]++
-		d.outputs = append(d.outputs, Reject{ID: asked.ID, Reason: NoEndpoint, RetryAfter: unknownModelRetryAfter})
+		d.outputs = append(d.outputs, Reject{ID: incoming.ID, Reason: NoEndpoint, RetryAfter: unknownModelRetryAfter})
 		return
 	}
-	r := &request{Request: *asked}
+	r := &request{Request: *incoming}
 	r.arrived = d.now
-	if !asked.ArrivedAt.IsZero() {
-		r.arrived = min(asked.ArrivedAt.Sub(d.startTime), d.now)
+	if !incoming.ArrivedAt.IsZero() {
+		r.arrived = min(incoming.ArrivedAt.Sub(d.startTime), d.now)
 	}
-	r.latencyTarget = asked.LatencyTarget.Sub(d.startTime)
-	r.deadline = asked.Deadline.Sub(d.startTime)
-	r.rank = rank(asked)
-	r.group = d.ensureService(asked.Service).ensureGroup(asked.Model)
+	r.latencyTarget = incoming.LatencyTarget.Sub(d.startTime)
+	r.deadline = incoming.Deadline.Sub(d.startTime)
+	r.rank = rank(incoming)
+	r.group = d.ensureService(incoming.Service).ensureGroup(incoming.Model)
 	if !d.finishesBeforeShutdown(r) {
 		d.rejectForShutdown(r)
 		return
 	}
 	d.requests[r.ID] = r
 	switch {
-	case d.pay(r):
+	case d.chargeNewRequest(r):
 		d.admit(r)
 	case !d.queueForQuota(r):
 		d.rejectForQuota(r)
 	}
 }
 
-// admit assigns a request whose quota is paid to an endpoint.
+// admit counts a request whose quota has been charged and assigns it to an endpoint.
 func (d *Decider) admit(r *request) {
-	if !d.finishesBeforeShutdown(r) { // time has passed while it waited for quota
+	if !d.finishesBeforeShutdown(r) { // it may have waited for quota since the first check
 		d.rejectForShutdown(r)
 		d.remove(r)
 		return
 	}
 	d.countRequest(r.group.service)
 	d.countDemand(r)
-	r.group.service.promptSizes.add(r.prefillBeyond(0))
+	r.group.service.promptSizes.add(r.uncachedTokens(0))
 	r.queueDeadline = r.initialQueueDeadline()
 	d.timers.add(r.queueDeadline, r)
 	d.assign(r)
 }
 
-// cancel removes a queued request. One in flight remains until AttemptFinished.
+// cancel handles the cancellation of a request. A queued request is removed at once, a request in flight by
+// AttemptFinished.
 func (d *Decider) cancel(id RequestID) {
 	r := d.requests[id]
 	if r == nil {
@@ -67,7 +70,7 @@
 	}
 }
 
-// remove deletes a request that has ended and refunds its quota if it surely did not execute.
+// remove deletes a request that has ended and refunds its quota if it certainly did not execute.
 func (d *Decider) remove(r *request) {
 	r.stage = stageDone
 	if r.awaitingQuota {
@@ -78,13 +81,13 @@
 }
 
 // reject ends a queued request with a rejection.
-func (d *Decider) reject(r *request, reason Reason, after time.Duration) {
+func (d *Decider) reject(r *request, reason Reason, retryAfter time.Duration) {
 	d.dequeue(r)
 	if reason == NoEndpoint || reason == TargetUnreachable {
 		d.countUnserved(r)
 	}
 	d.counters.Rejected[reason]++
-	d.outputs = append(d.outputs, Reject{ID: r.ID, Reason: reason, RetryAfter: after})
+	d.outputs = append(d.outputs, Reject{ID: r.ID, Reason: reason, RetryAfter: retryAfter})
 	if reason != QuotaExceeded && reason != NoEndpoint {
 		r.group.service.fairness.record(r, false)
 	}
--- a/internal/router/dispatch/attempt.go
+++ b/internal/router/dispatch/attempt.go
@@ -4,12 +4,14 @@
 	"raventrestle/internal/protocol"
 )
 
-// End of an attempt: what it says of the request and of the endpoint, and whether the request is retried.
+// Progress and end of attempts: how they update the request, the endpoint and the estimates, and whether the request
+// is retried.
 
-// maxRejections is how many endpoints may reject a request before it is rejected itself.
+// maxRejections is the number of attempts of a request that may end without execution (rejected, misdirected or not
+// sent). After one more the request itself is rejected.
 const maxRejections = 2
 
-// onFirstByte notes that an endpoint began to answer.
+// onFirstByte handles the first byte of an endpoint's answer.
 func (d *Decider) onFirstByte(input FirstByteReceived) {
 	r := d.requests[input.ID]
 	if r == nil || r.stage != stageInFlight || r.endpoint.id != input.Endpoint || r.firstByteSeen {
@@ -27,10 +29,10 @@
 	d.recordAdvertisedLoad(e, input.Load)
 	d.learnFirstByte(r, e)
 	d.recordSuccess(e, r)
-	e.capacityChanged()
+	e.recordCapacityChange()
 }
 
-// onProgress notes that an endpoint's stream goes on.
+// onProgress records that the endpoint of a stream still sends events.
 func (d *Decider) onProgress(input StreamProgress) {
 	r := d.requests[input.ID]
 	if r != nil && r.stage == stageInFlight && r.endpoint.id == input.Endpoint {
@@ -38,7 +40,7 @@
 	}
 }
 
-// onAttemptFinished processes the end of an attempt.
+// onAttemptFinished handles the end of an attempt: it records the result and then removes or retries the request.
 func (d *Decider) onAttemptFinished(input AttemptFinished) {
 	r := d.requests[input.ID]
 	if r == nil || r.stage != stageInFlight || r.endpoint.id != input.Endpoint {
@@ -48,20 +50,20 @@
 	d.releaseAttempt(r)
 	d.recordAdvertisedLoad(e, input.Load)
 	d.evaluateResult(r, e, input)
-	e.capacityChanged()
+	e.recordCapacityChange()
 	if e.state == protocol.Departed && len(e.inFlight) == 0 {
 		delete(d.endpoints, e.id)
 	}
 	if !input.NeedsRetry || r.canceled {
 		r.group.service.fairness.record(r, input.Result == Succeeded)
-		d.recordEnd(r, input)
+		d.recordOutcome(r, input)
 		d.remove(r)
 		return
 	}
 	d.retry(r)
 }
 
-// releaseAttempt frees the slot of an attempt.
+// releaseAttempt releases the slot of the request's attempt.
 func (d *Decider) releaseAttempt(r *request) {
 	e := r.endpoint
 	e.inFlight = remove(e.inFlight, r)
@@ -77,12 +79,13 @@
 	e.lastUsedAt = d.now
 	d.schedule.Ended(e, (d.now - r.sentAt).Seconds(), d.now)
 	r.target.inFlight--
-	d.noteDemandChanged()
+	d.recordDemandChange()
 	r.endpoint = nil
 	r.stage = stageQueued
 }
 
-// endVerification notes that the request's attempt, if it verified a residency, is answered or over.
+// endVerification ends the verification of an assumed residency (expected_load.go) if the request's attempt is one.
+// It is called when the attempt gets its first byte or ends.
 func (d *Decider) endVerification(r *request) {
 	if r.verifying != nil {
 		r.verifying.verifications--
@@ -91,12 +94,12 @@
 	}
 }
 
-// evaluateResult updates the request's and the endpoint's state by the result of an attempt.
+// evaluateResult updates the request, the endpoint's health and the estimates with the result of an attempt.
 func (d *Decider) evaluateResult(r *request, e *endpoint, input AttemptFinished) {
 	r.attempted = append(r.attempted, e)
 	switch input.Result {
 	case Succeeded:
-		r.noteExecution()
+		r.recordPossibleExecution()
 		d.learnDuration(r)
 		if !r.firstByteSeen {
 			d.learnFirstByte(r, e)
@@ -104,13 +107,13 @@
 		}
 		d.recordSuccess(e, r)
 	case Failed:
-		r.noteExecution()
+		r.recordPossibleExecution()
 		d.recordFailure(e, r, failureWeight)
 	case ConnectionLost:
-		r.noteExecution()
+		r.recordPossibleExecution()
 		d.recordFailure(e, r, connectionLossWeight)
 	case Canceled:
-		r.noteExecution()
+		r.recordPossibleExecution()
 		d.recordCancellation(e, r)
 	case NotSent:
 		r.deliveries--
@@ -118,20 +121,21 @@
 		r.rejections++
 		d.recordFailure(e, r, unreachableWeight)
 	case Rejected:
-		if !d.loadNotFinished(r, e) {
+		if !d.retractAssumedLoad(r, e) {
 			r.rejections++
 			d.recordRejection(e, r, input.Load)
 		}
 	case Misdirected:
-		if !d.loadNotFinished(r, e) {
+		if !d.retractAssumedLoad(r, e) {
 			r.rejections++
 			d.recordMisdirection(e, r)
 		}
 	}
 }
 
-// loadNotFinished reports whether the endpoint was only assumed to have the model by now. Then the request may be sent there again.
-func (d *Decider) loadNotFinished(r *request, e *endpoint) bool {
+// retractAssumedLoad handles a rejection by an endpoint whose model or adapter was only assumed to be loaded by now.
+// It reports whether that is the case; the request may then be sent to the endpoint again.
+func (d *Decider) retractAssumedLoad(r *request, e *endpoint) bool {
 	if !d.refuteResidency(r, e) {
 		return false
 	}
@@ -140,14 +144,15 @@
 	return true
 }
 
-// retry finds another endpoint for a request whose attempt ended without an answer, if that is allowed.
+// retry assigns a request whose attempt ended without a complete answer to an endpoint again, or rejects it if no
+// further attempt is allowed.
 func (d *Decider) retry(r *request) {
 	switch {
 	case r.mayHaveExecuted && !r.Retryable, r.possibleExecutions >= max(r.MaxEndpoints, 1):
 		d.reject(r, AttemptsExhausted, 0)
 	case r.rejections > maxRejections:
 		d.reject(r, AttemptsExhausted, d.retryAfter(r, 0))
-	case !d.mayRetry(r):
+	case !d.hasRetryBudget(r):
 		d.reject(r, RetryBudgetExhausted, d.retryAfter(r, 0))
 	case d.now >= r.deadline:
 		d.reject(r, TargetUnreachable, 0)
--- a/internal/router/dispatch/backlog.go
+++ b/internal/router/dispatch/backlog.go
@@ -1,11 +1,12 @@
 package dispatch
 
-// Backlog: calls of this router at an endpoint that have no first byte yet.
+// Backlog: this router's calls at an endpoint that have not received their first byte, and the prompt tokens that the
+// endpoint has to prefill for them.
 
-// pastTargetSmoothing is the weight of a new observation in a service's pastTargetFraction.
+// pastTargetSmoothing is the weight of a new sample in a service's moving average pastTargetFraction.
 const pastTargetSmoothing = 0.05
 
-// backlog counts calls without a first byte, and the tokens of their prefill.
+// backlog counts calls without a first byte and the tokens of their prefill.
 type backlog struct{ calls, tokens int }
 
 func (b *backlog) add(calls, tokens int) {
@@ -13,7 +14,7 @@
 	b.tokens += tokens
 }
 
-// addBacklog counts a call that is sent.
+// addBacklog adds a call to the endpoint's backlog when it is sent.
 func (d *Decider) addBacklog(e *endpoint, r *request) {
 	e.awaitingFirstByte = append(e.awaitingFirstByte, r)
 	e.backlog.add(1, r.prefillTokens)
@@ -29,7 +30,7 @@
 	s.pastTargetFraction += (fraction - s.pastTargetFraction) * pastTargetSmoothing
 }
 
-// removeBacklog takes off a call that is answered or over.
+// removeBacklog removes a call from the endpoint's backlog when its first byte arrives or its attempt ends.
 func (e *endpoint) removeBacklog(r *request) {
 	e.awaitingFirstByte = remove(e.awaitingFirstByte, r)
 	e.backlog.add(-1, -r.prefillTokens)
@@ -38,7 +39,8 @@
 	}
 }
 
-// clearBacklogTokens is called when the endpoint is ejected: no request waits any more for the prefill of its unanswered calls.
+// clearBacklogTokens sets the prefill tokens of the backlog to 0. It is called when the endpoint is ejected: the
+// prefill of its unanswered calls no longer delays any request.
 func (e *endpoint) clearBacklogTokens() {
 	for _, r := range e.awaitingFirstByte {
 		r.prefillTokens = 0
--- a/internal/router/dispatch/benchmark_test.go
+++ b/internal/router/dispatch/benchmark_test.go
@@ -12,7 +12,8 @@
 	"raventrestle/internal/sizetest"
 )
 
-// newLargeDecider returns a router's decider at the size to design for: 2,900 endpoints, 1,100 models, 830 routers.
+// newLargeDecider returns a router's decider at the size to design for: 2,900 endpoints, 1,100 models and 830
+// routers.
 func newLargeDecider() (*Decider, time.Time, []string) {
 	const endpoints, models = 2900, 1100
 	engine := &configuration.Engine{Slots: 64, KVTokens: 130000}
@@ -37,15 +38,16 @@
 	return d, now, names
 }
 
+// BenchmarkRequestAtSize sends requests, with about 50 in flight.
 func BenchmarkRequestAtSize(b *testing.B) {
 	d, now, names := newLargeDecider()
 	rng := rand.New(rand.NewPCG(1, 2))
 	b.ReportAllocs()
 	type call struct {
-		id RequestID
-		at string
+		id       RequestID
+		endpoint string
 	}
-	var out []call
+	var inFlight []call
 	b.ResetTimer()
 	for i := range b.N {
 		now = now.Add(50 * time.Millisecond)
@@ -57,17 +59,18 @@
 		}
 		for _, o := range d.Step(now, []Input{RequestArrived{r}}) {
 			if o, ok := o.(Send); ok {
-				out = append(out, call{o.ID, o.Endpoint})
+				inFlight = append(inFlight, call{o.ID, o.Endpoint})
 			}
 		}
-		if len(out) > 50 {
-			d.Step(now, []Input{FirstByteReceived{ID: out[40].id, Endpoint: out[40].at}})
-			d.Step(now, []Input{AttemptFinished{ID: out[0].id, Endpoint: out[0].at}})
-			out = out[1:]
+		if len(inFlight) > 50 {
+			d.Step(now, []Input{FirstByteReceived{ID: inFlight[40].id, Endpoint: inFlight[40].endpoint}})
+			d.Step(now, []Input{AttemptFinished{ID: inFlight[0].id, Endpoint: inFlight[0].endpoint}})
+			inFlight = inFlight[1:]
 		}
 	}
 }
 
+// BenchmarkTableAtSize applies an update of one endpoint.
 func BenchmarkTableAtSize(b *testing.B) {
 	d, now, names := newLargeDecider()
 	b.ReportAllocs()
@@ -78,7 +81,8 @@
 	}
 }
 
-// BenchmarkConfigurationAtSize applies a new configuration and a complete table, as after a change of the control instance.
+// BenchmarkConfigurationAtSize applies a new configuration and a complete table, as after a switch to another control
+// instance.
 func BenchmarkConfigurationAtSize(b *testing.B) {
 	d := New(Config{Seed: 1, Zone: "zone01", RouterCount: sizetest.Routers, RetryBudgetRatio: 0.2, RetryBudgetSlack: 56})
 	now := time.Now()
@@ -91,7 +95,7 @@
 	}
 }
 
-// BenchmarkMemoryAtSize measures the heap that a router's tables take.
+// BenchmarkMemoryAtSize measures the heap size of a router's tables.
 func BenchmarkMemoryAtSize(b *testing.B) {
 	var before, after runtime.MemStats
 	for b.Loop() {
@@ -109,8 +113,9 @@
 	b.ReportMetric(float64(after.HeapAlloc)-float64(before.HeapAlloc), "heap-B")
 }
 
-// BenchmarkPayFromCredit is the quota's part of a request's decision while credit is at hand.
-func BenchmarkPayFromCredit(b *testing.B) {
+// BenchmarkChargeNewRequest measures the quota's part of the decision about a request while enough credit is
+// available.
+func BenchmarkChargeNewRequest(b *testing.B) {
 	d := New(Config{QuotaOvershootFraction: 0.1, QuotaOvershootSlack: 11000})
 	d.configureTenants(testConfiguration().Tenants)
 	t := d.tenants["t"]
@@ -118,8 +123,8 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		t.credits = append(t.credits[:0], credit{amount: 1e9, expiresAt: time.Hour})
-		if !d.pay(r) {
-			b.Fatal("not paid, want credit at hand")
+		if !d.chargeNewRequest(r) {
+			b.Fatal("not charged, want enough credit available")
 		}
 		d.emitCreditRequests()
 	}
--- a/internal/router/dispatch/choice.go
+++ b/internal/router/dispatch/choice.go
@@ -7,54 +7,56 @@
 	"raventrestle/internal/protocol"
 )
 
-// Choice among the endpoints that have a request's model, by cost in milliseconds: the expected time to the first byte, what is cached of
-// the prompt, and smaller terms. Rendezvous hashing of the shared parts makes routers agree, without communication, on the endpoint
+// Endpoint selection: the endpoints that have a request's model are compared by a cost in milliseconds, which is
+// based on the expected time to the first byte, the part of the prompt in the endpoint's prefix cache, and smaller
+// terms. Rendezvous hashing of the prompt's shared parts lets routers agree, without communication, on the endpoint
 // that caches them.
 
 const (
-	rendezvousHitProbability = 0.9 // that the endpoint of the rendezvous hash has the shared parts, though this router didn't send them
-	relaxedFraction          = 0.4 // of the time left until the target: time below it has a lower cost
-	relaxedTimeCost          = 0.4
-	cacheMissCost            = 3.0   // of tokens that some endpoint has cached, in times of their prefill
-	utilizationCostMS        = 400.0 // of an endpoint's last slot
-	sizeMismatchCostMS       = 300.0 // of an endpoint that prefers prompts of the other end of all sizes
-	crossZoneCostMS          = 1.0   // of an endpoint in another zone
-	dialCostMS               = 3.0   // of a new connection
-	possiblyDownCostMS       = 400.0 // of an endpoint whose heartbeats stopped
-	recoveringCostMS         = 100.0 // of an endpoint that just failed, for requests that can't be retried
-	tieBreakCostMS           = 0.5   // between equal endpoints
-	targetFraction           = 0.8   // of the time left until the target that the predicted time may take
-	connectionIdleTimeout    = 8 * time.Second
+	rendezvousHitProbability = 0.9             // probability that the endpoint it selects has cached the shared parts, though this router didn't send them
+	relaxedFraction          = 0.4             // fraction of the time until the latency target; predicted time within it has a lower cost
+	relaxedTimeCost          = 0.4             // cost of a millisecond within relaxedFraction; beyond it a millisecond costs 1
+	cacheMissCost            = 3.0             // cost of shared tokens that are not cached, as a multiple of their prefill time
+	utilizationCostMS        = 400.0           // cost of an endpoint whose last free slot the request takes; proportional to the slots in use
+	sizeMismatchCostMS       = 300.0           // cost of an endpoint whose interval of prompt sizes is as far as possible from the request's
+	crossZoneCostMS          = 1.0             // cost of an endpoint in another zone
+	dialCostMS               = 3.0             // cost of opening a connection
+	possiblyDownCostMS       = 400.0           // cost of an endpoint whose heartbeats have stopped
+	recoveringCostMS         = 100.0           // cost of an endpoint that recovers from an ejection, for requests that can't be retried
+	tieBreakCostMS           = 0.5             // maximum of a pseudo-random cost that decides between equal endpoints
+	targetFraction           = 0.8             // fraction of the time until the latency target that the predicted time may take
+	connectionIdleTimeout    = 8 * time.Second // after which an unused connection is assumed to be closed
 )
 
-// availability says how well an endpoint can serve a request, best first.
+// availability is how well an endpoint can serve a request; lower values are better.
 type availability uint8
 
 const (
-	availableNow        availability = iota // within the target, or while most of its slots are free
-	availablePastTarget                     // it can take the request, which would probably miss its target
-	unavailable                             // it can't take one more now
-	noCandidate                             // no endpoint has what the request needs
+	availableNow        availability = iota // the request will probably meet its latency target, or the endpoint is underutilized
+	availablePastTarget                     // the endpoint can take the request, which will probably miss its latency target
+	unavailable                             // the endpoint can't take another request now
+	noCandidate                             // no endpoint is eligible
 )
 
-// choose returns the best residency for the request and how available it is.
+// choose returns the residency with the lowest cost among those of the best availability, and that availability. If
+// all eligible endpoints are unavailable, an ejected endpoint may be chosen as the last resort.
 func (d *Decider) choose(r *request) (best *residency, status availability) {
 	status = noCandidate
 	lowestCost := math.Inf(1)
 	parts, shared := r.sharedPrefix()
 	preferred := d.rendezvousChoice(r, parts)
-	r.sizes = r.group.service.promptSizes.interval(r.prefillBeyond(0))
-	if r.sizes != allSizes {
-		r.group.orderBySize()
+	r.sizeInterval = r.group.service.promptSizes.interval(r.uncachedTokens(0))
+	if r.sizeInterval != allSizes {
+		r.group.assignSizeIntervals()
 	}
 	for _, res := range r.group.residencies {
 		if !d.eligible(res, r) {
 			continue
 		}
 		ms, cost := d.cost(res, r, shared, res == preferred)
-		c := d.availabilityOf(res, r, ms)
-		if c < status || c == status && cost < lowestCost {
-			best, status, lowestCost = res, c, cost
+		candidate := d.availabilityOf(res, r, ms)
+		if candidate < status || candidate == status && cost < lowestCost {
+			best, status, lowestCost = res, candidate, cost
 		}
 	}
 	if status == unavailable {
@@ -65,7 +67,7 @@
 	return best, status
 }
 
-// eligible reports whether the request may be sent to the residency at all, now or later.
+// eligible reports whether the residency can serve the request at all, now or later.
 func (d *Decider) eligible(res *residency, r *request) bool {
 	e := res.endpoint
 	if !e.acceptsRequests() || !res.serves(r.Adapter) {
@@ -77,7 +79,7 @@
 	return !e.isUnloading(r.Model, r.Adapter)
 }
 
-// isUnloading reports whether the endpoint was ordered to unload what the request needs.
+// isUnloading reports whether the endpoint has been ordered to unload the model or the adapter.
 func (e *endpoint) isUnloading(model, adapter string) bool {
 	for i := range e.pendingLoads {
 		l := &e.pendingLoads[i]
@@ -88,14 +90,15 @@
 	return false
 }
 
-// timeCost weighs the time to the first byte: what is far within the target matters little.
-func timeCost(ms, left float64) float64 {
-	easy := max(left*relaxedFraction, 0)
-	return relaxedTimeCost*min(ms, easy) + max(ms-easy, 0)
+// timeCost returns the cost of a predicted time to the first byte, given the time remaining until the latency target,
+// all in milliseconds. Time that is far within the target has a lower cost.
+func timeCost(ms, remaining float64) float64 {
+	relaxed := max(remaining*relaxedFraction, 0)
+	return relaxedTimeCost*min(ms, relaxed) + max(ms-relaxed, 0)
 }
 
-// sharedPrefix returns how many of the request's parts other requests may share, and their tokens. If the parts are the complete prompt,
-// the last one is the request's own.
+// sharedPrefix returns the number and the tokens of the prompt's leading parts that other requests may share. If the
+// parts make up the complete prompt, the last part is assumed to be unique to the request and is not counted.
 func (r *request) sharedPrefix() (count, tokens int) {
 	for i := range r.PromptParts {
 		tokens += r.PromptParts[i].Tokens
@@ -108,7 +111,8 @@
 	return count, tokens
 }
 
-// rendezvousChoice returns the residency that the rendezvous hash of the request's shared parts names.
+// rendezvousChoice returns the residency with the highest rendezvous hash for the request's shared parts; nil if
+// there are no shared parts.
 func (d *Decider) rendezvousChoice(r *request, shared int) *residency {
 	if shared == 0 || !d.uses(RendezvousHashing) {
 		return nil
@@ -126,22 +130,23 @@
 	return best
 }
 
-// cost returns the predicted time to the first byte and the cost of sending the request to the residency, both in ms.
+// cost returns the predicted time to the first byte and the cost of sending the request to the residency, both in
+// milliseconds.
 func (d *Decider) cost(res *residency, r *request, shared int, preferred bool) (ms, cost float64) {
 	e := res.endpoint
 	ms, cached := d.predict(res, r)
 	cost = timeCost(ms, milliseconds(r.latencyTarget-d.now))
 	if shared > 0 && d.uses(PrefixCaching) {
-		likely := float64(cached)
+		expectedCached := float64(cached)
 		if preferred {
-			likely = max(likely, rendezvousHitProbability*float64(shared))
+			expectedCached = max(expectedCached, rendezvousHitProbability*float64(shared))
 		}
 		perToken := res.group.msPerThousandTokens() / 1000
-		cost -= (likely - float64(cached)) * perToken
-		cost += cacheMissCost * perToken * max(float64(shared)-likely, 0)
+		cost -= (expectedCached - float64(cached)) * perToken
+		cost += cacheMissCost * perToken * max(float64(shared)-expectedCached, 0)
 	}
 	if d.uses(SizeIntervals) {
-		cost += sizeMismatchCostMS * res.sizes.distance(r.sizes)
+		cost += sizeMismatchCostMS * res.sizeInterval.distance(r.sizeInterval)
 	}
 	if d.uses(UtilizationCost) {
 		used, _ := d.load(e)
@@ -163,7 +168,8 @@
 	return ms, cost
 }
 
-// availabilityOf says how well the residency can serve the request now.
+// availabilityOf returns how well the residency can serve the request now; ms is the predicted time to the first
+// byte.
 func (d *Decider) availabilityOf(res *residency, r *request, ms float64) availability {
 	e := res.endpoint
 	if _, ok := d.usable(e); !ok || res.notBefore > d.now || res.awaitsVerification(r.Adapter) {
@@ -178,8 +184,8 @@
 	return availablePastTarget
 }
 
-// meetsTarget reports whether a request whose first byte is predicted after so many ms is to be sent. A stream that broke off continues
-// wherever it can.
+// meetsTarget reports whether a predicted time to the first byte, in milliseconds, is short enough for the request.
+// It always is for an exploratory request, and for a stream that broke off, which is resumed wherever possible.
 func (d *Decider) meetsTarget(r *request, ms float64) bool {
 	if r.answerStarted || r.exploratory {
 		return true
@@ -187,21 +193,21 @@
 	return ms <= targetFraction*milliseconds(r.latencyTarget-d.now)
 }
 
-// underutilized reports whether less than half of the endpoint's slots are in use and nothing waits there. Then nothing is queued or
-// rejected.
+// underutilized reports whether, with one more request, at most about half of the endpoint's slots are in use, and no
+// request waits there. Requests for such an endpoint are neither queued nor rejected because of a predicted time.
 func (d *Decider) underutilized(e *endpoint) bool {
 	used, waiting := d.load(e)
 	return 2*(used+waiting+1) <= float64(e.slotCount())+1 && waiting < 1
 }
 
-// recordPrefix notes the request's parts in the prefix cache of the residency to which it is sent.
+// recordPrefix adds the request's prompt parts to the prefix cache of the residency that it is sent to.
 func (d *Decider) recordPrefix(res *residency, r *request) {
 	if len(r.PromptParts) == 0 {
 		return
 	}
 	maxTokens := math.MaxInt32
 	if engine := res.group.service.engine(); engine != nil && engine.KVTokens > 0 {
-		models := max(len(res.endpoint.residencies)-1, 1) // without the residency of requests that name no model
+		models := max(len(res.endpoint.residencies)-1, 1) // without the residency for requests that name no model
 		maxTokens = int(engine.KVTokens) / models
 	}
 	res.prefixCache.add(r.prefixChain(), r.PromptParts, d.now, maxTokens)
--- a/internal/router/dispatch/config.go
+++ b/internal/router/dispatch/config.go
@@ -4,28 +4,28 @@
 	"time"
 )
 
-// Config configures a Decider. A zero field takes its default.
+// Config configures a Decider. Zero values are replaced by the defaults.
 type Config struct {
-	Node        string // the router's node name, for reports
+	Node        string // name of the router's node, for reports
 	Incarnation uint64 // of the router's process, for reports
-	Zone        string // endpoints of this zone are preferred among otherwise equal ones
+	Zone        string // endpoints in this zone are preferred among otherwise equal ones
 	Seed        uint64 // of all random numbers
 
-	Slots       int // maximum of concurrent calls over all endpoints; default 512
-	RouterCount int // assumed until the control plane sends the number; default 8
+	Slots       int // maximum number of concurrent calls to all endpoints; default 512
+	RouterCount int // number of routers until the control plane sends it; default 8
 
 	RetryBudgetRatio  float64       // retries allowed per request, over all routers
 	RetryBudgetWindow time.Duration // sliding window of the retry budget; default 10 s
-	RetryBudgetSlack  float64       // retries allowed in a window on top of the ratio, over all routers
+	RetryBudgetSlack  float64       // retries allowed per window in addition to the ratio, over all routers
 
-	QuotaWindow            time.Duration // over which a tenant's consumption is measured; default 8 s
-	QuotaOvershootFraction float64       // part of a tenant's limit by which it may be exceeded
-	QuotaOvershootSlack    float64       // on top, in the tenant's unit, over all routers
+	QuotaWindow            time.Duration // window over which a tenant's consumption is measured; default 8 s
+	QuotaOvershootFraction float64       // fraction of a tenant's limit by which it may be exceeded
+	QuotaOvershootSlack    float64       // amount by which the limit may be exceeded in addition, in the tenant's unit, over all routers
 
-	MonitorPeriod  time.Duration // in which ASFQ compares the use of slots; default 250 ms
-	ReportInterval time.Duration // between reports of demand; default 500 ms
+	MonitorPeriod  time.Duration // interval at which ASFQ compares the flows' use of slots; default 250 ms
+	ReportInterval time.Duration // minimum interval between demand reports that are not urgent; default 500 ms
 
-	Without Mechanism // switched off, for tests and trials
+	Without Mechanism // mechanisms that are switched off, for tests and experiments
 }
 
 // Defaults of Config.
@@ -38,25 +38,25 @@
 	DefaultReportInterval    = 500 * time.Millisecond
 )
 
-// withDefaults returns the configuration with its zero fields replaced by the defaults.
-func (o Config) withDefaults() Config {
-	if o.Slots <= 0 {
-		o.Slots = DefaultSlots
+// withDefaults returns the configuration with the defaults in place of zero values.
+func (c Config) withDefaults() Config {
+	if c.Slots <= 0 {
+		c.Slots = DefaultSlots
 	}
-	if o.RouterCount <= 0 {
-		o.RouterCount = DefaultRouterCount
+	if c.RouterCount <= 0 {
+		c.RouterCount = DefaultRouterCount
 	}
-	if o.RetryBudgetWindow <= 0 {
-		o.RetryBudgetWindow = DefaultRetryBudgetWindow
+	if c.RetryBudgetWindow <= 0 {
+		c.RetryBudgetWindow = DefaultRetryBudgetWindow
 	}
-	if o.QuotaWindow <= 0 {
-		o.QuotaWindow = DefaultQuotaWindow
+	if c.QuotaWindow <= 0 {
+		c.QuotaWindow = DefaultQuotaWindow
 	}
-	if o.MonitorPeriod <= 0 {
-		o.MonitorPeriod = DefaultMonitorPeriod
+	if c.MonitorPeriod <= 0 {
+		c.MonitorPeriod = DefaultMonitorPeriod
 	}
-	if o.ReportInterval <= 0 {
-		o.ReportInterval = DefaultReportInterval
+	if c.ReportInterval <= 0 {
+		c.ReportInterval = DefaultReportInterval
 	}
-	return o
+	return c
 }
--- a/internal/router/dispatch/credit_request.go
+++ b/internal/router/dispatch/credit_request.go
@@ -9,138 +9,145 @@
 	"raventrestle/internal/protocol"
 )
 
-// Requests for credit: for what waits, and ahead for tenants whose requests come often, so that most of them need not wait.
+// Credit requests: a router requests credit for queued requests that their tenant's credit doesn't cover. For tenants
+// with frequent requests it also requests credit in advance, so that most of their requests need not wait.
 
 const (
-	creditInquiryTimeout = 100 * time.Millisecond // without an answer: it is lost, and asked for again
-	creditAheadTime      = 200 * time.Millisecond // of demand, that is asked for ahead
-	minAheadRequests     = 1.5                    // mean requests in that time, below which credit asked for ahead would often expire
-	lowAheadFraction     = 0.5                    // of what is asked for ahead, below which more is asked for
-	demandTime           = time.Second            // time constant of the averages of demand
-	creditRounding       = 1e-6                   // differences of sums below it are none
+	creditRequestTimeout = 100 * time.Millisecond // after which an unanswered credit request counts as lost and is repeated
+	creditAdvanceTime    = 200 * time.Millisecond // the demand expected in this time is requested in advance
+	minAdvanceRequests   = 1.5                    // expected requests in that time, below which credit requested in advance would often expire unused
+	lowAdvanceFraction   = 0.5                    // fraction of the credit to have in advance, below which more is requested
+	demandTimeConstant   = time.Second            // time constant of the demand averages
+	creditTolerance      = 1e-6                   // smaller differences between amounts are rounding errors
 )
 
-// creditInquiry is a request for credit that has not been answered.
-type creditInquiry struct {
+// pendingCreditRequest is a credit request that has not been answered.
+type pendingCreditRequest struct {
 	id      uint64
 	amount  float64
-	waiting float64 // the part of amount that requests waited for
-	at      time.Duration
+	waiting float64 // the part of amount that queued requests lack
+	sentAt  time.Duration
 }
 
-// demandRate is an exponentially weighted average of what a tenant's requests ask for.
+// demandRate is an exponentially weighted average of a tenant's demand for credit.
 type demandRate struct {
 	amount, requests float64 // decaying sums
-	at               time.Duration
+	updatedAt        time.Duration
 }
 
-// add counts a request.
+// add counts a request with the given charge.
 func (r *demandRate) add(charge float64, now time.Duration) {
-	decay := math.Exp(-(now - r.at).Seconds() / demandTime.Seconds())
-	r.amount, r.requests, r.at = r.amount*decay+charge, r.requests*decay+1, now
+	decay := math.Exp(-(now - r.updatedAt).Seconds() / demandTimeConstant.Seconds())
+	r.amount, r.requests, r.updatedAt = r.amount*decay+charge, r.requests*decay+1, now
 }
 
-// ahead returns how much credit should be at hand for expected requests.
-func (r *demandRate) ahead(now time.Duration) float64 {
-	part := math.Exp(-(now-r.at).Seconds()/demandTime.Seconds()) * creditAheadTime.Seconds() / demandTime.Seconds()
-	if r.requests*part < minAheadRequests {
+// advanceAmount returns how much credit the tenant should have available for expected requests; 0 if it has few.
+func (r *demandRate) advanceAmount(now time.Duration) float64 {
+	part := math.Exp(-(now-r.updatedAt).Seconds()/demandTimeConstant.Seconds()) * creditAdvanceTime.Seconds() / demandTimeConstant.Seconds()
+	if r.requests*part < minAdvanceRequests {
 		return 0
 	}
 	return r.amount * part
 }
 
-// addCreditAsker has the tenant's need for credit looked at in this step.
-func (d *Decider) addCreditAsker(t *tenant) {
-	if !t.inAskers {
-		t.inAskers = true
-		d.creditAskers = append(d.creditAskers, t)
+// scheduleCreditCheck schedules a check of the tenant's need for credit in this step.
+func (d *Decider) scheduleCreditCheck(t *tenant) {
+	if !t.creditCheckScheduled {
+		t.creditCheckScheduled = true
+		d.creditChecks = append(d.creditChecks, t)
 	}
 }
 
-// emitCreditRequests asks for what the tenants of this step lack, and those whose requests wait.
+// emitCreditRequests checks the need for credit of the scheduled tenants. A tenant with queued requests stays
+// scheduled for the next step.
 func (d *Decider) emitCreditRequests() {
-	d.creditAskers = slices.DeleteFunc(d.creditAskers, func(t *tenant) bool {
-		d.askForCredit(t)
-		t.inAskers = len(t.awaitingQuota) > 0
-		return !t.inAskers
+	d.creditChecks = slices.DeleteFunc(d.creditChecks, func(t *tenant) bool {
+		d.checkCredit(t)
+		t.creditCheckScheduled = len(t.quotaQueue) > 0
+		return !t.creditCheckScheduled
 	})
 }
 
-// askForCredit asks for what the waiting requests lack, or for credit ahead where that runs low. While requests wait, what they
-// lack is looked at again when an answer is overdue.
-func (d *Decider) askForCredit(t *tenant) {
-	t.asked = slices.DeleteFunc(t.asked, func(i creditInquiry) bool { return d.now-i.at >= creditInquiryTimeout })
-	d.admitPayable(t) // credit may have come back
+// checkCredit requests credit for queued requests that the available and the already requested credit don't cover, or
+// in advance when little credit is left. While requests are queued, it schedules a step for the time at which an
+// answer is overdue.
+func (d *Decider) checkCredit(t *tenant) {
+	t.pendingCreditRequests = slices.DeleteFunc(t.pendingCreditRequests, func(p pendingCreditRequest) bool { return d.now-p.sentAt >= creditRequestTimeout })
+	d.admitCovered(t) // credit may have been refunded
 	available := d.availableCredit(t)
 	expected := available
-	for _, inquiry := range t.asked {
-		expected += inquiry.amount
+	for _, pending := range t.pendingCreditRequests {
+		expected += pending.amount
 	}
-	waiting, asking := 0.0, t.asking(d.now)
-	for _, r := range asking {
+	waiting, unrefused := 0.0, t.unrefusedRequests(d.now)
+	for _, r := range unrefused {
 		waiting += r.Charge
 	}
-	ahead := t.demand.ahead(d.now)
-	lacking := waiting - expected
-	if lacking > creditRounding || expected-waiting < lowAheadFraction*ahead && d.now >= t.refused.until {
-		d.sendCreditRequest(t, asking, creditInquiry{amount: waiting + ahead - expected, waiting: max(0, lacking)}, available)
+	advance := t.demand.advanceAmount(d.now)
+	shortage := waiting - expected
+	if shortage > creditTolerance || expected-waiting < lowAdvanceFraction*advance && d.now >= t.lastRefusal.until {
+		d.sendCreditRequest(t, unrefused, pendingCreditRequest{amount: waiting + advance - expected, waiting: max(0, shortage)}, available)
 	}
-	if len(asking) < len(t.awaitingQuota) {
-		d.wakeBy(t.refused.until)
+	if len(unrefused) < len(t.quotaQueue) {
+		d.wakeBy(t.lastRefusal.until)
 	}
-	if len(asking) > 0 && len(t.asked) > 0 {
-		d.wakeBy(t.asked[0].at + creditInquiryTimeout)
+	if len(unrefused) > 0 && len(t.pendingCreditRequests) > 0 {
+		d.wakeBy(t.pendingCreditRequests[0].sentAt + creditRequestTimeout)
 	}
 }
 
-// asking returns the waiting requests that are worth asking for: those that were refused a moment ago are not.
-func (t *tenant) asking(now time.Duration) []*request {
-	var asking []*request
-	for _, r := range t.awaitingQuota {
-		if !t.refused.refuses(r, now) {
-			asking = append(asking, r)
+// unrefusedRequests returns the queued requests for which requesting credit is worthwhile: those to which the last
+// refusal doesn't apply.
+func (t *tenant) unrefusedRequests(now time.Duration) []*request {
+	var unrefused []*request
+	for _, r := range t.quotaQueue {
+		if !t.lastRefusal.appliesTo(r, now) {
+			unrefused = append(unrefused, r)
 		}
 	}
-	return asking
+	return unrefused
 }
 
-func (d *Decider) sendCreditRequest(t *tenant, waiting []*request, inquiry creditInquiry, available float64) {
-	d.lastCreditRequest++
-	inquiry.id, inquiry.at = d.lastCreditRequest, d.now
-	asked := protocol.CreditRequest{ID: inquiry.id, Tenant: t.name, Amount: inquiry.amount, Waiting: inquiry.waiting}
-	if inquiry.waiting > 0 {
+// sendCreditRequest emits a credit request and records it as pending. The request's minimum is what the smallest of
+// the queued requests lacks, its rank that of the most urgent one.
+func (d *Decider) sendCreditRequest(t *tenant, waiting []*request, pending pendingCreditRequest, available float64) {
+	d.lastCreditRequestID++
+	pending.id, pending.sentAt = d.lastCreditRequestID, d.now
+	message := protocol.CreditRequest{ID: pending.id, Tenant: t.name, Amount: pending.amount, Waiting: pending.waiting}
+	if pending.waiting > 0 {
 		smallest := slices.MinFunc(waiting, func(a, b *request) int { return cmp.Compare(a.Charge, b.Charge) })
-		asked.Minimum = min(max(0, smallest.Charge-available), inquiry.waiting)
-		asked.Rank = waiting[0].rank
+		message.Minimum = min(max(0, smallest.Charge-available), pending.waiting)
+		message.Rank = waiting[0].rank
 	}
-	t.asked = append(t.asked, inquiry)
-	d.outputs = append(d.outputs, RequestCredit{asked})
+	t.pendingCreditRequests = append(t.pendingCreditRequests, pending)
+	d.outputs = append(d.outputs, RequestCredit{message})
 }
 
-// onCredit takes in the answer to a request for credit, and admits what it pays. What it leaves waiting is refused, unless another
-// request for it is under way.
-func (d *Decider) onCredit(grant *protocol.CreditGrant) {
+// onCreditGranted handles the answer to a credit request: it adds the credit and admits the requests that it covers.
+// If less was granted than the queued requests lacked, those that stay queued count as refused, unless another credit
+// request for queued requests is pending.
+func (d *Decider) onCreditGranted(grant *protocol.CreditGrant) {
 	t := d.tenants[grant.Tenant]
 	if t == nil {
 		return
 	}
-	at := slices.IndexFunc(t.asked, func(i creditInquiry) bool { return i.id == grant.ID })
-	if at < 0 {
+	index := slices.IndexFunc(t.pendingCreditRequests, func(p pendingCreditRequest) bool { return p.id == grant.ID })
+	if index < 0 {
 		return
 	}
-	inquiry := t.asked[at]
-	t.asked = slices.Delete(t.asked, at, at+1)
-	if expiresAt := inquiry.at + protocol.CreditTTL; grant.Amount > 0 && d.now < expiresAt {
+	pending := t.pendingCreditRequests[index]
+	t.pendingCreditRequests = slices.Delete(t.pendingCreditRequests, index, index+1)
+	if expiresAt := pending.sentAt + protocol.CreditTTL; grant.Amount > 0 && d.now < expiresAt {
 		t.addCredit(credit{amount: grant.Amount, expiresAt: expiresAt})
 	}
-	d.admitPayable(t)
-	if grant.Amount+creditRounding < inquiry.waiting && !t.awaitsAnswer() {
-		d.refuseWaiting(t, inquiry.at, grant.RetryAfter)
+	d.admitCovered(t)
+	if grant.Amount+creditTolerance < pending.waiting && !t.queueCreditPending() {
+		d.applyRefusal(t, pending.sentAt, grant.RetryAfter)
 	}
-	d.addCreditAsker(t)
+	d.scheduleCreditCheck(t)
 }
 
-// awaitsAnswer reports whether credit for waiting requests is being asked for.
-func (t *tenant) awaitsAnswer() bool {
-	return slices.ContainsFunc(t.asked, func(i creditInquiry) bool { return i.waiting > 0 })
+// queueCreditPending reports whether a pending credit request includes credit for queued requests.
+func (t *tenant) queueCreditPending() bool {
+	return slices.ContainsFunc(t.pendingCreditRequests, func(p pendingCreditRequest) bool { return p.waiting > 0 })
 }
--- a/internal/router/dispatch/deadline.go
+++ b/internal/router/dispatch/deadline.go
@@ -4,21 +4,22 @@
 	"time"
 )
 
-// The end of a request's time in a queue.
+// Queue deadlines: what happens to a request that has been queued as long as it may be.
 
 const (
-	maxDeferrals        = 2    // times that a request is queued again at its queue deadline
-	shortQueueFraction  = 0.25 // of an endpoint's slots, that wait there
-	explorationInterval = 500 * time.Millisecond
+	maxDeferrals        = 2                      // how many times a request may be requeued at its queue deadline
+	shortQueueFraction  = 0.25                   // fraction of an endpoint's slots; a queue with fewer waiting requests is short
+	explorationInterval = 500 * time.Millisecond // a model without an on-target request for so long sends an exploratory one
 
-	minClientIdleTimeout    = 2 * time.Second // clients give up a stream without events after at least so long
-	clientIdleTimeoutFactor = 4               // or after so many times its latency target
-	usefulFraction          = 0.8             // of that time, in which an answer may begin
+	minClientIdleTimeout    = 2 * time.Second // clients wait at least this long for an event of a stream before they give up
+	clientIdleTimeoutFactor = 4               // or this multiple of the latency target, if that is longer
+	usefulTimeoutFraction   = 0.8             // fraction of the client's timeout within which an answer may begin
 )
 
-// onQueueDeadline decides on a request that was queued as long as it may be: it is sent elsewhere, past its target, or rejected. What is
-// rejected for the first time usually comes back after Retry-After and then counts by its retry; a retry, or what was sent before,
-// is rather sent past its target than rejected.
+// onQueueDeadline decides about a request at its queue deadline: it is moved to another queue, sent although it will
+// miss its latency target, or rejected. A client usually retries after its first rejection and Retry-After, and then
+// the result of the retry counts. A client's retry, or a request that was sent before, is therefore sent past its
+// target rather than rejected.
 func (d *Decider) onQueueDeadline(r *request) {
 	if r.awaitingQuota {
 		d.onQuotaDeadline(r)
@@ -49,8 +50,9 @@
 	}
 }
 
-// shouldExplore reports whether a request is sent against the estimates, which might be wrong and could not be corrected otherwise: if
-// slots seem to be free and nothing was sent for a while.
+// shouldExplore reports whether a request is sent although it is predicted to miss its target. Without such requests,
+// estimates that are wrong and too high could not be corrected. It requires that a slot seems to be free and that no
+// request of the model was sent on target for explorationInterval.
 func (d *Decider) shouldExplore(res *residency) bool {
 	if !d.uses(Exploration) {
 		return false
@@ -60,7 +62,8 @@
 	return used+waiting+1 <= res.endpoint.capacity(g.meanKVTokens) && d.now-g.lastOnTargetSendAt >= explorationInterval
 }
 
-// requeue moves the request to the queue of an endpoint that is available now: it leaves in this step if its turn comes.
+// requeue moves the request to the endpoint's queue and gives it a new queue deadline after minQueueTime. It is sent
+// in this step if its turn comes.
 func (d *Decider) requeue(r *request, res *residency) {
 	d.dequeue(r)
 	d.enqueue(r, res.endpoint)
@@ -69,61 +72,65 @@
 	d.timers.add(r.queueDeadline, r)
 }
 
-// shouldSendPastTarget reports whether a request that can't meet its target is sent all the same.
+// shouldSendPastTarget reports whether a request that can't meet its latency target is sent nevertheless.
 func (d *Decider) shouldSendPastTarget(res *residency, r *request) bool {
 	ms, _ := d.predict(res, r)
-	answer := d.now + time.Duration(ms*float64(time.Millisecond))
-	if answer > r.usefulDeadline() {
+	firstByteAt := d.now + time.Duration(ms*float64(time.Millisecond))
+	if firstByteAt > r.usefulDeadline() {
 		return r.ClientRetry && d.hasShortQueue(res.endpoint)
 	}
 	return r.ClientRetry || r.deliveries > 0 || r.group.service.fairness.starved(r) || !r.canRetryInTime(d.now)
 }
 
-// hasShortQueue reports whether so few requests wait at the endpoint that one more may get its turn, whatever was predicted.
+// hasShortQueue reports whether so few requests wait at the endpoint that one more may be served in time, whatever
+// was predicted.
 func (d *Decider) hasShortQueue(e *endpoint) bool {
 	_, waiting := d.load(e)
 	return waiting < shortQueueFraction*float64(e.slotCount())
 }
 
-// fullValueDeadline returns until when an answer has its full value and a client that waits for it.
+// fullValueDeadline returns until when an answer has its full value and the client still waits for it.
 func (r *request) fullValueDeadline() time.Duration { return min(r.latencyTarget, r.deadline) }
 
-// usefulDeadline returns until when an answer may begin: clients give up a stream without events.
+// usefulDeadline returns until when an answer must begin to be useful: clients give up on a stream without events.
 func (r *request) usefulDeadline() time.Duration {
-	return r.arrived + time.Duration(usefulFraction*float64(r.patience()))
+	return r.arrived + time.Duration(usefulTimeoutFraction*float64(r.clientTimeout()))
 }
 
-// patience returns how long the client waits for an answer to begin.
-func (r *request) patience() time.Duration {
+// clientTimeout returns the estimated time from its arrival for which the client waits for an answer to begin.
+func (r *request) clientTimeout() time.Duration {
 	target := r.latencyTarget - r.arrived
 	return min(max(minClientIdleTimeout, clientIdleTimeoutFactor*target), r.deadline-r.arrived)
 }
 
-// canRetryInTime reports whether the client may retry in time: a third of the time left is enough.
+// canRetryInTime reports whether the client's own retry can still succeed. The time until the deadline must be more
+// than twice the time from the arrival to the latency target, since a client may wait for a third of its remaining
+// time before it retries (retryAfterDivisor).
 func (r *request) canRetryInTime(now time.Duration) bool {
 	return r.deadline-now > 2*(r.latencyTarget-r.arrived)
 }
 
-// onUnassignedDeadline decides on a request whose model no endpoint has.
+// onUnassignedDeadline decides about a request at its queue deadline while no endpoint has its model: it waits for a
+// load that finishes in time, or is rejected.
 func (d *Decider) onUnassignedDeadline(r *request) {
-	at, known := r.group.nextLoadReadyAt(r.Adapter, d.now)
+	readyAt, known := r.group.nextLoadReadyAt(r.Adapter, d.now)
 	limit := r.fullValueDeadline()
 	if r.ClientRetry || r.deliveries > 0 {
 		limit = r.usefulDeadline()
 	}
 	limit = d.capQueueDeadline(limit)
-	if !known && r.ClientRetry { // another rejection would be final
+	if !known && r.ClientRetry { // the client doesn't retry after a second rejection
 		r.queueDeadline = max(r.queueDeadline, min(limit, r.arrived+(r.deadline-r.arrived)*2/5))
 	}
 	switch {
-	case known && at < limit:
-		r.queueDeadline = max(min(at, limit), d.now+minQueueTime)
-	case d.now < r.queueDeadline: // its timer was set for an expected load
+	case known && readyAt < limit:
+		r.queueDeadline = max(min(readyAt, limit), d.now+minQueueTime)
+	case d.now < r.queueDeadline: // the timer was set for an expected load, not for the queue deadline
 	default:
 		if !known {
-			at = d.now + d.loadTimeOf(r)
+			readyAt = d.now + d.loadTimeOf(r)
 		}
-		d.reject(r, NoEndpoint, d.retryAfter(r, at-d.now))
+		d.reject(r, NoEndpoint, d.retryAfter(r, readyAt-d.now))
 		return
 	}
 	d.timers.add(r.queueDeadline, r)
--- a/internal/router/dispatch/decider.go
+++ b/internal/router/dispatch/decider.go
@@ -7,12 +7,15 @@
 	"raventrestle/asfq"
 )
 
-// Decider decides for one router. It is not safe for concurrent use: package dispatcher owns it.
+// Decider makes the decisions of one router. It is not safe for concurrent use: package dispatcher owns it.
 //
-// Invariants, checked after each step by the simulation of simulation_test.go: nothing is sent to an endpoint that drains or has departed;
-// a request that is not retryable is never sent again once it may have executed; a request may have executed on at most MaxEndpoints
-// endpoints; the retry budget and the quotas hold in every window; every request ends exactly once; among eligible heads of queues
-// the one with the lowest start tag plus penalty is sent first.
+// Invariants, which the simulation in simulation_test.go checks:
+//   - Nothing is sent to an endpoint that is draining or has departed.
+//   - A request that is not retryable is not sent again once it may have executed.
+//   - A request may have executed on at most MaxEndpoints endpoints.
+//   - The retry budget and the quotas hold in every window.
+//   - Every request ends exactly once.
+//   - Among the eligible first requests of the queues, the one with the lowest start tag plus penalty is sent first.
 type Decider struct {
 	config    Config
 	seed      uint64
@@ -21,7 +24,7 @@
 	started   bool
 	now       time.Duration // since startTime; never decreases
 	outputs   []Output
-	wakeAt    time.Duration // when a decision may change without an input, 0: never
+	wakeAt    time.Duration // when a step is needed without an input, apart from timers; 0: never
 
 	routerCount      int
 	services         map[string]*service
@@ -30,43 +33,43 @@
 	requests         map[RequestID]*request
 	schedule         asfq.Scheduler[*endpoint]
 	timers           timers
-	unassignedGroups []*modelGroup // those with unassigned requests
+	unassignedGroups []*modelGroup // groups with unassigned requests
 	demand           demand
 
-	creditAskers      []*tenant // whose need for credit is looked at in this step
-	lastCreditRequest uint64
+	creditChecks        []*tenant // tenants whose need for credit is checked in this step
+	lastCreditRequestID uint64
 
 	predictionErrors PredictionErrors
-	suspects         []*endpoint // failing, or without heartbeats: to be reported
+	suspects         []*endpoint // endpoints that may have to be reported: failing, or without heartbeats
 	tombstones       tombstones
 	counters         Counters
 	outcomes         outcomeLog
-	departing        []*endpoint // buffer of removeUnlisted
-	lastSweepAt      time.Duration
+	departing        []*endpoint   // buffer of removeUnlisted
+	lastSweepAt      time.Duration // when expirePrefixes last ran
 	shutdown         shutdown
 }
 
 // New returns the decider of one router.
-func New(options Config) *Decider {
-	options = options.withDefaults()
+func New(config Config) *Decider {
+	config = config.withDefaults()
 	d := &Decider{
-		config:      options,
-		seed:        options.Seed,
-		random:      rand.New(rand.NewPCG(options.Seed, hashSeed)),
-		routerCount: options.RouterCount,
+		config:      config,
+		seed:        config.Seed,
+		random:      rand.New(rand.NewPCG(config.Seed, hashSeed)),
+		routerCount: config.RouterCount,
 		services:    map[string]*service{},
 		endpoints:   map[string]*endpoint{},
 		tenants:     map[string]*tenant{},
 		requests:    map[RequestID]*request{},
 	}
-	d.schedule.Slots = options.Slots
-	d.schedule.Period = options.MonitorPeriod
+	d.schedule.Slots = config.Slots
+	d.schedule.Period = config.MonitorPeriod
 	d.schedule.Tolerance = monitorTolerance
 	return d
 }
 
-// Step processes the inputs that happened until now and returns what is to be done, in order. The returned slice is reused by the next
-// Step.
+// Step processes the inputs that arrived until now and returns the outputs that the caller must perform, in order.
+// The returned slice is reused by the next Step.
 func (d *Decider) Step(now time.Time, inputs []Input) []Output {
 	if !d.started {
 		d.started = true
@@ -89,7 +92,8 @@
 	return d.outputs
 }
 
-// NextWake returns when Step must be called if no input arrives before; zero: not before the next input.
+// NextWake returns when Step must be called if no input arrives before. The zero time means that only an input can
+// change anything.
 func (d *Decider) NextWake() time.Time {
 	at := d.wakeAt
 	if next, ok := d.timers.next(); ok && (at == 0 || next < at) {
@@ -101,7 +105,7 @@
 	return d.startTime.Add(at)
 }
 
-// wakeBy asks for a Step at the given time at the latest.
+// wakeBy requests a Step at the given time at the latest.
 func (d *Decider) wakeBy(at time.Duration) {
 	at = max(at, d.now+time.Millisecond)
 	if d.wakeAt == 0 || at < d.wakeAt {
@@ -109,7 +113,7 @@
 	}
 }
 
-// handle dispatches one input to its handler.
+// handle passes an input to its handler.
 func (d *Decider) handle(input Input) {
 	switch input := input.(type) {
 	case RequestArrived:
@@ -127,13 +131,13 @@
 	case ViewChanged:
 		d.applyView(input)
 	case CreditGranted:
-		d.onCredit(input.Grant)
+		d.onCreditGranted(input.Grant)
 	case ShutdownStarted:
 		d.startShutdown(input)
 	}
 }
 
-// runTimers handles the requests whose time has come.
+// runTimers handles the requests whose timer is due.
 func (d *Decider) runTimers() {
 	for {
 		r, ok := d.timers.popDue(d.now)
--- a/internal/router/dispatch/demand.go
+++ b/internal/router/dispatch/demand.go
@@ -7,18 +7,19 @@
 	"raventrestle/internal/protocol"
 )
 
-// Demand: what was requested since the last report, by model and adapter. A model that no endpoint has, or an endpoint that fails, is
-// reported at once; else a summary is sent while anything changes. A report has an entry for what was requested, has requests queued or in
-// flight, or had at the last report.
+// Demand reports: what was requested since the last report, by model and adapter. A model that no endpoint has, or an
+// endpoint that fails, is reported urgently; otherwise a report is sent every ReportInterval while anything changes.
+// A report lists a model or adapter if it was requested since the last report, or has requests queued or in flight,
+// or had some at the last report.
 
 const (
-	minUrgentReportInterval = 50 * time.Millisecond
-	repeatShortageInterval  = time.Second // between urgent reports of the same shortage
-	maxValue                = 10
-	minValue                = 1
+	minUrgentReportInterval = 50 * time.Millisecond // between an urgent report and the report before it
+	shortageReportInterval  = time.Second           // between urgent reports of the same shortage
+	maxRequestValue         = 10                    // of a request with the most urgent priorities
+	minRequestValue         = 1                     // of any request
 )
 
-// demandTarget is what requests ask for: a model, or an adapter of it.
+// demandTarget is what a request asks for, a model or an adapter of it, with the demand for it.
 type demandTarget struct {
 	counts             protocol.ModelDemand // since the last report
 	queued, inFlight   int
@@ -26,33 +27,34 @@
 	listed             bool // in demand.active
 }
 
-// demand is the state of the next report.
+// demand is the state of the demand reports.
 type demand struct {
-	active       []*demandTarget
-	dirty        bool
-	urgent       bool // to be sent after minUrgentReportInterval
+	active       []*demandTarget // targets of the next report
+	dirty        bool            // something has changed since the last report
+	urgent       bool            // the next report is due after minUrgentReportInterval
 	lastReportAt time.Duration
 	sequence     uint64
 }
 
-// noteDemandChanged notes that there is something to report.
-func (d *Decider) noteDemandChanged() { d.demand.dirty = true }
+// recordDemandChange records that there is something to report.
+func (d *Decider) recordDemandChange() { d.demand.dirty = true }
 
-// requestUrgentReport asks for a report as soon as possible.
+// requestUrgentReport makes the next report due after minUrgentReportInterval.
 func (d *Decider) requestUrgentReport() {
 	d.demand.dirty = true
 	d.demand.urgent = true
 }
 
-// reportModelShortage notes that no endpoint has what a request needs. It is reported at once if that is new.
+// reportModelShortage records that no endpoint has what a request needs. The shortage is reported urgently if it
+// wasn't within shortageReportInterval.
 func (d *Decider) reportModelShortage(t *demandTarget) {
-	if t.shortageReportedAt == 0 || d.now-t.shortageReportedAt >= repeatShortageInterval {
+	if t.shortageReportedAt == 0 || d.now-t.shortageReportedAt >= shortageReportInterval {
 		t.shortageReportedAt = d.now
 		d.requestUrgentReport()
 	}
 }
 
-// countDemand counts a request.
+// countDemand adds an admitted request to the demand.
 func (d *Decider) countDemand(r *request) {
 	g := r.group
 	t := g.targets[r.Adapter]
@@ -64,26 +66,26 @@
 	r.target = t
 	t.counts.Requests++
 	t.counts.Tokens += int64(r.PromptTokens + r.OutputTokens)
-	t.counts.Value += int64(max(maxValue-r.RoutePriority-r.TenantPriority, minValue))
+	t.counts.Value += int64(max(maxRequestValue-r.RoutePriority-r.TenantPriority, minRequestValue))
 	d.listTarget(t)
 }
 
-// listTarget puts a target into the next report.
+// listTarget adds a target to the next report.
 func (d *Decider) listTarget(t *demandTarget) {
-	d.noteDemandChanged()
+	d.recordDemandChange()
 	if !t.listed {
 		t.listed = true
 		d.demand.active = append(d.demand.active, t)
 	}
 }
 
-// countUnserved counts a request that was rejected because no endpoint could take it.
+// countUnserved counts a request that is rejected because no endpoint could take it.
 func (d *Decider) countUnserved(r *request) {
 	r.target.counts.Unserved++
 	d.listTarget(r.target)
 }
 
-// emitReport emits a report if one is due.
+// emitReport emits a report if one is due; otherwise it schedules a step for that time.
 func (d *Decider) emitReport() {
 	state := &d.demand
 	if !state.dirty {
@@ -103,7 +105,7 @@
 	state.lastReportAt = d.now
 }
 
-// buildReport makes the report and starts the next.
+// buildReport returns the report and resets the counts for the next one.
 func (d *Decider) buildReport() protocol.Report {
 	state := &d.demand
 	state.sequence++
@@ -125,7 +127,7 @@
 	return report
 }
 
-// reachability returns the endpoints whose calls fail, and those without heartbeats whose calls succeed.
+// reachability returns the endpoints whose calls fail, and the endpoints without heartbeats whose calls succeed.
 func (d *Decider) reachability() (failing, reached []string) {
 	d.suspects = slices.DeleteFunc(d.suspects, func(e *endpoint) bool { return !d.updateSuspect(e) })
 	for _, e := range d.suspects {
@@ -138,16 +140,16 @@
 	return failing, reached
 }
 
-// updateSuspect reports whether the endpoint may have to be reported.
+// updateSuspect updates and returns whether the endpoint may have to be reported.
 func (d *Decider) updateSuspect(e *endpoint) bool {
 	e.inSuspects = e.listed && (e.state == protocol.Unresponsive || e.health.maxProbes > 0)
 	return e.inSuspects
 }
 
-// addSuspect adds an endpoint to those that may have to be reported.
+// addSuspect adds the endpoint to suspects if it may have to be reported.
 func (d *Decider) addSuspect(e *endpoint) {
 	if !e.inSuspects && d.updateSuspect(e) {
 		d.suspects = append(d.suspects, e)
-		d.noteDemandChanged()
+		d.recordDemandChange()
 	}
 }
--- a/internal/router/dispatch/dispatch.go
+++ b/internal/router/dispatch/dispatch.go
@@ -2,17 +2,19 @@
 
 import "time"
 
-// Dispatch: which request leaves an endpoint's queue next, and its sending.
+// Dispatch: selects the next request to send from the endpoints' queues, and sends it.
 
 const (
-	normalPriority      = 5 // of the header Priority: endpoints obey it strictly, which would starve the less urgent
-	underservedPriority = 4 // of requests that are served less often than they should be
-	pastTargetPriority  = 9 // of requests that will miss their target
+	// Values of the Priority header. Endpoints obey the header strictly: a value for each rank would starve less
+	// urgent requests.
+	normalPriority      = 5 // of most requests
+	underservedPriority = 4 // of requests whose rank is served less often than it should be
+	pastTargetPriority  = 9 // of requests that will miss their latency target
 )
 
-// dispatch sends what may be sent, in the order of the ASFQ scheduler.
+// dispatch sends the requests that can be sent now, in the order of the ASFQ scheduler.
 func (d *Decider) dispatch() {
-	d.retryUnassigned()
+	d.reassignUnassigned()
 	d.rebalanceQueues()
 	for {
 		e, found := d.schedule.Next(d.offerFlow)
@@ -24,13 +26,15 @@
 	}
 }
 
-// offerFlow tells the scheduler whether some request of the queue may leave now.
+// offerFlow is the callback of the ASFQ scheduler's Next. It reports whether a request of the endpoint's queue can be
+// sent now; the first result, an addition to the flow's penalty, is always 0.
 func (d *Decider) offerFlow(e *endpoint) (float64, bool) {
 	return 0, d.nextRequest(e) != nil
 }
 
-// nextRequest returns the request that takes the queue's next turn: the most urgent, each fourth time the one that waits longest; nil if
-// none may leave.
+// nextRequest returns the request to send next from the endpoint's queue: the first of the queue that can be sent,
+// but in every oldestTurnInterval-th turn the one that arrived first, if it can be sent. It returns nil if none can
+// be sent.
 func (d *Decider) nextRequest(e *endpoint) *request {
 	if !e.acceptsRequests() {
 		return nil
@@ -45,7 +49,7 @@
 		return nil
 	}
 	if e.dispatched%oldestTurnInterval == oldestTurnInterval-1 {
-		if r := oldest(e.queue); d.mayDispatch(e, r) {
+		if r := oldestRequest(e.queue); d.canDispatch(e, r) {
 			return r
 		}
 	}
@@ -53,7 +57,7 @@
 		if i == maxQueueScan {
 			break
 		}
-		if d.mayDispatch(e, r) {
+		if d.canDispatch(e, r) {
 			return r
 		}
 	}
@@ -61,8 +65,8 @@
 	return nil
 }
 
-// oldest returns the request that arrived first.
-func oldest(queue []*request) *request {
+// oldestRequest returns the request that arrived first.
+func oldestRequest(queue []*request) *request {
 	best := queue[0]
 	for _, r := range queue {
 		if r.arrived < best.arrived {
@@ -72,8 +76,9 @@
 	return best
 }
 
-// mayDispatch reports whether the request may be sent to the endpoint now.
-func (d *Decider) mayDispatch(e *endpoint, r *request) bool {
+// canDispatch reports whether the request can be sent to the endpoint now, by the endpoint's models and the predicted
+// time.
+func (d *Decider) canDispatch(e *endpoint, r *request) bool {
 	res := e.residencyOf(r.Model)
 	if res == nil || res.notBefore > d.now || !res.serves(r.Adapter) || res.awaitsVerification(r.Adapter) || e.isUnloading(r.Model, r.Adapter) {
 		return false
@@ -85,13 +90,13 @@
 	return d.meetsTarget(r, ms)
 }
 
-// mayDispatchNow is mayDispatch with the checks of the endpoint's health and connections.
-func (d *Decider) mayDispatchNow(e *endpoint, r *request) bool {
+// canDispatchNow is canDispatch that also checks the endpoint's health and connections.
+func (d *Decider) canDispatchNow(e *endpoint, r *request) bool {
 	_, ok := d.usable(e)
-	return ok && len(e.inFlight) < d.maxConnections(e.service) && d.mayDispatch(e, r)
+	return ok && len(e.inFlight) < d.maxConnections(e.service) && d.canDispatch(e, r)
 }
 
-// send sends a request to the endpoint in whose queue it is.
+// send sends a request from the endpoint's queue to the endpoint.
 func (d *Decider) send(e *endpoint, r *request) {
 	res := e.residencyOf(r.Model)
 	ms, cached := d.predict(res, r)
@@ -125,7 +130,7 @@
 	})
 }
 
-// beginAttempt resets the state of the request's last attempt.
+// beginAttempt resets the state that belongs to one attempt.
 func (r *request) beginAttempt(now time.Duration) {
 	r.stage = stageInFlight
 	r.sentAt = now
@@ -148,7 +153,7 @@
 	}
 }
 
-// priorityHeader returns the value of the request's header Priority.
+// priorityHeader returns the value of the Priority header of the request.
 func (d *Decider) priorityHeader(r *request) int {
 	fairness := &r.group.service.fairness
 	fair := d.uses(FairnessPriority)
--- a/internal/router/dispatch/duration.go
+++ b/internal/router/dispatch/duration.go
@@ -5,41 +5,42 @@
 	"time"
 )
 
-// Duration of complete calls, needed at shutdown: smoothed mean and mean deviation, as TCP estimates its round-trip time (RFC 6298,
-// section 2). A stream is measured per token of its maximum output.
+// Duration of complete calls, which admission during a shutdown depends on. It is estimated by a smoothed mean and
+// mean deviation, as TCP estimates its round-trip time (RFC 6298, section 2). The duration of a stream is measured
+// per token of its maximum output.
 
 const (
-	durationMeanGain      = 0.125 // weight of a new call in the mean
-	durationDeviationGain = 0.25  // and in the mean deviation
-	deviationFactor       = 4.0   // of the deviation above the mean: hardly any call lasts longer
-	minDurationSamples    = 3     // before an estimate counts
+	durationMeanGain      = 0.125 // weight of a new sample in the mean
+	durationDeviationGain = 0.25  // weight of a new sample in the mean deviation
+	deviationFactor       = 4.0   // hardly any call lasts longer than the mean plus this many mean deviations
+	minDurationSamples    = 3     // before an estimate is used
 )
 
-// durationBound estimates an upper bound of the calls of one kind, in ms per unit of their size.
+// durationBound estimates an upper bound for the duration of calls of one kind, in ms per work unit.
 type durationBound struct {
 	mean, deviation float64
 	count           int
 }
 
-// add takes in one call.
-func (l *durationBound) add(x float64) {
+// add records the duration of one call.
+func (l *durationBound) add(sample float64) {
 	if l.count++; l.count == 1 {
-		l.mean, l.deviation = x, x/2
+		l.mean, l.deviation = sample, sample/2
 		return
 	}
-	l.deviation += (math.Abs(x-l.mean) - l.deviation) * durationDeviationGain
-	l.mean += (x - l.mean) * durationMeanGain
+	l.deviation += (math.Abs(sample-l.mean) - l.deviation) * durationDeviationGain
+	l.mean += (sample - l.mean) * durationMeanGain
 }
 
-// upperBound returns what hardly any call exceeds; false if too little is known.
+// upperBound returns a duration that hardly any call exceeds; false if there are too few samples.
 func (l *durationBound) upperBound() (float64, bool) {
 	return l.mean + deviationFactor*l.deviation, l.count >= minDurationSamples
 }
 
-// durationBounds are the estimates for streams and for other calls.
+// durationBounds holds the estimates for streams and for other calls.
 type durationBounds struct{ streams, others durationBound }
 
-// forRequest returns the estimate for requests of this kind.
+// forRequest returns the estimate for calls of the request's kind.
 func (l *durationBounds) forRequest(r *request) *durationBound {
 	if r.Streaming {
 		return &l.streams
@@ -47,7 +48,8 @@
 	return &l.others
 }
 
-// workUnits returns the size by which the duration of the request's call is measured.
+// workUnits returns by how many units the duration of the request's call is divided: the maximum of output tokens for
+// a stream, 1 for other calls.
 func (r *request) workUnits() float64 {
 	if r.Streaming && r.OutputTokens > 0 {
 		return float64(r.OutputTokens)
@@ -55,18 +57,18 @@
 	return 1
 }
 
-// learnDurationBound learns from a call that served its request from the beginning to the end.
+// learnDurationBound records the duration of a call that served its request from the beginning to the end.
 func (d *Decider) learnDurationBound(r *request) {
-	if r.possibleExecutions > 1 { // it may have resumed what another endpoint began
+	if r.possibleExecutions > 1 { // it may have resumed a stream that another endpoint began
 		return
 	}
-	x := milliseconds(d.now-r.sentAt) / r.workUnits()
-	r.group.durationBounds.forRequest(r).add(x)
-	r.group.service.durationBounds.forRequest(r).add(x)
+	sample := milliseconds(d.now-r.sentAt) / r.workUnits()
+	r.group.durationBounds.forRequest(r).add(sample)
+	r.group.service.durationBounds.forRequest(r).add(sample)
 }
 
-// maxExpectedDuration returns how long a call of the request is expected to last at most; false if nothing is known. Calls other than
-// streams are expected to meet their latency target while nothing is known.
+// maxExpectedDuration returns the maximum duration expected of a call of the request; false for a stream while
+// nothing is known. Other calls are expected to meet their latency target while nothing is known.
 func (d *Decider) maxExpectedDuration(r *request) (time.Duration, bool) {
 	upper, known := r.group.durationBounds.forRequest(r).upperBound()
 	if !known {
--- a/internal/router/dispatch/endpoint.go
+++ b/internal/router/dispatch/endpoint.go
@@ -8,7 +8,7 @@
 	"raventrestle/internal/protocol"
 )
 
-// endpoint is one incarnation of a server.
+// endpoint is one incarnation of a server, as this router sees it.
 type endpoint struct {
 	id, address         string
 	hash                uint64
@@ -16,23 +16,23 @@
 	state               protocol.EndpointState
 	sequence            uint64
 	slots               int
-	sameZone            bool // as the router
-	listed              bool // in the table
+	sameZone            bool // it is in the router's zone
+	listed              bool // it is in the control plane's table
 	residencies         []*residency
 	pendingLoads        []protocol.ModelLoad
-	loadsReceivedAt     time.Duration
-	loadingGroups       []*modelGroup // of pendingLoads
-	inSuspects          bool          // in Decider.suspects
-	drainingAtDeparture bool
-	slowStartUntil      time.Duration
+	loadsReceivedAt     time.Duration // when pendingLoads was received
+	loadingGroups       []*modelGroup // groups of the models in pendingLoads
+	inSuspects          bool          // it is in Decider.suspects
+	drainingAtDeparture bool          // it accepts no requests if it comes back
+	slowStartUntil      time.Duration // until then it answers more slowly than predicted
 
-	asfq.Flow                    // its turns are the requests of queue
+	asfq.Flow                    // has one turn per request of queue
 	queue             []*request // in the order of insertQueued
-	dispatched        int        // turns taken, see oldestTurnInterval
+	dispatched        int        // requests sent from queue, see oldestTurnInterval
 	inFlight          []*request
-	awaitingFirstByte []*request // of inFlight, in order of sending
+	awaitingFirstByte []*request // those of inFlight without a first byte, in order of sending
 	backlog           backlog    // of awaitingFirstByte
-	pastTargetBacklog backlog    // of those sent past their target
+	pastTargetBacklog backlog    // the part of backlog that was sent past its target
 	openConnections   int        // estimate
 	lastUsedAt        time.Duration
 	health            health
@@ -40,30 +40,31 @@
 	slowness          slowness
 }
 
-// advertisedLoad is the newest load that the endpoint stated, without this router's own calls.
+// advertisedLoad is the latest load that the endpoint advertised, without this router's own calls.
 type advertisedLoad struct {
 	running, waiting int
 	receivedAt       time.Duration
 	known            bool
 }
 
-// routerConnectionFraction is the part of an endpoint's connections that all routers together open: their traffic isn't even, and an
-// endpoint resets connections beyond its limit.
+// routerConnectionFraction is the fraction of an endpoint's connection limit that all routers together use. The
+// margin is needed because traffic is not spread evenly over the routers, and an endpoint resets connections beyond
+// its limit.
 const routerConnectionFraction = 0.8
 
-// acceptsRequests reports whether it neither drains nor has departed.
+// acceptsRequests reports whether the endpoint is neither draining nor departed.
 func (e *endpoint) acceptsRequests() bool {
 	return e.state != protocol.Draining && e.state != protocol.Departed
 }
 
-// capacityChanged notes that a slot may have become free for all models of the endpoint.
-func (e *endpoint) capacityChanged() {
+// recordCapacityChange records for all models of the endpoint that a slot may have become free.
+func (e *endpoint) recordCapacityChange() {
 	for _, res := range e.residencies {
 		res.group.version++
 	}
 }
 
-// slotCount returns how many requests the endpoint executes at once.
+// slotCount returns how many requests the endpoint can execute concurrently.
 func (e *endpoint) slotCount() int {
 	if e.slots > 0 {
 		return e.slots
@@ -74,7 +75,7 @@
 	return 1
 }
 
-// maxConnections returns how many connections this router may have to an endpoint of the service.
+// maxConnections returns how many connections this router may have to each endpoint of the service.
 func (d *Decider) maxConnections(s *service) int {
 	if s.config == nil || s.config.MaxConnections <= 0 {
 		return math.MaxInt32
@@ -82,7 +83,7 @@
 	return max(1, int(float64(s.config.MaxConnections)/float64(d.routerCount)*routerConnectionFraction))
 }
 
-// recordAdvertisedLoad stores the load that an endpoint stated, less this router's own calls.
+// recordAdvertisedLoad stores the load that an endpoint advertised, less this router's own calls.
 func (d *Decider) recordAdvertisedLoad(e *endpoint, load *AdvertisedLoad) {
 	if load == nil {
 		return
--- a/internal/router/dispatch/estimate.go
+++ b/internal/router/dispatch/estimate.go
@@ -5,37 +5,39 @@
 	"time"
 )
 
-// Estimates of the time to the first byte, learned from this router's own calls: per model a linear regression over the tokens that are
-// read before it, how much slower one endpoint is than its peers, and the load that other routers cause. Times are in ms, tokens in
-// thousands.
+// Estimates of the time to the first byte, learned from this router's own calls: a linear regression per model over
+// the tokens that are prefilled before it, how much slower an endpoint is than its peers, and the load that other
+// routers cause. Times are in milliseconds, tokens in thousands.
 
 const (
-	priorDurationMS            = 20.0 // of a complete call
-	outlierFactor              = 4.0  // times the prediction to which longer times are clipped
-	durationSmoothing          = 0.05 // weight of a new call in the mean duration
-	prefillSmoothing           = 0.05
-	advertisedLoadTimeConstant = 12 * time.Second
-	maxAssumedUtilization      = 0.4  // of the slots of an endpoint that has advertised nothing, assumed to be used by other routers
-	maxKVUtilization           = 0.95 // of an endpoint's KV cache that running requests may take
+	priorDurationMS            = 20.0             // duration of a complete call, until one has ended
+	outlierFactor              = 4.0              // longer times are clipped to this multiple of the prediction
+	durationSmoothing          = 0.05             // weight of a new sample in the mean duration of calls
+	prefillSmoothing           = 0.05             // weight of a new sample in the mean tokens of requests
+	advertisedLoadTimeConstant = 12 * time.Second // time constant with which an advertised load loses its weight
+	maxAssumedUtilization      = 0.4              // maximum fraction of an endpoint's slots that other routers are assumed to use while it advertises nothing
+	maxKVUtilization           = 0.95             // maximum fraction of an endpoint's KV cache that running requests take
 )
 
-// msPerThousandTokens returns the time of the prefill of a thousand tokens, in ms.
+// msPerThousandTokens returns the time to prefill a thousand tokens, in ms.
 func (g *modelGroup) msPerThousandTokens() float64 {
-	start, slope := g.service.firstByteLine.fit(priorFirstByteMS, priorMSPerThousandTokens)
-	_, b := g.firstByteLine.fit(start, slope)
+	intercept, slope := g.service.firstByteRegression.fit(priorFirstByteMS, priorMSPerThousandTokens)
+	_, b := g.firstByteRegression.fit(intercept, slope)
 	return b
 }
 
-// firstByteMS returns the time to the first byte of an idle endpoint that has so many thousand tokens to read, in ms.
-func (g *modelGroup) firstByteMS(thousands float64) float64 {
-	start, slope := g.service.firstByteLine.fit(priorFirstByteMS, priorMSPerThousandTokens)
-	a, b := g.firstByteLine.fit(start, slope)
-	return a + b*thousands
+// firstByteMS returns the time to the first byte at an idle endpoint that prefills the given thousands of tokens, in
+// ms.
+func (g *modelGroup) firstByteMS(thousandTokens float64) float64 {
+	intercept, slope := g.service.firstByteRegression.fit(priorFirstByteMS, priorMSPerThousandTokens)
+	a, b := g.firstByteRegression.fit(intercept, slope)
+	return a + b*thousandTokens
 }
 
-// othersLoad estimates the calls of other routers at the endpoint, running and waiting: what it advertised, decaying towards what is
-// expected if other routers behave like this one.
-func (d *Decider) othersLoad(e *endpoint) (running, waiting float64) {
+// otherRoutersLoad estimates how many calls of other routers run and wait at the endpoint. The estimate is the load
+// that the endpoint advertised. With its age it approaches the load that is expected if other routers behave like
+// this one.
+func (d *Decider) otherRoutersLoad(e *endpoint) (running, waiting float64) {
 	others := float64(d.routerCount - 1)
 	expected := 0.0
 	if s := e.service; s.endpoints > 0 {
@@ -53,39 +55,39 @@
 
 // load estimates how many slots of the endpoint are in use and how many requests wait there.
 func (d *Decider) load(e *endpoint) (used, waiting float64) {
-	running, others := d.othersLoad(e)
-	if e.service.engine() == nil { // without an engine a call executes from its arrival
+	running, others := d.otherRoutersLoad(e)
+	if e.service.engine() == nil { // without an engine a call executes as soon as it arrives
 		return running + float64(len(e.inFlight)), others
 	}
 	return running + float64(len(e.inFlight)-len(e.awaitingFirstByte)), others + float64(len(e.awaitingFirstByte))
 }
 
-// capacity returns how many requests the endpoint executes at once: its slots, or fewer if its KV cache is the limit. mean is the mean of
-// tokens that a request takes of it.
-func (e *endpoint) capacity(mean float64) float64 {
-	places := float64(e.slotCount())
+// capacity returns how many requests the endpoint can execute concurrently: its slots, or fewer if its KV cache is
+// the limit. meanKVTokens is how many tokens of the cache a request takes on average.
+func (e *endpoint) capacity(meanKVTokens float64) float64 {
+	slots := float64(e.slotCount())
 	engine := e.service.engine()
-	if engine == nil || engine.KVTokens <= 0 || mean <= 0 {
-		return places
+	if engine == nil || engine.KVTokens <= 0 || meanKVTokens <= 0 {
+		return slots
 	}
-	return min(places, max(1, maxKVUtilization*float64(engine.KVTokens)/mean))
+	return min(slots, max(1, maxKVUtilization*float64(engine.KVTokens)/meanKVTokens))
 }
 
-// predict estimates the time from sending to the first byte, in ms, and the cached tokens of the prompt.
+// predict estimates the time from sending to the first byte, in ms, and how many tokens of the prompt are cached.
 func (d *Decider) predict(res *residency, r *request) (ms float64, cached int) {
 	e, g := res.endpoint, res.group
-	g.firstByteLine.decay(d.now)
-	g.service.firstByteLine.decay(d.now)
+	g.firstByteRegression.decay(d.now)
+	g.service.firstByteRegression.decay(d.now)
 	cached = min(res.prefixCache.cachedTokens(r.prefixChain(), r.PromptParts, d.now), r.PromptTokens)
-	running, othersWaiting := d.othersLoad(e)
-	ahead := e.backlog
+	running, othersWaiting := d.otherRoutersLoad(e)
+	precedingBacklog := e.backlog
 	calls := float64(len(e.inFlight))
-	if !r.pastTarget { // requests past their target are served after it
-		ahead.tokens -= e.pastTargetBacklog.tokens
+	if !r.pastTarget { // requests past their target are served after this one
+		precedingBacklog.tokens -= e.pastTargetBacklog.tokens
 		calls -= float64(e.pastTargetBacklog.calls)
 		othersWaiting *= 1 - g.service.pastTargetFraction
 	}
-	ms = g.firstByteMS((float64(r.prefillBeyond(cached)+ahead.tokens) + othersWaiting*g.meanPrefillTokens) / 1000)
+	ms = g.firstByteMS((float64(r.uncachedTokens(cached)+precedingBacklog.tokens) + othersWaiting*g.meanPrefillTokens) / 1000)
 	used := running + othersWaiting + calls
 	capacity := e.capacity(g.meanKVTokens)
 	if excess := used + 1 - capacity; excess > 0 {
@@ -98,15 +100,16 @@
 	return ms, cached
 }
 
-// prefillBeyond returns how many tokens an endpoint must read for the request if so many are cached; none without an engine.
-func (r *request) prefillBeyond(cached int) int {
+// uncachedTokens returns how many prompt tokens an endpoint has to prefill for the request if it has cached the given
+// number of tokens; 0 without an engine.
+func (r *request) uncachedTokens(cached int) int {
 	if r.group.service.engine() == nil {
 		return 0
 	}
 	return r.PromptTokens - cached
 }
 
-// meanDuration returns the mean duration of a call in ms.
+// meanDuration returns the mean duration of a call, in ms.
 func (s *service) meanDuration() float64 {
 	if s.durationMS == 0 {
 		return priorDurationMS
@@ -114,11 +117,12 @@
 	return s.durationMS
 }
 
-// recordPrediction stores what was predicted for an attempt, to be compared with what is observed.
+// recordPrediction stores the prediction for an attempt, which learnFirstByte compares with the observed time, and
+// adds the attempt to the endpoint's backlog and to the means of its model.
 func (d *Decider) recordPrediction(e *endpoint, res *residency, r *request, ms float64, cached int) {
 	g := res.group
 	r.predictedMS = ms
-	r.prefillTokens = r.prefillBeyond(cached)
+	r.prefillTokens = r.uncachedTokens(cached)
 	r.prefillAtSend = float64(r.prefillTokens+e.backlog.tokens-e.pastTargetBacklog.tokens) / 1000
 	r.slownessAtSend = e.slowness.factor(d.now)
 	used, waiting := d.load(e)
@@ -128,32 +132,32 @@
 	g.meanKVTokens += (float64(r.PromptTokens) + float64(r.OutputTokens)/2 - g.meanKVTokens) * prefillSmoothing
 }
 
-// learnFirstByte learns from the time to the first byte.
+// learnFirstByte updates the estimates with the observed time to the first byte.
 func (d *Decider) learnFirstByte(r *request, e *endpoint) {
 	observed := milliseconds(d.now - r.sentAt)
 	d.predictionErrors.add(r.predictedMS, observed)
 	if !r.uncontended && observed >= r.predictedMS {
-		return // it waited for a slot or behind others: only a fast answer is informative
+		return // it waited for a slot or for other requests: only an answer faster than predicted is informative
 	}
 	ratio := observed / max(r.predictedMS, 0.1) * r.slownessAtSend
 	if d.uses(SlownessLearning) {
 		e.slowness.add(d.now, min(max(ratio, minSlownessRatio), maxSlownessRatio))
 	}
 	observed = min(observed, outlierFactor*max(r.predictedMS, 1)) / r.slownessAtSend
-	r.group.firstByteLine.add(d.now, r.prefillAtSend, observed)
-	r.group.service.firstByteLine.add(d.now, r.prefillAtSend, observed)
+	r.group.firstByteRegression.add(d.now, r.prefillAtSend, observed)
+	r.group.service.firstByteRegression.add(d.now, r.prefillAtSend, observed)
 }
 
-// learnDuration learns from the duration of a successful attempt.
+// learnDuration updates the estimates with the duration of a successful attempt.
 func (d *Decider) learnDuration(r *request) {
 	s := r.group.service
-	took := milliseconds(d.now - r.sentAt)
+	elapsed := milliseconds(d.now - r.sentAt)
 	if s.durationMS == 0 {
-		s.durationMS = took
+		s.durationMS = elapsed
 	}
-	s.durationMS += (took - s.durationMS) * durationSmoothing
+	s.durationMS += (elapsed - s.durationMS) * durationSmoothing
 	d.learnDurationBound(r)
 }
 
-// milliseconds converts a duration.
+// milliseconds converts a duration to milliseconds.
 func milliseconds(t time.Duration) float64 { return float64(t) / float64(time.Millisecond) }
--- a/internal/router/dispatch/expected_load.go
+++ b/internal/router/dispatch/expected_load.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// Expected loads: endpoints announce their models with heartbeats, which may come long after a load has finished. Once the expected time
-// of a load has passed, the endpoint is assumed to have the model: one request verifies that, and others follow when it is answered. If
-// it is rejected, the load is expected later.
+// Expected loads: endpoints announce their models with heartbeats, which may arrive long after a load has finished.
+// Once the expected time of a load has passed, the endpoint is assumed to have the model. One request verifies the
+// assumption, and others follow when it is answered. If it is rejected, the load is expected to finish later.
 
 const (
-	loadMargin          = 10 * time.Millisecond // beyond the expected end of a load
-	loadMarginFraction  = 0.03                  // of the load's remaining time, on top
-	minLoadPostponement = 100 * time.Millisecond
+	loadMargin          = 10 * time.Millisecond  // added to the expected end of a load
+	loadMarginFraction  = 0.03                   // of the load's remaining time, also added
+	minLoadPostponement = 100 * time.Millisecond // after a verification that came too early
 	maxLoadPostponement = 2 * time.Second
 )
 
-// expectedLoad is a load of a model or an adapter that is under way.
+// expectedLoad is a load of a model or an adapter that is in progress.
 type expectedLoad struct {
 	endpoint     *endpoint
-	adapter      string // "": the model itself
-	readyAt      time.Duration
-	postponement time.Duration // after the last verification that came too early
+	adapter      string        // "" for the model itself
+	readyAt      time.Duration // expected end, with the margin
+	postponement time.Duration // backoff after the last verification that came too early
 }
 
-// updateExpectedLoads replaces what is known of the endpoint's loads under way.
+// updateExpectedLoads replaces the endpoint's expected loads by those of its latest update.
 func (d *Decider) updateExpectedLoads(e *endpoint) {
 	for _, g := range e.loadingGroups {
-		g.expectedLoads = slices.DeleteFunc(g.expectedLoads, func(a expectedLoad) bool { return a.endpoint == e })
+		g.expectedLoads = slices.DeleteFunc(g.expectedLoads, func(load expectedLoad) bool { return load.endpoint == e })
 		g.version++
 	}
 	e.loadingGroups = e.loadingGroups[:0]
@@ -46,21 +46,23 @@
 	}
 }
 
-// nextLoadReadyAt returns when a load under way is expected to finish that provides the adapter.
-func (g *modelGroup) nextLoadReadyAt(adapter string, now time.Duration) (at time.Duration, known bool) {
+// nextLoadReadyAt returns when the first load in progress that provides the adapter is expected to finish; false if
+// there is none.
+func (g *modelGroup) nextLoadReadyAt(adapter string, now time.Duration) (readyAt time.Duration, known bool) {
 	for i := range g.expectedLoads {
-		a := &g.expectedLoads[i]
-		if a.adapter != adapter {
+		load := &g.expectedLoads[i]
+		if load.adapter != adapter {
 			continue
 		}
-		if !known || a.readyAt < at {
-			at, known = a.readyAt, true
+		if !known || load.readyAt < readyAt {
+			readyAt, known = load.readyAt, true
 		}
 	}
-	return max(at, now), known
+	return max(readyAt, now), known
 }
 
-// assumeLoaded treats loads that should have finished by now as finished, and reports whether there were any for the request.
+// assumeLoaded assumes that those loads of the request's model and adapter that should have finished by now have
+// finished, and reports whether there are any.
 func (d *Decider) assumeLoaded(r *request) bool {
 	g := r.group
 	assumed := false
@@ -68,36 +70,36 @@
 		return false
 	}
 	for i := range g.expectedLoads {
-		a := &g.expectedLoads[i]
-		if a.adapter != r.Adapter || a.readyAt > d.now || !a.endpoint.acceptsRequests() || r.hasAttempted(a.endpoint) {
+		load := &g.expectedLoads[i]
+		if load.adapter != r.Adapter || load.readyAt > d.now || !load.endpoint.acceptsRequests() || r.hasAttempted(load.endpoint) {
 			continue
 		}
-		res := a.endpoint.residencyOf(g.model)
+		res := load.endpoint.residencyOf(g.model)
 		switch {
-		case a.adapter == "" && res == nil:
-			d.ensureResidency(a.endpoint, g.model, nil, false)
-			res = a.endpoint.residencyOf(g.model)
-		case a.adapter == "" || res == nil || res.serves(a.adapter):
+		case load.adapter == "" && res == nil:
+			d.ensureResidency(load.endpoint, g.model, nil, false)
+			res = load.endpoint.residencyOf(g.model)
+		case load.adapter == "" || res == nil || res.serves(load.adapter):
 			continue
 		}
-		res.unverified = append(res.unverified, a.adapter)
+		res.unverified = append(res.unverified, load.adapter)
 		g.version++
 		assumed = true
 	}
 	return assumed
 }
 
-// isUnverified reports whether the residency is only assumed to have the adapter.
+// isUnverified reports whether the residency is only assumed to have the adapter, or the model if adapter is "".
 func (res *residency) isUnverified(adapter string) bool {
 	return slices.Contains(res.unverified, adapter)
 }
 
-// awaitsVerification reports whether a request must wait for another one that verifies the assumption.
+// awaitsVerification reports whether a request must wait because another one is verifying the assumption.
 func (res *residency) awaitsVerification(adapter string) bool {
 	return res.verifications > 0 && res.isUnverified(adapter)
 }
 
-// confirmResidency notes that an answer proved the assumption.
+// confirmResidency records that an answer confirmed the assumption.
 func (d *Decider) confirmResidency(r *request, e *endpoint) {
 	res := e.residencyOf(r.Model)
 	if res == nil || !res.isUnverified(r.Adapter) {
@@ -110,7 +112,8 @@
 	res.group.version++
 }
 
-// refuteResidency notes that a rejection disproved the assumption: the load takes longer. False if nothing was assumed.
+// refuteResidency records that a rejection refuted the assumption: the load takes longer than expected. It returns
+// false if nothing was assumed.
 func (d *Decider) refuteResidency(r *request, e *endpoint) bool {
 	res := e.residencyOf(r.Model)
 	if res == nil || !res.isUnverified(r.Adapter) {
@@ -118,10 +121,10 @@
 	}
 	res.unverified = remove(slices.Clone(res.unverified), r.Adapter)
 	for i := range res.group.expectedLoads {
-		a := &res.group.expectedLoads[i]
-		if a.endpoint == e && a.adapter == r.Adapter {
-			a.postponement = min(max(2*a.postponement, minLoadPostponement), maxLoadPostponement)
-			a.readyAt = d.now + a.postponement
+		load := &res.group.expectedLoads[i]
+		if load.endpoint == e && load.adapter == r.Adapter {
+			load.postponement = min(max(2*load.postponement, minLoadPostponement), maxLoadPostponement)
+			load.readyAt = d.now + load.postponement
 		}
 	}
 	if r.Adapter == "" {
--- a/internal/router/dispatch/fairness.go
+++ b/internal/router/dispatch/fairness.go
@@ -1,20 +1,21 @@
 package dispatch
 
-// Fairness between kinds of request: how often each rank of a service is served by this router, and how often large requests are. A more
-// urgent rank that is served less often than a less urgent one is preferred, and so is one that is served far less often than all.
+// Fairness between kinds of request: how often requests of each rank of a service are served by this router, and how
+// often large requests are. A more urgent rank that is served less often than a less urgent one is preferred, and so
+// is a rank that is served far less often than the average.
 
 const (
-	fairnessDecay      = 0.98 // weight of earlier ends, at each new one
-	minFairnessSamples = 8.0
-	fairnessNoise      = 0.1 // difference of ratios that may be chance
-	starvationRatio    = 0.5 // of the ratio of all requests, below which a rank is starved
-	largeRequestFactor = 1.7 // times the mean size of a model's requests
+	fairnessDecay      = 0.98 // weight of earlier requests at each new one
+	minFairnessSamples = 8.0  // decayed number of requests before a ratio is used
+	fairnessNoise      = 0.1  // smaller differences of ratios may be random
+	starvationRatio    = 0.5  // fraction of the ratio of all requests, below which a rank is starved
+	largeRequestFactor = 1.7  // a large request has more than this multiple of the mean size of its model's requests
 )
 
-// servedRatio is how often requests were served, with exponential decay.
+// servedRatio is the fraction of requests that were served, with exponential decay.
 type servedRatio struct{ ended, served float64 }
 
-// add counts the end of a request.
+// add counts a request that has ended.
 func (s *servedRatio) add(served bool) {
 	s.ended = s.ended*fairnessDecay + 1
 	s.served *= fairnessDecay
@@ -23,39 +24,39 @@
 	}
 }
 
-// isSignificant reports whether enough requests have ended.
+// isSignificant reports whether enough requests have ended to use the ratio.
 func (s *servedRatio) isSignificant() bool { return s.ended >= minFairnessSamples }
 
-// ratio returns the served fraction of the ended requests.
+// ratio returns the fraction of the ended requests that were served.
 func (s *servedRatio) ratio() float64 { return s.served / s.ended }
 
-// fairness holds the ratios of one service.
+// fairness holds the served ratios of one service.
 type fairness struct {
 	all, large servedRatio
-	ranks      []rankServedRatio // the most urgent first
+	ranks      []rankServedRatio // in order, the most urgent first
 }
 
-// rankServedRatio is the ratio of one rank.
+// rankServedRatio is the served ratio of one rank.
 type rankServedRatio struct {
 	rank   int
 	served servedRatio
 }
 
-// forRank returns the ratio of a rank.
+// forRank returns the served ratio of a rank, adding it if needed.
 func (f *fairness) forRank(rank int) *servedRatio {
-	at := 0
-	for at < len(f.ranks) && f.ranks[at].rank < rank {
-		at++
+	i := 0
+	for i < len(f.ranks) && f.ranks[i].rank < rank {
+		i++
 	}
-	if at == len(f.ranks) || f.ranks[at].rank != rank {
+	if i == len(f.ranks) || f.ranks[i].rank != rank {
 		f.ranks = append(f.ranks, rankServedRatio{})
-		copy(f.ranks[at+1:], f.ranks[at:])
-		f.ranks[at] = rankServedRatio{rank: rank}
+		copy(f.ranks[i+1:], f.ranks[i:])
+		f.ranks[i] = rankServedRatio{rank: rank}
 	}
-	return &f.ranks[at].served
+	return &f.ranks[i].served
 }
 
-// record counts the end of a request.
+// record counts a request that has ended.
 func (f *fairness) record(r *request, served bool) {
 	f.all.add(served)
 	f.forRank(r.rank).add(served)
@@ -64,7 +65,8 @@
 	}
 }
 
-// starved reports whether the request's rank is served far less often than all, or large requests are and it is one.
+// starved reports whether the request's rank is served far less often than the average, or whether it is a large
+// request and those are.
 func (f *fairness) starved(r *request) bool {
 	if !f.all.isSignificant() {
 		return false
@@ -77,7 +79,7 @@
 	return own.isSignificant() && own.ratio() < threshold
 }
 
-// underserved reports whether the request's rank is served less often than it should be.
+// underserved reports whether the request is starved, or its rank is served less often than a less urgent one.
 func (f *fairness) underserved(r *request) bool {
 	if f.starved(r) {
 		return true
--- a/internal/router/dispatch/fairness_test.go
+++ b/internal/router/dispatch/fairness_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// TestLargeRequestsAreServed checks that in a burst far beyond the capacity the largest tenth of a kind's
-// requests is served at least 0.6 times as often as all of the kind.
+// TestLargeRequestsAreServed checks that, in a burst far beyond the capacity, the largest tenth of a kind's requests
+// is served at least 0.6 times as often as all requests of the kind.
 func TestLargeRequestsAreServed(t *testing.T) {
 	for seed := range uint64(1) {
-		w := overload(t, 40+seed, 12)
+		w := runOverload(t, 40+seed, 12)
 		for _, k := range w.kinds[:2] {
 			var all []*simulatedClient
 			for _, list := range w.clients {
@@ -30,6 +30,7 @@
 	}
 }
 
+// size returns a measure of the request's work.
 func (c *simulatedClient) size() int { return c.request.PromptTokens + 10*c.request.OutputTokens }
 
 func servedFraction(list []*simulatedClient) float64 {
--- a/internal/router/dispatch/golden_constants_test.go
+++ b/internal/router/dispatch/golden_constants_test.go
@@ -7,9 +7,10 @@
 	"testing"
 )
 
-// TestConstantsAreAsRecorded holds every tuned value against testdata/golden/constants.tsv, written by the code of 73ca247, of
-// docs/results/decisions.md and, where they concern credit, of docs/results/leader-loss.md:
-// a label and the value; times in nanoseconds.
+// TestConstantsAreAsRecorded compares every tuned constant with testdata/golden/constants.tsv, which has a label and
+// a value per line, times in nanoseconds. The record was written by the code of 73ca247, of docs/results/decisions.md
+// and, for the constants that concern credit, of docs/results/leader-loss.md. Some labels differ from the constants'
+// present names.
 func TestConstantsAreAsRecorded(t *testing.T) {
 	values := []struct {
 		label string
@@ -24,7 +25,7 @@
 		{"lookAgain", float64(recheckInterval)},
 		{"leastSilenceSeen", float64(minClientIdleTimeout)},
 		{"silenceTimes", float64(clientIdleTimeoutFactor)},
-		{"patienceShare", float64(usefulFraction)},
+		{"patienceShare", float64(usefulTimeoutFraction)},
 		{"usualRank", float64(normalPriority)},
 		{"laggingRank", float64(underservedPriority)},
 		{"lateRank", float64(pastTargetPriority)},
@@ -51,7 +52,7 @@
 		{"loadPrice", float64(utilizationCostMS)},
 		{"sizeMismatchCostMS", float64(sizeMismatchCostMS)},
 		{"sizeDecay", float64(sizeDecay)},
-		{"minSizeObservation", float64(minSizeObservation)},
+		{"minSizeObservation", float64(minSizeSamples)},
 		{"farPrice", float64(crossZoneCostMS)},
 		{"newPrice", float64(dialCostMS)},
 		{"doubtPrice", float64(possiblyDownCostMS)},
@@ -63,9 +64,9 @@
 		{"endReserve", float64(shutdownReserveDivisor)},
 		{"endMargin", float64(shutdownMargin)},
 		{"betweenUrgent", float64(minUrgentReportInterval)},
-		{"lackAgain", float64(repeatShortageInterval)},
-		{"mostWorth", float64(maxValue)},
-		{"leastWorth", float64(minValue)},
+		{"lackAgain", float64(shortageReportInterval)},
+		{"mostWorth", float64(maxRequestValue)},
+		{"leastWorth", float64(minRequestValue)},
 		{"lineMemory", float64(regressionDecay)},
 		{"lineFades", float64(regressionTimeConstant)},
 		{"lineFadeStep", float64(regressionDecayInterval)},
@@ -136,16 +137,16 @@
 		{"quotaQueueFraction", float64(quotaQueueFraction)},
 		{"minQuotaQueueTime", float64(minQuotaQueueTime)},
 		{"maxQuotaQueueTime", float64(maxQuotaQueueTime)},
-		{"longQuotaRetry", float64(longQuotaRetry)},
-		{"lastTryFraction", float64(lastTryFraction)},
-		{"maxLastTryTime", float64(maxLastTryTime)},
-		{"maxRefusalTime", float64(maxRefusalTime)},
-		{"creditInquiryTimeout", float64(creditInquiryTimeout)},
-		{"creditAheadTime", float64(creditAheadTime)},
-		{"minAheadRequests", float64(minAheadRequests)},
-		{"lowAheadFraction", float64(lowAheadFraction)},
-		{"demandTime", float64(demandTime)},
-		{"creditRounding", float64(creditRounding)},
+		{"longQuotaRetry", float64(unansweredQuotaRetryAfter)},
+		{"lastTryFraction", float64(retryQuotaQueueFraction)},
+		{"maxLastTryTime", float64(maxRetryQuotaQueueTime)},
+		{"maxRefusalTime", float64(maxRefusalTTL)},
+		{"creditInquiryTimeout", float64(creditRequestTimeout)},
+		{"creditAheadTime", float64(creditAdvanceTime)},
+		{"minAheadRequests", float64(minAdvanceRequests)},
+		{"lowAheadFraction", float64(lowAdvanceFraction)},
+		{"demandTime", float64(demandTimeConstant)},
+		{"creditRounding", float64(creditTolerance)},
 	}
 	content, err := os.ReadFile(filepath.Join("testdata", "golden", "constants.tsv"))
 	if err != nil {
--- a/internal/router/dispatch/golden_fleet_test.go
+++ b/internal/router/dispatch/golden_fleet_test.go
@@ -42,7 +42,7 @@
 	return g.endpoints[at]
 }
 
-// snapshot is a copy of the endpoint's row, as the control plane sends it.
+// snapshot returns a copy of the endpoint's row, as the control plane sends it.
 func (e *goldenEndpoint) snapshot() protocol.Endpoint {
 	row := e.row
 	row.Loading = slices.Clone(row.Loading)
@@ -63,14 +63,14 @@
 	return rows
 }
 
-// announce sends the endpoint's newest state after the control plane's delay.
+// announce sends the endpoint's latest state after the control plane's delay.
 func (g *goldenRun) announce(e *goldenEndpoint) {
 	e.row.Sequence++
 	row := e.snapshot()
 	g.after(time.Duration(2+g.random.IntN(9))*time.Millisecond, func() { g.input(ViewChanged{Endpoints: []protocol.Endpoint{row}}) })
 }
 
-// drawEndpoint returns one that has not departed.
+// drawEndpoint returns a random endpoint that has not departed.
 func (g *goldenRun) drawEndpoint() *goldenEndpoint {
 	for {
 		if e := g.endpoints[g.random.IntN(len(g.endpoints))]; !e.departed {
@@ -86,7 +86,7 @@
 	}
 }
 
-// fullTable sends the complete table, at times without one of the endpoints, which comes back.
+// fullTable sends the complete table. Sometimes an endpoint is missing in it, which is added again by a later update.
 func (g *goldenRun) fullTable() {
 	rows := g.rows()
 	if g.random.IntN(3) == 0 {
@@ -102,7 +102,7 @@
 	g.input(ViewChanged{Full: true, Endpoints: rows})
 }
 
-// lateUpdate sends a row that is older than what the decider knows, also of endpoints that have departed.
+// lateUpdate sends a row that may be older than the decider's knowledge, also for endpoints that have departed.
 func (g *goldenRun) lateUpdate() {
 	row := g.endpoints[g.random.IntN(len(g.endpoints))].snapshot()
 	row.Sequence -= min(row.Sequence, uint64(g.random.IntN(3)))
@@ -110,7 +110,7 @@
 	g.after(200*time.Millisecond, func() { g.input(ViewChanged{Endpoints: []protocol.Endpoint{row}}) })
 }
 
-// fault injects one of the faults into an endpoint.
+// fault injects a random fault into a random endpoint.
 func (g *goldenRun) fault() {
 	e := g.drawEndpoint()
 	until := time.Duration(200+g.random.IntN(2500)) * time.Millisecond
@@ -145,7 +145,7 @@
 	}
 }
 
-// replace drains an endpoint, has it depart and a new one start in its place, which is slow at first.
+// replace drains an endpoint and removes it. A new endpoint takes its place, which is warming up at first.
 func (g *goldenRun) replace(e *goldenEndpoint, after time.Duration) {
 	if e.row.State == protocol.Draining {
 		return
@@ -177,7 +177,7 @@
 	}
 }
 
-// orderLoad orders an endpoint to load or unload a model or an adapter.
+// orderLoad orders a random endpoint to load or unload a model or an adapter.
 func (g *goldenRun) orderLoad() {
 	e := g.drawEndpoint()
 	if e.row.Service != "lm" || len(e.row.Loading) > 0 {
@@ -195,7 +195,7 @@
 	g.carryOutOrder(e, protocol.ModelLoad{Model: model, Adapter: adapter, Remaining: time.Duration(100+g.random.IntN(700)) * time.Millisecond})
 }
 
-// carryOutOrder has the endpoint carry out one order, about when it is expected; its heartbeat follows later.
+// carryOutOrder makes the endpoint carry out an order in about the announced time. Its heartbeat follows later.
 func (g *goldenRun) carryOutOrder(e *goldenEndpoint, order protocol.ModelLoad) {
 	e.row.Loading = append(e.row.Loading, order)
 	g.announce(e)
@@ -220,8 +220,8 @@
 	})
 }
 
-// loseModel has an endpoint lose a model or an adapter, of which the table learns late; at times another instance has its
-// address for a while.
+// loseModel makes an endpoint lose a model or an adapter, which the table reflects only later. In one of four cases
+// another instance has the endpoint's address for a while instead.
 func (g *goldenRun) loseModel() {
 	e := g.drawEndpoint()
 	if g.random.IntN(4) == 0 {
@@ -248,7 +248,7 @@
 	})
 }
 
-// placeOnDemand loads what a report says is lacking.
+// placeOnDemand loads models and adapters with queued requests according to a report.
 func (g *goldenRun) placeOnDemand(report protocol.Report) {
 	for _, m := range report.Models {
 		if m.Service != "lm" || m.Queued == 0 || g.random.IntN(4) > 0 {
@@ -261,8 +261,8 @@
 	}
 }
 
-// answerCredit has the control instances answer a request for credit, where the scenario has any. Some answers are lost, some
-// late.
+// answerCredit answers a credit request as the control instances do, if the scenario has answers. Some answers are
+// lost, some are late.
 func (g *goldenRun) answerCredit(asked protocol.CreditRequest) {
 	if !g.credit || g.random.IntN(20) == 0 {
 		return
@@ -275,7 +275,7 @@
 	g.after(delay, func() { g.input(CreditGranted{grant}) })
 }
 
-// goldenExact prints a figure with all its digits.
+// goldenExact formats a number with all its digits.
 func goldenExact(x float64) string { return strconv.FormatFloat(x, 'g', -1, 64) }
 
 func (g *goldenRun) record(format string, arguments ...any) {
@@ -313,7 +313,7 @@
 	g.record("%s; failing %s; reached %s", line, strings.Join(r.Unreachable, " "), strings.Join(r.Reachable, " "))
 }
 
-// recordState records counters and what the decider has learned.
+// recordState records the counters and what the decider has learned.
 func (g *goldenRun) recordState() {
 	d := g.decider
 	c := d.Counters()
@@ -346,7 +346,7 @@
 	for _, name := range goldenSorted(d.tenants) {
 		t := d.tenants[name]
 		g.record("tenant %s reserve %s credit %s unpaid %d asked %d ahead %s refused %s", name, goldenExact(t.reserve.level),
-			goldenExact(d.availableCredit(t)), len(t.awaitingQuota), len(t.asked), goldenExact(t.demand.ahead(d.now)), goldenExact(t.refused.charge))
+			goldenExact(d.availableCredit(t)), len(t.quotaQueue), len(t.pendingCreditRequests), goldenExact(t.demand.advanceAmount(d.now)), goldenExact(t.lastRefusal.charge))
 	}
 }
 
--- a/internal/router/dispatch/golden_run_test.go
+++ b/internal/router/dispatch/golden_run_test.go
@@ -10,7 +10,7 @@
 	"raventrestle/internal/protocol"
 )
 
-// goldenRun plays a scenario: simulated clients and endpoints that react to the decider's outputs.
+// goldenRun runs a scenario with simulated clients and endpoints, which react to the decider's outputs.
 type goldenRun struct {
 	goldenScenario
 	random    *rand.Rand
@@ -26,7 +26,7 @@
 	inputs    []Input
 	lines     []string
 	number    int // of the next endpoint
-	change    int // of the configuration
+	change    int // number of the current configuration
 	issuer    *creditIssuer
 }
 
@@ -42,7 +42,7 @@
 	left    bool
 }
 
-// goldenCall is a call under way.
+// goldenCall is a call in flight.
 type goldenCall struct {
 	endpoint *goldenEndpoint
 	waiting  bool
@@ -55,8 +55,8 @@
 	unreachable      bool
 	unresponsive     bool
 	misdirected      bool    // another instance has its address
-	failures         float64 // part of the calls that fail
-	resets           float64 // part of the calls that are reset
+	failures         float64 // fraction of the calls that fail
+	resets           float64 // fraction of the calls that are reset
 	slow             float64
 	departed         bool
 }
@@ -68,7 +68,7 @@
 	}
 }
 
-// after has an event happen later.
+// after schedules an event.
 func (g *goldenRun) after(wait time.Duration, do func()) {
 	g.sequence++
 	event := goldenEvent{at: g.now + wait, sequence: g.sequence, do: do}
@@ -78,7 +78,7 @@
 	g.events = slices.Insert(g.events, at, event)
 }
 
-// every repeats an event with gaps of mean length until the scenario ends.
+// every repeats an event at random intervals with the given mean until the scenario ends.
 func (g *goldenRun) every(mean time.Duration, do func()) {
 	g.after(time.Duration(float64(mean)*g.random.ExpFloat64())+time.Microsecond, func() {
 		if g.now < g.length {
@@ -96,7 +96,7 @@
 
 func (g *goldenRun) clock() time.Time { return g.zero.Add(g.now) }
 
-// run plays the scenario to its end and until all requests have ended, and returns the record.
+// run runs the scenario to its end, until all requests have ended, and returns the record.
 func (g *goldenRun) run() []string {
 	g.start()
 	for len(g.events) > 0 {
@@ -118,7 +118,7 @@
 	return g.lines
 }
 
-// start schedules all that happens by itself.
+// start schedules the events that are not reactions to outputs.
 func (g *goldenRun) start() {
 	for range 4 {
 		g.addEndpoint("lm", 12, "m")
@@ -193,7 +193,7 @@
 	}
 }
 
-// arrive has a client send a request.
+// arrive sends a random request.
 func (g *goldenRun) arrive() {
 	x := g.random
 	r := Request{
@@ -240,7 +240,7 @@
 	g.send(r)
 }
 
-// send hands a request to the decider; a few clients leave again.
+// send passes a request to the decider. A few of the clients disconnect before it ends.
 func (g *goldenRun) send(r Request) {
 	g.nextID++
 	r.ID = g.nextID
@@ -248,7 +248,7 @@
 	g.requests[r.ID] = client
 	g.input(RequestArrived{r})
 	if g.random.IntN(300) == 0 {
-		g.input(RequestArrived{r}) // repeated, must not count
+		g.input(RequestArrived{r}) // sent twice, must have no effect
 	}
 	g.after(r.Deadline.Sub(g.clock()), func() { g.leave(client) })
 	if g.random.IntN(15) == 0 {
@@ -256,7 +256,7 @@
 	}
 }
 
-// leave has the client give up.
+// leave makes the client disconnect.
 func (g *goldenRun) leave(client *goldenRequest) {
 	if g.requests[client.request.ID] != client || client.left {
 		return
@@ -308,7 +308,7 @@
 	}
 }
 
-// finish ends a call if it is still under way.
+// finish ends a call if it is still in flight.
 func (g *goldenRun) finish(client *goldenRequest, call *goldenCall, result Result, more bool) {
 	if client.call != call {
 		return
@@ -337,7 +337,7 @@
 	return &AdvertisedLoad{Running: e.running, Waiting: e.waiting, Slots: e.row.Slots}
 }
 
-// call has an endpoint work on a request.
+// call makes an endpoint handle a request.
 func (g *goldenRun) call(client *goldenRequest, e *goldenEndpoint) {
 	x := g.random
 	call := &goldenCall{endpoint: e, waiting: true}
@@ -365,7 +365,7 @@
 	}
 }
 
-// serve has an endpoint answer a request, with events where it is a stream.
+// serve makes an endpoint answer a request, with events if it is a stream.
 func (g *goldenRun) serve(client *goldenRequest, call *goldenCall) {
 	x := g.random
 	e, r := call.endpoint, &client.request
@@ -375,7 +375,7 @@
 			return
 		}
 		if e.unresponsive {
-			return // the deadline or Abandon ends it
+			return // the deadline or Abandon ends the call
 		}
 		call.waiting = false
 		e.waiting--
--- a/internal/router/dispatch/golden_test.go
+++ b/internal/router/dispatch/golden_test.go
@@ -8,26 +8,26 @@
 	"raventrestle/internal/goldentest"
 )
 
-// goldenScenario is one seeded sequence of inputs. What is drawn depends on the seed and on the decider's outputs alone.
+// goldenScenario is a seeded sequence of inputs. Random choices depend only on the seed and on the decider's outputs.
 type goldenScenario struct {
 	name    string
 	seed    uint64
 	config  Config
-	load    float64 // factor of the rate of arrivals
-	faults  float64 // faults of endpoints per second
+	load    float64 // factor of the arrival rate
+	faults  float64 // endpoint faults per second
 	loads   float64 // orders to load or unload a model per second
-	credit  bool    // requests for credit are answered
+	credit  bool    // credit requests are answered
 	quota   float64 // factor of the tenants' limits
 	length  time.Duration
 	closing time.Duration // when the shutdown begins, 0: never
-	partial bool          // the shutdown still admits whatever arrives
-	changes bool          // configuration and number of routers change on the way
-	outage  time.Duration // when nearly all endpoints fail for a time, 0: never
+	partial bool          // after the shutdown has begun, every request is still admitted
+	changes bool          // configuration and number of routers change during the run
+	outage  time.Duration // when nearly all endpoints fail for a while, 0: never
 	stale   float64       // models per second that endpoints lose without an update of the table
-	rest    time.Duration // without arrivals, after restAfter
+	rest    time.Duration // duration without arrivals, from restAfter on
 }
 
-// restAfter is when a scenario's time without arrivals begins.
+// restAfter is when the time without arrivals begins.
 const restAfter = 3 * time.Second
 
 func goldenScenarios() []goldenScenario {
@@ -89,7 +89,7 @@
 	}
 }
 
-// goldenConfiguration is the configuration after a number of changes.
+// goldenConfiguration returns the configuration after the given number of changes.
 func goldenConfiguration(quota float64, changes int) *configuration.Configuration {
 	c := &configuration.Configuration{
 		Generation: int64(changes + 1),
@@ -128,10 +128,10 @@
 	return c
 }
 
-// TestDecisionsAreAsRecorded plays seeded sequences of inputs and compares all that the decider decides and estimates with
-// the records in testdata/golden, written by the code that docs/results/leader-loss.md describes: routers ask for credit, where those of
-// docs/results/decisions.md were granted rates. A difference is a change of behaviour; the records are written again only where that
-// is meant.
+// TestDecisionsAreAsRecorded runs seeded sequences of inputs and compares all decisions and estimates of the decider
+// with the records in testdata/golden. The records were written by the code that docs/results/leader-loss.md
+// describes, in which routers request credit; the routers of docs/results/decisions.md were granted rates. A
+// difference is a change of behaviour. The records may be written again only if the change is intended.
 func TestDecisionsAreAsRecorded(t *testing.T) {
 	for _, s := range goldenScenarios() {
 		t.Run(s.name, func(t *testing.T) {
--- a/internal/router/dispatch/health.go
+++ b/internal/router/dispatch/health.go
@@ -6,45 +6,47 @@
 	"raventrestle/internal/protocol"
 )
 
-// Health of endpoints, by this router's own calls alone (outlier ejection). An endpoint that fails is ejected for a backoff, then
-// probed by single requests, then by twice as many after each success until it is readmitted.
+// Health of endpoints, judged by this router's own calls alone (outlier ejection). An endpoint that fails is ejected
+// for a backoff time, then probed by one request at a time. After each success twice as many concurrent probes are
+// allowed, until the endpoint is readmitted.
 
 const (
-	failureWeight        = 1 // it answered with a failure of its own
-	connectionLossWeight = 2 // reset, garbled or timed out
-	unreachableWeight    = 3 // no connection could be made
-	ejectionThreshold    = 3 // of the weights of consecutive failures
+	failureWeight        = 1 // the endpoint answered with a failure of its own
+	connectionLossWeight = 2 // the connection was reset, timed out or garbled
+	unreachableWeight    = 3 // no connection could be made, or nothing was received
+	ejectionThreshold    = 3 // sum of the weights of consecutive failures at which an endpoint is ejected
 
 	minEjectionBackoff        = 250 * time.Millisecond
 	maxEjectionBackoff        = 2 * time.Second
-	nonRetryableProbeInterval = 700 * time.Millisecond // between probes of last resort by requests that can't be retried
-	massEjectionFraction      = 0.8                    // of a service's endpoints
+	nonRetryableProbeInterval = 700 * time.Millisecond // between last-resort probes by requests that can't be retried
+	massEjectionFraction      = 0.8                    // fraction of a service's endpoints; if so many are ejected, this router's own network may be at fault
 	minRejectionBackoff       = 40 * time.Millisecond  // after a rejected request
 	maxRejectionBackoff       = 640 * time.Millisecond
-	minMisdirectionTTL        = 300 * time.Millisecond // how long 421 outweighs the table
+	minMisdirectionTTL        = 300 * time.Millisecond // how long an answer 421 overrides the table
 	maxMisdirectionTTL        = 5 * time.Second
-	recoveredProbes           = 16 // concurrent probes from which on an endpoint counts as healthy again
-	responseTimeoutFactor     = 4  // times the prediction after which an endpoint without any sign counts as unresponsive
+	recoveredProbes           = 16 // concurrent probes from which on an endpoint is healthy again
+	responseTimeoutFactor     = 4  // multiple of the predicted time after which an endpoint that sends nothing is unresponsive
 	minResponseTimeout        = 150 * time.Millisecond
-	recentSuccessWindow       = 2 * time.Second // in which a success outweighs missing heartbeats
+	recentSuccessWindow       = 2 * time.Second // within it a success outweighs missing heartbeats
 )
 
-// health is what this router's calls show of an endpoint.
+// health is an endpoint's health according to this router's calls.
 type health struct {
-	failureScore     int // weights of consecutive failures
+	failureScore     int // sum of the weights of consecutive failures
 	ejectionBackoff  time.Duration
 	rejectionBackoff time.Duration
-	notBefore        time.Duration // no call earlier
+	notBefore        time.Duration // no call is sent earlier
 	ejectedAt        time.Duration
-	maxProbes        int // concurrent calls while it recovers, 0: healthy, no bound
-	probes           int // concurrent ones
+	maxProbes        int // maximum of concurrent calls while the endpoint recovers; 0: healthy, no maximum
+	probes           int // current concurrent calls while it recovers
 	lastSuccessAt    time.Duration
 	lastFailureAt    time.Duration
-	lastContactAt    time.Duration // of any sign of the endpoint
+	lastContactAt    time.Duration // when anything was last received from the endpoint
 	hasSucceeded     bool          // lastSuccessAt is set
 }
 
-// recordSuccess notes an answer. Calls sent before the ejection say nothing new.
+// recordSuccess records an answer of the endpoint. An answer to a call that was sent before the ejection does not
+// count as a success, since it is not new information.
 func (d *Decider) recordSuccess(e *endpoint, r *request) {
 	h := &e.health
 	h.lastContactAt = d.now
@@ -69,7 +71,8 @@
 	}
 }
 
-// recordFailure notes a failed call. Calls sent before the ejection say nothing new.
+// recordFailure records a failed call. A call that was sent before the ejection does not count, since it is not new
+// information.
 func (d *Decider) recordFailure(e *endpoint, r *request, weight int) {
 	h := &e.health
 	if weight == failureWeight {
@@ -85,7 +88,7 @@
 	}
 }
 
-// eject excludes an endpoint until its backoff is over.
+// eject excludes an endpoint until its backoff has passed.
 func (d *Decider) eject(e *endpoint) {
 	h := &e.health
 	if !e.listed {
@@ -110,13 +113,13 @@
 	d.requestUrgentReport()
 }
 
-// jitter returns a random time of 0.75 to 1.25 of the given one, so that routers don't act in step.
+// jitter returns a random duration of 0.75 to 1.25 times t, so that routers don't act at the same time.
 func (d *Decider) jitter(t time.Duration) time.Duration {
 	return time.Duration(float64(t) * (0.75 + d.random.Float64()/2))
 }
 
-// recordRejection notes that the endpoint did not execute the request. If it advertised free slots, an order concerning the model is
-// the cause and only this model backs off; else the endpoint is full.
+// recordRejection records that the endpoint did not execute the request. If it advertised free slots, the cause is a
+// load or unload order for the model, and only this model backs off; otherwise the endpoint is full.
 func (d *Decider) recordRejection(e *endpoint, r *request, load *AdvertisedLoad) {
 	h := &e.health
 	h.lastContactAt = d.now
@@ -130,7 +133,7 @@
 	h.notBefore = max(h.notBefore, d.now+d.jitter(h.rejectionBackoff))
 }
 
-// recordMisdirection notes that the model is not there, or that another incarnation has the address.
+// recordMisdirection records that the endpoint does not have the model, or that another incarnation has its address.
 func (d *Decider) recordMisdirection(e *endpoint, r *request) {
 	e.health.lastContactAt = d.now
 	res := e.residencyOf(r.Model)
@@ -140,15 +143,16 @@
 	if res.misdirections == nil {
 		res.misdirections = map[string]misdirection{}
 	}
-	before := res.misdirections[r.Adapter]
+	previous := res.misdirections[r.Adapter]
 	res.misdirectionTTL = min(max(2*res.misdirectionTTL, minMisdirectionTTL), maxMisdirectionTTL)
-	res.misdirections[r.Adapter] = misdirection{sequence: max(e.sequence, before.sequence), expiresAt: d.now + res.misdirectionTTL}
+	res.misdirections[r.Adapter] = misdirection{sequence: max(e.sequence, previous.sequence), expiresAt: d.now + res.misdirectionTTL}
 	if r.Model == "" {
 		d.eject(e)
 	}
 }
 
-// recordCancellation notes that this side ended the call. If the endpoint gave no sign at all for long, that counts as a failure.
+// recordCancellation records a call that this router ended. It counts as a failure if nothing was received from the
+// endpoint for the response timeout.
 func (d *Decider) recordCancellation(e *endpoint, r *request) {
 	if r.firstByteSeen || d.now < e.unresponsiveFrom(r) {
 		return
@@ -156,7 +160,8 @@
 	d.recordFailure(e, r, unreachableWeight)
 }
 
-// usable reports whether the endpoint may take a call now, and if not, from when on it may; 0: not known.
+// usable reports whether a call may be sent to the endpoint now. If not, from is the time at which this may change,
+// or 0 if that is unknown.
 func (d *Decider) usable(e *endpoint) (from time.Duration, ok bool) {
 	h := &e.health
 	if h.notBefore > d.now {
@@ -171,7 +176,8 @@
 	return 0, true
 }
 
-// possiblyDown reports whether the endpoint's heartbeats stopped and no recent call of this router succeeded there.
+// possiblyDown reports whether the endpoint's heartbeats have stopped and no recent call of this router succeeded
+// there.
 func (d *Decider) possiblyDown(e *endpoint) bool {
 	if e.state != protocol.Unresponsive {
 		return false
--- a/internal/router/dispatch/health_probe.go
+++ b/internal/router/dispatch/mass_ejection.go
@@ -1,13 +1,15 @@
 package dispatch
 
-// Readmission when (nearly) all endpoints of a service are ejected: then this router's own network may be at fault.
+// Mass ejection: while nearly all endpoints of a service are ejected, this router's own network may be at fault.
+// Endpoints are then probed before their backoff has passed.
 
 // mostlyEjected reports whether nearly all endpoints of the service are ejected.
 func (s *service) mostlyEjected() bool {
 	return float64(s.ejected) >= massEjectionFraction*float64(s.endpoints)
 }
 
-// readmitAll allows probes of all the service's endpoints soon, because one answers again after nearly all had failed.
+// readmitAll allows probes of all the service's endpoints at once. It is called when one of them answers again after
+// nearly all were ejected.
 func (d *Decider) readmitAll(s *service) {
 	for _, e := range d.endpoints {
 		if h := &e.health; e.service == s && h.notBefore > d.now {
@@ -17,14 +19,15 @@
 	}
 }
 
-// lastResort lets a request probe an ejected endpoint before its backoff is over, because no other endpoint is left.
+// lastResort selects an ejected endpoint to be probed by the request before its backoff has passed, because no other
+// endpoint is available. It returns nil if there is none, or if the last such probe for the model was too recent.
 func (d *Decider) lastResort(r *request) *residency {
 	g := r.group
-	gap := minEjectionBackoff
+	interval := minEjectionBackoff
 	if !r.Retryable {
-		gap = nonRetryableProbeInterval
+		interval = nonRetryableProbeInterval
 	}
-	if g.lastResortAt > 0 && d.now-g.lastResortAt < gap {
+	if g.lastResortAt > 0 && d.now-g.lastResortAt < interval {
 		return nil
 	}
 	var best *residency
--- a/internal/router/dispatch/mechanism.go
+++ b/internal/router/dispatch/mechanism.go
@@ -1,7 +1,7 @@
 package dispatch
 
-// Mechanism is a set of mechanisms of the choice and the order of requests. Tests and trials switch single ones off, to measure what
-// each is worth; the programs use all.
+// Mechanism is a set of mechanisms of endpoint selection and queueing. Tests and experiments switch single ones off
+// to measure their effect; the programs use all of them.
 type Mechanism uint32
 
 // Mechanisms that can be switched off.
@@ -10,11 +10,11 @@
 	UtilizationCost                         // endpoints with more slots in use cost more
 	RendezvousHashing                       // routers agree on the endpoint that caches shared parts of prompts
 	PrefixCaching                           // endpoints that cache parts of a prompt cost less
-	SlownessLearning                        // predictions know how much slower an endpoint is than its peers
-	Exploration                             // requests are sent against the estimates, to correct them
-	FairnessPriority                        // requests of ranks that are served too seldom get another Priority
+	SlownessLearning                        // predictions take into account how much slower an endpoint is than its peers
+	Exploration                             // requests are sent although they are predicted to miss their target, to correct the estimates
+	FairnessPriority                        // requests of ranks that are served less often than they should be get another Priority header
 	ZonePreference                          // endpoints of other zones cost more
-	LoadAnticipation                        // models are expected to be loaded before an endpoint says so
+	LoadAnticipation                        // a model is assumed to be loaded before its endpoint announces it
 )
 
 // uses reports whether the decider uses a mechanism.
--- a/internal/router/dispatch/outcome.go
+++ b/internal/router/dispatch/outcome.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Outcomes: what became of requests, and by which cause they were late. Counted for the log, since neither the client nor an endpoint
-// can tell where the time was lost.
+// Outcomes: how requests ended, and why served requests were late. They are counted for the log, since neither
+// clients nor endpoints can tell where the time was lost.
 
-// outcomeInterval is the shortest time between two summaries.
+// outcomeInterval is the minimum interval between two summaries.
 const outcomeInterval = 10 * time.Second
 
-// LateCause says what made a served request late. The first that applies counts.
+// LateCause is why a served request was late. If several causes apply, the first one counts.
 type LateCause uint8
 
 // Causes of lateness.
 const (
-	LateByRetry    LateCause = iota // the first event: an earlier attempt had failed
-	LateByLoad                      // the first event: it waited longest here, for a model or adapter to be loaded
-	LateByQueue                     // the first event: it waited longest here, for an endpoint with time
-	LateByEndpoint                  // the first event: it waited longest at the endpoint
-	LateByGap                       // the first event was in time, but the gap between two events was too long
+	LateByRetry    LateCause = iota // the first event was late, and an earlier attempt had failed
+	LateByLoad                      // the first event was late, mostly because the request was queued here until a model or adapter was loaded
+	LateByQueue                     // the first event was late, mostly because the request was queued here until an endpoint was available
+	LateByEndpoint                  // the first event was late, mostly because of the time at the endpoint
+	LateByGap                       // the first event was in time, but the time between two events was too long
 	lateCauseCount = iota
 )
 
-// String returns the cause as the log names it.
+// String returns the cause's name in the log.
 func (c LateCause) String() string {
 	switch c {
 	case LateByRetry:
@@ -38,15 +38,15 @@
 	return "unknown"
 }
 
-// Outcomes counts requests that ended, by what became of them.
+// Outcomes counts requests that have ended, by outcome.
 type Outcomes struct {
-	Served   uint64                   // completely, late ones included
-	Late     [lateCauseCount]uint64   // by LateCause
+	Served   uint64                   // answered completely, including late answers
+	Late     [lateCauseCount]uint64   // the late ones of Served, by LateCause
 	Rejected [ShuttingDown + 1]uint64 // by Reason
 	Failed   uint64                   // neither served nor rejected by this router
 }
 
-// minus returns what was counted since an earlier moment.
+// minus returns the difference to earlier counts.
 func (o Outcomes) minus(earlier Outcomes) Outcomes {
 	o.Served -= earlier.Served
 	o.Failed -= earlier.Failed
@@ -59,14 +59,14 @@
 	return o
 }
 
-// outcomeLog is what was counted, and what of it was passed on.
+// outcomeLog holds the outcomes counted since the start, and those of them that were emitted.
 type outcomeLog struct {
-	counted, emitted Outcomes // rejections are those of Counters
+	counted, emitted Outcomes // emitted.Rejected is from Counters, counted.Rejected is not used
 	emittedAt        time.Duration
 }
 
-// recordEnd counts a request whose last attempt has ended.
-func (d *Decider) recordEnd(r *request, input AttemptFinished) {
+// recordOutcome counts a request whose last attempt has ended.
+func (d *Decider) recordOutcome(r *request, input AttemptFinished) {
 	counted := &d.outcomes.counted
 	if input.Result != Succeeded {
 		counted.Failed++
@@ -78,18 +78,18 @@
 	}
 }
 
-// lateCause returns why a served request was late, and whether it was.
+// lateCause returns why a served request was late; false if it was in time.
 func (d *Decider) lateCause(r *request, longestGap time.Duration) (LateCause, bool) {
-	answered := r.firstByteAt
-	if !r.Streaming || answered == 0 {
-		answered = d.now
+	answeredAt := r.firstByteAt
+	if !r.Streaming || answeredAt == 0 {
+		answeredAt = d.now
 	}
 	switch {
-	case answered <= r.latencyTarget:
+	case answeredAt <= r.latencyTarget:
 		return LateByGap, r.EventGapTarget > 0 && longestGap > r.EventGapTarget
 	case r.deliveries > 1:
 		return LateByRetry, true
-	case r.sentAt-r.arrived <= answered-r.sentAt:
+	case r.sentAt-r.arrived <= answeredAt-r.sentAt:
 		return LateByEndpoint, true
 	case r.waitedForLoad:
 		return LateByLoad, true
@@ -97,7 +97,8 @@
 	return LateByQueue, true
 }
 
-// emitOutcomes emits a summary if one is due and something was lost. It rides on other steps: an idle router doesn't wake for it.
+// emitOutcomes emits a summary if one is due and some request was not served in time. It schedules no step, so that
+// an idle router is not woken up for it.
 func (d *Decider) emitOutcomes() {
 	log := &d.outcomes
 	if d.now-log.emittedAt < outcomeInterval {
@@ -105,11 +106,11 @@
 	}
 	counted := log.counted
 	counted.Rejected = d.counters.Rejected
-	since := counted.minus(log.emitted)
-	onlyInTime := Outcomes{Served: since.Served}
-	if since == onlyInTime {
+	difference := counted.minus(log.emitted)
+	onlyInTime := Outcomes{Served: difference.Served}
+	if difference == onlyInTime {
 		return
 	}
-	d.outputs = append(d.outputs, Summary{Window: d.now - log.emittedAt, Outcomes: since})
+	d.outputs = append(d.outputs, Summary{Window: d.now - log.emittedAt, Outcomes: difference})
 	log.emitted, log.emittedAt = counted, d.now
 }
--- a/internal/router/dispatch/outcome_test.go
+++ b/internal/router/dispatch/outcome_test.go
@@ -7,7 +7,8 @@
 	"raventrestle/internal/protocol"
 )
 
-// Each way in which a served stream can be late is counted under its cause. The latency target is 500 ms, that of gaps 300 ms.
+// Each way in which a served stream can be late is counted under its cause. The latency target is 500 ms, the target
+// for gaps between events 300 ms.
 func TestLateStreamsAreCountedByCause(t *testing.T) {
 	const inTime = -1
 	cases := []struct {
@@ -15,15 +16,15 @@
 		firstEventMS int
 		longestGapMS int
 		failFirst    bool // its first attempt was rejected
-		loadedAtMS   int  // no endpoint has the model before
+		loadedAtMS   int  // no endpoint has the model earlier; 0: both have it
 		want         int  // LateCause, or inTime
 	}{
 		{"in time", 100, 299, false, 0, inTime},
 		{"slow endpoint", 600, 0, false, 0, int(LateByEndpoint)},
-		{"slow endpoint and a pause", 600, 400, false, 0, int(LateByEndpoint)},
-		{"a pause", 100, 301, false, 0, int(LateByGap)},
-		{"a rejected attempt before", 600, 0, true, 0, int(LateByRetry)},
-		{"a load before", 560, 0, false, 480, int(LateByLoad)},
+		{"slow endpoint and long gap", 600, 400, false, 0, int(LateByEndpoint)},
+		{"long gap between events", 100, 301, false, 0, int(LateByGap)},
+		{"earlier attempt rejected", 600, 0, true, 0, int(LateByRetry)},
+		{"model loaded first", 560, 0, false, 480, int(LateByLoad)},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -60,8 +61,9 @@
 	}
 }
 
-// A summary is emitted when something was lost, at most every 10 s, and wakes nobody.
-func TestSummariesAreSeldomAndOnlyOfLosses(t *testing.T) {
+// A summary is emitted only if some request was not served in time, at most every 10 s, and without scheduling a
+// step.
+func TestSummariesAreRateLimitedAndOnlyOfLosses(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
 	serve := func(at int, gap time.Duration) (summaries []Summary) {
 		s.step(at)
@@ -82,13 +84,13 @@
 	}
 	got := serve(12000, time.Second)
 	if len(got) != 1 || got[0].Outcomes.Served != 2 || got[0].Outcomes.Late[LateByGap] != 1 {
-		t.Errorf("got %+v after a late one, want one summary of two served, one late by a gap", got)
+		t.Errorf("got %+v after a late request, want one summary of two served requests, one of them late by a gap", got)
 	}
 	if got := serve(13000, time.Second); len(got) > 0 {
 		t.Errorf("got %v a second later, want none", got)
 	}
-	if at := s.d.NextWake(); !at.IsZero() && at.Sub(s.zero) > 20*time.Second {
-		t.Errorf("the decider wakes at %v for a summary, want not", at.Sub(s.zero))
+	if at := s.d.NextWake(); !at.IsZero() && at.Sub(s.startTime) > 20*time.Second {
+		t.Errorf("the decider wakes at %v for a summary, want no wake-up", at.Sub(s.startTime))
 	}
 }
 
@@ -103,7 +105,7 @@
 	}
 }
 
-// Rejections of each kind are in the summary, also those that never reached a queue.
+// The summary counts rejections of each reason, including requests that never reached a queue.
 func TestSummaryCountsEachRejection(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
 	s.step(11000, ShutdownStarted{
--- a/internal/router/dispatch/placement_test.go
+++ b/internal/router/dispatch/placement_test.go
@@ -16,22 +16,23 @@
 	simulatedAdapterLoadTime = 20 * time.Millisecond
 )
 
-// placeOnDemand simulates the placer: a model that is requested and that no endpoint has is loaded somewhere.
+// placeOnDemand simulates the placer: a model or adapter that is requested but not loaded anywhere is loaded at some
+// endpoint.
 func (w *simulation) placeOnDemand(report protocol.Report) {
 	for _, m := range report.Models {
 		if m.Queued+m.Unserved == 0 || m.Service != "lm" {
 			continue
 		}
 		name := m.Model + "/" + m.Adapter
-		if m.Adapter != "" && w.hasModel(m.Model) && !w.loading[name] && !w.hasAdapter(m.Model, m.Adapter) {
-			w.loading[name] = true
+		if m.Adapter != "" && w.hasModel(m.Model) && !w.orderedLoads[name] && !w.hasAdapter(m.Model, m.Adapter) {
+			w.orderedLoads[name] = true
 			w.at(w.now+simulatedLoadOrderDelay, func(w *simulation) { w.loadAdapter(m.Model, m.Adapter) })
 		}
-		if w.loading[m.Model] || w.hasModel(m.Model) {
+		if w.orderedLoads[m.Model] || w.hasModel(m.Model) {
 			continue
 		}
-		w.loading[m.Model] = true
-		w.at(w.now+simulatedLoadOrderDelay, func(w *simulation) { w.load(m.Model) })
+		w.orderedLoads[m.Model] = true
+		w.at(w.now+simulatedLoadOrderDelay, func(w *simulation) { w.loadModel(m.Model) })
 	}
 }
 
@@ -46,39 +47,39 @@
 	return false
 }
 
-func (w *simulation) load(model string) {
+func (w *simulation) loadModel(model string) {
 	s := w.servers[w.rng.IntN(4)]
-	s.loads(model, "", w.now+simulatedModelLoadTime)
+	s.beginLoad(model, "", w.now+simulatedModelLoadTime)
 	w.announce(s)
 	w.at(w.now+simulatedModelLoadTime, func(w *simulation) {
 		s.row.Models = append(s.row.Models, protocol.LoadedModel{Name: model, Generation: 1})
-		s.loaded(model, "")
-		w.heartbeat(s)
+		s.endLoad(model, "")
+		w.announceAtHeartbeat(s)
 	})
 }
 
-func (s *simulatedEndpoint) loads(model, adapter string, due time.Duration) {
+func (s *simulatedEndpoint) beginLoad(model, adapter string, due time.Duration) {
 	s.row.Loading = append(slices.Clone(s.row.Loading), protocol.ModelLoad{Model: model, Adapter: adapter})
-	s.due = append(s.due, due)
+	s.loadsDueAt = append(s.loadsDueAt, due)
 }
 
-// loading returns the loads under way as an update states them now.
-func (s *simulatedEndpoint) loading(now time.Duration) []protocol.ModelLoad {
+// pendingLoads returns the loads in progress as an update reports them at the given time.
+func (s *simulatedEndpoint) pendingLoads(now time.Duration) []protocol.ModelLoad {
 	list := slices.Clone(s.row.Loading)
 	for i := range list {
-		list[i].Remaining = max(s.due[i]-now, 0)
+		list[i].Remaining = max(s.loadsDueAt[i]-now, 0)
 	}
 	return list
 }
 
-func (s *simulatedEndpoint) loaded(model, adapter string) {
+func (s *simulatedEndpoint) endLoad(model, adapter string) {
 	i := slices.IndexFunc(s.row.Loading, func(l protocol.ModelLoad) bool { return l.Model == model && l.Adapter == adapter })
 	s.row.Loading = slices.Delete(slices.Clone(s.row.Loading), i, i+1)
-	s.due = slices.Delete(s.due, i, i+1)
+	s.loadsDueAt = slices.Delete(s.loadsDueAt, i, i+1)
 }
 
-// heartbeat announces an endpoint's state at its next heartbeat.
-func (w *simulation) heartbeat(s *simulatedEndpoint) {
+// announceAtHeartbeat announces an endpoint's state at its next heartbeat.
+func (w *simulation) announceAtHeartbeat(s *simulatedEndpoint) {
 	w.at(w.now+time.Duration(w.rng.IntN(1200))*time.Millisecond, func(w *simulation) { w.announce(s) })
 }
 
@@ -88,7 +89,7 @@
 		if !s.engine || !s.serves(model, "") {
 			continue
 		}
-		s.loads(model, adapter, w.now+simulatedAdapterLoadTime)
+		s.beginLoad(model, adapter, w.now+simulatedAdapterLoadTime)
 		w.announce(s)
 		w.at(w.now+simulatedAdapterLoadTime, func(w *simulation) {
 			for i := range s.row.Models {
@@ -96,18 +97,18 @@
 					m.Adapters = append(slices.Clone(m.Adapters), adapter)
 				}
 			}
-			s.loaded(model, adapter)
-			w.heartbeat(s)
+			s.endLoad(model, adapter)
+			w.announceAtHeartbeat(s)
 		})
 		return
 	}
 }
 
-// TestAdaptersAreServedBeforeTheirHeartbeat: an adapter is loaded in some ms, and its endpoint announces it up to
-// 1.2 s later. Requests with latency targets of 400 ms meet them nevertheless.
+// TestAdaptersAreServedBeforeTheirHeartbeat checks that requests for an adapter meet their latency target of 400 ms,
+// although its endpoint announces the adapter up to 1.2 s after the load, which itself takes 20 ms.
 func TestAdaptersAreServedBeforeTheirHeartbeat(t *testing.T) {
 	w := newSimulation(t, 32, 3)
-	w.loading = map[string]bool{}
+	w.orderedLoads = map[string]bool{}
 	w.startNormalLoad(1)
 	for i := range 20 {
 		k := &requestKind{
@@ -118,22 +119,23 @@
 		w.at(time.Duration(1000+400*i)*time.Millisecond, func(w *simulation) { w.sendRequest(k, 1, nil); w.sendRequest(k, 1, nil) })
 		w.at(time.Duration(1200+400*i)*time.Millisecond, func(w *simulation) { w.sendRequest(k, 1, nil) })
 	}
-	w.play(12 * time.Second)
+	w.run(12 * time.Second)
 	w.finish()
-	inTime, asked := 0, 0
+	inTime, requested := 0, 0
 	for _, k := range w.kinds[4:] {
 		inTime += k.inTime
-		asked += k.requested
+		requested += k.requested
 	}
-	t.Logf("%d of %d in time", inTime, asked)
-	if float64(inTime) < 0.95*float64(asked) {
-		t.Errorf("%d of %d in time, want 0.95 of them", inTime, asked)
+	t.Logf("%d of %d in time", inTime, requested)
+	if float64(inTime) < 0.95*float64(requested) {
+		t.Errorf("%d of %d in time, want a fraction of 0.95", inTime, requested)
 	}
 }
 
-// TestRareModelsAreLoadedByDemand: models that no endpoint has are loaded because of the reports, and served then.
-func TestRareModelsAreLoadedByDemand(t *testing.T) {
-	w := playRareModels(t)
+// TestRareModelsAreLoadedOnDemand checks that models that no endpoint has are loaded because of the demand reports,
+// and are then served.
+func TestRareModelsAreLoadedOnDemand(t *testing.T) {
+	w := runRareModels(t)
 	w.logStatistics(t)
 	for _, k := range w.kinds {
 		if got := float64(k.inTime+k.retried+k.served) / float64(k.requested); got < 0.95 {
@@ -142,10 +144,10 @@
 	}
 }
 
-func playRareModels(t *testing.T) *simulation {
+func runRareModels(t *testing.T) *simulation {
 	t.Helper()
 	w := newRareModelsSimulation(t)
-	w.play(20 * time.Second)
+	w.run(20 * time.Second)
 	w.finish()
 	return w
 }
@@ -153,7 +155,7 @@
 func newRareModelsSimulation(t *testing.T) *simulation {
 	t.Helper()
 	w := newSimulation(t, 31, 3)
-	w.loading = map[string]bool{}
+	w.orderedLoads = map[string]bool{}
 	w.startNormalLoad(1)
 	engine := *w.config.Services[0].Engine
 	for i := range 6 {
--- a/internal/router/dispatch/prefix_cache.go
+++ b/internal/router/dispatch/prefix_cache.go
@@ -4,12 +4,13 @@
 	"time"
 )
 
-// Prefix cache of endpoints as this router expects it: which parts of prompts it sent to an endpoint lately. A part counts as cached only
-// if every part before it is. The memory is bounded by the endpoint's KV cache, eviction is least recently used.
+// Prefix cache: the parts of prompts that this router expects an endpoint to have cached, because it sent them there
+// recently. A part counts as cached only if every part before it does. The size is limited by the endpoint's KV
+// cache; the least recently used parts are evicted.
 
 const (
 	prefixTTL      = 2 * time.Minute // after which a part counts as evicted
-	maxCachedParts = 1024            // of one residency
+	maxCachedParts = 1024            // per residency
 	hashSeed       = 0x9e3779b97f4a7c15
 	hashMultiplier = 0xff51afd7ed558ccd
 )
@@ -24,7 +25,8 @@
 	return h
 }
 
-// stringHash is FNV-1a, mixed. It is the same in every process: routers agree by it.
+// stringHash returns the mixed FNV-1a hash of s. It must be the same in every process, since the routers' agreement
+// depends on it.
 func stringHash(s string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := 0; i < len(s); i++ {
@@ -34,7 +36,8 @@
 	return mixHash(h)
 }
 
-// prefixChain returns the hashes of the request's parts, each combined with all parts before it and with the adapter.
+// prefixChain returns a hash for each part of the request's prompt, which covers the adapter, the part and all parts
+// before it.
 func (r *request) prefixChain() []uint64 {
 	if r.prefixHashes == nil && len(r.PromptParts) > 0 {
 		r.prefixHashes = make([]uint64, len(r.PromptParts))
@@ -47,7 +50,8 @@
 	return r.prefixHashes
 }
 
-// prefixCache holds the parts expected in one endpoint's cache: a doubly linked list in a slice, most recently used first.
+// prefixCache holds the parts expected in the cache of one residency: a doubly linked list in a slice, from the most
+// to the least recently used, with an index by hash.
 type prefixCache struct {
 	index  map[uint64]int32
 	nodes  []prefixNode
@@ -57,7 +61,7 @@
 	tokens int
 }
 
-// prefixNode is an entry of a prefixCache; newer and older are indexes of nodes, or noNode.
+// prefixNode is an entry of a prefixCache; newer and older are indexes into nodes, or noNode.
 type prefixNode struct {
 	key          uint64
 	tokens       int32
@@ -65,15 +69,15 @@
 	usedAt       time.Duration
 }
 
-// noNode is the index of no node.
+// noNode is the index at the ends of the list.
 const noNode = -1
 
 // cachedTokens returns how many leading tokens of a prompt with these parts need no prefill.
-func (p *prefixCache) cachedTokens(links []uint64, parts []PromptPart, now time.Duration) int {
+func (p *prefixCache) cachedTokens(hashes []uint64, parts []PromptPart, now time.Duration) int {
 	sum := 0
-	for i, link := range links {
-		at, ok := p.index[link]
-		if !ok || now-p.nodes[at].usedAt > prefixTTL {
+	for i, hash := range hashes {
+		node, ok := p.index[hash]
+		if !ok || now-p.nodes[node].usedAt > prefixTTL {
 			return sum
 		}
 		sum += parts[i].Tokens
@@ -81,85 +85,86 @@
 	return sum
 }
 
-// add notes that the endpoint reads these parts now. The last parts are evicted first.
-func (p *prefixCache) add(links []uint64, parts []PromptPart, now time.Duration, maxTokens int) {
-	for i := len(links) - 1; i >= 0; i-- {
-		p.touch(links[i], parts[i].Tokens, now)
+// add records that the endpoint reads these parts now. The last part becomes the oldest of them, so that it is
+// evicted first.
+func (p *prefixCache) add(hashes []uint64, parts []PromptPart, now time.Duration, maxTokens int) {
+	for i := len(hashes) - 1; i >= 0; i-- {
+		p.touch(hashes[i], parts[i].Tokens, now)
 	}
 	for (p.tokens > maxTokens || len(p.index) > maxCachedParts) && len(p.index) > 0 {
-		p.drop(p.oldest)
+		p.evict(p.oldest)
 	}
 }
 
-// touch makes a part the most recently used one.
+// touch makes a part the most recently used one, and adds it if needed.
 func (p *prefixCache) touch(key uint64, tokens int, now time.Duration) {
 	if p.index == nil {
 		p.index = map[uint64]int32{}
 		p.newest, p.oldest = noNode, noNode
 	}
-	at, ok := p.index[key]
+	node, ok := p.index[key]
 	if ok {
-		p.unlink(at)
+		p.unlink(node)
 	} else {
-		at = p.alloc()
-		p.index[key] = at
+		node = p.alloc()
+		p.index[key] = node
 		p.tokens += tokens
-		p.nodes[at] = prefixNode{key: key, tokens: int32(tokens)}
+		p.nodes[node] = prefixNode{key: key, tokens: int32(tokens)}
 	}
-	p.nodes[at].usedAt = now
-	p.link(at)
+	p.nodes[node].usedAt = now
+	p.link(node)
 }
 
 // alloc returns the index of a free node.
 func (p *prefixCache) alloc() int32 {
 	if n := len(p.free); n > 0 {
-		at := p.free[n-1]
+		node := p.free[n-1]
 		p.free = p.free[:n-1]
-		return at
+		return node
 	}
 	p.nodes = append(p.nodes, prefixNode{})
 	return int32(len(p.nodes) - 1)
 }
 
 // link inserts a node as the most recently used one.
-func (p *prefixCache) link(at int32) {
-	p.nodes[at].newer, p.nodes[at].older = noNode, p.newest
+func (p *prefixCache) link(node int32) {
+	p.nodes[node].newer, p.nodes[node].older = noNode, p.newest
 	if p.newest != noNode {
-		p.nodes[p.newest].newer = at
+		p.nodes[p.newest].newer = node
 	}
-	p.newest = at
+	p.newest = node
 	if p.oldest == noNode {
-		p.oldest = at
+		p.oldest = node
 	}
 }
 
-// unlink takes a node out of the list.
-func (p *prefixCache) unlink(at int32) {
-	node := p.nodes[at]
-	if node.newer != noNode {
-		p.nodes[node.newer].older = node.older
+// unlink removes a node from the list.
+func (p *prefixCache) unlink(index int32) {
+	entry := p.nodes[index]
+	if entry.newer != noNode {
+		p.nodes[entry.newer].older = entry.older
 	} else {
-		p.newest = node.older
+		p.newest = entry.older
 	}
-	if node.older != noNode {
-		p.nodes[node.older].newer = node.newer
+	if entry.older != noNode {
+		p.nodes[entry.older].newer = entry.newer
 	} else {
-		p.oldest = node.newer
+		p.oldest = entry.newer
 	}
 }
 
-// drop evicts a part.
-func (p *prefixCache) drop(at int32) {
-	p.unlink(at)
-	delete(p.index, p.nodes[at].key)
-	p.tokens -= int(p.nodes[at].tokens)
-	p.free = append(p.free, at)
+// evict removes a part from the cache.
+func (p *prefixCache) evict(node int32) {
+	p.unlink(node)
+	delete(p.index, p.nodes[node].key)
+	p.tokens -= int(p.nodes[node].tokens)
+	p.free = append(p.free, node)
 }
 
-// expire evicts what was not used for prefixTTL, and releases the memory of an empty cache.
+// expire evicts parts that were not used for prefixTTL, and releases the memory of an empty cache.
 func (p *prefixCache) expire(now time.Duration) {
 	for len(p.index) > 0 && now-p.nodes[p.oldest].usedAt > prefixTTL {
-		p.drop(p.oldest)
+		p.evict(p.oldest)
 	}
 	if len(p.index) == 0 {
 		*p = prefixCache{}
--- a/internal/router/dispatch/queue.go
+++ b/internal/router/dispatch/queue.go
@@ -6,40 +6,40 @@
 	"time"
 )
 
-// Queues: each endpoint has one, a flow of the ASFQ scheduler, ordered by rank and arrival; requests for a model that no endpoint has
-// are unassigned and wait in their group.
+// Queues: each endpoint has a queue, which is a flow of the ASFQ scheduler, ordered by rank and arrival. Requests for
+// a model that no endpoint has are unassigned and wait in their model's group.
 
 const (
 	monitorTolerance       = 2.0                     // calls by which a flow may exceed its share before ASFQ penalizes it
-	queueTargetFraction    = 0.22                    // of the latency target that a request stays queued: a quarter, less the way back
-	resumeQueueTimeout     = 1500 * time.Millisecond // of a stream that broke off and waits for another endpoint
-	minQueueTime           = 5 * time.Millisecond
-	oldestTurnInterval     = 4 // each so many turns of a queue go to the request that waits longest
-	recheckInterval        = 20 * time.Millisecond
-	ranksPerTenantPriority = 10
+	queueTargetFraction    = 0.22                    // fraction of the latency target that a request stays queued: a quarter, less the answer's network time
+	resumeQueueTimeout     = 1500 * time.Millisecond // for a stream that broke off and waits for another endpoint
+	minQueueTime           = 5 * time.Millisecond    // minimum time that a new request may stay queued
+	oldestTurnInterval     = 4                       // one in this many turns of a queue goes to the request that arrived first
+	recheckInterval        = 20 * time.Millisecond   // after which a request that can't be sent is checked again
+	ranksPerTenantPriority = 10                      // number of route priorities that are distinguished within a tenant priority
 )
 
-// maxQueueScan bounds how many requests of a queue are examined for one turn.
+// maxQueueScan is how many requests at the front of a queue are examined per turn.
 const maxQueueScan = 4
 
-// initialQueueDeadline returns until when a new request stays queued.
+// initialQueueDeadline returns until when a new request may stay queued.
 func (r *request) initialQueueDeadline() time.Duration {
 	wait := time.Duration(queueTargetFraction * float64(r.latencyTarget-r.arrived))
 	wait = min(wait, (r.deadline-r.arrived)/2)
 	return r.arrived + max(wait, minQueueTime)
 }
 
-// retryQueueDeadline returns until when a request stays queued that was sent before: a stream that broke off as long as its client
-// waits, what can't meet its target any more not at all.
+// retryQueueDeadline returns until when a request that was sent before may stay queued. A stream that broke off may
+// wait as long as its client does; a request that can't meet its latency target any more may not wait at all.
 func (d *Decider) retryQueueDeadline(r *request) time.Duration {
 	if r.answerStarted {
 		return min(d.now+resumeQueueTimeout, r.deadline)
 	}
-	left := r.fullValueDeadline() - d.now
-	return d.now + max(time.Duration(queueTargetFraction*float64(left)), 0)
+	remaining := r.fullValueDeadline() - d.now
+	return d.now + max(time.Duration(queueTargetFraction*float64(remaining)), 0)
 }
 
-// assign puts the request into the queue of the best endpoint, or among the unassigned.
+// assign puts the request into the queue of the best endpoint, or among the unassigned requests.
 func (d *Decider) assign(r *request) {
 	res, status := d.choose(r)
 	if status == noCandidate && d.assumeLoaded(r) {
@@ -62,9 +62,10 @@
 	r.target.queued++
 }
 
-// insertQueued inserts the request into the endpoint's queue: first those that can meet their target, then by rank, arrival and ID.
+// insertQueued inserts the request into the endpoint's queue. Requests that can meet their latency target come first,
+// then the order is by rank, arrival and ID.
 func (d *Decider) insertQueued(e *endpoint, r *request) {
-	at, _ := slices.BinarySearchFunc(e.queue, r, func(a, b *request) int {
+	index, _ := slices.BinarySearchFunc(e.queue, r, func(a, b *request) int {
 		if a.pastTarget != b.pastTarget {
 			if a.pastTarget {
 				return 1
@@ -73,10 +74,10 @@
 		}
 		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.arrived, b.arrived), cmp.Compare(a.ID, b.ID))
 	})
-	e.queue = slices.Insert(e.queue, at, r)
+	e.queue = slices.Insert(e.queue, index, r)
 }
 
-// enqueueUnassigned queues a request for whose model there is no endpoint.
+// enqueueUnassigned queues a request whose model no endpoint has.
 func (d *Decider) enqueueUnassigned(r *request) {
 	g := r.group
 	r.endpoint = nil
@@ -88,18 +89,18 @@
 	g.unassigned = append(g.unassigned, r)
 	r.target.queued++
 	d.reportModelShortage(r.target)
-	if at, known := g.nextLoadReadyAt(r.Adapter, d.now); known && at < r.queueDeadline {
-		d.timers.add(max(at, d.now+minQueueTime), r)
+	if readyAt, known := g.nextLoadReadyAt(r.Adapter, d.now); known && readyAt < r.queueDeadline {
+		d.timers.add(max(readyAt, d.now+minQueueTime), r)
 	}
 }
 
-// dequeue takes a request out of its endpoint's queue, or out of the unassigned ones.
+// dequeue removes a request from its endpoint's queue, or from the unassigned requests.
 func (d *Decider) dequeue(r *request) {
 	if r.isDequeued() {
 		return
 	}
 	r.target.queued--
-	d.noteDemandChanged()
+	d.recordDemandChange()
 	if r.endpoint != nil {
 		r.endpoint.queue = remove(r.endpoint.queue, r)
 		d.schedule.Unhold(r.endpoint)
@@ -117,7 +118,7 @@
 	return r.endpoint == nil && !slices.Contains(r.group.unassigned, r)
 }
 
-// reassignQueued assigns all requests of an endpoint's queue again.
+// reassignQueued assigns all requests in an endpoint's queue again.
 func (d *Decider) reassignQueued(e *endpoint) {
 	if len(e.queue) == 0 {
 		return
@@ -129,8 +130,8 @@
 	}
 }
 
-// retryUnassigned assigns unassigned requests again if their group has changed.
-func (d *Decider) retryUnassigned() {
+// reassignUnassigned assigns unassigned requests again if their group has changed.
+func (d *Decider) reassignUnassigned() {
 	for _, g := range slices.Clone(d.unassignedGroups) {
 		if g.unassigned[0].chosenAtVersion == g.version {
 			continue
@@ -142,13 +143,13 @@
 	}
 }
 
-// rebalanceQueues moves requests that may not leave where they are queued but could leave elsewhere.
+// rebalanceQueues moves requests that can't be sent from their queue, but could be sent from another one.
 func (d *Decider) rebalanceQueues() {
 	for i := 0; i < len(d.schedule.Active); i++ {
 		e := d.schedule.Active[i]
 		for j := 0; j < min(len(e.queue), maxQueueScan); j++ {
 			r := e.queue[j]
-			if r.chosenAtVersion == r.group.version || d.mayDispatchNow(e, r) {
+			if r.chosenAtVersion == r.group.version || d.canDispatchNow(e, r) {
 				continue
 			}
 			r.chosenAtVersion = r.group.version
--- a/internal/router/dispatch/queue_test.go
+++ b/internal/router/dispatch/queue_test.go
@@ -14,7 +14,7 @@
 	if len(list) != 1 || list[0].Models[0].Model != "rare" || list[0].Models[0].Queued != 1 {
 		t.Fatalf("reported %+v, want one report of one queued request for rare", list)
 	}
-	at := int(s.d.NextWake().Sub(s.zero) / time.Millisecond)
+	at := int(s.d.NextWake().Sub(s.startTime) / time.Millisecond)
 	if at > 125 {
 		t.Fatalf("wakes at %d ms, want 125 at the latest", at)
 	}
@@ -24,7 +24,7 @@
 	}
 }
 
-// A request that names no model may be sent to any endpoint of the service, whatever models that has.
+// A request that names no model may be sent to any endpoint of the service, whatever models it has.
 func TestRequestWithoutModelIsSentToAnyEndpoint(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"), modelEndpoint("b", 1))
 	first := s.request("")
@@ -62,7 +62,7 @@
 	}
 }
 
-// A stalled stream moves to another endpoint only if one is available; else its attempt continues.
+// A stalled stream moves to another endpoint only if one is available; otherwise its attempt continues.
 func TestStalledStreamMovesOnlyToAnAvailableEndpoint(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
 	first := s.oneSend(s.step(1, RequestArrived{s.request("m")}))
@@ -114,14 +114,14 @@
 	return false
 }
 
-// A router whose estimates are far too high corrects them, although other routers keep the endpoints busy.
-func TestWrongEstimatesAreCorrected(t *testing.T) {
+// A router whose estimates are far too high corrects them, even while other routers keep the endpoints busy.
+func TestTooHighEstimatesAreCorrected(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"), modelEndpoint("b", 1, "m"))
 	busy := &AdvertisedLoad{Running: 40, Slots: 64}
 	g := s.d.services["lm"].ensureGroup("m")
 	for range 100 {
-		g.firstByteLine.add(s.d.now, 1, 3000)
-		g.service.firstByteLine.add(s.d.now, 1, 3000)
+		g.firstByteRegression.add(s.d.now, 1, 3000)
+		g.service.firstByteRegression.add(s.d.now, 1, 3000)
 	}
 	served := 0
 	for at := 10; at < 40000; at += 200 {
@@ -144,7 +144,7 @@
 	for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
 		table = append(table, modelEndpoint(id, 1, "m"))
 	}
-	where := map[uint64]string{}
+	endpointOf := map[uint64]string{}
 	used := map[string]bool{}
 	for router := range uint64(4) {
 		s := newScript(t, table...)
@@ -155,10 +155,10 @@
 			r.PromptParts = []PromptPart{{Hash: 7, Tokens: 300}, {Hash: session, Tokens: 300}}
 			send := s.oneSend(s.step(10+20*i, RequestArrived{r}))
 			s.step(10+20*i+10, FirstByteReceived{ID: r.ID, Endpoint: send.Endpoint}, AttemptFinished{ID: r.ID, Endpoint: send.Endpoint})
-			if before, known := where[session]; known && before != send.Endpoint {
-				t.Fatalf("router %d sent session %d to %s, want %s as before", router, session, send.Endpoint, before)
+			if earlier, known := endpointOf[session]; known && earlier != send.Endpoint {
+				t.Fatalf("router %d sent session %d to %s, want %s as before", router, session, send.Endpoint, earlier)
 			}
-			where[session] = send.Endpoint
+			endpointOf[session] = send.Endpoint
 			used[send.Endpoint] = true
 		}
 	}
@@ -199,20 +199,20 @@
 	}
 }
 
-// A request whose client gives up before its latency target is queued until then at most, though its model is expected, or
-// being verified, a little later.
+// A request whose client gives up before its latency target must not stay queued beyond that time, although a load of
+// its model is expected to finish a little later.
 func TestNoRequestStaysQueuedPastItsDeadline(t *testing.T) {
-	for name, again := range map[string]bool{"first attempt of the client": false, "retry of the client": true} {
+	for name, clientRetry := range map[string]bool{"client's first attempt": false, "client's retry": true} {
 		t.Run(name, func(t *testing.T) {
 			loads := modelEndpoint("a", 1, "m")
 			loads.Loading = []protocol.ModelLoad{{Model: "rare", Remaining: 450 * time.Millisecond}}
 			s := newScript(t, loads)
 			r := s.request("rare") // latency target 500 ms
-			r.Deadline, r.ClientRetry = s.time(200), again
+			r.Deadline, r.ClientRetry = s.time(200), clientRetry
 			s.step(0, RequestArrived{r})
 			at := 0
 			for len(s.d.requests) > 0 {
-				if at = int(s.d.NextWake().Sub(s.zero) / time.Millisecond); at > 210 {
+				if at = int(s.d.NextWake().Sub(s.startTime) / time.Millisecond); at > 210 {
 					t.Fatalf("wakes after %d ms, want 210 at the latest", at)
 				}
 				s.step(at)
@@ -221,8 +221,8 @@
 	}
 }
 
-// The same if the model is assumed to be loaded by now and another request verifies that.
-func TestNoRequestAwaitsAVerificationPastItsDeadline(t *testing.T) {
+// The same must be true if the model is assumed to be loaded and another request is verifying that.
+func TestNoRequestWaitsForAVerificationPastItsDeadline(t *testing.T) {
 	loads := modelEndpoint("a", 1, "m")
 	loads.Loading = []protocol.ModelLoad{{Model: "rare", Remaining: 50 * time.Millisecond}}
 	s := newScript(t, loads)
@@ -233,9 +233,9 @@
 		s.step(at)
 	}
 	if s.d.requests[second.ID] != nil {
-		t.Error("the request is queued past its deadline, want it rejected")
+		t.Error("the second request is queued past its deadline, want it rejected")
 	}
 	if s.d.requests[first.ID] == nil {
-		t.Error("the first request has ended, want it in flight: else the test shows nothing")
+		t.Error("the first request has ended, want it in flight, otherwise the test is meaningless")
 	}
 }
--- a/internal/router/dispatch/quota.go
+++ b/internal/router/dispatch/quota.go
@@ -9,21 +9,22 @@
 	"raventrestle/internal/protocol"
 )
 
-// Quota: a tenant's limit is shared by all routers. Each spends credit, which control instances issue by need and which is lost when it
-// is not spent soon. While none can be had, a router has its even part of a small reserve.
+// Quota: a tenant's limit is shared by all routers. Each router spends credit, which the control instances issue
+// according to need, and which expires if it is not spent soon. While no credit is available, a router has its equal
+// part of a small reserve.
 
-// tenant is one tenant's limit on this router.
+// tenant is the state of one tenant's quota at this router.
 type tenant struct {
 	name         string
-	limit, burst float64 // of all routers together, limit in units per second; 0: no limit
+	limit, burst float64 // for all routers together; limit in units per second, 0: no limit
 	credits      []credit
 	reserve      reserve
 	demand       demandRate
 
-	awaitingQuota []*request      // by rank and arrival
-	asked         []creditInquiry // requests for credit under way, oldest first
-	refused       creditRefusal   // newest
-	inAskers      bool            // in Decider.creditAskers
+	quotaQueue            []*request             // requests that wait for credit, by rank and arrival
+	pendingCreditRequests []pendingCreditRequest // oldest first
+	lastRefusal           creditRefusal
+	creditCheckScheduled  bool // it is in Decider.creditChecks
 }
 
 // credit is an amount that may be spent until it expires.
@@ -32,13 +33,13 @@
 	expiresAt time.Duration
 }
 
-// reserve is a token bucket for this router's part of the reserve.
+// reserve is a token bucket with this router's part of the reserve.
 type reserve struct {
 	level      float64
 	refilledAt time.Duration
 }
 
-// configureTenants applies the limits of a new configuration, in its order. Credit stays.
+// configureTenants applies the limits of a new configuration, in its order. Credit remains valid.
 func (d *Decider) configureTenants(tenants []configuration.Tenant) {
 	configured := make(map[string]bool, len(tenants))
 	for i := range tenants {
@@ -55,8 +56,8 @@
 	d.removeTenants(configured)
 }
 
-// removeTenants removes tenants that are no longer configured, by name. Their keys are not known any more, but were: what waits is
-// admitted.
+// removeTenants removes tenants that are no longer configured, in order of name. Their requests that wait for credit
+// are admitted, since their keys were valid on arrival.
 func (d *Decider) removeTenants(configured map[string]bool) {
 	var removed []string
 	for name := range d.tenants {
@@ -66,7 +67,7 @@
 	}
 	slices.Sort(removed)
 	for _, name := range removed {
-		for _, r := range slices.Clone(d.tenants[name].awaitingQuota) {
+		for _, r := range slices.Clone(d.tenants[name].quotaQueue) {
 			d.removeFromQuotaQueue(r)
 			d.admit(r)
 		}
@@ -74,26 +75,27 @@
 	}
 }
 
-// windowAllowance returns what the tenant may spend in a window at all routers together.
+// windowAllowance returns how much the tenant may spend per window, at all routers together.
 func (d *Decider) windowAllowance(t *tenant) float64 {
 	limit := t.limit*d.config.QuotaWindow.Seconds() + t.burst
 	return limit*(1+d.config.QuotaOvershootFraction) + d.config.QuotaOvershootSlack
 }
 
-// reserveDepth returns the depth of the reserve's bucket. It is filled in one window, so that depth and refill together are this
-// router's part of the reserve in each window.
+// reserveDepth returns the depth of the reserve's token bucket. An empty bucket is refilled within one window, so
+// that depth and refill together are this router's part of the reserve in each window.
 func (d *Decider) reserveDepth(t *tenant) float64 {
 	return d.windowAllowance(t) * protocol.ReservedShare / float64(d.routerCount) / 2
 }
 
+// refillReserve refills the tenant's reserve for the time since the last refill.
 func (d *Decider) refillReserve(t *tenant) {
 	depth := d.reserveDepth(t)
-	filled := depth * (d.now - t.reserve.refilledAt).Seconds() / d.config.QuotaWindow.Seconds()
-	t.reserve.level = math.Min(t.reserve.level+filled, depth)
+	refill := depth * (d.now - t.reserve.refilledAt).Seconds() / d.config.QuotaWindow.Seconds()
+	t.reserve.level = math.Min(t.reserve.level+refill, depth)
 	t.reserve.refilledAt = d.now
 }
 
-// availableCredit drops what has expired and returns what may be spent now.
+// availableCredit removes expired credit and returns how much may be spent now.
 func (d *Decider) availableCredit(t *tenant) float64 {
 	t.credits = slices.DeleteFunc(t.credits, func(c credit) bool { return d.now >= c.expiresAt || c.amount <= 0 })
 	sum := 0.0
@@ -103,24 +105,25 @@
 	return sum
 }
 
-// addCredit adds credit behind what expires sooner.
+// addCredit inserts credit in order of expiry.
 func (t *tenant) addCredit(added credit) {
-	at, _ := slices.BinarySearchFunc(t.credits, added.expiresAt, func(c credit, at time.Duration) int { return int(c.expiresAt - at) })
-	t.credits = slices.Insert(t.credits, at, added)
+	index, _ := slices.BinarySearchFunc(t.credits, added.expiresAt, func(c credit, expiresAt time.Duration) int { return int(c.expiresAt - expiresAt) })
+	t.credits = slices.Insert(t.credits, index, added)
 }
 
-// payFromCredit takes the request's charge from the credit that expires soonest, if there is enough.
-func (d *Decider) payFromCredit(t *tenant, r *request) bool {
-	if r.Charge > d.availableCredit(t)+creditRounding {
+// chargeCredit charges the request to the credit that expires first. It returns false, and charges nothing, if there
+// is not enough.
+func (d *Decider) chargeCredit(t *tenant, r *request) bool {
+	if r.Charge > d.availableCredit(t)+creditTolerance {
 		return false
 	}
-	left := r.Charge
+	remaining := r.Charge
 	for i := range t.credits {
-		used := math.Min(left, t.credits[i].amount)
+		used := math.Min(remaining, t.credits[i].amount)
 		t.credits[i].amount -= used
-		left -= used
+		remaining -= used
 		r.creditExpiresAt = t.credits[i].expiresAt
-		if left <= 0 {
+		if remaining <= 0 {
 			break
 		}
 	}
@@ -128,8 +131,8 @@
 	return true
 }
 
-// payFromReserve takes the request's charge from the reserve, if there is enough.
-func (d *Decider) payFromReserve(t *tenant, r *request) bool {
+// chargeReserve charges the request to the reserve. It returns false, and charges nothing, if there is not enough.
+func (d *Decider) chargeReserve(t *tenant, r *request) bool {
 	d.refillReserve(t)
 	if r.Charge > t.reserve.level {
 		return false
@@ -139,7 +142,7 @@
 	return true
 }
 
-// refundQuota returns the charge of a request that surely has not executed, unless the credit has expired.
+// refundQuota refunds the charge of a request that certainly has not executed, unless the credit has expired.
 func (d *Decider) refundQuota(r *request) {
 	if r.charged == 0 || r.mayHaveExecuted {
 		return
--- a/internal/router/dispatch/quota_queue.go
+++ b/internal/router/dispatch/quota_queue.go
@@ -6,130 +6,136 @@
 	"time"
 )
 
-// Requests that their tenant's credit can't pay wait for a moment while more is asked for (credit_request.go).
+// Quota queue: requests that their tenant's credit does not cover wait for a moment while more credit is requested
+// (credit_request.go).
 
 const (
-	quotaQueueFraction = 0.22 // of the latency target that a request waits for an answer: a quarter, less the way back
-	minQuotaQueueTime  = 40 * time.Millisecond
-	maxQuotaQueueTime  = 1500 * time.Millisecond
-	lastTryFraction    = 0.4                    // of its client's patience that a retry waits: it will not come again
-	maxLastTryTime     = 3 * time.Second        // and at most for so long
-	longQuotaRetry     = time.Second            // Retry-After where no instance has answered
-	maxRefusalTime     = 100 * time.Millisecond // in which what was refused is refused again at once
+	quotaQueueFraction        = 0.22 // fraction of the latency target that a request waits for credit: a quarter, less the answer's network time
+	minQuotaQueueTime         = 40 * time.Millisecond
+	maxQuotaQueueTime         = 1500 * time.Millisecond
+	retryQuotaQueueFraction   = 0.4                    // fraction of its client's timeout that a client's retry waits: the client does not retry again
+	maxRetryQuotaQueueTime    = 3 * time.Second        // maximum of that wait
+	unansweredQuotaRetryAfter = time.Second            // Retry-After if no control instance has answered
+	maxRefusalTTL             = 100 * time.Millisecond // how long a refusal applies to further requests at most
 )
 
-// creditRefusal remembers that control instances had no credit for a tenant's requests.
+// creditRefusal records that the control instances had no credit for a tenant's requests.
 type creditRefusal struct {
 	until      time.Duration
-	retryAfter time.Duration // from when it came
+	retryAfter time.Duration // counted from the time the refusal was received
 	charge     float64       // of the smallest refused request
 	rank       int           // of the most urgent one
 }
 
-// refuses reports whether a request would be refused as well: it is no smaller and no more urgent.
-func (c *creditRefusal) refuses(r *request, now time.Duration) bool {
+// appliesTo reports whether a request would be refused as well: it is no smaller and no more urgent than the refused
+// requests.
+func (c *creditRefusal) appliesTo(r *request, now time.Duration) bool {
 	return now < c.until && r.Charge >= c.charge && r.rank >= c.rank
 }
 
-// pay takes a new request's charge from its tenant's credit. It is not paid while others wait.
-func (d *Decider) pay(r *request) bool {
+// chargeNewRequest charges a new request to its tenant's credit. It does not do so while other requests of the tenant
+// wait. It returns true if the request may be admitted.
+func (d *Decider) chargeNewRequest(r *request) bool {
 	t := d.tenants[r.Tenant]
 	if t == nil || t.limit <= 0 {
 		return true
 	}
 	t.demand.add(r.Charge, d.now)
-	d.addCreditAsker(t)
-	return len(t.awaitingQuota) == 0 && d.payFromCredit(t, r)
+	d.scheduleCreditCheck(t)
+	return len(t.quotaQueue) == 0 && d.chargeCredit(t, r)
 }
 
-// queueForQuota queues a request until its tenant's credit allows it; false if it would be refused.
+// queueForQuota queues a request until its tenant's credit covers it. It returns false if the last refusal applies to
+// the request until its queue deadline.
 func (d *Decider) queueForQuota(r *request) bool {
 	t := d.tenants[r.Tenant]
-	r.queueDeadline = r.quotaDeadline()
-	if t.refused.refuses(r, d.now) && r.queueDeadline <= t.refused.until {
+	r.queueDeadline = r.quotaQueueDeadline()
+	if t.lastRefusal.appliesTo(r, d.now) && r.queueDeadline <= t.lastRefusal.until {
 		return false
 	}
 	r.awaitingQuota = true
 	r.stage = stageQueued
-	at, _ := slices.BinarySearchFunc(t.awaitingQuota, r, func(a, b *request) int {
+	index, _ := slices.BinarySearchFunc(t.quotaQueue, r, func(a, b *request) int {
 		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.arrived, b.arrived), cmp.Compare(a.ID, b.ID))
 	})
-	t.awaitingQuota = slices.Insert(t.awaitingQuota, at, r)
+	t.quotaQueue = slices.Insert(t.quotaQueue, index, r)
 	d.timers.add(r.queueDeadline, r)
-	d.addCreditAsker(t)
+	d.scheduleCreditCheck(t)
 	return true
 }
 
-// quotaDeadline returns until when the request waits for credit.
-func (r *request) quotaDeadline() time.Duration {
+// quotaQueueDeadline returns until when the request waits for credit.
+func (r *request) quotaQueueDeadline() time.Duration {
 	if r.ClientRetry {
-		return r.arrived + min(time.Duration(lastTryFraction*float64(r.patience())), maxLastTryTime)
+		return r.arrived + min(time.Duration(retryQuotaQueueFraction*float64(r.clientTimeout())), maxRetryQuotaQueueTime)
 	}
 	wait := time.Duration(quotaQueueFraction * float64(r.latencyTarget-r.arrived))
 	wait = min(max(wait, minQuotaQueueTime), maxQuotaQueueTime, (r.deadline-r.arrived)/2)
 	return r.arrived + max(wait, minQueueTime)
 }
 
-// admitPayable admits the waiting requests that the tenant's credit pays, in their order: a large one does not hold up others.
-func (d *Decider) admitPayable(t *tenant) {
-	for _, r := range slices.Clone(t.awaitingQuota) {
-		if r.awaitingQuota && d.payFromCredit(t, r) {
+// admitCovered admits the waiting requests that the tenant's credit covers, in order. A large request does not block
+// the requests behind it.
+func (d *Decider) admitCovered(t *tenant) {
+	for _, r := range slices.Clone(t.quotaQueue) {
+		if r.awaitingQuota && d.chargeCredit(t, r) {
 			d.removeFromQuotaQueue(r)
 			d.admit(r)
 		}
 	}
 }
 
-// removeFromQuotaQueue takes a request out of those that wait for credit.
+// removeFromQuotaQueue removes a request from those that wait for credit.
 func (d *Decider) removeFromQuotaQueue(r *request) {
 	r.awaitingQuota = false
-	if t := d.tenants[r.Tenant]; t != nil && slices.Contains(t.awaitingQuota, r) {
-		t.awaitingQuota = remove(t.awaitingQuota, r)
+	if t := d.tenants[r.Tenant]; t != nil && slices.Contains(t.quotaQueue, r) {
+		t.quotaQueue = remove(t.quotaQueue, r)
 	}
 }
 
-// onQuotaDeadline ends the wait of a request whose credit has not come: it is admitted if the reserve can pay it, else rejected.
+// onQuotaDeadline handles a request whose wait for credit has timed out: it is admitted if the reserve covers it,
+// otherwise rejected.
 func (d *Decider) onQuotaDeadline(r *request) {
 	d.removeFromQuotaQueue(r)
-	if d.payFromReserve(d.tenants[r.Tenant], r) {
+	if d.chargeReserve(d.tenants[r.Tenant], r) {
 		d.admit(r)
 		return
 	}
-	d.reject(r, QuotaExceeded, d.retryAfter(r, longQuotaRetry))
+	d.reject(r, QuotaExceeded, d.retryAfter(r, unansweredQuotaRetryAfter))
 }
 
-// refuseWaiting rejects requests that control instances had no credit for, but for those that can wait until it is worth asking again.
-// The reserve pays what it can.
-func (d *Decider) refuseWaiting(t *tenant, arrivedBy, retryAfter time.Duration) {
-	refused := creditRefusal{until: d.now + min(retryAfter, maxRefusalTime), retryAfter: retryAfter}
-	for _, r := range slices.Clone(t.awaitingQuota) {
+// applyRefusal handles a refusal of credit for the waiting requests that arrived by the given time. It admits those
+// that the reserve covers, and rejects the others, except those that can wait until credit may be requested again.
+func (d *Decider) applyRefusal(t *tenant, arrivedBy, retryAfter time.Duration) {
+	refusal := creditRefusal{until: d.now + min(retryAfter, maxRefusalTTL), retryAfter: retryAfter}
+	for _, r := range slices.Clone(t.quotaQueue) {
 		if !r.awaitingQuota || r.arrived > arrivedBy {
 			continue
 		}
-		if d.payFromReserve(t, r) {
+		if d.chargeReserve(t, r) {
 			d.removeFromQuotaQueue(r)
 			d.admit(r)
 			continue
 		}
-		if refused.charge == 0 {
-			refused.charge, refused.rank = r.Charge, r.rank
+		if refusal.charge == 0 {
+			refusal.charge, refusal.rank = r.Charge, r.rank
 		}
-		refused.charge, refused.rank = min(refused.charge, r.Charge), min(refused.rank, r.rank)
-		if r.queueDeadline <= refused.until {
+		refusal.charge, refusal.rank = min(refusal.charge, r.Charge), min(refusal.rank, r.rank)
+		if r.queueDeadline <= refusal.until {
 			d.removeFromQuotaQueue(r)
 			d.reject(r, QuotaExceeded, d.retryAfter(r, retryAfter))
 		}
 	}
-	if refused.charge > 0 {
-		t.refused = refused
+	if refusal.charge > 0 {
+		t.lastRefusal = refusal
 	}
 }
 
-// rejectForQuota rejects a new request that would be refused.
+// rejectForQuota rejects a new request that would be refused, unless the reserve covers it.
 func (d *Decider) rejectForQuota(r *request) {
-	if t := d.tenants[r.Tenant]; d.payFromReserve(t, r) {
+	if t := d.tenants[r.Tenant]; d.chargeReserve(t, r) {
 		d.admit(r)
 	} else {
-		d.reject(r, QuotaExceeded, d.retryAfter(r, t.refused.retryAfter))
+		d.reject(r, QuotaExceeded, d.retryAfter(r, t.lastRefusal.retryAfter))
 	}
 }
--- a/internal/router/dispatch/random_scenario_test.go
+++ b/internal/router/dispatch/random_scenario_test.go
@@ -13,19 +13,19 @@
 )
 
 var (
-	randomScenarios = flag.Int("days", 8, "random scenarios to play")
+	randomScenarios = flag.Int("days", 8, "number of random scenarios to run")
 	firstRandomSeed = flag.Uint64("first-day", 1, "seed of the first random scenario")
 )
 
-// TestInvariantsInRandomScenarios plays scenarios with random faults, and checks the invariants after each step.
+// TestInvariantsInRandomScenarios runs scenarios with random faults and checks the invariants after each step.
 func TestInvariantsInRandomScenarios(t *testing.T) {
 	for i := range *randomScenarios {
 		seed := *firstRandomSeed + uint64(i)
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playRandomScenario(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomScenario(t, seed) })
 	}
 }
 
-func playRandomScenario(t *testing.T, seed uint64) {
+func runRandomScenario(t *testing.T, seed uint64) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 99))
 	w := newSimulation(t, seed, 1+rng.IntN(4))
@@ -43,16 +43,16 @@
 		s := w.servers[rng.IntN(len(w.servers))]
 		w.at(at, func(w *simulation) { fault(w, s, until) })
 	}
-	w.play(7 * time.Second)
+	w.run(7 * time.Second)
 	w.finish()
 	if testing.Verbose() {
 		w.logStatistics(t)
 	}
 }
 
-// faults each begin now and end at the given time.
+// faults are functions that inject a fault now and end it at the given time.
 var faults = []func(w *simulation, s *simulatedEndpoint, until time.Duration){
-	func(w *simulation, s *simulatedEndpoint, until time.Duration) { // crash, and restart under another ID
+	func(w *simulation, s *simulatedEndpoint, until time.Duration) { // crashes and restarts with another ID
 		w.crash(s)
 		w.at(until, func(w *simulation) { w.replace(s, protocol.Departed) })
 	},
@@ -76,7 +76,7 @@
 			w.replace(s, protocol.Departed)
 		})
 	},
-	func(w *simulation, s *simulatedEndpoint, until time.Duration) { // heartbeats lost
+	func(w *simulation, s *simulatedEndpoint, until time.Duration) { // stops sending heartbeats
 		s.row.State = protocol.Unresponsive
 		w.announce(s)
 		w.at(until, func(w *simulation) {
@@ -86,13 +86,13 @@
 			}
 		})
 	},
-	func(w *simulation, s *simulatedEndpoint, until time.Duration) { // burst of one kind
+	func(w *simulation, s *simulatedEndpoint, until time.Duration) { // a burst of one kind of request
 		k := w.kinds[w.rng.IntN(len(w.kinds))]
-		x := 2 + 8*w.rng.Float64()
-		k.perSecond *= x
-		w.at(until, func(*simulation) { k.perSecond /= x })
+		factor := 2 + 8*w.rng.Float64()
+		k.perSecond *= factor
+		w.at(until, func(*simulation) { k.perSecond /= factor })
 	},
-	func(w *simulation, s *simulatedEndpoint, until time.Duration) { // a model is unloaded and loaded again, without an update for a while
+	func(w *simulation, s *simulatedEndpoint, until time.Duration) { // unloads a model and loads it again; the update is delayed
 		if !s.engine || len(s.row.Models) == 0 {
 			return
 		}
@@ -104,18 +104,18 @@
 			w.announce(s)
 		})
 	},
-	func(w *simulation, s *simulatedEndpoint, until time.Duration) { // another configuration: lower limits, fewer connections
+	func(w *simulation, s *simulatedEndpoint, until time.Duration) { // a new configuration with only the first tenant
 		next := *w.config
 		next.Tenants = []configuration.Tenant{w.config.Tenants[0]}
 		next.Generation++
 		w.config = &next
 		w.delayedViews = append(w.delayedViews, delayedView{w.now, ViewChanged{Configuration: w.config, RouterCount: len(w.routers)}})
 	},
-	func(w *simulation, s *simulatedEndpoint, until time.Duration) { // clients leave
+	func(w *simulation, s *simulatedEndpoint, until time.Duration) { // clients disconnect
 		for i, list := range w.clients {
 			for _, id := range sortedIDs(list) {
 				if c := list[id]; c.endCount == 0 && w.rng.IntN(2) == 0 {
-					w.leave(i, c)
+					w.cancelRequest(i, c)
 				}
 			}
 		}
@@ -125,7 +125,7 @@
 		w.disconnected[i] = true
 		w.at(until, func(*simulation) { w.disconnected[i] = false })
 	},
-	func(w *simulation, s *simulatedEndpoint, until time.Duration) { // a complete table
+	func(w *simulation, s *simulatedEndpoint, until time.Duration) { // the control plane sends a complete table
 		var rows []protocol.Endpoint
 		for _, s := range w.servers {
 			if !s.departed {
@@ -145,15 +145,15 @@
 	return ids
 }
 
-// leave cancels a client's request.
-func (w *simulation) leave(router int, c *simulatedClient) {
+// cancelRequest cancels a client's request.
+func (w *simulation) cancelRequest(router int, c *simulatedClient) {
 	w.inputs[router] = append(w.inputs[router], RequestCanceled{c.request.ID})
 	c.canceled = true
 	if c.call != nil {
 		c.call.server.drop(c.call)
 		w.finishCall(c, Canceled, false)
 	}
-	w.close(c)
+	w.countEnd(c)
 }
 
 // replace starts a new incarnation of an endpoint.
--- a/internal/router/dispatch/residency.go
+++ b/internal/router/dispatch/residency.go
@@ -7,30 +7,32 @@
 	"raventrestle/internal/protocol"
 )
 
-// Residencies: which endpoint has which model in memory.
+// Residencies: which models are in the memory of which endpoints.
 
-// residency is one model in the memory of one endpoint, with what this router learned of it.
+// residency is one model in the memory of one endpoint, with what this router has learned about it.
 type residency struct {
 	group            *modelGroup
 	endpoint         *endpoint
 	adapters         []string
-	misdirections    map[string]misdirection // by adapter: 421 was answered
+	misdirections    map[string]misdirection // answers 421, by adapter
 	prefixCache      prefixCache
 	misdirectionTTL  time.Duration
-	unverified       []string      // adapters assumed to be loaded by now; "": the model itself
-	verifications    int           // calls in flight that verify the assumption
-	rejectionBackoff time.Duration // after rejections that concern this model alone
-	notBefore        time.Duration // no call earlier
-	sizes            sizeInterval  // of the prompts that it prefers
+	unverified       []string      // adapters that are assumed to be loaded by now; "" for the model itself
+	verifications    int           // calls in flight that verify an assumption
+	rejectionBackoff time.Duration // after rejections that concern only this model
+	notBefore        time.Duration // no call is sent earlier
+	sizeInterval     sizeInterval  // of the prompts that it prefers
 }
 
-// misdirection is an answer 421: it outweighs the table until a newer update arrives after expiresAt.
+// misdirection is an answer 421. It overrides the table until an update that is newer than sequence arrives after
+// expiresAt.
 type misdirection struct {
 	sequence  uint64
 	expiresAt time.Duration
 }
 
-// updateResidencies makes the endpoint's residencies those of an update; newer: the update is newer than what was known.
+// updateResidencies replaces the endpoint's residencies by those of an update. newer is true if the update is newer
+// than the known state.
 func (d *Decider) updateResidencies(e *endpoint, models []protocol.LoadedModel, newer bool) {
 	d.ensureResidency(e, "", nil, newer) // requests that name no model may be sent to any endpoint
 	for i := len(e.residencies) - 1; i >= 0; i-- {
@@ -53,7 +55,7 @@
 		res = &residency{group: g, endpoint: e}
 		e.residencies = append(e.residencies, res)
 		g.residencies = append(g.residencies, res)
-		g.sizeOrderStale = true
+		g.sizeIntervalsStale = true
 	}
 	if newer || len(res.unverified) == 0 {
 		res.adapters = adapters
@@ -64,24 +66,24 @@
 	}
 }
 
-// expireMisdirections forgets answers 421 that are older than the table.
+// expireMisdirections removes answers 421 that have expired and are older than the table.
 func (d *Decider) expireMisdirections(res *residency) {
-	for adapter, w := range res.misdirections {
-		if res.endpoint.sequence > w.sequence && d.now >= w.expiresAt {
+	for adapter, answer := range res.misdirections {
+		if res.endpoint.sequence > answer.sequence && d.now >= answer.expiresAt {
 			delete(res.misdirections, adapter)
 		}
 	}
 }
 
-// removeResidency removes a residency with its prefix cache: the endpoint no longer has the model.
+// removeResidency removes a residency with its prefix cache, because the endpoint no longer has the model.
 func (d *Decider) removeResidency(e *endpoint, res *residency) {
 	e.residencies = remove(e.residencies, res)
 	res.group.residencies = remove(res.group.residencies, res)
-	res.group.sizeOrderStale = true
+	res.group.sizeIntervalsStale = true
 	res.group.version++
 }
 
-// residencyOf returns the endpoint's residency of a model, nil without.
+// residencyOf returns the endpoint's residency of a model, or nil.
 func (e *endpoint) residencyOf(model string) *residency {
 	for _, res := range e.residencies {
 		if res.group.model == model {
@@ -91,7 +93,7 @@
 	return nil
 }
 
-// serves reports whether the residency has the adapter, as far as is known.
+// serves reports whether the residency has the adapter, as far as this router knows.
 func (res *residency) serves(adapter string) bool {
 	if len(res.misdirections) > 0 {
 		if _, misdirected := res.misdirections[adapter]; misdirected {
@@ -104,7 +106,7 @@
 	return adapter == "" || slices.Contains(res.adapters, adapter) || res.isUnverified(adapter)
 }
 
-// remove returns the list without its member x. The list's array is reused.
+// remove returns the list without x. It reuses the list's array.
 func remove[T comparable](list []T, x T) []T {
 	i := slices.Index(list, x)
 	if i < 0 {
--- a/internal/router/dispatch/response_timeout.go
+++ b/internal/router/dispatch/response_timeout.go
@@ -4,29 +4,32 @@
 	"time"
 )
 
-// Unresponsive endpoints: calls without a first byte for too long, and streams without events, are moved elsewhere where possible.
+// Unresponsive endpoints: calls without a first byte for too long, and streams without events, are moved to another
+// endpoint if possible.
 
-// responseTimeout returns how long the call may bring nothing before its endpoint counts as unresponsive: a multiple of the prediction, but
-// not much more than the request's latency target.
+// responseTimeout returns how long the endpoint of the call may send nothing before it counts as unresponsive: a
+// multiple of the prediction, but not much more than the request's latency target.
 func (r *request) responseTimeout() time.Duration {
 	predicted := time.Duration(r.predictedMS * float64(time.Millisecond))
 	limit := max(r.latencyTarget-r.arrived, 2*predicted)
 	return max(minResponseTimeout, min(responseTimeoutFactor*predicted, limit))
 }
 
-// unresponsiveFrom returns from when on the endpoint counts as unresponsive if it gives no sign, judged by this call.
+// unresponsiveFrom returns from when on the endpoint counts as unresponsive if it sends nothing, judged by this call.
 func (e *endpoint) unresponsiveFrom(r *request) time.Duration {
 	return max(e.health.lastContactAt, r.sentAt) + r.responseTimeout()
 }
 
-// unresponsive reports whether the endpoint seems not to answer at all, judged by the oldest unanswered call.
+// unresponsive reports whether the endpoint seems not to answer at all, judged by its oldest call without a first
+// byte.
 func (d *Decider) unresponsive(e *endpoint) bool {
 	return len(e.awaitingFirstByte) > 0 && d.now >= e.unresponsiveFrom(e.awaitingFirstByte[0])
 }
 
-// checkResponse examines a call without a first byte after its response timeout. The first timeout may be due to a queue that this
-// router doesn't see: until the endpoint gives a sign it gets nothing new, which is enough. At the second one, or at the latency target, the
-// call is moved elsewhere if possible.
+// checkResponse handles a call that has no first byte after its response timeout. The first timeout may be due to a
+// queue at the endpoint that this router can't see. The endpoint then gets no new calls until it sends something,
+// which is sufficient. At the second timeout, or at the latency target, the call is moved to another endpoint if
+// possible.
 func (d *Decider) checkResponse(r *request) {
 	e := r.endpoint
 	if r.firstByteSeen || r.abandoned {
@@ -53,7 +56,7 @@
 	d.timers.add(next, r)
 }
 
-// abandonUnanswered moves a call to an unresponsive endpoint elsewhere, unless the answer has started.
+// abandonUnanswered moves the call to another endpoint if possible, unless an answer has begun.
 func (d *Decider) abandonUnanswered(r *request) {
 	if r.answerStarted {
 		return
@@ -61,7 +64,8 @@
 	d.moveAttempt(r)
 }
 
-// onStall moves a stream that stalled elsewhere if possible; else it continues: a stall alone is no reason to end an answer.
+// onStall moves a stalled stream to another endpoint if possible. Otherwise it continues: a stall alone is no reason
+// to end an answer.
 func (d *Decider) onStall(input StreamStalled) {
 	r := d.requests[input.ID]
 	if r == nil || r.stage != stageInFlight || r.abandoned || r.endpoint.id != input.Endpoint {
@@ -70,17 +74,17 @@
 	d.moveAttempt(r)
 }
 
-// moveAttempt ends an attempt if its request may be retried and another endpoint is available now.
+// moveAttempt abandons the attempt if its request may be retried and another endpoint is available now.
 func (d *Decider) moveAttempt(r *request) {
 	e := r.endpoint
 	if !r.Retryable || r.canceled {
 		return
 	}
-	if r.possibleExecutions+1 >= max(r.MaxEndpoints, 1) || !d.mayRetry(r) {
+	if r.possibleExecutions+1 >= max(r.MaxEndpoints, 1) || !d.hasRetryBudget(r) {
 		return
 	}
-	res, class := d.choose(r)
-	if res == nil || res.endpoint == e || class != availableNow {
+	res, status := d.choose(r)
+	if res == nil || res.endpoint == e || status != availableNow {
 		return
 	}
 	r.abandoned = true
--- a/internal/router/dispatch/retry_after.go
+++ b/internal/router/dispatch/retry_after.go
@@ -4,20 +4,21 @@
 	"time"
 )
 
-// Retry-After of rejections.
+// Retry-After: when the clients of rejected requests may retry.
 
 const (
-	retryAfterDivisor      = 3 // clients honour Retry-After up to this part of the time they have left
+	retryAfterDivisor      = 3 // clients honour Retry-After up to their remaining time divided by this
 	minRetryAfter          = 50 * time.Millisecond
-	defaultModelLoadTime   = 3 * time.Second // where none is configured
+	defaultModelLoadTime   = 3 * time.Second // if none is configured
 	defaultAdapterLoadTime = 300 * time.Millisecond
-	loadOrderDelay         = 500 * time.Millisecond // until an order to load a model is under way
+	loadOrderDelay         = 500 * time.Millisecond // until a model that is needed is being loaded
 
-	overloadBackoffCalls       = 4   // mean durations of a call after which slots may be free again
-	minOverloadBackoffFraction = 0.8 // the rest of the backoff is random
+	overloadBackoffCalls       = 4   // backoff in mean durations of a call, after which slots may be free again
+	minOverloadBackoffFraction = 0.8 // fixed fraction of the backoff; the rest is random
 )
 
-// loadTimeOf returns how long it takes until an endpoint has a model that none has now.
+// loadTimeOf returns how long it takes until an endpoint has loaded the request's model or adapter, which none has
+// now.
 func (d *Decider) loadTimeOf(r *request) time.Duration {
 	if r.Adapter != "" && len(r.group.residencies) > 0 {
 		return defaultAdapterLoadTime
@@ -28,7 +29,8 @@
 	return defaultModelLoadTime
 }
 
-// overloadRetryAfter returns when to retry at a model whose endpoints are overloaded: the longer that lasts, the later.
+// overloadRetryAfter returns the Retry-After for a model whose endpoints are overloaded. It grows with the duration
+// of the overload.
 func (d *Decider) overloadRetryAfter(r *request, res *residency) time.Duration {
 	g := r.group
 	if d.now-g.overloadedAt > time.Second {
@@ -44,22 +46,23 @@
 	return d.retryAfter(r, wait)
 }
 
-// retryAfter turns a wait into a Retry-After, with some jitter; 0 if a retry can't succeed.
+// retryAfter converts a wait into a Retry-After with jitter, which leaves the client time for the retry; 0 if a retry
+// can't succeed.
 func (d *Decider) retryAfter(r *request, wait time.Duration) time.Duration {
-	left := r.deadline - d.now
-	if left < retryAfterDivisor*minRetryAfter {
+	remaining := r.deadline - d.now
+	if remaining < retryAfterDivisor*minRetryAfter {
 		return 0
 	}
 	wait = max(wait, minRetryAfter)
 	wait += time.Duration(float64(wait) * d.random.Float64() / 4)
-	return min(wait, left/retryAfterDivisor)
+	return min(wait, remaining/retryAfterDivisor)
 }
 
-// overloadBackoff returns when slots may be free again: not before several calls' time, since those in flight occupy their slots so long,
-// and the later the longer the overload has lasted.
+// overloadBackoff returns after which time slots may be free again. It is at least several mean durations of a call,
+// since calls in flight occupy their slots for so long, and grows with the duration of the overload.
 func (d *Decider) overloadBackoff(r *request, g *modelGroup) time.Duration {
-	calls := time.Duration(overloadBackoffCalls * g.service.meanDuration() * float64(time.Millisecond))
-	wait := calls + 2*(d.now-g.overloadedSince)
+	callTime := time.Duration(overloadBackoffCalls * g.service.meanDuration() * float64(time.Millisecond))
+	wait := callTime + 2*(d.now-g.overloadedSince)
 	wait = min(wait, (r.deadline-d.now)/retryAfterDivisor)
 	return time.Duration(float64(wait) * (minOverloadBackoffFraction + (1-minOverloadBackoffFraction)*d.random.Float64()))
 }
