--- a/internal/router/dispatch/rules_test.go
+++ b/internal/router/dispatch/rules_test.go
@@ -7,7 +7,8 @@
 	"raventrestle/internal/protocol"
 )
 
-func (s *script) charged(charge float64) Request {
+// requestWithCharge returns a request of the tenant with the quota.
+func (s *script) requestWithCharge(charge float64) Request {
 	r := s.request("m")
 	r.Tenant, r.Charge = "t", charge
 	return r
@@ -26,191 +27,193 @@
 	s.t.Helper()
 	list := creditRequests(out)
 	if len(list) != 1 {
-		s.t.Fatalf("asked for credit with %v, want one request; all: %v", list, out)
+		s.t.Fatalf("credit requests %v, want one; all outputs: %v", list, out)
 	}
 	return list[0]
 }
 
-func granted(asked protocol.CreditRequest, amount float64) CreditGranted {
-	grant := &protocol.CreditGrant{ID: asked.ID, Tenant: asked.Tenant, Amount: amount}
-	if amount < asked.Waiting {
+func grantFor(request protocol.CreditRequest, amount float64) CreditGranted {
+	grant := &protocol.CreditGrant{ID: request.ID, Tenant: request.Tenant, Amount: amount}
+	if amount < request.Waiting {
 		grant.RetryAfter = 400 * time.Millisecond
 	}
 	return CreditGranted{grant}
 }
 
-func TestRequestsWaitForCreditThatTheyAskFor(t *testing.T) {
+func TestRequestsWaitForRequestedCredit(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
-	out := s.step(20, RequestArrived{s.charged(1000)})
+	out := s.step(20, RequestArrived{s.requestWithCharge(1000)})
 	if len(sends(out))+len(rejections(out)) > 0 {
 		t.Fatalf("got %v, want the request to be queued", out)
 	}
-	asked := s.oneCreditRequest(out)
-	if asked.Tenant != "t" || asked.Waiting != 1000 || asked.Minimum != 1000 || asked.Amount != 1000 {
-		t.Errorf("asked for %+v, want 1000 that wait", asked)
+	creditRequest := s.oneCreditRequest(out)
+	if creditRequest.Tenant != "t" || creditRequest.Waiting != 1000 || creditRequest.Minimum != 1000 || creditRequest.Amount != 1000 {
+		t.Errorf("requested %+v, want 1000, all for queued requests", creditRequest)
 	}
-	more := s.oneCreditRequest(s.step(21, RequestArrived{s.charged(300)}))
-	if more.Waiting != 300 || more.ID == asked.ID {
-		t.Errorf("asked for %+v, want 300 more by another request", more)
+	more := s.oneCreditRequest(s.step(21, RequestArrived{s.requestWithCharge(300)}))
+	if more.Waiting != 300 || more.ID == creditRequest.ID {
+		t.Errorf("requested %+v, want 300 by another credit request", more)
 	}
-	if list := sends(s.step(24, granted(asked, 1000), granted(more, 300))); len(list) != 2 {
+	if list := sends(s.step(24, grantFor(creditRequest, 1000), grantFor(more, 300))); len(list) != 2 {
 		t.Errorf("sent %v with credit for both, want both", list)
 	}
-	if out := s.step(26, RequestArrived{s.charged(1000)}); len(sends(out)) > 0 {
-		t.Error("sent with credit that is spent, want it queued")
+	if out := s.step(26, RequestArrived{s.requestWithCharge(1000)}); len(sends(out)) > 0 {
+		t.Error("sent although the credit is spent, want it queued")
 	}
 	if out := s.step(27, RequestCanceled{ID: s.id}); len(sends(out))+len(rejections(out)) > 0 {
 		t.Errorf("got %v for a request canceled in the queue, want nothing", out)
 	}
 }
 
-// What control instances refuse is rejected at once if it can't wait until it is worth asking again. What is as large and no more
-// urgent is not asked for until then; what is smaller or more urgent is.
-func TestRefusedRequestsAreRejectedOrAskedForLater(t *testing.T) {
+// A request whose credit is refused is rejected at once unless it can wait until credit may be requested again. Until
+// then no credit is requested for requests that are at least as large and no more urgent, but it is requested for
+// smaller or more urgent ones.
+func TestRequestsWithoutCreditAreRejectedOrStayQueued(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
-	asked := s.oneCreditRequest(s.step(20, RequestArrived{s.charged(8000)}))
-	rejection := s.oneRejection(s.step(25, granted(asked, 0)))
+	creditRequest := s.oneCreditRequest(s.step(20, RequestArrived{s.requestWithCharge(8000)}))
+	rejection := s.oneRejection(s.step(25, grantFor(creditRequest, 0)))
 	if rejection.Reason != QuotaExceeded || rejection.RetryAfter < 400*time.Millisecond || rejection.RetryAfter > 500*time.Millisecond {
 		t.Errorf("rejected with %+v, want QuotaExceeded and 400ms to 500ms", rejection)
 	}
-	soon := s.charged(9000)
-	soon.LatencyTarget = s.time(s.at + 300)
-	out := s.step(30, RequestArrived{soon})
+	shortTarget := s.requestWithCharge(9000)
+	shortTarget.LatencyTarget = s.time(s.nowMS + 300)
+	out := s.step(30, RequestArrived{shortTarget})
 	if s.oneRejection(out); len(creditRequests(out)) > 0 {
-		t.Errorf("asked with %v for what was refused, want nothing", creditRequests(out))
+		t.Errorf("requested credit with %v although it was refused, want no credit request", creditRequests(out))
 	}
-	patient := s.charged(9000)
-	patient.LatencyTarget = s.time(8000)
-	if out := s.step(31, RequestArrived{patient}); len(creditRequests(out))+len(rejections(out)) > 0 {
-		t.Errorf("got %v for a request that can wait, want nothing yet", out)
+	distantTarget := s.requestWithCharge(9000)
+	distantTarget.LatencyTarget = s.time(8000)
+	if out := s.step(31, RequestArrived{distantTarget}); len(creditRequests(out))+len(rejections(out)) > 0 {
+		t.Errorf("got %v for a request that can wait, want no output yet", out)
 	}
-	urgent := s.charged(9000)
+	urgent := s.requestWithCharge(9000)
 	urgent.RoutePriority = 0
-	s.d.tenants["t"].refused.rank = 1
-	s.d.tenants["t"].awaitingQuota[0].rank = 1
-	if asked := s.oneCreditRequest(s.step(32, RequestArrived{urgent})); asked.Waiting != 9000 {
-		t.Errorf("asked for %+v, want the more urgent request alone", asked)
+	s.d.tenants["t"].lastRefusal.rank = 1
+	s.d.tenants["t"].quotaQueue[0].rank = 1
+	if creditRequest := s.oneCreditRequest(s.step(32, RequestArrived{urgent})); creditRequest.Waiting != 9000 {
+		t.Errorf("requested %+v, want the charge of the more urgent request alone", creditRequest)
 	}
-	if asked := s.oneCreditRequest(s.step(33, RequestArrived{s.charged(100)})); asked.Waiting != 100 {
-		t.Errorf("asked for %+v, want the smaller request alone", asked)
+	if creditRequest := s.oneCreditRequest(s.step(33, RequestArrived{s.requestWithCharge(100)})); creditRequest.Waiting != 100 {
+		t.Errorf("requested %+v, want the charge of the smaller request alone", creditRequest)
 	}
-	if asked := s.oneCreditRequest(s.step(126)); asked.Waiting < 9000 {
-		t.Errorf("asked for %+v, want the request that waited", asked)
+	if creditRequest := s.oneCreditRequest(s.step(126)); creditRequest.Waiting < 9000 {
+		t.Errorf("requested %+v, want the charge of the request that waited", creditRequest)
 	}
 }
 
-// The last try of a client waits for longer than the first: it will not come again.
-func TestLastTriesWaitForCredit(t *testing.T) {
+// A client's retry waits longer for credit than its first attempt, since the client does not retry again.
+func TestClientRetriesWaitLongerForCredit(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
-	last := s.charged(1000)
-	last.ClientRetry = true
-	asked := s.oneCreditRequest(s.step(20, RequestArrived{last}))
-	if out := s.step(25, granted(asked, 0)); len(rejections(out)) > 0 {
+	retry := s.requestWithCharge(1000)
+	retry.ClientRetry = true
+	creditRequest := s.oneCreditRequest(s.step(20, RequestArrived{retry}))
+	if out := s.step(25, grantFor(creditRequest, 0)); len(rejections(out)) > 0 {
 		t.Fatalf("rejected %v, want it to wait", rejections(out))
 	}
-	again := s.oneCreditRequest(s.step(126))
-	s.oneSend(s.step(130, granted(again, 1000)))
-	last = s.charged(1000)
-	last.ClientRetry = true
-	s.step(131, RequestArrived{last})
+	repeated := s.oneCreditRequest(s.step(126))
+	s.oneSend(s.step(130, grantFor(repeated, 1000)))
+	retry = s.requestWithCharge(1000)
+	retry.ClientRetry = true
+	s.step(131, RequestArrived{retry})
 	for at := 200; at < 900; at += 100 {
 		if out := s.step(at); len(rejections(out)) > 0 {
-			t.Fatalf("rejected at %d, want it to wait for 0.4 of the 2s that its client does", at)
+			t.Fatalf("rejected at %d ms, want it queued for 0.4 of its client's timeout of 2s", at)
 		}
 	}
 	s.oneRejection(s.step(940))
 }
 
-// Without an answer a request waits about a quarter of its target and is rejected, or paid from the reserve: nine routers share
-// 0.03 * (1.1*81000+11000), half of it at hand and the rest in a window.
-func TestUnansweredRequestsArePaidFromTheReserveOrRejected(t *testing.T) {
+// If a credit request is not answered, a request waits about a quarter of its latency target. It is then charged to
+// the reserve or rejected. Nine routers share a reserve of 0.03 * (1.1*81000+11000) per window; half of it is the
+// bucket's depth, the other half is refilled within a window.
+func TestRequestsWithoutCreditAnswerAreChargedToTheReserveOrRejected(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
 	s.d.refillReserve(s.d.tenants["t"])
 	if s.step(9000); s.d.reserveDepth(s.d.tenants["t"]) < 160 || s.d.reserveDepth(s.d.tenants["t"]) > 170 {
 		t.Errorf("reserve of %v, want 160 to 170", s.d.reserveDepth(s.d.tenants["t"]))
 	}
 	s.step(9020)
-	s.step(9020, RequestArrived{s.charged(150)})
+	s.step(9020, RequestArrived{s.requestWithCharge(150)})
 	if out := s.step(9115); len(sends(out))+len(rejections(out)) > 0 {
 		t.Errorf("got %v before a quarter of the target, want it queued", out)
 	}
 	s.oneSend(s.step(9131))
 	s.step(9140)
-	s.step(9140, RequestArrived{s.charged(150)})
+	s.step(9140, RequestArrived{s.requestWithCharge(150)})
 	if rejection := s.oneRejection(s.step(9251)); rejection.Reason != QuotaExceeded {
 		t.Errorf("rejected with %+v, want QuotaExceeded", rejection)
 	}
 }
 
-// A request for credit that is not answered is repeated as long as requests wait.
+// A credit request that is not answered is repeated as long as requests wait.
 func TestUnansweredCreditRequestsAreRepeated(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
-	patient := s.charged(1000)
-	patient.LatencyTarget = s.time(8000)
-	s.oneCreditRequest(s.step(20, RequestArrived{patient}))
+	distantTarget := s.requestWithCharge(1000)
+	distantTarget.LatencyTarget = s.time(8000)
+	s.oneCreditRequest(s.step(20, RequestArrived{distantTarget}))
 	if out := s.step(110); len(creditRequests(out)) > 0 {
-		t.Errorf("asked again with %v after 90ms, want no sooner than 100ms", creditRequests(out))
+		t.Errorf("repeated with %v after 90ms, want 100ms at least", creditRequests(out))
 	}
-	again := s.oneCreditRequest(s.step(121))
-	s.oneSend(s.step(125, granted(again, 1000)))
+	repeated := s.oneCreditRequest(s.step(121))
+	s.oneSend(s.step(125, grantFor(repeated, 1000)))
 }
 
 func TestCreditExpires(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
-	asked := s.oneCreditRequest(s.step(20, RequestArrived{s.charged(1000)}))
+	creditRequest := s.oneCreditRequest(s.step(20, RequestArrived{s.requestWithCharge(1000)}))
 	s.step(21, RequestCanceled{ID: s.id})
-	s.step(25, granted(asked, 1000))
-	s.oneSend(s.step(310, RequestArrived{s.charged(400)}))
-	if out := s.step(321, RequestArrived{s.charged(400)}); len(sends(out)) > 0 {
-		t.Errorf("sent with credit that was asked for %v before, want it queued", protocol.CreditTTL)
+	s.step(25, grantFor(creditRequest, 1000))
+	s.oneSend(s.step(310, RequestArrived{s.requestWithCharge(400)}))
+	if out := s.step(321, RequestArrived{s.requestWithCharge(400)}); len(sends(out)) > 0 {
+		t.Errorf("sent with credit that was requested more than %v before, want it queued", protocol.CreditTTL)
 	}
 }
 
-// For tenants whose requests come often credit is at hand: few of them wait.
-func TestCreditIsAskedForAhead(t *testing.T) {
+// Credit is available in advance for tenants with frequent requests: few of the requests wait.
+func TestCreditIsRequestedInAdvance(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
 	issuer := newCreditIssuer()
-	waited, asked := 0, 0
+	waited, creditRequestCount := 0, 0
 	var answers []Input
 	for i := range 400 {
-		out := s.step(10*i+1, append(answers, RequestArrived{s.charged(60)})...)
+		out := s.step(10*i+1, append(answers, RequestArrived{s.requestWithCharge(60)})...)
 		answers = nil
 		for _, request := range creditRequests(out) {
-			asked++
+			creditRequestCount++
 			answers = append(answers, CreditGranted{issuer.answer(time.Duration(10*i)*time.Millisecond, s.d.config, testConfiguration().Tenants, request)})
 		}
-		if len(s.d.tenants["t"].awaitingQuota) > 0 {
+		if len(s.d.tenants["t"].quotaQueue) > 0 {
 			waited++
 		}
 		for _, send := range sends(out) {
 			answers = append(answers, AttemptFinished{ID: send.ID, Endpoint: "a"})
 		}
 	}
-	if waited > 20 || asked > 100 {
-		t.Errorf("%d of 400 requests waited and %d requests for credit were sent, want at most 20 and 100", waited, asked)
+	if waited > 20 || creditRequestCount > 100 {
+		t.Errorf("%d of 400 requests waited and %d credit requests were sent, want at most 20 and 100", waited, creditRequestCount)
 	}
 }
 
 func TestQuotaIsRefundedOnlyIfTheRequestDidNotExecute(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
-	r := s.charged(1000)
+	r := s.requestWithCharge(1000)
 	r.MaxEndpoints = 1
-	asked := s.oneCreditRequest(s.step(1, RequestArrived{r}))
-	s.oneSend(s.step(2, granted(asked, 1000)))
+	creditRequest := s.oneCreditRequest(s.step(1, RequestArrived{r}))
+	s.oneSend(s.step(2, grantFor(creditRequest, 1000)))
 	s.step(3, AttemptFinished{ID: r.ID, Endpoint: "a", Result: Rejected})
-	if left := s.d.availableCredit(s.d.tenants["t"]); left != 1000 {
-		t.Errorf("credit of %v is left, want the 1000 that were refunded", left)
+	if available := s.d.availableCredit(s.d.tenants["t"]); available != 1000 {
+		t.Errorf("credit of %v is left, want the 1000 that were refunded", available)
 	}
-	lost := s.charged(500)
+	lost := s.requestWithCharge(500)
 	lost.Retryable = false
 	s.oneSend(s.step(200, RequestArrived{lost}))
 	s.step(201, AttemptFinished{ID: lost.ID, Endpoint: "a", Result: ConnectionLost})
-	if left := s.d.availableCredit(s.d.tenants["t"]); left != 500 {
-		t.Errorf("credit of %v is left, want 500: the request may have executed", left)
+	if available := s.d.availableCredit(s.d.tenants["t"]); available != 500 {
+		t.Errorf("credit of %v is left, want 500: the request may have executed", available)
 	}
 }
 
-func TestQueuedRequestsLeaveADrainingEndpoint(t *testing.T) {
+func TestQueuedRequestsMoveFromADrainingEndpoint(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"), modelEndpoint("b", 1, "rare"))
 	s.d.schedule.Slots = 1
 	s.step(1, RequestArrived{s.request("m")})
@@ -242,7 +245,7 @@
 	}
 }
 
-func TestMisdirectionOutweighsTheTable(t *testing.T) {
+func TestMisdirectionOverridesTheTable(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"), modelEndpoint("b", 1, "m"))
 	first := s.oneSend(s.step(1, RequestArrived{s.request("m")}))
 	second := s.oneSend(s.step(2, AttemptFinished{ID: 1, Endpoint: first.Endpoint, Result: Misdirected, NeedsRetry: true}))
@@ -317,19 +320,19 @@
 	}
 }
 
-// Of the requests that wait, the more urgent get credit first.
+// Among waiting requests, the more urgent ones get credit first.
 func TestMoreUrgentRequestsGetCreditFirst(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
-	other := s.charged(1000)
+	other := s.requestWithCharge(1000)
 	other.RoutePriority = 2
 	first := s.oneCreditRequest(s.step(1, RequestArrived{other}))
-	urgent := s.charged(1000)
+	urgent := s.requestWithCharge(1000)
 	urgent.RoutePriority = 1
 	second := s.oneCreditRequest(s.step(2, RequestArrived{urgent}))
 	if first.Rank != 2 || second.Rank != 1 {
-		t.Errorf("asked with ranks %d and %d, want 2 and 1", first.Rank, second.Rank)
+		t.Errorf("requested credit with ranks %d and %d, want 2 and 1", first.Rank, second.Rank)
 	}
-	if send := s.oneSend(s.step(5, granted(first, 1000))); send.ID != urgent.ID {
-		t.Errorf("sent request %d with credit for one, want %d, the more urgent", send.ID, urgent.ID)
+	if send := s.oneSend(s.step(5, grantFor(first, 1000))); send.ID != urgent.ID {
+		t.Errorf("sent request %d with credit for one request, want %d, the more urgent one", send.ID, urgent.ID)
 	}
 }
--- a/internal/router/dispatch/scenario_test.go
+++ b/internal/router/dispatch/scenario_test.go
@@ -9,7 +9,8 @@
 	"raventrestle/internal/protocol"
 )
 
-// startNormalLoad starts four kinds of request, six engines and three plain servers; x scales the load.
+// startNormalLoad starts four kinds of request, six engines and three plain servers; x is a factor of the arrival
+// rates.
 func (w *simulation) startNormalLoad(x float64) {
 	for i := range 6 {
 		models := []string{"m"}
@@ -24,20 +25,20 @@
 	w.kinds = []*requestKind{
 		{
 			name: "brief", model: "m", perSecond: 13 * x, latencyTarget: 500 * time.Millisecond, timeout: 15 * time.Second,
-			prompt: 1460, output: 172, retryable: true, clientRetries: 1, tenant: "", rank: 1,
+			prompt: 1460, output: 172, retryable: true, clientRetries: 1, tenant: "", routePriority: 1,
 		},
 		{
 			name: "reply", model: "m", adapter: "a1", perSecond: 8 * x,
 			latencyTarget: 400 * time.Millisecond, timeout: 10 * time.Second,
-			prompt: 650, output: 70, retryable: true, clientRetries: 1, rank: 2,
+			prompt: 650, output: 70, retryable: true, clientRetries: 1, routePriority: 2,
 		},
 		{
 			name: "rewrite", model: "rare", perSecond: 1.2 * x, latencyTarget: 8 * time.Second, timeout: 30 * time.Second,
-			prompt: 1460, output: 172, clientRetries: 1, rank: 0,
+			prompt: 1460, output: 172, clientRetries: 1, routePriority: 0,
 		},
 		{
 			name: "push", perSecond: 11 * x, latencyTarget: 100 * time.Millisecond, timeout: 600 * time.Millisecond,
-			clientRetries: 1, rank: 2,
+			clientRetries: 1, routePriority: 2,
 		},
 	}
 	w.start()
@@ -51,7 +52,7 @@
 	}
 	saved, shared := 0.0, 0.0
 	for _, s := range w.servers {
-		saved, shared = saved+s.saved, shared+s.shared
+		saved, shared = saved+s.cachedTokens, shared+s.sharedTokens
 	}
 	t.Logf("rejected with half of the slots free: %d; %.3f of the shared tokens were cached", w.rejectedWhileHalfFree, saved/shared)
 	for i, d := range w.routers {
@@ -73,7 +74,7 @@
 func TestNormalLoadMeetsItsTargets(t *testing.T) {
 	w := newSimulation(t, 1, 3)
 	w.startNormalLoad(1)
-	w.play(20 * time.Second)
+	w.run(20 * time.Second)
 	w.finish()
 	w.logStatistics(t)
 	w.requireServed(t, 0.99)
@@ -92,7 +93,7 @@
 			k.perSecond /= 6
 		}
 	})
-	w.play(20 * time.Second)
+	w.run(20 * time.Second)
 	w.finish()
 	w.logStatistics(t)
 }
@@ -106,27 +107,27 @@
 	w.at(9*time.Second, func(w *simulation) {
 		w.servers[0].condition, w.servers[3].condition, w.servers[6].condition = healthy, healthy, healthy
 	})
-	w.play(20 * time.Second)
+	w.run(20 * time.Second)
 	w.finish()
 	w.logStatistics(t)
 }
 
-// TestDisconnectedRouterServesSoonAfterReconnection: a router that reached no endpoint for a while serves within half a second of the
-// link's return.
+// TestDisconnectedRouterServesSoonAfterReconnection checks that a router that reached no endpoint for a while answers
+// requests within the second half second after its reconnection.
 func TestDisconnectedRouterServesSoonAfterReconnection(t *testing.T) {
 	w := newSimulation(t, 6, 2)
 	w.startNormalLoad(1)
 	w.at(3*time.Second, func(w *simulation) { w.disconnected[0] = true })
 	w.at(8*time.Second, func(w *simulation) { w.disconnected[0] = false })
-	w.play(8500 * time.Millisecond)
+	w.run(8500 * time.Millisecond)
 	before := w.countAnswered(0)
-	w.play(9 * time.Second)
+	w.run(9 * time.Second)
 	if now := w.countAnswered(0); now < before+4 {
 		t.Errorf("%d answered in half a second, half a second after the reconnection; want 4", now-before)
 	}
 }
 
-// countAnswered counts a router's requests that were answered at least in part.
+// countAnswered returns how many requests of a router were answered at least in part.
 func (w *simulation) countAnswered(router int) int {
 	n := 0
 	for _, c := range w.clients[router] {
@@ -137,12 +138,12 @@
 	return n
 }
 
-// crash breaks off all calls of an endpoint.
+// crash breaks the connections of all calls at an endpoint.
 func (w *simulation) crash(s *simulatedEndpoint) {
 	s.condition = crashed
 	for _, j := range append(append([]*job(nil), s.running...), s.queue...) {
 		if c := j.call.client; c.call == j.call {
-			w.lose(c)
+			w.loseConnection(c)
 		}
 	}
 	s.running, s.queue = nil, nil
@@ -157,7 +158,7 @@
 		w.servers[7].slow = 8
 		w.servers[4].resetProbability = 0.05
 	})
-	w.play(20 * time.Second)
+	w.run(20 * time.Second)
 	w.finish()
 	w.logStatistics(t)
 }
@@ -180,16 +181,16 @@
 			w.crash(w.servers[i])
 		})
 	}
-	w.play(20 * time.Second)
+	w.run(20 * time.Second)
 	w.finish()
 	w.logStatistics(t)
 	w.requireServed(t, 0.9)
 }
 
-// valueServed returns the part of the kind's value that was served.
+// valueServed returns the fraction of the kind's value that was served.
 func (k *requestKind) valueServed() float64 { return k.servedValue / max(k.offeredValue, 1) }
 
-// TestValueServedDuringOverload checks the value that is served during bursts of several sizes.
+// TestValueServedDuringOverload checks the fraction of the value that is served during bursts of several sizes.
 func TestValueServedDuringOverload(t *testing.T) {
 	sizes := []float64{4}
 	if *overloadSeeds > 1 {
@@ -197,15 +198,15 @@
 	}
 	for _, x := range sizes {
 		var sum requestKind
-		value, owed, free := 0.0, 0.0, 0
-		var byRank, asked [3]float64
+		value, offered, rejectedWhileHalfFree := 0.0, 0.0, 0
+		var byRank, requested [3]float64
 		for seed := range uint64(*overloadSeeds) {
-			w := overload(t, seed+20, x)
-			free += w.rejectedWhileHalfFree
+			w := runOverload(t, seed+20, x)
+			rejectedWhileHalfFree += w.rejectedWhileHalfFree
 			for _, k := range w.kinds {
 				if k.model != "" {
-					byRank[k.rank] += float64(k.inTime + k.retried + k.served)
-					asked[k.rank] += float64(k.requested)
+					byRank[k.routePriority] += float64(k.inTime + k.retried + k.served)
+					requested[k.routePriority] += float64(k.requested)
 				}
 			}
 			for _, k := range w.kinds[:4] {
@@ -216,25 +217,26 @@
 				sum.failed += k.failed
 				sum.rejectedTwice += k.rejectedTwice
 				value += k.servedValue
-				owed += k.offeredValue
+				offered += k.offeredValue
 			}
 		}
 		for i := range byRank {
-			byRank[i] /= asked[i]
+			byRank[i] /= requested[i]
 		}
 		t.Logf("x %2.0f: served by rank %.3f", x, byRank)
-		part := func(n int) float64 { return float64(n) / float64(sum.requested) }
+		fraction := func(n int) float64 { return float64(n) / float64(sum.requested) }
 		t.Logf("x %2.0f: value %.3f; in time %.3f after a retry %.3f past target %.3f failed %.3f rejected twice %.3f; rejected with half of the slots free %d",
-			x, value/owed, part(sum.inTime), part(sum.retried), part(sum.served), part(sum.failed), part(sum.rejectedTwice), free)
-		if x <= 4 && value < 0.9*owed {
-			t.Errorf("x %.0f: value served %.3f, want 0.9", x, value/owed)
+			x, value/offered, fraction(sum.inTime), fraction(sum.retried), fraction(sum.served), fraction(sum.failed), fraction(sum.rejectedTwice), rejectedWhileHalfFree)
+		if x <= 4 && value < 0.9*offered {
+			t.Errorf("x %.0f: value served %.3f, want 0.9", x, value/offered)
 		}
 	}
 }
 
-var overloadSeeds = flag.Int("overload-seeds", 1, "plays of each burst")
+var overloadSeeds = flag.Int("overload-seeds", 1, "number of runs of each burst")
 
-func overload(t *testing.T, seed uint64, x float64) *simulation {
+// runOverload runs a burst of x times the normal load on the large fleet.
+func runOverload(t *testing.T, seed uint64, x float64) *simulation {
 	t.Helper()
 	w := newSimulation(t, seed, 9)
 	w.startLargeFleet()
@@ -248,12 +250,13 @@
 			k.perSecond /= x
 		}
 	})
-	w.play(16 * time.Second)
+	w.run(16 * time.Second)
 	w.finish()
 	return w
 }
 
-// startLargeFleet starts twelve engines with two of many models each, two models busy, and three plain servers.
+// startLargeFleet starts twelve engines with two models each and three plain servers. Two of the many models are in
+// high demand.
 func (w *simulation) startLargeFleet() {
 	for i := range 12 {
 		models := []string{"m", fmt.Sprint("rare", i)}
@@ -270,18 +273,18 @@
 	}
 	brief := requestKind{
 		name: "brief", model: "m", perSecond: 15, latencyTarget: 500 * time.Millisecond, timeout: 15 * time.Second,
-		prompt: 1460, output: 172, retryable: true, clientRetries: 1, rank: 1,
+		prompt: 1460, output: 172, retryable: true, clientRetries: 1, routePriority: 1,
 	}
 	reply := requestKind{
 		name: "reply", model: "m", adapter: "a1", perSecond: 9, latencyTarget: 400 * time.Millisecond,
-		timeout: 10 * time.Second, prompt: 646, output: 70, retryable: true, clientRetries: 1, rank: 2,
+		timeout: 10 * time.Second, prompt: 646, output: 70, retryable: true, clientRetries: 1, routePriority: 2,
 	}
 	briefN, replyN := brief, reply
 	briefN.model, briefN.perSecond = "n", 8
 	replyN.model, replyN.adapter, replyN.perSecond = "n", "", 5
 	push := requestKind{
 		name: "push", perSecond: 11, latencyTarget: 100 * time.Millisecond, timeout: 600 * time.Millisecond,
-		clientRetries: 1, rank: 2,
+		clientRetries: 1, routePriority: 2,
 	}
 	w.kinds = []*requestKind{&brief, &reply, &briefN, &replyN, &push}
 	for _, i := range []int{0, 1, 2, 4, 5, 6, 8, 9, 10} {
--- a/internal/router/dispatch/script_test.go
+++ b/internal/router/dispatch/script_test.go
@@ -8,16 +8,16 @@
 	"raventrestle/internal/protocol"
 )
 
-// script passes single inputs to a decider, with times in ms since the start.
+// script passes inputs to a decider; its times are in ms since the start.
 type script struct {
-	t    *testing.T
-	d    *Decider
-	zero time.Time
-	at   int
-	id   RequestID
+	t         *testing.T
+	d         *Decider
+	startTime time.Time
+	nowMS     int
+	id        RequestID
 }
 
-// testConfiguration has a service with models and one without.
+// testConfiguration returns a configuration with a service with models and a service without.
 func testConfiguration() *configuration.Configuration {
 	return &configuration.Configuration{
 		Generation: 1,
@@ -47,7 +47,7 @@
 
 func newScript(t *testing.T, endpoints ...protocol.Endpoint) *script {
 	t.Helper()
-	s := &script{t: t, zero: time.Now(), d: New(Config{
+	s := &script{t: t, startTime: time.Now(), d: New(Config{
 		Seed: 1, Zone: "z", RouterCount: 9, RetryBudgetRatio: 0.2, RetryBudgetSlack: 56,
 		QuotaOvershootFraction: 0.1, QuotaOvershootSlack: 11000,
 	})}
@@ -55,25 +55,25 @@
 	return s
 }
 
-// step advances to a time, passes the inputs and returns the outputs.
+// step advances the time, passes the inputs and returns the outputs.
 func (s *script) step(at int, inputs ...Input) []Output {
-	s.at = at
+	s.nowMS = at
 	return append([]Output(nil), s.d.Step(s.time(at), inputs)...)
 }
 
-func (s *script) time(at int) time.Time { return s.zero.Add(time.Duration(at) * time.Millisecond) }
+func (s *script) time(at int) time.Time { return s.startTime.Add(time.Duration(at) * time.Millisecond) }
 
 // request returns a new request for the model, or for the service without models.
 func (s *script) request(model string) Request {
 	s.id++
 	r := Request{
 		ID: s.id, Service: "lm", Model: model, PromptTokens: 1000, OutputTokens: 100, Retryable: true,
-		Streaming: true, Tenant: "free", MaxEndpoints: 2, ArrivedAt: s.time(s.at), LatencyTarget: s.time(s.at + 500),
-		Deadline: s.time(s.at + 15000),
+		Streaming: true, Tenant: "free", MaxEndpoints: 2, ArrivedAt: s.time(s.nowMS), LatencyTarget: s.time(s.nowMS + 500),
+		Deadline: s.time(s.nowMS + 15000),
 	}
 	if model == "" {
 		r.Service, r.Retryable, r.Streaming, r.MaxEndpoints = "app", false, false, 1
-		r.LatencyTarget, r.Deadline = s.time(s.at+100), s.time(s.at+600)
+		r.LatencyTarget, r.Deadline = s.time(s.nowMS+100), s.time(s.nowMS+600)
 	}
 	return r
 }
@@ -151,7 +151,7 @@
 		if at.IsZero() {
 			return
 		}
-		s.step(int(at.Sub(s.zero)/time.Millisecond) + 1)
+		s.step(int(at.Sub(s.startTime)/time.Millisecond) + 1)
 	}
 	t.Error("the idle decider still has a wake time after 10 steps, want none")
 }
--- a/internal/router/dispatch/service.go
+++ b/internal/router/dispatch/service.go
@@ -6,46 +6,47 @@
 	"raventrestle/internal/configuration"
 )
 
-// service is one service with what this router learned of it.
+// service is one service with what this router has learned about it.
 type service struct {
-	name               string
-	config             *configuration.Service // nil until a configuration names it
-	endpoints          int                    // in the table
-	ejected            int                    // of those, ejected or recovering
-	inFlight           int                    // this router's calls
-	groups             map[string]*modelGroup // by model; "" for a service without models
-	budget             retryBudget
-	fairness           fairness
-	pastTargetFraction float64    // of the calls without a first byte
-	durationMS         float64    // mean of a call
-	firstByteLine      regression // over all groups
-	durationBounds     durationBounds
-	promptSizes        sizeDistribution
+	name                string
+	config              *configuration.Service // nil until a configuration names it
+	endpoints           int                    // number of endpoints in the table
+	ejected             int                    // number of those that are ejected or recovering
+	inFlight            int                    // this router's calls in flight
+	groups              map[string]*modelGroup // by model; "" for requests that name no model
+	budget              retryBudget
+	fairness            fairness
+	pastTargetFraction  float64    // moving average of the fraction of calls without a first byte that were sent past their target
+	durationMS          float64    // mean duration of a call; 0: unknown
+	firstByteRegression regression // over all groups
+	durationBounds      durationBounds
+	promptSizes         sizeDistribution
 }
 
-// modelGroup is the endpoints that have one model, or all endpoints of a service without models.
+// modelGroup is the endpoints that have one model; for requests that name no model, it is all endpoints of the
+// service.
 type modelGroup struct {
-	service            *service
-	model              string
-	loadTime           time.Duration // as configured
-	adapterCount       int           // as configured
-	residencies        []*residency
-	targets            map[string]*demandTarget // by adapter
-	firstByteLine      regression
-	durationBounds     durationBounds
-	meanPrefillTokens  float64
-	meanKVTokens       float64 // that a request takes of an endpoint's KV cache
-	expectedLoads      []expectedLoad
-	overloadedAt       time.Duration // when a request was last rejected as TargetUnreachable
-	overloadedSince    time.Duration // when the series of such rejections began
-	lastOnTargetSendAt time.Duration
-	lastResortAt       time.Duration // when an ejected endpoint was last probed for want of others
-	version            int           // rises when a slot may have become free
-	unassigned         []*request    // in order of arrival
-	sizeOrderStale     bool          // residencies have come or gone since orderBySize
+	service             *service
+	model               string
+	loadTime            time.Duration // as configured
+	adapterCount        int           // as configured
+	residencies         []*residency
+	targets             map[string]*demandTarget // by adapter
+	firstByteRegression regression
+	durationBounds      durationBounds
+	meanPrefillTokens   float64
+	meanKVTokens        float64 // tokens that a request takes in an endpoint's KV cache
+	expectedLoads       []expectedLoad
+	overloadedAt        time.Duration // when a request was last rejected as TargetUnreachable
+	overloadedSince     time.Duration // when the current series of such rejections began
+	lastOnTargetSendAt  time.Duration // when a request was last sent that was not past its target
+	lastResortAt        time.Duration // when lastResort last selected an endpoint
+	version             int           // incremented when a slot may have become free or endpoints have changed
+	unassigned          []*request    // in order of arrival
+	sizeIntervalsStale  bool          // residencies were added or removed since assignSizeIntervals
 }
 
-// ensureService returns the service of this name, creating it if needed.
+// ensureService returns the service with this name, creating it if needed.
 func (d *Decider) ensureService(name string) *service {
 	s := d.services[name]
 	if s == nil {
@@ -65,7 +66,7 @@
 	return g
 }
 
-// engine returns the configuration of the service's engine, nil if its endpoints have no models.
+// engine returns the configuration of the service's engine; nil if its endpoints have no models.
 func (s *service) engine() *configuration.Engine {
 	if s.config == nil {
 		return nil
--- a/internal/router/dispatch/shutdown.go
+++ b/internal/router/dispatch/shutdown.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Shutdown of the process. From a moment on nothing stays queued for long: the router may not live until a queued request could be sent,
-// and its client finds another router that does. A little later only what will finish in time is admitted: a client that has begun to
-// read an answer must get it completely.
+// Shutdown of the process. After the queue deadline no request stays queued for long: the process may end before the
+// request could be sent, and its client can retry at another router. A little later, only requests that will finish
+// in time are admitted: a client that has begun to read an answer must get all of it.
 
 const (
-	shutdownQueueTimeout   = 150 * time.Millisecond // of a request, once the process is about to end
-	shutdownReserveDivisor = 2                      // a new request must be expected to finish in the time left, divided by this
-	shutdownMargin         = 100 * time.Millisecond // before the end, the deadline of requests of unknown duration
+	shutdownQueueTimeout   = 150 * time.Millisecond // maximum time that a request stays queued after the queue deadline
+	shutdownReserveDivisor = 2                      // a new request must be expected to finish in the remaining time divided by this
+	shutdownMargin         = 100 * time.Millisecond // a request whose deadline is at least so long before the end is always admitted
 )
 
-// shutdown holds the times of ShutdownStarted, all 0 before it.
+// shutdown holds the times of ShutdownStarted. They are 0 before it.
 type shutdown struct{ queueDeadline, selectiveFrom, deadline time.Duration }
 
-// startShutdown begins the shutdown.
+// startShutdown stores the times of the shutdown.
 func (d *Decider) startShutdown(input ShutdownStarted) {
 	d.shutdown = shutdown{queueDeadline: max(input.QueueDeadline.Sub(d.startTime), d.now)}
 	if input.SelectiveAdmissionFrom.IsZero() {
@@ -28,15 +28,15 @@
 	d.shutdown.deadline = input.ShutdownDeadline.Sub(d.startTime)
 }
 
-// finishesBeforeShutdown reports whether a request admitted now is expected to finish well before the process ends, by its own deadline
-// or by what is known of calls of its kind.
+// finishesBeforeShutdown reports whether a request admitted now is expected to finish well before the process ends,
+// by its own deadline or by the durations of calls of its kind.
 func (d *Decider) finishesBeforeShutdown(r *request) bool {
-	c := &d.shutdown
-	if c.selectiveFrom == 0 || d.now < c.selectiveFrom || r.deadline <= c.deadline-shutdownMargin {
+	times := &d.shutdown
+	if times.selectiveFrom == 0 || d.now < times.selectiveFrom || r.deadline <= times.deadline-shutdownMargin {
 		return true
 	}
 	longest, known := d.maxExpectedDuration(r)
-	return known && longest <= (c.deadline-d.now)/shutdownReserveDivisor
+	return known && longest <= (times.deadline-d.now)/shutdownReserveDivisor
 }
 
 // rejectForShutdown rejects a request that would not finish in time.
@@ -46,19 +46,20 @@
 }
 
 // capQueueDeadline limits a queue deadline to that of the shutdown.
-func (d *Decider) capQueueDeadline(until time.Duration) time.Duration {
+func (d *Decider) capQueueDeadline(deadline time.Duration) time.Duration {
 	if d.shutdown.queueDeadline > 0 {
-		return min(until, d.shutdown.queueDeadline)
+		return min(deadline, d.shutdown.queueDeadline)
 	}
-	return until
+	return deadline
 }
 
-// shutdownQueueDeadline returns until when the request stays queued during the shutdown.
+// shutdownQueueDeadline returns until when the request may stay queued during the shutdown.
 func (d *Decider) shutdownQueueDeadline(r *request) time.Duration {
 	return max(d.shutdown.queueDeadline, r.arrived+shutdownQueueTimeout)
 }
 
-// flushQueuesAtShutdown rejects what was queued for long, once the shutdown's queue deadline has passed.
+// flushQueuesAtShutdown rejects the requests that have been queued too long, once the shutdown's queue deadline has
+// passed.
 func (d *Decider) flushQueuesAtShutdown() {
 	switch {
 	case d.shutdown.queueDeadline == 0:
@@ -75,7 +76,8 @@
 	}
 }
 
-// rejectOverdue rejects those whose queue deadline has passed. A stream that broke off midway goes on waiting.
+// rejectOverdue rejects the requests of a queue whose shutdown queue deadline has passed. A stream that broke off
+// midway stays queued.
 func (d *Decider) rejectOverdue(queue []*request) {
 	for _, r := range slices.Clone(queue) {
 		switch {
--- a/internal/router/dispatch/shutdown_test.go
+++ b/internal/router/dispatch/shutdown_test.go
@@ -12,16 +12,17 @@
 	return ShutdownStarted{QueueDeadline: s.time(queueDeadline)}
 }
 
-// requestWithDistantTarget returns a request whose latency target is distant.
+// requestWithDistantTarget returns a request whose latency target is 10 s away.
 func (s *script) requestWithDistantTarget(model string) Request {
 	r := s.request(model)
-	r.LatencyTarget, r.Deadline = s.time(s.at+10000), s.time(s.at+30000)
+	r.LatencyTarget, r.Deadline = s.time(s.nowMS+10000), s.time(s.nowMS+30000)
 	return r
 }
 
-// A request that waits for its model to be loaded would be queued up to its latency target: it is rejected when the router
-// accepts no more clients, with a short Retry-After. What arrives later and can't be sent is queued for a moment only.
-func TestNoRequestStaysQueuedAfterTheShutdownDeadline(t *testing.T) {
+// A request that waits for a load of its model may normally stay queued up to its latency target. During a shutdown
+// it is rejected at the queue deadline, with a short Retry-After. A request that arrives later and can't be sent is
+// queued only for a moment.
+func TestNoRequestStaysQueuedAfterTheShutdownQueueDeadline(t *testing.T) {
 	loading := modelEndpoint("a", 1, "m")
 	loading.Loading = []protocol.ModelLoad{{Model: "rare", Remaining: 9 * time.Second}}
 	s := newScript(t, loading)
@@ -31,7 +32,7 @@
 		t.Fatalf("got %v, want no rejection before the queue deadline", out)
 	}
 	if at := s.d.NextWake(); at.IsZero() || at.After(s.time(2500)) {
-		t.Errorf("next wake %v after the start, want 2.5s at the latest", at.Sub(s.zero))
+		t.Errorf("next wake %v after the start, want 2.5s at the latest", at.Sub(s.startTime))
 	}
 	rejection := s.oneRejection(s.step(2500))
 	if rejection.Reason != ShuttingDown || rejection.RetryAfter <= 0 || rejection.RetryAfter > 100*time.Millisecond {
@@ -41,7 +42,7 @@
 		t.Errorf("got %v, want the request to stay queued for a moment", out)
 	}
 	if at := s.d.NextWake(); at.IsZero() || at.After(s.time(2750)) {
-		t.Errorf("next wake %v after the start, want 2.75s at the latest", at.Sub(s.zero))
+		t.Errorf("next wake %v after the start, want 2.75s at the latest", at.Sub(s.startTime))
 	}
 	if rejection := s.oneRejection(s.step(2751)); rejection.Reason != ShuttingDown {
 		t.Errorf("rejected with %+v, want ShuttingDown", rejection)
@@ -54,8 +55,8 @@
 	}
 }
 
-// A load that will finish only after the router accepts no more clients is not waited for.
-func TestRequestsDoNotWaitForLoadsThatFinishAfterTheShutdownDeadline(t *testing.T) {
+// A request does not wait for a load that finishes only after the queue deadline.
+func TestRequestsDoNotWaitForLoadsThatFinishAfterTheShutdownQueueDeadline(t *testing.T) {
 	loading := modelEndpoint("a", 1, "m")
 	loading.Loading = []protocol.ModelLoad{{Model: "rare", Remaining: 9 * time.Second}}
 	s := newScript(t, loading)
@@ -85,8 +86,8 @@
 	}
 }
 
-// A router that shuts down in random scenarios: from its queue deadline on nothing stays queued for long, each request ends once,
-// and all invariants hold.
+// In random scenarios, a router that shuts down has no request that stays queued for long after its queue deadline.
+// Each request ends once, and all invariants hold.
 func TestQueuesAreFlushedDuringShutdownOfRandomScenarios(t *testing.T) {
 	for seed := range uint64(3) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -97,22 +98,22 @@
 		w.at(2*time.Second, func(w *simulation) { fault(w, s, 5*time.Second) })
 		queueDeadline := 2500 * time.Millisecond
 		w.at(time.Second, func(w *simulation) {
-			w.inputs[1] = append(w.inputs[1], ShutdownStarted{QueueDeadline: w.zero.Add(queueDeadline)})
+			w.inputs[1] = append(w.inputs[1], ShutdownStarted{QueueDeadline: w.startTime.Add(queueDeadline)})
 		})
 		for at := queueDeadline; at < 5*time.Second; at += simulationTick {
-			w.play(at + simulationTick)
+			w.run(at + simulationTick)
 			w.checkQueued(w.routers[1])
 		}
-		w.play(7 * time.Second)
+		w.run(7 * time.Second)
 		w.finish()
 	}
 }
 
-// checkQueued checks that nothing is queued for long but streams that broke off midway.
+// checkQueued checks that no request is queued for long except streams that broke off midway.
 func (w *simulation) checkQueued(d *Decider) {
 	for _, r := range d.requests {
 		if r.stage == stageQueued && !r.answerStarted && d.now > r.arrived+shutdownQueueTimeout+simulationTick {
-			w.t.Errorf("request %d is queued since %v, want %v at most", r.ID, d.now-r.arrived, shutdownQueueTimeout)
+			w.t.Errorf("request %d has been queued for %v, want %v at most", r.ID, d.now-r.arrived, shutdownQueueTimeout)
 		}
 	}
 }
@@ -120,46 +121,47 @@
 // selectiveAdmissionAt is when selective admission begins, in ms; the process ends 4.6 s later.
 const selectiveAdmissionAt = 12800
 
-// newScriptAtSelectiveAdmission returns a router that has seen streams of 3 s and calls of 40 ms, at that time.
+// newScriptAtSelectiveAdmission returns a script at that time, whose router has seen streams of 3 s and calls of 40
+// ms.
 func newScriptAtSelectiveAdmission(t *testing.T) *script {
 	t.Helper()
 	s := newScript(t, modelEndpoint("a", 1, "m"), plainEndpoint("b", 1000))
 	for i := range 4 {
 		at := 1000 + 10*i
 		s.step(at)
-		flow, plain := s.request("m"), s.request("")
-		s.step(at, RequestArrived{flow}, RequestArrived{plain})
+		stream, plain := s.request("m"), s.request("")
+		s.step(at, RequestArrived{stream}, RequestArrived{plain})
 		s.step(at+40, AttemptFinished{ID: plain.ID, Endpoint: "b", Result: Succeeded})
-		s.step(at+3000, FirstByteReceived{ID: flow.ID, Endpoint: "a"}, AttemptFinished{ID: flow.ID, Endpoint: "a", Result: Succeeded})
+		s.step(at+3000, FirstByteReceived{ID: stream.ID, Endpoint: "a"}, AttemptFinished{ID: stream.ID, Endpoint: "a", Result: Succeeded})
 	}
 	s.step(10000, ShutdownStarted{QueueDeadline: s.time(12300), SelectiveAdmissionFrom: s.time(selectiveAdmissionAt), ShutdownDeadline: s.time(17400)})
 	s.step(selectiveAdmissionAt)
 	return s
 }
 
-// What arrives long after SIGTERM is admitted only if it will finish before the process ends: by its own deadline,
-// or because calls like it were short. All else is rejected at once, with a short Retry-After.
+// A request that arrives long after SIGTERM is admitted only if it will finish before the process ends, by its own
+// deadline or because similar calls were short. Others are rejected at once, with a short Retry-After.
 func TestOnlyRequestsThatFinishBeforeShutdownAreAdmitted(t *testing.T) {
 	for name, c := range map[string]struct {
-		at    int
-		model string
-		make  func(s *script, r *Request)
-		taken bool
+		at       int
+		model    string
+		modify   func(s *script, r *Request)
+		admitted bool
 	}{
-		"a stream before":                  {at: selectiveAdmissionAt - 1, model: "m", taken: true},
-		"a stream":                         {at: selectiveAdmissionAt, model: "m"},
-		"a short stream":                   {at: selectiveAdmissionAt, model: "m", make: func(_ *script, r *Request) { r.OutputTokens = 10 }, taken: true},
-		"a short stream, near the end":     {at: selectiveAdmissionAt + 4000, model: "m", make: func(_ *script, r *Request) { r.OutputTokens = 10 }},
-		"a stream that may not be resumed": {at: selectiveAdmissionAt, model: "m", make: func(_ *script, r *Request) { r.Retryable = false }},
+		"a stream before selective admission": {at: selectiveAdmissionAt - 1, model: "m", admitted: true},
+		"a stream":                            {at: selectiveAdmissionAt, model: "m"},
+		"a short stream":                      {at: selectiveAdmissionAt, model: "m", modify: func(_ *script, r *Request) { r.OutputTokens = 10 }, admitted: true},
+		"a short stream, near the end":        {at: selectiveAdmissionAt + 4000, model: "m", modify: func(_ *script, r *Request) { r.OutputTokens = 10 }},
+		"a stream that may not be resumed":    {at: selectiveAdmissionAt, model: "m", modify: func(_ *script, r *Request) { r.Retryable = false }},
 		"a stream with a near deadline": {
-			at: selectiveAdmissionAt, model: "m", taken: true,
-			make: func(s *script, r *Request) { r.Deadline = s.time(selectiveAdmissionAt + 4000) },
+			at: selectiveAdmissionAt, model: "m", admitted: true,
+			modify: func(s *script, r *Request) { r.Deadline = s.time(selectiveAdmissionAt + 4000) },
 		},
-		"a stream of an unknown kind": {at: selectiveAdmissionAt, taken: false, make: func(s *script, r *Request) {
+		"a stream of an unknown kind": {at: selectiveAdmissionAt, admitted: false, modify: func(s *script, r *Request) {
 			r.Streaming, r.Deadline = true, s.time(selectiveAdmissionAt+15000)
 		}},
-		"a short call": {at: selectiveAdmissionAt, taken: true, make: func(s *script, r *Request) { r.Deadline = s.time(selectiveAdmissionAt + 15000) }},
-		"a short call, near the end": {at: selectiveAdmissionAt + 4400, make: func(s *script, r *Request) {
+		"a short call": {at: selectiveAdmissionAt, admitted: true, modify: func(s *script, r *Request) { r.Deadline = s.time(selectiveAdmissionAt + 15000) }},
+		"a short call, near the end": {at: selectiveAdmissionAt + 4400, modify: func(s *script, r *Request) {
 			r.Deadline = s.time(selectiveAdmissionAt + 15000)
 		}},
 	} {
@@ -171,16 +173,16 @@
 			}
 			s.step(c.at)
 			r := s.request(c.model)
-			if c.make != nil {
-				c.make(s, &r)
+			if c.modify != nil {
+				c.modify(s, &r)
 			}
 			out := s.step(c.at, RequestArrived{r})
-			if c.taken {
+			if c.admitted {
 				s.oneSend(out)
 				return
 			}
-			if no := s.oneRejection(out); no.Reason != ShuttingDown || no.RetryAfter <= 0 || no.RetryAfter > 100*time.Millisecond {
-				t.Errorf("rejected with %+v, want ShuttingDown and 100ms at most", no)
+			if rejection := s.oneRejection(out); rejection.Reason != ShuttingDown || rejection.RetryAfter <= 0 || rejection.RetryAfter > 100*time.Millisecond {
+				t.Errorf("rejected with %+v, want ShuttingDown and 100ms at most", rejection)
 			}
 			if len(s.d.requests) != 0 {
 				t.Errorf("%d requests are left, want none", len(s.d.requests))
@@ -189,14 +191,14 @@
 	}
 }
 
-// What has waited for quota until then, or is retried, is checked again.
-func TestRetriesAndPaidRequestsMustFinishBeforeShutdown(t *testing.T) {
+// Retries, and requests that waited for quota until then, are checked again.
+func TestRetriesAndChargedRequestsMustFinishBeforeShutdown(t *testing.T) {
 	s := newScriptAtSelectiveAdmission(t)
 	r := s.request("m")
 	r.OutputTokens = 10
 	s.oneSend(s.step(selectiveAdmissionAt, RequestArrived{r}))
-	if no := s.oneRejection(s.step(selectiveAdmissionAt+4000, AttemptFinished{ID: r.ID, Endpoint: "a", Result: Rejected, NeedsRetry: true})); no.Reason != ShuttingDown {
-		t.Errorf("rejected with %+v, want ShuttingDown", no)
+	if rejection := s.oneRejection(s.step(selectiveAdmissionAt+4000, AttemptFinished{ID: r.ID, Endpoint: "a", Result: Rejected, NeedsRetry: true})); rejection.Reason != ShuttingDown {
+		t.Errorf("rejected with %+v, want ShuttingDown", rejection)
 	}
 	s = newScript(t, modelEndpoint("a", 1, "m"))
 	s.step(10000, ShutdownStarted{QueueDeadline: s.time(12300), SelectiveAdmissionFrom: s.time(selectiveAdmissionAt), ShutdownDeadline: s.time(17400)})
@@ -207,43 +209,43 @@
 	if len(rejections(out))+len(sends(out)) > 0 {
 		t.Fatalf("got %v, want the request to wait for quota", out)
 	}
-	out = s.step(selectiveAdmissionAt, granted(s.oneCreditRequest(out), 9000))
-	if no := s.oneRejection(out); no.Reason != ShuttingDown {
-		t.Errorf("rejected with %+v, want ShuttingDown", no)
+	out = s.step(selectiveAdmissionAt, grantFor(s.oneCreditRequest(out), 9000))
+	if rejection := s.oneRejection(out); rejection.Reason != ShuttingDown {
+		t.Errorf("rejected with %+v, want ShuttingDown", rejection)
 	}
 	if list := sends(out); len(list) > 0 {
 		t.Errorf("sent %v, want nothing", list)
 	}
 }
 
-// In random scenarios: whatever a router admitted after SelectiveAdmissionFrom has finished, or is at its own deadline, when the
-// process ends; and short calls are still admitted.
+// In random scenarios, requests that a router admitted after SelectiveAdmissionFrom have ended or reached their own
+// deadline when the process ends, and short calls are still admitted.
 func TestAdmittedRequestsFinishBeforeShutdownInRandomScenarios(t *testing.T) {
-	taken := uint64(0)
+	admitted := uint64(0)
 	for seed := range uint64(6) {
 		rng := rand.New(rand.NewPCG(seed, 39))
 		w := newSimulation(t, seed, 3)
 		w.startNormalLoad(0.5 + 1.5*rng.Float64())
-		const choose, endBy = 5 * time.Second, 9600 * time.Millisecond
+		const selectiveFrom, shutdownDeadline = 5 * time.Second, 9600 * time.Millisecond
 		w.at(2*time.Second, func(w *simulation) {
 			w.inputs[1] = append(w.inputs[1], ShutdownStarted{
-				QueueDeadline: w.zero.Add(choose - 500*time.Millisecond), SelectiveAdmissionFrom: w.zero.Add(choose), ShutdownDeadline: w.zero.Add(endBy),
+				QueueDeadline: w.startTime.Add(selectiveFrom - 500*time.Millisecond), SelectiveAdmissionFrom: w.startTime.Add(selectiveFrom), ShutdownDeadline: w.startTime.Add(shutdownDeadline),
 			})
 		})
-		w.play(choose)
+		w.run(selectiveFrom)
 		before := w.routers[1].counters.Sent
-		w.play(endBy)
-		taken += w.routers[1].counters.Sent - before
+		w.run(shutdownDeadline)
+		admitted += w.routers[1].counters.Sent - before
 		for _, r := range w.routers[1].requests {
-			if r.arrived+w.routers[1].startTime.Sub(w.zero) >= choose && r.stage == stageInFlight && r.deadline > w.routers[1].shutdown.deadline {
-				t.Errorf("seed %d: request %d of %s is in flight at the shutdown, want it finished", seed, r.ID, r.Service)
+			if r.arrived+w.routers[1].startTime.Sub(w.startTime) >= selectiveFrom && r.stage == stageInFlight && r.deadline > w.routers[1].shutdown.deadline {
+				t.Errorf("seed %d: request %d of %s is in flight at the end of the process, want it finished", seed, r.ID, r.Service)
 			}
 		}
-		w.play(endBy + 5*time.Second)
+		w.run(shutdownDeadline + 5*time.Second)
 		w.finish()
 	}
-	if taken == 0 {
+	if admitted == 0 {
 		t.Error("no request was admitted after SelectiveAdmissionFrom, want some")
 	}
-	t.Logf("%d admitted after SelectiveAdmissionFrom", taken)
+	t.Logf("%d admitted after SelectiveAdmissionFrom", admitted)
 }
--- a/internal/router/dispatch/simulated_endpoint_test.go
+++ b/internal/router/dispatch/simulated_endpoint_test.go
@@ -24,16 +24,16 @@
 
 // job is a call at an endpoint.
 type job struct {
-	call     *simulatedCall
-	priority int
-	at       time.Duration
-	read     float64 // prompt tokens left to prefill
-	size     float64 // tokens in memory
-	put      float64 // tokens left to decode, or ms of work
-	begun    bool    // first byte sent
+	call          *simulatedCall
+	priority      int
+	arrivedAt     time.Duration
+	prefillTokens float64 // prompt tokens that remain to be prefilled
+	kvTokens      float64 // tokens in the KV cache
+	remainingWork float64 // tokens that remain to be decoded; ms of work at a plain server
+	begun         bool    // first byte sent
 
 	steps        int     // since its last event
-	sinceEventMS float64 // of these steps
+	sinceEventMS float64 // duration of these steps
 	longestGapMS float64 // between two events
 }
 
@@ -41,19 +41,19 @@
 	row              protocol.Endpoint
 	engine           bool
 	condition        condition
-	slow             float64 // factor of its times, 1: normal
-	resetProbability float64 // of a call
+	slow             float64 // factor of all its times; 1: normal
+	resetProbability float64 // that a call is reset
 	running          []*job
-	due              []time.Duration // of row.Loading
+	loadsDueAt       []time.Duration // when the loads of row.Loading finish
 	queue            []*job
 	maxQueue         int
 	cached           map[uint64]bool
-	ready            float64       // ms of the step that have passed
-	step             float64       // ms that it takes
-	first            []*job        // that decode their first token in it
-	saved            float64       // tokens that were cached
-	shared           float64       // tokens that could have been cached
-	drainAt          time.Duration // when the routers were notified of draining, 0: not
+	stepElapsedMS    float64       // elapsed part of the current step
+	stepMS           float64       // duration of the current step
+	firstTokenJobs   []*job        // jobs that get their first token in the current step
+	cachedTokens     float64       // those of them that were cached
+	sharedTokens     float64       // prompt tokens of shared parts
+	drainNotifiedAt  time.Duration // when the routers were informed that it drains; 0: they weren't
 	departed         bool
 }
 
@@ -69,29 +69,29 @@
 	return false
 }
 
-// accept queues a call; false: rejected.
+// accept queues a call; it returns false if the call is rejected.
 func (s *simulatedEndpoint) accept(c *simulatedCall, priority int, now time.Duration, rng *rand.Rand) bool {
 	if len(s.queue) >= s.maxQueue {
 		return false
 	}
 	r := &c.client.request
-	j := &job{call: c, priority: priority, at: now, read: float64(r.PromptTokens), put: float64(r.OutputTokens)}
-	j.size = j.read + j.put
+	j := &job{call: c, priority: priority, arrivedAt: now, prefillTokens: float64(r.PromptTokens), remainingWork: float64(r.OutputTokens)}
+	j.kvTokens = j.prefillTokens + j.remainingWork
 	if !s.engine {
-		j.read, j.put = 0, 15*(0.6+rng.Float64()*0.8)
+		j.prefillTokens, j.remainingWork = 0, 15*(0.6+rng.Float64()*0.8)
 	}
-	for _, link := range c.links {
-		if !s.cached[link.key] {
+	for _, prefix := range c.prefixes {
+		if !s.cached[prefix.key] {
 			break
 		}
-		j.read -= link.tokens
-		s.saved += link.tokens
+		j.prefillTokens -= prefix.tokens
+		s.cachedTokens += prefix.tokens
 	}
-	for _, link := range c.links {
-		s.shared += link.tokens
-		s.cached[link.key] = true
+	for _, prefix := range c.prefixes {
+		s.sharedTokens += prefix.tokens
+		s.cached[prefix.key] = true
 	}
-	j.read = max(j.read, 0)
+	j.prefillTokens = max(j.prefillTokens, 0)
 	s.queue = append(s.queue, j)
 	slices.SortStableFunc(s.queue, func(a, b *job) int { return cmp.Compare(a.priority, b.priority) })
 	return true
@@ -104,37 +104,37 @@
 	}
 	ms := float64(simulationTick) / float64(time.Millisecond) / s.slow
 	if !s.engine {
-		return s.work(ms)
+		return s.serveJobs(ms)
 	}
-	s.ready += ms
-	for s.ready >= s.step { // the step under way is over
-		s.ready -= s.step
-		s.passEvents()
-		for _, j := range s.first {
+	s.stepElapsedMS += ms
+	for s.stepElapsedMS >= s.stepMS { // the current step has ended
+		s.stepElapsedMS -= s.stepMS
+		s.recordEvents()
+		for _, j := range s.firstTokenJobs {
 			j.begun = true
 		}
-		begun = append(begun, s.first...)
-		ended = append(ended, s.reap()...)
-		if s.first, s.step = nil, 0; len(s.queue)+len(s.running) == 0 {
-			s.ready = 0
+		begun = append(begun, s.firstTokenJobs...)
+		ended = append(ended, s.removeEnded()...)
+		if s.firstTokenJobs, s.stepMS = nil, 0; len(s.queue)+len(s.running) == 0 {
+			s.stepElapsedMS = 0
 			break
 		}
-		s.stepOnce()
+		s.beginStep()
 	}
 	return begun, ended
 }
 
-// tokensPerSimulatedEvent is how many tokens an event of a simulated stream holds.
+// tokensPerSimulatedEvent is the number of tokens per event of a simulated stream.
 const tokensPerSimulatedEvent = 3
 
-// passEvents notes the events that streams put out with the step that is over. A step lasts as long as all that it prefills, so that
-// prompts make the running streams pause.
-func (s *simulatedEndpoint) passEvents() {
+// recordEvents records the events of the running streams at the end of a step. A step takes longer the more tokens it
+// prefills, so that prompts make the running streams pause.
+func (s *simulatedEndpoint) recordEvents() {
 	for _, j := range s.running {
 		if !j.begun {
 			continue
 		}
-		j.sinceEventMS += s.step * s.slow
+		j.sinceEventMS += s.stepMS * s.slow
 		if j.steps++; j.steps == tokensPerSimulatedEvent {
 			j.longestGapMS = max(j.longestGapMS, j.sinceEventMS)
 			j.steps, j.sinceEventMS = 0, 0
@@ -143,58 +143,59 @@
 }
 
 const (
-	prefillChunk       = 1024.0 // maximum of prompt tokens read in a step
-	prefillTokensPerMS = 19.2   // tokens read in a ms
+	prefillChunk       = 1024.0 // maximum of prompt tokens prefilled in a step
+	prefillTokensPerMS = 19.2   // tokens prefilled per ms
 	kvCacheTokens      = 130518.0
 )
 
-// stepOnce begins a step of the batch: a token for each running request, and a chunk of the first prompts.
-func (s *simulatedEndpoint) stepOnce() {
-	left := prefillChunk
-	memory := kvCacheTokens
+// beginStep begins a step of the batch: it decodes one token of each running request and prefills a chunk of the
+// first prompts in the queue.
+func (s *simulatedEndpoint) beginStep() {
+	remaining := prefillChunk
+	freeKVTokens := kvCacheTokens
 	for _, j := range s.running {
-		j.put--
-		memory -= j.size
+		j.remainingWork--
+		freeKVTokens -= j.kvTokens
 	}
-	s.step = 10.5 + 0.00733*float64(len(s.running)) + 0.0171*(kvCacheTokens-memory)/1000
-	for len(s.queue) > 0 && len(s.running) < s.row.Slots && left > 0 {
+	s.stepMS = 10.5 + 0.00733*float64(len(s.running)) + 0.0171*(kvCacheTokens-freeKVTokens)/1000
+	for len(s.queue) > 0 && len(s.running) < s.row.Slots && remaining > 0 {
 		j := s.queue[0]
-		if memory -= j.size; memory < 0 {
+		if freeKVTokens -= j.kvTokens; freeKVTokens < 0 {
 			break
 		}
-		read := min(j.read, left)
-		j.read -= read
-		left -= read
-		if j.read > 0 {
+		read := min(j.prefillTokens, remaining)
+		j.prefillTokens -= read
+		remaining -= read
+		if j.prefillTokens > 0 {
 			break
 		}
-		s.first = append(s.first, j)
+		s.firstTokenJobs = append(s.firstTokenJobs, j)
 		s.running = append(s.running, j)
 		s.queue = s.queue[1:]
 	}
-	s.step += (prefillChunk - left) / prefillTokensPerMS
+	s.stepMS += (prefillChunk - remaining) / prefillTokensPerMS
 }
 
-func (s *simulatedEndpoint) work(ms float64) (begun, ended []*job) {
+func (s *simulatedEndpoint) serveJobs(ms float64) (begun, ended []*job) {
 	for len(s.queue) > 0 && len(s.running) < s.row.Slots {
 		s.running = append(s.running, s.queue[0])
 		s.queue = s.queue[1:]
 	}
 	for _, j := range s.running {
-		if j.put -= ms; j.put <= 0 {
+		if j.remainingWork -= ms; j.remainingWork <= 0 {
 			j.begun = true
 			begun = append(begun, j)
 		}
 	}
-	return begun, s.reap()
+	return begun, s.removeEnded()
 }
 
-func (s *simulatedEndpoint) reap() (ended []*job) {
+func (s *simulatedEndpoint) removeEnded() (ended []*job) {
 	s.running = slices.DeleteFunc(s.running, func(j *job) bool {
-		if j.put <= 0 {
+		if j.remainingWork <= 0 {
 			ended = append(ended, j)
 		}
-		return j.put <= 0
+		return j.remainingWork <= 0
 	})
 	return ended
 }
@@ -206,6 +207,6 @@
 	s.queue = slices.DeleteFunc(s.queue, isCall)
 }
 
-func (s *simulatedEndpoint) load() *AdvertisedLoad {
+func (s *simulatedEndpoint) advertisedLoad() *AdvertisedLoad {
 	return &AdvertisedLoad{Running: len(s.running), Waiting: len(s.queue), Slots: s.row.Slots}
 }
--- a/internal/router/dispatch/simulation_rules_test.go
+++ b/internal/router/dispatch/simulation_rules_test.go
@@ -8,9 +8,9 @@
 	"raventrestle/internal/protocol"
 )
 
-// What the world's routers do is carried out here, and held against the rules.
+// Execution of the routers' outputs in the simulation, and checks of the invariants.
 
-// step steps one router, if something happened or its time has come.
+// step steps one router if it has inputs or its wake time has come.
 func (w *simulation) step(i int) {
 	d := w.routers[i]
 	wake := d.NextWake()
@@ -31,13 +31,13 @@
 		w.send(w.clients[i][o.ID], o)
 	case Reject:
 		if w.clients[i][o.ID].canceled {
-			w.t.Fatalf("request %d rejected after its client left, want no output", o.ID)
+			w.t.Fatalf("request %d rejected after its client disconnected, want no output", o.ID)
 		}
 		w.reject(w.clients[i][o.ID], o)
 	case RequestCredit:
 		w.answerCredit(i, o.Request)
 	case Report:
-		if w.loading != nil {
+		if w.orderedLoads != nil {
 			w.placeOnDemand(o.Report)
 		}
 	case Abandon:
@@ -51,77 +51,77 @@
 }
 
 func (w *simulation) serverOf(id string) *simulatedEndpoint {
-	at := slices.IndexFunc(w.servers, func(s *simulatedEndpoint) bool { return s.row.ID == id })
-	if at < 0 {
+	index := slices.IndexFunc(w.servers, func(s *simulatedEndpoint) bool { return s.row.ID == id })
+	if index < 0 {
 		w.t.Fatalf("sent to %s, want an endpoint that exists", id)
 	}
-	return w.servers[at]
+	return w.servers[index]
 }
 
 func (w *simulation) send(c *simulatedClient, o Send) {
 	s := w.serverOf(o.Endpoint)
-	if s.drainAt > 0 && s.drainAt < w.now {
+	if s.drainNotifiedAt > 0 && s.drainNotifiedAt < w.now {
 		w.t.Fatalf("sent to %s after it began to drain, want another endpoint", o.Endpoint)
 	}
 	if c.endCount > 0 || c.call != nil {
 		w.t.Fatalf("request %d sent after its end or while in flight, want one attempt at a time", o.ID)
 	}
-	if len(c.runs) > 0 && !c.request.Retryable {
+	if len(c.executedOn) > 0 && !c.request.Retryable {
 		w.t.Fatalf("request %d sent again after it may have executed, want it rejected", o.ID)
 	}
-	if len(c.runs) >= c.request.MaxEndpoints {
+	if len(c.executedOn) >= c.request.MaxEndpoints {
 		w.t.Fatalf("request %d sent to another endpoint, want %d at most", o.ID, c.request.MaxEndpoints)
 	}
 	c.call = &simulatedCall{client: c, server: s}
-	w.live = append(w.live, c.call)
+	w.liveCalls = append(w.liveCalls, c.call)
 	key := uint64(0)
 	for _, p := range c.request.PromptParts {
 		key = key*1000 + p.Hash
-		c.call.links = append(c.call.links, promptPrefix{key, float64(p.Tokens)})
+		c.call.prefixes = append(c.call.prefixes, promptPrefix{key, float64(p.Tokens)})
 	}
 	w.deliver(c, s, o.Priority)
 }
 
-// deliver lets the call arrive at its endpoint.
+// deliver makes the call arrive at its endpoint.
 func (w *simulation) deliver(c *simulatedClient, s *simulatedEndpoint, priority int) {
 	if w.disconnected[c.router] {
-		c.runs[s.row.ID] = true
-		c.arrivals++
-		c.call.lost = w.now + 3*time.Second
+		c.executedOn[s.row.ID] = true
+		c.deliveries++
+		c.call.lostAt = w.now + 3*time.Second
 		return
 	}
 	if s.condition == crashed || s.departed {
 		w.finishCall(c, NotSent, true)
 		return
 	}
-	if c.arrivals++; c.arrivals > 1 {
-		w.further[c.request.Service] = append(w.further[c.request.Service], w.now)
+	if c.deliveries++; c.deliveries > 1 {
+		w.retryTimes[c.request.Service] = append(w.retryTimes[c.request.Service], w.now)
 	}
 	switch {
 	case s.condition == hung:
-		c.runs[s.row.ID] = true
-		c.call.lost = w.now + 3*time.Second
+		c.executedOn[s.row.ID] = true
+		c.call.lostAt = w.now + 3*time.Second
 	case !s.serves(c.request.Model, c.request.Adapter):
 		w.finishCall(c, Misdirected, true)
 	case !s.accept(c.call, priority, w.now, w.rng):
 		w.finishCall(c, Rejected, true)
 	default:
-		c.runs[s.row.ID] = true
-		if c.arrivals == 1 {
+		c.executedOn[s.row.ID] = true
+		if c.deliveries == 1 {
 			w.spent[c.request.Tenant] = append(w.spent[c.request.Tenant], spending{w.now, c.request.Charge})
 		}
 		if w.rng.Float64() < s.resetProbability {
-			c.call.lost = w.now + 10*time.Millisecond
+			c.call.lostAt = w.now + 10*time.Millisecond
 		}
 	}
 }
 
-// answerCredit has the control instances answer after a moment; one answer in 30 is lost.
-func (w *simulation) answerCredit(router int, asked protocol.CreditRequest) {
-	if w.unissued || w.rng.IntN(30) == 0 {
+// answerCredit answers a credit request after a short delay; one answer in 30 is lost.
+func (w *simulation) answerCredit(router int, request protocol.CreditRequest) {
+	if w.creditUnanswered || w.rng.IntN(30) == 0 {
 		return
 	}
-	grant := w.issuer.answer(w.now, w.routers[router].config, w.config.Tenants, asked)
+	grant := w.issuer.answer(w.now, w.routers[router].config, w.config.Tenants, request)
 	delay := time.Duration(1+w.rng.IntN(8)) * time.Millisecond
 	w.delayedCredit = append(w.delayedCredit, delayedCredit{w.now + delay, router, grant})
 }
@@ -130,29 +130,30 @@
 	if c.endCount > 0 || c.call != nil {
 		w.t.Fatalf("request %d rejected after its end or while in flight, want one end", o.ID)
 	}
-	if o.Reason == TargetUnreachable && len(c.runs) == 0 && w.halfFree(&c.request) {
+	if o.Reason == TargetUnreachable && len(c.executedOn) == 0 && w.halfFree(&c.request) {
 		w.rejectedWhileHalfFree++
 	}
 	c.kind.rejected++
-	c.rejectedNow = true
+	c.wasRejected = true
 	c.reason = o.Reason
 	c.rejectedAt, c.retryAfter = w.now, o.RetryAfter
 	if c.request.ClientRetry {
 		c.kind.rejectedTwice++
 	}
-	if len(c.runs) == 0 && !c.rejected && o.RetryAfter > 0 {
+	if len(c.executedOn) == 0 && !c.lastAttempt && o.RetryAfter > 0 {
 		c.endCount++
 		c.retried = true
-		left := c.request.Deadline.Sub(w.clock())
-		w.returningClients = append(w.returningClients, returning{w.now + min(o.RetryAfter, left/3), c})
+		remaining := c.request.Deadline.Sub(w.clock())
+		w.returningClients = append(w.returningClients, returningClient{w.now + min(o.RetryAfter, remaining/3), c})
 		return
 	}
-	w.close(c)
+	w.countEnd(c)
 }
 
-// halfFree: under half of the places of the endpoints that hold what it needs are taken, and none waits.
+// halfFree reports whether less than half of the slots are in use at the endpoints that can serve the request, and no
+// request waits there.
 func (w *simulation) halfFree(r *Request) bool {
-	taken, places := 0, 0
+	used, slots := 0, 0
 	for _, s := range w.servers {
 		if s.engine != (r.Model != "") || !s.serves(r.Model, r.Adapter) || s.condition != healthy || s.row.State != protocol.Ready {
 			continue
@@ -160,29 +161,29 @@
 		if len(s.queue) > 0 {
 			return false
 		}
-		taken += len(s.running)
-		places += s.row.Slots
+		used += len(s.running)
+		slots += s.row.Slots
 	}
-	return places > 0 && 2*taken < places
+	return slots > 0 && 2*used < slots
 }
 
-// checkOrder: after a step no head that may leave is left while slots are free.
+// checkOrder checks that after a step no request that can be sent is left while slots are free.
 func (w *simulation) checkOrder(d *Decider) {
 	if e, found := d.schedule.Next(d.offerFlow); found {
-		w.t.Fatalf("%s has a queued request that may leave, want it sent", e.id)
+		w.t.Fatalf("%s has a queued request that can be sent, want it sent", e.id)
 	}
 	if d.schedule.Busy > d.schedule.Slots {
 		w.t.Fatalf("%d slots in use, want %d at most", d.schedule.Busy, d.schedule.Slots)
 	}
 }
 
-// checkWindows checks the retry budget and the quotas over all routers in every window.
+// checkWindows checks the retry budget and the quotas, over all routers, in every window.
 func (w *simulation) checkWindows() {
-	for service, list := range w.further {
-		asks := w.requestTimes[service]
+	for service, list := range w.retryTimes {
+		arrivals := w.requestTimes[service]
 		for i, from := range list {
 			n := sort.Search(len(list), func(j int) bool { return list[j] > from+DefaultRetryBudgetWindow }) - i
-			allowed := 0.2*float64(w.maxRequests(asks, from)) + 56
+			allowed := 0.2*float64(w.maxRequests(arrivals, from)) + 56
 			if float64(n) > allowed {
 				w.t.Fatalf("%s: %d retries from %v on, want %v at most", service, n, from, allowed)
 			}
@@ -205,12 +206,13 @@
 	}
 }
 
-// maxRequests is how many requests the window from then on holds, the one before, or the one half a window before.
-func (w *simulation) maxRequests(asks []time.Duration, from time.Duration) int {
+// maxRequests returns the largest number of requests in the window that begins at the given time, the window before
+// it, and the window that begins half a window earlier.
+func (w *simulation) maxRequests(arrivals []time.Duration, from time.Duration) int {
 	count := 0
 	for _, back := range []time.Duration{0, DefaultRetryBudgetWindow / 2, DefaultRetryBudgetWindow} {
-		low := sort.Search(len(asks), func(i int) bool { return asks[i] >= from-back })
-		high := sort.Search(len(asks), func(i int) bool { return asks[i] > from-back+DefaultRetryBudgetWindow })
+		low := sort.Search(len(arrivals), func(i int) bool { return arrivals[i] >= from-back })
+		high := sort.Search(len(arrivals), func(i int) bool { return arrivals[i] > from-back+DefaultRetryBudgetWindow })
 		count = max(count, high-low)
 	}
 	return count
--- a/internal/router/dispatch/simulation_test.go
+++ b/internal/router/dispatch/simulation_test.go
@@ -12,34 +12,34 @@
 	"raventrestle/internal/protocol"
 )
 
-// simulatedClient is one attempt of a client, with what the checks of the invariants need.
+// simulatedClient is one attempt of a client, with the state that the checks of the invariants need.
 type simulatedClient struct {
 	request                Request
 	router                 int
 	endCount               int
-	runs                   map[string]bool // endpoints on which it may have executed
-	arrivals               int
+	executedOn             map[string]bool // endpoints on which it may have executed
+	deliveries             int
 	call                   *simulatedCall
 	kind                   *requestKind
 	served                 bool
 	inTime                 bool
-	rejected               bool
+	lastAttempt            bool // the client does not retry
 	canceled               bool
-	rejectedNow            bool
+	wasRejected            bool
 	reason                 Reason
 	rejectedAt, retryAfter time.Duration
 
 	longestGap  time.Duration // between two events of its stream
-	answerBegan bool
-	retried     bool // another attempt followed and counts instead
+	answerBegan bool          // the first byte has arrived
+	retried     bool          // the client's next attempt counts instead
 }
 
 type simulatedCall struct {
-	client *simulatedClient
-	server *simulatedEndpoint
-	links  []promptPrefix
-	begun  bool
-	lost   time.Duration // when the caller reports ConnectionLost, 0: not
+	client   *simulatedClient
+	server   *simulatedEndpoint
+	prefixes []promptPrefix
+	begun    bool
+	lostAt   time.Duration // when the connection is lost; 0: never
 }
 
 type promptPrefix struct {
@@ -47,7 +47,7 @@
 	tokens float64
 }
 
-// requestKind is a kind of request.
+// requestKind is a kind of request, with its statistics.
 type requestKind struct {
 	name                   string
 	model, adapter         string
@@ -57,19 +57,19 @@
 	retryable              bool
 	clientRetries          int
 	tenant                 string
-	rank                   int
-	gapTarget              time.Duration // between two events of a stream, 0: none
+	routePriority          int
+	gapTarget              time.Duration // between two events of a stream; 0: none
 
-	paused                                                              int // served with a longer gap
+	longGaps                                                            int // served with a gap above the target
 	offeredValue, servedValue                                           float64
 	requested, inTime, served, rejected, failed, retried, rejectedTwice int
 }
 
-// simulation is a simulation of several routers with the same endpoints.
+// simulation simulates several routers with the same endpoints.
 type simulation struct {
 	t                testing.TB
 	rng              *rand.Rand
-	zero             time.Time
+	startTime        time.Time
 	now              time.Duration
 	routers          []*Decider
 	inputs           [][]Input
@@ -78,24 +78,24 @@
 	kinds            []*requestKind
 	config           *configuration.Configuration
 	nextID           RequestID
-	returningClients []returning // clients that come back
+	returningClients []returningClient // clients that will retry
 
-	further               map[string][]time.Duration // retries, by service
+	retryTimes            map[string][]time.Duration // retries, by service
 	requestTimes          map[string][]time.Duration
-	spent                 map[string][]spending // by tenant
+	spent                 map[string][]spending // charges, by tenant
 	issuer                *creditIssuer
-	unissued              bool // no answers to requests for credit
+	creditUnanswered      bool // credit requests are not answered
 	delayedCredit         []delayedCredit
-	lag                   time.Duration // of views
+	viewDelay             time.Duration // of updates from the control plane
 	delayedViews          []delayedView
 	events                []scheduledEvent
-	live                  []*simulatedCall
-	disconnected          []bool          // routers whose calls reach no endpoint
-	loading               map[string]bool // nil: no placer
-	rejectedWhileHalfFree int             // rejections while half of the slots were free
+	liveCalls             []*simulatedCall
+	disconnected          []bool          // whether a router's calls reach no endpoint
+	orderedLoads          map[string]bool // models and adapters whose load was ordered; nil: there is no placer
+	rejectedWhileHalfFree int             // rejections while less than half of the slots were in use
 }
 
-type returning struct {
+type returningClient struct {
 	at     time.Duration
 	client *simulatedClient
 }
@@ -110,7 +110,7 @@
 	view ViewChanged
 }
 
-// delayedCredit is an answer on its way to a router.
+// delayedCredit is an answer to a credit request that has not reached its router yet.
 type delayedCredit struct {
 	at     time.Duration
 	router int
@@ -125,9 +125,9 @@
 func newSimulation(tb testing.TB, seed uint64, routers int) *simulation {
 	tb.Helper()
 	w := &simulation{
-		t: tb, rng: rand.New(rand.NewPCG(seed, 7)), zero: time.Now(), config: testConfiguration(),
-		further: map[string][]time.Duration{}, requestTimes: map[string][]time.Duration{}, spent: map[string][]spending{},
-		lag: 5 * time.Millisecond, issuer: newCreditIssuer(),
+		t: tb, rng: rand.New(rand.NewPCG(seed, 7)), startTime: time.Now(), config: testConfiguration(),
+		retryTimes: map[string][]time.Duration{}, requestTimes: map[string][]time.Duration{}, spent: map[string][]spending{},
+		viewDelay: 5 * time.Millisecond, issuer: newCreditIssuer(),
 	}
 	for i := range routers {
 		w.routers = append(w.routers, New(Config{
@@ -163,8 +163,8 @@
 func (w *simulation) announce(s *simulatedEndpoint) {
 	s.row.Sequence++
 	row := s.row
-	row.Loading = s.loading(w.now)
-	w.delayedViews = append(w.delayedViews, delayedView{w.now + w.lag, ViewChanged{Endpoints: []protocol.Endpoint{row}}})
+	row.Loading = s.pendingLoads(w.now)
+	w.delayedViews = append(w.delayedViews, delayedView{w.now + w.viewDelay, ViewChanged{Endpoints: []protocol.Endpoint{row}}})
 }
 
 func (w *simulation) start() {
@@ -184,8 +184,8 @@
 	w.events = append(w.events, scheduledEvent{at, do})
 }
 
-// play advances the simulation to the given time.
-func (w *simulation) play(until time.Duration) {
+// run runs the simulation until the given time.
+func (w *simulation) run(until time.Duration) {
 	for ; w.now < until; w.now += simulationTick {
 		w.processEvents()
 		if w.idle() {
@@ -202,7 +202,7 @@
 
 // idle reports whether nothing happens until a router wakes.
 func (w *simulation) idle() bool {
-	if len(w.live)+len(w.returningClients)+len(w.delayedCredit) > 0 {
+	if len(w.liveCalls)+len(w.returningClients)+len(w.delayedCredit) > 0 {
 		return false
 	}
 	for _, k := range w.kinds {
@@ -218,12 +218,12 @@
 	return true
 }
 
-// finish ends all load and checks that every request has ended.
+// finish stops all arrivals, runs the simulation until the requests have ended, and checks the invariants at the end.
 func (w *simulation) finish() {
 	for _, k := range w.kinds {
 		k.perSecond = 0
 	}
-	w.play(w.now + 40*time.Second)
+	w.run(w.now + 40*time.Second)
 	for i, list := range w.clients {
 		for _, c := range list {
 			if c.endCount != 1 {
@@ -269,7 +269,7 @@
 func (w *simulation) noteDelivered(row protocol.Endpoint) {
 	for _, s := range w.servers {
 		if s.row.ID == row.ID && row.State == protocol.Draining {
-			s.drainAt = w.now
+			s.drainNotifiedAt = w.now
 		}
 	}
 }
@@ -280,11 +280,11 @@
 			w.sendRequest(k, k.clientRetries, nil)
 		}
 	}
-	w.returningClients = slices.DeleteFunc(w.returningClients, func(l returning) bool {
-		if l.at > w.now {
+	w.returningClients = slices.DeleteFunc(w.returningClients, func(returning returningClient) bool {
+		if returning.at > w.now {
 			return false
 		}
-		w.sendRequest(l.client.kind, 0, l.client)
+		w.sendRequest(returning.client.kind, 0, returning.client)
 		return true
 	})
 }
@@ -297,15 +297,15 @@
 	return n
 }
 
-// sendRequest sends a request to a random router; with before, a retry of that client's request.
-func (w *simulation) sendRequest(k *requestKind, clientRetries int, before *simulatedClient) {
+// sendRequest sends a request to a random router. If previous is given, it is a retry of that client's request.
+func (w *simulation) sendRequest(k *requestKind, clientRetries int, previous *simulatedClient) {
 	w.nextID++
-	c := &simulatedClient{kind: k, router: w.rng.IntN(len(w.routers)), runs: map[string]bool{}}
+	c := &simulatedClient{kind: k, router: w.rng.IntN(len(w.routers)), executedOn: map[string]bool{}}
 	spread := math.Exp(w.rng.NormFloat64()*0.7 - 0.245)
 	prompt := int(float64(k.prompt) * min(spread, 3))
 	r := Request{
 		ID: w.nextID, Service: "lm", Model: k.model, Adapter: k.adapter, PromptTokens: prompt,
-		OutputTokens: int(float64(k.output) * (0.2 + 1.6*w.rng.Float64())), Tenant: k.tenant, RoutePriority: k.rank,
+		OutputTokens: int(float64(k.output) * (0.2 + 1.6*w.rng.Float64())), Tenant: k.tenant, RoutePriority: k.routePriority,
 		Streaming: k.model != "", Retryable: k.retryable, MaxEndpoints: 2, ArrivedAt: w.clock(), LatencyTarget: w.clock().Add(k.latencyTarget),
 		Deadline: w.clock().Add(k.timeout),
 	}
@@ -322,19 +322,19 @@
 	if k.model == "" {
 		r.Charge = 200
 	}
-	if before != nil {
-		deadline := before.request.Deadline
+	if previous != nil {
+		deadline := previous.request.Deadline
 		r.ClientRetry, r.Deadline = true, deadline
-		r.PromptTokens, r.OutputTokens = before.request.PromptTokens, before.request.OutputTokens
-		r.PromptParts = before.request.PromptParts
-		r.Charge = before.request.Charge
+		r.PromptTokens, r.OutputTokens = previous.request.PromptTokens, previous.request.OutputTokens
+		r.PromptParts = previous.request.PromptParts
+		r.Charge = previous.request.Charge
 	} else {
 		k.requested++
 		c.request = r
-		k.offeredValue += k.weight(c)
+		k.offeredValue += k.relativeValue(c)
 	}
 	if clientRetries == 0 {
-		c.rejected = true // does not retry
+		c.lastAttempt = true // the client does not retry
 	}
 	c.request = r
 	w.clients[c.router][r.ID] = c
@@ -342,4 +342,4 @@
 	w.inputs[c.router] = append(w.inputs[c.router], RequestArrived{r})
 }
 
-func (w *simulation) clock() time.Time { return w.zero.Add(w.now) }
+func (w *simulation) clock() time.Time { return w.startTime.Add(w.now) }
--- a/internal/router/dispatch/size_intervals.go
+++ b/internal/router/dispatch/size_intervals.go
@@ -6,30 +6,31 @@
 	"slices"
 )
 
-// Assignment by size: prompts of different sizes go to different endpoints of a model.
+// Assignment by size: prompts of different sizes are sent to different endpoints of a model.
 //
-// An engine prefills prompts between the tokens of running streams, so that a large prompt makes all streams of its endpoint pause, and
-// small prompts wait behind it. Where routers can't know each other's requests in time, the spread of sizes at one endpoint is what
-// they can lower without communication (task assignment by size intervals, SITA, of queueing theory): the sizes are divided into as
-// many intervals as the model has endpoints, each with the same part of all tokens, and each endpoint prefers the prompts of one.
-// Routers agree on the order of the endpoints by hashing, and nearly on the intervals, as they see the same sizes.
+// An engine prefills prompts between the decoding steps of running streams, so that a large prompt makes all streams
+// of its endpoint pause, and small prompts wait behind it. Routers can't know each other's requests in time, but they
+// can reduce the spread of prompt sizes at each endpoint without communication (task assignment by size intervals,
+// SITA, in queueing theory). The sizes are divided into as many intervals as the model has endpoints, each with the
+// same part of all tokens, and each endpoint prefers the prompts of one interval. Routers agree on the order of the
+// endpoints by hashing, and nearly agree on the intervals, since they see the same distribution of sizes.
 
 const (
-	sizeSeed           = 0x5a1e5eed // of the order of endpoints, which must differ from that of rendezvous hashing
-	sizeDecay          = 0.995      // weight of earlier prompts, at each new one
-	sizeSubdivisions   = 4          // buckets of sizes between two powers of two
-	sizeBuckets        = 24 * sizeSubdivisions
-	minSizeObservation = 12.0 // prompts, before sizes count
+	sizeSeed         = 0x5a1e5eed // of the hash that orders the endpoints, which must differ from rendezvous hashing
+	sizeDecay        = 0.995      // weight of earlier prompts at each new one
+	sizeSubdivisions = 4          // buckets between two powers of two
+	sizeBuckets      = 24 * sizeSubdivisions
+	minSizeSamples   = 12.0 // decayed number of prompts before sizes are used
 )
 
-// sizeDistribution is how many tokens of prompts are in prompts up to some size, with exponential decay.
+// sizeDistribution is the distribution of prompt tokens over the sizes of their prompts, with exponential decay.
 type sizeDistribution struct {
 	tokens [sizeBuckets]float64
 	total  float64
 	count  float64
 }
 
-// sizeBucket returns the bucket of a prompt of so many tokens.
+// sizeBucket returns the bucket of a prompt with the given number of tokens.
 func sizeBucket(tokens int) int {
 	if tokens < sizeSubdivisions {
 		return max(tokens, 0)
@@ -39,7 +40,7 @@
 	return min(exponent*sizeSubdivisions+fraction, sizeBuckets-1)
 }
 
-// add takes in a prompt.
+// add adds a prompt.
 func (s *sizeDistribution) add(tokens int) {
 	if tokens <= 0 {
 		return
@@ -52,43 +53,45 @@
 	s.tokens[sizeBucket(tokens)] += float64(tokens)
 }
 
-// sizeInterval is a part of all tokens, from 0 to 1, in the order of the sizes of the prompts that have them.
+// sizeInterval is an interval of the cumulative distribution of tokens over prompt sizes, from 0 to 1.
 type sizeInterval struct{ from, to float64 }
 
-// allSizes is the interval of a prompt of which nothing is known: it meets each other one.
+// allSizes is the interval of a prompt about which nothing is known. It overlaps all others.
 var allSizes = sizeInterval{0, 1}
 
-// interval returns the part of all tokens that is in prompts about as large as one of so many tokens; all of it while too little is known.
+// interval returns the interval of the prompts that have about the same size as one with the given number of tokens;
+// allSizes while too little is known.
 func (s *sizeDistribution) interval(tokens int) sizeInterval {
-	if s.count < minSizeObservation || tokens <= 0 {
+	if s.count < minSizeSamples || tokens <= 0 {
 		return allSizes
 	}
-	at := sizeBucket(tokens)
+	bucket := sizeBucket(tokens)
 	below := 0.0
-	for _, sum := range s.tokens[:at] {
+	for _, sum := range s.tokens[:bucket] {
 		below += sum
 	}
-	return sizeInterval{below / s.total, (below + s.tokens[at]) / s.total}
+	return sizeInterval{below / s.total, (below + s.tokens[bucket]) / s.total}
 }
 
-// orderBySize gives each residency of the group its interval of sizes, if residencies have come or gone. It is called when a request
-// needs the order: tables bring many changes at once, and a group of all endpoints may never be asked.
-func (g *modelGroup) orderBySize() {
-	if !g.sizeOrderStale {
+// assignSizeIntervals assigns an interval of sizes to each residency of the group, if residencies were added or
+// removed. It is called only when a request needs the intervals: an update of the table brings many changes at once,
+// and the group of all endpoints may never get a request.
+func (g *modelGroup) assignSizeIntervals() {
+	if !g.sizeIntervalsStale {
 		return
 	}
-	g.sizeOrderStale = false
+	g.sizeIntervalsStale = false
 	ordered := slices.Clone(g.residencies)
 	slices.SortFunc(ordered, func(a, b *residency) int {
 		return cmp.Compare(mixHash(a.endpoint.hash^sizeSeed), mixHash(b.endpoint.hash^sizeSeed))
 	})
 	for i, res := range ordered {
 		count := float64(len(ordered))
-		res.sizes = sizeInterval{float64(i) / count, float64(i+1) / count}
+		res.sizeInterval = sizeInterval{float64(i) / count, float64(i+1) / count}
 	}
 }
 
-// distance returns which part of all tokens lies between two intervals, 0 if they meet.
+// distance returns the fraction of all tokens that lies between two intervals, 0 if they overlap.
 func (s sizeInterval) distance(other sizeInterval) float64 {
 	return max(s.from-other.to, other.from-s.to, 0)
 }
--- a/internal/router/dispatch/size_intervals_test.go
+++ b/internal/router/dispatch/size_intervals_test.go
@@ -10,11 +10,11 @@
 	"raventrestle/internal/protocol"
 )
 
-// The intervals of sizes are in order, and all prompts of a size have the same one; together they cover all tokens once.
+// The size intervals are in order, and all prompts of a size have the same one. Together they cover all tokens once.
 func TestSizeIntervalsCoverAllTokensOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var sizes sizeDistribution
-		prompts := rapid.SliceOfN(rapid.IntRange(1, 1<<20), int(minSizeObservation)+8, 200).Draw(t, "prompts")
+		prompts := rapid.SliceOfN(rapid.IntRange(1, 1<<20), int(minSizeSamples)+8, 200).Draw(t, "prompts")
 		for _, tokens := range prompts {
 			sizes.add(tokens)
 		}
@@ -53,7 +53,8 @@
 	}
 }
 
-// sendSized sends the decider prompts of the given sizes in turns, each with parts of its own, and returns which endpoints each size went to.
+// sendSized sends the decider prompts of the given sizes in turn, and returns how many prompts of each size each
+// endpoint got. The first 100 prompts are not counted.
 func sendSized(t *testing.T, router uint64, without Mechanism, sizes ...int) map[int]map[string]int {
 	t.Helper()
 	var table []protocol.Endpoint
@@ -81,7 +82,8 @@
 	return went
 }
 
-// Prompts of different sizes go to different endpoints, and to the same ones from each router; without the mechanism they mix.
+// Prompts of different sizes are sent to different endpoints, by each router to the same ones. Without the mechanism
+// the sizes mix.
 func TestPromptsOfDifferentSizesGoToDifferentEndpoints(t *testing.T) {
 	shared := func(went map[int]map[string]int) int {
 		count := 0
@@ -105,15 +107,15 @@
 		}
 	}
 	if mixed := sendSized(t, 1, SizeIntervals, 200, 200, 200, 200, 4000); shared(mixed) == 0 {
-		t.Errorf("got %v without intervals of sizes: no endpoint has prompts of both sizes, want some", mixed)
+		t.Errorf("got %v without size intervals: no endpoint has prompts of both sizes, want some", mixed)
 	}
 }
 
-// Where all prompts have about one size no endpoint is preferred by it.
+// If all prompts have about the same size, no endpoint is preferred because of it.
 func TestEqualSizesPreferNoEndpoint(t *testing.T) {
 	got, want := sendSized(t, 1, 0, 1000), sendSized(t, 1, SizeIntervals, 1000)
 	if !maps.Equal(got[1000], want[1000]) {
-		t.Errorf("got %v, want %v as without intervals of sizes", got, want)
+		t.Errorf("got %v, want %v as without size intervals", got, want)
 	}
 }
 
@@ -123,11 +125,11 @@
 		g.residencies = append(g.residencies, &residency{group: &g, endpoint: &endpoint{hash: stringHash(fmt.Sprint("e", i))}})
 	}
 	for len(g.residencies) > 0 {
-		g.sizeOrderStale = true
-		g.orderBySize()
+		g.sizeIntervalsStale = true
+		g.assignSizeIntervals()
 		sum := 0.0
 		for _, res := range g.residencies {
-			sum += res.sizes.to - res.sizes.from
+			sum += res.sizeInterval.to - res.sizeInterval.from
 		}
 		if sum < 1-1e-9 || sum > 1+1e-9 {
 			t.Errorf("%d residencies have intervals of %v in all, want 1", len(g.residencies), sum)
--- a/internal/router/dispatch/structures_test.go
+++ b/internal/router/dispatch/structures_test.go
@@ -20,27 +20,27 @@
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Second
-			var links []uint64
+			var hashes []uint64
 			var parts []PromptPart
 			for i := range rapid.IntRange(1, 4).Draw(t, "length") {
 				key := uint64(i*10 + rapid.IntRange(0, 4).Draw(t, "key"))
-				links = append(links, key)
+				hashes = append(hashes, key)
 				parts = append(parts, PromptPart{Hash: key, Tokens: 10 * (i + 1)})
 			}
 			want := 0
-			for i, link := range links {
-				if !slices.ContainsFunc(plain, func(e entry) bool { return e.key == link }) {
+			for i, hash := range hashes {
+				if !slices.ContainsFunc(plain, func(e entry) bool { return e.key == hash }) {
 					break
 				}
 				want += parts[i].Tokens
 			}
-			if got := p.cachedTokens(links, parts, now); got != want {
-				t.Fatalf("%d tokens kept of %v, want %d", got, links, want)
+			if got := p.cachedTokens(hashes, parts, now); got != want {
+				t.Fatalf("%d cached tokens of %v, want %d", got, hashes, want)
 			}
-			p.add(links, parts, now, 100)
-			for i := len(links) - 1; i >= 0; i-- {
-				plain = slices.DeleteFunc(plain, func(e entry) bool { return e.key == links[i] })
-				plain = slices.Insert(plain, 0, entry{links[i], parts[i].Tokens})
+			p.add(hashes, parts, now, 100)
+			for i := len(hashes) - 1; i >= 0; i-- {
+				plain = slices.DeleteFunc(plain, func(e entry) bool { return e.key == hashes[i] })
+				plain = slices.Insert(plain, 0, entry{hashes[i], parts[i].Tokens})
 			}
 			sum := 0
 			for i, e := range plain {
--- a/internal/router/dispatch/timers.go
+++ b/internal/router/dispatch/timers.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// timers is a binary heap of the times at which requests are to be examined. Entries of requests that have ended, or that got a newer
-// timer, are dropped when they come up.
+// timers is a binary heap of the times at which requests are to be handled. Entries of requests that have ended, or
+// that have a newer timer, are dropped when they reach the top.
 type timers []timer
 
 // timer is one entry of the heap.
@@ -53,10 +53,10 @@
 	}
 }
 
-// isStale reports whether the entry no longer counts.
+// isStale reports whether the entry's request has ended or has a newer timer.
 func (t timer) isStale() bool { return t.request.stage == stageDone || t.request.timerAt != t.at }
 
-// next returns the earliest time of a timer.
+// next returns the time of the earliest timer; false if there is none.
 func (t *timers) next() (time.Duration, bool) {
 	for len(*t) > 0 && (*t)[0].isStale() {
 		t.pop()
@@ -67,7 +67,7 @@
 	return (*t)[0].at, true
 }
 
-// popDue removes and returns a request whose time has come.
+// popDue removes and returns the request with the earliest timer that is due; false if none is due.
 func (t *timers) popDue(now time.Duration) (*request, bool) {
 	at, ok := t.next()
 	if !ok || at > now {
--- a/internal/router/dispatch/tombstones_test.go
+++ b/internal/router/dispatch/tombstones_test.go
@@ -13,8 +13,8 @@
 	return ViewChanged{Endpoints: []protocol.Endpoint{e}}
 }
 
-// A departed endpoint keeps its record while it has calls in flight, and only its tombstone afterwards. Late updates must not bring it
-// back in either case.
+// The record of a departed endpoint remains while it has calls in flight; afterwards only its tombstone remains. In
+// neither case may a late update make it receive requests again.
 func TestLateUpdateBringsNoRequestsToADepartedEndpoint(t *testing.T) {
 	withoutEndpoints := ViewChanged{Full: true}
 	cases := []struct {
--- a/internal/router/dispatch/view.go
+++ b/internal/router/dispatch/view.go
@@ -9,9 +9,9 @@
 	"raventrestle/internal/protocol"
 )
 
-// What the control plane sends: endpoints and configuration. The group's view (package view) is another thing.
+// Updates from the control plane: endpoints and configuration. They are unrelated to the group's view (package view).
 
-// applyView applies what the control plane sent.
+// applyView applies an update from the control plane.
 func (d *Decider) applyView(change ViewChanged) {
 	if change.RouterCount > 0 {
 		d.routerCount = change.RouterCount
@@ -53,10 +53,10 @@
 	}
 }
 
-// seconds converts a configured time.
+// seconds converts a configured number of seconds to a duration.
 func seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
 
-// removeUnlisted removes endpoints that a complete table lacks.
+// removeUnlisted removes endpoints that are missing in a complete table.
 func (d *Decider) removeUnlisted(table []protocol.Endpoint) {
 	listed := make(map[string]bool, len(table))
 	for i := range table {
@@ -75,8 +75,8 @@
 	d.departing = d.departing[:0]
 }
 
-// updateEndpoint applies one endpoint's newest state. An update older than what is known is ignored. An incarnation that drains never
-// takes requests again, whatever later updates say.
+// updateEndpoint applies the latest state of one endpoint. An update that is older than the known state is ignored.
+// An incarnation that has begun to drain never accepts requests again, whatever later updates say.
 func (d *Decider) updateEndpoint(update *protocol.Endpoint) {
 	e := d.endpoints[update.ID]
 	if update.State == protocol.Departed {
@@ -118,10 +118,10 @@
 	d.updateExpectedLoads(e)
 	d.reassignQueued(e)
 	d.addSuspect(e)
-	e.capacityChanged()
+	e.recordCapacityChange()
 }
 
-// addEndpoint adds an endpoint that the decider does not know, or no longer.
+// addEndpoint adds an endpoint that the decider does not know, or no longer knows.
 func (d *Decider) addEndpoint(update *protocol.Endpoint) *endpoint {
 	e := &endpoint{id: update.ID, service: d.ensureService(update.Service)}
 	e.hash = stringHash(update.ID)
@@ -130,7 +130,7 @@
 	return e
 }
 
-// removeEndpoint takes an endpoint out of the table. While it has calls in flight its record remains.
+// removeEndpoint removes an endpoint from the table. Its record remains while it has calls in flight.
 func (d *Decider) removeEndpoint(e *endpoint) {
 	if e.listed {
 		e.listed = false
