--- a/internal/router/dispatch/deadline.go
+++ b/internal/router/dispatch/deadline.go
@@ -89,10 +89,11 @@
 	return waiting < shortQueueFraction*float64(e.slotCount())
 }
 
-// fullValueDeadline returns until when an answer has its full value and the client still waits for it.
+// fullValueDeadline returns the time until which an answer has its full value and the client still waits for it.
 func (r *request) fullValueDeadline() time.Duration { return min(r.latencyTarget, r.deadline) }
 
-// usefulDeadline returns until when an answer must begin to be useful: clients give up on a stream without events.
+// usefulDeadline returns the time by which an answer must begin to be useful: clients give up on a stream without
+// events.
 func (r *request) usefulDeadline() time.Duration {
 	return r.arrived + time.Duration(usefulTimeoutFraction*float64(r.clientTimeout()))
 }
--- a/internal/router/dispatch/health.go
+++ b/internal/router/dispatch/health.go
@@ -24,7 +24,7 @@
 	maxRejectionBackoff       = 640 * time.Millisecond
 	minMisdirectionTTL        = 300 * time.Millisecond // how long an answer 421 overrides the table
 	maxMisdirectionTTL        = 5 * time.Second
-	recoveredProbes           = 16 // concurrent probes from which on an endpoint is healthy again
+	recoveredProbes           = 16 // allowed concurrent probes at which an endpoint counts as healthy again
 	responseTimeoutFactor     = 4  // multiple of the predicted time after which an endpoint that sends nothing is unresponsive
 	minResponseTimeout        = 150 * time.Millisecond
 	recentSuccessWindow       = 2 * time.Second // within it a success outweighs missing heartbeats
@@ -46,7 +46,7 @@
 }
 
 // recordSuccess records an answer of the endpoint. An answer to a call that was sent before the ejection does not
-// count as a success, since it is not new information.
+// count as a success, since it says nothing about the endpoint's state since then.
 func (d *Decider) recordSuccess(e *endpoint, r *request) {
 	h := &e.health
 	h.lastContactAt = d.now
@@ -71,8 +71,8 @@
 	}
 }
 
-// recordFailure records a failed call. A call that was sent before the ejection does not count, since it is not new
-// information.
+// recordFailure records a failed call. A call that was sent before the ejection does not count, since it says nothing
+// about the endpoint's state since then.
 func (d *Decider) recordFailure(e *endpoint, r *request, weight int) {
 	h := &e.health
 	if weight == failureWeight {
--- a/internal/router/dispatch/outcome.go
+++ b/internal/router/dispatch/outcome.go
@@ -61,7 +61,7 @@
 
 // outcomeLog holds the outcomes counted since the start, and those of them that were emitted.
 type outcomeLog struct {
-	counted, emitted Outcomes // emitted.Rejected is from Counters, counted.Rejected is not used
+	counted, emitted Outcomes // counted.Rejected is not used: rejections are counted in Counters
 	emittedAt        time.Duration
 }
 
--- a/internal/router/dispatch/queue.go
+++ b/internal/router/dispatch/queue.go
@@ -22,15 +22,15 @@
 // maxQueueScan is how many requests at the front of a queue are examined per turn.
 const maxQueueScan = 4
 
-// initialQueueDeadline returns until when a new request may stay queued.
+// initialQueueDeadline returns the time until which a new request may stay queued.
 func (r *request) initialQueueDeadline() time.Duration {
 	wait := time.Duration(queueTargetFraction * float64(r.latencyTarget-r.arrived))
 	wait = min(wait, (r.deadline-r.arrived)/2)
 	return r.arrived + max(wait, minQueueTime)
 }
 
-// retryQueueDeadline returns until when a request that was sent before may stay queued. A stream that broke off may
-// wait as long as its client does; a request that can't meet its latency target any more may not wait at all.
+// retryQueueDeadline returns the time until which a request that was sent before may stay queued. A stream that broke
+// off may wait as long as its client does; a request that can't meet its latency target any more may not wait at all.
 func (d *Decider) retryQueueDeadline(r *request) time.Duration {
 	if r.answerStarted {
 		return min(d.now+resumeQueueTimeout, r.deadline)
--- a/internal/router/dispatch/quota_queue.go
+++ b/internal/router/dispatch/quota_queue.go
@@ -64,7 +64,7 @@
 	return true
 }
 
-// quotaQueueDeadline returns until when the request waits for credit.
+// quotaQueueDeadline returns the time until which the request waits for credit.
 func (r *request) quotaQueueDeadline() time.Duration {
 	if r.ClientRetry {
 		return r.arrived + min(time.Duration(retryQuotaQueueFraction*float64(r.clientTimeout())), maxRetryQuotaQueueTime)
--- a/internal/router/dispatch/response_timeout.go
+++ b/internal/router/dispatch/response_timeout.go
@@ -15,7 +15,8 @@
 	return max(minResponseTimeout, min(responseTimeoutFactor*predicted, limit))
 }
 
-// unresponsiveFrom returns from when on the endpoint counts as unresponsive if it sends nothing, judged by this call.
+// unresponsiveFrom returns the time from which the endpoint counts as unresponsive if it sends nothing, judged by
+// this call.
 func (e *endpoint) unresponsiveFrom(r *request) time.Duration {
 	return max(e.health.lastContactAt, r.sentAt) + r.responseTimeout()
 }
@@ -28,8 +29,8 @@
 
 // checkResponse handles a call that has no first byte after its response timeout. The first timeout may be due to a
 // queue at the endpoint that this router can't see. The endpoint then gets no new calls until it sends something,
-// which is sufficient. At the second timeout, or at the latency target, the call is moved to another endpoint if
-// possible.
+// which is sufficient. At the second timeout, at the latency target, or if the endpoint is recovering from an
+// ejection, the call is moved to another endpoint if possible.
 func (d *Decider) checkResponse(r *request) {
 	e := r.endpoint
 	if r.firstByteSeen || r.abandoned {
--- a/internal/router/dispatch/retry_budget.go
+++ b/internal/router/dispatch/retry_budget.go
@@ -68,8 +68,8 @@
 	s.budget.requests[s.budget.newestIndex()]++
 }
 
-// hasRetryBudget reports whether the retry budget allows one more attempt of the request. It always allows the
-// first attempt.
+// hasRetryBudget reports whether the retry budget allows one more attempt of the request. It always allows the first
+// attempt.
 func (d *Decider) hasRetryBudget(r *request) bool {
 	if r.deliveries == 0 {
 		return true
--- a/internal/router/dispatch/scenario_test.go
+++ b/internal/router/dispatch/scenario_test.go
@@ -50,11 +50,11 @@
 		t.Logf("%-8s requests %5d in time %5d after a retry %4d past target %4d failed %4d rejections %4d twice %3d value %.3f", k.name, k.requested,
 			k.inTime, k.retried, k.served, k.failed, k.rejected, k.rejectedTwice, k.valueServed())
 	}
-	saved, shared := 0.0, 0.0
+	cached, shared := 0.0, 0.0
 	for _, s := range w.servers {
-		saved, shared = saved+s.cachedTokens, shared+s.sharedTokens
+		cached, shared = cached+s.cachedTokens, shared+s.sharedTokens
 	}
-	t.Logf("rejected with half of the slots free: %d; %.3f of the shared tokens were cached", w.rejectedWhileHalfFree, saved/shared)
+	t.Logf("rejected with half of the slots free: %d; %.3f of the shared tokens were cached", w.rejectedWhileHalfFree, cached/shared)
 	for i, d := range w.routers {
 		x := d.PredictionErrors()
 		t.Logf("router %d: predictions %d, median ratio %.2f, 95th %.2f, off by %.1f of %.1f ms", i, x.Count, x.MedianRatio,
@@ -62,11 +62,11 @@
 	}
 }
 
-func (w *simulation) requireServed(t *testing.T, share float64) {
+func (w *simulation) requireServed(t *testing.T, fraction float64) {
 	t.Helper()
 	for _, k := range w.kinds {
-		if got := float64(k.inTime) / float64(max(k.requested, 1)); got < share {
-			t.Errorf("%s: %.3f in time, want %.3f", k.name, got, share)
+		if got := float64(k.inTime) / float64(max(k.requested, 1)); got < fraction {
+			t.Errorf("%s: %.3f in time, want %.3f", k.name, got, fraction)
 		}
 	}
 }
@@ -198,14 +198,14 @@
 	}
 	for _, x := range sizes {
 		var sum requestKind
-		value, offered, rejectedWhileHalfFree := 0.0, 0.0, 0
-		var byRank, requested [3]float64
+		servedValue, offered, rejectedWhileHalfFree := 0.0, 0.0, 0
+		var servedByRank, requested [3]float64
 		for seed := range uint64(*overloadSeeds) {
 			w := runOverload(t, seed+20, x)
 			rejectedWhileHalfFree += w.rejectedWhileHalfFree
 			for _, k := range w.kinds {
 				if k.model != "" {
-					byRank[k.routePriority] += float64(k.inTime + k.retried + k.served)
+					servedByRank[k.routePriority] += float64(k.inTime + k.retried + k.served)
 					requested[k.routePriority] += float64(k.requested)
 				}
 			}
@@ -216,19 +216,19 @@
 				sum.served += k.served
 				sum.failed += k.failed
 				sum.rejectedTwice += k.rejectedTwice
-				value += k.servedValue
+				servedValue += k.servedValue
 				offered += k.offeredValue
 			}
 		}
-		for i := range byRank {
-			byRank[i] /= requested[i]
+		for i := range servedByRank {
+			servedByRank[i] /= requested[i]
 		}
-		t.Logf("x %2.0f: served by rank %.3f", x, byRank)
+		t.Logf("x %2.0f: served by rank %.3f", x, servedByRank)
 		fraction := func(n int) float64 { return float64(n) / float64(sum.requested) }
 		t.Logf("x %2.0f: value %.3f; in time %.3f after a retry %.3f past target %.3f failed %.3f rejected twice %.3f; rejected with half of the slots free %d",
-			x, value/offered, fraction(sum.inTime), fraction(sum.retried), fraction(sum.served), fraction(sum.failed), fraction(sum.rejectedTwice), rejectedWhileHalfFree)
-		if x <= 4 && value < 0.9*offered {
-			t.Errorf("x %.0f: value served %.3f, want 0.9", x, value/offered)
+			x, servedValue/offered, fraction(sum.inTime), fraction(sum.retried), fraction(sum.served), fraction(sum.failed), fraction(sum.rejectedTwice), rejectedWhileHalfFree)
+		if x <= 4 && servedValue < 0.9*offered {
+			t.Errorf("x %.0f: value served %.3f, want 0.9", x, servedValue/offered)
 		}
 	}
 }
--- a/internal/router/dispatch/shutdown.go
+++ b/internal/router/dispatch/shutdown.go
@@ -53,7 +53,7 @@
 	return deadline
 }
 
-// shutdownQueueDeadline returns until when the request may stay queued during the shutdown.
+// shutdownQueueDeadline returns the time until which the request may stay queued during the shutdown.
 func (d *Decider) shutdownQueueDeadline(r *request) time.Duration {
 	return max(d.shutdown.queueDeadline, r.arrived+shutdownQueueTimeout)
 }
--- a/internal/router/dispatcher/actor.go
+++ b/internal/router/dispatcher/actor.go
@@ -10,44 +10,46 @@
 	"raventrestle/internal/router/pool"
 )
 
-// Decider is dispatch.Decider, or a substitute in tests. It is used by the actor's goroutine alone.
+// Decider is the interface of dispatch.Decider, which tests can replace. Only the actor's goroutine uses it.
 type Decider interface {
 	Step(now time.Time, inputs []dispatch.Input) []dispatch.Output
-	NextWake() time.Time // zero: only inputs change anything
+	NextWake() time.Time // zero: only an input can change anything
 }
 
-// Actor owns a decider. Its exported methods but Run may be called from any goroutine.
+// Actor owns a decider and the table of idle connections. All exported methods except Run may be called from any
+// goroutine.
 type Actor struct {
 	decider Decider
 	idle    *pool.Idle
 	reports Reports
-	wake    chan struct{} // has room for one notification
+	wake    chan struct{} // has a buffer for one notification
 
 	mutex  sync.Mutex
 	queue  []command
 	lastID dispatch.RequestID
 
-	// Of the actor's goroutine:
+	// Used only by the actor's goroutine:
 	requests   map[dispatch.RequestID]*pendingRequest
-	spareQueue []command // the queue's other array, reused by turns
+	spareQueue []command // second array of queue; the two are used in turn
 	inputs     []dispatch.Input
 }
 
-// pendingRequest is a request from its submission to its end.
+// pendingRequest is the state of a request from its submission to its end.
 type pendingRequest struct {
 	ticket   *Ticket
-	inFlight *dispatch.Send // its attempt, nil while the request is queued
-	canceled bool           // nobody waits for a decision any more
+	inFlight *dispatch.Send // its current attempt; nil while the request is queued
+	canceled bool           // no goroutine waits for a decision any more
 }
 
-// Reports takes what the decider reports. The actor's goroutine calls the functions: they must not block.
+// Reports has the functions that receive the decider's reports. The actor's goroutine calls them, so they must not
+// block.
 type Reports struct {
 	Demand   func(protocol.Report)
 	Credit   func(protocol.CreditRequest)
 	Outcomes func(dispatch.Summary)
 }
 
-// New returns an actor.
+// New returns an actor for the decider. Run must be called to start it.
 func New(decider Decider, idle *pool.Idle, reports Reports) *Actor {
 	return &Actor{
 		decider:  decider,
@@ -58,7 +60,7 @@
 	}
 }
 
-// Submit hands a request over and assigns its ID. The decision is read from the ticket.
+// Submit passes a request to the decider and assigns its ID. The decisions are received from the ticket.
 func (a *Actor) Submit(request dispatch.Request) *Ticket {
 	ticket := &Ticket{actor: a, decisions: make(chan Decision, 1)}
 	a.mutex.Lock()
@@ -76,7 +78,8 @@
 	return ticket
 }
 
-// ApplyView returns once the decider has applied the change, or with the context's error.
+// ApplyView passes an update from the control plane to the decider. It returns when the decider has applied the
+// update, or with the context's error when the context is done.
 func (a *Actor) ApplyView(ctx context.Context, view dispatch.ViewChanged) error {
 	done := make(chan struct{})
 	a.post(command{kind: applyView, view: &view, done: done})
@@ -88,21 +91,22 @@
 	}
 }
 
-// CreditGranted passes a control instance's answer to a request for credit on.
+// CreditGranted passes a control instance's answer to a credit request to the decider.
 func (a *Actor) CreditGranted(grant *protocol.CreditGrant) {
 	a.post(command{kind: passInput, input: dispatch.CreditGranted{Grant: grant}})
 }
 
-// BeginShutdown tells the decider that the process is going to end.
+// BeginShutdown informs the decider that the process is going to end.
 func (a *Actor) BeginShutdown(shutdown dispatch.ShutdownStarted) {
 	a.post(command{kind: passInput, input: shutdown})
 }
 
-// Run is the actor's goroutine. It returns when the context is done; commands that are queued then are not processed.
+// Run runs the actor in the calling goroutine until the context is done. Commands that are queued at that time are
+// not processed.
 func (a *Actor) Run(ctx context.Context) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	var timerAt time.Time // zero: it does not matter when the timer fires
+	var timerAt time.Time // when the timer fires; zero: it is not needed
 	for {
 		next := a.nextWake()
 		if !next.Equal(timerAt) {
@@ -122,7 +126,7 @@
 	}
 }
 
-// nextWake returns when there is something to do without a command; zero: never.
+// nextWake returns when the next step is due if no command arrives; zero: never.
 func (a *Actor) nextWake() time.Time {
 	wake, sweep := a.decider.NextWake(), a.idle.NextSweep()
 	if wake.IsZero() || !sweep.IsZero() && sweep.Before(wake) {
--- a/internal/router/dispatcher/command.go
+++ b/internal/router/dispatcher/command.go
@@ -8,15 +8,15 @@
 	"raventrestle/internal/router/pool"
 )
 
-// commandKind says what a command asks for.
+// commandKind is what a command requests.
 type commandKind uint8
 
 const (
 	submitRequest commandKind = iota // a new request
-	cancelRequest                    // nobody waits for its decision any more
-	passInput                        // an input for the decider as it is
+	cancelRequest                    // the request's goroutine no longer waits for a decision
+	passInput                        // an input that is passed to the decider unchanged
 	finishAttempt                    // the end of an attempt
-	applyView                        // a change from the control plane
+	applyView                        // an update from the control plane
 )
 
 // command is one entry of the actor's queue. Which fields are set depends on its kind.
@@ -30,7 +30,7 @@
 	done    chan<- struct{}       // of applyView: closed after the decider's step
 }
 
-// post queues a command.
+// post appends a command to the queue.
 func (a *Actor) post(c command) {
 	a.mutex.Lock()
 	a.queue = append(a.queue, c)
@@ -46,7 +46,7 @@
 	}
 }
 
-// takeCommands empties the queue and returns what was in it.
+// takeCommands empties the queue and returns its commands.
 func (a *Actor) takeCommands() []command {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -56,7 +56,7 @@
 	return commands
 }
 
-// process turns a command into inputs of the decider.
+// process converts a command into inputs of the decider.
 func (a *Actor) process(c *command, now time.Time) {
 	switch c.kind {
 	case submitRequest:
@@ -74,7 +74,7 @@
 	}
 }
 
-// complete does what is left of a command after the decider's step.
+// complete finishes a command after the decider's step.
 func (a *Actor) complete(c *command) {
 	switch c.kind {
 	case cancelRequest:
@@ -86,10 +86,11 @@
 	}
 }
 
-// cancel cancels a request whose goroutine no longer waits. If its attempt was decided already and nobody has read that, the attempt ends here.
+// cancel cancels a request whose goroutine no longer waits. If its next attempt was already decided, but the decision
+// was not read, the attempt ends here.
 func (a *Actor) cancel(id dispatch.RequestID, now time.Time) {
 	p := a.requests[id]
-	if p == nil { // rejected meanwhile
+	if p == nil { // it has been rejected in the meantime
 		return
 	}
 	if !p.canceled {
@@ -101,17 +102,17 @@
 	}
 }
 
-// finishUndelivered ends an attempt that nobody will make, and keeps its connection for another one.
+// finishUndelivered ends an attempt whose decision nobody will read, and keeps its connection for another attempt.
 func (a *Actor) finishUndelivered(p *pendingRequest, now time.Time) {
-	var unused *pool.Connection
+	var connection *pool.Connection
 	select {
 	case decision := <-p.ticket.decisions:
-		unused = decision.Connection
+		connection = decision.Connection
 	default:
 	}
-	outcome := &Outcome{Send: p.inFlight, Result: dispatch.Canceled, Connection: unused}
-	if unused != nil {
-		outcome.IdleTimeout = unused.ExpiresAt().Sub(now)
+	outcome := &Outcome{Send: p.inFlight, Result: dispatch.Canceled, Connection: connection}
+	if connection != nil {
+		outcome.IdleTimeout = connection.ExpiresAt().Sub(now)
 	}
 	a.finish(p.ticket.id, outcome, now)
 }
--- a/internal/router/dispatcher/doc.go
+++ b/internal/router/dispatcher/doc.go
@@ -1,10 +1,14 @@
-// Package dispatcher runs package dispatch: an actor, one goroutine, that owns the decider and the pool's table of idle connections.
+// Package dispatcher runs package dispatch in an actor, which is one goroutine that owns the decider and the pool's
+// table of idle connections.
 //
-// Requests' goroutines send it commands through a queue under a mutex and wait, each on a channel of its own with room for one decision,
-// so that the actor never blocks. The actor takes all queued commands at once, turns them into inputs of one step of the decider and
-// performs the step's outputs.
+// The goroutines of the requests send commands to the actor through a queue that is protected by a mutex. Each waits
+// on a channel of its own, which has a buffer for one decision, so that the actor never blocks. The actor takes all
+// queued commands at once, converts them into the inputs of one step of the decider, and performs the outputs of the
+// step.
 //
-// Invariants: a request's goroutine receives at most one decision per attempt; every Send is followed by exactly one AttemptFinished, which
-// the actor itself provides where the request's goroutine left without reading the decision; a connection belongs either to the table of idle
-// connections or to one attempt.
+// Invariants:
+//   - A request's goroutine receives at most one decision per attempt.
+//   - Every Send is followed by exactly one AttemptFinished. The actor itself generates it if the request's
+//     goroutine stopped waiting without reading the decision.
+//   - A connection belongs either to the table of idle connections or to one attempt.
 package dispatcher
--- a/internal/router/dispatcher/output.go
+++ b/internal/router/dispatcher/output.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// send hands the decision to call an endpoint to the request's goroutine, with an idle connection if there is one.
+// send passes the decision to call an endpoint to the request's goroutine, with an idle connection if there is one.
 func (a *Actor) send(o dispatch.Send, now time.Time) {
 	p := a.requests[o.ID]
 	if p == nil {
@@ -35,12 +35,12 @@
 	p.inFlight = &o
 	connection := a.idle.Take(o.Endpoint, now)
 	p.ticket.decisions <- Decision{Send: &o, Connection: connection}
-	if p.canceled { // in the step that sent it: the next step ends the attempt
+	if p.canceled { // canceled in the step that sent it: the next step ends the attempt
 		a.post(command{kind: cancelRequest, id: o.ID})
 	}
 }
 
-// reject hands a rejection to the request's goroutine.
+// reject passes a rejection to the request's goroutine.
 func (a *Actor) reject(o dispatch.Reject) {
 	p := a.requests[o.ID]
 	if p == nil {
