--- a/advice.go
+++ b/advice.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// Heed makes the policy keep a wait that another process of this forwarder was told.
-func (p *Policy) Heed(target TargetID, until time.Duration) {
+// PauseTarget makes the policy keep a wait that another process of this forwarder was told.
+func (p *Policy) PauseTarget(target TargetID, until time.Duration) {
 	if t := p.targets[target]; t != nil {
 		t.r.until = max(t.r.until, until)
 	}
 }
 
-// Advice is what other couriers told of a target and its route: evidence with an age. The zero value says nothing.
-type Advice struct {
-	Target  TargetID
-	Until   time.Duration // they were told to send nothing there until then, on the clock of Step
-	Limit   float64       // calls a second from all forwarders, as one of them was told it; 0 for none
-	LimitAt time.Duration // when
-	OutAt   time.Duration // when one of them saw an outage of which none has seen the end; 0 for none
-	Took    Took          // what of it changed something; Advise fills it in
+// PeerObservation is what other couriers told of a target and its route: evidence with an age. The zero value says nothing.
+type PeerObservation struct {
+	Target    TargetID
+	WaitUntil time.Duration // they were told to send nothing there until then, on the clock of Step
+	Limit     float64       // calls a second from all forwarders, as one of them was told it; 0 for none
+	LimitAt   time.Duration // when
+	OutageAt  time.Duration // when one of them saw an outage of which none has seen the end; 0 for none
+	Applied   AppliedParts  // what of it changed something; Advise fills it in
 }
 
-// Took is what of an Advice changed something.
-type Took uint8
+// AppliedParts is what of an Advice changed something.
+type AppliedParts uint8
 
 // The parts of an Advice.
 const (
-	TookWait Took = 1 << iota
-	TookLimit
-	TookOutage
+	AppliedWait AppliedParts = 1 << iota
+	AppliedLimit
+	AppliedOutage
 )
 
-// Advise takes in what others told, and notes in it what changed something. It holds back and never permits: it may come at any time and any number of times.
+// ApplyObservations takes in what others told, and notes in it what changed something. It holds back and never permits: it may come at any time and any number of times.
 //   - A wait binds the route as Heed does, and never shortens one.
 //   - A limit counts where reports told this life none of its own, while it is no older than ColdFor, and while no target
 //     of the route is held off or in slow start, the paces of which go by the limit too. It never raises a pace or a
@@ -40,33 +40,33 @@
 //     from being told a right one.
 //   - An outage makes the next call to the target a trial, if it is younger than ColdFor and no call was answered there
 //     since. Its end, told by others, changes nothing here: what this life was cautious of it tries itself.
-func (p *Policy) Advise(now time.Duration, told []Advice) {
-	fresh := func(at time.Duration) bool { return at > 0 && now-at < p.set.ColdFor }
+func (p *Policy) ApplyObservations(now time.Duration, told []PeerObservation) {
+	fresh := func(at time.Duration) bool { return at > 0 && now-at < p.set.WarmupDuration }
 	for i := range told {
 		a := &told[i]
-		a.Took = 0
+		a.Applied = 0
 		t := p.targets[a.Target]
 		if t == nil {
 			continue
 		}
 		r := t.r
-		if a.Until > r.until {
-			r.until, a.Took = a.Until, TookWait
+		if a.WaitUntil > r.until {
+			r.until, a.Applied = a.WaitUntil, AppliedWait
 		}
 		size, well := max(a.Limit, 2/p.longest.Seconds()), !slices.ContainsFunc(r.targets, func(x *target) bool { return x.health != open })
 		if a.Limit > 0 && fresh(a.LimitAt) && !r.told && well && (r.size == 0 || size < r.size) {
 			was := r.rate
-			a.Took |= TookLimit
+			a.Applied |= AppliedLimit
 			if p.limit(r, size); was > 0 {
 				r.rate = min(r.rate, was)
 			}
 		}
-		if fresh(a.OutAt) && t.lastOK < a.OutAt && t.health != halfOpen && t.fails < 1 {
+		if fresh(a.OutageAt) && t.lastOK < a.OutageAt && t.health != halfOpen && t.fails < 1 {
 			t.fails = 1
-			a.Took |= TookOutage
+			a.Applied |= AppliedOutage
 		}
 	}
 }
 
-// Elsewhere says how many more of the slots another process of this forwarder uses than it did, or fewer.
-func (p *Policy) Elsewhere(more int) { p.flows.Busy += more }
+// AdjustBusySlots says how many more of the slots another process of this forwarder uses than it did, or fewer.
+func (p *Policy) AdjustBusySlots(more int) { p.flows.BusySlots += more }
--- a/advise_test.go
+++ b/advise_test.go
@@ -23,14 +23,14 @@
 
 func adviseSettings() Settings {
 	return Settings{
-		Forwarders: 3, Tick: 5 * time.Millisecond, CallSlots: 6, MostHeld: 40, SendCap: 6,
-		IdleClose: 10 * time.Second, ConnectWithin: time.Second,
+		Forwarders: 3, MinBatchInterval: 5 * time.Millisecond, CallSlots: 6, MaxMessages: 40, MaxAttempts: 6,
+		IdleTimeout: 10 * time.Second, ConnectTimeout: time.Second,
 		Classes: []Class{
-			{Name: "a", Aim: time.Second, Deadline: 10 * time.Second, Credit: 1},
-			{Name: "b", Aim: time.Second, Deadline: 8 * time.Second, Credit: 2, Effect: Unsafe},
+			{Name: "a", SoftDeadline: time.Second, Deadline: 10 * time.Second, Value: 1},
+			{Name: "b", SoftDeadline: time.Second, Deadline: 8 * time.Second, Value: 2, Idempotency: NonIdempotent},
 		},
-		Kinds:       []Kind{{BundleMax: 1}, {BundleMax: 2, Apart: true}},
-		TipMultiple: 2.5, TipAfter: 1500 * time.Millisecond, ColdFor: 11 * time.Second, StartCapacity: 0.18,
+		Kinds:          []DestinationKind{{MaxBatch: 1}, {MaxBatch: 2, RoutePerTarget: true}},
+		OverloadFactor: 2.5, OverloadDuration: 1500 * time.Millisecond, WarmupDuration: 11 * time.Second, ColdCapacityShare: 0.18,
 	}
 }
 
@@ -40,11 +40,11 @@
 		panic(err)
 	}
 	w := &world{p: p, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Hour, tries: map[MessageID]int{}}
-	w.step(Listing{How: ListWhole, Entries: []Entry{
+	w.step(ListUpdate{Kind: ListSnapshot, Entries: []Entry{
 		{Target: "a", Dest: 1, Zone: -1},
 		{Target: "b", Dest: 1, Zone: -1},
 		{Target: "c", Dest: 2, Kind: 1, Zone: -1},
-		{Target: "d", Dest: 2, Kind: 1, Zone: -1, Joined: w.now - time.Second},
+		{Target: "d", Dest: 2, Kind: 1, Zone: -1, JoinedAt: w.now - time.Second},
 	}})
 	return w
 }
@@ -72,19 +72,19 @@
 		for len(w.out) > 0 && w.rng.IntN(3) > 0 {
 			s := w.out[0]
 			w.out = w.out[1:]
-			o := Outcome{ID: s.ID, Target: s.Target, Try: w.tries[s.ID], Took: 50 * time.Millisecond}
+			o := Outcome{ID: s.ID, Target: s.Target, Attempt: w.tries[s.ID], Duration: 50 * time.Millisecond}
 			w.tries[s.ID]++
 			switch w.rng.IntN(9) {
 			case 0:
 				o.Status = Error
 			case 1:
-				o.Status, o.Wait = Full, time.Duration(w.rng.IntN(2000))*time.Millisecond
+				o.Status, o.RetryAfter = Rejected, time.Duration(w.rng.IntN(2000))*time.Millisecond
 			case 2:
-				o.Status, o.Report = Full, Report{Left: 0.1, Limit: 20}
+				o.Status, o.Report = Rejected, LimitReport{Remaining: 0.1, Limit: 20}
 			case 3:
-				o.Status, o.Took = TimedOut, s.Timeout
+				o.Status, o.Duration = TimedOut, s.Timeout
 			default:
-				o.Closed = true
+				o.Final = true
 			}
 			events = append(events, o)
 		}
@@ -98,8 +98,8 @@
 		plain, advised := newWorld(seed), newWorld(seed)
 		for range 60 {
 			plain.play(5)
-			advised.p.Advise(advised.now, nil)
-			advised.p.Advise(advised.now, []Advice{{Target: "a"}, {Target: "d"}, {Target: "unknown", Until: time.Hour * 9, Limit: 1, LimitAt: 1}})
+			advised.p.ApplyObservations(advised.now, nil)
+			advised.p.ApplyObservations(advised.now, []PeerObservation{{Target: "a"}, {Target: "d"}, {Target: "unknown", WaitUntil: time.Hour * 9, Limit: 1, LimitAt: 1}})
 			advised.play(5)
 		}
 		if diff := cmp.Diff(plain.trace, advised.trace); diff != "" {
@@ -121,22 +121,22 @@
 		plain.play(steps)
 		w.play(steps)
 		before := w.p.Learned()
-		var told []Advice
+		var told []PeerObservation
 		at := func(name string) time.Duration {
 			return w.now - time.Duration(rapid.IntRange(-2000, 20_000).Draw(t, name))*time.Millisecond
 		}
 		for range rapid.IntRange(1, 6).Draw(t, "n") {
-			told = append(told, Advice{
-				Target: rapid.SampledFrom([]TargetID{"a", "b", "c", "d"}).Draw(t, "target"), Until: at("until"),
-				Limit: rapid.SampledFrom([]float64{0, 1e-9, 0.5, 5, 50, 1e9}).Draw(t, "limit"), LimitAt: at("limit at"), OutAt: at("out at"),
+			told = append(told, PeerObservation{
+				Target: rapid.SampledFrom([]TargetID{"a", "b", "c", "d"}).Draw(t, "target"), WaitUntil: at("until"),
+				Limit: rapid.SampledFrom([]float64{0, 1e-9, 0.5, 5, 50, 1e9}).Draw(t, "limit"), LimitAt: at("limit at"), OutageAt: at("out at"),
 			})
 		}
-		w.p.Advise(w.now, told)
+		w.p.ApplyObservations(w.now, told)
 		after := w.p.Learned()
 		route := func(x, y *LearnedRoute) {
-			if x != nil && (y.Until < x.Until || x.Rate > 0 && y.Rate > x.Rate || x.Size > 0 && y.Size > x.Size || x.Told && y.Size != x.Size ||
+			if x != nil && (y.WaitUntil < x.WaitUntil || x.Rate > 0 && y.Rate > x.Rate || x.Limit > 0 && y.Limit > x.Limit || x.LimitReported && y.Limit != x.Limit ||
 				y.NextAt < x.NextAt ||
-				y.Fails < x.Fails || y.Told != x.Told || y.Shut != x.Shut) {
+				y.Fails < x.Fails || y.LimitReported != x.LimitReported || y.AllSuspended != x.AllSuspended) {
 				t.Fatalf("lifted: %+v, was %+v", *y, *x)
 			}
 		}
@@ -165,32 +165,32 @@
 	const now, sec = time.Hour, time.Second
 	for _, c := range []struct {
 		name  string
-		told  Advice
+		told  PeerObservation
 		well  time.Duration // when a call was answered there, 0 for never
 		later time.Duration
 		sends int // of five messages at once
 	}{
 		{name: "nothing", sends: 4}, // three quarters of the slots
-		{name: "a wait", told: Advice{Until: now + 2*sec}, later: sec},
-		{name: "a wait that is over", told: Advice{Until: now + 2*sec}, later: 3 * sec, sends: 4},
-		{name: "a limit", told: Advice{Limit: 4, LimitAt: now - sec}, sends: 1},
-		{name: "a limit too old", told: Advice{Limit: 4, LimitAt: now - 11*sec}, sends: 4},
-		{name: "an outage", told: Advice{OutAt: now - sec}, sends: 1},
-		{name: "an outage before the last answer", told: Advice{OutAt: now - sec}, well: now - sec/2, sends: 4},
-		{name: "an outage after the last answer", told: Advice{OutAt: now - sec}, well: now - 2*sec, sends: 1},
-		{name: "an outage too old", told: Advice{OutAt: now - 12*sec}, sends: 4},
+		{name: "a wait", told: PeerObservation{WaitUntil: now + 2*sec}, later: sec},
+		{name: "a wait that is over", told: PeerObservation{WaitUntil: now + 2*sec}, later: 3 * sec, sends: 4},
+		{name: "a limit", told: PeerObservation{Limit: 4, LimitAt: now - sec}, sends: 1},
+		{name: "a limit too old", told: PeerObservation{Limit: 4, LimitAt: now - 11*sec}, sends: 4},
+		{name: "an outage", told: PeerObservation{OutageAt: now - sec}, sends: 1},
+		{name: "an outage before the last answer", told: PeerObservation{OutageAt: now - sec}, well: now - sec/2, sends: 4},
+		{name: "an outage after the last answer", told: PeerObservation{OutageAt: now - sec}, well: now - 2*sec, sends: 1},
+		{name: "an outage too old", told: PeerObservation{OutageAt: now - 12*sec}, sends: 4},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p, err := New(adviseSettings(), 1)
 			if err != nil {
 				t.Fatal(err)
 			}
-			p.Step(now-10*sec, []Event{Listing{How: ListWhole, Entries: []Entry{{Target: "a", Dest: 1, Zone: -1}}}})
+			p.Step(now-10*sec, []Event{ListUpdate{Kind: ListSnapshot, Entries: []Entry{{Target: "a", Dest: 1, Zone: -1}}}})
 			if c.well > 0 {
 				p.targets["a"].lastOK = c.well
 			}
 			c.told.Target = "a"
-			p.Advise(now, []Advice{c.told})
+			p.ApplyObservations(now, []PeerObservation{c.told})
 			var events []Event
 			for i := range 5 {
 				events = append(events, Arrival{ID: MessageID(strconv.Itoa(i)), Tenant: -1, Dest: 1, Budget: 9 * sec})
--- a/asfq/asfq.go
+++ b/asfq/asfq.go
@@ -13,33 +13,33 @@
 
 // Flow is to be embedded in the caller's record of a destination, which then is a [Member].
 type Flow struct {
-	Weight       float64 // φ, its part against others; 0 is 1
-	Mean         float64 // slot-seconds of a call, 0 before the first has ended
-	Trouble      bool    // most recent calls failed, or one that is out hangs
-	turns        []turn
-	lastF, delta float64 // last finish tag, and the monitor's setback in calls
-	use          float64 // slot-seconds in this period up to usedAt, calls still out included
-	usedAt       time.Duration
-	out          int
-	listed       bool // in Scheduler.Active
+	Weight          float64 // φ, its part against others; 0 is 1
+	MeanSlotSeconds float64 // slot-seconds of a call, 0 before the first has ended
+	Degraded        bool    // most recent calls failed, or one that is out hangs
+	turns           []turn
+	lastF, delta    float64 // last finish tag, and the monitor's setback in calls
+	use             float64 // slot-seconds in this period up to usedAt, calls still out included
+	usedAt          time.Duration
+	out             int
+	listed          bool // in Scheduler.Active
 }
 
 type turn struct{ start, finish float64 }
 
-// Member is a record that embeds a Flow.
-type Member interface{ Itself() *Flow }
+// FlowRecord is a record that embeds a Flow.
+type FlowRecord interface{ AsFlow() *Flow }
 
-// Itself is for [Member].
-func (f *Flow) Itself() *Flow { return f }
+// AsFlow is for [Member].
+func (f *Flow) AsFlow() *Flow { return f }
 
-// Held is how many turns wait.
-func (f *Flow) Held() int { return len(f.turns) }
+// QueuedTurns is how many turns wait.
+func (f *Flow) QueuedTurns() int { return len(f.turns) }
 
-// Out is how many calls are out.
-func (f *Flow) Out() int { return f.out }
+// InFlight is how many calls are out.
+func (f *Flow) InFlight() int { return f.out }
 
-// Delta is the setback by the monitor, in calls.
-func (f *Flow) Delta() float64 { return f.delta }
+// Penalty is the setback by the monitor, in calls.
+func (f *Flow) Penalty() float64 { return f.delta }
 
 func (f *Flow) accrue(now time.Duration) {
 	f.use += float64(f.out) * (now - f.usedAt).Seconds()
@@ -47,29 +47,29 @@
 }
 
 // Scheduler keeps the flows of one forwarder.
-type Scheduler[M Member] struct {
-	Slots     int           // calls out at once
-	Busy      int           // slots in use; the caller adds those in use elsewhere
-	Period    time.Duration // of the monitor
-	TickAt    time.Duration // end of this one
-	Tolerance float64       // ε: the gap in use that sets nothing back, in calls of the mean slot-seconds
-	Mean      float64       // slot-seconds of a call, over all flows
-	Active    []M           // flows with turns held or calls out lately; only to be read
-	v, finish float64       // virtual time; largest finish tag sent
+type Scheduler[M FlowRecord] struct {
+	Slots           int           // calls out at once
+	BusySlots       int           // slots in use; the caller adds those in use elsewhere
+	MonitorPeriod   time.Duration // of the monitor
+	PeriodEnd       time.Duration // end of this one
+	Tolerance       float64       // ε: the gap in use that sets nothing back, in calls of the mean slot-seconds
+	MeanSlotSeconds float64       // slot-seconds of a call, over all flows
+	ActiveFlows     []M           // flows with turns held or calls out lately; only to be read
+	v, finish       float64       // virtual time; largest finish tag sent
 }
 
 // Cost is a turn's in calls of the mean slot-seconds. A flow that is quickly refused wins few turns by it.
 func (s *Scheduler[M]) Cost(m M) float64 {
-	if m.Itself().Mean == 0 {
+	if m.AsFlow().MeanSlotSeconds == 0 {
 		return 1
 	}
-	return max(m.Itself().Mean/s.Mean, 0.25)
+	return max(m.AsFlow().MeanSlotSeconds/s.MeanSlotSeconds, 0.25)
 }
 
-// Hold gives the flow one more turn, behind those it has.
-func (s *Scheduler[M]) Hold(m M, cost float64, now time.Duration) {
-	f := m.Itself()
-	if s.Busy <= 0 {
+// AddTurn gives the flow one more turn, behind those it has.
+func (s *Scheduler[M]) AddTurn(m M, cost float64, now time.Duration) {
+	f := m.AsFlow()
+	if s.BusySlots <= 0 {
 		s.v = max(s.v, s.finish)
 	}
 	start := max(s.v, f.lastF)
@@ -77,23 +77,23 @@
 	f.turns = append(f.turns, turn{start, f.lastF})
 	if !f.listed {
 		f.listed, f.usedAt = true, now
-		s.Active = append(s.Active, m)
+		s.ActiveFlows = append(s.ActiveFlows, m)
 	}
 }
 
-// Unhold takes the flow's last turn back: what it was for is withdrawn, or goes along with another.
-func (s *Scheduler[M]) Unhold(m M) {
-	f, last := m.Itself(), m.Itself().Held()-1
+// RemoveLastTurn takes the flow's last turn back: what it was for is withdrawn, or goes along with another.
+func (s *Scheduler[M]) RemoveLastTurn(m M) {
+	f, last := m.AsFlow(), m.AsFlow().QueuedTurns()-1
 	f.lastF, f.turns = f.turns[last].start, f.turns[:last]
 }
 
-// Full says whether the flow has all the slots that one may: three quarters, half while in trouble.
-func (s *Scheduler[M]) Full(m M) bool {
+// AtSlotLimit says whether the flow has all the slots that one may: three quarters, half while in trouble.
+func (s *Scheduler[M]) AtSlotLimit(m M) bool {
 	most := s.Slots * 3 / 4
-	if m.Itself().Trouble {
+	if m.AsFlow().Degraded {
 		most = s.Slots / 2
 	}
-	return m.Itself().out >= max(most, 1)
+	return m.AsFlow().out >= max(most, 1)
 }
 
 // Next is the flow with the lowest start tag plus delta that is not full and that offer says yes to, while
@@ -101,9 +101,9 @@
 // could not come first.
 func (s *Scheduler[M]) Next(offer func(M) (later float64, ok bool)) (next M, found bool) {
 	least := math.Inf(1)
-	for _, m := range s.Active {
-		f := m.Itself()
-		if s.Busy >= s.Slots || len(f.turns) == 0 || f.turns[0].start+f.delta >= least || s.Full(m) {
+	for _, m := range s.ActiveFlows {
+		f := m.AsFlow()
+		if s.BusySlots >= s.Slots || len(f.turns) == 0 || f.turns[0].start+f.delta >= least || s.AtSlotLimit(m) {
 			continue
 		}
 		if later, ok := offer(m); ok && f.turns[0].start+f.delta+later < least {
@@ -113,25 +113,26 @@
 	return next, found
 }
 
-// Sent takes the flow's first turn and a slot.
-func (s *Scheduler[M]) Sent(m M, now time.Duration) {
-	f := m.Itself()
+// StartCall takes the flow's first turn and a slot.
+func (s *Scheduler[M]) StartCall(m M, now time.Duration) {
+	f := m.AsFlow()
 	f.accrue(now)
-	f.out, s.Busy = f.out+1, s.Busy+1
+	f.out, s.BusySlots = f.out+1, s.BusySlots+1
 	s.v, s.finish = max(s.v, f.turns[0].start), max(s.finish, f.turns[0].finish)
 	f.turns = f.turns[1:]
 }
 
-// Ended frees the slot of a call that was out for so many seconds.
-func (s *Scheduler[M]) Ended(m M, seconds float64, now time.Duration) {
-	f := m.Itself()
+// EndCall frees the slot of a call that was out for so many seconds.
+func (s *Scheduler[M]) EndCall(m M, seconds float64, now time.Duration) {
+	f := m.AsFlow()
 	f.accrue(now)
-	f.out, s.Busy = f.out-1, s.Busy-1
-	f.Mean, s.Mean = Mix(f.Mean, seconds, 8), Mix(s.Mean, seconds, 32)
+	f.out, s.BusySlots = f.out-1, s.BusySlots-1
+	f.MeanSlotSeconds, s.MeanSlotSeconds =
+		EWMA(f.MeanSlotSeconds, seconds, 8), EWMA(s.MeanSlotSeconds, seconds, 32)
 }
 
-// Mix takes x into a running mean over about n, which is 0 before the first.
-func Mix[T float64 | time.Duration](mean, x, n T) T {
+// EWMA takes x into a running mean over about n, which is 0 before the first.
+func EWMA[T float64 | time.Duration](mean, x, n T) T {
 	if mean == 0 {
 		return x
 	}
@@ -142,22 +143,22 @@
 // returns true. A flow above the least used one with turns, by more than the tolerance, is set back by the
 // difference in calls of its own; below that its setback is halved. The state of idle flows is dropped.
 func (s *Scheduler[M]) Tick(now time.Duration) bool {
-	if now < s.TickAt {
+	if now < s.PeriodEnd {
 		return false
 	}
-	s.TickAt = now + s.Period
+	s.PeriodEnd = now + s.MonitorPeriod
 	least := math.Inf(1)
-	for _, m := range s.Active {
-		f := m.Itself()
+	for _, m := range s.ActiveFlows {
+		f := m.AsFlow()
 		f.accrue(now)
 		if len(f.turns) > 0 {
 			least = min(least, f.use/cmp.Or(f.Weight, 1))
 		}
 	}
-	for _, m := range s.Active {
-		f, weight := m.Itself(), cmp.Or(m.Itself().Weight, 1)
-		if gap := f.use/weight - least; gap > s.Tolerance*s.Mean && f.Mean > 0 {
-			f.delta = gap * weight / f.Mean
+	for _, m := range s.ActiveFlows {
+		f, weight := m.AsFlow(), cmp.Or(m.AsFlow().Weight, 1)
+		if gap := f.use/weight - least; gap > s.Tolerance*s.MeanSlotSeconds && f.MeanSlotSeconds > 0 {
+			f.delta = gap * weight / f.MeanSlotSeconds
 		} else if f.delta /= 2; f.delta < 0.5 {
 			f.delta = 0
 		}
@@ -166,6 +167,6 @@
 			f.lastF, f.delta = 0, 0
 		}
 	}
-	s.Active = slices.DeleteFunc(s.Active, func(m M) bool { return !m.Itself().listed })
+	s.ActiveFlows = slices.DeleteFunc(s.ActiveFlows, func(m M) bool { return !m.AsFlow().listed })
 	return true
 }
--- a/asfq/asfq_test.go
+++ b/asfq/asfq_test.go
@@ -17,7 +17,7 @@
 }
 
 func newScheduler(slots int) *Scheduler[*flow] {
-	return &Scheduler[*flow]{Slots: slots, Period: time.Second, Tolerance: 2}
+	return &Scheduler[*flow]{Slots: slots, MonitorPeriod: time.Second, Tolerance: 2}
 }
 
 // all offers every flow.
@@ -66,7 +66,7 @@
 	if len(w.calls) == 0 {
 		v = max(v, w.finish)
 	}
-	if w.s.Hold(f, cost, w.now); w.s.v != v {
+	if w.s.AddTurn(f, cost, w.now); w.s.v != v {
 		t.Fatalf("virtual time is %v, want %v", w.s.v, v)
 	}
 	start := max(v, w.last[f])
@@ -76,11 +76,11 @@
 
 func (w *world) unhold(t *rapid.T) {
 	f := w.pick(t)
-	n := f.Held() - 1
+	n := f.QueuedTurns() - 1
 	if n < 0 {
 		t.Skip("nothing held")
 	}
-	w.s.Unhold(f)
+	w.s.RemoveLastTurn(f)
 	w.last[f] = w.starts[f][n]
 	w.starts[f], w.finishes[f] = w.starts[f][:n], w.finishes[f][:n]
 }
@@ -95,25 +95,25 @@
 	for {
 		var want *flow
 		least := math.Inf(1)
-		for _, f := range w.s.Active {
+		for _, f := range w.s.ActiveFlows {
 			most := max(w.s.Slots*3/4, 1)
-			if f.Trouble {
+			if f.Degraded {
 				most = max(w.s.Slots/2, 1)
 			}
 			if len(w.starts[f]) == 0 || refused[f] || w.out(f) >= most || len(w.calls) >= w.s.Slots {
 				continue
 			}
-			if key := w.starts[f][0] + f.Delta() + later[f]; key < least {
+			if key := w.starts[f][0] + f.Penalty() + later[f]; key < least {
 				want, least = f, key
 			}
 		}
 		least = math.Inf(1)
 		got, found := w.s.Next(func(f *flow) (float64, bool) {
-			if w.starts[f][0]+f.Delta() >= least {
+			if w.starts[f][0]+f.Penalty() >= least {
 				t.Fatalf("%s was asked about though it can't come first", f.name)
 			}
 			if !refused[f] {
-				least = min(least, w.starts[f][0]+f.Delta()+later[f])
+				least = min(least, w.starts[f][0]+f.Penalty()+later[f])
 			}
 			return later[f], !refused[f]
 		})
@@ -123,12 +123,12 @@
 		if !found {
 			return
 		}
-		w.s.Sent(got, w.now)
+		w.s.StartCall(got, w.now)
 		w.calls = append(w.calls, call{got, w.now})
 		w.finish = max(w.finish, w.finishes[got][0])
 		w.starts[got], w.finishes[got] = w.starts[got][1:], w.finishes[got][1:]
-		if w.s.Busy > w.s.Slots {
-			t.Fatalf("%d slots of %d in use", w.s.Busy, w.s.Slots)
+		if w.s.BusySlots > w.s.Slots {
+			t.Fatalf("%d slots of %d in use", w.s.BusySlots, w.s.Slots)
 		}
 	}
 }
@@ -141,9 +141,9 @@
 	c := w.calls[i]
 	w.calls = append(w.calls[:i], w.calls[i+1:]...)
 	seconds := (w.now - c.at).Seconds()
-	own, all := mean(c.of.Mean, seconds, 8), mean(w.s.Mean, seconds, 32)
-	if w.s.Ended(c.of, seconds, w.now); c.of.Mean != own || w.s.Mean != all {
-		t.Fatalf("means are %v and %v, want %v and %v", c.of.Mean, w.s.Mean, own, all)
+	own, all := mean(c.of.MeanSlotSeconds, seconds, 8), mean(w.s.MeanSlotSeconds, seconds, 32)
+	if w.s.EndCall(c.of, seconds, w.now); c.of.MeanSlotSeconds != own || w.s.MeanSlotSeconds != all {
+		t.Fatalf("means are %v and %v, want %v and %v", c.of.MeanSlotSeconds, w.s.MeanSlotSeconds, own, all)
 	}
 	w.used[c.of] += (w.now - max(c.at, w.began)).Seconds()
 }
@@ -162,13 +162,13 @@
 	} else if !due {
 		return
 	}
-	w.tickAt = w.now + w.s.Period
+	w.tickAt = w.now + w.s.MonitorPeriod
 	for _, c := range w.calls {
 		w.used[c.of] += (w.now - max(c.at, w.began)).Seconds()
 	}
 	least := math.Inf(1)
 	for _, f := range w.flows {
-		if f.Held() > 0 {
+		if f.QueuedTurns() > 0 {
 			least = min(least, w.used[f]/cmp.Or(f.Weight, 1))
 		}
 	}
@@ -180,25 +180,25 @@
 
 // judge says what the monitor owes a flow that used so much more than the least used one.
 func (w *world) judge(t *rapid.T, f *flow, gap float64) {
-	bound := w.s.Tolerance * w.s.Mean
+	bound := w.s.Tolerance * w.s.MeanSlotSeconds
 	if math.Abs(gap-bound) < 1e-9 { // rounding decides
-		w.delta[f] = f.Delta()
-	} else if gap > bound && f.Mean > 0 {
-		w.delta[f] = gap * cmp.Or(f.Weight, 1) / f.Mean
+		w.delta[f] = f.Penalty()
+	} else if gap > bound && f.MeanSlotSeconds > 0 {
+		w.delta[f] = gap * cmp.Or(f.Weight, 1) / f.MeanSlotSeconds
 	} else if w.delta[f] /= 2; w.delta[f] < 0.5 {
 		w.delta[f] = 0
 	}
-	if f.Held()+f.Out() == 0 {
+	if f.QueuedTurns()+f.InFlight() == 0 {
 		w.delta[f], w.last[f] = 0, 0
 	}
-	if math.Abs(f.Delta()-w.delta[f]) > 1e-6*max(1, w.delta[f]) {
-		t.Fatalf("%s is set back by %v calls, want %v", f.name, f.Delta(), w.delta[f])
+	if math.Abs(f.Penalty()-w.delta[f]) > 1e-6*max(1, w.delta[f]) {
+		t.Fatalf("%s is set back by %v calls, want %v", f.name, f.Penalty(), w.delta[f])
 	}
 }
 
 func (w *world) trouble(t *rapid.T) {
 	f := w.pick(t)
-	f.Trouble = !f.Trouble
+	f.Degraded = !f.Degraded
 }
 
 func (w *world) out(f *flow) int {
@@ -217,19 +217,19 @@
 	}
 	w.v = w.s.v
 	listed := map[*flow]int{}
-	for _, f := range w.s.Active {
+	for _, f := range w.s.ActiveFlows {
 		listed[f]++
 	}
 	for _, f := range w.flows {
-		if f.Held() != len(w.starts[f]) || f.Out() != w.out(f) {
-			t.Fatalf("%s has %d turns and %d calls, want %d and %d", f.name, f.Held(), f.Out(), len(w.starts[f]), w.out(f))
+		if f.QueuedTurns() != len(w.starts[f]) || f.InFlight() != w.out(f) {
+			t.Fatalf("%s has %d turns and %d calls, want %d and %d", f.name, f.QueuedTurns(), f.InFlight(), len(w.starts[f]), w.out(f))
 		}
 		for i, turn := range f.turns {
 			if turn.start != w.starts[f][i] || turn.finish != w.finishes[f][i] {
 				t.Fatalf("%s has %v, want from %v to %v", f.name, turn, w.starts[f][i], w.finishes[f][i])
 			}
 		}
-		if f.Held()+f.Out() > 0 && listed[f] == 0 || listed[f] > 1 {
+		if f.QueuedTurns()+f.InFlight() > 0 && listed[f] == 0 || listed[f] > 1 {
 			t.Fatalf("%s is listed %d times", f.name, listed[f])
 		}
 		if listed[f] == 0 && (f.lastF != 0 || f.delta != 0 || f.use != 0) {
@@ -277,19 +277,19 @@
 		for i := 0; i < len(d.calls); i++ {
 			if c := d.calls[i]; d.now-c.at >= d.takes[c.of] {
 				d.calls = append(d.calls[:i], d.calls[i+1:]...)
-				d.s.Ended(c.of, (d.now - c.at).Seconds(), d.now)
+				d.s.EndCall(c.of, (d.now - c.at).Seconds(), d.now)
 				d.seconds[c.of] += (d.now - c.at).Seconds()
 				i--
 			}
 		}
 		d.s.Tick(d.now)
 		for _, f := range flows {
-			for f.Held() < d.s.Slots { // enough for all that frees at once
-				d.s.Hold(f, cmp.Or(d.cost, d.s.Cost(f)), d.now)
+			for f.QueuedTurns() < d.s.Slots { // enough for all that frees at once
+				d.s.AddTurn(f, cmp.Or(d.cost, d.s.Cost(f)), d.now)
 			}
 		}
 		for f, found := d.s.Next(all); found; f, found = d.s.Next(all) {
-			d.s.Sent(f, d.now)
+			d.s.StartCall(f, d.now)
 			d.sent[f]++
 			d.calls = append(d.calls, call{f, d.now})
 		}
@@ -329,27 +329,27 @@
 		}
 		for _, f := range append(others, over) {
 			for range 200 {
-				s.Hold(f, 1, 0)
+				s.AddTurn(f, 1, 0)
 			}
 		}
 		long := time.Duration(rapid.IntRange(50, 900).Draw(t, "ms")) * time.Millisecond
 		took := long.Seconds()
-		s.Sent(over, 0)
-		s.Ended(over, took, long)
-		s.Mean = rapid.Float64Range(0.001, 0.5).Draw(t, "mean") // of all, which the tolerance goes by
-		over.Mean = rapid.Float64Range(0.01, 0.5).Draw(t, "own mean")
+		s.StartCall(over, 0)
+		s.EndCall(over, took, long)
+		s.MeanSlotSeconds = rapid.Float64Range(0.001, 0.5).Draw(t, "mean") // of all, which the tolerance goes by
+		over.MeanSlotSeconds = rapid.Float64Range(0.01, 0.5).Draw(t, "own mean")
 		s.Tick(time.Second)
-		want := took / over.Mean
-		if took <= 2*s.Mean {
+		want := took / over.MeanSlotSeconds
+		if took <= 2*s.MeanSlotSeconds {
 			want = 0
 		}
-		if math.Abs(over.Delta()-want) > 1e-9 {
-			t.Fatalf("set back by %v calls, want %v", over.Delta(), want)
+		if math.Abs(over.Penalty()-want) > 1e-9 {
+			t.Fatalf("set back by %v calls, want %v", over.Penalty(), want)
 		}
 		ahead := map[*flow]float64{}
 		for f, _ := s.Next(all); f != over; f, _ = s.Next(all) {
-			s.Sent(f, time.Second)
-			s.Ended(f, 0.01, time.Second)
+			s.StartCall(f, time.Second)
+			s.EndCall(f, 0.01, time.Second)
 			ahead[f]++
 		}
 		for _, f := range others {
@@ -357,10 +357,10 @@
 				t.Fatalf("%s sent %v before it, want about %v", f.name, ahead[f], want)
 			}
 		}
-		for i := 0; over.Delta() > 0; i++ {
-			was := over.Delta()
-			if s.Tick(time.Duration(2+i) * time.Second); over.Delta() > was/2 {
-				t.Fatalf("set back by %v calls after %v, though use is even", over.Delta(), was)
+		for i := 0; over.Penalty() > 0; i++ {
+			was := over.Penalty()
+			if s.Tick(time.Duration(2+i) * time.Second); over.Penalty() > was/2 {
+				t.Fatalf("set back by %v calls after %v, though use is even", over.Penalty(), was)
 			}
 		}
 	})
@@ -371,26 +371,26 @@
 	heavy, light := &flow{Flow: Flow{Weight: 3}, name: "heavy"}, &flow{Flow: Flow{Weight: 1}, name: "light"}
 	s.Tick(0)
 	for range 3 {
-		s.Hold(heavy, 1, 0)
-		s.Sent(heavy, 0)
+		s.AddTurn(heavy, 1, 0)
+		s.StartCall(heavy, 0)
 	}
-	s.Hold(light, 1, 0)
-	s.Hold(light, 1, 0)
-	s.Sent(light, 0)
-	s.Mean, heavy.Mean, light.Mean = 0.1, 0.1, 0.1
-	if s.Tick(time.Second); heavy.Delta() != 0 || light.Delta() != 0 { // 3 s by 3 is 1 s by 1
-		t.Fatalf("set back by %v and %v though both use their part", heavy.Delta(), light.Delta())
+	s.AddTurn(light, 1, 0)
+	s.AddTurn(light, 1, 0)
+	s.StartCall(light, 0)
+	s.MeanSlotSeconds, heavy.MeanSlotSeconds, light.MeanSlotSeconds = 0.1, 0.1, 0.1
+	if s.Tick(time.Second); heavy.Penalty() != 0 || light.Penalty() != 0 { // 3 s by 3 is 1 s by 1
+		t.Fatalf("set back by %v and %v though both use their part", heavy.Penalty(), light.Penalty())
 	}
-	s.Hold(heavy, 1, time.Second)
-	s.Sent(heavy, time.Second)
+	s.AddTurn(heavy, 1, time.Second)
+	s.StartCall(heavy, time.Second)
 	s.Tick(2 * time.Second)
-	if want := (4.0/3 - 1) * 3 / 0.1; math.Abs(heavy.Delta()-want) > 1e-9 {
-		t.Fatalf("set back by %v calls, want %v", heavy.Delta(), want)
+	if want := (4.0/3 - 1) * 3 / 0.1; math.Abs(heavy.Penalty()-want) > 1e-9 {
+		t.Fatalf("set back by %v calls, want %v", heavy.Penalty(), want)
 	}
 	for i, want := range []float64{5, 2.5, 1.25, 0.625, 0} { // not above the tolerance: halved, then let go
 		s.Tolerance = math.Inf(1)
-		if s.Tick(time.Duration(3+i) * time.Second); math.Abs(heavy.Delta()-want) > 1e-9 {
-			t.Fatalf("set back by %v calls, want %v", heavy.Delta(), want)
+		if s.Tick(time.Duration(3+i) * time.Second); math.Abs(heavy.Penalty()-want) > 1e-9 {
+			t.Fatalf("set back by %v calls, want %v", heavy.Penalty(), want)
 		}
 	}
 }
@@ -398,8 +398,8 @@
 func TestCost(t *testing.T) {
 	s := newScheduler(1)
 	for _, c := range []struct{ own, all, want float64 }{{0, 0, 1}, {0, 2, 1}, {3, 2, 1.5}, {1, 2, 0.5}, {0.1, 2, 0.25}} {
-		s.Mean = c.all
-		if got := s.Cost(&flow{Flow: Flow{Mean: c.own}}); got != c.want {
+		s.MeanSlotSeconds = c.all
+		if got := s.Cost(&flow{Flow: Flow{MeanSlotSeconds: c.own}}); got != c.want {
 			t.Errorf("a call of %v s among those of %v s costs %v, want %v", c.own, c.all, got, c.want)
 		}
 	}
@@ -413,9 +413,9 @@
 	}{{8, false, 6}, {8, true, 4}, {4, false, 3}, {4, true, 2}, {1, false, 1}, {1, true, 1}} {
 		d := newDay(c.slots)
 		f := d.add("alone", 1, time.Hour)
-		f.Trouble = c.trouble
-		if d.play(time.Second, f); f.Out() != c.want {
-			t.Errorf("%d of %d slots, want %d (trouble %v)", f.Out(), c.slots, c.want, c.trouble)
+		f.Degraded = c.trouble
+		if d.play(time.Second, f); f.InFlight() != c.want {
+			t.Errorf("%d of %d slots, want %d (trouble %v)", f.InFlight(), c.slots, c.want, c.trouble)
 		}
 	}
 }
@@ -439,13 +439,13 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s := newScheduler(n)
 			for i := range n {
-				s.Hold(&flow{Flow: Flow{lastF: float64((i * 7919) % n)}}, 1, 0)
+				s.AddTurn(&flow{Flow: Flow{lastF: float64((i * 7919) % n)}}, 1, 0)
 			}
 			for b.Loop() {
 				f, _ := s.Next(all)
-				s.Hold(f, 1, 0)
-				s.Sent(f, 0)
-				s.Ended(f, 0.1, 0)
+				s.AddTurn(f, 1, 0)
+				s.StartCall(f, 0)
+				s.EndCall(f, 0.1, 0)
 			}
 		})
 	}
--- a/cmd/raventrestle/fleet.go
+++ b/cmd/raventrestle/fleet.go
@@ -25,7 +25,7 @@
 	}
 	began, drawn := time.Now(), make(chan uint64, 1)
 	host, err := fleet.New(fleet.Config{
-		Settings: *set.Fleet, Name: d.conf.Name, Folder: folder, Room: room, Memory: d.conf.Settings.ColdFor,
+		Settings: *set.Fleet, Name: d.conf.Name, Folder: folder, Room: room, Memory: d.conf.Settings.WarmupDuration,
 		Clock: func() time.Duration { return time.Since(began) }, Wall: time.Now,
 		Chance: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), Log: d.log,
 		Drawn: func(epoch uint64) { drawn <- epoch },
--- a/cmd/raventrestle/fleet_figures_test.go
+++ b/cmd/raventrestle/fleet_figures_test.go
@@ -152,7 +152,7 @@
 					s, err := f.client.Status(t.Context())
 					took[j] = time.Since(t0)
 					if err != nil || took[j] > nettest.Patience || slices.ContainsFunc(s.Courier.Channels, func(d raventrestle.DestView) bool {
-						return int64(d.Dest) == dest && len(d.Targets) > 0 && d.Targets[0].Wait > 0
+						return int64(d.Dest) == dest && len(d.Targets) > 0 && d.Targets[0].WaitRemaining > 0
 					}) {
 						return
 					}
--- a/cmd/raventrestle/fleet_test.go
+++ b/cmd/raventrestle/fleet_test.go
@@ -101,7 +101,7 @@
 func (f *fellow) heeds(least time.Duration) {
 	f.t.Helper()
 	f.until("waiting", func(s admin.Status) bool {
-		return len(s.Courier.Channels) > 0 && len(s.Courier.Channels[0].Targets) > 0 && s.Courier.Channels[0].Targets[0].Wait > least
+		return len(s.Courier.Channels) > 0 && len(s.Courier.Channels[0].Targets) > 0 && s.Courier.Channels[0].Targets[0].WaitRemaining > least
 	})
 }
 
--- a/cmd/raventrestle/serve.go
+++ b/cmd/raventrestle/serve.go
@@ -337,7 +337,7 @@
 		return nil
 	}
 	now := time.Duration(time.Now().UnixNano())
-	b, ok := learned.Current(saved, now, d.conf.Settings.ColdFor)
+	b, ok := learned.Current(saved, now, d.conf.Settings.WarmupDuration)
 	if d.log.Info("raventrestle: what the life before had learned", "age", now-saved.At, "counts", ok); !ok {
 		return nil
 	}
@@ -413,7 +413,7 @@
 	u := set.Undeliverable
 	names, classes := d.conf.Names, d.conf.Settings.Classes
 	return deadletter.Config{
-		Folder: deadLetterFolder(set, d.conf.State), Limits: limits(u, d.conf.Settings.Forwarders, d.conf.Settings.ColdFor), MaxAge: u.MaxAge.Duration(),
+		Folder: deadLetterFolder(set, d.conf.State), Limits: limits(u, d.conf.Settings.Forwarders, d.conf.Settings.WarmupDuration), MaxAge: u.MaxAge.Duration(),
 		Settled: u.SettledAge.Duration(), Log: d.log, Seed: d.conf.Seed, Append: d.store.Append,
 		Options: deadletter.Options{MaxBytes: u.MaxBytes, MaxLetters: u.MaxLetters, Sync: u.Sync},
 		Begin:   func(a deadletter.Again) bool { return d.courier.Again(a) },
--- a/cmd/raventrestle/status.go
+++ b/cmd/raventrestle/status.go
@@ -104,22 +104,22 @@
 	fmt.Fprintln(t, "CHANNEL\tHELD\tOUT\tENDPOINT\tLIST\tHEALTH\tOUT\tFAILS\tPACE/S\tWAIT\tMEAN")
 	for _, d := range c.Channels {
 		if len(d.Targets) == 0 {
-			fmt.Fprintf(t, "%d\t%d\t%d\tnone\t\t\t\t\t\t\t\n", d.Dest, d.Held, d.Out)
+			fmt.Fprintf(t, "%d\t%d\t%d\tnone\t\t\t\t\t\t\t\n", d.Dest, d.Held, d.CallsInFlight)
 		}
 		for i, e := range d.Targets {
 			channel := "\t\t"
 			if i == 0 {
-				channel = fmt.Sprintf("%d\t%d\t%d", d.Dest, d.Held, d.Out)
+				channel = fmt.Sprintf("%d\t%d\t%d", d.Dest, d.Held, d.CallsInFlight)
 			}
 			list, pace := "serving", "-"
 			if !e.Ready {
 				list = "draining"
 			}
-			if e.Pace > 0 {
-				pace = fmt.Sprintf("%.1f", e.Pace)
+			if e.RateLimit > 0 {
+				pace = fmt.Sprintf("%.1f", e.RateLimit)
 			}
-			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%d\t%s\t%s\t%s\n", channel, e.Target, list, e.Health, e.Out, e.Fails, pace,
-				max(e.Wait, d.Wait).Round(time.Millisecond), e.Mean.Round(time.Millisecond))
+			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%d\t%s\t%s\t%s\n", channel, e.Target, list, e.Health, e.CallsInFlight, e.ConsecutiveFailures, pace,
+				max(e.WaitRemaining, d.WaitRemaining).Round(time.Millisecond), e.MeanLatency.Round(time.Millisecond))
 		}
 	}
 	return t.Flush()
--- a/cold_test.go
+++ b/cold_test.go
@@ -16,15 +16,15 @@
 	const load, outage, seed = 0.7, 8 * sec, 1
 	rng := rand.New(rand.NewPCG(seed, 9))
 	set := settings()
-	set.Tick, set.IdleClose, set.AskForList, set.RetryAfter = ms, 5*sec, false, false
-	set.CallSlots, set.MostHeld, set.Loss, set.Forwarders = 5, 90, LossHalving, n
+	set.MinBatchInterval, set.IdleTimeout, set.ListOnRequest, set.AdviseRetryAfter = ms, 5*sec, false, false
+	set.CallSlots, set.MaxMessages, set.ValueDecay, set.Forwarders = 5, 90, DecayHalving, n
 	if n < 36 {
-		set.CallSlots, set.MostHeld = 60, 2000
+		set.CallSlots, set.MaxMessages = 60, 2000
 	}
-	set.TipAfter, set.ColdFor, set.StartCapacity, set.TipMultiple = 2*sec, 12*sec, 0.15, 2.5
+	set.OverloadDuration, set.WarmupDuration, set.ColdCapacityShare, set.OverloadFactor = 2*sec, 12*sec, 0.15, 2.5
 	set.Classes = []Class{
-		{Name: "r", Aim: sec, Deadline: 8 * sec, Credit: 2, Late: 0.1, Effect: Safe},
-		{Name: "b", Aim: 2 * sec, Deadline: 12 * sec, Credit: 1, Late: 0.4, Effect: Keyed, Group: GroupZone, Window: 4800 * ms},
+		{Name: "r", SoftDeadline: sec, Deadline: 8 * sec, Value: 2, LateValueShare: 0.1, Idempotency: Idempotent},
+		{Name: "b", SoftDeadline: 2 * sec, Deadline: 12 * sec, Value: 1, LateValueShare: 0.4, Idempotency: Keyed, DedupScope: DedupZone, DedupWindow: 4800 * ms},
 	}
 	type fl struct {
 		done time.Duration
@@ -40,33 +40,33 @@
 	const start, step = 100 * sec, 20 * ms
 	down, up := 15*sec, 15*sec+outage
 	present := func(at time.Duration) float64 {
-		return capacity * (set.StartCapacity + (1-set.StartCapacity)*min(1, max(0, (at-up).Seconds()/set.ColdFor.Seconds())))
+		return capacity * (set.ColdCapacityShare + (1-set.ColdCapacityShare)*min(1, max(0, (at-up).Seconds()/set.WarmupDuration.Seconds())))
 	}
 	var calls []time.Duration
 	room := capacity
 	id := 0
 	at := time.Duration(0)
 	call := func(s Send) Outcome {
-		o := Outcome{ID: s.ID, Target: s.Target, Status: OK, Closed: true, Took: time.Duration((0.06 + 0.08*rng.Float64()) * float64(sec))}
-		o.Report = Report{Left: min(1, max(0, room/capacity)), Limit: capacity}
+		o := Outcome{ID: s.ID, Target: s.Target, Status: OK, Final: true, Duration: time.Duration((0.06 + 0.08*rng.Float64()) * float64(sec))}
+		o.Report = LimitReport{Remaining: min(1, max(0, room/capacity)), Limit: capacity}
 		switch {
 		case at >= down && at < up:
 			switch mode {
 			case "hang":
-				o = Outcome{ID: s.ID, Target: s.Target, Status: TimedOut, Took: s.Timeout}
+				o = Outcome{ID: s.ID, Target: s.Target, Status: TimedOut, Duration: s.Timeout}
 			case "wait":
-				o.Status, o.Closed, o.Took, o.Wait = Full, false, 30*ms, up-at
+				o.Status, o.Final, o.Duration, o.RetryAfter = Rejected, false, 30*ms, up-at
 			case "errors":
-				o.Status, o.Closed = Error, false
+				o.Status, o.Final = Error, false
 			default:
-				o.Status, o.Closed, o.Took = Full, false, 30*ms
+				o.Status, o.Final, o.Duration = Rejected, false, 30*ms
 			}
 		default:
-			if at >= up && at < up+set.ColdFor {
+			if at >= up && at < up+set.WarmupDuration {
 				calls = append(calls, at)
 			}
 			if room--; room < 0 {
-				o.Status, o.Closed, o.Took = Full, false, 30*ms
+				o.Status, o.Final, o.Duration = Rejected, false, 30*ms
 				room = max(room, -capacity/2)
 			} else if at >= up {
 				ok++
@@ -79,7 +79,7 @@
 			switch a := a.(type) {
 			case Send:
 				o := call(a)
-				x.fl = append(x.fl, fl{start + at + o.Took, o})
+				x.fl = append(x.fl, fl{start + at + o.Duration, o})
 			case WakeAt:
 				x.wake = a.At
 			}
@@ -91,11 +91,11 @@
 			t.Fatal(err)
 		}
 		hosts[i] = &h{p: p}
-		handle(hosts[i], []Event{Listing{How: ListStored, Entries: []Entry{entry("t1", 1, 0, 0), entry("t2", 1, 0, 1)}}})
+		handle(hosts[i], []Event{ListUpdate{Kind: ListCached, Entries: []Entry{entry("t1", 1, 0, 0), entry("t2", 1, 0, 1)}}})
 	}
 	for at = step; at <= up+20*sec; at += step {
 		if at >= down && at < up {
-			room = capacity * set.StartCapacity
+			room = capacity * set.ColdCapacityShare
 		} else {
 			room = min(room+present(at)*step.Seconds(), present(at))
 		}
@@ -131,10 +131,10 @@
 	}
 	j := 0
 	for i := range calls {
-		for calls[i]-calls[j] > set.TipAfter {
+		for calls[i]-calls[j] > set.OverloadDuration {
 			j++
 		}
-		allowed := set.TipMultiple * present(max(calls[i]-set.TipAfter/2, up)) * set.TipAfter.Seconds()
+		allowed := set.OverloadFactor * present(max(calls[i]-set.OverloadDuration/2, up)) * set.OverloadDuration.Seconds()
 		worst = max(worst, float64(i-j+1)/(allowed+3*math.Sqrt(allowed)+3))
 	}
 	return worst, ok, all
--- a/example_test.go
+++ b/example_test.go
@@ -11,10 +11,10 @@
 // Here each call is answered at once, and the clock starts anywhere.
 func Example() {
 	p, err := raventrestle.New(raventrestle.Settings{
-		Forwarders: 1, Tick: 5 * time.Millisecond, CallSlots: 4, MostHeld: 20,
-		Classes: []raventrestle.Class{{Name: "notice", Aim: 2 * time.Second, Deadline: 10 * time.Second, Credit: 1}},
-		Kinds:   []raventrestle.Kind{{BundleMax: 1}}, Zones: []raventrestle.Zone{{Name: "here"}},
-		ConnectWithin: time.Second, IdleClose: 15 * time.Second, SendCap: 6,
+		Forwarders: 1, MinBatchInterval: 5 * time.Millisecond, CallSlots: 4, MaxMessages: 20,
+		Classes: []raventrestle.Class{{Name: "notice", SoftDeadline: 2 * time.Second, Deadline: 10 * time.Second, Value: 1}},
+		Kinds:   []raventrestle.DestinationKind{{MaxBatch: 1}}, Zones: []raventrestle.Zone{{Name: "here"}},
+		ConnectTimeout: time.Second, IdleTimeout: 15 * time.Second, MaxAttempts: 6,
 	}, 1)
 	if err != nil {
 		fmt.Println(err)
@@ -22,7 +22,7 @@
 	}
 	now := 40 * time.Second
 	events := []raventrestle.Event{
-		raventrestle.Listing{How: raventrestle.ListStored, Entries: []raventrestle.Entry{{Target: "10.0.0.1:80", Dest: 7}}},
+		raventrestle.ListUpdate{Kind: raventrestle.ListCached, Entries: []raventrestle.Entry{{Target: "10.0.0.1:80", Dest: 7}}},
 		raventrestle.Arrival{ID: "a", Dest: 7, Budget: 10 * time.Second},
 		raventrestle.Arrival{ID: "b", Dest: 8, Budget: time.Second}, // no target is listed for it
 	}
@@ -35,7 +35,7 @@
 				fmt.Println("send", a.ID, "to", a.Target)
 				next = append(next, raventrestle.Outcome{
 					ID: a.ID, Target: a.Target, Status: raventrestle.OK,
-					Took: 80 * time.Millisecond, Closed: true,
+					Duration: 80 * time.Millisecond, Final: true,
 				})
 			case raventrestle.Refuse:
 				fmt.Println("refuse", a.ID)
--- a/floors_test.go
+++ b/floors_test.go
@@ -16,13 +16,13 @@
 	for _, n := range []int{1, 300} {
 		rng := rand.New(rand.NewPCG(7, uint64(n)))
 		set := settings()
-		set.Forwarders, set.AskForList, set.RetryAfter, set.CallSlots, set.MostHeld, set.Loss = n, false, false, 6, 90, LossHalving
-		set.OverShare = 0.2
+		set.Forwarders, set.ListOnRequest, set.AdviseRetryAfter, set.CallSlots, set.MaxMessages, set.ValueDecay = n, false, false, 6, 90, DecayHalving
+		set.OverShareFactor = 0.2
 		set.Tenants = []Tenant{{Name: "large", Share: 0.6, Quota: 6 * float64(n)}, {Name: "small", Share: 0.4, Quota: 4 * float64(n)}}
 		set.Classes = []Class{
-			{Name: "safe", Aim: sec, Deadline: 8 * sec, Credit: 2, Late: 0.1, Effect: Safe},
-			{Name: "keyed", Aim: 2 * sec, Deadline: 12 * sec, Credit: 1, Late: 0.4, Effect: Keyed, Group: GroupZone, Window: 4800 * ms},
-			{Name: "once", Aim: 2500 * ms, Deadline: 12 * sec, Credit: 5, Late: 0.3, Effect: Unsafe},
+			{Name: "safe", SoftDeadline: sec, Deadline: 8 * sec, Value: 2, LateValueShare: 0.1, Idempotency: Idempotent},
+			{Name: "keyed", SoftDeadline: 2 * sec, Deadline: 12 * sec, Value: 1, LateValueShare: 0.4, Idempotency: Keyed, DedupScope: DedupZone, DedupWindow: 4800 * ms},
+			{Name: "once", SoftDeadline: 2500 * ms, Deadline: 12 * sec, Value: 5, LateValueShare: 0.3, Idempotency: NonIdempotent},
 		}
 		p, err := New(set, 3)
 		if err != nil {
@@ -49,21 +49,21 @@
 					var d int
 					fmt.Sscanf(string(a.Target), "t%d", &d)
 					o := Outcome{
-						ID: a.ID, Target: a.Target, Took: 100 * ms, Status: OK, Closed: true,
-						Report: Report{Left: max(0, min(1, room[d]/each)), Limit: each * float64(n)},
+						ID: a.ID, Target: a.Target, Duration: 100 * ms, Status: OK, Final: true,
+						Report: LimitReport{Remaining: max(0, min(1, room[d]/each)), Limit: each * float64(n)},
 					}
 					if room[d] < 1 {
-						o.Status, o.Closed = Full, false
+						o.Status, o.Final = Rejected, false
 					} else {
 						room[d]--
 					}
-					calls = append(calls, out{now + o.Took, o})
+					calls = append(calls, out{now + o.Duration, o})
 				case WakeAt:
 					wake = a.At
 				}
 			}
 		}
-		step(Listing{How: ListStored, Entries: entries})
+		step(ListUpdate{Kind: ListCached, Entries: entries})
 		for range 6000 {
 			now += 10 * ms
 			var events []Event
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -98,7 +98,7 @@
 	}
 	c.Aside = append(c.Aside, c.Names.Aside...)
 	for name, x := range map[string]*int{
-		"balancers": &c.Settings.Forwarders, "limits.most_held": &c.Settings.MostHeld,
+		"balancers": &c.Settings.Forwarders, "limits.most_held": &c.Settings.MaxMessages,
 		"specifics.call_slots": &c.Settings.CallSlots,
 	} {
 		if *x < 1 {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -40,7 +40,7 @@
 			}
 		}
 		if (c.aside == "") != (aside == "") || conf.Limits.Cores <= 0 || conf.Limits.Sockets <= 0 ||
-			min(conf.Settings.Forwarders, conf.Settings.MostHeld, conf.Settings.CallSlots) < 1 {
+			min(conf.Settings.Forwarders, conf.Settings.MaxMessages, conf.Settings.CallSlots) < 1 {
 			t.Errorf("%s: %+v", name, conf)
 		}
 	}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -15,7 +15,7 @@
 		t.Fatal(err)
 	}
 	stored := strings.TrimSuffix(string(text), "\n")
-	want := raventrestle.Class{Name: "c", Aim: 1, Stretch: 2.5, Deadline: 3, Credit: 4.5, Late: 0.75, Effect: raventrestle.Unsafe, Group: raventrestle.GroupZone, Window: 6}
+	want := raventrestle.Class{Name: "c", SoftDeadline: 1, EstimateFactor: 2.5, Deadline: 3, Value: 4.5, LateValueShare: 0.75, Idempotency: raventrestle.NonIdempotent, DedupScope: raventrestle.DedupZone, DedupWindow: 6}
 	if got := Terms(want); got != stored {
 		t.Errorf("terms: got %q, want %q", got, stored)
 	}
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -155,9 +155,9 @@
 			return fmt.Errorf("%s is empty or stands twice", field("name"))
 		case c.Deadline <= 0 || c.Deadline > longest:
 			return fmt.Errorf("%s is no positive time within %v", field("deadline_us"), longest)
-		case c.Aim <= 0 || c.Aim > c.Deadline:
+		case c.SoftDeadline <= 0 || c.SoftDeadline > c.Deadline:
 			return fmt.Errorf("%s is no positive time within the deadline", field("aim_us"))
-		case c.Window < 0 || c.Window > longest:
+		case c.DedupWindow < 0 || c.DedupWindow > longest:
 			return fmt.Errorf("%s is no time within %v", field("window_us"), longest)
 		}
 		seen[c.Name] = true
@@ -165,7 +165,7 @@
 	for _, x := range []struct {
 		name  string
 		value int
-	}{{"limits.send_cap", s.SendCap}, {"limits.most_held", s.MostHeld}, {"specifics.call_slots", s.CallSlots}, {"balancers", s.Forwarders}} {
+	}{{"limits.send_cap", s.MaxAttempts}, {"limits.most_held", s.MaxMessages}, {"specifics.call_slots", s.CallSlots}, {"balancers", s.Forwarders}} {
 		if x.value < 1 || x.value > 1<<20 {
 			return fmt.Errorf("%s: %d is no positive number within %d", x.name, x.value, 1<<20)
 		}
@@ -222,15 +222,15 @@
 
 // Terms words what a class's messages are owed, so that they keep it across settings and lives.
 func Terms(c raventrestle.Class) string {
-	return fmt.Sprint(int64(c.Aim), c.Stretch, int64(c.Deadline), c.Credit, c.Late, uint8(c.Effect), uint8(c.Group), int64(c.Window))
+	return fmt.Sprint(int64(c.SoftDeadline), c.EstimateFactor, int64(c.Deadline), c.Value, c.LateValueShare, uint8(c.Idempotency), uint8(c.DedupScope), int64(c.DedupWindow))
 }
 
 // OfTerms is the class of the name with those terms. Terms that can't be read are an error, and the class is
 // then one that must not take effect twice.
 func OfTerms(name, terms string) (raventrestle.Class, error) {
 	c := raventrestle.Class{Name: name}
-	if _, err := fmt.Sscan(terms, &c.Aim, &c.Stretch, &c.Deadline, &c.Credit, &c.Late, &c.Effect, &c.Group, &c.Window); err != nil || c.Aim <= 0 || c.Deadline < c.Aim {
-		return raventrestle.Class{Name: name, Effect: raventrestle.Unsafe, Aim: time.Second, Deadline: time.Second}, fmt.Errorf("terms %q: %w", terms, err)
+	if _, err := fmt.Sscan(terms, &c.SoftDeadline, &c.EstimateFactor, &c.Deadline, &c.Value, &c.LateValueShare, &c.Idempotency, &c.DedupScope, &c.DedupWindow); err != nil || c.SoftDeadline <= 0 || c.Deadline < c.SoftDeadline {
+		return raventrestle.Class{Name: name, Idempotency: raventrestle.NonIdempotent, SoftDeadline: time.Second, Deadline: time.Second}, fmt.Errorf("terms %q: %w", terms, err)
 	}
 	return c, nil
 }
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -150,7 +150,7 @@
 		t.Fatalf("%v %+v", n.Names.Classes, n.Settings.Classes)
 	}
 	stricter := next(`"effect":"free"`, `"effect":"single_shot"`)
-	if i := stricter.Names.Classes["free"]; i != 2 || stricter.Settings.Classes[0] != free || stricter.Settings.Classes[i].Effect != raventrestle.Unsafe {
+	if i := stricter.Names.Classes["free"]; i != 2 || stricter.Settings.Classes[0] != free || stricter.Settings.Classes[i].Idempotency != raventrestle.NonIdempotent {
 		t.Fatalf("%v %+v", stricter.Names.Classes, stricter.Settings.Classes)
 	}
 	back, err := reload(inUse)
@@ -170,15 +170,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		aim := rapid.Int64Range(1, 1e12).Draw(t, "aim")
 		c := raventrestle.Class{
-			Name: "c", Aim: us(aim), Deadline: us(aim + rapid.Int64Range(0, 1e12).Draw(t, "more")), Stretch: rapid.Float64Range(0, 9).Draw(t, "stretch"),
-			Credit: rapid.Float64Range(0, 1e9).Draw(t, "credit"), Late: rapid.Float64Range(0, 1).Draw(t, "late"), Effect: raventrestle.Effect(rapid.IntRange(0, 2).Draw(t, "effect")),
-			Group: raventrestle.Group(rapid.IntRange(0, 2).Draw(t, "group")), Window: us(rapid.Int64Range(0, 1e12).Draw(t, "window")),
+			Name: "c", SoftDeadline: us(aim), Deadline: us(aim + rapid.Int64Range(0, 1e12).Draw(t, "more")), EstimateFactor: rapid.Float64Range(0, 9).Draw(t, "stretch"),
+			Value: rapid.Float64Range(0, 1e9).Draw(t, "credit"), LateValueShare: rapid.Float64Range(0, 1).Draw(t, "late"), Idempotency: raventrestle.Idempotency(rapid.IntRange(0, 2).Draw(t, "effect")),
+			DedupScope: raventrestle.DedupScope(rapid.IntRange(0, 2).Draw(t, "group")), DedupWindow: us(rapid.Int64Range(0, 1e12).Draw(t, "window")),
 		}
 		if got, err := OfTerms("c", Terms(c)); err != nil || got != c {
 			t.Fatalf("%q: %+v, want %+v: %v", Terms(c), got, c, err)
 		}
 	})
-	if c, err := OfTerms("c", "1 2"); err == nil || c.Effect != raventrestle.Unsafe {
+	if c, err := OfTerms("c", "1 2"); err == nil || c.Idempotency != raventrestle.NonIdempotent {
 		t.Fatal(fmt.Sprint(c, err))
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -109,17 +109,17 @@
 	} `json:"specifics"`
 }
 
-var effects = map[string]raventrestle.Effect{
-	"free": raventrestle.Safe, "guarded": raventrestle.Keyed, "single_shot": raventrestle.Unsafe,
+var effects = map[string]raventrestle.Idempotency{
+	"free": raventrestle.Idempotent, "guarded": raventrestle.Keyed, "single_shot": raventrestle.NonIdempotent,
 }
 
-var groups = map[string]raventrestle.Group{
-	"all": raventrestle.GroupAll, "zone": raventrestle.GroupZone, "cell": raventrestle.GroupTarget,
+var groups = map[string]raventrestle.DedupScope{
+	"all": raventrestle.DedupDestination, "zone": raventrestle.DedupZone, "cell": raventrestle.DedupTarget,
 }
 
-var losses = map[string]raventrestle.Loss{"linear": raventrestle.LossEven, "halving": raventrestle.LossHalving}
+var losses = map[string]raventrestle.ValueDecay{"linear": raventrestle.DecayLinear, "halving": raventrestle.DecayHalving}
 
-var sizes = map[string]raventrestle.Sizes{"nominal": raventrestle.SizesExact, "rough": raventrestle.SizesRough}
+var sizes = map[string]raventrestle.ListedLimits{"nominal": raventrestle.LimitsExact, "rough": raventrestle.LimitsApproximate}
 
 // Settings are read from their JSON object.
 func Settings(object []byte) (raventrestle.Settings, *Names, error) {
@@ -138,35 +138,35 @@
 	}
 	l, r := &in.Limits, &in.Rules
 	s := raventrestle.Settings{
-		Forwarders: in.Forwarders, Sizes: sizes[in.Sizes], Tick: us(in.Tick),
-		CallSlots: in.Specifics.CallSlots, MostHeld: l.MostHeld, SendCap: l.SendCap,
-		IdleClose: us(l.IdleClose), ConnectWithin: us(l.Connect), RetryAfter: l.RetryAfter,
-		MaxRetryAfter: us(l.MaxRetryAfter), AskForList: in.Mode == "on_request", AskWithin: us(r.AskWithin),
-		DrainGrace: us(r.DrainGrace), Slack: us(r.Slack), Streams: l.Streams,
-		Probes: l.Probes, Notes: l.Peers, Cancels: l.Cancel, SecondCopies: l.SecondCopies,
-		MarksRetry: in.Habits.MarksRetry, Position: in.Position, OverShare: in.OverShare,
-		Loss: losses[in.Specifics.Loses], Mix: raventrestle.Mix{
-			Whole: in.Mix.Whole, WorstWindow: in.Mix.Window,
+		Forwarders: in.Forwarders, ListedLimits: sizes[in.Sizes], MinBatchInterval: us(in.Tick),
+		CallSlots: in.Specifics.CallSlots, MaxMessages: l.MostHeld, MaxAttempts: l.SendCap,
+		IdleTimeout: us(l.IdleClose), ConnectTimeout: us(l.Connect), AdviseRetryAfter: l.RetryAfter,
+		MaxRetryAfter: us(l.MaxRetryAfter), ListOnRequest: in.Mode == "on_request", ListRequestTimeout: us(r.AskWithin),
+		DrainGracePeriod: us(r.DrainGrace), AnswerGracePeriod: us(r.Slack), StreamsPerConnection: l.Streams,
+		AllowProbes: l.Probes, AllowPeerMessages: l.Peers, AllowCancel: l.Cancel, AllowConcurrentAttempts: l.SecondCopies,
+		ClientsMarkRetries: in.Habits.MarksRetry, Position: in.Position, OverShareFactor: in.OverShare,
+		ValueDecay: losses[in.Specifics.Loses], ScoreWeights: raventrestle.ScoreWeights{
+			Overall: in.Mix.Whole, WorstWindow: in.Mix.Window,
 			WorstClass: in.Mix.Class, WorstTenant: in.Mix.Tenant,
 		},
 		Charges: raventrestle.Charges{
 			CrossZone: in.Charges.CrossZone, Handshake: in.Charges.Handshake,
-			Waste: in.Charges.Waste, LateFail: in.Charges.LateFail, Refused: in.Specifics.Refused,
-			Probe: in.Charges.Probe, Note: in.Charges.Peer,
+			WastedWork: in.Charges.Waste, LateFailure: in.Charges.LateFail, RejectedCall: in.Specifics.Refused,
+			Probe: in.Charges.Probe, PeerMessage: in.Charges.Peer,
 		},
-		TipMultiple: r.TipMultiple, TipAfter: us(r.TipAfter), ColdFor: us(r.ColdFor),
-		StartCapacity: r.StartCapacity,
+		OverloadFactor: r.TipMultiple, OverloadDuration: us(r.TipAfter), WarmupDuration: us(r.ColdFor),
+		ColdCapacityShare: r.StartCapacity,
 	}
 	for i, c := range in.Classes {
 		effect, known := effects[c.Effect]
 		if !known {
-			effect = raventrestle.Unsafe
+			effect = raventrestle.NonIdempotent
 		}
 		nm.Keyed[c.Name] = effect == raventrestle.Keyed
 		s.Classes = append(s.Classes, raventrestle.Class{
-			Name: c.Name, Aim: us(c.Aim), Stretch: c.Stretch,
-			Deadline: us(c.Deadline), Credit: c.Credit, Late: c.Late, Effect: effect,
-			Group: groups[c.Group], Window: us(c.Window),
+			Name: c.Name, SoftDeadline: us(c.Aim), EstimateFactor: c.Stretch,
+			Deadline: us(c.Deadline), Value: c.Credit, LateValueShare: c.Late, Idempotency: effect,
+			DedupScope: groups[c.Group], DedupWindow: us(c.Window),
 		})
 		if c.InOrder {
 			nm.Aside = append(nm.Aside, fmt.Sprintf("settings.classes[%d].by_arrival (%q): messages leave in any order", i, c.Name))
@@ -179,12 +179,12 @@
 	}
 	for i, k := range in.Kinds {
 		nm.Kinds[k] = i
-		kind := raventrestle.Kind{BundleMax: 1}
+		kind := raventrestle.DestinationKind{MaxBatch: 1}
 		if i < len(in.Specifics.BundleMax) {
-			kind.BundleMax = in.Specifics.BundleMax[i]
+			kind.MaxBatch = in.Specifics.BundleMax[i]
 		}
 		if i < len(in.Specifics.Apart) {
-			kind.Apart = in.Specifics.Apart[i]
+			kind.RoutePerTarget = in.Specifics.Apart[i]
 		}
 		s.Kinds = append(s.Kinds, kind)
 	}
--- a/internal/deadletter/golden_test.go
+++ b/internal/deadletter/golden_test.go
@@ -35,7 +35,7 @@
 func goldenDeadLetters() []*Letter {
 	full := &Letter{
 		ID: "id-1", Key: "key-2", Class: "class-3", Tenant: "tenant-4", Dest: 5, Taken: 6_000_000_000, Until: 7_000_000_000,
-		Failed: 8_000_000_000, Why: "why-9", Effect: raventrestle.Unsafe, Group: raventrestle.GroupZone, Window: 12, Deadline: 13,
+		Failed: 8_000_000_000, Why: "why-9", Effect: raventrestle.NonIdempotent, Group: raventrestle.DedupZone, Window: 12, Deadline: 13,
 		Worth:     14.5,
 		Tries:     []Try{{Peer: "peer-15", Floor: "floor-16", At: 17, Outcome: "outcome-18"}, {Peer: "peer-19", Floor: "floor-20", At: 21}},
 		Ran:       &Try{Peer: "peer-22", Floor: "floor-23", At: 24, Outcome: "outcome-25"},
@@ -47,7 +47,7 @@
 	for i, state := range []rule.State{rule.Held, rule.Out, rule.Delivered, rule.Void, rule.Discarded} {
 		l := &Letter{
 			ID: fmt.Sprint("state-", state), Class: "c", Dest: int64(40 + i), Failed: int64(50 + i), Effect: raventrestle.Keyed,
-			Group: raventrestle.GroupTarget, State: state, Body: []byte{byte(60 + i)},
+			Group: raventrestle.DedupTarget, State: state, Body: []byte{byte(60 + i)},
 		}
 		if state == rule.Out {
 			l.Resends = []Resend{{Began: 70}}
@@ -188,8 +188,8 @@
 		t.Fatal(err)
 	}
 	numbers := map[string]uint8{
-		"repeatable": uint8(raventrestle.Safe), "guarded": uint8(raventrestle.Keyed), "single_shot": uint8(raventrestle.Unsafe),
-		"group all": uint8(raventrestle.GroupAll), "group zone": uint8(raventrestle.GroupZone), "group target": uint8(raventrestle.GroupTarget),
+		"repeatable": uint8(raventrestle.Idempotent), "guarded": uint8(raventrestle.Keyed), "single_shot": uint8(raventrestle.NonIdempotent),
+		"group all": uint8(raventrestle.DedupDestination), "group zone": uint8(raventrestle.DedupZone), "group target": uint8(raventrestle.DedupTarget),
 	}
 	if diff := cmp.Diff(slices.Sorted(maps.Keys(want)), slices.Sorted(maps.Keys(numbers))); diff != "" {
 		t.Fatalf("names (-stored +got):\n%s", diff)
--- a/internal/deadletter/letter.go
+++ b/internal/deadletter/letter.go
@@ -48,28 +48,28 @@
 
 // Letter is one dead letter: a failed message. Its body is kept beside it.
 type Letter struct {
-	ID        string              `cbor:"1,keyasint" json:"id"`
-	Key       string              `cbor:"2,keyasint,omitempty" json:"key"`
-	Class     string              `cbor:"3,keyasint" json:"class"`
-	Tenant    string              `cbor:"4,keyasint,omitempty" json:"hotel"`
-	Dest      int64               `cbor:"5,keyasint" json:"channel"`
-	Taken     int64               `cbor:"6,keyasint,omitempty" json:"taken"`  // taken on
-	Until     int64               `cbor:"7,keyasint,omitempty" json:"until"`  // its time was up
-	Failed    int64               `cbor:"8,keyasint,omitempty" json:"failed"` // given up
-	Why       string              `cbor:"9,keyasint,omitempty" json:"why"`
-	Effect    raventrestle.Effect `cbor:"10,keyasint,omitempty" json:"effect"`
-	Group     raventrestle.Group  `cbor:"11,keyasint,omitempty" json:"group"`
-	Window    int64               `cbor:"12,keyasint,omitempty" json:"window"`   // ns
-	Deadline  int64               `cbor:"13,keyasint,omitempty" json:"deadline"` // ns, of a delivery
-	Worth     float32             `cbor:"14,keyasint,omitempty" json:"worth"`
-	Tries     []Try               `cbor:"15,keyasint,omitempty" json:"tries"`
-	Ran       *Try                `cbor:"16,keyasint,omitempty" json:"ran"` // the first that may have run, resends among them
-	State     rule.State          `cbor:"17,keyasint,omitempty" json:"state"`
-	Resends   []Resend            `cbor:"18,keyasint,omitempty" json:"resends"`
-	NotBefore int64               `cbor:"19,keyasint,omitempty" json:"not_before"`
-	Asked     bool                `cbor:"20,keyasint,omitempty" json:"asked"`
-	Settled   int64               `cbor:"21,keyasint,omitempty" json:"settled"`
-	BodySize  int                 `cbor:"22,keyasint,omitempty" json:"body_size"`
+	ID        string                   `cbor:"1,keyasint" json:"id"`
+	Key       string                   `cbor:"2,keyasint,omitempty" json:"key"`
+	Class     string                   `cbor:"3,keyasint" json:"class"`
+	Tenant    string                   `cbor:"4,keyasint,omitempty" json:"hotel"`
+	Dest      int64                    `cbor:"5,keyasint" json:"channel"`
+	Taken     int64                    `cbor:"6,keyasint,omitempty" json:"taken"`  // taken on
+	Until     int64                    `cbor:"7,keyasint,omitempty" json:"until"`  // its time was up
+	Failed    int64                    `cbor:"8,keyasint,omitempty" json:"failed"` // given up
+	Why       string                   `cbor:"9,keyasint,omitempty" json:"why"`
+	Effect    raventrestle.Idempotency `cbor:"10,keyasint,omitempty" json:"effect"`
+	Group     raventrestle.DedupScope  `cbor:"11,keyasint,omitempty" json:"group"`
+	Window    int64                    `cbor:"12,keyasint,omitempty" json:"window"`   // ns
+	Deadline  int64                    `cbor:"13,keyasint,omitempty" json:"deadline"` // ns, of a delivery
+	Worth     float32                  `cbor:"14,keyasint,omitempty" json:"worth"`
+	Tries     []Try                    `cbor:"15,keyasint,omitempty" json:"tries"`
+	Ran       *Try                     `cbor:"16,keyasint,omitempty" json:"ran"` // the first that may have run, resends among them
+	State     rule.State               `cbor:"17,keyasint,omitempty" json:"state"`
+	Resends   []Resend                 `cbor:"18,keyasint,omitempty" json:"resends"`
+	NotBefore int64                    `cbor:"19,keyasint,omitempty" json:"not_before"`
+	Asked     bool                     `cbor:"20,keyasint,omitempty" json:"asked"`
+	Settled   int64                    `cbor:"21,keyasint,omitempty" json:"settled"`
+	BodySize  int                      `cbor:"22,keyasint,omitempty" json:"body_size"`
 
 	Body []byte `cbor:"-" json:"-"`
 }
@@ -93,10 +93,10 @@
 // stricter binds old dead letters too, one that became laxer does not.
 func (l *Letter) Stricter(c raventrestle.Class) rule.Facts {
 	f := l.Facts()
-	if c.Effect > f.Effect {
-		f.Effect, f.Group, f.Window = c.Effect, c.Group, c.Window
-	} else if c.Effect == f.Effect {
-		f.Group, f.Window = max(f.Group, c.Group), min(f.Window, c.Window)
+	if c.Idempotency > f.Effect {
+		f.Effect, f.Group, f.Window = c.Idempotency, c.DedupScope, c.DedupWindow
+	} else if c.Idempotency == f.Effect {
+		f.Group, f.Window = max(f.Group, c.DedupScope), min(f.Window, c.DedupWindow)
 	}
 	return f
 }
@@ -126,8 +126,8 @@
 func Of(k journal.Kept, c raventrestle.Class, why string, now time.Time) *Letter {
 	l := &Letter{
 		ID: k.ID, Key: k.Key, Class: k.Class, Tenant: k.Tenant, Dest: k.Dest, Taken: k.Since, Until: k.Until,
-		Failed: now.UnixNano(), Why: why, Effect: c.Effect, Group: c.Group, Window: int64(c.Window),
-		Deadline: int64(c.Deadline), Worth: float32(c.Credit), Body: k.Body, BodySize: len(k.Body),
+		Failed: now.UnixNano(), Why: why, Effect: c.Idempotency, Group: c.DedupScope, Window: int64(c.DedupWindow),
+		Deadline: int64(c.Deadline), Worth: float32(c.Value), Body: k.Body, BodySize: len(k.Body),
 	}
 	l.Tries = Tries(k.Progress)
 	if k.Ran != nil { // it counts even where the list of tries was cut short
--- a/internal/deadletter/reconcile_test.go
+++ b/internal/deadletter/reconcile_test.go
@@ -83,7 +83,7 @@
 // that reason, goes nowhere else, and goes there when an endpoint is back in time.
 func TestFloorGone(t *testing.T) {
 	begun := make(chan Again, 4)
-	class := raventrestle.Class{Deadline: time.Second, Effect: raventrestle.Keyed, Group: raventrestle.GroupZone, Window: time.Hour}
+	class := raventrestle.Class{Deadline: time.Second, Idempotency: raventrestle.Keyed, DedupScope: raventrestle.DedupZone, DedupWindow: time.Hour}
 	k, _, _, err := Start(Config{
 		Folder: t.TempDir(), Options: large, Log: quiet, MaxAge: time.Hour, Settled: time.Hour, Append: appends,
 		Limits: rule.Limits{
@@ -98,7 +98,7 @@
 	}
 	run(t, k)
 	l := letter("m", 1, 1, 0)
-	l.Failed, l.Effect, l.Group, l.Window = time.Now().UnixNano(), class.Effect, class.Group, int64(class.Window)
+	l.Failed, l.Effect, l.Group, l.Window = time.Now().UnixNano(), class.Idempotency, class.DedupScope, int64(class.DedupWindow)
 	l.Ran = &Try{Peer: "p1", Floor: "a", At: time.Now().UnixNano(), Outcome: "reset"}
 	heard := make(chan error, 1)
 	k.Keep(l, false, func(err error) { heard <- err })
--- a/internal/deadletter/rule/rule.go
+++ b/internal/deadletter/rule/rule.go
@@ -36,8 +36,8 @@
 // Facts are what the rule needs to know of a dead letter.
 type Facts struct {
 	State     State
-	Effect    raventrestle.Effect
-	Group     raventrestle.Group
+	Effect    raventrestle.Idempotency
+	Group     raventrestle.DedupScope
 	Window    time.Duration // how long repeats of a guarded dead letter are dropped
 	MayRun    bool          // a try may have run
 	RanPeer   string        // and the first such went there
@@ -117,7 +117,7 @@
 	switch {
 	case f.State.Settled():
 		return HasEnd
-	case !f.MayRun || f.Effect == raventrestle.Safe:
+	case !f.MayRun || f.Effect == raventrestle.Idempotent:
 		return Allowed
 	case f.Effect != raventrestle.Keyed:
 		return MayHaveRun
@@ -130,13 +130,13 @@
 // Reaches says whether a repeat of the dead letter may go to the place.
 func (f Facts) Reaches(p Place) bool {
 	switch {
-	case !f.MayRun || f.Effect == raventrestle.Safe:
+	case !f.MayRun || f.Effect == raventrestle.Idempotent:
 		return true
 	case f.Effect != raventrestle.Keyed:
 		return false
-	case f.Group == raventrestle.GroupZone:
+	case f.Group == raventrestle.DedupZone:
 		return p.Floor != "" && p.Floor == f.RanFloor
-	case f.Group == raventrestle.GroupTarget:
+	case f.Group == raventrestle.DedupTarget:
 		return p.Peer == f.RanPeer
 	}
 	return true
--- a/internal/deadletter/rule/rule_test.go
+++ b/internal/deadletter/rule/rule_test.go
@@ -24,8 +24,8 @@
 	both := []Place{ground, upper}
 	ran := Facts{MayRun: true, RanPeer: "s1", RanFloor: "ground", RanAt: at(0), Window: 8 * time.Second, Failed: at(1)}
 	with := func(f Facts, change func(*Facts)) Facts { change(&f); return f }
-	guarded := with(ran, func(f *Facts) { f.Effect, f.Group = raventrestle.Keyed, raventrestle.GroupZone })
-	single := with(ran, func(f *Facts) { f.Effect = raventrestle.Unsafe })
+	guarded := with(ran, func(f *Facts) { f.Effect, f.Group = raventrestle.Keyed, raventrestle.DedupZone })
+	single := with(ran, func(f *Facts) { f.Effect = raventrestle.NonIdempotent })
 	asked := func(f *Facts) { f.Asked = true }
 	for name, c := range map[string]struct {
 		f      Facts
@@ -42,8 +42,8 @@
 		"guarded, its floor gone, asked":   {with(guarded, asked), at(2), []Place{upper}, PlaceGone},
 		"guarded, the window all but over": {guarded, at(7.9), both, WindowOver},
 		"guarded, window over, asked":      {with(guarded, asked), at(9), both, WindowOver},
-		"guarded by endpoint":              {with(guarded, func(f *Facts) { f.Group = raventrestle.GroupTarget }), at(2), []Place{{"s3", "ground"}}, PlaceGone},
-		"guarded by all":                   {with(guarded, func(f *Facts) { f.Group = raventrestle.GroupAll }), at(2), []Place{upper}, Allowed},
+		"guarded by endpoint":              {with(guarded, func(f *Facts) { f.Group = raventrestle.DedupTarget }), at(2), []Place{{"s3", "ground"}}, PlaceGone},
+		"guarded by all":                   {with(guarded, func(f *Facts) { f.Group = raventrestle.DedupDestination }), at(2), []Place{upper}, Allowed},
 		"floor unknown":                    {with(guarded, func(f *Facts) { f.RanFloor = "" }), at(2), []Place{{"s9", ""}}, PlaceGone},
 		"nobody listed":                    {ran, at(2), nil, Unlisted},
 		"resting":                          {with(ran, func(f *Facts) { f.NotBefore = at(5) }), at(2), both, Resting},
@@ -73,8 +73,8 @@
 		}
 		f := Facts{
 			State:  State(rapid.IntRange(0, 4).Draw(t, "state")),
-			Effect: raventrestle.Effect(rapid.IntRange(0, 2).Draw(t, "effect")),
-			Group:  raventrestle.Group(rapid.IntRange(0, 2).Draw(t, "group")), Window: second("window", 10),
+			Effect: raventrestle.Idempotency(rapid.IntRange(0, 2).Draw(t, "effect")),
+			Group:  raventrestle.DedupScope(rapid.IntRange(0, 2).Draw(t, "group")), Window: second("window", 10),
 			MayRun: rapid.Bool().Draw(t, "may run"), RanPeer: "p1", RanFloor: "a", RanAt: epoch.Add(second("ran", 10)),
 			Failed: epoch.Add(second("failed", 20)), Resends: rapid.IntRange(0, 5).Draw(t, "resends"),
 			NotBefore: epoch.Add(second("not before", 20)), Asked: rapid.Bool().Draw(t, "asked"),
@@ -88,10 +88,10 @@
 		if f.State != Held {
 			t.Fatal("sent though it has its end or is out")
 		}
-		if !f.MayRun || f.Effect == raventrestle.Safe {
+		if !f.MayRun || f.Effect == raventrestle.Idempotent {
 			return
 		}
-		if f.Effect == raventrestle.Unsafe {
+		if f.Effect == raventrestle.NonIdempotent {
 			t.Fatal("single_shot sent again")
 		}
 		if !now.Before(f.RanAt.Add(f.Window)) {
--- a/internal/deadletter/store_test.go
+++ b/internal/deadletter/store_test.go
@@ -357,7 +357,7 @@
 	k, _, _, err := Start(Config{
 		Folder: t.TempDir(), Options: large, Log: quiet, Limits: limits, MaxAge: 1 << 62,
 		Settled: time.Hour, Class: func(string) (raventrestle.Class, bool) {
-			return raventrestle.Class{Deadline: time.Second, Effect: raventrestle.Unsafe}, true
+			return raventrestle.Class{Deadline: time.Second, Idempotency: raventrestle.NonIdempotent}, true
 		}, Append: appends, Begin: func(a Again) bool { begun <- a; return true },
 	}, nil, true)
 	if err != nil {
--- a/internal/lab/cost.go
+++ b/internal/lab/cost.go
@@ -225,7 +225,7 @@
 		batch = append(batch, &deadletter.Letter{
 			ID: fmt.Sprintf("%016x", i), Key: fmt.Sprintf("%032x", i), Class: "deposit-charge", Tenant: "h",
 			Dest: int64(i%10 + 1), Taken: now.UnixNano(), Until: now.UnixNano(), Failed: now.UnixNano(), Why: "may have run", Worth: 5,
-			Effect: raventrestle.Unsafe, Tries: []deadletter.Try{{Peer: "s-1-0", Floor: "a", At: now.UnixNano(), Outcome: "reset"}},
+			Effect: raventrestle.NonIdempotent, Tries: []deadletter.Try{{Peer: "s-1-0", Floor: "a", At: now.UnixNano(), Outcome: "reset"}},
 			Ran: &deadletter.Try{Peer: "s-1-0", Floor: "a", At: now.UnixNano(), Outcome: "reset"}, Body: make([]byte, body),
 		})
 		if len(batch) == 1000 || i == n-1 {
--- a/internal/lab/virtual/call.go
+++ b/internal/lab/virtual/call.go
@@ -34,7 +34,7 @@
 	for _, t := range x.tries {
 		wait = max(wait, t.Timeout)
 	}
-	e.prune(w.now, c.set.IdleClose)
+	e.prune(w.now, c.set.IdleTimeout)
 	way := c.delay(e)
 	p := e.pools[c.n]
 	switch n := len(p.idle); {
@@ -44,7 +44,7 @@
 	case e.channelConnections(w) > 0 && e.conns >= e.channelConnections(w): // turned away before the call is read
 		w.after(2*way, func() {
 			if c.life == life {
-				c.answer(x, raventrestle.Outcome{Status: raventrestle.Full})
+				c.answer(x, raventrestle.Outcome{Status: raventrestle.Rejected})
 			}
 		})
 		return
@@ -102,7 +102,7 @@
 	}
 	fate, broken := e.Call(c.n, parts, w.now, w.now)
 	w.ledger.Broken(broken, string(x.tries[0].ID))
-	told := raventrestle.Report{Left: fate.Report.Left, Limit: fate.Report.Limit}
+	told := raventrestle.LimitReport{Remaining: fate.Report.Left, Limit: fate.Report.Limit}
 	reach := func(then func()) {
 		w.after(way, func() {
 			if c.life == life {
@@ -112,7 +112,9 @@
 	}
 	if fate.Code != 0 {
 		c.end(x, fate.Code)
-		reach(func() { c.answer(x, raventrestle.Outcome{Status: raventrestle.Full, Wait: fate.After, Report: told}) })
+		reach(func() {
+			c.answer(x, raventrestle.Outcome{Status: raventrestle.Rejected, RetryAfter: fate.After, Report: told})
+		})
 		return
 	}
 	w.at(fate.At, func() {
@@ -140,10 +142,10 @@
 			x.answered = true
 			reach(func() {
 				for i, t := range x.tries {
-					o := raventrestle.Outcome{Status: raventrestle.OK, Closed: true, Report: told}
+					o := raventrestle.Outcome{Status: raventrestle.OK, Final: true, Report: told}
 					if codes[i] != 0 {
-						o.Status = raventrestle.Moot
-						o.Closed = codes[i] == 410
+						o.Status = raventrestle.NotSent
+						o.Final = codes[i] == 410
 					}
 					if x.open[t.ID] {
 						c.outcome(x, t, o)
@@ -218,12 +220,12 @@
 // outcome notes how a try ended, and tells the module.
 func (c *courier) outcome(x *call, t raventrestle.Send, o raventrestle.Outcome) {
 	delete(x.open, t.ID)
-	o.ID, o.Target, o.Try, o.Took = t.ID, t.Target, x.numbers[t.ID], c.w.now.Sub(x.began)
+	o.ID, o.Target, o.Attempt, o.Duration = t.ID, t.Target, x.numbers[t.ID], c.w.now.Sub(x.began)
 	if r := c.journal[string(t.ID)]; r != nil {
 		switch {
-		case o.Closed:
+		case o.Final:
 			c.forget(r.id)
-		case o.Status != raventrestle.Full && o.Status != raventrestle.ConnectFailed && o.Status != raventrestle.Moot && r.ran == nil:
+		case o.Status != raventrestle.Rejected && o.Status != raventrestle.ConnectFailed && o.Status != raventrestle.NotSent && r.ran == nil:
 			r.ran = r.out
 		}
 		r.out = nil
--- a/internal/lab/virtual/courier.go
+++ b/internal/lab/virtual/courier.go
@@ -97,23 +97,23 @@
 		}
 		w.ledger.Ready(c.n, w.now)
 		w.front.Up(c.n)
-		c.post(c.listing(raventrestle.ListStored))
+		c.post(c.listing(raventrestle.ListCached))
 		for _, id := range slices.Clone(c.order) {
 			r := c.journal[id]
 			if r.owed != nil {
 				c.told(r)
 				continue
 			}
-			back := raventrestle.Restored{Arrival: c.arrival(r, false), Sends: r.sends}
+			back := raventrestle.Restored{Arrival: c.arrival(r, false), Attempts: r.sends}
 			ran := r.ran
 			if ran == nil {
 				ran = r.out
 			} else {
-				back.Failed = true
+				back.AttemptFailed = true
 			}
 			if ran != nil {
-				back.MayRun, back.RanOn, back.RanAt = true, ran.peer, time.Duration(ran.at.UnixNano())
-				back.RanZone = config.Index(c.names.Zones, w.ends[ran.peer].Floor)
+				back.MayHaveRun, back.RunTarget, back.RunAt = true, ran.peer, time.Duration(ran.at.UnixNano())
+				back.RunZone = config.Index(c.names.Zones, w.ends[ran.peer].Floor)
 			}
 			c.post(back)
 		}
@@ -157,7 +157,7 @@
 	w.ledger.Ended(c.n, w.now)
 	w.front.Down(c.n, w.now)
 	last := w.now.Add(w.costs.Last)
-	c.post(raventrestle.Closing{At: time.Duration(last.UnixNano())})
+	c.post(raventrestle.Shutdown{At: time.Duration(last.UnixNano())})
 	const look = 20 * time.Millisecond
 	var quiet func()
 	quiet = func() {
@@ -176,12 +176,12 @@
 	w.after(700*time.Millisecond, quiet)
 }
 
-func (c *courier) listing(how raventrestle.ListKind) raventrestle.Listing {
-	l := raventrestle.Listing{How: how}
+func (c *courier) listing(how raventrestle.ListKind) raventrestle.ListUpdate {
+	l := raventrestle.ListUpdate{Kind: how}
 	for _, ch := range c.w.order {
 		for _, e := range ch.Endpoints {
 			state := c.w.state(e.Name)
-			if state == raventrestle.Gone {
+			if state == raventrestle.Removed {
 				continue
 			}
 			l.Entries = append(l.Entries, c.entry(ch, e, state))
@@ -212,7 +212,7 @@
 			} else {
 				e.Drain(c.n, c.w.now)
 			}
-			c.post(raventrestle.Listing{How: raventrestle.ListChanges, Entries: []raventrestle.Entry{c.entry(ch, e, state)}})
+			c.post(raventrestle.ListUpdate{Kind: raventrestle.ListChanges, Entries: []raventrestle.Entry{c.entry(ch, e, state)}})
 		}
 	}
 }
@@ -224,7 +224,7 @@
 	case !c.up:
 		answer(0)
 		return
-	case c.draining || len(c.journal) >= c.set.MostHeld:
+	case c.draining || len(c.journal) >= c.set.MaxMessages:
 		w.after(w.costs.Hop, func() { answer(503) })
 		return
 	}
@@ -246,7 +246,7 @@
 func (c *courier) arrival(r *record, again bool) raventrestle.Arrival {
 	return raventrestle.Arrival{
 		ID: raventrestle.MessageID(r.id), Class: r.class, Tenant: config.Index(c.names.Tenants, r.msg.Hotel),
-		Dest: raventrestle.DestID(r.msg.Dest), Budget: r.msg.Until.Sub(c.w.now), Again: again,
+		Dest: raventrestle.DestID(r.msg.Dest), Budget: r.msg.Until.Sub(c.w.now), Resubmitted: again,
 	}
 }
 
@@ -267,7 +267,7 @@
 }
 
 func (c *courier) stepBy(at time.Time) {
-	at = later(at, c.last.Add(c.set.Tick))
+	at = later(at, c.last.Add(c.set.MinBatchInterval))
 	if !c.stepAt.IsZero() && !c.stepAt.After(at) {
 		return
 	}
@@ -287,7 +287,7 @@
 	var lists, answers, rest []raventrestle.Event
 	for _, e := range c.mail {
 		switch e.(type) {
-		case raventrestle.Listing:
+		case raventrestle.ListUpdate:
 			lists = append(lists, e)
 		case raventrestle.Outcome:
 			answers = append(answers, e)
@@ -308,7 +308,7 @@
 		case raventrestle.Send:
 			calls = c.send(a, calls)
 		case raventrestle.Refuse:
-			c.ended(string(a.ID), "deferred", a.After)
+			c.ended(string(a.ID), "deferred", a.RetryAfter)
 		case raventrestle.Fail:
 			c.ended(string(a.ID), "undeliverable", 0)
 		case raventrestle.CloseIdle:
@@ -319,7 +319,7 @@
 		case raventrestle.Cancel:
 			for _, x := range slices.Clone(c.out) {
 				if len(x.tries) == 1 && x.tries[0].ID == a.ID {
-					c.fail(x, raventrestle.Cancelled)
+					c.fail(x, raventrestle.Canceled)
 				}
 			}
 		case raventrestle.Subscribe:
@@ -351,10 +351,10 @@
 			return
 		}
 		if w.now.Before(w.listOut) {
-			c.post(raventrestle.Listing{How: raventrestle.ListFailed})
+			c.post(raventrestle.ListUpdate{Kind: raventrestle.ListFailed})
 			return
 		}
-		c.post(c.listing(raventrestle.ListWhole))
+		c.post(c.listing(raventrestle.ListSnapshot))
 	})
 }
 
@@ -367,7 +367,7 @@
 		r.sends++
 	}
 	if e == nil || r != nil && e.dest != r.msg.Dest && c.w.channels[e.dest] == nil {
-		c.post(raventrestle.Outcome{ID: a.ID, Target: a.Target, Try: n, Status: raventrestle.Moot})
+		c.post(raventrestle.Outcome{ID: a.ID, Target: a.Target, Attempt: n, Status: raventrestle.NotSent})
 		return calls
 	}
 	if r != nil {
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -217,7 +217,7 @@
 			set(t.Mode)
 			for _, e := range c.Endpoints {
 				if e.Floor == t.Gone {
-					w.mark(e.Name, raventrestle.Gone)
+					w.mark(e.Name, raventrestle.Removed)
 				}
 			}
 		})
@@ -227,7 +227,7 @@
 		w.at(epoch.Add(o.At), func() {
 			w.listOut = w.now.Add(o.For)
 			for _, c := range w.couriers { // their watches end
-				c.post(raventrestle.Listing{How: raventrestle.ListFailed})
+				c.post(raventrestle.ListUpdate{Kind: raventrestle.ListFailed})
 			}
 		})
 	}
@@ -313,6 +313,6 @@
 		return raventrestle.Settings{}, nil, err
 	}
 	set, names, err := config.Settings(text)
-	set.Lag = lag
+	set.MaxSendJitter = lag
 	return set, names, err
 }
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -123,7 +123,7 @@
 	}
 	for _, e := range in {
 		switch e := e.(type) {
-		case raventrestle.Listing:
+		case raventrestle.ListUpdate:
 			for _, x := range e.Entries {
 				if !slices.Contains(g.ends[x.Dest], x.Target) {
 					g.ends[x.Dest] = append(g.ends[x.Dest], x.Target)
@@ -133,7 +133,7 @@
 			g.of[e.ID] = e.Dest
 			send(e.ID)
 		case raventrestle.Outcome:
-			if !e.Closed {
+			if !e.Final {
 				send(e.ID)
 			}
 		}
@@ -168,7 +168,7 @@
 						continue
 					}
 					for _, e := range in {
-						if o, ok := e.(raventrestle.Outcome); ok && o.ID == f.ID && o.Status != raventrestle.Full {
+						if o, ok := e.(raventrestle.Outcome); ok && o.ID == f.ID && o.Status != raventrestle.Rejected {
 							out[i] = raventrestle.Send{ID: f.ID, Target: o.Target, Timeout: time.Second}
 						}
 					}
@@ -181,7 +181,7 @@
 				in = slices.Clone(in)
 				for i, e := range in {
 					if o, ok := e.(raventrestle.Outcome); ok {
-						o.Wait = 0
+						o.RetryAfter = 0
 						in[i] = o
 					}
 				}
@@ -192,7 +192,7 @@
 			return &double{inner: inner, before: func(_ time.Duration, in events) events {
 				in = slices.Clone(in)
 				for i, e := range in {
-					if l, ok := e.(raventrestle.Listing); ok {
+					if l, ok := e.(raventrestle.ListUpdate); ok {
 						l.Entries = slices.Clone(l.Entries)
 						for j := range l.Entries {
 							l.Entries[j].State = raventrestle.Ready
--- a/internal/learned/golden_test.go
+++ b/internal/learned/golden_test.go
@@ -28,18 +28,18 @@
 	route := func(n int) *raventrestle.LearnedRoute {
 		f, d := float64(n)+0.5, time.Duration(n)
 		return &raventrestle.LearnedRoute{
-			Size: f, Rate: f + 1, Tokens: f + 2, Threshold: f + 3, SentRate: f + 4, SentRateAt: d + 5, Told: n%2 == 0, Shut: n%2 == 1,
-			FilledAt: d + 6, CutAt: d + 7, Until: d + 8, DownAt: d + 9, LastOK: d + 10, NextAt: d + 11, Mean: d + 12, Dev: d + 13, Fails: n + 14, N: n + 15,
+			Limit: f, Rate: f + 1, Tokens: f + 2, Threshold: f + 3, SentRate: f + 4, SentRateAt: d + 5, LimitReported: n%2 == 0, AllSuspended: n%2 == 1,
+			RefilledAt: d + 6, RateCutAt: d + 7, WaitUntil: d + 8, OutageAt: d + 9, LastOK: d + 10, NextAt: d + 11, Mean: d + 12, Dev: d + 13, Fails: n + 14, N: n + 15,
 		}
 	}
 	target := raventrestle.LearnedTarget{
-		Target: "target-1", Health: 2, Fails: 3, Mean: 4, Usual: 5.5, Bad: 6.5, All: 7.5, OddsAt: 8, Since: 9, RampAt: 10,
-		LastOK: 11, LastSent: 12, Every: 13, Route: route(100),
+		Target: "target-1", Health: 2, Fails: 3, Mean: 4, UsualRate: 5.5, FailureCount: 6.5, CallCount: 7.5, CountsAt: 8, Since: 9, SlowStartAt: 10,
+		LastOK: 11, LastSent: 12, SendInterval: 13, Route: route(100),
 	}
 	return Saved{At: 1_800_000_000 * time.Second, Learned: raventrestle.Learned{
-		CallSec: 14.5, Mean: 15, Dev: 16, N: 17, IdleLife: 18, Told: true,
+		CallSec: 14.5, Mean: 15, Dev: 16, N: 17, MaxIdleTime: 18, LimitsReported: true,
 		Dests: []raventrestle.LearnedDest{
-			{Dest: 19, CallSec: 20.5, Shut: 21, Left: 22.5, ConnLimited: true, Route: route(201), Targets: []raventrestle.LearnedTarget{target}},
+			{Dest: 19, CallSec: 20.5, RejectionsInRow: 21, DepartedTargetRate: 22.5, ConnLimited: true, Route: route(201), Targets: []raventrestle.LearnedTarget{target}},
 			{Dest: 23, Targets: []raventrestle.LearnedTarget{{Target: "target-24"}}},
 		},
 	}}
--- a/internal/learned/learned_test.go
+++ b/internal/learned/learned_test.go
@@ -15,9 +15,9 @@
 )
 
 func some(at time.Duration) Saved {
-	return Saved{At: at, Learned: raventrestle.Learned{CallSec: 0.1, N: 3, Told: true, Dests: []raventrestle.LearnedDest{{
+	return Saved{At: at, Learned: raventrestle.Learned{CallSec: 0.1, N: 3, LimitsReported: true, Dests: []raventrestle.LearnedDest{{
 		Dest:    7,
-		Targets: []raventrestle.LearnedTarget{{Target: "s-1", Route: &raventrestle.LearnedRoute{Size: 250, Rate: 0.9, Told: true, Until: at}}},
+		Targets: []raventrestle.LearnedTarget{{Target: "s-1", Route: &raventrestle.LearnedRoute{Limit: 250, Rate: 0.9, LimitReported: true, WaitUntil: at}}},
 	}}}}
 }
 
--- a/internal/net/courier/act.go
+++ b/internal/net/courier/act.go
@@ -93,14 +93,14 @@
 	}
 	r := c.peers[a.Target]
 	try := peer.Try{ID: m.ID, Key: m.Key, N: m.Tries, Body: m.Body, Wait: a.Timeout, Until: time.Unix(0, m.Until)}
-	if a.Within > 0 {
-		try.Before = time.Unix(0, int64(e.at+a.Within))
+	if a.MaxSendDelay > 0 {
+		try.Before = time.Unix(0, int64(e.at+a.MaxSendDelay))
 	}
 	m.Tries++
 	m.out = true
 	c.out++
 	if r == nil || r.entry.Dest != raventrestle.DestID(m.Dest) {
-		e.moot = append(e.moot, raventrestle.Outcome{ID: a.ID, Target: a.Target, Try: try.N, Status: raventrestle.Moot})
+		e.moot = append(e.moot, raventrestle.Outcome{ID: a.ID, Target: a.Target, Attempt: try.N, Status: raventrestle.NotSent})
 		return
 	}
 	zone := ""
@@ -113,7 +113,7 @@
 	}
 	e.records = append(e.records, journal.Begun(m.ID, begun))
 	c.tries(m.ID, a.Target)
-	e.add(r, a.Target, try, c.kind(r).BundleMax)
+	e.add(r, a.Target, try, c.kind(r).MaxBatch)
 }
 
 // add puts a try into a call.
@@ -132,7 +132,7 @@
 // refuse ends a message that surely did not run, or leaves it to the dead letters or to the next process.
 func (c *Courier) refuse(e *effects, a raventrestle.Refuse) {
 	m := c.msgs[a.ID]
-	end := journal.End{Deferred: true, AgainMS: a.After.Milliseconds()}
+	end := journal.End{Deferred: true, AgainMS: a.RetryAfter.Milliseconds()}
 	switch {
 	case m != nil && m.Resend > 0:
 		c.resent(m, "refused")
@@ -183,8 +183,8 @@
 		}
 		for _, t := range x.tries {
 			c.post(raventrestle.Outcome{
-				ID: raventrestle.MessageID(t.ID), Target: x.target, Try: t.N,
-				Status: raventrestle.Moot,
+				ID: raventrestle.MessageID(t.ID), Target: x.target, Attempt: t.N,
+				Status: raventrestle.NotSent,
 			})
 		}
 	}
--- a/internal/net/courier/courier.go
+++ b/internal/net/courier/courier.go
@@ -29,7 +29,7 @@
 	Taken, Full, Withdrawn, Restored         atomic.Int64
 	Delivered, Void, Deferred, Undeliverable atomic.Int64
 	Steps, LateSteps, Panics                 atomic.Int64
-	ByStatus                                 [raventrestle.Moot + 1]atomic.Int64
+	ByStatus                                 [raventrestle.NotSent + 1]atomic.Int64
 	Peers                                    peer.Counts
 }
 
@@ -109,13 +109,13 @@
 
 // New puts a courier together. Kept is what the journal held at the start.
 func New(conf *config.Config, store *journal.Store, kept []journal.Kept, book *figures.Book, log *slog.Logger) (*Courier, error) {
-	conf.Settings.Lag = lag
+	conf.Settings.MaxSendJitter = lag
 	policy, err := raventrestle.New(conf.Settings, conf.Seed)
 	if err != nil {
 		return nil, err
 	}
 	set := &conf.Settings
-	room := set.MostHeld + len(kept) + 16*set.CallSlots + 256
+	room := set.MaxMessages + len(kept) + 16*set.CallSlots + 256
 	c := &Courier{
 		conf: conf, policy: policy, log: log, journal: store, mail: make(chan any, room),
 		Tell: func(lifecycle.Event) {}, Figures: book, quiet: make(chan struct{}), known: map[string]bool{}, resends: map[string]bool{}, dests: map[int64]time.Time{},
@@ -145,8 +145,8 @@
 // peer starts the peer of an entry.
 func (c *Courier) peer(ctx context.Context, e upstream.Entry) *peer.Peer {
 	p := peer.New(ctx, peer.Config{
-		Name: string(e.Target), Addr: e.Addr, ConnectWithin: c.conf.Settings.ConnectWithin,
-		IdleClose: c.conf.Settings.IdleClose, Mailbox: 4*c.conf.Settings.CallSlots + 16, Log: c.log, Counts: &c.Counts.Peers,
+		Name: string(e.Target), Addr: e.Addr, ConnectWithin: c.conf.Settings.ConnectTimeout,
+		IdleClose: c.conf.Settings.IdleTimeout, Mailbox: 4*c.conf.Settings.CallSlots + 16, Log: c.log, Counts: &c.Counts.Peers,
 		Wrote: func(n int) {
 			c.Figures.UpstreamRequests.Add(int64(n))
 			c.called(e.Target)
@@ -196,7 +196,7 @@
 			continue
 		}
 		// The module's least time between two batches: what comes meanwhile goes along.
-		if rest := c.conf.Settings.Tick - time.Since(last); rest > 0 {
+		if rest := c.conf.Settings.MinBatchInterval - time.Since(last); rest > 0 {
 			time.Sleep(rest)
 		}
 		last = time.Now()
--- a/internal/net/courier/courier_test.go
+++ b/internal/net/courier/courier_test.go
@@ -34,9 +34,9 @@
 		Discovery: "127.0.0.1:1", Known: []byte(known),
 		Names: &config.Names{Classes: map[string]int{"c": 0}, Kinds: map[string]int{"k": 0}},
 		Settings: raventrestle.Settings{
-			Forwarders: 1, CallSlots: 4, MostHeld: 3, Kinds: []raventrestle.Kind{{BundleMax: 4}},
-			Classes:       []raventrestle.Class{{Name: "c", Aim: time.Second, Deadline: 9 * time.Second, Credit: 1}},
-			ConnectWithin: time.Second, IdleClose: 5 * time.Second,
+			Forwarders: 1, CallSlots: 4, MaxMessages: 3, Kinds: []raventrestle.DestinationKind{{MaxBatch: 4}},
+			Classes:        []raventrestle.Class{{Name: "c", SoftDeadline: time.Second, Deadline: 9 * time.Second, Value: 1}},
+			ConnectTimeout: time.Second, IdleTimeout: 5 * time.Second,
 		},
 	}, store, nil, &figures.Book{}, nettest.Log)
 	if err != nil {
@@ -110,7 +110,7 @@
 	if other, own := take("a", 8), take("b", 7); !errors.Is(other, front.ErrNoDest) || own != nil {
 		t.Fatal(other, own)
 	}
-	c.update(t.Context(), upstream.Update{How: raventrestle.ListWhole})
+	c.update(t.Context(), upstream.Update{How: raventrestle.ListSnapshot})
 	if err := take("c", 7); err != nil {
 		t.Fatal(err)
 	}
@@ -160,7 +160,7 @@
 		t.Run(name, func(t *testing.T) {
 			end := nettest.NewPeer(t, nettest.Answer(nettest.Plain(500, "", "")))
 			c := open(t, "")
-			c.conf.Settings.Kinds[0].Apart = apart
+			c.conf.Settings.Kinds[0].RoutePerTarget = apart
 			list := func(state raventrestle.Readiness) {
 				u := upstream.Update{}
 				for target, dest := range map[raventrestle.TargetID]raventrestle.DestID{"told": 7, "mate": 7, "other": 8, "drains": 9} {
@@ -182,14 +182,14 @@
 			}
 			list(raventrestle.Ready)
 			<-c.mail // the list it starts from
-			c.outcome(raventrestle.Outcome{ID: "x", Target: "told", Status: raventrestle.Full, Wait: time.Hour})
+			c.outcome(raventrestle.Outcome{ID: "x", Target: "told", Status: raventrestle.Rejected, RetryAfter: time.Hour})
 			list(raventrestle.Draining)
 			got := map[raventrestle.TargetID]bool{}
 			for target := range c.peers {
-				got[target] = status(target) == raventrestle.Moot
+				got[target] = status(target) == raventrestle.NotSent
 			}
 			list(raventrestle.Ready)
-			got["serves again"] = status("drains") == raventrestle.Moot
+			got["serves again"] = status("drains") == raventrestle.NotSent
 			want := map[raventrestle.TargetID]bool{"told": true, "mate": !apart, "other": false, "drains": true, "serves again": false}
 			if diff := cmp.Diff(want, got); diff != "" {
 				t.Fatalf("held: %s", diff)
@@ -210,9 +210,9 @@
 	<-c.mail
 	for id, within := range map[raventrestle.MessageID]time.Duration{"late": time.Nanosecond, "in time": nettest.Patience, "free": 0} {
 		c.msgs[id] = &message{Message: &journal.Message{ID: string(id), Dest: 7}}
-		c.act([]raventrestle.Action{raventrestle.Send{ID: id, Target: "p", Timeout: nettest.Patience, Within: within}}, nil)
+		c.act([]raventrestle.Action{raventrestle.Send{ID: id, Target: "p", Timeout: nettest.Patience, MaxSendDelay: within}}, nil)
 		o := nettest.Wait(t, "outcome", c.mail).(raventrestle.Outcome)
-		if late := o.Status == raventrestle.Moot; late != (id == "late") {
+		if late := o.Status == raventrestle.NotSent; late != (id == "late") {
 			t.Errorf("%s: %+v", id, o)
 		}
 	}
--- a/internal/net/courier/deadletters.go
+++ b/internal/net/courier/deadletters.go
@@ -35,7 +35,7 @@
 }
 
 func (c *Courier) note(m *message, o raventrestle.Outcome, word string) {
-	if o.Status != raventrestle.Moot && o.Status != raventrestle.Cancelled {
+	if o.Status != raventrestle.NotSent && o.Status != raventrestle.Canceled {
 		c.seen = append(c.seen, deadletter.Seen{Dest: destOf(m, c.peers[o.Target]), Delivered: o.Status == raventrestle.OK})
 	}
 	if m != nil {
@@ -76,7 +76,7 @@
 // platform, in that order. Without the dead letter the module's own end is told.
 func (c *Courier) undeliverable(m *message, t time.Duration, end journal.End) {
 	delete(c.msgs, raventrestle.MessageID(m.ID))
-	class := raventrestle.Class{Name: m.Class, Effect: raventrestle.Unsafe}
+	class := raventrestle.Class{Name: m.Class, Idempotency: raventrestle.NonIdempotent}
 	if i, known := c.conf.Names.Classes[m.Class]; known {
 		class = c.conf.Settings.Classes[i]
 	}
@@ -104,9 +104,9 @@
 
 // why words for operators what the message had come to when the module gave it up.
 func (c *Courier) why(m *message, class raventrestle.Class, t time.Duration) string {
-	most := c.conf.Settings.SendCap
+	most := c.conf.Settings.MaxAttempts
 	switch {
-	case m.Ran != nil && class.Effect == raventrestle.Unsafe:
+	case m.Ran != nil && class.Idempotency == raventrestle.NonIdempotent:
 		return "may have run"
 	case most > 0 && m.Tries >= most:
 		return "all tries used"
@@ -146,8 +146,8 @@
 		return e
 	}
 	return raventrestle.Restored{
-		Arrival: e, MayRun: true, RanOn: raventrestle.TargetID(a.Ran.Peer),
-		RanZone: c.zone(a.Ran.Zone), RanAt: time.Duration(a.Ran.At),
+		Arrival: e, MayHaveRun: true, RunTarget: raventrestle.TargetID(a.Ran.Peer),
+		RunZone: c.zone(a.Ran.Zone), RunAt: time.Duration(a.Ran.At),
 	}
 }
 
@@ -205,7 +205,7 @@
 
 func (c *Courier) load() rule.Load {
 	return rule.Load{
-		Slots: c.conf.Settings.CallSlots, Out: c.out, MostHeld: c.conf.Settings.MostHeld,
+		Slots: c.conf.Settings.CallSlots, Out: c.out, MostHeld: c.conf.Settings.MaxMessages,
 		Held: len(c.msgs), Resends: c.again,
 	}
 }
--- a/internal/net/courier/deadletters_test.go
+++ b/internal/net/courier/deadletters_test.go
@@ -72,9 +72,9 @@
 }
 
 var siteClasses = []raventrestle.Class{
-	{Name: "free", Aim: time.Second, Deadline: 5 * time.Second, Credit: 2},
-	{Name: "guarded", Aim: time.Second, Deadline: 5 * time.Second, Credit: 1, Effect: raventrestle.Keyed, Group: raventrestle.GroupZone, Window: 30 * time.Second},
-	{Name: "single", Aim: time.Second, Deadline: 5 * time.Second, Credit: 5, Effect: raventrestle.Unsafe},
+	{Name: "free", SoftDeadline: time.Second, Deadline: 5 * time.Second, Value: 2},
+	{Name: "guarded", SoftDeadline: time.Second, Deadline: 5 * time.Second, Value: 1, Idempotency: raventrestle.Keyed, DedupScope: raventrestle.DedupZone, DedupWindow: 30 * time.Second},
+	{Name: "single", SoftDeadline: time.Second, Deadline: 5 * time.Second, Value: 5, Idempotency: raventrestle.NonIdempotent},
 }
 
 // newSite has the dead letters of one failure: of every class some that never ran and some that may have.
@@ -97,8 +97,8 @@
 	for _, id := range []string{"f-ok", "f-500", "f-reset", "f-ran", "g-ok", "g-reset", "g-ran", "g-old", "s-ok", "s-reset", "s-busy", "s-ran"} {
 		class := siteClasses[strings.IndexByte("fgs", id[0])]
 		l := &deadletter.Letter{
-			ID: id, Key: "k-" + id, Class: class.Name, Dest: 7, Failed: now.UnixNano(), Effect: class.Effect,
-			Group: class.Group, Window: int64(class.Window), Deadline: int64(class.Deadline), Body: []byte(id),
+			ID: id, Key: "k-" + id, Class: class.Name, Dest: 7, Failed: now.UnixNano(), Effect: class.Idempotency,
+			Group: class.DedupScope, Window: int64(class.DedupWindow), Deadline: int64(class.Deadline), Body: []byte(id),
 		}
 		if strings.HasSuffix(id, "ran") || strings.HasSuffix(id, "old") {
 			l.Ran = &deadletter.Try{Peer: "s-0", Floor: "a", At: now.Add(-time.Second).UnixNano(), Outcome: "reset"}
@@ -155,9 +155,9 @@
 			Zones: map[string]int{"a": 0, "b": 1}, Tenants: map[string]int{},
 		},
 		Settings: raventrestle.Settings{
-			Forwarders: 1, CallSlots: 12, MostHeld: 60, Kinds: []raventrestle.Kind{{BundleMax: 1}},
-			Zones: []raventrestle.Zone{{Name: "a"}, {Name: "b"}}, Classes: siteClasses, ConnectWithin: time.Second,
-			IdleClose: 5 * time.Second, Tick: time.Millisecond, SendCap: 8,
+			Forwarders: 1, CallSlots: 12, MaxMessages: 60, Kinds: []raventrestle.DestinationKind{{MaxBatch: 1}},
+			Zones: []raventrestle.Zone{{Name: "a"}, {Name: "b"}}, Classes: siteClasses, ConnectTimeout: time.Second,
+			IdleTimeout: 5 * time.Second, MinBatchInterval: time.Millisecond, MaxAttempts: 8,
 		},
 	}
 	state := filepath.Join(s.dir, "state")
@@ -333,9 +333,9 @@
 			`{"name":"s-0","address":%q,"zone":"a","type":"k","group":7,"status":"SERVING"}]}`, s.peers[0].Addr())),
 		Names: &config.Names{Classes: map[string]int{"single": 0}, Kinds: map[string]int{"k": 0}, Zones: map[string]int{"a": 0}},
 		Settings: raventrestle.Settings{
-			Forwarders: 1, CallSlots: 4, MostHeld: 60, Kinds: []raventrestle.Kind{{BundleMax: 1}},
-			Zones: []raventrestle.Zone{{Name: "a"}}, Classes: siteClasses[2:], ConnectWithin: time.Second, IdleClose: 5 * time.Second,
-			Tick: time.Millisecond,
+			Forwarders: 1, CallSlots: 4, MaxMessages: 60, Kinds: []raventrestle.DestinationKind{{MaxBatch: 1}},
+			Zones: []raventrestle.Zone{{Name: "a"}}, Classes: siteClasses[2:], ConnectTimeout: time.Second, IdleTimeout: 5 * time.Second,
+			MinBatchInterval: time.Millisecond,
 		},
 	}
 	var c *Courier
@@ -417,9 +417,9 @@
 			`{"name":"s-0","address":%q,"zone":"a","type":"k","group":7,"status":"SERVING"}]}`, end.Addr())),
 		Names: &config.Names{Classes: map[string]int{"free": 0}, Kinds: map[string]int{"k": 0}, Zones: map[string]int{"a": 0}},
 		Settings: raventrestle.Settings{
-			Forwarders: 1, CallSlots: 8, MostHeld: 60, Kinds: []raventrestle.Kind{{BundleMax: 1}},
-			Zones: []raventrestle.Zone{{Name: "a"}}, Classes: siteClasses[:1], ConnectWithin: time.Second, IdleClose: 5 * time.Second,
-			Tick: time.Millisecond,
+			Forwarders: 1, CallSlots: 8, MaxMessages: 60, Kinds: []raventrestle.DestinationKind{{MaxBatch: 1}},
+			Zones: []raventrestle.Zone{{Name: "a"}}, Classes: siteClasses[:1], ConnectTimeout: time.Second, IdleTimeout: 5 * time.Second,
+			MinBatchInterval: time.Millisecond,
 		},
 	}
 	var c *Courier
--- a/internal/net/courier/figures_test.go
+++ b/internal/net/courier/figures_test.go
@@ -47,14 +47,14 @@
 			platform := nettest.NewPeer(t, nettest.Answer("HTTP/1.1 204 No Content\r\n\r\n"))
 			c := open(t, "")
 			c.notices.Move(platform.Addr())
-			c.conf.Settings.MostHeld, c.most = 40, 40
-			if err := c.policy.Retune(c.conf.Settings); err != nil {
+			c.conf.Settings.MaxMessages, c.most = 40, 40
+			if err := c.policy.Reconfigure(c.conf.Settings); err != nil {
 				t.Fatal(err)
 			}
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
 			go c.Run(ctx)
-			c.mail <- upstream.Update{How: raventrestle.ListWhole, Entries: []upstream.Entry{{Addr: end.Addr(), Entry: raventrestle.Entry{Target: "p", Dest: 7, Zone: -1}}}}
+			c.mail <- upstream.Update{How: raventrestle.ListSnapshot, Entries: []upstream.Entry{{Addr: end.Addr(), Entry: raventrestle.Entry{Target: "p", Dest: 7, Zone: -1}}}}
 			f := c.Figures.Class("c")
 			taken, handed := int64(0), int64(0)
 			check := func(slack int64) {
--- a/internal/net/courier/fleet.go
+++ b/internal/net/courier/fleet.go
@@ -59,7 +59,7 @@
 // route is what the limits and waits of a target are about: itself where routes are apart, else its destination.
 func (c *Courier) route(r *ref) facts.Subject {
 	s := facts.Subject{Dest: int64(r.entry.Dest)}
-	if c.kind(r).Apart {
+	if c.kind(r).RoutePerTarget {
 		s.Endpoint = string(r.entry.Target)
 	}
 	return s
@@ -75,8 +75,8 @@
 		return
 	}
 	defer c.unharmed()
-	if o.Wait > 0 {
-		c.fleet.Learn(c.route(r), facts.Wait, facts.Value{For: o.Wait})
+	if o.RetryAfter > 0 {
+		c.fleet.Learn(c.route(r), facts.Wait, facts.Value{For: o.RetryAfter})
 	}
 	if o.Report.Limit > 0 {
 		c.fleet.Learn(c.route(r), facts.Limit, facts.Value{Number: o.Report.Limit, For: time.Second})
@@ -127,7 +127,7 @@
 			s := facts.Subject{Dest: int64(d.Dest), Endpoint: string(x.Target)}
 			was, out := c.outages[x.Target]
 			switch held := x.Health == heldOff; {
-			case held && x.Fails > 0 && !out:
+			case held && x.ConsecutiveFailures > 0 && !out:
 				c.outages[x.Target] = t
 				c.fleet.Learn(s, facts.Outage, facts.Value{Number: 1}) // of the calls in a row that held it off
 			case held && out: // told again before it is too old to count
@@ -146,7 +146,7 @@
 // hear hands the module what others told of the listed targets. What a life told that is over decides nothing, and what
 // this life told the module has heard before.
 func (c *Courier) hear(t time.Duration) {
-	var told []raventrestle.Advice
+	var told []raventrestle.PeerObservation
 	c.look()
 	read := func(s facts.Subject, k facts.Kind) (facts.Evidence, bool) {
 		e, ok := c.fleet.Read(s, k)
@@ -158,10 +158,10 @@
 	for _, id := range slices.Sorted(maps.Keys(c.peers)) {
 		r := c.peers[id]
 		s := c.route(r)
-		a := raventrestle.Advice{Target: id}
+		a := raventrestle.PeerObservation{Target: id}
 		if e, ok := read(s, facts.Wait); ok && e.Origin != c.conf.Name && e.Left > 0 {
-			a.Until = t + e.Left
-			r.Hold(time.Unix(0, int64(a.Until)))
+			a.WaitUntil = t + e.Left
+			r.Hold(time.Unix(0, int64(a.WaitUntil)))
 		}
 		if e, ok := read(s, facts.Limit); ok && e.Origin != c.conf.Name && e.For > 0 {
 			a.Limit, a.LimitAt = e.Number/e.For.Seconds(), t-e.Age
@@ -169,15 +169,15 @@
 		s.Endpoint = string(id)
 		if e, ok := read(s, facts.Outage); ok && e.Origin != c.conf.Name {
 			if end, ended := read(s, facts.OutageEnd); !ended || end.Age > e.Age {
-				a.OutAt = t - e.Age
+				a.OutageAt = t - e.Age
 			}
 		}
-		if a != (raventrestle.Advice{Target: id}) {
+		if a != (raventrestle.PeerObservation{Target: id}) {
 			told = append(told, a)
 		}
 	}
 	if len(told) > 0 {
-		c.policy.Advise(t, told)
+		c.policy.ApplyObservations(t, told)
 		c.decided(told)
 	}
 }
--- a/internal/net/courier/fleet_test.go
+++ b/internal/net/courier/fleet_test.go
@@ -41,7 +41,7 @@
 	c.Share(f)
 	<-c.looks()
 	list := func(index int64, names ...string) {
-		u := upstream.Update{How: raventrestle.ListWhole, Index: index}
+		u := upstream.Update{How: raventrestle.ListSnapshot, Index: index}
 		for _, n := range names {
 			u.Entries = append(u.Entries, upstream.Entry{Addr: "127.0.0.1:1", Entry: raventrestle.Entry{Target: raventrestle.TargetID(n), Dest: 7, Zone: -1}})
 		}
@@ -60,8 +60,8 @@
 	c.share()
 	c.share()
 	want("the list", facts.Key{Kind: facts.ListVersion})
-	c.told(raventrestle.Outcome{Target: "a", Wait: time.Second, Report: raventrestle.Report{Limit: 5, Left: 1}})
-	c.told(raventrestle.Outcome{Target: "gone", Wait: time.Second})
+	c.told(raventrestle.Outcome{Target: "a", RetryAfter: time.Second, Report: raventrestle.LimitReport{Limit: 5, Remaining: 1}})
+	c.told(raventrestle.Outcome{Target: "gone", RetryAfter: time.Second})
 	want("an outcome", key("", facts.Wait), key("", facts.Limit))
 
 	lose := func(status raventrestle.Status, n int) {
@@ -69,7 +69,7 @@
 			id := raventrestle.MessageID([]string{"m", "n"}[i])
 			for _, a := range c.policy.Step(now(), []raventrestle.Event{raventrestle.Arrival{ID: id, Tenant: -1, Dest: 7, Budget: 9 * time.Second}}) {
 				if s, ok := a.(raventrestle.Send); ok {
-					c.policy.Step(now(), []raventrestle.Event{raventrestle.Outcome{ID: id, Target: s.Target, Status: status, Took: s.Timeout, Closed: true}})
+					c.policy.Step(now(), []raventrestle.Event{raventrestle.Outcome{ID: id, Target: s.Target, Status: status, Duration: s.Timeout, Final: true}})
 				}
 			}
 		}
@@ -87,7 +87,7 @@
 	c.share()
 	want("its end", key("a", facts.OutageEnd))
 
-	waits := func() time.Duration { return c.policy.View()[0].Wait }
+	waits := func() time.Duration { return c.policy.View()[0].WaitRemaining }
 	for _, e := range []facts.Evidence{{Left: time.Minute, Origin: "other", Dead: true}, {Left: time.Minute, Origin: "me"}, {Left: -1, Origin: "other"}} {
 		f.says[key("", facts.Wait)] = e
 		if c.share(); waits() > 0 {
--- a/internal/net/courier/history.go
+++ b/internal/net/courier/history.go
@@ -145,7 +145,7 @@
 
 // decided writes what of the advice changed something, with the age that was read and the bound that it is held to. A wait
 // has none: it counts until its end, and a later look at the same one, counted anew, is no decision.
-func (c *Courier) decided(told []raventrestle.Advice) {
+func (c *Courier) decided(told []raventrestle.PeerObservation) {
 	if c.history == nil {
 		return
 	}
@@ -155,21 +155,21 @@
 			rests = append(rests, history.Rest{ID: learning(e), Age: int64(e.Age), Bound: int64(bound)})
 		}
 	}
-	bound := c.conf.Settings.ColdFor
+	bound := c.conf.Settings.WarmupDuration
 	for _, a := range told {
 		r := c.peers[a.Target]
 		s := c.route(r)
 		wait := facts.Key{Subject: s, Kind: facts.Wait}
-		if a.Until > 0 && c.news(wait) { // each endpoint of the route keeps it
-			c.waits(a.Target, time.Unix(0, int64(a.Until)))
+		if a.WaitUntil > 0 && c.news(wait) { // each endpoint of the route keeps it
+			c.waits(a.Target, time.Unix(0, int64(a.WaitUntil)))
 		}
-		if a.Took&raventrestle.TookWait != 0 && c.news(wait) {
+		if a.Applied&raventrestle.AppliedWait != 0 && c.news(wait) {
 			rest(s, facts.Wait, 0)
 		}
-		if a.Took&raventrestle.TookLimit != 0 {
+		if a.Applied&raventrestle.AppliedLimit != 0 {
 			rest(s, facts.Limit, bound)
 		}
-		if s.Endpoint = string(a.Target); a.Took&raventrestle.TookOutage != 0 {
+		if s.Endpoint = string(a.Target); a.Applied&raventrestle.AppliedOutage != 0 {
 			rest(s, facts.Outage, bound)
 		}
 	}
--- a/internal/net/courier/history_test.go
+++ b/internal/net/courier/history_test.go
@@ -33,20 +33,20 @@
 // something; an answer counts once the journal has it, and what the platform is told in any case.
 func TestHistory(t *testing.T) {
 	c := open(t, "")
-	c.conf.Name, c.conf.Settings.ColdFor = "me", time.Minute
-	if err := c.policy.Retune(c.conf.Settings); err != nil {
+	c.conf.Name, c.conf.Settings.WarmupDuration = "me", time.Minute
+	if err := c.policy.Reconfigure(c.conf.Settings); err != nil {
 		t.Fatal(err)
 	}
 	f := &scripted{says: map[facts.Key]facts.Evidence{}}
 	c.Share(f)
 	<-c.looks()
-	u := upstream.Update{How: raventrestle.ListWhole}
+	u := upstream.Update{How: raventrestle.ListSnapshot}
 	for _, n := range []raventrestle.TargetID{"a", "b"} {
 		u.Entries = append(u.Entries, upstream.Entry{Addr: "127.0.0.1:1", Entry: raventrestle.Entry{Target: n, Dest: 7, Zone: -1}})
 	}
 	c.policy.Step(now(), []raventrestle.Event{c.update(t.Context(), u)})
 
-	m, told := &journal.Message{ID: "m"}, []raventrestle.Advice{{Target: "a", Until: 1, Took: raventrestle.TookWait}}
+	m, told := &journal.Message{ID: "m"}, []raventrestle.PeerObservation{{Target: "a", WaitUntil: 1, Applied: raventrestle.AppliedWait}}
 	if n := testing.AllocsPerRun(100, func() {
 		c.look()
 		c.takes(facts.Subject{Dest: 7}, facts.Wait, facts.Evidence{Origin: "o"})
--- a/internal/net/courier/list.go
+++ b/internal/net/courier/list.go
@@ -15,9 +15,9 @@
 )
 
 // update brings the peers up to date with the list.
-func (c *Courier) update(ctx context.Context, u upstream.Update) raventrestle.Listing {
-	l := raventrestle.Listing{How: u.How}
-	if stale := u.How == raventrestle.ListFailed; u.How != raventrestle.ListStored {
+func (c *Courier) update(ctx context.Context, u upstream.Update) raventrestle.ListUpdate {
+	l := raventrestle.ListUpdate{Kind: u.How}
+	if stale := u.How == raventrestle.ListFailed; u.How != raventrestle.ListCached {
 		if stale && !c.listStale {
 			c.Tell(lifecycle.Began{Trouble: lifecycle.ListStale})
 		} else if !stale && c.listStale {
@@ -31,7 +31,7 @@
 	for _, e := range u.Entries {
 		l.Entries = append(l.Entries, e.Entry)
 		r := c.peers[e.Target]
-		if e.State == raventrestle.Gone {
+		if e.State == raventrestle.Removed {
 			continue
 		}
 		listed[e.Target] = true
@@ -54,9 +54,9 @@
 		c.peers[e.Target] = &ref{entry: e, Peer: c.peer(ctx, e)}
 	}
 	for id, r := range c.peers {
-		whole := u.How == raventrestle.ListWhole || u.How == raventrestle.ListStored
+		whole := u.How == raventrestle.ListSnapshot || u.How == raventrestle.ListCached
 		gone := slices.ContainsFunc(u.Entries, func(e upstream.Entry) bool {
-			return e.Target == id && e.State == raventrestle.Gone
+			return e.Target == id && e.State == raventrestle.Removed
 		})
 		if gone || whole && !listed[id] {
 			r.Stop()
@@ -83,11 +83,11 @@
 }
 
 // kind is that of the peer's destination; one of an unknown kind shares its limit and takes single calls.
-func (c *Courier) kind(r *ref) raventrestle.Kind {
+func (c *Courier) kind(r *ref) raventrestle.DestinationKind {
 	if k := r.entry.Kind; k >= 0 {
 		return c.conf.Settings.Kinds[k]
 	}
-	return raventrestle.Kind{BundleMax: 1}
+	return raventrestle.DestinationKind{MaxBatch: 1}
 }
 
 // hold tells the peers of the target's route that it was told to wait: calls whose connection is
@@ -98,7 +98,7 @@
 		return
 	}
 	for id, r := range c.peers {
-		if id == target || r.entry.Dest == told.entry.Dest && !c.kind(r).Apart {
+		if id == target || r.entry.Dest == told.entry.Dest && !c.kind(r).RoutePerTarget {
 			r.Hold(until)
 			c.waits(id, until)
 		}
--- a/internal/net/courier/outcome.go
+++ b/internal/net/courier/outcome.go
@@ -11,9 +11,9 @@
 
 // statuses are the words for how a try ended, in records, dead letters and counters.
 var statuses = [...]string{
-	raventrestle.OK: "ok", raventrestle.Error: "error", raventrestle.Full: "full",
+	raventrestle.OK: "ok", raventrestle.Error: "error", raventrestle.Rejected: "full",
 	raventrestle.TimedOut: "timed_out", raventrestle.ConnectFailed: "connect_failed", raventrestle.Reset: "reset",
-	raventrestle.Cancelled: "cancelled", raventrestle.Moot: "moot",
+	raventrestle.Canceled: "cancelled", raventrestle.NotSent: "moot",
 }
 
 // outcome notes how a try ended.
@@ -22,8 +22,8 @@
 	c.Counts.ByStatus[o.Status].Add(1)
 	c.told(o)
 	var records []journal.Record
-	if o.Wait > 0 {
-		until := time.Now().Add(o.Wait)
+	if o.RetryAfter > 0 {
+		until := time.Now().Add(o.RetryAfter)
 		if c.hold(o.Target, until); c.Successors {
 			records = append(records, journal.Wait(string(o.Target), until.UnixNano()))
 		}
@@ -37,16 +37,16 @@
 	if m != nil {
 		m.out = false
 	}
-	never := o.Status == raventrestle.Full || o.Status == raventrestle.ConnectFailed || o.Status == raventrestle.Moot
+	never := o.Status == raventrestle.Rejected || o.Status == raventrestle.ConnectFailed || o.Status == raventrestle.NotSent
 	switch {
-	case o.Closed && m != nil && m.Resend > 0:
+	case o.Final && m != nil && m.Resend > 0:
 		what := "delivered"
 		if o.Status != raventrestle.OK {
 			what = "void"
 		}
 		c.resent(m, what)
 		return records // the dead letter comes first
-	case o.Closed:
+	case o.Final:
 		end := &c.Counts.Delivered
 		if o.Status != raventrestle.OK {
 			end = &c.Counts.Void
--- a/internal/net/courier/recall.go
+++ b/internal/net/courier/recall.go
@@ -34,8 +34,8 @@
 	c.policy.Inherit(*c.before)
 	for _, d := range c.before.Dests {
 		for _, t := range d.Targets {
-			if route := firstOf(d.Route, t.Route); route != nil && route.Until > now() {
-				c.hold(t.Target, time.Unix(0, int64(route.Until)))
+			if route := firstOf(d.Route, t.Route); route != nil && route.WaitUntil > now() {
+				c.hold(t.Target, time.Unix(0, int64(route.WaitUntil)))
 			}
 		}
 	}
--- a/internal/net/courier/retune.go
+++ b/internal/net/courier/retune.go
@@ -19,7 +19,7 @@
 func (c *Courier) bound(set *raventrestle.Settings) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.most, c.longest = set.MostHeld, 0
+	c.most, c.longest = set.MaxMessages, 0
 	for _, class := range set.Classes {
 		c.longest = max(c.longest, class.Deadline)
 	}
@@ -41,8 +41,8 @@
 func (c *Courier) retune(ctx context.Context, conf *config.Config) error {
 	conf.Follow(c.conf)
 	was, set := c.conf.Settings, &conf.Settings
-	set.Lag = lag
-	if err := c.policy.Retune(*set); err != nil {
+	set.MaxSendJitter = lag
+	if err := c.policy.Reconfigure(*set); err != nil {
 		return err
 	}
 	next := *c.conf
@@ -50,7 +50,7 @@
 	c.conf = &next
 	c.bound(set)
 	c.group.Serve(set, conf.Names)
-	if was.ConnectWithin == set.ConnectWithin && was.IdleClose == set.IdleClose {
+	if was.ConnectTimeout == set.ConnectTimeout && was.IdleTimeout == set.IdleTimeout {
 		return nil
 	}
 	for _, r := range c.peers { // their connections go by the new times
--- a/internal/net/courier/status.go
+++ b/internal/net/courier/status.go
@@ -36,7 +36,7 @@
 
 func (c *Courier) status() Status {
 	return Status{
-		Held: len(c.msgs), Out: c.out, Resends: c.again, Owed: c.owed(), MostHeld: c.conf.Settings.MostHeld, Slots: c.conf.Settings.CallSlots,
+		Held: len(c.msgs), Out: c.out, Resends: c.again, Owed: c.owed(), MostHeld: c.conf.Settings.MaxMessages, Slots: c.conf.Settings.CallSlots,
 		Listed: c.listed, Index: c.index, Channels: c.policy.View(),
 	}
 }
--- a/internal/net/courier/step.go
+++ b/internal/net/courier/step.go
@@ -59,7 +59,7 @@
 		case heedMsg:
 			c.heed(m.waits)
 		case elsewhereMsg:
-			c.policy.Elsewhere(m.calls - c.theirs)
+			c.policy.AdjustBusySlots(m.calls - c.theirs)
 			c.theirs = m.calls
 		case retuneMsg:
 			err := c.retune(ctx, m.conf)
@@ -68,7 +68,7 @@
 			asked = append(asked, m.to)
 		case closingMsg:
 			c.closing = true
-			rest = append(rest, raventrestle.Closing{At: time.Duration(m.at.UnixNano())})
+			rest = append(rest, raventrestle.Shutdown{At: time.Duration(m.at.UnixNano())})
 		}
 	}
 	if pass {
@@ -78,7 +78,7 @@
 	}
 	events := slices.Concat(lists, answers, rest)
 	if c.wake > 0 && c.wake <= t {
-		if t-c.wake > 2*c.conf.Settings.Tick {
+		if t-c.wake > 2*c.conf.Settings.MinBatchInterval {
 			c.Counts.LateSteps.Add(1)
 		}
 		c.wake = 0
@@ -104,7 +104,7 @@
 // figure brings the figures that are not counted up to date.
 func (c *Courier) figure() {
 	c.Figures.Members.Store(int64(len(c.peers)))
-	c.Figures.MembersUnavailable.Store(int64(c.policy.Avoided(now())))
+	c.Figures.MembersUnavailable.Store(int64(c.policy.UnavailableTargets(now())))
 }
 
 // decide keeps a fault of the module from ending the process: the batch is lost, not the courier.
@@ -113,7 +113,7 @@
 		if e := recover(); e != nil {
 			c.Counts.Panics.Add(1)
 			c.log.Error("courier: the module broke", "panic", fmt.Sprint(e), "stack", string(debug.Stack()))
-			actions = []raventrestle.Action{raventrestle.WakeAt{At: t + c.conf.Settings.Tick}}
+			actions = []raventrestle.Action{raventrestle.WakeAt{At: t + c.conf.Settings.MinBatchInterval}}
 		}
 	}()
 	return c.policy.Step(t, events)
@@ -123,7 +123,7 @@
 	return raventrestle.Arrival{
 		ID: raventrestle.MessageID(a.ID), Class: c.class(a.Message),
 		Tenant: config.Index(c.conf.Names.Tenants, a.Tenant), Dest: raventrestle.DestID(a.Dest),
-		Budget: time.Duration(a.Until) - t, Again: a.again, Orphan: a.orphan,
+		Budget: time.Duration(a.Until) - t, Resubmitted: a.again, Orphaned: a.orphan,
 	}
 }
 
@@ -143,7 +143,7 @@
 	// Of a life that had other settings: it stands behind the others, and no name leads to it.
 	next := *c.conf
 	next.Settings.Classes = append(slices.Clone(next.Settings.Classes), class)
-	if err := c.policy.Retune(next.Settings); err != nil {
+	if err := c.policy.Reconfigure(next.Settings); err != nil {
 		c.log.Error("courier: a class can't be taken up", "id", m.ID, "class", m.Class, "err", err)
 		return i
 	}
@@ -153,16 +153,16 @@
 
 // restored: a try that was out when the last process ended may have run.
 func (c *Courier) restored(k journal.Kept, t time.Duration) raventrestle.Restored {
-	r := raventrestle.Restored{Arrival: c.arrived(arrival{Message: k.Message}, t), Sends: k.Tries, Moved: k.Handed || c.inherited}
+	r := raventrestle.Restored{Arrival: c.arrived(arrival{Message: k.Message}, t), Attempts: k.Tries, HandedOver: k.Handed || c.inherited}
 	ran := k.Ran
 	if ran == nil {
 		ran = k.Out
 	} else {
-		r.Failed = true
+		r.AttemptFailed = true
 	}
 	if ran != nil {
-		r.MayRun, r.RanOn, r.RanAt = true, raventrestle.TargetID(ran.Peer), time.Duration(ran.At)
-		r.RanZone = config.Index(c.conf.Names.Zones, ran.Zone)
+		r.MayHaveRun, r.RunTarget, r.RunAt = true, raventrestle.TargetID(ran.Peer), time.Duration(ran.At)
+		r.RunZone = config.Index(c.conf.Names.Zones, ran.Zone)
 	}
 	return r
 }
--- a/internal/net/peer/peer.go
+++ b/internal/net/peer/peer.go
@@ -144,7 +144,7 @@
 
 // Hold keeps calls from being written before that time, those included whose connection is still
 // coming up: that takes up to ConnectWithin, in which the route may be told to wait or the list may
-// name the peer as draining. They end as Moot. The zero time lets calls through again.
+// name the peer as draining. They end as NotSent. The zero time lets calls through again.
 func (p *Peer) Hold(until time.Time) {
 	if until.IsZero() {
 		p.until.Store(0)
@@ -189,7 +189,7 @@
 	for range len(p.mail) {
 		switch m := (<-p.mail).(type) {
 		case callMsg:
-			(&teller{p: p, began: time.Now(), tries: m.tries, open: open(m.tries)}).all(raventrestle.Moot)
+			(&teller{p: p, began: time.Now(), tries: m.tries, open: open(m.tries)}).all(raventrestle.NotSent)
 		case idleMsg:
 			m.c.Close()
 		}
@@ -313,18 +313,18 @@
 	case err == nil:
 		p.Counts.Answers.Add(1)
 		for _, o := range a.outcomes(cl.tries) {
-			o.Took = a.at.Sub(began)
+			o.Duration = a.at.Sub(began)
 			told.one(o)
 		}
 	case held:
-		told.all(raventrestle.Moot)
+		told.all(raventrestle.NotSent)
 	case failed != nil:
 		p.Counts.Failures.Add(1)
 		p.Log.Debug("peer: try failed", "peer", p.Name, "id", cl.tries[0].ID, "n", len(cl.tries), "err", err,
 			"took", time.Since(began))
 		status := failed.Status()
 		if status == raventrestle.TimedOut && errors.Is(context.Cause(ctx), errCancelled) {
-			status = raventrestle.Cancelled
+			status = raventrestle.Canceled
 		}
 		told.all(status)
 	}
@@ -395,7 +395,7 @@
 	t.mu.Unlock()
 	if first {
 		o.Target = raventrestle.TargetID(t.p.Name)
-		o.Took = cmp.Or(o.Took, time.Since(t.began))
+		o.Duration = cmp.Or(o.Duration, time.Since(t.began))
 		t.p.Tell(o)
 	}
 }
@@ -409,7 +409,7 @@
 
 func (t *teller) all(s raventrestle.Status) {
 	for _, try := range t.tries {
-		t.one(raventrestle.Outcome{ID: raventrestle.MessageID(try.ID), Try: try.N, Status: s})
+		t.one(raventrestle.Outcome{ID: raventrestle.MessageID(try.ID), Attempt: try.N, Status: s})
 	}
 }
 
@@ -422,7 +422,7 @@
 			timer := time.AfterFunc(time.Until(try.Until), func() {
 				if ctx.Err() == nil {
 					t.one(raventrestle.Outcome{
-						ID: raventrestle.MessageID(try.ID), Try: try.N,
+						ID: raventrestle.MessageID(try.ID), Attempt: try.N,
 						Status: raventrestle.TimedOut,
 					})
 				}
--- a/internal/net/peer/peer_test.go
+++ b/internal/net/peer/peer_test.go
@@ -28,7 +28,7 @@
 	return Try{ID: id, Key: "key" + id, N: 2, Body: []byte("body " + id), Wait: wait, Until: time.Now().Add(time.Hour)}
 }
 
-var ignoreTook = cmpopts.IgnoreFields(raventrestle.Outcome{}, "Took")
+var ignoreTook = cmpopts.IgnoreFields(raventrestle.Outcome{}, "Duration")
 
 // Each way in which a call can end has its outcome, and none is made twice. A call whose last
 // byte was written may have run; what could not be written never ran.
@@ -43,20 +43,20 @@
 	}{
 		"delivered": {
 			nettest.Answer(nettest.Plain(200, "X-Pressure: {\"x9\":[1],\"x0\":0.4,\"x1\":25}\r\n", "any")), long,
-			raventrestle.Outcome{Status: raventrestle.OK, Closed: true, Report: raventrestle.Report{Left: 0.4, Limit: 25}},
+			raventrestle.Outcome{Status: raventrestle.OK, Final: true, Report: raventrestle.LimitReport{Remaining: 0.4, Limit: 25}},
 		},
 		"error": {nettest.Answer(nettest.Plain(500, "", "")), long, raventrestle.Outcome{Status: raventrestle.Error}},
 		"told to wait": {
 			nettest.Answer(nettest.Plain(429, "X-Come-Back-Ms: 340\r\n", "")), long,
-			raventrestle.Outcome{Status: raventrestle.Full, Wait: 340 * time.Millisecond},
+			raventrestle.Outcome{Status: raventrestle.Rejected, RetryAfter: 340 * time.Millisecond},
 		},
-		"turned away":               {nettest.Answer(nettest.Plain(503, "", "")), long, raventrestle.Outcome{Status: raventrestle.Full}},
-		"no slot":                   {nettest.Answer(nettest.Plain(503, "X-Line-Busy: 1\r\n", "")), long, raventrestle.Outcome{Status: raventrestle.Moot}},
-		"used up":                   {nettest.Answer(nettest.Plain(504, "", "")), long, raventrestle.Outcome{Status: raventrestle.Moot}},
-		"over":                      {nettest.Answer(nettest.Plain(410, "", "")), long, raventrestle.Outcome{Status: raventrestle.Moot, Closed: true}},
+		"turned away":               {nettest.Answer(nettest.Plain(503, "", "")), long, raventrestle.Outcome{Status: raventrestle.Rejected}},
+		"no slot":                   {nettest.Answer(nettest.Plain(503, "X-Line-Busy: 1\r\n", "")), long, raventrestle.Outcome{Status: raventrestle.NotSent}},
+		"used up":                   {nettest.Answer(nettest.Plain(504, "", "")), long, raventrestle.Outcome{Status: raventrestle.NotSent}},
+		"over":                      {nettest.Answer(nettest.Plain(410, "", "")), long, raventrestle.Outcome{Status: raventrestle.NotSent, Final: true}},
 		"reset":                     {reset, long, raventrestle.Outcome{Status: raventrestle.Reset}},
 		"half a first line":         {nettest.Script(func(c net.Conn, _ nettest.Call) bool { io.WriteString(c, "HTTP/1.1 20"); return false }), long, raventrestle.Outcome{Status: raventrestle.Error}},
-		"broken after a first line": {nettest.Script(func(c net.Conn, _ nettest.Call) bool { io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Pre"); return false }), long, raventrestle.Outcome{Status: raventrestle.OK, Closed: true}},
+		"broken after a first line": {nettest.Script(func(c net.Conn, _ nettest.Call) bool { io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Pre"); return false }), long, raventrestle.Outcome{Status: raventrestle.OK, Final: true}},
 		"nothing":                   {hang, soon, raventrestle.Outcome{Status: raventrestle.TimedOut}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -64,7 +64,7 @@
 			end := nettest.NewPeer(t, c.script)
 			p, out := start(t, end.Addr())
 			p.Call([]Try{try("a", c.wait)})
-			c.want.ID, c.want.Target, c.want.Try = "a", "p", 2
+			c.want.ID, c.want.Target, c.want.Attempt = "a", "p", 2
 			if diff := cmp.Diff(c.want, nettest.Wait(t, "outcome", out), ignoreTook); diff != "" {
 				t.Fatal(diff)
 			}
@@ -136,7 +136,7 @@
 // comes beyond it or just after it meets no later call.
 func TestSpoiltAndOverfullAnswers(t *testing.T) {
 	good := nettest.Plain(200, "", "")
-	const ok, er, full = raventrestle.OK, raventrestle.Error, raventrestle.Full
+	const ok, er, full = raventrestle.OK, raventrestle.Error, raventrestle.Rejected
 	for name, c := range map[string]struct {
 		answer, later string
 		want          raventrestle.Status
@@ -173,7 +173,7 @@
 			p, out := start(t, end.Addr())
 			p.Call([]Try{try("a", nettest.Patience)})
 			o := nettest.Wait(t, "outcome", out)
-			if o.Status != c.want || o.Closed != (c.want == ok) || o.Took > time.Second || o.Report.Limit != 0 {
+			if o.Status != c.want || o.Final != (c.want == ok) || o.Duration > time.Second || o.Report.Limit != 0 {
 				t.Fatalf("%+v", o)
 			}
 			if c.keep {
@@ -210,7 +210,7 @@
 	p.Call([]Try{try("hang", nettest.Patience)})
 	nettest.Wait(t, "call", end.Calls)
 	p.Cancel("hang")
-	if o := nettest.Wait(t, "outcome", out); o.Status != raventrestle.Cancelled {
+	if o := nettest.Wait(t, "outcome", out); o.Status != raventrestle.Canceled {
 		t.Fatalf("%+v", o)
 	}
 	nettest.Wait(t, "end of the cancelled call", end.Ends)
@@ -221,7 +221,7 @@
 func TestBulk(t *testing.T) {
 	tries := []Try{{ID: "a", Key: "k", Body: []byte("x\r\ny")}, {ID: "b"}, {ID: "c", Body: []byte("z")}, {ID: "d"}, {ID: "e"}, {ID: "f"}}
 	status := func(s ...raventrestle.Status) []raventrestle.Status { return s }
-	const ok, er, full, moot, rst = raventrestle.OK, raventrestle.Error, raventrestle.Full, raventrestle.Moot, raventrestle.Reset
+	const ok, er, full, moot, rst = raventrestle.OK, raventrestle.Error, raventrestle.Rejected, raventrestle.NotSent, raventrestle.Reset
 	for name, c := range map[string]struct {
 		answer string
 		want   []raventrestle.Status
@@ -249,11 +249,11 @@
 			for range tries {
 				o := nettest.Wait(t, "outcome", out)
 				got[o.ID[0]-'a'] = o.Status
-				if o.Closed {
+				if o.Final {
 					closed += string(o.ID)
 				}
-				if strings.Contains(c.answer, "Come-Back") && o.Wait != 70*time.Millisecond {
-					t.Errorf("%s was told to wait %v", o.ID, o.Wait)
+				if strings.Contains(c.answer, "Come-Back") && o.RetryAfter != 70*time.Millisecond {
+					t.Errorf("%s was told to wait %v", o.ID, o.RetryAfter)
 				}
 			}
 			if diff := cmp.Diff(c.want, got); diff != "" || closed != c.closed {
@@ -281,7 +281,7 @@
 		t.Fatalf("%+v with %d connections ended", o, len(end.Ends))
 	}
 	for _, id := range []raventrestle.MessageID{"longest", "mate"} {
-		if o := nettest.Wait(t, "outcome", out); o.ID != id || o.Took < time.Second {
+		if o := nettest.Wait(t, "outcome", out); o.ID != id || o.Duration < time.Second {
 			t.Fatalf("%+v", o)
 		}
 	}
@@ -306,7 +306,7 @@
 	}
 	close(over)
 	for range 2 {
-		if o := nettest.Wait(t, "outcome", out); o.Status != raventrestle.OK || !o.Closed {
+		if o := nettest.Wait(t, "outcome", out); o.Status != raventrestle.OK || !o.Final {
 			t.Fatalf("%+v", o)
 		}
 	}
@@ -337,7 +337,7 @@
 		t.Fatalf("%+v", o)
 	}
 	close(up)
-	if o := nettest.Wait(t, "outcome", out); o.ID != "mate" || o.Status != raventrestle.Moot || len(end.Calls) > 0 {
+	if o := nettest.Wait(t, "outcome", out); o.ID != "mate" || o.Status != raventrestle.NotSent || len(end.Calls) > 0 {
 		t.Fatalf("%+v, %d calls", o, len(end.Calls))
 	}
 }
@@ -350,7 +350,7 @@
 	p.Stop()
 	for i := range 20 {
 		if p.Call([]Try{try("a", nettest.Patience)}) {
-			if o := nettest.Wait(t, "outcome", out); o.Status != raventrestle.Moot && o.Status != raventrestle.OK {
+			if o := nettest.Wait(t, "outcome", out); o.Status != raventrestle.NotSent && o.Status != raventrestle.OK {
 				t.Fatalf("%+v", o)
 			}
 		} else if i == 0 {
@@ -371,7 +371,7 @@
 	}
 	p.Hold(time.Now().Add(time.Hour))
 	p.Hold(time.Now().Add(time.Second)) // a shorter one ends no longer one
-	if s := call("held"); s != raventrestle.Moot {
+	if s := call("held"); s != raventrestle.NotSent {
 		t.Fatalf("a held call ended as %v", s)
 	}
 	time.Sleep(2 * rest)
@@ -392,7 +392,7 @@
 	late.Before = time.Now().Add(-time.Millisecond) // a repeat whose window has passed, and its mate
 	p.Call([]Try{mate, late})
 	for range 2 {
-		if o := nettest.Wait(t, "outcome", out); o.Status != raventrestle.Moot || len(end.Calls) > 0 {
+		if o := nettest.Wait(t, "outcome", out); o.Status != raventrestle.NotSent || len(end.Calls) > 0 {
 			t.Fatalf("%+v, %d calls", o, len(end.Calls))
 		}
 	}
@@ -412,7 +412,7 @@
 	nettest.Wait(t, "call", end.Calls)
 	p.Cancel("a")
 	for range 2 {
-		if o := nettest.Wait(t, "outcome", out); o.Status != raventrestle.Cancelled {
+		if o := nettest.Wait(t, "outcome", out); o.Status != raventrestle.Canceled {
 			t.Errorf("%+v", o)
 		}
 	}
--- a/internal/net/peer/wire.go
+++ b/internal/net/peer/wire.go
@@ -45,7 +45,7 @@
 func (e *TryError) Status() raventrestle.Status {
 	switch {
 	case e.Reach == Held:
-		return raventrestle.Moot
+		return raventrestle.NotSent
 	case e.Reach < Written:
 		return raventrestle.ConnectFailed
 	case e.Reach == Answered: // it is no longer running, as one that was lost may be
@@ -106,7 +106,7 @@
 	code   int
 	busy   bool // all slots of this courier were taken
 	wait   time.Duration
-	report raventrestle.Report
+	report raventrestle.LimitReport
 	body   []byte
 	reuse  bool // the connection may carry another call
 }
@@ -191,7 +191,7 @@
 const mostLimit = 1e6
 
 // report takes the two values of a load report; one that can't be read to its end tells nothing.
-func report(text string) (r raventrestle.Report) {
+func report(text string) (r raventrestle.LimitReport) {
 	if text == "" {
 		return r
 	}
@@ -203,39 +203,39 @@
 		f.Left < 0 || f.Limit < 0 || f.Limit > mostLimit {
 		return r
 	}
-	return raventrestle.Report{Left: f.Left, Limit: f.Limit}
+	return raventrestle.LimitReport{Remaining: f.Left, Limit: f.Limit}
 }
 
 // ends are the words of an answer to several messages.
 var ends = map[string]raventrestle.Outcome{
-	"done":    {Status: raventrestle.OK, Closed: true},
+	"done":    {Status: raventrestle.OK, Final: true},
 	"failed":  {Status: raventrestle.Error},
-	"busy":    {Status: raventrestle.Full},
-	"void":    {Status: raventrestle.Moot, Closed: true},
-	"used_up": {Status: raventrestle.Moot},
+	"busy":    {Status: raventrestle.Rejected},
+	"void":    {Status: raventrestle.NotSent, Final: true},
+	"used_up": {Status: raventrestle.NotSent},
 }
 
 // outcomes reads the answer for each of the tries: what it does not tell may have run.
 func (a answer) outcomes(tries []Try) []raventrestle.Outcome {
-	all := raventrestle.Outcome{Wait: a.wait, Report: a.report}
+	all := raventrestle.Outcome{RetryAfter: a.wait, Report: a.report}
 	told := map[string]raventrestle.Outcome{}
 	switch a.code {
 	case http.StatusOK:
-		all.Status, all.Closed = raventrestle.OK, true
+		all.Status, all.Final = raventrestle.OK, true
 		if len(tries) > 1 {
-			all.Status, all.Closed = raventrestle.Reset, false
+			all.Status, all.Final = raventrestle.Reset, false
 			told = lines(a.body)
 		}
 	case http.StatusTooManyRequests:
-		all.Status = raventrestle.Full
+		all.Status = raventrestle.Rejected
 	case http.StatusServiceUnavailable:
-		if all.Status = raventrestle.Full; a.busy {
-			all.Status = raventrestle.Moot
+		if all.Status = raventrestle.Rejected; a.busy {
+			all.Status = raventrestle.NotSent
 		}
 	case http.StatusGone:
-		all.Status, all.Closed = raventrestle.Moot, true
+		all.Status, all.Final = raventrestle.NotSent, true
 	case http.StatusGatewayTimeout, http.StatusBadRequest, http.StatusRequestEntityTooLarge:
-		all.Status = raventrestle.Moot
+		all.Status = raventrestle.NotSent
 	default:
 		all.Status = raventrestle.Error
 	}
@@ -243,9 +243,9 @@
 	for i, t := range tries {
 		o := all
 		if own, ok := told[t.ID]; ok {
-			o.Status, o.Closed = own.Status, own.Closed
+			o.Status, o.Final = own.Status, own.Final
 		}
-		o.ID, o.Try = raventrestle.MessageID(t.ID), t.N
+		o.ID, o.Attempt = raventrestle.MessageID(t.ID), t.N
 		out[i] = o
 	}
 	return out
--- a/internal/net/upstream/silence_test.go
+++ b/internal/net/upstream/silence_test.go
@@ -54,9 +54,9 @@
 	full := nettest.Plain(200, "", news)
 	for name, part := range map[string]string{"nothing": "", "its head": full[:strings.Index(full, "{")], "half of its body": full[:len(full)-40]} {
 		for mode, set := range map[string]raventrestle.Settings{
-			"watch":  {AskForList: true, AskWithin: 10 * time.Second},
-			"poll":   {AskForList: true, AskWithin: 10 * time.Second},
-			"pushed": {AskWithin: 10 * time.Second},
+			"watch":  {ListOnRequest: true, ListRequestTimeout: 10 * time.Second},
+			"poll":   {ListOnRequest: true, ListRequestTimeout: 10 * time.Second},
+			"pushed": {ListRequestTimeout: 10 * time.Second},
 		} {
 			list, at := known, 2 // the call that falls silent
 			if mode == "poll" {
@@ -114,7 +114,7 @@
 func TestPushedListIsAskedForAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		updates := make(chan Update, 64)
-		g := New("agent", []byte(known), &raventrestle.Settings{AskWithin: 10 * time.Second}, &config.Names{}, nettest.Log,
+		g := New("agent", []byte(known), &raventrestle.Settings{ListRequestTimeout: 10 * time.Second}, &config.Names{}, nettest.Log,
 			func(u Update) { updates <- u })
 		scripted(g, func(n int, _ string, c net.Conn) bool {
 			if n <= 3 {
@@ -142,8 +142,8 @@
 // old one that has fallen silent, and again until it answers.
 func TestMoveIsAskedAtOnce(t *testing.T) {
 	for name, set := range map[string]raventrestle.Settings{
-		"asked":  {AskForList: true, AskWithin: 10 * time.Second},
-		"pushed": {AskWithin: 10 * time.Second},
+		"asked":  {ListOnRequest: true, ListRequestTimeout: 10 * time.Second},
+		"pushed": {ListRequestTimeout: 10 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -171,7 +171,7 @@
 				g.Move("another")
 				for u := range updates {
 					if u.How == raventrestle.ListFailed { // the module asks again after its pause
-						time.Sleep(set.AskWithin / 20)
+						time.Sleep(set.ListRequestTimeout / 20)
 						g.Subscribe()
 					} else if u.Index == 7 {
 						break
--- a/internal/net/upstream/upstream.go
+++ b/internal/net/upstream/upstream.go
@@ -76,14 +76,14 @@
 		log.Error("upstream: the known list is set aside", "err", err)
 		u, g.index = Update{}, -1
 	}
-	u.How = raventrestle.ListStored
+	u.How = raventrestle.ListCached
 	tell(u)
 	return g
 }
 
 // Serve reads lists by these kinds and zones, and asks for them by these settings, from now on.
 func (g *Group) Serve(set *raventrestle.Settings, names *config.Names) {
-	g.terms.Store(&terms{names, !set.AskForList})
+	g.terms.Store(&terms{names, !set.ListOnRequest})
 }
 
 // Subscribe asks for the list if no call is out.
@@ -220,7 +220,7 @@
 }
 
 var states = map[string]raventrestle.Readiness{
-	"SERVING": raventrestle.Ready, "DRAINING": raventrestle.Draining, "DELETED": raventrestle.Gone,
+	"SERVING": raventrestle.Ready, "DRAINING": raventrestle.Draining, "DELETED": raventrestle.Removed,
 }
 
 // parse reads a list or changes of one. A status that is not known gets nothing new.
@@ -247,7 +247,7 @@
 	}
 	u, names := Update{How: raventrestle.ListChanges, Index: *raw.Index}, g.terms.Load().names
 	if raw.Snapshot {
-		u.How = raventrestle.ListWhole
+		u.How = raventrestle.ListSnapshot
 	}
 	for _, e := range raw.Endpoints {
 		state, ok := states[e.Status]
@@ -257,7 +257,7 @@
 		u.Entries = append(u.Entries, Entry{Addr: e.Address, Entry: raventrestle.Entry{
 			Target: raventrestle.TargetID(e.Name), Dest: raventrestle.DestID(e.Group), State: state,
 			Kind: config.Index(names.Kinds, e.Type), Zone: config.Index(names.Zones, e.Zone),
-			Size: e.Weight, Joined: time.Duration(e.SinceMS * float64(time.Millisecond)),
+			RateLimit: e.Weight, JoinedAt: time.Duration(e.SinceMS * float64(time.Millisecond)),
 		}})
 	}
 	return u, nil
--- a/internal/net/upstream/upstream_test.go
+++ b/internal/net/upstream/upstream_test.go
@@ -35,7 +35,7 @@
 	})
 	names := &config.Names{Kinds: map[string]int{"m1": 0, "m2": 1}, Zones: map[string]int{"a": 0, "b": 1}}
 	updates := make(chan Update, 16)
-	few := &raventrestle.Settings{AskForList: true, AskWithin: 10 * time.Second}
+	few := &raventrestle.Settings{ListOnRequest: true, ListRequestTimeout: 10 * time.Second}
 	g := New(discovery.Addr(), []byte(known), few, names, nettest.Log, func(u Update) { updates <- u })
 	go g.Run(t.Context())
 	entry := func(name string, state raventrestle.Readiness) Entry {
@@ -44,12 +44,12 @@
 	drains := entry("s-1", raventrestle.Draining)
 	drains.Addr, drains.Dest = "127.0.0.1:1", 3
 	want := []Update{
-		{raventrestle.ListStored, []Entry{{Addr: "127.0.0.1:1", Entry: raventrestle.Entry{
+		{raventrestle.ListCached, []Entry{{Addr: "127.0.0.1:1", Entry: raventrestle.Entry{
 			Target: "s-1", Dest: 3,
-			Kind: 1, Zone: 1, Size: 1.5, Joined: 1500 * time.Millisecond,
+			Kind: 1, Zone: 1, RateLimit: 1.5, JoinedAt: 1500 * time.Millisecond,
 		}}}, 41},
-		{raventrestle.ListChanges, []Entry{drains, entry("s-2", raventrestle.Gone), entry("s-3", raventrestle.Draining)}, 43},
-		{raventrestle.ListWhole, nil, 44},
+		{raventrestle.ListChanges, []Entry{drains, entry("s-2", raventrestle.Removed), entry("s-3", raventrestle.Draining)}, 43},
+		{raventrestle.ListSnapshot, nil, 44},
 		{How: raventrestle.ListFailed},
 		{How: raventrestle.ListFailed},
 		{raventrestle.ListChanges, nil, 45},
@@ -87,11 +87,11 @@
 	for _, text := range []string{`{"index":`, `[]`, `{"endpoints":[]}`, `{"index":41,"endpoints":[{"name":7}]}`, "null"} {
 		discovery := nettest.NewPeer(t, nettest.Answer(nettest.Plain(200, "", known)))
 		updates := make(chan Update, 16)
-		g := New(discovery.Addr(), []byte(text), &raventrestle.Settings{AskForList: true}, &config.Names{}, nettest.Log, func(u Update) { updates <- u })
+		g := New(discovery.Addr(), []byte(text), &raventrestle.Settings{ListOnRequest: true}, &config.Names{}, nettest.Log, func(u Update) { updates <- u })
 		go g.Run(t.Context())
 		g.Subscribe()
 		first, then := nettest.Wait(t, "update", updates), nettest.Wait(t, "update", updates)
-		if first.How != raventrestle.ListStored || len(first.Entries) > 0 || then.How != raventrestle.ListWhole || len(then.Entries) != 1 {
+		if first.How != raventrestle.ListCached || len(first.Entries) > 0 || then.How != raventrestle.ListSnapshot || len(then.Entries) != 1 {
 			t.Errorf("%s: %+v, then %+v", text, first, then)
 		}
 		if call := nettest.Wait(t, "call", discovery.Calls); call.Query != "" {
--- a/internal/router/dispatch/attempt.go
+++ b/internal/router/dispatch/attempt.go
@@ -75,7 +75,7 @@
 	}
 	e.service.inFlight--
 	e.lastUsedAt = d.now
-	d.schedule.Ended(e, (d.now - r.sentAt).Seconds(), d.now)
+	d.schedule.EndCall(e, (d.now - r.sentAt).Seconds(), d.now)
 	r.target.inFlight--
 	d.noteDemandChanged()
 	r.endpoint = nil
--- a/internal/router/dispatch/choice.go
+++ b/internal/router/dispatch/choice.go
@@ -169,7 +169,7 @@
 	if _, ok := d.usable(e); !ok || res.notBefore > d.now || res.awaitsVerification(r.Adapter) {
 		return unavailable
 	}
-	if len(e.inFlight) >= d.maxConnections(e.service) || d.schedule.Full(e) {
+	if len(e.inFlight) >= d.maxConnections(e.service) || d.schedule.AtSlotLimit(e) {
 		return unavailable
 	}
 	if d.meetsTarget(r, ms) || d.underutilized(e) {
--- a/internal/router/dispatch/deadline.go
+++ b/internal/router/dispatch/deadline.go
@@ -34,7 +34,7 @@
 	case status == unavailable && res.awaitsVerification(r.Adapter) && d.now+recheckInterval < d.capQueueDeadline(r.fullValueDeadline()):
 		r.queueDeadline = d.now + recheckInterval
 		d.timers.add(r.queueDeadline, r)
-	case r.deferrals >= maxDeferrals || d.schedule.Busy >= d.schedule.Slots:
+	case r.deferrals >= maxDeferrals || d.schedule.BusySlots >= d.schedule.Slots:
 		d.reject(r, TargetUnreachable, d.overloadRetryAfter(r, res))
 	case status == availableNow:
 		d.requeue(r, res)
--- a/internal/router/dispatch/decider.go
+++ b/internal/router/dispatch/decider.go
@@ -60,7 +60,7 @@
 		requests:    map[RequestID]*request{},
 	}
 	d.schedule.Slots = options.Slots
-	d.schedule.Period = options.MonitorPeriod
+	d.schedule.MonitorPeriod = options.MonitorPeriod
 	d.schedule.Tolerance = monitorTolerance
 	return d
 }
--- a/internal/router/dispatch/dispatch.go
+++ b/internal/router/dispatch/dispatch.go
@@ -97,7 +97,7 @@
 	ms, cached := d.predict(res, r)
 	e.queue = remove(e.queue, r)
 	e.dispatched++
-	d.schedule.Sent(e, d.now)
+	d.schedule.StartCall(e, d.now)
 	r.target.queued--
 	r.target.inFlight++
 	d.countSend(r)
--- a/internal/router/dispatch/golden_fleet_test.go
+++ b/internal/router/dispatch/golden_fleet_test.go
@@ -341,7 +341,7 @@
 			kept += res.prefixCache.tokens
 		}
 		g.record("endpoint %s calls %d held %d slow %s backoff %d weight %d kept %d delta %s", id, len(e.inFlight), len(e.queue),
-			goldenExact(e.slowness.factor(d.now)), e.health.ejectionBackoff, e.health.failureScore, kept, goldenExact(e.Delta()))
+			goldenExact(e.slowness.factor(d.now)), e.health.ejectionBackoff, e.health.failureScore, kept, goldenExact(e.Penalty()))
 	}
 	for _, name := range goldenSorted(d.tenants) {
 		t := d.tenants[name]
--- a/internal/router/dispatch/health.go
+++ b/internal/router/dispatch/health.go
@@ -56,7 +56,7 @@
 	}
 	h.hasSucceeded = true
 	h.lastSuccessAt = d.now
-	e.Trouble = false
+	e.Degraded = false
 	h.failureScore = 0
 	h.ejectionBackoff = 0
 	h.rejectionBackoff = 0
@@ -99,7 +99,7 @@
 		e.service.ejected++
 	}
 	h.maxProbes = 1
-	e.Trouble = true
+	e.Degraded = true
 	h.probes = 0
 	for _, r := range e.inFlight {
 		r.probe = false
--- a/internal/router/dispatch/queue.go
+++ b/internal/router/dispatch/queue.go
@@ -58,7 +58,7 @@
 	r.endpoint = e
 	r.stage = stageQueued
 	d.insertQueued(e, r)
-	d.schedule.Hold(e, d.schedule.Cost(e), d.now)
+	d.schedule.AddTurn(e, d.schedule.Cost(e), d.now)
 	r.target.queued++
 }
 
@@ -102,7 +102,7 @@
 	d.noteDemandChanged()
 	if r.endpoint != nil {
 		r.endpoint.queue = remove(r.endpoint.queue, r)
-		d.schedule.Unhold(r.endpoint)
+		d.schedule.RemoveLastTurn(r.endpoint)
 		r.endpoint = nil
 		return
 	}
@@ -144,8 +144,8 @@
 
 // rebalanceQueues moves requests that may not leave where they are queued but could leave elsewhere.
 func (d *Decider) rebalanceQueues() {
-	for i := 0; i < len(d.schedule.Active); i++ {
-		e := d.schedule.Active[i]
+	for i := 0; i < len(d.schedule.ActiveFlows); i++ {
+		e := d.schedule.ActiveFlows[i]
 		for j := 0; j < min(len(e.queue), maxQueueScan); j++ {
 			r := e.queue[j]
 			if r.chosenAtVersion == r.group.version || d.mayDispatchNow(e, r) {
--- a/internal/router/dispatch/response_timeout.go
+++ b/internal/router/dispatch/response_timeout.go
@@ -36,7 +36,7 @@
 		d.timers.add(from, r)
 		return
 	}
-	e.Trouble = true
+	e.Degraded = true
 	if r.responseTimeouts++; r.responseTimeouts > 1 {
 		d.recordFailure(e, r, unreachableWeight)
 	}
--- a/internal/router/dispatch/script_test.go
+++ b/internal/router/dispatch/script_test.go
@@ -136,8 +136,8 @@
 		t.Errorf("got %v, want nothing sent or rejected", out)
 	}
 	s.step(1000, AttemptFinished{ID: 1, Endpoint: "a"})
-	if len(s.d.requests) > 0 || s.d.schedule.Busy != 0 {
-		t.Errorf("%d requests left and %d slots in use, want none", len(s.d.requests), s.d.schedule.Busy)
+	if len(s.d.requests) > 0 || s.d.schedule.BusySlots != 0 {
+		t.Errorf("%d requests left and %d slots in use, want none", len(s.d.requests), s.d.schedule.BusySlots)
 	}
 }
 
--- a/internal/router/dispatch/shutdown.go
+++ b/internal/router/dispatch/shutdown.go
@@ -67,7 +67,7 @@
 		d.wakeBy(d.shutdown.queueDeadline)
 		return
 	}
-	for _, e := range slices.Clone(d.schedule.Active) {
+	for _, e := range slices.Clone(d.schedule.ActiveFlows) {
 		d.rejectOverdue(e.queue)
 	}
 	for _, g := range slices.Clone(d.unassignedGroups) {
--- a/internal/router/dispatch/simulation_rules_test.go
+++ b/internal/router/dispatch/simulation_rules_test.go
@@ -171,8 +171,8 @@
 	if e, found := d.schedule.Next(d.offerFlow); found {
 		w.t.Fatalf("%s has a queued request that may leave, want it sent", e.id)
 	}
-	if d.schedule.Busy > d.schedule.Slots {
-		w.t.Fatalf("%d slots in use, want %d at most", d.schedule.Busy, d.schedule.Slots)
+	if d.schedule.BusySlots > d.schedule.Slots {
+		w.t.Fatalf("%d slots in use, want %d at most", d.schedule.BusySlots, d.schedule.Slots)
 	}
 }
 
--- a/internal/router/dispatch/simulation_test.go
+++ b/internal/router/dispatch/simulation_test.go
@@ -230,8 +230,8 @@
 				w.t.Errorf("router %d: request %d has %d ends, want 1", i, c.request.ID, c.endCount)
 			}
 		}
-		if d := w.routers[i]; len(d.requests) > 0 || d.schedule.Busy != 0 || len(d.unassignedGroups) > 0 {
-			w.t.Errorf("router %d: %d requests, %d slots in use, %d unassigned; want none", i, len(d.requests), d.schedule.Busy,
+		if d := w.routers[i]; len(d.requests) > 0 || d.schedule.BusySlots != 0 || len(d.unassignedGroups) > 0 {
+			w.t.Errorf("router %d: %d requests, %d slots in use, %d unassigned; want none", i, len(d.requests), d.schedule.BusySlots,
 				len(d.unassignedGroups))
 		}
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -59,17 +59,17 @@
 }
 
 var states = map[string]raventrestle.Readiness{
-	"Ready": raventrestle.Ready, "Terminating": raventrestle.Draining, "Gone": raventrestle.Gone,
+	"Ready": raventrestle.Ready, "Terminating": raventrestle.Draining, "Gone": raventrestle.Removed,
 }
 
 var listKinds = map[string]raventrestle.ListKind{
-	"diff": raventrestle.ListChanges, "snapshot": raventrestle.ListWhole,
-	"disk": raventrestle.ListStored, "error": raventrestle.ListFailed,
+	"diff": raventrestle.ListChanges, "snapshot": raventrestle.ListSnapshot,
+	"disk": raventrestle.ListCached, "error": raventrestle.ListFailed,
 }
 
 var statuses = map[int]raventrestle.Status{
-	0: raventrestle.OK, 255: raventrestle.Error, 254: raventrestle.Full, 253: raventrestle.TimedOut,
-	252: raventrestle.ConnectFailed, 251: raventrestle.Reset, 250: raventrestle.Cancelled, 249: raventrestle.Moot,
+	0: raventrestle.OK, 255: raventrestle.Error, 254: raventrestle.Rejected, 253: raventrestle.TimedOut,
+	252: raventrestle.ConnectFailed, 251: raventrestle.Reset, 250: raventrestle.Canceled, 249: raventrestle.NotSent,
 }
 
 // Decode reads one line.
@@ -157,7 +157,7 @@
 		a := raventrestle.Arrival{
 			ID: raventrestle.MessageID(r.text(2)), Class: class,
 			Budget: us(r.integer(6)), Dest: raventrestle.DestID(r.integer(8)), Tenant: r.tenant(4, nm.Tenants),
-			Again: r.integer(9)&2 != 0, Orphan: r.integer(9)&16 != 0,
+			Resubmitted: r.integer(9)&2 != 0, Orphaned: r.integer(9)&16 != 0,
 		}
 		if r.integer(9)&1 != 0 {
 			a.Estimate = us(r.integer(7))
@@ -170,10 +170,10 @@
 		}
 		o := raventrestle.Outcome{
 			ID: raventrestle.MessageID(r.text(2)), Target: raventrestle.TargetID(r.text(4)),
-			Try: int(r.integer(3)), Status: status, Took: us(r.integer(6)), Closed: r.flag(7),
+			Attempt: int(r.integer(3)), Status: status, Duration: us(r.integer(6)), Final: r.flag(7),
 		}
-		if status == raventrestle.Full {
-			o.Wait = time.Duration(r.integer(8)) * time.Millisecond
+		if status == raventrestle.Rejected {
+			o.RetryAfter = time.Duration(r.integer(8)) * time.Millisecond
 		}
 		o.Report = r.report(9)
 		it.Event = o
@@ -182,12 +182,12 @@
 		if !ok && r.err == nil {
 			r.err = fmt.Errorf("unknown status %d", r.integer(2))
 		}
-		it.Event = raventrestle.Probed{
-			Target: raventrestle.TargetID(r.text(4)), Status: status, Took: us(r.integer(3)),
+		it.Event = raventrestle.ProbeResult{
+			Target: raventrestle.TargetID(r.text(4)), Status: status, Duration: us(r.integer(3)),
 			Report: r.report(5),
 		}
 	case "from_peer":
-		n := raventrestle.Note{From: int(r.integer(2))}
+		n := raventrestle.PeerMessage{From: int(r.integer(2))}
 		r.into(3, &n.Data)
 		it.Event = n
 	case "directory_update":
@@ -195,7 +195,7 @@
 		if !ok && r.err == nil {
 			r.err = fmt.Errorf("unknown list kind %q", r.text(2))
 		}
-		l := raventrestle.Listing{How: how}
+		l := raventrestle.ListUpdate{Kind: how}
 		if how != raventrestle.ListFailed {
 			list, ok := d.tables[int(r.integer(4))]
 			if !ok && r.err == nil {
@@ -205,7 +205,7 @@
 				l.Entries = append(l.Entries, raventrestle.Entry{
 					Target: raventrestle.TargetID(e.target),
 					Dest:   raventrestle.DestID(e.dest), State: e.state, Kind: config.Index(nm.Kinds, e.kind),
-					Zone: config.Index(nm.Zones, e.zone), Size: e.size, Joined: us(e.joined),
+					Zone: config.Index(nm.Zones, e.zone), RateLimit: e.size, JoinedAt: us(e.joined),
 				})
 			}
 		}
@@ -264,10 +264,10 @@
 	return int64(f)
 }
 
-func (r *row) report(i int) (rep raventrestle.Report) {
+func (r *row) report(i int) (rep raventrestle.LimitReport) {
 	var m map[string]any
 	r.into(i, &m)
-	rep.Left, _ = m["x0"].(float64)
+	rep.Remaining, _ = m["x0"].(float64)
 	rep.Limit, _ = m["x1"].(float64)
 	return
 }
@@ -297,14 +297,14 @@
 	case raventrestle.Send:
 		put("attempt", a.ID, a.Timeout.Microseconds(), a.Target)
 	case raventrestle.Refuse:
-		put("reject", a.ID, a.After.Microseconds())
+		put("reject", a.ID, a.RetryAfter.Microseconds())
 	case raventrestle.Fail:
 		put("surrender", a.ID)
 	case raventrestle.Cancel:
-		put("cancel", a.ID, a.Try)
+		put("cancel", a.ID, a.Attempt)
 	case raventrestle.Probe:
 		put("test", a.Target)
-	case raventrestle.Tell:
+	case raventrestle.SendPeerMessage:
 		put("signal", a.To, a.Data)
 	case raventrestle.CloseIdle:
 		put("close", a.Target)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -35,19 +35,19 @@
 	b := decode(t, d, boot)
 	s := b.Items[0].Settings
 	if b.Clock != 8412250*time.Microsecond || b.Items[0].Seed != 1<<64-1 || s.Zone != 1 || s.CallSlots != 4 ||
-		!s.Kinds[0].Apart || s.Kinds[0].BundleMax != 10 || s.Zones[0].Fee != 0.5 || !s.AskForList ||
-		s.Sizes != raventrestle.SizesRough || s.Classes[0].Effect != raventrestle.Keyed ||
-		s.Classes[0].Group != raventrestle.GroupZone {
+		!s.Kinds[0].RoutePerTarget || s.Kinds[0].MaxBatch != 10 || s.Zones[0].Fee != 0.5 || !s.ListOnRequest ||
+		s.ListedLimits != raventrestle.LimitsApproximate || s.Classes[0].Idempotency != raventrestle.Keyed ||
+		s.Classes[0].DedupScope != raventrestle.DedupZone {
 		t.Fatalf("settings: %+v", s)
 	}
 	if s.Position != 1 || len(s.Tenants) != 2 || s.Tenants[1] != (raventrestle.Tenant{Name: "q", Share: 0.3, Quota: 30}) ||
-		s.OverShare != 0.1 || s.Mix != (raventrestle.Mix{Whole: 0.7, WorstWindow: 0.1, WorstClass: 0.05, WorstTenant: 0.15}) ||
+		s.OverShareFactor != 0.1 || s.ScoreWeights != (raventrestle.ScoreWeights{Overall: 0.7, WorstWindow: 0.1, WorstClass: 0.05, WorstTenant: 0.15}) ||
 		s.Charges != (raventrestle.Charges{
-			CrossZone: 0.01, Handshake: 0.04, Waste: 0.05, LateFail: 0.02, Refused: 0.07,
-			Probe: 0.03, Note: 0.06,
-		}) || s.Loss != raventrestle.LossHalving || s.Classes[0].Late != 0.5 ||
-		!s.MarksRetry || s.Streams != 8 || !s.Probes || !s.Notes || !s.Cancels || !s.SecondCopies ||
-		s.DrainGrace != 250*time.Millisecond || s.Slack != 20*time.Millisecond {
+			CrossZone: 0.01, Handshake: 0.04, WastedWork: 0.05, LateFailure: 0.02, RejectedCall: 0.07,
+			Probe: 0.03, PeerMessage: 0.06,
+		}) || s.ValueDecay != raventrestle.DecayHalving || s.Classes[0].LateValueShare != 0.5 ||
+		!s.ClientsMarkRetries || s.StreamsPerConnection != 8 || !s.AllowProbes || !s.AllowPeerMessages || !s.AllowCancel || !s.AllowConcurrentAttempts ||
+		s.DrainGracePeriod != 250*time.Millisecond || s.AnswerGracePeriod != 20*time.Millisecond {
 		t.Fatalf("settings: %+v", s)
 	}
 	b = decode(t, d, `["table",0,[["10.0.0.1:1",57,"Terminating","l","x",1.5,null],["10.0.0.2:1",57,"Ready","?","?",null,1]]],`+
@@ -59,31 +59,31 @@
 		`["ingress",3,"9069a7405d3a91c4","text",0,null,240000,null,57,0],["from_peer",3,2,"aGkgNw=="],["novel",3],`+
 		`["crash_now",3]`)
 	want := []raventrestle.Event{
-		raventrestle.Listing{How: raventrestle.ListStored, Entries: []raventrestle.Entry{
-			{Target: "10.0.0.1:1", Dest: 57, State: raventrestle.Draining, Kind: 1, Zone: 0, Size: 1.5},
-			{Target: "10.0.0.2:1", Dest: 57, State: raventrestle.Ready, Kind: -1, Zone: -1, Joined: time.Microsecond},
+		raventrestle.ListUpdate{Kind: raventrestle.ListCached, Entries: []raventrestle.Entry{
+			{Target: "10.0.0.1:1", Dest: 57, State: raventrestle.Draining, Kind: 1, Zone: 0, RateLimit: 1.5},
+			{Target: "10.0.0.2:1", Dest: 57, State: raventrestle.Ready, Kind: -1, Zone: -1, JoinedAt: time.Microsecond},
 		}},
 		raventrestle.Arrival{
 			ID: "8069a7405d3a91c4", Dest: 57,
-			Budget: 240 * time.Millisecond, Estimate: 12 * time.Millisecond, Tenant: 1, Again: true, Orphan: true,
+			Budget: 240 * time.Millisecond, Estimate: 12 * time.Millisecond, Tenant: 1, Resubmitted: true, Orphaned: true,
 		},
 		raventrestle.Outcome{
-			ID: "8069a7405d3a91c4", Target: "10.0.0.1:1", Status: raventrestle.Full,
-			Took: 18500 * time.Microsecond, Wait: 250 * time.Millisecond,
-			Report: raventrestle.Report{Left: 0.5, Limit: 7},
+			ID: "8069a7405d3a91c4", Target: "10.0.0.1:1", Status: raventrestle.Rejected,
+			Duration: 18500 * time.Microsecond, RetryAfter: 250 * time.Millisecond,
+			Report: raventrestle.LimitReport{Remaining: 0.5, Limit: 7},
 		},
 		raventrestle.Outcome{
-			ID: "8069a7405d3a91c4", Target: "10.0.0.1:1", Status: raventrestle.Moot, Try: 1,
-			Took: 5 * time.Microsecond, Closed: true,
+			ID: "8069a7405d3a91c4", Target: "10.0.0.1:1", Status: raventrestle.NotSent, Attempt: 1,
+			Duration: 5 * time.Microsecond, Final: true,
 		},
 		raventrestle.Wake{},
 		raventrestle.Withdrawn{ID: "48a935400e6f2b19"},
-		raventrestle.Probed{
-			Target: "10.0.0.1:1", Status: raventrestle.ConnectFailed, Took: time.Microsecond,
-			Report: raventrestle.Report{Left: 0.5, Limit: 7},
+		raventrestle.ProbeResult{
+			Target: "10.0.0.1:1", Status: raventrestle.ConnectFailed, Duration: time.Microsecond,
+			Report: raventrestle.LimitReport{Remaining: 0.5, Limit: 7},
 		},
 		raventrestle.Arrival{ID: "9069a7405d3a91c4", Dest: 57, Budget: 240 * time.Millisecond, Tenant: -1},
-		raventrestle.Note{From: 2, Data: []byte("hi 7")},
+		raventrestle.PeerMessage{From: 2, Data: []byte("hi 7")},
 		nil, nil,
 	}
 	for i, w := range want {
@@ -103,9 +103,9 @@
 	b := decode(t, d, `["table",0,[["a:1",1,"Ready","k","x",1,null]]],["directory_update",3,"diff",1,0],`+
 		`["table",0,[["b:1",1,"Gone","k","x",1,null]]],["directory_update",3,"snapshot",2,0],`+
 		`["directory_update",3,"error",2,null]`)
-	first, second := b.Items[0].Event.(raventrestle.Listing), b.Items[1].Event.(raventrestle.Listing)
+	first, second := b.Items[0].Event.(raventrestle.ListUpdate), b.Items[1].Event.(raventrestle.ListUpdate)
 	if first.Entries[0].Target != "a:1" || second.Entries[0].Target != "b:1" ||
-		second.How != raventrestle.ListWhole || b.Items[2].Event.(raventrestle.Listing).How != raventrestle.ListFailed {
+		second.Kind != raventrestle.ListSnapshot || b.Items[2].Event.(raventrestle.ListUpdate).Kind != raventrestle.ListFailed {
 		t.Fatalf("%+v", b.Items)
 	}
 }
@@ -128,12 +128,12 @@
 func TestReply(t *testing.T) {
 	var r Reply
 	r.Add(3, raventrestle.Send{ID: "ab", Target: "t:1", Timeout: 80 * time.Millisecond})
-	r.Add(3, raventrestle.Refuse{ID: "ab", After: time.Second})
+	r.Add(3, raventrestle.Refuse{ID: "ab", RetryAfter: time.Second})
 	r.Add(3, raventrestle.Fail{ID: "ab"})
 	r.Add(3, raventrestle.Subscribe{})
-	r.Add(3, raventrestle.Cancel{ID: "ab", Try: 1})
+	r.Add(3, raventrestle.Cancel{ID: "ab", Attempt: 1})
 	r.Add(3, raventrestle.Probe{Target: "t:1"})
-	r.Add(3, raventrestle.Tell{To: -1, Data: []byte("hi 7")})
+	r.Add(3, raventrestle.SendPeerMessage{To: -1, Data: []byte("hi 7")})
 	r.Add(3, raventrestle.WakeAt{At: 1500 * time.Nanosecond})
 	r.Add(3, raventrestle.Log{Text: `say "x"`})
 	want := `{"cmds":[["attempt",3,"ab",80000,"t:1"],["reject",3,"ab",1000000],["surrender",3,"ab"],` +
--- a/policy.go
+++ b/policy.go
@@ -21,7 +21,7 @@
 	p.now = max(now, p.now)
 	p.crowded = cmp.Or(p.crowded, p.now+p.memory)
 	p.out, p.wakeAt = nil, math.MaxInt64
-	p.stood = p.pending > 0 && p.now-p.pending > 2*p.set.Tick // woken late: it stood still itself
+	p.stood = p.pending > 0 && p.now-p.pending > 2*p.set.MinBatchInterval // woken late: it stood still itself
 	if p.pending <= p.now {
 		p.pending = 0
 	}
@@ -40,35 +40,36 @@
 	return p.out
 }
 
-func (p *Policy) listing(l Listing) {
-	if l.How == ListFailed {
-		p.askGap = min(max(2*p.askGap, p.set.AskWithin/20, p.set.Tick), p.set.AskWithin/4)
+func (p *Policy) listing(l ListUpdate) {
+	if l.Kind == ListFailed {
+		p.askGap = min(max(2*p.askGap, p.set.ListRequestTimeout/20, p.set.MinBatchInterval),
+			p.set.ListRequestTimeout/4)
 		p.askAt = p.now + p.askGap
 		return
 	}
-	if p.askAt, p.askGap = -1, 0; l.How == ListStored && p.set.AskForList {
+	if p.askAt, p.askGap = -1, 0; l.Kind == ListCached && p.set.ListOnRequest {
 		p.askAt = p.now
 	}
 	seen := map[TargetID]bool{}
 	for _, e := range l.Entries {
 		seen[e.Target] = true
 		t := p.targets[e.Target]
-		if e.State == Gone {
+		if e.State == Removed {
 			p.drop(t)
 			continue
 		}
 		if t == nil {
 			t = p.target(e)
-			if e.Joined > 0 && p.now-e.Joined < p.set.ColdFor { // cold, and finds what others left held
+			if e.JoinedAt > 0 && p.now-e.JoinedAt < p.set.WarmupDuration { // cold, and finds what others left held
 				t.health, t.rampAt, t.usual = ramp, p.now, t.d.left
 			}
 		}
 		t.ready = e.State == Ready
-		if p.set.Sizes != SizesNone && e.Size > 0 && !t.r.told {
-			p.limit(t.r, e.Size)
+		if p.set.ListedLimits != LimitsNone && e.RateLimit > 0 && !t.r.told {
+			p.limit(t.r, e.RateLimit)
 		}
 	}
-	if l.How == ListWhole || l.How == ListStored {
+	if l.Kind == ListSnapshot || l.Kind == ListCached {
 		for _, id := range slices.Sorted(maps.Keys(p.targets)) {
 			if !seen[id] {
 				p.drop(p.targets[id])
@@ -88,7 +89,7 @@
 // askForList subscribes where the list must be asked for, again after a failure or silence.
 func (p *Policy) askForList() {
 	if p.askAt >= 0 && p.askAt <= p.now {
-		p.askAt = p.now + p.set.AskWithin/2
+		p.askAt = p.now + p.set.ListRequestTimeout/2
 		p.out = append(p.out, Subscribe{})
 	}
 	p.wakeBy(p.askAt)
@@ -103,10 +104,10 @@
 	}
 	c := &p.set.Classes[a.Class]
 	end := p.now + a.Budget
-	aim := min(c.Aim+time.Duration(c.Stretch*float64(a.Estimate)), c.Deadline)
+	aim := min(c.SoftDeadline+time.Duration(c.EstimateFactor*float64(a.Estimate)), c.Deadline)
 	m := &msg{
 		id: a.ID, class: c, ci: a.Class, d: p.dest(a.Dest), aim: end - c.Deadline + aim, end: end,
-		worth: c.Credit * p.inShare(a.Tenant),
+		worth: c.Value * p.inShare(a.Tenant),
 	}
 	p.msgs[a.ID] = m
 	p.hold(m)
@@ -119,12 +120,12 @@
 	if m == nil {
 		return
 	}
-	if !r.Moved {
+	if !r.HandedOver {
 		m.d.came, m.d.heir = m.d.came+1, p.now+p.longest
 	}
-	m.sends, m.mayRun, m.ranAt = r.Sends, r.MayRun, r.RanAt
-	m.ranOn = &target{id: r.RanOn, zone: r.RanZone}
-	if r.Sends > 0 && !r.Moved && p.set.TipAfter > 0 {
+	m.sends, m.mayRun, m.ranAt = r.Attempts, r.MayHaveRun, r.RunAt
+	m.ranOn = &target{id: r.RunTarget, zone: r.RunZone}
+	if r.Attempts > 0 && !r.HandedOver && p.set.OverloadDuration > 0 {
 		p.failedBefore(m, r)
 	}
 	if p.spent(m) {
@@ -138,8 +139,8 @@
 // each send all that they found at once.
 func (p *Policy) failedBefore(m *msg, r Restored) {
 	from := m.d.targets
-	if t := p.targets[r.RanOn]; r.MayRun {
-		if from = nil; t != nil && r.Failed && p.now-r.RanAt < p.memory {
+	if t := p.targets[r.RunTarget]; r.MayHaveRun {
+		if from = nil; t != nil && r.AttemptFailed && p.now-r.RunAt < p.memory {
 			t.fails++
 			from = []*target{t}
 		}
@@ -148,7 +149,7 @@
 		if t.usual > 0 && t.health == open {
 			t.health, t.rampAt = ramp, p.now
 		}
-		t.usual += 1 / p.set.TipAfter.Seconds() / float64(len(from))
+		t.usual += 1 / p.set.OverloadDuration.Seconds() / float64(len(from))
 	}
 }
 
@@ -168,8 +169,8 @@
 	}
 	c := m.call
 	m.call = nil
-	if o.Wait > 0 { // each mate of a call may be told for itself
-		c.t.r.until = max(c.t.r.until, p.now+o.Wait)
+	if o.RetryAfter > 0 { // each mate of a call may be told for itself
+		c.t.r.until = max(c.t.r.until, p.now+o.RetryAfter)
 	}
 	if !c.told {
 		c.told = true
@@ -178,12 +179,12 @@
 	if c.n--; c.n == 0 {
 		p.hangUp(c)
 	}
-	lost := o.Status == TimedOut || o.Status == Reset || o.Status == Cancelled // may still run
+	lost := o.Status == TimedOut || o.Status == Reset || o.Status == Canceled // may still run
 	if (lost || o.Status == Error) && !m.mayRun {
 		m.mayRun, m.ranAt, m.ranOn = true, c.at, c.t
 	}
 	switch {
-	case o.Closed || m.over || o.Status == OK:
+	case o.Final || m.over || o.Status == OK:
 		p.forget(m)
 	case p.spent(m) || p.now >= p.lastCall(m):
 		p.giveUp(m)
@@ -194,5 +195,6 @@
 
 // spent says that no further attempt is allowed.
 func (p *Policy) spent(m *msg) bool {
-	return p.set.SendCap > 0 && m.sends >= p.set.SendCap || m.mayRun && m.class.Effect == Unsafe
+	return p.set.MaxAttempts > 0 && m.sends >= p.set.MaxAttempts ||
+		m.mayRun && m.class.Idempotency == NonIdempotent
 }
--- a/policy_end.go
+++ b/policy_end.go
@@ -9,18 +9,19 @@
 
 // lastCall is when it must have been sent: shortly before its end, or its key's.
 func (p *Policy) lastCall(m *msg) time.Duration {
-	if m.mayRun && m.class.Effect == Keyed {
-		return min(m.end-2*p.set.Tick, m.ranAt+m.class.Window-p.set.Tick-p.set.Lag)
+	if m.mayRun && m.class.Idempotency == Keyed {
+		return min(m.end-2*p.set.MinBatchInterval,
+			m.ranAt+m.class.DedupWindow-p.set.MinBatchInterval-p.set.MaxSendJitter)
 	}
-	return m.end - 2*p.set.Tick
+	return m.end - 2*p.set.MinBatchInterval
 }
 
 // expire answers the held messages that can't be sent any more. A call that is overdue while its target
 // has answered one that was sent later is on a connection that has fallen silent: it is called off.
 func (p *Policy) expire() {
-	for _, d := range p.flows.Active {
+	for _, d := range p.flows.ActiveFlows {
 		for _, c := range d.out {
-			if p.set.Cancels && !c.off && c.t.okSent > c.at && p.overdue(c, 4) {
+			if p.set.AllowCancel && !c.off && c.t.okSent > c.at && p.overdue(c, 4) {
 				c.off, p.out = true, append(p.out, Cancel{c.first.id, c.first.sends - 1})
 			}
 		}
@@ -37,8 +38,8 @@
 // shed keeps the last eighth of the store free: the destination that holds the most
 // gives up what is the least waste, so that none can fill the store for the others.
 func (p *Policy) shed() {
-	for len(p.msgs) > p.set.MostHeld*7/8 {
-		worst := slices.MaxFunc(p.flows.Active, func(a, b *dest) int { return len(a.held) - len(b.held) })
+	for len(p.msgs) > p.set.MaxMessages*7/8 {
+		worst := slices.MaxFunc(p.flows.ActiveFlows, func(a, b *dest) int { return len(a.held) - len(b.held) })
 		var last *msg
 		for _, m := range worst.held {
 			if p.refusable(m) && (last == nil || m.waste <= last.waste) {
@@ -54,7 +55,8 @@
 }
 
 func (p *Policy) refusable(m *msg) bool {
-	return !m.mayRun || m.class.Effect == Safe || m.class.Effect == Keyed && m.class.Group == GroupAll
+	return !m.mayRun || m.class.Idempotency == Idempotent ||
+		m.class.Idempotency == Keyed && m.class.DedupScope == DedupDestination
 }
 
 func (p *Policy) giveUp(m *msg) {
@@ -67,10 +69,10 @@
 }
 
 func (p *Policy) comeBack(d *dest) time.Duration {
-	if !p.set.RetryAfter {
+	if !p.set.AdviseRetryAfter {
 		return 0
 	}
-	after := p.flows.Period
+	after := p.flows.MonitorPeriod
 	for _, t := range d.targets {
 		after = max(after, t.r.until-p.now, t.r.nextAt-p.now)
 	}
--- a/policy_guards.go
+++ b/policy_guards.go
@@ -24,13 +24,13 @@
 // several that are slow or hang at once would else hold most slots for as long as their calls
 // last, and each of them stays far under the half that the design allows it.
 func (p *Policy) full(d *dest, quarters int) bool {
-	if !d.Trouble {
-		return p.flows.Full(d)
+	if !d.Degraded {
+		return p.flows.AtSlotLimit(d)
 	}
 	out := 0
-	for _, x := range p.flows.Active {
-		if x.Trouble {
-			out += x.Out()
+	for _, x := range p.flows.ActiveFlows {
+		if x.Degraded {
+			out += x.InFlight()
 		}
 	}
 	return out >= max(p.set.CallSlots*quarters/4, 1)
@@ -59,14 +59,14 @@
 	if t.health == open && slices.ContainsFunc(t.d.out, hangs) { // its time-out would lose more
 		t.usual, t.health = t.pace(p), halfOpen
 	}
-	if t.health == ramp && p.now-t.rampAt >= p.set.ColdFor {
+	if t.health == ramp && p.now-t.rampAt >= p.set.WarmupDuration {
 		t.health = open
 	}
 	from := r.until
 	if r.tokens < 1 {
 		from = max(from, p.now+gap(r.rate/(1-r.tokens))+1)
 	}
-	if t.health != open || r.fails > 1 && p.usualRate(r)*p.set.TipAfter.Seconds() < 1 {
+	if t.health != open || r.fails > 1 && p.usualRate(r)*p.set.OverloadDuration.Seconds() < 1 {
 		from = max(from, r.nextAt) // one that calls seldom takes the other endpoints for out too
 	}
 	if !t.ready || t.onTrial() && t.trials > 0 {
@@ -83,6 +83,6 @@
 
 // allowed says whether the message may go to the target: a repeat only where they are dropped.
 func (p *Policy) allowed(m *msg, t *target) bool {
-	return !m.mayRun || m.class.Effect == Safe || m.class.Group == GroupAll || t.id == m.ranOn.id ||
-		m.class.Group == GroupZone && t.zone == m.ranOn.zone
+	return !m.mayRun || m.class.Idempotency == Idempotent || m.class.DedupScope == DedupDestination ||
+		t.id == m.ranOn.id || m.class.DedupScope == DedupZone && t.zone == m.ranOn.zone
 }
--- a/policy_learn.go
+++ b/policy_learn.go
@@ -24,7 +24,7 @@
 		p.idleLife = min(p.idleLife, t.stale)
 		p.log("idle connections seem to be dropped after %v: shut before", t.stale)
 	}
-	if o.Status != Full && o.Status != Moot {
+	if o.Status != Rejected && o.Status != NotSent {
 		t.stale = 0
 		for _, x := range []*odds{&t.odds[class], &t.odds[len(p.set.Classes)]} {
 			x.fade(p)
@@ -33,7 +33,7 @@
 			}
 		}
 	}
-	if o.Status == Full && c.idle == 0 && o.Wait == 0 && o.Report == (Report{}) && p.told &&
+	if o.Status == Rejected && c.idle == 0 && o.RetryAfter == 0 && o.Report == (LimitReport{}) && p.told &&
 		p.set.Forwarders > p.set.CallSlots {
 		p.connLimited[t.d.ki] = true // the load would come with its report
 	}
@@ -43,15 +43,15 @@
 		p.heed(r, o)
 	}
 	if (o.Status == OK || silent) && !p.stood { // else it was lost, not slow
-		r.times.add(o.Took)
-		p.times.add(o.Took)
-		t.mean = asfq.Mix(t.mean, o.Took, 8)
+		r.times.add(o.Duration)
+		p.times.add(o.Duration)
+		t.mean = asfq.EWMA(t.mean, o.Duration, 8)
 	}
 	switch o.Status {
 	case OK:
 		p.borne[0], t.okSent = max(p.borne[0], c.idle), max(t.okSent, c.at)
 		p.answered(t)
-	case Full:
+	case Rejected:
 		p.refused(c, o)
 	case Error:
 		p.failed(t, "errors")
@@ -107,9 +107,9 @@
 // destination, whichever its routes, or two with most of the limit left; else the pace is cut.
 func (p *Policy) refused(c *call, o Outcome) {
 	t, r := c.t, c.t.r
-	spent := o.Report.Limit > 0 && o.Report.Left < 0.5 // then it is the limit
-	r.tokens = min(r.tokens, -p.rng.Float64())         // a clump refused at many does not return in step
-	if c.at > r.cutAt || r.cutAt == 0 {                // refusals of calls sent together say the same once
+	spent := o.Report.Limit > 0 && o.Report.Remaining < 0.5 // then it is the limit
+	r.tokens = min(r.tokens, -p.rng.Float64())              // a clump refused at many does not return in step
+	if c.at > r.cutAt || r.cutAt == 0 {                     // refusals of calls sent together say the same once
 		r.cutAt = p.now
 		t.d.shut++
 		if spent {
@@ -124,7 +124,7 @@
 			r.rate = max(r.rate, 1/p.longest.Seconds())
 		}
 	}
-	if t.d.shut >= 3 || o.Wait > p.set.TipAfter { // all that share the limit are shut with it
+	if t.d.shut >= 3 || o.RetryAfter > p.set.OverloadDuration { // all that share the limit are shut with it
 		r.shut = true
 		for _, x := range r.targets {
 			x.fails = max(x.fails, 2)
--- a/policy_pace.go
+++ b/policy_pace.go
@@ -12,7 +12,7 @@
 // own it borrows from all others: a forwarder may see a destination once in a minute.
 func (p *Policy) usual(r *route) (mean, dev time.Duration) {
 	if p.times.n == 0 {
-		return p.flows.Period / 4, p.flows.Period / 4
+		return p.flows.MonitorPeriod / 4, p.flows.MonitorPeriod / 4
 	}
 	own, all := time.Duration(min(r.times.n, 64)), time.Duration(4)
 	return (own*r.times.mean + all*p.times.mean) / (own + all), (own*r.times.dev + all*p.times.dev) / (own + all)
@@ -21,7 +21,7 @@
 // step is what an answer adds to the pace below the threshold: one call in two periods, but of many
 // forwarders each adds no more than a tenth of its even part, so that ten answers to each double it.
 func (p *Policy) step(r *route) float64 {
-	least := 0.5 / p.flows.Period.Seconds()
+	least := 0.5 / p.flows.MonitorPeriod.Seconds()
 	return min(least, cmp.Or(p.even(r)/10, least))
 }
 
@@ -49,10 +49,10 @@
 // Twice, as the traffic is never even, and those with less of it leave their part to the others. Over
 // three quarters, and an answer adds up to half: all the paces together leave much of the limit unused.
 func (p *Policy) heed(r *route, o Outcome) {
-	if o.Report.Left < 0.5 {
+	if o.Report.Remaining < 0.5 {
 		r.rate = min(r.rate, 2*p.even(r))
 	} else if o.Status == OK && p.set.Forwarders > p.set.CallSlots {
-		r.rate *= max(1, 2*o.Report.Left-0.5)
+		r.rate *= max(1, 2*o.Report.Remaining-0.5)
 	}
 }
 
@@ -64,21 +64,21 @@
 func (p *Policy) holdBack(r *route) {
 	s := &p.set
 	if r.downAt == 0 { // it may have begun any time since it last answered here
-		r.downAt = max(p.now-s.ColdFor, r.lastOK)
+		r.downAt = max(p.now-s.WarmupDuration, r.lastOK)
 	}
-	if s.TipAfter <= 0 || s.ColdFor <= 0 || s.StartCapacity <= 0 {
+	if s.OverloadDuration <= 0 || s.WarmupDuration <= 0 || s.ColdCapacityShare <= 0 {
 		return
 	}
 	from := max(r.until, p.now)
-	seconds := max(from-r.downAt, s.TipAfter).Seconds()
+	seconds := max(from-r.downAt, s.OverloadDuration).Seconds()
 	if rate := p.usualRate(r); rate > 0 {
 		seconds = min(seconds, 1/rate)
 	}
 	seconds /= p.spend()
 	place := p.rng.Float64() * seconds
-	after := (place + seconds/2) / s.StartCapacity // it is drawn again and again: the mean counts
-	if r.until > p.now {                           // solves start*x + (1-start)*x*x/(2*warm-up) = place
-		a, cold := s.StartCapacity, s.ColdFor.Seconds()
+	after := (place + seconds/2) / s.ColdCapacityShare // it is drawn again and again: the mean counts
+	if r.until > p.now {                               // solves start*x + (1-start)*x*x/(2*warm-up) = place
+		a, cold := s.ColdCapacityShare, s.WarmupDuration.Seconds()
 		after = min(after, cold*(math.Sqrt(a*a+2*(1-a)*place/cold)-a)/max(1-a, 0.01))
 	}
 	r.nextAt = max(r.nextAt, from+time.Duration(after*float64(time.Second)))
@@ -86,7 +86,7 @@
 
 // spend is how much of what a cold destination can do is sent to it by all: half of what
 // it bears beyond that is left to chance and to those that know of no outage.
-func (p *Policy) spend() float64 { return (1 + p.set.TipMultiple) / 2 }
+func (p *Policy) spend() float64 { return (1 + p.set.OverloadFactor) / 2 }
 
 // usualRate is the calls a second that this forwarder usually sends over the route. In a new life
 // little has been sent, and what the last one left tells what came within the longest deadline.
@@ -94,7 +94,7 @@
 	usual := 0.0
 	for _, t := range r.targets {
 		if usual += t.pace(p); p.now < t.d.heir {
-			left := t.d.came / p.longest.Seconds() / float64(t.d.kind.BundleMax)
+			left := t.d.came / p.longest.Seconds() / float64(t.d.kind.MaxBatch)
 			usual = max(usual, left*float64(len(r.targets))/float64(len(t.d.targets)))
 		}
 	}
@@ -107,8 +107,8 @@
 	warm := 0.0
 	for _, t := range r.targets {
 		if t.health == ramp {
-			warm += s.StartCapacity + (1-s.StartCapacity)*min(1, float64(p.now-t.rampAt)/float64(p.memory))
+			warm += s.ColdCapacityShare + (1-s.ColdCapacityShare)*min(1, float64(p.now-t.rampAt)/float64(p.memory))
 		}
 	}
-	return max(p.spend()*warm/float64(max(len(r.targets), 1))*p.usualRate(r), 2/s.TipAfter.Seconds())
+	return max(p.spend()*warm/float64(max(len(r.targets), 1))*p.usualRate(r), 2/s.OverloadDuration.Seconds())
 }
--- a/policy_send.go
+++ b/policy_send.go
@@ -14,13 +14,13 @@
 
 // hold gives the message's flow one more turn.
 func (p *Policy) hold(m *msg) {
-	p.flows.Hold(m.d, p.flows.Cost(m.d), p.now)
+	p.flows.AddTurn(m.d, p.flows.Cost(m.d), p.now)
 	m.d.held = append(m.d.held, m)
 }
 
 // unhold: the last turn goes too.
 func (p *Policy) unhold(m *msg) {
-	p.flows.Unhold(m.d)
+	p.flows.RemoveLastTurn(m.d)
 	m.d.held = without(m.d.held, m)
 }
 
@@ -28,12 +28,12 @@
 func (p *Policy) monitor() {
 	if p.flows.Tick(p.now) {
 		maps.DeleteFunc(p.dests, func(_ DestID, d *dest) bool {
-			return d.Held()+d.Out()+len(d.targets) == 0 && d.shared.until <= p.now
+			return d.QueuedTurns()+d.InFlight()+len(d.targets) == 0 && d.shared.until <= p.now
 		})
 		p.borne = [2]time.Duration{0, p.borne[0]}
 	}
 	if len(p.msgs) > 0 {
-		p.wakeBy(p.flows.TickAt)
+		p.wakeBy(p.flows.PeriodEnd)
 	}
 }
 
@@ -41,11 +41,11 @@
 // over weight comes on top: a head with less at stake than others waits for as many more turns. A
 // flow with no eligible message is passed over and does not block the others.
 func (p *Policy) dispatch() {
-	for _, d := range p.flows.Active {
-		d.Trouble = p.sick(d)
+	for _, d := range p.flows.ActiveFlows {
+		d.Degraded = p.sick(d)
 	}
 	p.weigh()
-	for _, d := range p.flows.Active {
+	for _, d := range p.flows.ActiveFlows {
 		p.look(d)
 	}
 	for d, ok := p.flows.Next(p.offer); ok; d, ok = p.flows.Next(p.offer) {
@@ -56,7 +56,7 @@
 
 // look finds the destination's head while a slot is free.
 func (p *Policy) look(d *dest) {
-	if d.next = nil; d.Held() > 0 && p.flows.Busy < p.flows.Slots {
+	if d.next = nil; d.QueuedTurns() > 0 && p.flows.BusySlots < p.flows.Slots {
 		d.next, d.on = p.head(d)
 	}
 }
@@ -84,7 +84,7 @@
 		}
 		free = append(free, t)
 		if t.health == halfOpen && t.fails == 0 && !p.full(d, 2) {
-			if i := slices.IndexFunc(d.held, func(m *msg) bool { return m.class.Effect == Safe }); i >= 0 {
+			if i := slices.IndexFunc(d.held, func(m *msg) bool { return m.class.Idempotency == Idempotent }); i >= 0 {
 				return d.held[i], t
 			}
 		}
@@ -120,13 +120,13 @@
 	mean, _ := p.usual(t.r)
 	c := cmp.Or(t.mean, mean).Seconds() * float64(1+t.inFlight) * t.taste
 	fees := 0.0
-	if t.idleAt == 0 || p.now-t.idleAt > p.set.IdleClose {
+	if t.idleAt == 0 || p.now-t.idleAt > p.set.IdleTimeout {
 		fees += p.set.Charges.Handshake
 	}
 	if t.zone != p.set.Zone {
 		fees += p.set.Charges.CrossZone
 	}
-	if t.d.kind.Apart && t.zone >= 0 && t.zone < len(p.set.Zones) {
+	if t.d.kind.RoutePerTarget && t.zone >= 0 && t.zone < len(p.set.Zones) {
 		fees += p.set.Zones[t.zone].Fee
 	}
 	if t.onTrial() {
@@ -143,7 +143,7 @@
 	t.inFlight++
 	r.tokens--
 	if t.lastSent > 0 {
-		t.gap = asfq.Mix(t.gap, p.now-t.lastSent, 4)
+		t.gap = asfq.EWMA(t.gap, p.now-t.lastSent, 4)
 	}
 	span := p.span(r)
 	r.sentRate, r.sentRateAt = r.sentRate*math.Exp(-(p.now-r.sentRateAt).Seconds()/span)+1/span, p.now
@@ -157,7 +157,7 @@
 		r.nextAt = p.now + gap(p.rampRate(r))
 	}
 	p.send(m, c)
-	for !c.trial && c.n < d.kind.BundleMax {
+	for !c.trial && c.n < d.kind.MaxBatch {
 		mate, _ := p.pick(d, []*target{t})
 		if mate == nil {
 			break
@@ -172,7 +172,7 @@
 		p.unhold(m)
 	} else {
 		d.held, c.first = without(d.held, m), m
-		p.flows.Sent(d, p.now)
+		p.flows.StartCall(d, p.now)
 	}
 	m.call, m.sends = c, m.sends+1
 	c.n++
@@ -185,19 +185,19 @@
 func (p *Policy) timeout(m *msg, t *target) time.Duration {
 	mean, dev := p.usual(t.r)
 	usual := mean + 4*dev // nearly all answers come by then
-	limit := p.set.ConnectWithin + 2*usual
-	if m.class.Effect == Unsafe {
-		limit = max(2*limit, m.class.Aim)
-	} else if m.class.Effect == Keyed && !m.mayRun && 2*usual < m.class.Window {
-		limit = min(limit, m.class.Window-usual) // a slower one has no time for a repeat anyway
+	limit := p.set.ConnectTimeout + 2*usual
+	if m.class.Idempotency == NonIdempotent {
+		limit = max(2*limit, m.class.SoftDeadline)
+	} else if m.class.Idempotency == Keyed && !m.mayRun && 2*usual < m.class.DedupWindow {
+		limit = min(limit, m.class.DedupWindow-usual) // a slower one has no time for a repeat anyway
 	}
 	return max(min(limit, m.end-p.now), 1)
 }
 
 // within is how long a keyed repeat may take until it is on its way: its connection may come up late.
 func (p *Policy) within(m *msg) time.Duration {
-	if m.mayRun && m.class.Effect == Keyed {
-		return m.ranAt + m.class.Window - p.set.Tick - p.set.Lag/2 - p.now
+	if m.mayRun && m.class.Idempotency == Keyed {
+		return m.ranAt + m.class.DedupWindow - p.set.MinBatchInterval - p.set.MaxSendJitter/2 - p.now
 	}
 	return 0
 }
@@ -209,11 +209,11 @@
 func (p *Policy) hangUp(c *call) {
 	t := c.t
 	t.d.out = without(t.d.out, c)
-	p.flows.Ended(t.d, (p.now - c.at).Seconds(), p.now)
+	p.flows.EndCall(t.d, (p.now - c.at).Seconds(), p.now)
 	t.inFlight--
 	t.idleAt = p.now
 	seldom := t.inFlight+len(t.d.held) == 0 && p.set.Forwarders > p.set.CallSlots &&
-		p.now < p.crowded && (t.gap == 0 || t.gap > p.set.IdleClose)
+		p.now < p.crowded && (t.gap == 0 || t.gap > p.set.IdleTimeout)
 	if seldom || p.connLimited[t.d.ki] {
 		p.closeIdle(t)
 	}
@@ -227,7 +227,7 @@
 // than they seem to live are shut before, and all where a call was just lost on one: see learn.
 func (p *Policy) connection(t *target) time.Duration {
 	idle := p.now - t.idleAt
-	if t.idleAt == 0 || idle >= p.set.IdleClose {
+	if t.idleAt == 0 || idle >= p.set.IdleTimeout {
 		return 0
 	}
 	if t.stale > 0 || idle >= p.idleLife {
--- a/policy_test.go
+++ b/policy_test.go
@@ -20,20 +20,20 @@
 // kind 0 shares its limit, kind 1 has routes apart, kind 2 bundles.
 func settings() Settings {
 	return Settings{
-		Forwarders: 2, Zone: 0, Tick: 5 * ms,
+		Forwarders: 2, Zone: 0, MinBatchInterval: 5 * ms,
 		Classes: []Class{
-			{Name: "a", Aim: 2 * sec, Deadline: 20 * sec, Credit: 1, Effect: Safe},
+			{Name: "a", SoftDeadline: 2 * sec, Deadline: 20 * sec, Value: 1, Idempotency: Idempotent},
 			{
-				Name: "b", Aim: 2 * sec, Deadline: 20 * sec, Credit: 1, Effect: Keyed,
-				Group: GroupZone, Window: 6 * sec,
+				Name: "b", SoftDeadline: 2 * sec, Deadline: 20 * sec, Value: 1, Idempotency: Keyed,
+				DedupScope: DedupZone, DedupWindow: 6 * sec,
 			},
-			{Name: "c", Aim: 2 * sec, Deadline: 20 * sec, Credit: 3, Effect: Unsafe},
+			{Name: "c", SoftDeadline: 2 * sec, Deadline: 20 * sec, Value: 3, Idempotency: NonIdempotent},
 		},
-		Kinds:     []Kind{{BundleMax: 1}, {BundleMax: 1, Apart: true}, {BundleMax: 10}},
+		Kinds:     []DestinationKind{{MaxBatch: 1}, {MaxBatch: 1, RoutePerTarget: true}, {MaxBatch: 10}},
 		Zones:     []Zone{{Name: "x"}, {Name: "y"}},
-		CallSlots: 8, MostHeld: 40, SendCap: 6, IdleClose: 10 * sec, ConnectWithin: sec,
-		RetryAfter: true, MaxRetryAfter: 3 * sec, AskForList: true, AskWithin: 10 * sec,
-		TipMultiple: 2.5, TipAfter: 1500 * ms, ColdFor: 11 * sec, StartCapacity: 0.18,
+		CallSlots: 8, MaxMessages: 40, MaxAttempts: 6, IdleTimeout: 10 * sec, ConnectTimeout: sec,
+		AdviseRetryAfter: true, MaxRetryAfter: 3 * sec, ListOnRequest: true, ListRequestTimeout: 10 * sec,
+		OverloadFactor: 2.5, OverloadDuration: 1500 * ms, WarmupDuration: 11 * sec, ColdCapacityShare: 0.18,
 	}
 }
 
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	h := &host{t: t, p: p, now: sec}
-	h.step(Listing{How: ListStored, Entries: entries})
+	h.step(ListUpdate{Kind: ListCached, Entries: entries})
 	return h
 }
 
@@ -102,8 +102,8 @@
 	var evs []Event
 	for _, s := range h.out[:n] {
 		evs = append(evs, Outcome{
-			ID: s.ID, Target: s.Target, Status: status, Took: 100 * ms,
-			Closed: status == OK,
+			ID: s.ID, Target: s.Target, Status: status, Duration: 100 * ms,
+			Final: status == OK,
 		})
 	}
 	h.out = append([]Send(nil), h.out[n:]...)
@@ -136,9 +136,9 @@
 func TestNewNamesWhatItCannotWorkWith(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
 		"slots":   func(s *Settings) { s.CallSlots = 0 },
-		"held":    func(s *Settings) { s.MostHeld = 0 },
+		"held":    func(s *Settings) { s.MaxMessages = 0 },
 		"classes": func(s *Settings) { s.Classes = nil },
-		"aim":     func(s *Settings) { s.Classes[0].Aim = 0 },
+		"aim":     func(s *Settings) { s.Classes[0].SoftDeadline = 0 },
 	} {
 		set := settings()
 		spoil(&set)
@@ -241,7 +241,7 @@
 // waited (upgrade+scrape, seed 891016641346).
 func TestTurnCostsSlotTime(t *testing.T) {
 	set := settings()
-	set.MostHeld = 400
+	set.MaxMessages = 400
 	h := newHost(t, set, entry("slow", 1, 0, 0), entry("q1", 2, 0, 0), entry("q2", 3, 0, 0), entry("q3", 4, 0, 0))
 	began, slow, all := map[MessageID]time.Duration{}, 0, 0
 	for tick := range 400 { // of 50 ms: a quick call takes one, a slow one twelve
@@ -255,7 +255,7 @@
 				left = append(left, s)
 				continue
 			}
-			over = append(over, Outcome{ID: s.ID, Target: s.Target, Status: OK, Closed: true, Took: h.now + 50*ms - began[s.ID]})
+			over = append(over, Outcome{ID: s.ID, Target: s.Target, Status: OK, Final: true, Duration: h.now + 50*ms - began[s.ID]})
 		}
 		h.out = left
 		h.now += 50 * ms
@@ -285,7 +285,7 @@
 func TestCallOnSilentConnectionIsCalledOff(t *testing.T) {
 	for name, answered := range map[string]bool{"a later one was answered": true, "nothing was": false} {
 		set := settings()
-		set.Cancels = true
+		set.AllowCancel = true
 		h := newHost(t, set, entry("t1", 1, 0, 0))
 		h.warm(1, 8)
 		h.arrive(2, 1, 1)
@@ -294,7 +294,7 @@
 		h.arrive(2, 1, 1)
 		if answered {
 			h.now += 20 * ms
-			h.step(Outcome{ID: h.out[1].ID, Target: "t1", Status: OK, Closed: true, Took: 20 * ms})
+			h.step(Outcome{ID: h.out[1].ID, Target: "t1", Status: OK, Final: true, Duration: 20 * ms})
 			h.out = h.out[:1]
 		}
 		off := 0
@@ -340,7 +340,7 @@
 		t.Fatal("no look at it")
 	}
 	h.now += 50 * ms
-	h.step(Outcome{ID: look.ID, Target: hung, Status: OK, Closed: true, Took: 50 * ms})
+	h.step(Outcome{ID: look.ID, Target: hung, Status: OK, Final: true, Duration: 50 * ms})
 	if health(hung) != "open" {
 		t.Fatal("not back, though it answers")
 	}
@@ -369,7 +369,7 @@
 	}
 	var evs []Event
 	for i, s := range h.out {
-		evs = append(evs, Outcome{ID: s.ID, Target: s.Target, Status: Full, Wait: time.Duration(i) * 400 * ms})
+		evs = append(evs, Outcome{ID: s.ID, Target: s.Target, Status: Rejected, RetryAfter: time.Duration(i) * 400 * ms})
 	}
 	h.out = nil
 	h.step(evs...)
@@ -421,7 +421,7 @@
 	}
 	h.end(1, OK)
 	back, n := h.now, 0
-	for h.now < back+set.TipAfter {
+	for h.now < back+set.OverloadDuration {
 		n += len(sends(h.pass(100 * ms)))
 		h.end(len(h.out), OK)
 	}
@@ -462,7 +462,7 @@
 	h := newHost(t, settings(), entry("t1", 1, 0, 0))
 	h.warm(1, 20)
 	h.arrive(0, 1, 5)
-	h.end(5, Full)
+	h.end(5, Rejected)
 	n := 0
 	for range 20 {
 		n += len(sends(h.pass(100 * ms)))
@@ -501,8 +501,8 @@
 			}
 			// A connection that comes up late may not carry it out of the window (BROKEN: duplicate on
 			// the mass split day).
-			if by := h.now + s.Within - sent; s.Within <= 0 || by > 6*sec+80*ms || first.Within != 0 { // woken by 20 ms
-				t.Fatalf("repeat at %v goes out within %v, the first within %v", h.now-sent, s.Within, first.Within)
+			if by := h.now + s.MaxSendDelay - sent; s.MaxSendDelay <= 0 || by > 6*sec+80*ms || first.MaxSendDelay != 0 { // woken by 20 ms
+				t.Fatalf("repeat at %v goes out within %v, the first within %v", h.now-sent, s.MaxSendDelay, first.MaxSendDelay)
 			}
 		}
 		h.end(len(h.out), Error)
@@ -520,8 +520,8 @@
 		for _, a := range h.arrive(0, 9, 1) {
 			if r, ok := a.(Refuse); ok {
 				refused++
-				if r.After <= 0 || r.After > 3*sec {
-					t.Fatalf("advice %v", r.After)
+				if r.RetryAfter <= 0 || r.RetryAfter > 3*sec {
+					t.Fatalf("advice %v", r.RetryAfter)
 				}
 			}
 		}
@@ -546,7 +546,7 @@
 	}
 	asked := 0
 	for range 4 {
-		h.step(Listing{How: ListFailed})
+		h.step(ListUpdate{Kind: ListFailed})
 		for range 150 {
 			if got := h.pass(20 * ms); len(got) > 0 {
 				asked++
@@ -557,7 +557,7 @@
 	if asked != 4 {
 		t.Fatalf("asked %d times after 4 failures", asked)
 	}
-	h.step(Listing{How: ListChanges})
+	h.step(ListUpdate{Kind: ListChanges})
 	if got := h.pass(20 * sec); len(got) != 0 {
 		t.Fatalf("asked again while subscribed: %v", got)
 	}
@@ -568,11 +568,11 @@
 	h := newHost(t, settings(), entry("t1", 1, 0, 0))
 	e := entry("t1", 1, 0, 0)
 	e.State = Draining
-	h.step(Listing{How: ListChanges, Entries: []Entry{e}})
+	h.step(ListUpdate{Kind: ListChanges, Entries: []Entry{e}})
 	if got := sends(h.arrive(0, 1, 1)); len(got) != 0 {
 		t.Fatalf("sent to a draining target: %v", got)
 	}
-	h.step(Listing{How: ListWhole, Entries: []Entry{entry("t2", 1, 0, 0)}})
+	h.step(ListUpdate{Kind: ListSnapshot, Entries: []Entry{entry("t2", 1, 0, 0)}})
 	if len(h.out) != 1 || h.out[0].Target != "t2" {
 		t.Fatalf("out %v, want it at the new target", h.out)
 	}
@@ -582,7 +582,7 @@
 func TestHostMistakes(t *testing.T) {
 	h := newHost(t, settings(), entry("t1", 1, 0, 0))
 	h.arrive(0, 1, 1)
-	o := Outcome{ID: "m1", Target: "t1", Status: OK, Closed: true}
+	o := Outcome{ID: "m1", Target: "t1", Status: OK, Final: true}
 	if got := h.step(o, o, Withdrawn{ID: "m1"}, Outcome{ID: "zz"}, Withdrawn{ID: "zz"}); len(got) != 0 {
 		t.Fatalf("got %v", got)
 	}
@@ -609,7 +609,7 @@
 		s := h.out[0]
 		h.out = nil
 		h.now += 3 * sec
-		h.step(Outcome{ID: s.ID, Target: s.Target, Status: TimedOut, Took: 3 * sec})
+		h.step(Outcome{ID: s.ID, Target: s.Target, Status: TimedOut, Duration: 3 * sec})
 		if (len(h.out) == 0) == answered {
 			t.Fatalf("answered meanwhile %v, yet %d calls at once after the time-out", answered, len(h.out))
 		}
@@ -641,7 +641,7 @@
 		h.now += 2 * sec
 		s := h.out[0]
 		h.out = nil
-		h.step(Outcome{ID: s.ID, Target: s.Target, Status: OK, Took: 5 * sec, Closed: true})
+		h.step(Outcome{ID: s.ID, Target: s.Target, Status: OK, Duration: 5 * sec, Final: true})
 	}
 	if s := sends(h.arrive(1, 1, 1)); len(s) != 1 || s[0].Timeout < 6*sec {
 		t.Fatalf("%v, want more than the usual 5 s", s)
@@ -654,12 +654,12 @@
 	h := newHost(t, settings(), entry("t1", 1, 0, 0))
 	h.warm(1, 20)
 	e := entry("t1", 1, 0, 0)
-	e.State = Gone
-	h.step(Listing{How: ListChanges, Entries: []Entry{e}})
+	e.State = Removed
+	h.step(ListUpdate{Kind: ListChanges, Entries: []Entry{e}})
 	h.arrive(0, 1, 20)
 	e = entry("t2", 1, 0, 0)
-	e.Joined = h.now
-	n := len(sends(h.step(Listing{How: ListChanges, Entries: []Entry{e}})))
+	e.JoinedAt = h.now
+	n := len(sends(h.step(ListUpdate{Kind: ListChanges, Entries: []Entry{e}})))
 	for range 15 {
 		n += len(sends(h.pass(100 * ms)))
 		h.end(len(h.out), OK)
@@ -676,12 +676,12 @@
 		h.arrive(0, 1, 1)
 		s := h.out[0]
 		h.out = nil
-		h.step(Outcome{ID: s.ID, Target: s.Target, Status: Full, Wait: 3 * sec})
+		h.step(Outcome{ID: s.ID, Target: s.Target, Status: Rejected, RetryAfter: 3 * sec})
 		gone := entry("t1", 1, kind, 0)
-		gone.State = Gone
-		h.step(Withdrawn{ID: "m1"}, Listing{How: ListChanges, Entries: []Entry{gone}})
+		gone.State = Removed
+		h.step(Withdrawn{ID: "m1"}, ListUpdate{Kind: ListChanges, Entries: []Entry{gone}})
 		h.pass(2500 * ms)
-		h.step(Listing{How: ListChanges, Entries: []Entry{entry("t1", 1, kind, 0)}})
+		h.step(ListUpdate{Kind: ListChanges, Entries: []Entry{entry("t1", 1, kind, 0)}})
 		h.arrive(0, 1, 1)
 		if len(h.out) != 0 {
 			t.Fatalf("kind %d: sent while told to wait: %v", kind, h.out)
@@ -711,9 +711,9 @@
 // pace starts at half of the limit instead, and follows a reported one.
 func TestPaceWithManyForwarders(t *testing.T) {
 	set := settings()
-	set.Forwarders, set.Sizes = 300, SizesRough
+	set.Forwarders, set.ListedLimits = 300, LimitsApproximate
 	e := entry("t1", 1, 0, 0)
-	e.Size = 4
+	e.RateLimit = 4
 	h := newHost(t, set, e)
 	count := func() (n int) {
 		h.arrive(0, 1, 8)
@@ -721,8 +721,8 @@
 			n += len(sends(h.pass(100 * ms)))
 			for i := range h.out {
 				h.step(Outcome{
-					ID: h.out[i].ID, Target: "t1", Status: OK, Took: 50 * ms, Closed: true,
-					Report: Report{Left: 0.5, Limit: e.Size},
+					ID: h.out[i].ID, Target: "t1", Status: OK, Duration: 50 * ms, Final: true,
+					Report: LimitReport{Remaining: 0.5, Limit: e.RateLimit},
 				})
 			}
 			h.out = nil
@@ -734,11 +734,11 @@
 	if n := count(); n < 3 || n > 7 {
 		t.Fatalf("%d of 8 sent in 2 s at a limit of 4 a second, want about half of the limit", n)
 	}
-	e.Size = 0.8
+	e.RateLimit = 0.8
 	h.arrive(0, 1, 1)
 	h.step(Outcome{
-		ID: h.out[0].ID, Target: "t1", Status: OK, Took: 50 * ms, Closed: true,
-		Report: Report{Limit: e.Size},
+		ID: h.out[0].ID, Target: "t1", Status: OK, Duration: 50 * ms, Final: true,
+		Report: LimitReport{Limit: e.RateLimit},
 	})
 	h.out = nil
 	if n := count(); n > 3 {
@@ -758,7 +758,7 @@
 			t.Fatal(err)
 		}
 		h := &host{t: t, p: p, now: sec}
-		h.step(Listing{How: ListStored, Entries: []Entry{entry("t1", 1, 0, 0)}})
+		h.step(ListUpdate{Kind: ListCached, Entries: []Entry{entry("t1", 1, 0, 0)}})
 		var last time.Duration
 		for range 2 {
 			for start := h.now; len(h.out) == 0; last = h.now - start {
@@ -769,7 +769,7 @@
 			}
 			waits[last] = true
 			h.now += 50 * ms
-			h.end(1, Full)
+			h.end(1, Rejected)
 		}
 	}
 	if len(waits) < 5 {
@@ -817,7 +817,7 @@
 		h.arrive(0, 1, 1)
 		s := h.out[0]
 		shut := false
-		for _, a := range h.p.Step(h.now, []Event{Outcome{ID: s.ID, Target: s.Target, Status: OK, Closed: true}}) {
+		for _, a := range h.p.Step(h.now, []Event{Outcome{ID: s.ID, Target: s.Target, Status: OK, Final: true}}) {
 			_, isClose := a.(CloseIdle)
 			shut = shut || isClose
 		}
@@ -867,7 +867,7 @@
 		for range 50 {
 			if n += len(h.out); len(h.out) > 0 {
 				h.now += 5 * ms
-				h.end(len(h.out), Full)
+				h.end(len(h.out), Rejected)
 			}
 			h.pass(20 * ms)
 		}
@@ -887,7 +887,7 @@
 			t.Fatal(err)
 		}
 		h := &host{t: t, p: p, now: 100 * sec}
-		h.step(Listing{How: ListStored, Entries: entries})
+		h.step(ListUpdate{Kind: ListCached, Entries: entries})
 		hosts = append(hosts, h)
 	}
 	return hosts
@@ -897,7 +897,7 @@
 func (h *host) answer(o Outcome) []Action {
 	var evs []Event
 	for _, s := range h.out {
-		o.ID, o.Target, o.Took, o.Closed = s.ID, s.Target, 100*ms, o.Status == OK
+		o.ID, o.Target, o.Duration, o.Final = s.ID, s.Target, 100*ms, o.Status == OK
 		evs = append(evs, o)
 	}
 	h.out = nil
@@ -911,7 +911,7 @@
 	for _, h := range many(t, 100, settings(), entry("t1", 1, 0, 0), entry("t2", 1, 0, 0)) {
 		h.arrive(0, 1, 1)
 		h.now += 100 * ms
-		h.answer(Outcome{Status: Full, Wait: 6 * sec})
+		h.answer(Outcome{Status: Rejected, RetryAfter: 6 * sec})
 		if n := len(sends(h.pass(5900 * ms))); n > 0 {
 			t.Fatal("sent while told to wait")
 		}
@@ -929,7 +929,7 @@
 func TestTrialsOfManyStayBelowWhatAColdDestinationBears(t *testing.T) {
 	for _, warm := range []int{0, 10} { // calls before, five a second: none or many
 		set := settings()
-		set.SendCap = 0
+		set.MaxAttempts = 0
 		n := 0
 		hosts := many(t, 60, set, entry("t1", 1, 0, 0))
 		for _, h := range hosts {
@@ -947,9 +947,9 @@
 		}
 		usual := 5.0 // calls a second of one forwarder
 		if warm == 0 {
-			usual = 2 / set.ColdFor.Seconds() // two in the time that the outage may have lasted
+			usual = 2 / set.WarmupDuration.Seconds() // two in the time that the outage may have lasted
 		}
-		if bears := 10 * 60 * usual * set.TipMultiple * set.StartCapacity; float64(n)-120 > bears {
+		if bears := 10 * 60 * usual * set.OverloadFactor * set.ColdCapacityShare; float64(n)-120 > bears {
 			t.Errorf("%d warm calls: %d trials of 60 forwarders in 10 s, a cold destination bears %.0f", 8*warm, n, bears)
 		}
 	}
@@ -971,8 +971,8 @@
 				s := h.out[0]
 				h.out = nil
 				for _, a := range h.p.Step(h.now, []Event{Outcome{
-					ID: s.ID, Target: s.Target, Status: Full,
-					Report: Report{Left: left, Limit: 40},
+					ID: s.ID, Target: s.Target, Status: Rejected,
+					Report: LimitReport{Remaining: left, Limit: 40},
 				}}) {
 					if l, ok := a.(Log); ok && strings.Contains(l.Text, "held off") {
 						off[i]++
@@ -990,9 +990,9 @@
 // the others' messages (ankara's overloaded day); with slots free nothing waits.
 func TestStakesDecideWhoWaits(t *testing.T) {
 	set := settings()
-	set.CallSlots, set.OverShare = 1, 0.05
+	set.CallSlots, set.OverShareFactor = 1, 0.05
 	set.Tenants = []Tenant{{Name: "p", Share: 0.5, Quota: 50}, {Name: "q", Share: 0.5, Quota: 50}}
-	set.Classes[2] = Class{Name: "fast", Aim: 500 * ms, Deadline: 5 * sec, Credit: 3, Late: 0.1}
+	set.Classes[2] = Class{Name: "fast", SoftDeadline: 500 * ms, Deadline: 5 * sec, Value: 3, LateValueShare: 0.1}
 	for name, last := range map[string]Arrival{
 		"class":  {ID: "last", Class: 2, Dest: 9, Tenant: 0, Budget: 5 * sec},
 		"tenant": {ID: "last", Class: 0, Dest: 9, Tenant: 1, Budget: 20 * sec},
@@ -1022,13 +1022,13 @@
 // What the full store gives up is answered at once, with a time to come back.
 func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
 	set := settings()
-	set.MostHeld, set.CallSlots = 8, 1
+	set.MaxMessages, set.CallSlots = 8, 1
 	h := newHost(t, set, entry("t1", 1, 0, 0))
 	n := 0
 	for _, a := range h.arrive(0, 1, 12) {
 		if r, ok := a.(Refuse); ok {
-			if n++; r.After <= 0 || r.After > set.MaxRetryAfter {
-				t.Errorf("come back after %v", r.After)
+			if n++; r.RetryAfter <= 0 || r.RetryAfter > set.MaxRetryAfter {
+				t.Errorf("come back after %v", r.RetryAfter)
 			}
 		}
 	}
@@ -1047,7 +1047,7 @@
 		h.now += 100 * ms
 		var evs []Event
 		for _, s := range h.out {
-			evs = append(evs, Outcome{ID: s.ID, Target: s.Target, Status: status, Closed: true})
+			evs = append(evs, Outcome{ID: s.ID, Target: s.Target, Status: status, Final: true})
 		}
 		h.out = nil
 		for _, a := range h.p.Step(h.now, evs) {
@@ -1055,7 +1055,7 @@
 				n++
 			}
 		}
-		h.pass(set.ColdFor + sec)
+		h.pass(set.WarmupDuration + sec)
 		return n
 	}
 	if early, late := closes(OK), closes(OK); early != 1 || late != 0 {
@@ -1071,23 +1071,23 @@
 // bring one, found no room for its connection. From then on none is left idle at its kind: of 309
 // forwarders a few that each left one open filled endpoints that take eight, with one call out.
 func TestNoConnectionIsLeftIdleWhereNewOnesFindNoRoom(t *testing.T) {
-	report := Report{Left: 0.8, Limit: 20}
+	report := LimitReport{Remaining: 0.8, Limit: 20}
 	for name, c := range map[string]struct {
 		forwarders int
 		idle       bool // the call that is turned away goes over a connection that was left open
 		answer     Outcome
 		limited    bool
 	}{
-		"no word":           {309, false, Outcome{Status: Full}, true},
-		"to one of few":     {2, false, Outcome{Status: Full}, false},
-		"its load":          {309, false, Outcome{Status: Full, Report: Report{Limit: 20}}, false},
-		"a wait":            {309, false, Outcome{Status: Full, Wait: 100 * ms}, false},
-		"on an open one":    {309, true, Outcome{Status: Full}, false},
+		"no word":           {309, false, Outcome{Status: Rejected}, true},
+		"to one of few":     {2, false, Outcome{Status: Rejected}, false},
+		"its load":          {309, false, Outcome{Status: Rejected, Report: LimitReport{Limit: 20}}, false},
+		"a wait":            {309, false, Outcome{Status: Rejected, RetryAfter: 100 * ms}, false},
+		"on an open one":    {309, true, Outcome{Status: Rejected}, false},
 		"an error":          {309, false, Outcome{Status: Error}, false},
 		"delivered, silent": {309, false, Outcome{Status: OK}, false},
 	} {
 		set := settings()
-		set.Forwarders, set.Kinds[0].Apart = c.forwarders, true
+		set.Forwarders, set.Kinds[0].RoutePerTarget = c.forwarders, true
 		h := newHost(t, set, entry("t1", 1, 0, 0), entry("t2", 2, 0, 0), entry("t3", 3, 2, 0), entry("t4", 4, -1, 0))
 		call := func(dest int, o Outcome) (shut bool) {
 			h.pass(100 * ms) // a connection used this very moment counts as new
@@ -1096,14 +1096,14 @@
 			}
 			s := h.out[0]
 			h.out, h.now = h.out[1:], h.now+100*ms
-			o.ID, o.Target, o.Took, o.Closed = s.ID, s.Target, 100*ms, true
+			o.ID, o.Target, o.Duration, o.Final = s.ID, s.Target, 100*ms, true
 			for _, a := range h.p.Step(h.now, []Event{o}) {
 				_, is := a.(CloseIdle)
 				shut = shut || is
 			}
 			return shut
 		}
-		h.pass(set.ColdFor + sec) // till then whatever is seldom used is shut
+		h.pass(set.WarmupDuration + sec) // till then whatever is seldom used is shut
 		call(3, Outcome{Status: OK, Report: report})
 		call(4, Outcome{Status: OK, Report: report})
 		if c.idle {
@@ -1145,7 +1145,7 @@
 // those of one that calls seldom (h820ac4).
 func TestFirstCallIsNoRate(t *testing.T) {
 	set := settings()
-	set.SendCap = 0
+	set.MaxAttempts = 0
 	n := 0
 	for _, h := range many(t, 60, set, entry("t1", 1, 0, 0), entry("t2", 1, 0, 0)) {
 		h.arrive(0, 1, 2)
@@ -1170,20 +1170,20 @@
 	now := 40 * sec
 	arrival := func(class int) Arrival { return Arrival{ID: "m", Class: class, Dest: 1, Budget: 10 * sec} }
 	set := settings()
-	set.Lag = 250 * ms
+	set.MaxSendJitter = 250 * ms
 	for name, c := range map[string]struct {
 		r    Restored
 		want []Action
 	}{
-		"never ran":         {Restored{Arrival: arrival(2), Sends: 3}, []Action{Send{ID: "m"}}},
-		"unsafe":            {Restored{Arrival: arrival(2), Sends: 1, MayRun: true, RanOn: "a1", RanAt: now - sec}, []Action{Fail{"m"}}},
-		"keyed":             {Restored{Arrival: arrival(1), Sends: 1, MayRun: true, RanOn: "gone", RanZone: 1, RanAt: now - sec}, []Action{Send{ID: "m", Target: "a2", Within: 4870 * ms}}},
-		"keyed, too late":   {Restored{Arrival: arrival(1), Sends: 1, MayRun: true, RanOn: "a1", RanAt: now - 9*sec}, []Action{Fail{"m"}}},
-		"keyed, other zone": {Restored{Arrival: arrival(1), Sends: 1, MayRun: true, RanOn: "gone", RanZone: -1, RanAt: now - sec}, nil},
+		"never ran":         {Restored{Arrival: arrival(2), Attempts: 3}, []Action{Send{ID: "m"}}},
+		"unsafe":            {Restored{Arrival: arrival(2), Attempts: 1, MayHaveRun: true, RunTarget: "a1", RunAt: now - sec}, []Action{Fail{"m"}}},
+		"keyed":             {Restored{Arrival: arrival(1), Attempts: 1, MayHaveRun: true, RunTarget: "gone", RunZone: 1, RunAt: now - sec}, []Action{Send{ID: "m", Target: "a2", MaxSendDelay: 4870 * ms}}},
+		"keyed, too late":   {Restored{Arrival: arrival(1), Attempts: 1, MayHaveRun: true, RunTarget: "a1", RunAt: now - 9*sec}, []Action{Fail{"m"}}},
+		"keyed, other zone": {Restored{Arrival: arrival(1), Attempts: 1, MayHaveRun: true, RunTarget: "gone", RunZone: -1, RunAt: now - sec}, nil},
 		// the endpoint counts its window from the first call's coming to the second's
-		"keyed, may come late": {Restored{Arrival: arrival(1), Sends: 1, MayRun: true, RanOn: "a1", RanAt: now - 5800*ms}, []Action{Fail{"m"}}},
+		"keyed, may come late": {Restored{Arrival: arrival(1), Attempts: 1, MayHaveRun: true, RunTarget: "a1", RunAt: now - 5800*ms}, []Action{Fail{"m"}}},
 		"unknown class":        {Restored{Arrival: arrival(9)}, []Action{Fail{"m"}}},
-		"all attempts used":    {Restored{Arrival: arrival(0), Sends: 6}, []Action{Refuse{ID: "m"}}},
+		"all attempts used":    {Restored{Arrival: arrival(0), Attempts: 6}, []Action{Refuse{ID: "m"}}},
 		"time is up":           {Restored{Arrival: Arrival{ID: "m", Dest: 1, Budget: -sec}}, []Action{Refuse{ID: "m"}}},
 	} {
 		p, err := New(set, 1)
@@ -1191,7 +1191,7 @@
 			t.Fatal(err)
 		}
 		var got []Action
-		for _, a := range p.Step(now, []Event{Listing{How: ListWhole, Entries: fleet}, c.r}) {
+		for _, a := range p.Step(now, []Event{ListUpdate{Kind: ListSnapshot, Entries: fleet}, c.r}) {
 			switch a := a.(type) {
 			case Send:
 				if a.Timeout = 0; c.r.Class != 1 {
@@ -1199,7 +1199,7 @@
 				}
 				got = append(got, a)
 			case Refuse:
-				a.After = 0
+				a.RetryAfter = 0
 				got = append(got, a)
 			case Fail:
 				got = append(got, a)
@@ -1215,7 +1215,7 @@
 // trials of one that fails came up to 19 s apart, longer than its messages may wait.
 func TestRestoredTellTheUsualRate(t *testing.T) {
 	set := settings()
-	set.MostHeld = 400
+	set.MaxMessages = 400
 	h := newHost(t, set, entry("t1", 1, 0, 0), entry("t2", 1, 0, 0))
 	var evs []Event
 	for i := range 100 {
@@ -1255,8 +1255,8 @@
 		var evs []Event
 		for i := range 30 {
 			evs = append(evs, Restored{
-				Arrival: Arrival{ID: MessageID(fmt.Sprint("r", i)), Dest: 1, Budget: 15 * sec},
-				Sends:   1, MayRun: c.ago > 0, RanOn: "t1", RanAt: h.now - c.ago, Failed: c.failed,
+				Arrival:  Arrival{ID: MessageID(fmt.Sprint("r", i)), Dest: 1, Budget: 15 * sec},
+				Attempts: 1, MayHaveRun: c.ago > 0, RunTarget: "t1", RunAt: h.now - c.ago, AttemptFailed: c.failed,
 			})
 		}
 		h.step(evs...)
@@ -1283,16 +1283,16 @@
 		t.Fatal(err)
 	}
 	now := 40 * sec
-	p.Step(now, []Event{Listing{How: ListWhole, Entries: fleet}})
+	p.Step(now, []Event{ListUpdate{Kind: ListSnapshot, Entries: fleet}})
 	var sent []bool
 	for i := range 12 {
 		if i == 8 {
-			p.Step(now, []Event{Closing{At: now + sec}})
+			p.Step(now, []Event{Shutdown{At: now + sec}})
 		}
 		sent = append(sent, false)
 		for _, a := range p.Step(now, []Event{Arrival{ID: MessageID(fmt.Sprint(i)), Dest: 1, Budget: 10 * sec}}) {
 			if s, ok := a.(Send); ok {
-				p.Step(now+100*ms, []Event{Outcome{ID: s.ID, Target: s.Target, Took: 100 * ms, Closed: true}})
+				p.Step(now+100*ms, []Event{Outcome{ID: s.ID, Target: s.Target, Duration: 100 * ms, Final: true}})
 				sent[i] = true
 			}
 		}
@@ -1312,7 +1312,7 @@
 	for n, least := range map[int]float64{2: 0.9, 8: 0.9, 48: 0.8, 300: 0.7} {
 		rng := rand.New(rand.NewPCG(uint64(n), 1))
 		set := settings()
-		set.IdleClose = 5 * sec
+		set.IdleTimeout = 5 * sec
 		hosts := many(t, n, set, entry("t1", 1, 0, 0))
 		room, served, sent := limit, 0, 0
 		for at := step; at <= 60*sec; at += step {
@@ -1325,9 +1325,9 @@
 				h.now += step
 				var evs []Event
 				for _, s := range h.out {
-					o := Outcome{ID: s.ID, Target: s.Target, Status: OK, Took: step, Closed: true, Report: Report{Left: max(room, 0) / limit, Limit: limit}}
+					o := Outcome{ID: s.ID, Target: s.Target, Status: OK, Duration: step, Final: true, Report: LimitReport{Remaining: max(room, 0) / limit, Limit: limit}}
 					if room--; room < 0 {
-						o.Status, o.Closed, o.Report.Left = Full, false, 0
+						o.Status, o.Final, o.Report.Remaining = Rejected, false, 0
 					} else if at > 15*sec {
 						served++
 					}
