--- a/policy_worth.go
+++ b/policy_worth.go
@@ -29,7 +29,7 @@
 		return 1
 	}
 	within := min(1, quota/all*(seen+1)/p.tenants[tenant].all)
-	return within + (1-within)*p.set.OverShare
+	return within + (1-within)*p.set.OverShareFactor
 }
 
 // left is the part of its worth that a message has at the time t.
@@ -40,19 +40,20 @@
 		return 0
 	case late <= 0:
 		return 1
-	case p.set.Loss == LossHalving:
-		return max(m.class.Late, math.Exp2(-late/float64(m.class.Aim)))
+	case p.set.ValueDecay == DecayHalving:
+		return max(m.class.LateValueShare, math.Exp2(-late/float64(m.class.SoftDeadline)))
 	}
-	return 1 - (1-m.class.Late)*min(1, late/float64(max(m.end-m.aim, 1)))
+	return 1 - (1-m.class.LateValueShare)*min(1, late/float64(max(m.end-m.aim, 1)))
 }
 
 // weigh sets what each held message has at stake: the worth that it loses if it waits until all
 // that is held has left, and a part of what it has left then.
 func (p *Policy) weigh() {
 	p.stakes = 0
-	held := max(len(p.msgs)-p.flows.Busy, 0)
-	wait := time.Duration(float64(held) * p.flows.Mean / float64(p.set.CallSlots) * float64(time.Second))
-	for _, d := range p.flows.Active {
+	held := max(len(p.msgs)-p.flows.BusySlots, 0)
+	wait := time.Duration(float64(held) * p.flows.MeanSlotSeconds / float64(p.set.CallSlots) *
+		float64(time.Second))
+	for _, d := range p.flows.ActiveFlows {
 		mean, _ := p.usual(d.shared)
 		for _, m := range d.held {
 			now := p.left(m, p.now+mean)
--- a/retune_test.go
+++ b/retune_test.go
@@ -11,10 +11,10 @@
 // for those under way, new kinds and classes leave what is known of targets where it was, and an attempt
 // beyond a lower cap is not made.
 func TestRetune(t *testing.T) {
-	free := Class{Name: "free", Aim: time.Second, Deadline: 10 * time.Second, Credit: 1}
+	free := Class{Name: "free", SoftDeadline: time.Second, Deadline: 10 * time.Second, Value: 1}
 	set := Settings{
-		Forwarders: 1, CallSlots: 4, MostHeld: 50, SendCap: 3, Classes: []Class{free}, Kinds: []Kind{{BundleMax: 1}},
-		ConnectWithin: time.Second, IdleClose: 5 * time.Second,
+		Forwarders: 1, CallSlots: 4, MaxMessages: 50, MaxAttempts: 3, Classes: []Class{free}, Kinds: []DestinationKind{{MaxBatch: 1}},
+		ConnectTimeout: time.Second, IdleTimeout: 5 * time.Second,
 	}
 	p, err := New(set, 1)
 	if err != nil {
@@ -35,16 +35,16 @@
 		}
 		return sent, ended
 	}
-	step(Listing{How: ListWhole, Entries: []Entry{{Target: "a", Dest: 7, Kind: 0, Zone: -1}, {Target: "b", Dest: 8, Kind: -1, Zone: -1}}})
+	step(ListUpdate{Kind: ListSnapshot, Entries: []Entry{{Target: "a", Dest: 7, Kind: 0, Zone: -1}, {Target: "b", Dest: 8, Kind: -1, Zone: -1}}})
 	out, _ := step(Arrival{ID: "under way", Dest: 7, Budget: 10 * time.Second}, Arrival{ID: "twice", Dest: 8, Budget: 10 * time.Second})
 	if len(out) != 2 {
 		t.Fatal(out)
 	}
 	next := set
 	strict := free
-	strict.Effect = Unsafe
-	next.Classes, next.Kinds, next.SendCap = []Class{free, strict}, []Kind{{BundleMax: 1}, {BundleMax: 9}}, 1
-	if err := p.Retune(next); err != nil {
+	strict.Idempotency = NonIdempotent
+	next.Classes, next.Kinds, next.MaxAttempts = []Class{free, strict}, []DestinationKind{{MaxBatch: 1}, {MaxBatch: 9}}, 1
+	if err := p.Reconfigure(next); err != nil {
 		t.Fatal(err)
 	}
 	if n := len(p.targets["a"].odds); n != 3 || p.dests[8].ki != 2 || len(p.connLimited) != 3 {
@@ -55,24 +55,24 @@
 	if diff := cmp.Diff([]MessageID{"under way"}, ended); diff != "" {
 		t.Error(diff)
 	}
-	next.SendCap = 5
-	if err := p.Retune(next); err != nil {
+	next.MaxAttempts = 5
+	if err := p.Reconfigure(next); err != nil {
 		t.Fatal(err)
 	}
 	step(Arrival{ID: "strict", Class: 1, Dest: 7, Budget: 10 * time.Second})
-	if m := p.msgs["strict"]; m == nil || m.class.Effect != Unsafe || p.msgs["twice"].class.Effect != Safe {
+	if m := p.msgs["strict"]; m == nil || m.class.Idempotency != NonIdempotent || p.msgs["twice"].class.Idempotency != Idempotent {
 		t.Fatal("a message has another's class")
 	}
 	broken := next
 	broken.Classes = nil
-	if err := p.Retune(broken); err == nil || len(p.set.Classes) != 2 {
+	if err := p.Reconfigure(broken); err == nil || len(p.set.Classes) != 2 {
 		t.Errorf("broken settings: %v", err)
 	}
-	if step(Outcome{ID: "twice", Target: "b", Status: Full, Wait: time.Second}); len(p.dests[8].held) != 1 {
+	if step(Outcome{ID: "twice", Target: "b", Status: Rejected, RetryAfter: time.Second}); len(p.dests[8].held) != 1 {
 		t.Fatal("not held")
 	}
-	next.SendCap = 1
-	if err := p.Retune(next); err != nil {
+	next.MaxAttempts = 1
+	if err := p.Reconfigure(next); err != nil {
 		t.Fatal(err)
 	}
 	if _, ended := step(); len(ended) != 1 {
--- a/return_test.go
+++ b/return_test.go
@@ -16,9 +16,9 @@
 	const limit, load, step = 60.0, 1.2, 10 * ms
 	rng := rand.New(rand.NewPCG(5, uint64(n)))
 	set := settings()
-	set.Tick, set.IdleClose, set.AskForList, set.RetryAfter, set.Forwarders = ms, 5*sec, false, false, n
-	set.CallSlots, set.MostHeld, set.Loss = max(5, 120/n), max(90, 1000/n), LossHalving
-	set.Classes = []Class{{Name: "r", Aim: sec, Deadline: 8 * sec, Credit: 2, Late: 0.1, Effect: Safe}}
+	set.MinBatchInterval, set.IdleTimeout, set.ListOnRequest, set.AdviseRetryAfter, set.Forwarders = ms, 5*sec, false, false, n
+	set.CallSlots, set.MaxMessages, set.ValueDecay = max(5, 120/n), max(90, 1000/n), DecayHalving
+	set.Classes = []Class{{Name: "r", SoftDeadline: sec, Deadline: 8 * sec, Value: 2, LateValueShare: 0.1, Idempotency: Idempotent}}
 	type call struct {
 		due time.Duration
 		o   Outcome
@@ -45,18 +45,18 @@
 		for _, a := range l.p.Step(now, events) {
 			switch a := a.(type) {
 			case Send:
-				o := Outcome{ID: a.ID, Target: a.Target, Took: 80 * ms, Status: OK, Closed: true, Report: Report{Left: max(0, min(1, room/limit)), Limit: limit}}
+				o := Outcome{ID: a.ID, Target: a.Target, Duration: 80 * ms, Status: OK, Final: true, Report: LimitReport{Remaining: max(0, min(1, room/limit)), Limit: limit}}
 				if room--; room < 0 {
-					o.Status, o.Closed, o.Report.Left = Full, false, 0
+					o.Status, o.Final, o.Report.Remaining = Rejected, false, 0
 				}
 				l.sends[a.ID]++
 				if since := now - 100*sec - at; since >= 0 && since < 5*sec {
 					after = append(after, now)
-					if sent++; o.Status == Full {
+					if sent++; o.Status == Rejected {
 						full++
 					}
 				}
-				l.calls = append(l.calls, call{now + o.Took, o})
+				l.calls = append(l.calls, call{now + o.Duration, o})
 			case Refuse:
 				delete(l.held, a.ID)
 			case WakeAt:
@@ -64,7 +64,7 @@
 			}
 		}
 	}
-	list := Listing{How: ListStored, Entries: []Entry{entry("t1", 1, 0, 0), entry("t2", 1, 0, 1)}}
+	list := ListUpdate{Kind: ListCached, Entries: []Entry{entry("t1", 1, 0, 0), entry("t2", 1, 0, 1)}}
 	fleet := make([]*life, n)
 	for i := range fleet {
 		fleet[i] = begin(i, 0)
@@ -82,7 +82,7 @@
 				}
 				for _, id := range ids(old.held) {
 					l.held[id], l.sends[id] = old.held[id], old.sends[id]
-					act(l, Restored{Arrival: Arrival{ID: id, Dest: 1, Budget: old.held[id] - now}, Sends: old.sends[id]})
+					act(l, Restored{Arrival: Arrival{ID: id, Dest: 1, Budget: old.held[id] - now}, Attempts: old.sends[id]})
 				}
 			}
 		}
--- a/rules_test.go
+++ b/rules_test.go
@@ -75,7 +75,7 @@
 		case Refuse:
 			m := h.msgs[a.ID]
 			c := h.set.Classes[m.class]
-			if m.mayRun && (c.Effect == Unsafe || c.Effect == Keyed && c.Group != GroupAll) {
+			if m.mayRun && (c.Idempotency == NonIdempotent || c.Idempotency == Keyed && c.DedupScope != DedupDestination) {
 				h.t.Fatalf("%v: %s refused though it may have run", h.now, a.ID)
 			}
 			h.close(m)
@@ -112,9 +112,9 @@
 		fail("to a target that drains or is gone")
 	case h.until[routeOf(s.Target)] > h.now:
 		fail("while told to wait")
-	case m.mayRun && c.Effect == Unsafe:
+	case m.mayRun && c.Idempotency == NonIdempotent:
 		fail("unsafe, and may have run")
-	case m.mayRun && c.Effect == Keyed && (h.now > m.ranAt+c.Window || e.Zone != m.ranZone):
+	case m.mayRun && c.Idempotency == Keyed && (h.now > m.ranAt+c.DedupWindow || e.Zone != m.ranZone):
 		fail("outside its window or group")
 	}
 	m.out = true
@@ -122,9 +122,9 @@
 	status := OK
 	switch x := h.rng.IntN(20); {
 	case x < 2:
-		status = Full
+		status = Rejected
 	case x < 4:
-		status = []Status{Error, ConnectFailed, Reset, TimedOut, Cancelled, Moot}[h.rng.IntN(6)]
+		status = []Status{Error, ConnectFailed, Reset, TimedOut, Canceled, NotSent}[h.rng.IntN(6)]
 	case x < 5 || h.now/(5*sec)%3 == 1 && e.Dest != 1: // now and then two destinations hang
 		status, took = TimedOut, s.Timeout
 	}
@@ -174,7 +174,7 @@
 			} else {
 				h.gone[e.Target] = true
 			}
-			evs = append(evs, Listing{How: ListChanges, Entries: []Entry{e}})
+			evs = append(evs, ListUpdate{Kind: ListChanges, Entries: []Entry{e}})
 		}
 		if len(evs) > 0 {
 			h.step(evs...)
@@ -194,14 +194,14 @@
 func (h *history) outcome(c *attempt) Event {
 	m := c.m
 	m.out = false
-	o := Outcome{ID: m.id, Target: c.target, Status: c.status, Took: h.now - c.at}
+	o := Outcome{ID: m.id, Target: c.target, Status: c.status, Duration: h.now - c.at}
 	switch c.status {
 	case OK:
-		o.Closed, m.closed = true, true
-	case Full:
-		o.Wait = time.Duration(h.rng.IntN(3)) * 300 * ms
-		h.until[routeOf(c.target)] = max(h.until[routeOf(c.target)], h.now+o.Wait)
-	case TimedOut, Reset, Cancelled, Error:
+		o.Final, m.closed = true, true
+	case Rejected:
+		o.RetryAfter = time.Duration(h.rng.IntN(3)) * 300 * ms
+		h.until[routeOf(c.target)] = max(h.until[routeOf(c.target)], h.now+o.RetryAfter)
+	case TimedOut, Reset, Canceled, Error:
 		if !m.mayRun {
 			m.mayRun, m.ranAt, m.ranZone = true, c.at, lookup(c.target).Zone
 		}
@@ -223,7 +223,7 @@
 				msgs: map[MessageID]*message{},
 				gone: map[TargetID]bool{}, until: map[string]time.Duration{},
 			}
-			h.step(Listing{How: ListStored, Entries: fleet})
+			h.step(ListUpdate{Kind: ListCached, Entries: fleet})
 			h.play(40 * sec)
 			traces[i] = h.trace
 		}
--- a/state.go
+++ b/state.go
@@ -43,7 +43,7 @@
 	asfq.Flow
 	id      DestID
 	ki      int // index of its kind, the number of kinds if unknown
-	kind    Kind
+	kind    DestinationKind
 	targets []*target // by id
 	shared  *route    // the route of all targets where they are not apart
 	held    []*msg    // in order of arrival
@@ -148,7 +148,7 @@
 func (p *Policy) dest(id DestID) *dest {
 	d := p.dests[id]
 	if d == nil {
-		d = &dest{id: id, ki: len(p.set.Kinds), kind: Kind{BundleMax: 1}}
+		d = &dest{id: id, ki: len(p.set.Kinds), kind: DestinationKind{MaxBatch: 1}}
 		d.shared = &route{filledAt: p.now}
 		p.dests[id] = d
 	}
@@ -165,7 +165,7 @@
 		id: e.Target, d: d, zone: e.Zone, r: d.shared, since: p.now, lastOK: -1 << 60,
 		lastSent: -1 << 60, taste: 1 + p.rng.Float64()/4, odds: make([]odds, len(p.set.Classes)+1),
 	}
-	if d.kind.Apart {
+	if d.kind.RoutePerTarget {
 		t.r = &route{filledAt: p.now, until: d.shared.until}
 	}
 	p.targets[e.Target] = t
--- a/view.go
+++ b/view.go
@@ -7,32 +7,32 @@
 
 // DestView is the state that the policy keeps of a destination, for operators' eyes.
 type DestView struct {
-	Dest    DestID        `json:"dest"`
-	Held    int           `json:"held"`           // messages that wait here
-	Out     int           `json:"out"`            // calls under way
-	Sick    bool          `json:"sick,omitempty"` // as of the last batch: it shares the slots of the sick
-	Setback float64       `json:"setback"`        // by the monitor, in messages
-	Wait    time.Duration `json:"wait_ns"`        // what is left of a wait that it told
-	Targets []TargetView  `json:"targets"`        // in the order of their ids
+	Dest          DestID        `json:"dest"`
+	Held          int           `json:"held"`           // messages that wait here
+	CallsInFlight int           `json:"out"`            // calls under way
+	Degraded      bool          `json:"sick,omitempty"` // as of the last batch: it shares the slots of the sick
+	Penalty       float64       `json:"setback"`        // by the monitor, in messages
+	WaitRemaining time.Duration `json:"wait_ns"`        // what is left of a wait that it told
+	Targets       []TargetView  `json:"targets"`        // in the order of their ids
 }
 
 // TargetView is the state that the policy keeps of a target.
 type TargetView struct {
-	Target TargetID      `json:"target"`
-	Ready  bool          `json:"ready"`  // by the list
-	Health string        `json:"health"` // open, half-open or slow start
-	Out    int           `json:"out"`
-	Fails  int           `json:"fails,omitempty"` // in a row
-	Pace   float64       `json:"pace,omitempty"`  // calls a second that its route may send, 0 while no limit is known
-	Wait   time.Duration `json:"wait_ns"`         // what is left of a wait that its route told
-	Mean   time.Duration `json:"mean_ns"`         // of its answers' times
+	Target              TargetID      `json:"target"`
+	Ready               bool          `json:"ready"`  // by the list
+	Health              string        `json:"health"` // open, half-open or slow start
+	CallsInFlight       int           `json:"out"`
+	ConsecutiveFailures int           `json:"fails,omitempty"` // in a row
+	RateLimit           float64       `json:"pace,omitempty"`  // calls a second that its route may send, 0 while no limit is known
+	WaitRemaining       time.Duration `json:"wait_ns"`         // what is left of a wait that its route told
+	MeanLatency         time.Duration `json:"mean_ns"`         // of its answers' times
 }
 
 var healths = [...]string{open: "open", halfOpen: "half-open", ramp: "slow start"}
 
-// Avoided is how many targets get no usual traffic now: held off after failures, in a wait that they told,
+// UnavailableTargets is how many targets get no usual traffic now: held off after failures, in a wait that they told,
 // or draining by the list. It changes nothing.
-func (p *Policy) Avoided(now time.Duration) (n int) {
+func (p *Policy) UnavailableTargets(now time.Duration) (n int) {
 	for _, t := range p.targets {
 		if !t.ready || t.health == halfOpen || t.r.until > now {
 			n++
@@ -46,13 +46,13 @@
 	all := make([]DestView, 0, len(p.dests))
 	for _, d := range p.dests {
 		v := DestView{
-			Dest: d.id, Held: len(d.held), Out: len(d.out), Sick: d.Trouble, Setback: d.Delta(), Wait: max(d.shared.until-p.now, 0),
+			Dest: d.id, Held: len(d.held), CallsInFlight: len(d.out), Degraded: d.Degraded, Penalty: d.Penalty(), WaitRemaining: max(d.shared.until-p.now, 0),
 			Targets: []TargetView{},
 		}
 		for _, t := range d.targets {
 			v.Targets = append(v.Targets, TargetView{
-				Target: t.id, Ready: t.ready, Health: healths[t.health], Out: t.inFlight, Fails: t.fails,
-				Pace: t.r.rate, Wait: max(t.r.until-p.now, 0), Mean: t.mean,
+				Target: t.id, Ready: t.ready, Health: healths[t.health], CallsInFlight: t.inFlight, ConsecutiveFailures: t.fails,
+				RateLimit: t.r.rate, WaitRemaining: max(t.r.until-p.now, 0), MeanLatency: t.mean,
 			})
 		}
 		all = append(all, v)
