--- a/internal/control/placer/adapter_eviction.go
+++ b/internal/control/placer/adapter_eviction.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// adapterIdleTimeout is how long after its last request an adapter may be evicted at once.
+	// adapterIdleTimeout is how long after its last request an adapter becomes idle and may be evicted at once.
 	adapterIdleTimeout = 2500 * time.Millisecond
-	// minAdapterResidency is how long an adapter in use stays before it may be evicted for one that is loaded
-	// nowhere.
+	// minAdapterResidency is how long an adapter in use stays loaded before it may be evicted for an adapter that is
+	// loaded nowhere.
 	minAdapterResidency = 2 * time.Second
-	// adapterReservationTTL is how long a slot that was freed is kept for the adapter it was freed for.
+	// adapterReservationTTL is how long a freed slot is reserved for the adapter that it was freed for.
 	adapterReservationTTL = time.Second
 )
 
@@ -20,21 +20,21 @@
 type loadedAdapter struct {
 	adapterKey
 	endpoint      *endpoint
-	lastRequestAt time.Time // zero: nobody has asked for it
-	loadedAt      time.Time // zero: before it was observed
+	lastRequestAt time.Time // zero: it has not been requested
+	loadedAt      time.Time // zero: this placer did not load it
 	running       int       // requests in flight or waiting
-	replicated    bool      // another endpoint has it loaded too
+	replicated    bool      // the adapter is also loaded at another endpoint
 }
 
-// isIdle reports whether nobody has asked for the adapter lately.
+// isIdle reports whether the adapter has no requests and had none within adapterIdleTimeout.
 func (a loadedAdapter) isIdle(now time.Time) bool {
 	return a.running == 0 && now.Sub(a.lastRequestAt) >= adapterIdleTimeout
 }
 
-// evictBefore is the order of eviction: idle adapters first, by their last request; then those that are loaded
-// elsewhere too; then those without requests at the moment; then by the time since they were loaded, the longest
-// first.
-func (a loadedAdapter) evictBefore(now time.Time, other loadedAdapter) bool {
+// isEvictedBefore reports whether the adapter is evicted before the other one. Idle adapters come first, the longest
+// idle first; then adapters that are also loaded elsewhere; then adapters without current requests; then the adapters
+// that were loaded first.
+func (a loadedAdapter) isEvictedBefore(now time.Time, other loadedAdapter) bool {
 	if idle := a.isIdle(now); idle != other.isIdle(now) {
 		return idle
 	} else if idle {
@@ -49,10 +49,10 @@
 	return a.loadedAt.Before(other.loadedAt)
 }
 
-// adapterToEvict returns the endpoint's adapter that is the first to evict, false if there is none. An adapter in use
-// may be evicted only where mayEvictActive allows it, and after minAdapterResidency.
+// adapterToEvict returns the adapter that the endpoint evicts first, false if there is none. An adapter in use may be
+// evicted only with mayEvictActive, and only after minAdapterResidency.
 func (p *Placer) adapterToEvict(now time.Time, f *fleet, e *endpoint, mayEvictActive bool) (loadedAdapter, bool) {
-	first := loadedAdapter{}
+	victim := loadedAdapter{}
 	for i := range e.models {
 		m := &e.models[i]
 		for _, adapter := range m.adapters {
@@ -64,15 +64,15 @@
 				continue
 			}
 			a.replicated = f.isAdapterLoadedElsewhere(a.adapterKey, e)
-			if first.endpoint == nil || a.evictBefore(now, first) {
-				first = a
+			if victim.endpoint == nil || a.isEvictedBefore(now, victim) {
+				victim = a
 			}
 		}
 	}
-	return first, first.endpoint != nil
+	return victim, victim.endpoint != nil
 }
 
-// isAdapterLoadedElsewhere reports whether an endpoint other than the given one has the adapter loaded and keeps its
+// isAdapterLoadedElsewhere reports whether an endpoint other than the excluded one has the adapter loaded and keeps its
 // model.
 func (f *fleet) isAdapterLoadedElsewhere(key adapterKey, excluded *endpoint) bool {
 	return slices.ContainsFunc(f.sortedEndpoints, func(e *endpoint) bool {
@@ -84,7 +84,7 @@
 	})
 }
 
-// evictAdapter evicts an adapter for another one, and reserves the slot for that.
+// evictAdapter evicts an adapter to free its slot for the needed adapter, and reserves the slot.
 func (p *Placer) evictAdapter(now time.Time, f *fleet, victim loadedAdapter, need adapterNeed, out *Output) bool {
 	reason := fmt.Sprintf("place for %s of %s: %d waiting, %.1f refused", need.adapter, need.model, need.demand.waiting,
 		need.demand.unmet)
@@ -97,20 +97,21 @@
 	return true
 }
 
-// adapterReservation keeps a slot of an endpoint for an adapter.
+// adapterReservation reserves a slot of an endpoint for an adapter.
 type adapterReservation struct {
 	adapterKey
 	until time.Time
 }
 
-// isReserved reports whether a slot is reserved for the adapter somewhere.
+// isReserved reports whether any endpoint has a slot reserved for the adapter.
 func (f *fleet) isReserved(now time.Time, key adapterKey) bool {
 	return slices.ContainsFunc(f.sortedEndpoints, func(e *endpoint) bool {
 		return now.Before(e.adapterReservation.until) && e.adapterReservation.adapterKey == key
 	})
 }
 
-// slotAvailableTo reports whether a free slot of the endpoint may go to the adapter: no other one has it reserved.
+// slotAvailableTo reports whether a free slot of the endpoint may be used for the adapter: it is not reserved for
+// another one.
 func (e *endpoint) slotAvailableTo(now time.Time, key adapterKey) bool {
 	return !now.Before(e.adapterReservation.until) || e.adapterReservation.adapterKey == key
 }
--- a/internal/control/placer/adapters.go
+++ b/internal/control/placer/adapters.go
@@ -9,32 +9,32 @@
 )
 
 const (
-	// adapterUtilizationShare is the share of an endpoint's time from which on an adapter is loaded at one more
-	// endpoint.
+	// adapterUtilizationShare is the share of an endpoint's time that one adapter's requests may take before the adapter
+	// is loaded at one more endpoint.
 	adapterUtilizationShare = 0.3
 	// adapterActiveWindow is how long after its last request an adapter counts as in use.
 	adapterActiveWindow = 10 * time.Second
 	// adapterReloadBackoff is how long an evicted adapter is not loaded again, at any endpoint.
 	adapterReloadBackoff = time.Second
-	// maxAdapterOrdersPerStep bounds the orders for adapters of one phase of a decision.
+	// maxAdapterOrdersPerStep limits the adapter orders in one phase of a decision.
 	maxAdapterOrdersPerStep = 16
-	// unplacedAdapterWeight ranks adapters that are loaded nowhere before the others.
+	// unplacedAdapterWeight ranks adapters that are loaded nowhere above the others.
 	unplacedAdapterWeight = 100
 )
 
-// adapterKey names an adapter.
+// adapterKey identifies an adapter.
 type adapterKey struct{ model, adapter string }
 
-// adapterNeed is an adapter that is to be loaded at one more endpoint.
+// adapterNeed is an adapter that should be loaded at one more endpoint.
 type adapterNeed struct {
 	adapterKey
 	demand   *demand
-	weight   float64 // the needs with the highest are met first
-	unplaced bool    // it is loaded nowhere
+	weight   float64 // needs with a higher weight are met first
+	unplaced bool    // the adapter is loaded nowhere
 }
 
-// placeAdapters gives slots to the adapters that are asked for. The urgent part is those that are loaded nowhere, as
-// far as a slot is free or its adapter idle.
+// placeAdapters gives slots to requested adapters. With onlyUrgent, it places only adapters that are loaded nowhere, in
+// slots that are free or whose adapters are idle.
 func (p *Placer) placeAdapters(now time.Time, f *fleet, table *placementTable, onlyUrgent bool, out *Output) {
 	count := 0
 	for _, need := range p.adapterNeeds(now, f, table) {
@@ -50,7 +50,7 @@
 	}
 }
 
-// adapterNeeds lists the adapters in use that are loaded at too few endpoints, by weight.
+// adapterNeeds lists the adapters in use that are loaded at too few endpoints, highest weight first.
 func (p *Placer) adapterNeeds(now time.Time, f *fleet, table *placementTable) []adapterNeed {
 	observed := p.demand.observedFor(now)
 	var needs []adapterNeed
@@ -83,8 +83,8 @@
 	return needs
 }
 
-// unplacedFor is how long the adapter has been loaded nowhere since its eviction, at most adapterActiveWindow; the
-// same if no eviction is known.
+// unplacedFor returns how long ago the adapter was last evicted, at most adapterActiveWindow. It returns
+// adapterActiveWindow if no eviction is known.
 func (f *fleet) unplacedFor(now time.Time, key adapterKey) time.Duration {
 	if evictedAt, known := f.adapterEvictedAt[key]; known {
 		return min(adapterActiveWindow, now.Sub(evictedAt))
@@ -92,7 +92,7 @@
 	return adapterActiveWindow
 }
 
-// adapterReplicas is the number of endpoints where the adapter is loaded or being loaded.
+// adapterReplicas returns the number of endpoints where the adapter is loaded or being loaded.
 func (m *modelPlacement) adapterReplicas(adapter string) int {
 	count := 0
 	for _, r := range m.replicas {
@@ -111,12 +111,12 @@
 	return count
 }
 
-// placeAdapter loads the adapter where a slot is free, or evicts another one for it. It reports whether an order was
+// placeAdapter loads the adapter into a free slot, or evicts another adapter for it. It reports whether an order was
 // issued.
 func (p *Placer) placeAdapter(
 	now time.Time, f *fleet, m *modelPlacement, need adapterNeed, mayEvictActive bool, out *Output,
 ) bool {
-	unplaced := m.adapterReplicas(need.adapter) == 0 // orders of this step may have changed it
+	unplaced := m.adapterReplicas(need.adapter) == 0 // earlier orders of this step may have changed it
 	backoffOver := f.unplacedFor(now, need.adapterKey) >= adapterReloadBackoff
 	free, victim := p.findAdapterSlot(now, f, m, need, unplaced && mayEvictActive)
 	if free != nil {
@@ -133,8 +133,8 @@
 	return p.evictAdapter(now, f, victim, need, out)
 }
 
-// findAdapterSlot returns the least utilized endpoint with a free slot for the adapter, nil if there is none, and the
-// adapter to evict where no slot is free, with a nil endpoint if there is none.
+// findAdapterSlot returns the least utilized endpoint with a free slot for the adapter, nil if there is none. It also
+// returns the adapter to evict if no slot is free; its endpoint is nil if there is none.
 func (p *Placer) findAdapterSlot(
 	now time.Time, f *fleet, m *modelPlacement, need adapterNeed, mayEvictActive bool,
 ) (*endpoint, loadedAdapter) {
@@ -153,19 +153,19 @@
 			continue
 		}
 		found, ok := p.adapterToEvict(now, f, e, mayEvictActive)
-		if ok && (victim.endpoint == nil || found.evictBefore(now, victim)) {
+		if ok && (victim.endpoint == nil || found.isEvictedBefore(now, victim)) {
 			victim = found
 		}
 	}
 	return free, victim
 }
 
-// hasAdapterSlot reports whether the endpoint has a slot and memory for one more adapter of the model.
+// hasAdapterSlot reports whether the endpoint has a free slot and enough memory for one more adapter of the model.
 func (f *fleet) hasAdapterSlot(e *endpoint, model string) bool {
 	return f.freeAdapterSlots(e) > 0 && f.freeMemoryMB(e) >= f.models[model].AdapterSizeMB
 }
 
-// acceptsAdapterOrder reports whether an order for an adapter may be sent to the endpoint.
+// acceptsAdapterOrder reports whether an adapter order may be sent to the endpoint.
 func (p *Placer) acceptsAdapterOrder(now time.Time, e *endpoint) bool {
 	if !e.isReady() || e.plan != nil || e.pending != nil || now.Before(e.backoffUntil) {
 		return false
@@ -173,18 +173,19 @@
 	return e.stateKnown || (!p.config.InspectEndpoints && e.inheritedOrdersOver)
 }
 
-// fillFreeSlots loads adapters that nobody has asked for yet into free slots, so that the first request finds them.
-// Each adapter is loaded once this way.
-func (p *Placer) fillFreeSlots(now time.Time, f *fleet, table *placementTable, out *Output) {
+// preloadAdapters loads adapters that have not been requested yet into free slots, so that their first requests find
+// them loaded. It loads only adapters that are loaded nowhere.
+func (p *Placer) preloadAdapters(now time.Time, f *fleet, table *placementTable, out *Output) {
 	for _, m := range table.placements {
 		if f.models[m.model].AdapterCount > 0 {
-			p.fillFreeSlotsOf(now, f, m, out)
+			p.preloadAdaptersOf(now, f, m, out)
 		}
 	}
 }
 
-// fillFreeSlotsOf does so for one model. Which adapter is the first unplaced one changes only with an order.
-func (p *Placer) fillFreeSlotsOf(now time.Time, f *fleet, m *modelPlacement, out *Output) {
+// preloadAdaptersOf preloads the adapters of one model. The first unplaced adapter is determined again only after an
+// order, because nothing else changes it.
+func (p *Placer) preloadAdaptersOf(now time.Time, f *fleet, m *modelPlacement, out *Output) {
 	count := f.models[m.model].AdapterCount
 	name := m.firstUnplacedAdapter(count)
 	for _, r := range m.replicas {
@@ -201,8 +202,8 @@
 	}
 }
 
-// firstUnplacedAdapter is the first of the model's adapters, named a1 and so on, that is loaded nowhere; empty if
-// there is none.
+// firstUnplacedAdapter returns the first of the model's adapters, which are named a1, a2 and so on, that is loaded
+// nowhere. It returns an empty string if there is none.
 func (m *modelPlacement) firstUnplacedAdapter(count int) string {
 	for i := 1; i <= count; i++ {
 		name := "a" + strconv.Itoa(i)
@@ -213,7 +214,7 @@
 	return ""
 }
 
-// adapterSlotValue is the value a second of the adapter slots that one more replica of the model brings.
+// adapterSlotValue returns the value per second of the adapter slots that one more replica of the model brings.
 func (p *Placer) adapterSlotValue(now time.Time, f *fleet, m *modelPlacement, observed time.Duration) float64 {
 	inUse, rate := 0, 0.0
 	for _, d := range m.demand.adapters {
--- a/internal/control/placer/admission.go
+++ b/internal/control/placer/admission.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// Reasons why an order is not admissible.
+// Reasons why an order is inadmissible.
 var (
-	errOrderPending         = errors.New("an order may be under way, or the backoff after a rejection is not over")
-	errStateUnknown         = errors.New("the endpoint's state is not known exactly")
+	errOrderPending         = errors.New("an order may be in progress, or the backoff after a rejection has not ended")
+	errStateUnknown         = errors.New("the endpoint's state is not exactly known")
 	errMemoryExceeded       = errors.New("weights_mb would be exceeded")
 	errAdapterSlotsExceeded = errors.New("adapter_slots would be exceeded")
 	errNotConfigured        = errors.New("the model is not in the configuration")
 	errNotLoaded            = errors.New("the model or adapter is not loaded")
-	errAlreadyLoaded        = errors.New("the model is loaded already")
+	errAlreadyLoaded        = errors.New("the model is already loaded")
 	errLoadRateExceeded     = errors.New("the load rate limit would be exceeded")
 )
 
-// checkAdmissible checks an order immediately before it is issued: one order at a time at an endpoint, the rules
-// LIMIT and CEILING. It relies on nothing that the planning concluded.
+// checkAdmissible checks an order immediately before it is issued: at most one order at a time per endpoint, and the
+// rules LIMIT and CEILING. It does not rely on any result of the planning.
 func (p *Placer) checkAdmissible(now time.Time, f *fleet, e *endpoint, order Order) error {
 	if e.pending != nil || now.Before(e.backoffUntil) {
 		return errOrderPending
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// issue adds an admissible order to the output and makes it the endpoint's pending one. It reports false, and counts
-// a defect of the planning, if the order is not admissible.
+// issue adds an admissible order to the output and makes it the endpoint's pending order. An inadmissible order shows a
+// bug in the planning: issue counts it and reports false.
 func (p *Placer) issue(now time.Time, f *fleet, e *endpoint, order Order, out *Output) bool {
 	if err := p.checkAdmissible(now, f, e, order); err != nil {
 		p.counters.Inadmissible++
@@ -103,7 +103,7 @@
 	return true
 }
 
-// countOrder counts an issued order, a load from the store in the load rate limit too.
+// countOrder counts an issued order. It also counts a load from the store in the load rate limit.
 func (p *Placer) countOrder(e *endpoint, order Order) {
 	switch {
 	case order.Adapter != "":
@@ -120,7 +120,7 @@
 	}
 }
 
-// expectedDuration is how long an order should take, until it is asked for by an inspection.
+// expectedDuration returns how long an order should take. An inspection is due when this time has passed.
 func (p *Placer) expectedDuration(f *fleet, e *endpoint, order Order) time.Duration {
 	switch {
 	case order.Adapter != "":
--- a/internal/control/placer/admission_test.go
+++ b/internal/control/placer/admission_test.go
@@ -9,9 +9,8 @@
 	"raventrestle/internal/protocol"
 )
 
-// TestAdmissionCheckRejectsWhatThePlanningMustNotOrder has the gate judge orders that a defect in the planning might
-// give.
-func TestAdmissionCheckRejectsWhatThePlanningMustNotOrder(t *testing.T) {
+// TestAdmissionCheckRejectsInadmissibleOrders checks orders that a bug in the planning might produce.
+func TestAdmissionCheckRejectsInadmissibleOrders(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	for _, test := range []struct {
 		name   string
@@ -19,52 +18,52 @@
 		order  Order
 		want   error
 	}{
-		{"a load", nil, Order{Model: "small"}, nil},
-		{"an unload", nil, Order{Model: "big", Unload: true}, nil},
-		{"a load of an adapter", nil, Order{Model: "big", Adapter: "a2"}, nil},
-		{"an unload of an adapter", nil, Order{Model: "big", Adapter: "a1", Unload: true}, nil},
+		{"load", nil, Order{Model: "small"}, nil},
+		{"unload", nil, Order{Model: "big", Unload: true}, nil},
+		{"load of an adapter", nil, Order{Model: "big", Adapter: "a2"}, nil},
+		{"unload of an adapter", nil, Order{Model: "big", Adapter: "a1", Unload: true}, nil},
 		{
-			"while an order is under way", func(_ *Placer, _ *fleet, e *endpoint) { e.pending = &pendingOrder{} },
+			"load while an order is in progress", func(_ *Placer, _ *fleet, e *endpoint) { e.pending = &pendingOrder{} },
 			Order{Model: "small"},
 			errOrderPending,
 		},
 		{
-			"during the backoff after a rejection", func(_ *Placer, _ *fleet, e *endpoint) { e.backoffUntil = now.Add(1) },
+			"load during the backoff after a rejection", func(_ *Placer, _ *fleet, e *endpoint) { e.backoffUntil = now.Add(1) },
 			Order{Model: "small"},
 			errOrderPending,
 		},
 		{
-			"while the content is not known", func(_ *Placer, _ *fleet, e *endpoint) { e.stateKnown = false },
+			"load while the endpoint's state is not known", func(_ *Placer, _ *fleet, e *endpoint) { e.stateKnown = false },
 			Order{Model: "small"},
 			errStateUnknown,
 		},
-		{"an unload of a model that is not there", nil, Order{Model: "small", Unload: true}, errNotLoaded},
-		{"an unload of an adapter that is not there", nil, Order{Model: "big", Adapter: "a2", Unload: true}, errNotLoaded},
-		{"an adapter of a model that is not there", nil, Order{Model: "small", Adapter: "a1"}, errNotLoaded},
-		{"an adapter of a model without a configuration", nil, Order{Model: "old", Adapter: "a1"}, errNotConfigured},
+		{"unload of a model that is not loaded", nil, Order{Model: "small", Unload: true}, errNotLoaded},
+		{"unload of an adapter that is not loaded", nil, Order{Model: "big", Adapter: "a2", Unload: true}, errNotLoaded},
+		{"load of an adapter whose model is not loaded", nil, Order{Model: "small", Adapter: "a1"}, errNotLoaded},
+		{"load of an adapter whose model is not configured", nil, Order{Model: "old", Adapter: "a1"}, errNotConfigured},
 		{
-			"an adapter without memory", func(_ *Placer, f *fleet, _ *endpoint) { f.engine.WeightMemoryMB = 61.5 },
+			"load of an adapter without free memory", func(_ *Placer, f *fleet, _ *endpoint) { f.engine.WeightMemoryMB = 61.5 },
 			Order{Model: "big", Adapter: "a2"},
 			errMemoryExceeded,
 		},
 		{
-			"an adapter without a slot", func(_ *Placer, f *fleet, _ *endpoint) { f.engine.AdapterSlots = 1 },
+			"load of an adapter without a free slot", func(_ *Placer, f *fleet, _ *endpoint) { f.engine.AdapterSlots = 1 },
 			Order{Model: "big", Adapter: "a2"},
 			errAdapterSlotsExceeded,
 		},
-		{"a load of a model without a configuration", nil, Order{Model: "old"}, errNotConfigured},
-		{"a load of a model that is there", nil, Order{Model: "big"}, errAlreadyLoaded},
+		{"load of a model that is not configured", nil, Order{Model: "old"}, errNotConfigured},
+		{"load of a model that is already loaded", nil, Order{Model: "big"}, errAlreadyLoaded},
 		{
-			"a load without memory", func(_ *Placer, f *fleet, _ *endpoint) { f.engine.WeightMemoryMB = 90.9 },
+			"load without free memory", func(_ *Placer, f *fleet, _ *endpoint) { f.engine.WeightMemoryMB = 90.9 },
 			Order{Model: "small"},
 			errMemoryExceeded,
 		},
 		{
-			"a load beyond the rate limit", func(p *Placer, _ *fleet, _ *endpoint) { p.loadLimiter.limit = 0 },
+			"load beyond the rate limit", func(p *Placer, _ *fleet, _ *endpoint) { p.loadLimiter.limit = 0 },
 			Order{Model: "small"},
 			errLoadRateExceeded,
 		},
-		{"a load from the endpoint's own disk beyond the rate limit", func(p *Placer, _ *fleet, e *endpoint) {
+		{"load from the endpoint's own disk beyond the rate limit", func(p *Placer, _ *fleet, e *endpoint) {
 			p.loadLimiter.limit, e.onDisk["small"] = 0, true
 		}, Order{Model: "small"}, nil},
 	} {
@@ -99,7 +98,7 @@
 				t.Errorf("issued %v with orders %+v, want %v", issued, out.Orders, want)
 			}
 			if want := before.Inadmissible + 1; test.want != nil && p.counters.Inadmissible != want {
-				t.Errorf("%d orders dropped, want %d", p.counters.Inadmissible, want)
+				t.Errorf("%d inadmissible orders counted, want %d", p.counters.Inadmissible, want)
 			}
 		})
 	}
--- a/internal/control/placer/bind.go
+++ b/internal/control/placer/bind.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// plan is a change of an endpoint that takes several orders: evictions, then the load of the target.
+// plan is a change of an endpoint that takes several orders: first the evictions, then the load of the target.
 type plan struct {
 	target         string
-	evictions      []string  // models still to be unloaded
-	lastProgressAt time.Time // when its last order was issued, or it was made
+	evictions      []string  // models still to unload
+	lastProgressAt time.Time // when the plan was made or its last unload was issued
 	score          float64
-	reason         string // for people
+	reason         string // human-readable
 }
 
-// bind makes the candidate its endpoint's plan, enters it in the table, and issues its first order. A plan elsewhere
-// for the same model whose unload is stalled ends; its unload goes on, and the memory is then free for the best
-// change at that moment.
+// bind makes the candidate the plan of its endpoint, enters it in the table, and issues its first order. If another
+// endpoint has a plan for the same model with a stalled unload, that plan ends. Its unload continues, and the memory it
+// frees is available for whichever change is best at that time.
 func (p *Placer) bind(now time.Time, f *fleet, table *placementTable, c *candidate, out *Output) {
 	c.endpoint.plan = &plan{
 		target:         c.placement.model,
@@ -42,7 +42,7 @@
 	p.advancePlan(now, f, c.endpoint, out)
 }
 
-// reason says for people why the change is made.
+// reason returns a human-readable reason for the change.
 func (c *candidate) reason() string {
 	m := c.placement
 	d := m.demand
@@ -54,8 +54,8 @@
 		len(m.replicas)+1, m.projectedRate, 100*m.fairLevel, c.gain, c.loss)
 }
 
-// advancePlan issues the next order of the endpoint's plan, or ends the plan: when the target's load is issued, or
-// when the plan can't be carried out any more.
+// advancePlan issues the next order of the endpoint's plan. The plan ends when the load of its target is issued, or
+// when it cannot be carried out any more.
 func (p *Placer) advancePlan(now time.Time, f *fleet, e *endpoint, out *Output) {
 	if e.pending != nil || now.Before(e.backoffUntil) || (p.config.InspectEndpoints && !e.stateKnown) {
 		return
@@ -64,17 +64,17 @@
 	current.evictions = slices.DeleteFunc(current.evictions, func(model string) bool { return e.find(model) == nil })
 	switch {
 	case e.find(current.target) != nil:
-		e.plan = nil // somebody else has loaded it
+		e.plan = nil // somebody else has loaded the target
 	case f.freeMemoryMB(e) >= f.models[current.target].WeightsMB:
 		p.loadTarget(now, f, e, out)
 	case len(current.evictions) == 0:
-		e.plan = nil // what is evicted does not free enough memory any more
+		e.plan = nil // the remaining evictions no longer free enough memory
 	default:
 		p.evictNext(now, f, e, out)
 	}
 }
 
-// loadTarget issues the load that ends the endpoint's plan, as soon as the load rate limit allows it.
+// loadTarget issues the load that completes the endpoint's plan, as soon as the load rate limit allows it.
 func (p *Placer) loadTarget(now time.Time, f *fleet, e *endpoint, out *Output) {
 	current := e.plan
 	if !e.onDisk[current.target] && !p.loadLimiter.allows(now) {
@@ -84,12 +84,12 @@
 	p.issue(now, f, e, Order{Model: current.target, Reason: current.reason}, out)
 }
 
-// evictNext issues the next unload of the endpoint's plan. The plan ends if the model has come into use and is served
-// nowhere else.
+// evictNext issues the next unload of the endpoint's plan. The plan ends instead if the model to unload is in use again
+// and no other endpoint serves it.
 func (p *Placer) evictNext(now time.Time, f *fleet, e *endpoint, out *Output) {
 	current := e.plan
 	model := current.evictions[0]
-	if d := p.demand.models[f.name][model]; d != nil && d.isRecent(now) && !f.servedElsewhere(model, e) {
+	if d := p.demand.models[f.name][model]; d != nil && d.isInUse(now) && !f.isServedElsewhere(model, e) {
 		e.plan = nil
 		return
 	}
--- a/internal/control/placer/config.go
+++ b/internal/control/placer/config.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Config has the values of a Placer. Zero fields take the defaults below; the bounds come from the machine's
-// settings.
+// Config configures a Placer. Zero fields take the defaults below. LoadRateWindow and LoadRateFactor come from the
+// bounds in the machine's settings.
 type Config struct {
-	LoadRateWindow   time.Duration // ceiling_window_s: in any span of this length the loads that begin are bounded
-	LoadRateFactor   float64       // ceiling_over: bound of these loads, as a multiple of loads_per_s; at least 1
-	HandoverGap      time.Duration // no other leader has sent an order for this long before New
-	InspectEndpoints bool          // the caller carries out Output.Inspect; if not, state is learned from heartbeats alone
+	LoadRateWindow   time.Duration // ceiling_window_s: length of the window in which the number of started loads is limited
+	LoadRateFactor   float64       // ceiling_over: limit of these loads, as a multiple of loads_per_s; at least 1
+	HandoverGap      time.Duration // minimum time between the last order of another leader and New
+	InspectEndpoints bool          // the caller carries out Output.Inspect; if false, the state is learned from heartbeats alone
 
 	LoadCost  float64 // cost of a load, in requests of middle priority
 	OrderCost float64 // cost of an order, in the same unit
 
-	Without Mechanism // switched off, for tests and trials
+	Disabled Mechanism // mechanisms that are switched off, for tests and trials
 }
 
 // Defaults of Config.
--- a/internal/control/placer/demand.go
+++ b/internal/control/placer/demand.go
@@ -16,29 +16,28 @@
 )
 
 const (
-	// recentDemandWindow is how long after its last request a model keeps its last replica.
+	// recentDemandWindow is how long after its last request a model counts as in use and keeps its last replica.
 	recentDemandWindow = 3 * time.Second
-	// initialRate is the rate, in requests a second, that is assumed of a model that nobody has asked for yet.
+	// initialRate is the rate, in requests per second, that is assumed for a model that has not been requested yet.
 	initialRate = 1.0 / 30
-	// trendNoiseFactor is how many standard deviations of a model's share a trend must exceed; only the excess
-	// counts.
+	// trendNoiseFactor is how many standard deviations of a model's share a trend must exceed. Only the excess counts.
 	trendNoiseFactor = 0.7
 	// minUnmetRequests is the decayed number of unserved requests above which a model without replicas is urgent.
 	minUnmetRequests = 0.3
-	// middlePriorityValue is what routers count for a request of middle priority: 10 less its priority.
+	// middlePriorityValue is the value that routers report for a request of middle priority: 10 minus its priority.
 	middlePriorityValue = 9
 )
 
-// decayingRate is an exponentially weighted average rate of events. Its sum decays with the time constant; dividing
-// by the weight of the time observed so far corrects for the averages of a short observation.
+// decayingRate is an exponentially weighted average rate of events. Its sum decays with the time constant. Dividing the
+// sum by the total weight of the time observed so far corrects the bias of a short observation.
 type decayingRate struct {
-	sum float64 // events, weighted by their age
+	sum float64 // events, weighted by age
 }
 
 func (r *decayingRate) decay(factor float64) { r.sum *= factor }
 func (r *decayingRate) add(count float64)    { r.sum += count }
 
-// rate is the events a second after an observation of the given length.
+// rate returns the events per second after an observation of the given length.
 func (r *decayingRate) rate(observed, timeConstant time.Duration) float64 {
 	weight := timeConstant.Seconds() * (1 - math.Exp(-observed.Seconds()/timeConstant.Seconds()))
 	if weight <= 0 {
@@ -47,23 +46,23 @@
 	return r.sum / weight
 }
 
-// demand is what routers report of the requests for one model, for one of its adapters, or for all models of a
+// demand contains what routers report about the requests for one model, for one of its adapters, or for all models of a
 // service.
 type demand struct {
-	fastRate, slowRate, longRate decayingRate // requests, over the three time constants
-	tokenRate                    decayingRate // tokens of prompts and answers, over slowTimeConstant
-	value                        float64      // of a request; one of middle priority has 1
-	unmet                        float64      // requests that no replica served, decaying over unmetTimeConstant
+	fastRate, slowRate, longRate decayingRate // requests, with the three time constants
+	tokenRate                    decayingRate // prompt and answer tokens, with slowTimeConstant
+	value                        float64      // average value of a request; 1 for middle priority
+	unmet                        float64      // requests that no replica served, decaying with unmetTimeConstant
 	waiting, running             int          // requests queued at routers, and in flight at endpoints
-	waitingSince                 time.Time    // since when requests have waited without a break, zero: none waits
+	waitingSince                 time.Time    // when requests started to wait without interruption; zero: none is waiting
 	lastRequestAt                time.Time    // zero: there was none
-	secondsPerToken              float64      // endpoint time of one token, 0: not learned yet
+	secondsPerToken              float64      // endpoint time per token; 0: not learned yet
 	adapters                     map[string]*demand
 }
 
 func newDemand() *demand { return &demand{value: 1, adapters: map[string]*demand{}} }
 
-// adapter returns the demand for one of the model's adapters, adding it if there was none.
+// adapter returns the demand for one of the model's adapters. It adds the adapter if there was no demand for it.
 func (d *demand) adapter(name string) *demand {
 	found := d.adapters[name]
 	if found == nil {
@@ -85,7 +84,7 @@
 	}
 }
 
-// count adds one row of a router's report. Its gauges, Queued and InFlight, are counted by the table.
+// count adds one row of a router report. The demandTable counts the gauges of the row, Queued and InFlight.
 func (d *demand) count(now time.Time, row protocol.ModelDemand) {
 	requests := float64(row.Requests)
 	d.fastRate.add(requests)
@@ -102,16 +101,16 @@
 	}
 }
 
-// hasUnmetRequests reports whether requests wait or went unserved a moment ago.
+// hasUnmetRequests reports whether requests are waiting or have recently gone unserved.
 func (d *demand) hasUnmetRequests() bool { return d.waiting > 0 || d.unmet > minUnmetRequests }
 
-// isRecent reports whether the model is in use, so that its last replica must stay.
-func (d *demand) isRecent(now time.Time) bool {
+// isInUse reports whether the model is in use, so that its last replica must stay.
+func (d *demand) isInUse(now time.Time) bool {
 	return d.waiting > 0 || d.running > 0 || (!d.lastRequestAt.IsZero() && now.Sub(d.lastRequestAt) < recentDemandWindow)
 }
 
-// longTermRate is the average rate over longTimeConstant, after an observation of the given length. One request in
-// 1/initialRate seconds is taken as observed before, so that the rate of a model that is hardly known begins at
+// longTermRate returns the average rate over longTimeConstant after an observation of the given length. As a prior, it
+// assumes one additional request in 1/initialRate seconds, so that the rate of a barely observed model starts at
 // initialRate.
 func (d *demand) longTermRate(observed time.Duration) float64 {
 	const priorSeconds = 1 / initialRate
@@ -119,21 +118,21 @@
 	return (d.longRate.sum + 1) / (weight + priorSeconds)
 }
 
-// projectedRate is the rate to be expected after the time ahead, given the service's total rates over the fast and
-// the slow time constant. The total is not extrapolated, only the model's share of it: demand moves from model to
-// model faster than it grows. Noise of the share, as of a Poisson process over the fast time constant, does not count
-// as a trend.
-func (d *demand) projectedRate(totalFast, totalSlow decayingRate, observed, ahead time.Duration) float64 {
+// projectedRate returns the rate expected at the given horizon, from the service's total rates over the fast and the
+// slow time constant. It extrapolates the model's share of the total but not the total itself, because demand moves
+// between models faster than it grows. Fluctuations of the share within the noise of a Poisson process over the fast
+// time constant do not count as a trend.
+func (d *demand) projectedRate(totalFast, totalSlow decayingRate, observed, horizon time.Duration) float64 {
 	fast, slow := totalFast.rate(observed, fastTimeConstant), totalSlow.rate(observed, slowTimeConstant)
 	if fast <= 0 || slow <= 0 {
 		return d.fastRate.rate(observed, fastTimeConstant)
 	}
-	share := d.fastRate.rate(observed, fastTimeConstant) / fast
-	shareBefore := d.slowRate.rate(observed, slowTimeConstant) / slow
-	deviation := math.Sqrt(math.Max(share, shareBefore) / (2 * fastTimeConstant.Seconds() * fast))
-	rise := share - shareBefore
+	fastShare := d.fastRate.rate(observed, fastTimeConstant) / fast
+	slowShare := d.slowRate.rate(observed, slowTimeConstant) / slow
+	deviation := math.Sqrt(math.Max(fastShare, slowShare) / (2 * fastTimeConstant.Seconds() * fast))
+	rise := fastShare - slowShare
 	rise -= math.Copysign(math.Min(math.Abs(rise), trendNoiseFactor*deviation), rise)
 	slope := rise / (slowTimeConstant - fastTimeConstant).Seconds()
-	future := shareBefore + slope*(slowTimeConstant+ahead).Seconds()
+	future := slowShare + slope*(slowTimeConstant+horizon).Seconds()
 	return math.Min(1, math.Max(0, future)) * math.Max(fast, slow)
 }
--- a/internal/control/placer/demand_table.go
+++ b/internal/control/placer/demand_table.go
@@ -8,32 +8,32 @@
 )
 
 const (
-	// routerGaugeTTL is how long the gauges of a router's last report count; a router that has reported nothing for
-	// longer has nothing waiting or running.
+	// routerGaugeTTL is how long the gauges of a router's last report are valid. A router that has not reported for longer
+	// counts as having no waiting or running requests.
 	routerGaugeTTL = 3 * time.Second
-	// reportGapTimeout is how long no router may report until rates are learned again from the start: another
-	// instance led meanwhile.
+	// reportGapTimeout is the time without a report from any router after which rates are learned from the start again,
+	// because another instance was the leader in the meantime.
 	reportGapTimeout = 1500 * time.Millisecond
 )
 
-// routerGauges are the requests waiting and running by a router's last report.
+// routerGauges contains the waiting and running requests from a router's last report.
 type routerGauges struct {
 	reportedAt time.Time
 	rows       map[demandKey]requestGauge
 }
 
-// demandKey names a row of a report. Adapter is empty for requests without one.
+// demandKey identifies a row of a report. Its adapter is empty for requests without one.
 type demandKey struct{ service, model, adapter string }
 
 type requestGauge struct{ waiting, running int }
 
-// demandTable is the demand for all models of all services.
+// demandTable contains the demand for all models of all services.
 type demandTable struct {
 	models        map[string]map[string]*demand // by service and model
 	totals        map[string]*demand            // by service
 	routers       map[string]routerGauges       // by node
-	advancedAt    time.Time                     // moment up to which averages have decayed
-	observedSince time.Time                     // beginning of the first report, or of the first one after a gap in reports
+	advancedAt    time.Time                     // time up to which the averages have decayed
+	observedSince time.Time                     // start of the first report, or of the first one after a gap in the reports
 	lastReportAt  time.Time
 }
 
@@ -43,7 +43,7 @@
 	}
 }
 
-// observedFor is how long demand has been observed without a gap in the reports of all routers.
+// observedFor returns how long reports have been arriving without a gap of more than reportGapTimeout.
 func (t *demandTable) observedFor(now time.Time) time.Duration {
 	if t.observedSince.IsZero() || now.Sub(t.lastReportAt) > reportGapTimeout {
 		return 0
@@ -51,7 +51,7 @@
 	return now.Sub(t.observedSince)
 }
 
-// demandOf returns the demand for a model, adding it if there was none.
+// demandOf returns the demand for a model. It adds the model if there was no demand for it.
 func (t *demandTable) demandOf(service, model string) *demand {
 	models := t.models[service]
 	if models == nil {
@@ -66,7 +66,7 @@
 	return found
 }
 
-// adapterDemandOf returns the demand for an adapter, nil if nobody has asked for it.
+// adapterDemandOf returns the demand for an adapter, nil if the adapter has not been requested.
 func (t *demandTable) adapterDemandOf(service, model, adapter string) *demand {
 	d := t.models[service][model]
 	if d == nil {
@@ -75,7 +75,7 @@
 	return d.adapters[adapter]
 }
 
-// totalOf returns the demand for all models of a service, adding it if there was none.
+// totalOf returns the demand for all models of a service. It adds the service if there was no demand for it.
 func (t *demandTable) totalOf(service string) *demand {
 	found := t.totals[service]
 	if found == nil {
@@ -85,12 +85,12 @@
 	return found
 }
 
-// advance lets averages decay until now, and removes the gauges of routers that have not reported for too long.
+// advance decays the averages until now, and removes the gauges that are older than routerGaugeTTL.
 func (t *demandTable) advance(now time.Time) {
 	elapsed := now.Sub(t.advancedAt).Seconds()
-	first := t.advancedAt.IsZero()
+	isFirst := t.advancedAt.IsZero()
 	t.advancedAt = now
-	if first || elapsed <= 0 {
+	if isFirst || elapsed <= 0 {
 		return
 	}
 	factor := func(timeConstant time.Duration) float64 { return math.Exp(-elapsed / timeConstant.Seconds()) }
@@ -112,8 +112,8 @@
 	}
 }
 
-// resetShortTermRates forgets the models' rates that were counted before a gap in reports. Long-term rates and
-// unserved requests stay.
+// resetShortTermRates clears the short-term rates of all models after a gap in the reports. Long-term rates and unserved
+// requests are kept.
 func (t *demandTable) resetShortTermRates() {
 	for _, models := range t.models {
 		for _, d := range models {
@@ -122,7 +122,7 @@
 	}
 }
 
-// addReport counts one router's report.
+// addReport adds one router report.
 func (t *demandTable) addReport(now time.Time, report protocol.Report) {
 	if t.observedSince.IsZero() || now.Sub(t.lastReportAt) > reportGapTimeout {
 		t.observedSince = now.Add(-report.Window)
@@ -147,7 +147,7 @@
 	t.updateWaitingSince(now, rows)
 }
 
-// addGauges adds a router's gauges to the models and adapters, or takes them away again with the sign -1.
+// addGauges adds a router's gauges to the demand for models and adapters, or subtracts them if the sign is -1.
 func (t *demandTable) addGauges(rows map[demandKey]requestGauge, sign int) {
 	for key, gauge := range rows {
 		d := t.demandOf(key.service, key.model)
@@ -161,7 +161,7 @@
 	}
 }
 
-// updateWaitingSince notes since when requests wait for the models of a report.
+// updateWaitingSince records since when requests have been waiting for the models of a report.
 func (t *demandTable) updateWaitingSince(now time.Time, rows map[demandKey]requestGauge) {
 	for key := range rows {
 		d := t.demandOf(key.service, key.model)
--- a/internal/control/placer/endpoint.go
+++ b/internal/control/placer/endpoint.go
@@ -8,7 +8,7 @@
 	"raventrestle/internal/protocol"
 )
 
-// orderPhase is how far an order has come.
+// orderPhase is the progress of an order.
 type orderPhase uint8
 
 const (
@@ -17,23 +17,23 @@
 	orderUncertain                   // no answer: the endpoint may have accepted it
 )
 
-// pendingOrder is the one order that an endpoint may be carrying out. It is over when both its answer and its effect
-// are known.
+// pendingOrder is the order that an endpoint may be carrying out, at most one per endpoint. It ends when both its answer
+// and its effect are known.
 type pendingOrder struct {
 	order            Order
 	phase            orderPhase
 	sentAt           time.Time
 	answeredAt       time.Time
-	sequenceAtAnswer uint64    // sequence of the newest heartbeat when the answer came
+	sequenceAtAnswer uint64    // sequence of the newest heartbeat when the answer arrived
 	expectedAt       time.Time // when the effect is expected
-	effectSeen       bool      // a heartbeat showed the effect before the answer came
-	adapterSeen      bool      // of an unload of an adapter: a heartbeat before it showed the adapter
+	effectSeen       bool      // a heartbeat showed the effect before the answer arrived
+	adapterSeen      bool      // for an adapter unload: a heartbeat has shown the adapter before
 }
 
-// loadsModel reports whether the order is a load of a model, not of an adapter.
+// loadsModel reports whether the order is a load of a model rather than of an adapter.
 func (o *pendingOrder) loadsModel() bool { return !o.order.Unload && o.order.Adapter == "" }
 
-// unloadsModel reports whether the order is an unload of a model, not of an adapter.
+// unloadsModel reports whether the order is an unload of a model rather than of an adapter.
 func (o *pendingOrder) unloadsModel() bool { return o.order.Unload && o.order.Adapter == "" }
 
 // loadedModel is a model in an endpoint's memory.
@@ -41,10 +41,10 @@
 	model            string
 	adapters         []string // sorted
 	loadedAt         time.Time
-	missedHeartbeats int                  // heartbeats in a row that did not show it
-	confirmed        bool                 // a heartbeat has shown it: the first one without it is newer than its unload
-	reportedAdapters []string             // its adapters in the newest heartbeat that showed it
-	adapterLoadedAt  map[string]time.Time // when its adapters were loaded, as far as this placer ordered it
+	missedHeartbeats int                  // consecutive heartbeats that did not show the model
+	confirmed        bool                 // a heartbeat has shown the model: the first one without it is newer than its unload
+	reportedAdapters []string             // its adapters in the newest heartbeat that showed the model
+	adapterLoadedAt  map[string]time.Time // load times of the adapters that this placer loaded
 }
 
 func (m *loadedModel) hasAdapter(adapter string) bool { return slices.Contains(m.adapters, adapter) }
@@ -68,30 +68,30 @@
 	m.adapterLoadedAt[adapter] = now
 }
 
-// adapterSince is when the adapter was loaded, zero if this placer has not seen it come.
+// adapterSince returns when the adapter was loaded, zero if this placer did not load it.
 func (m *loadedModel) adapterSince(adapter string) time.Time { return m.adapterLoadedAt[adapter] }
 
-// endpoint is what the placer knows of one endpoint. Where it is uncertain it assumes less free memory: models has
-// all that may be loaded, pending what may be arriving.
+// endpoint is the placer's knowledge of one endpoint. In case of doubt it assumes less free memory: models contains
+// every model that may be loaded, and pending is an order that may still arrive.
 type endpoint struct {
 	protocol.Endpoint                      // newest registration
 	models              []loadedModel      // by name
-	pending             *pendingOrder      // nil: no order is under way
+	pending             *pendingOrder      // nil: no order is in progress
 	plan                *plan              // nil: none
-	heartbeats          int                // number seen
+	heartbeats          int                // number of heartbeats seen
 	revision            uint64             // number of orders accepted by this incarnation; exact while stateKnown
 	stateKnown          bool               // revision and models are exact, except for the effect of pending
-	inheritedOrdersOver bool               // without inspections: no order of an earlier leader can be under way
+	inheritedOrdersOver bool               // without inspections: no order of an earlier leader can be in progress
 	inspectAt           time.Time          // when the next inspection is due; zero: none
-	backoffUntil        time.Time          // no order before then
-	onDisk              map[string]bool    // models that this incarnation has had in memory, so that its disk has them
-	utilization         float64            // estimated share of its time in use, by the table of the current step
+	backoffUntil        time.Time          // no orders before this time
+	onDisk              map[string]bool    // models that this incarnation has had in memory and therefore has on its disk
+	utilization         float64            // estimated share of its time in use, from the placement table of the current step
 	adapterReservation  adapterReservation // slot that was freed for an adapter
 }
 
 func (e *endpoint) isReady() bool { return e.State == protocol.Ready }
 
-// find returns the model as loaded on the endpoint, nil if it is not.
+// find returns the loaded model, nil if the model is not loaded at the endpoint.
 func (e *endpoint) find(model string) *loadedModel {
 	for i := range e.models {
 		if e.models[i].model == model {
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// add returns the model as loaded on the endpoint, adding it if it was not. Pointers returned before are invalid
-// then.
+// add returns the loaded model, adding it if it was not loaded. Adding a model invalidates pointers that were returned
+// before.
 func (e *endpoint) add(model string, now time.Time) *loadedModel {
 	if found := e.find(model); found != nil {
 		return found
@@ -117,7 +117,7 @@
 	e.models = slices.DeleteFunc(e.models, func(m loadedModel) bool { return m.model == model })
 }
 
-// willServe reports whether requests for the model can go to the endpoint, now or after a load that is under way or
+// willServe reports whether the endpoint can serve requests for the model, now or after a load that is in progress or
 // planned.
 func (e *endpoint) willServe(model string) bool {
 	if !e.isReady() || e.isUnloading(model) {
@@ -126,7 +126,7 @@
 	return e.find(model) != nil || e.isLoading(model)
 }
 
-// isServing reports whether the endpoint has the model loaded and is to keep it.
+// isServing reports whether the endpoint has the model loaded and is going to keep it.
 func (e *endpoint) isServing(model string) bool {
 	return e.isReady() && e.find(model) != nil && !e.isUnloading(model)
 }
@@ -139,7 +139,7 @@
 	return e.pending != nil && e.pending.loadsModel() && e.pending.order.Model == model
 }
 
-// isUnloading reports whether the model is being unloaded or is to be evicted by the endpoint's plan.
+// isUnloading reports whether the model is being unloaded or is going to be evicted by the endpoint's plan.
 func (e *endpoint) isUnloading(model string) bool {
 	if e.plan != nil && slices.Contains(e.plan.evictions, model) {
 		return true
@@ -147,7 +147,7 @@
 	return e.pending != nil && e.pending.unloadsModel() && e.pending.order.Model == model
 }
 
-// incomingModel is the model that the endpoint loads or is to load, empty if there is none.
+// incomingModel returns the model that the endpoint is loading or has a plan to load, empty if there is none.
 func (e *endpoint) incomingModel() string {
 	if e.plan != nil {
 		return e.plan.target
@@ -158,28 +158,28 @@
 	return ""
 }
 
-// unloadStallTimeout is how long an unload of a plan may last until other endpoints are considered for the plan's
-// target. An unload waits for the model's running requests, for seconds where they stream.
+// unloadStallTimeout is how long an unload of a plan may take before other endpoints are considered for the plan's
+// target. An unload waits for the model's running requests, which can take seconds if they stream.
 const unloadStallTimeout = 700 * time.Millisecond
 
-// unloadStalled reports whether an unload of the endpoint's plan waits for running requests, so that another endpoint
-// may load the target sooner.
+// unloadStalled reports whether an unload of the endpoint's plan has taken longer than unloadStallTimeout, so that
+// another endpoint may be able to load the target sooner.
 func (e *endpoint) unloadStalled(now time.Time) bool {
 	return e.plan != nil && e.pending != nil && e.pending.order.Unload && now.Sub(e.pending.sentAt) > unloadStallTimeout
 }
 
-// invalidateState gives exact knowledge up until the next inspection, which is due at once.
+// invalidateState marks the endpoint's state as uncertain and makes an inspection due at once.
 func (e *endpoint) invalidateState(now time.Time) {
 	e.stateKnown = false
 	e.inspectAt = now
 }
 
-// completeOrder ends the pending order: its effect is there.
+// completeOrder ends the pending order and applies its effect to the state.
 func (e *endpoint) completeOrder(now time.Time) {
 	order := e.pending.order
 	e.pending = nil
 	if e.stateKnown {
-		e.inspectAt = time.Time{} // nothing is left to ask
+		e.inspectAt = time.Time{} // no inspection is needed any more
 	}
 	switch {
 	case order.Adapter == "" && order.Unload:
--- a/internal/control/placer/eviction.go
+++ b/internal/control/placer/eviction.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// Constants of the choice of models to evict. Losses are in requests of middle priority, as in score.go.
+// Constants for choosing the models to evict. Losses are in requests of middle priority, as in score.go.
 const (
-	// minObservation is how long reports must have been heard before anything is evicted, by a new leader or one that
-	// leads again: all routers have reported by then. Without reports nothing seems to be in use.
+	// minObservation is how long a leader must have led, and received reports without a gap, before it evicts anything: by
+	// then all routers have reported. Without their reports, no model would seem to be in use.
 	minObservation = time.Second
-	// minResidency is how long a model that was just loaded stays if it is the last replica or nobody has asked for
-	// it.
+	// minResidency is how long a newly loaded model stays if it is the last replica or has not been requested yet.
 	minResidency = 4 * time.Second
-	// maxEvictable is how many of an endpoint's models are considered, as all their combinations are compared.
+	// maxEvictable is the maximum number of an endpoint's models that are considered for eviction, because all their
+	// combinations are compared.
 	maxEvictable = 8
 
-	runningRequestLoss = 0.2  // for each running request of the replica, as its unload waits for them
-	maxRunningRequests = 8.0  // running requests that count
-	prefixCacheLoss    = 0.2  // of the cached prompts of a replica in use
-	adapterMoveLoss    = 0.15 // of loading an adapter in use elsewhere, besides the order
+	runningRequestLoss = 0.2  // for each running request of the replica, because its unload waits for them
+	maxRunningRequests = 8.0  // maximum number of running requests that count
+	prefixCacheLoss    = 0.2  // for the prefix cache of a replica in use
+	adapterMoveLoss    = 0.15 // for each adapter in use, which must be loaded elsewhere; the cost of that order is added
 
-	// dormantModelValue is the loss of the last replica of a model that nobody has asked for yet; it decays over
-	// dormantTimeConstant from the first step on.
+	// dormantModelValue is the loss of evicting the last replica of a model that has not been requested yet. It decays
+	// with dormantTimeConstant from the first step on.
 	dormantModelValue   = 3.0
 	dormantTimeConstant = 10 * time.Minute
 )
@@ -36,8 +36,8 @@
 	loss     float64
 }
 
-// chooseEvictions chooses the evictions with the least loss that free memory for the candidate's model and its
-// adapters, out of all combinations. It reports false if no combination frees enough.
+// chooseEvictions compares all combinations of evictable models and chooses the one with the lowest loss that frees
+// enough memory for the candidate's model and its adapters. It reports false if no combination frees enough.
 func (p *Placer) chooseEvictions(now time.Time, f *fleet, table *placementTable, c *candidate) bool {
 	model := f.models[c.placement.model]
 	needMB := model.WeightsMB + f.adapterReserveMB(model) - f.freeMemoryMB(c.endpoint)
@@ -45,7 +45,7 @@
 		return true
 	}
 	evictable := p.evictableModels(now, f, table, c.endpoint)
-	best := 0 // set of evictable models, one bit each
+	bestSet := 0 // bit set of indexes into evictable
 	for set := 1; set < 1<<len(evictable); set++ {
 		memoryMB, loss := 0.0, 0.0
 		for i, v := range evictable {
@@ -54,21 +54,22 @@
 				loss += v.loss
 			}
 		}
-		if memoryMB < needMB || (best != 0 && loss >= c.loss) {
+		if memoryMB < needMB || (bestSet != 0 && loss >= c.loss) {
 			continue
 		}
-		best, c.loss = set, loss
+		bestSet, c.loss = set, loss
 	}
 	for i, v := range evictable {
-		if best&(1<<i) != 0 {
+		if bestSet&(1<<i) != 0 {
 			c.evictions = append(c.evictions, v.model)
 		}
 	}
-	return best != 0
+	return bestSet != 0
 }
 
-// evictableModels lists the endpoint's models that may be evicted, where there are many those that lose least by
-// memory. The list is the same for all models that need memory in one choice, and is made once.
+// evictableModels lists the models that may be evicted from the endpoint. If there are more than maxEvictable, it lists
+// those with the lowest loss per MB. The list does not depend on the model that needs memory, so it is computed once per
+// selection.
 func (p *Placer) evictableModels(now time.Time, f *fleet, table *placementTable, e *endpoint) []evictableModel {
 	if known, found := table.evictable[e]; found {
 		return known
@@ -88,8 +89,8 @@
 	return evictable
 }
 
-// evictionLoss is what the eviction of a model from the endpoint costs, and whether it is allowed. A model that the
-// configuration does not have any more goes for nothing; the last replica of a model in use stays.
+// evictionLoss returns the loss of evicting a model from the endpoint, and whether the eviction is allowed. Evicting a
+// model that is no longer configured loses nothing. The last replica of a model in use must not be evicted.
 func (p *Placer) evictionLoss(now time.Time, table *placementTable, e *endpoint, loaded *loadedModel) (float64, bool) {
 	m := table.byModel[loaded.model]
 	if m == nil {
@@ -99,21 +100,21 @@
 		return 0, false
 	}
 	serving := table.serving[loaded.model]
-	last := serving == 0 || serving == 1 && e.isServing(loaded.model)
-	if now.Sub(loaded.loadedAt) < minResidency && (last || m.demand == nil) {
+	isLast := serving == 0 || serving == 1 && e.isServing(loaded.model)
+	if now.Sub(loaded.loadedAt) < minResidency && (isLast || m.demand == nil) {
 		return 0, false
 	}
-	if last && m.demand != nil && m.demand.isRecent(now) {
+	if isLast && m.demand != nil && m.demand.isInUse(now) {
 		return 0, false
 	}
-	if last {
+	if isLast {
 		return p.lastReplicaLoss(now, m), true
 	}
 	return p.replicaLoss(now, m, e, loaded), true
 }
 
-// replicaLoss is what the eviction of one of several replicas costs: the requests that are late at the others, what
-// is lost of redundancy, the wait for its running requests, its cached prompts, and the adapters in use.
+// replicaLoss returns the loss of evicting one of several replicas: requests that become late at the other replicas,
+// lost redundancy, the wait for running requests, the prefix cache, and the adapters in use.
 func (p *Placer) replicaLoss(now time.Time, m *modelPlacement, e *endpoint, loaded *loadedModel) float64 {
 	d := m.demand
 	if d == nil {
@@ -123,22 +124,21 @@
 	if len(m.replicas) == 2 && p.uses(Redundancy) {
 		rate += redundancyShare * m.projectedRate * d.value
 	}
-	sum := planningHorizonS * rate
+	loss := planningHorizonS * rate
 	if running := float64(d.running) / float64(max(1, len(m.replicas))); running > 0.5 {
-		sum += runningRequestLoss*math.Min(running, maxRunningRequests) + prefixCacheLoss
+		loss += runningRequestLoss*math.Min(running, maxRunningRequests) + prefixCacheLoss
 	}
 	for _, name := range loaded.adapters {
 		if adapter := d.adapters[name]; adapter != nil {
 			adapterRate := adapter.slowRate.rate(p.demand.observedFor(now), slowTimeConstant)
-			sum += (adapterMoveLoss + p.config.OrderCost) * math.Min(1, adapterRate*planningHorizonS)
+			loss += (adapterMoveLoss + p.config.OrderCost) * math.Min(1, adapterRate*planningHorizonS)
 		}
 	}
-	return sum
+	return loss
 }
 
-// lastReplicaLoss is what it costs to have no replica of the model: its next requests wait for a load. Of a model
-// that nobody has asked for yet nothing is known, except that somebody placed it: it may be the next to be asked for
-// much.
+// lastReplicaLoss returns the loss of evicting the last replica of a model, whose next requests then wait for a load.
+// All that is known of a model that has not been requested yet is that somebody placed it, so demand for it may follow.
 func (p *Placer) lastReplicaLoss(now time.Time, m *modelPlacement) float64 {
 	if m.demand == nil || m.demand.lastRequestAt.IsZero() {
 		if !p.uses(DormantValue) {
@@ -149,14 +149,15 @@
 	return planningHorizonS * math.Max(m.projectedRate, m.longTermRate) * (missLoss*m.demand.value + p.config.LoadCost)
 }
 
-// evictsRunningRequests reports whether the candidate evicts a model whose running requests it has to wait for.
+// evictsRunningRequests reports whether the candidate evicts a model with running requests, for which the unload would
+// have to wait.
 func (t *placementTable) evictsRunningRequests(c *candidate) bool {
 	return slices.ContainsFunc(c.evictions, func(model string) bool {
 		return t.byModel[model] != nil && t.byModel[model].hasRunningRequests()
 	})
 }
 
-// servedElsewhere reports whether an endpoint other than the given one serves the model now.
-func (f *fleet) servedElsewhere(model string, excluded *endpoint) bool {
+// isServedElsewhere reports whether an endpoint other than the excluded one serves the model now.
+func (f *fleet) isServedElsewhere(model string, excluded *endpoint) bool {
 	return slices.ContainsFunc(f.sortedEndpoints, func(e *endpoint) bool { return e != excluded && e.isServing(model) })
 }
--- a/internal/control/placer/fair_level.go
+++ b/internal/control/placer/fair_level.go
@@ -5,8 +5,9 @@
 	"slices"
 )
 
-// fairLevel is the max-min fair level of utilization: the level up to which the load fills endpoints that other
-// models use already, the least used first (progressive filling). It sorts the utilizations; for none it is infinite.
+// fairLevel returns the max-min fair level of utilization: the level up to which the load fills endpoints that already
+// have the given utilizations, least utilized first (progressive filling). It sorts the utilizations. The level is
+// infinite if there are none.
 func fairLevel(utilizations []float64, load float64) float64 {
 	slices.Sort(utilizations)
 	sum := 0.0
@@ -20,8 +21,8 @@
 	return math.Inf(1)
 }
 
-// fairLevelWith is the fair level with one more endpoint, for utilizations that are sorted already. It allocates
-// nothing: it is asked for each model and endpoint.
+// fairLevelWith returns the fair level with one more endpoint. The utilizations must be sorted. It does not allocate,
+// because it is called for each combination of model and endpoint.
 func fairLevelWith(sorted []float64, added, load float64) float64 {
 	addedAt, _ := slices.BinarySearch(sorted, added)
 	utilization := func(i int) float64 {
--- a/internal/control/placer/fair_level_test.go
+++ b/internal/control/placer/fair_level_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestFairLevelWithOneMoreEndpointEqualsLevelOfAll compares the level with one more endpoint with that of all of them
-// together.
-func TestFairLevelWithOneMoreEndpointEqualsLevelOfAll(t *testing.T) {
+// TestFairLevelWithAddedEndpointEqualsFairLevelOfAll compares fairLevelWith for one more endpoint with fairLevel for all
+// endpoints together.
+func TestFairLevelWithAddedEndpointEqualsFairLevelOfAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		utilization := rapid.Float64Range(0, 3)
 		utilizations := rapid.SliceOf(utilization).Draw(t, "utilizations")
--- a/internal/control/placer/filter.go
+++ b/internal/control/placer/filter.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// mayGain reports whether one more replica of the model may gain more than its load costs. Until all routers have
-// been heard only models that have no replica, and whose requests wait, may.
-func (p *Placer) mayGain(m *modelPlacement, onlyUrgent bool) bool {
+// mayBenefit reports whether one more replica of the model may gain more than its load costs. With onlyUrgent, that is,
+// until all routers have reported, it is true only for models that have no replica and unmet requests.
+func (p *Placer) mayBenefit(m *modelPlacement, onlyUrgent bool) bool {
 	if m.demand == nil {
 		return false
 	}
@@ -14,13 +14,13 @@
 	if onlyUrgent {
 		return false
 	}
-	highest := m.projectedRate*m.demand.value*(1-valueAt(m.fairLevel)) + p.redundancyGain(m) + m.adapterGain
-	return highest*planningHorizonS+zoneBonus+packingBonus > p.config.LoadCost+p.config.OrderCost+minNetGain
+	upperBound := m.projectedRate*m.demand.value*(1-valueAt(m.fairLevel)) + p.redundancyGain(m) + m.adapterGain
+	return upperBound*planningHorizonS+zoneBonus+packingBonus > p.config.LoadCost+p.config.OrderCost+minNetGain
 }
 
-// isFeasible reports whether a plan to load the model may begin at the endpoint. An order for an adapter that is
-// under way does not prevent it, as it takes only a moment. A load from the endpoint's own disk needs no load from
-// the store to be allowed.
+// isFeasible reports whether a plan to load the model may start at the endpoint. An adapter order in progress does not
+// prevent it, because such an order takes only a moment. If storeLoadAllowed is false, only a load from the endpoint's
+// own disk is feasible.
 func (p *Placer) isFeasible(now time.Time, e *endpoint, model string, storeLoadAllowed bool) bool {
 	if !e.isReady() || e.plan != nil || now.Before(e.backoffUntil) || e.find(model) != nil {
 		return false
--- a/internal/control/placer/fleet.go
+++ b/internal/control/placer/fleet.go
@@ -9,20 +9,20 @@
 	"raventrestle/internal/protocol"
 )
 
-// fleet is one service with an engine, and its endpoints.
+// fleet is a service with an engine, and its endpoints.
 type fleet struct {
 	name             string
 	engine           configuration.Engine
 	models           map[string]configuration.Model // by name
 	endpoints        map[string]*endpoint           // by ID
 	sortedEndpoints  []*endpoint                    // by ID
-	maxModelMB       float64                        // of the largest model: the most that an unknown order may load
-	secondsPerToken  float64                        // endpoint time of one token, learned over all models
+	maxModelMB       float64                        // size of the largest model, which is the most that an unknown order may load
+	secondsPerToken  float64                        // endpoint time per token, learned over all models
 	decidedAt        time.Time                      // time of the last decision
-	adapterEvictedAt map[adapterKey]time.Time       // when adapters were last evicted
+	adapterEvictedAt map[adapterKey]time.Time       // time of each adapter's last eviction
 }
 
-// configure takes a configuration over. What is known of endpoints stays.
+// configure applies a configuration. The state of the endpoints is kept.
 func (p *Placer) configure(next *configuration.Configuration) {
 	loadsPerSecond := 0.0
 	configured := map[string]bool{}
@@ -44,7 +44,7 @@
 	p.loadLimiter.setRate(loadsPerSecond, p.config.LoadRateFactor, p.config.LoadRateWindow)
 }
 
-// fleetOf returns the service's fleet, a new one if there is none.
+// fleetOf returns the service's fleet, a new one if there was none.
 func (p *Placer) fleetOf(service string) *fleet {
 	f := p.fleets[service]
 	if f == nil {
@@ -67,7 +67,7 @@
 	}
 }
 
-// sortedFleets returns the fleets by name, so that decisions don't depend on the order of a map.
+// sortedFleets returns the fleets by name, so that decisions do not depend on the iteration order of a map.
 func (p *Placer) sortedFleets() []*fleet {
 	fleets := make([]*fleet, 0, len(p.fleets))
 	for _, f := range p.fleets {
@@ -77,7 +77,7 @@
 	return fleets
 }
 
-// updateEndpoints takes the registry's table over. Endpoints that are not in it any more are forgotten.
+// updateEndpoints applies the registry's table. Endpoints that have departed or are missing from the table are removed.
 func (p *Placer) updateEndpoints(now time.Time, table []protocol.Endpoint) {
 	present := make(map[string]bool, len(table))
 	for _, registration := range table {
@@ -98,8 +98,9 @@
 	}
 }
 
-// addEndpoint adds an endpoint to the fleet. One that registers empty, and later than any order of an earlier leader
-// can arrive, has had no order: its state is known. Any other may be carrying out an order of an earlier leader.
+// addEndpoint adds an endpoint to the fleet. If it registers without models, and so late that no order of an earlier
+// leader can still arrive, it has never had an order and its state is known. Any other endpoint may be carrying out an
+// order of an earlier leader.
 func (p *Placer) addEndpoint(now time.Time, f *fleet, registration protocol.Endpoint) *endpoint {
 	e := &endpoint{onDisk: map[string]bool{}, inspectAt: now}
 	e.ID = registration.ID
@@ -124,8 +125,8 @@
 	})
 }
 
-// recordWarmModels notes the endpoint's models for its address: a later incarnation there may load them from its
-// disk.
+// recordWarmModels records the endpoint's models for its address, because a later incarnation at this address may load
+// them from its disk.
 func (p *Placer) recordWarmModels(f *fleet, e *endpoint) {
 	key := f.name + " " + e.Address
 	for i := range e.models {
@@ -136,16 +137,16 @@
 	}
 }
 
-// likelyWarm reports whether the endpoint's disk probably has the model. Only what this incarnation has loaded is
-// certain: the address may have been given to a new machine.
+// likelyWarm reports whether the model is probably on the endpoint's disk. This is certain only for models that this
+// incarnation has loaded, because the address may have been reassigned to a new machine.
 func (p *Placer) likelyWarm(f *fleet, e *endpoint, model string) bool {
 	return e.onDisk[model] || p.warmModels[f.name+" "+e.Address][model]
 }
 
-// warmLoadShare is the time of a load from the endpoint's own disk, as a share of one from the store.
+// warmLoadShare is the duration of a load from the endpoint's own disk, as a share of a load from the store.
 const warmLoadShare = 0.23
 
-// loadTime is how long a load of the model by the endpoint is expected to take.
+// loadTime returns the expected duration of a load of the model at the endpoint.
 func (p *Placer) loadTime(f *fleet, e *endpoint, model string) time.Duration {
 	seconds := f.models[model].LoadTimeSeconds
 	if p.likelyWarm(f, e, model) {
--- a/internal/control/placer/golden_clients_test.go
+++ b/internal/control/placer/golden_clients_test.go
@@ -12,10 +12,10 @@
 	"raventrestle/internal/protocol"
 )
 
-// goldenRouters is how many routers report.
+// goldenRouters is the number of routers that send reports.
 const goldenRouters = 3
 
-// goldenKey names a model's or an adapter's demand at one router.
+// goldenKey identifies the demand for a model or an adapter at one router.
 type goldenKey struct {
 	router                  int
 	service, model, adapter string
@@ -26,13 +26,13 @@
 		cmp.Compare(k.model, other.model), cmp.Compare(k.adapter, other.adapter))
 }
 
-// goldenDemand is what one router has counted for one key.
+// goldenDemand is the demand that one router has counted for one key.
 type goldenDemand struct {
 	row              protocol.ModelDemand // since its last report
 	waiting, running int
 }
 
-// rate is how many requests a second ask for the service's model at this time.
+// rate returns how many requests per second arrive for the service's model at the current time.
 func (f *goldenFleet) rate(s goldenService, index int) float64 {
 	models := len(s.engine.Models)
 	if index >= models-s.dormantModels {
@@ -57,7 +57,7 @@
 	return n
 }
 
-// generateTraffic lets requests come, wait, run and end.
+// generateTraffic simulates the arrival, waiting, execution and end of requests during one tick.
 func (f *goldenFleet) generateTraffic() {
 	for _, key := range slices.SortedFunc(maps.Keys(f.demand), goldenKey.compare) {
 		d := f.demand[key]
@@ -109,7 +109,7 @@
 	}
 }
 
-// isServed tells whether an endpoint offers what the key names.
+// isServed reports whether an endpoint serves the model and adapter of the key.
 func (f *goldenFleet) isServed(key goldenKey) bool {
 	for _, e := range f.endpoints {
 		adapters, there := e.models[key.model]
@@ -121,7 +121,7 @@
 	return false
 }
 
-// sendReports sends each router's report every half second; none comes in four seconds of each 70.
+// sendReports sends each router's report every half second, except in the last four seconds of every 70 seconds.
 func (f *goldenFleet) sendReports() {
 	if f.now%(70*time.Second) > 66*time.Second {
 		return
--- a/internal/control/placer/golden_endpoints_test.go
+++ b/internal/control/placer/golden_endpoints_test.go
@@ -15,7 +15,7 @@
 	id, service, address, zone   string
 	slots                        int
 	up, draining, heartbeatsLost bool
-	restartsAt                   time.Duration // when it starts again after a crash
+	restartsAt                   time.Duration // when it restarts after a crash
 	heartbeat                    uint64
 	nextHeartbeat                time.Duration
 	revision                     uint64
@@ -34,7 +34,7 @@
 	e.nextHeartbeat = f.now
 }
 
-// loadInitialModels puts a few models on an endpoint before the run.
+// loadInitialModels loads a few models at an endpoint before the run.
 func (f *goldenFleet) loadInitialModels(e *goldenEndpoint, engine *configuration.Engine, from int) {
 	freeMB := engine.WeightMemoryMB * 0.8
 	for i := range engine.Models {
@@ -47,7 +47,7 @@
 	}
 }
 
-// injectFaults begins the tick's faults of endpoints.
+// injectFaults starts the endpoint faults of one tick, and restarts crashed endpoints.
 func (f *goldenFleet) injectFaults() {
 	for _, e := range f.endpoints {
 		if !e.up && f.now >= e.restartsAt {
@@ -62,12 +62,12 @@
 		return
 	}
 	switch f.random.IntN(7) {
-	case 0, 1: // it crashes and starts again, empty and under a new ID
+	case 0, 1: // the endpoint crashes and restarts without models and with a new ID
 		f.crash(e, time.Duration(500+f.random.IntN(4000))*time.Millisecond)
-	case 2: // it drains and ends
+	case 2: // it drains and stops
 		e.draining, e.nextHeartbeat = true, f.now
 		f.after(2*time.Second, func() { f.crash(e, time.Second) })
-	case 3: // its heartbeats are lost for a time
+	case 3: // its heartbeats are lost for some time
 		e.heartbeatsLost = true
 		f.after(time.Duration(1+f.random.IntN(5))*time.Second, func() { e.heartbeatsLost = false })
 	case 4: // it loses a model that nobody unloaded
@@ -85,7 +85,7 @@
 	}
 }
 
-// beginForeignLoad has the endpoint begin a load that this placer has not ordered, if there is memory.
+// beginForeignLoad makes the endpoint start a load that this placer has not ordered, if there is enough memory.
 func (f *goldenFleet) beginForeignLoad(e *goldenEndpoint) {
 	for _, service := range f.configuration.Services {
 		if service.Name != e.service || service.Engine == nil {
@@ -110,7 +110,7 @@
 	}
 }
 
-// advanceEndpoint lets an endpoint go on with its order and send its heartbeat.
+// advanceEndpoint completes an endpoint's order and sends its heartbeat when they are due.
 func (f *goldenFleet) advanceEndpoint(e *goldenEndpoint) {
 	if !e.up {
 		return
@@ -157,7 +157,7 @@
 	})
 }
 
-// receiveOrder is the endpoint's answer to an order.
+// receiveOrder returns the endpoint's answer to an order.
 func (f *goldenFleet) receiveOrder(order Order) Outcome {
 	at := slices.IndexFunc(f.endpoints, func(e *goldenEndpoint) bool { return e.up && e.id == order.Endpoint })
 	if at < 0 {
@@ -188,10 +188,10 @@
 	case order.Adapter != "":
 	case order.Unload:
 		if f.chance(0.4) {
-			duration = time.Duration(100+f.random.IntN(2400)) * time.Millisecond // it waits for its requests
+			duration = time.Duration(100+f.random.IntN(2400)) * time.Millisecond // the unload waits for running requests
 		}
 		if f.chance(0.02) {
-			duration = 50 * time.Second // one of them doesn't end
+			duration = 50 * time.Second // one of the running requests does not end
 		}
 	default:
 		seconds := 5.0
--- a/internal/control/placer/golden_fleet_test.go
+++ b/internal/control/placer/golden_fleet_test.go
@@ -11,21 +11,21 @@
 	"raventrestle/internal/protocol"
 )
 
-// goldenTick is the resolution of the golden fleet's simulated time.
+// goldenTick is the time step of the simulation.
 const goldenTick = 50 * time.Millisecond
 
-// goldenScenario is one seeded run of the golden fleet. Its fields may not be changed: the recorded decisions in
-// testdata/golden follow from them.
+// goldenScenario is one seeded run of the golden fleet. Its fields must not be changed, because the decisions recorded in
+// testdata/golden depend on them.
 type goldenScenario struct {
 	name        string
 	seed        uint64
-	inspect     bool            // the placer may ask endpoints for their reports
-	length      time.Duration   // simulated time of the run
+	inspect     bool            // the placer may inspect endpoints
+	length      time.Duration   // simulated duration of the run
 	services    []goldenService // services of the first configuration
-	faultRate   float64         // faults a second over the whole fleet
+	faultRate   float64         // faults per second in the fleet
 	orderLoss   float64         // share of orders whose delivery or answer is disturbed
-	takeovers   []time.Duration // when a new placer takes over
-	handoverGap time.Duration   // HandoverGap of those that take over
+	takeovers   []time.Duration // times at which a new placer takes over
+	handoverGap time.Duration   // HandoverGap of the placers that take over
 	changes     map[time.Duration]func(c *configuration.Configuration)
 }
 
@@ -36,19 +36,19 @@
 	zones             int
 	engine            configuration.Engine
 	requestsPerSecond float64
-	busyModels        int           // models that are busy at a time
-	dormantModels     int           // the last so many models are never asked for
-	phase             time.Duration // time after which the next models are busy
+	busyModels        int           // number of models that are busy at the same time
+	dormantModels     int           // number of models at the end of the list that are never requested
+	phase             time.Duration // time after which the next models become busy
 }
 
 // goldenFleet simulates endpoints, routers and clients around one placer. Everything is iterated in a fixed order, so
-// that a seed gives one run.
+// that a seed always gives the same run.
 type goldenFleet struct {
 	scenario         goldenScenario
 	random           *rand.Rand
 	now              time.Duration
 	configuration    *configuration.Configuration
-	configurationDue bool // the placer has not seen the configuration yet
+	configurationDue bool // the placer has not received the current configuration yet
 	endpoints        []*goldenEndpoint
 	started          int // number of endpoints started, for their IDs
 	table            map[string]protocol.Endpoint
@@ -57,13 +57,13 @@
 	events           []goldenEvent
 	input            Input
 	placer           *Placer
-	generation       int // of placers
+	generation       int // number of takeovers so far
 	wakeAt           time.Time
 	lastWake         time.Duration
 	lines            []string
 }
 
-// goldenEvent is a message on its way, or a planned change.
+// goldenEvent is a message in transit or a scheduled change.
 type goldenEvent struct {
 	at time.Duration
 	do func()
@@ -96,7 +96,7 @@
 	return f
 }
 
-// run plays the scenario and returns the recorded lines.
+// run simulates the scenario and returns the recorded lines.
 func (f *goldenFleet) run() []string {
 	for ; f.now < f.scenario.length; f.now += goldenTick {
 		f.runDueEvents()
@@ -156,7 +156,7 @@
 	}
 }
 
-// step has the placer decide when something came or it asked to be woken.
+// step steps the placer if input has arrived or its wake-up time has come.
 func (f *goldenFleet) step() {
 	in := f.input
 	now := time.Unix(1e9, 0).Add(f.now)
@@ -192,7 +192,7 @@
 	}
 }
 
-// inspect answers with the endpoint's own report, or that none came.
+// inspect sends back the endpoint's own report, or a failed inspection.
 func (f *goldenFleet) inspect(id string) {
 	generation := f.generation
 	answer := Inspection{Endpoint: id, Failed: true}
@@ -208,26 +208,26 @@
 	})
 }
 
-// sendOrder carries an order to its endpoint and the answer back, as the scenario's losses allow.
+// sendOrder delivers an order to its endpoint and returns the answer, with the losses and delays of the scenario.
 func (f *goldenFleet) sendOrder(order Order) {
 	disturbed := f.chance(f.scenario.orderLoss)
 	kind := f.random.IntN(5)
 	after := time.Duration(0)
 	if disturbed && kind == 0 {
-		after = 700 * time.Millisecond // it arrives late
+		after = 700 * time.Millisecond // the order arrives late
 	}
 	generation := f.generation
 	f.after(after, func() {
 		outcome := Unknown
-		if !disturbed || kind != 1 { // 1: it never arrives
+		if !disturbed || kind != 1 { // 1: the order never arrives
 			outcome = f.receiveOrder(order)
 		}
 		back := time.Duration(f.random.IntN(100)) * time.Millisecond
 		if disturbed && kind != 4 {
-			outcome, back = Unknown, time.Second // its answer is lost
+			outcome, back = Unknown, time.Second // the answer is lost
 		}
 		if disturbed && kind == 3 {
-			return // nobody ever says what became of it
+			return // the order never gets a result
 		}
 		answer := func() {
 			if f.generation == generation {
@@ -236,7 +236,7 @@
 		}
 		f.after(back, answer)
 		if disturbed && kind == 4 {
-			f.after(2*back, answer) // the answer comes twice
+			f.after(2*back, answer) // the answer arrives twice
 		}
 	})
 }
--- a/internal/control/placer/golden_test.go
+++ b/internal/control/placer/golden_test.go
@@ -13,7 +13,7 @@
 	"raventrestle/internal/goldentest"
 )
 
-// goldenModels makes count models of one kind, named from the prefix and a number.
+// goldenModels returns count models of one kind, each named with the prefix and a number.
 func goldenModels(prefix string, count int, model configuration.Model) []configuration.Model {
 	var models []configuration.Model
 	for i := range count {
@@ -23,7 +23,7 @@
 	return models
 }
 
-// goldenEngine makes an engine with the models.
+// goldenEngine returns an engine with the models.
 func goldenEngine(
 	weightsMB float64, adapterSlots int, loadsPerS float64, models ...[]configuration.Model,
 ) configuration.Engine {
@@ -33,7 +33,7 @@
 	}
 }
 
-// goldenScenarios are the runs whose decisions are recorded.
+// goldenScenarios returns the runs whose decisions are recorded.
 func goldenScenarios() []goldenScenario {
 	heavy := configuration.Model{WeightsMB: 72700, LoadTimeSeconds: 5.7, AdapterCount: 9, AdapterSizeMB: 66}
 	light := configuration.Model{WeightsMB: 30100, LoadTimeSeconds: 2.9}
@@ -62,12 +62,12 @@
 		}), goldenModels("light", 3, light)),
 	}
 	changes := map[time.Duration]func(c *configuration.Configuration){
-		50 * time.Second: func(c *configuration.Configuration) { // one model ends, one is new, one has grown
+		50 * time.Second: func(c *configuration.Configuration) { // one model is removed, one is added, one has grown
 			models := c.Services[0].Engine.Models[1:]
 			models[2].WeightsMB *= 1.2
 			c.Services[0].Engine.Models = append(models, configuration.Model{Name: "new", WeightsMB: 51000, LoadTimeSeconds: 4})
 		},
-		95 * time.Second: func(c *configuration.Configuration) { // the second service ends
+		95 * time.Second: func(c *configuration.Configuration) { // the second service is removed
 			c.Services = append(c.Services[:1:1], c.Services[2:]...)
 		},
 		110 * time.Second: func(c *configuration.Configuration) { c.Services[0].Engine.LoadsPerSecond = 0.7 },
@@ -102,14 +102,14 @@
 	return scenarios
 }
 
-// exact prints a number with all its digits.
+// exact formats a number with all its digits.
 func exact(x float64) string { return strconv.FormatFloat(x, 'g', -1, 64) }
 
 func (f *goldenFleet) record(format string, arguments ...any) {
 	f.lines = append(f.lines, fmt.Sprintf("%.3f ", f.now.Seconds())+fmt.Sprintf(format, arguments...))
 }
 
-// recordOutput records all that a step ordered, and when it wants to be woken if that differs from the last step's.
+// recordOutput records everything that a step ordered, and its wake-up delay if that differs from the previous step's.
 func (f *goldenFleet) recordOutput(now time.Time, out Output) {
 	for _, order := range out.Orders {
 		operation, revision := "load", "none"
@@ -131,8 +131,8 @@
 	}
 }
 
-// recordState records what the placer assumes, with all digits. Only numbers that contain a sum over adapters in the
-// order of a map are rounded, to nine digits: their last ones differ from run to run.
+// recordState records the placer's state with all digits. Only numbers that contain a sum over adapters in the iteration
+// order of a map are rounded, to nine digits, because their last digits differ between runs.
 func (f *goldenFleet) recordState() {
 	p := f.placer
 	now := time.Unix(1e9, 0).Add(f.now)
@@ -170,9 +170,9 @@
 	}
 }
 
-// TestDecisionsAreAsRecorded plays seeded fleets and compares all that the placer decides and assumes with the
-// records in testdata/golden, written by the code of 73ca247. A difference is a change of
-// behaviour; the records are written again only where that is meant.
+// TestDecisionsAreAsRecorded simulates seeded fleets and compares everything that the placer decides and assumes with the
+// records in testdata/golden, which the code of 73ca247 wrote. A difference is a change of behaviour. The records are
+// written again only if the change is intended.
 func TestDecisionsAreAsRecorded(t *testing.T) {
 	for _, s := range goldenScenarios() {
 		t.Run(s.name, func(t *testing.T) {
--- a/internal/control/placer/heartbeat.go
+++ b/internal/control/placer/heartbeat.go
@@ -7,18 +7,19 @@
 	"raventrestle/internal/protocol"
 )
 
-// Heartbeats that must agree before an effect is assumed without an order's or inspection's confirmation.
+// Numbers of heartbeats after which an effect is assumed that no answer to an order or inspection has confirmed.
 const (
-	// unloadConfirmations is how many heartbeats later than the answer to an unload must lack the model if none has
-	// shown it before; the first of them may have been sent before the unload.
+	// unloadConfirmations applies to an unloaded model that no heartbeat has ever shown. A heartbeat without the model
+	// confirms the unload only if it is at least this many heartbeats newer than the answer to the unload, because the
+	// first heartbeat after the answer may have been sent before the unload.
 	unloadConfirmations = 2
-	// maxMissedHeartbeats is how many heartbeats in a row may lack a model that nobody unloaded, until it is taken
-	// for lost.
+	// maxMissedHeartbeats is the number of consecutive heartbeats without a model after which the model counts as lost
+	// although nobody has unloaded it.
 	maxMissedHeartbeats = 4
 )
 
-// observeHeartbeat takes the endpoint's registration over. Its models are looked at only if it is newer than the last
-// one.
+// observeHeartbeat stores the endpoint's registration. It evaluates the registration's models only if the registration
+// is newer than the last one.
 func (e *endpoint) observeHeartbeat(now time.Time, registration protocol.Endpoint) {
 	newer := registration.Sequence > e.Sequence || e.heartbeats == 0
 	e.Endpoint = registration
@@ -39,13 +40,13 @@
 	e.removeMissingModels(now)
 }
 
-// indexOf returns the model's place in the list, -1 if it is not there.
+// indexOf returns the index of the model in the list, or -1 if it is not in the list.
 func indexOf(models []protocol.LoadedModel, model string) int {
 	return slices.IndexFunc(models, func(m protocol.LoadedModel) bool { return m.Name == model })
 }
 
-// observeModel takes in that a heartbeat shows the model. One that was neither there nor on its way has been loaded
-// by somebody else, so that the revision is not known any more.
+// observeModel processes a model that a heartbeat shows. If the model was neither loaded nor being loaded, somebody else
+// has loaded it, so the endpoint's revision is no longer known.
 func (e *endpoint) observeModel(now time.Time, reported protocol.LoadedModel) {
 	if e.find(reported.Name) == nil {
 		if e.heartbeats > 1 && !e.isLoading(reported.Name) {
@@ -67,9 +68,9 @@
 	}
 }
 
-// observeEffect takes in that a heartbeat shows the pending order's effect. The revision counts orders by their
-// answers, so the order is not over before its answer: the next order would name a revision that is one too low, and
-// be rejected.
+// observeEffect records that a heartbeat shows the effect of the pending order. An order without an answer stays
+// pending: the revision is only incremented by the answer, so the next order would name a revision that is one too low,
+// and the endpoint would reject it.
 func (e *endpoint) observeEffect(now time.Time) {
 	if e.pending.phase == orderSent {
 		e.pending.effectSeen = true
@@ -78,16 +79,16 @@
 	e.completeOrder(now)
 }
 
-// observeUnloadEffect looks whether a heartbeat shows the effect of a pending unload. A heartbeat may be older than
-// the unload; one that lacks what an earlier heartbeat has shown is not.
+// observeUnloadEffect checks whether a heartbeat shows the effect of a pending unload. A heartbeat may be older than the
+// unload, but not if it lacks something that an earlier heartbeat has shown.
 func (e *endpoint) observeUnloadEffect(now time.Time, registration protocol.Endpoint) {
 	pending := e.pending
 	if pending == nil || !pending.order.Unload {
 		return
 	}
-	at := indexOf(registration.Models, pending.order.Model)
+	index := indexOf(registration.Models, pending.order.Model)
 	if pending.order.Adapter != "" {
-		if at >= 0 && pending.adapterSeen && !slices.Contains(registration.Models[at].Adapters, pending.order.Adapter) {
+		if index >= 0 && pending.adapterSeen && !slices.Contains(registration.Models[index].Adapters, pending.order.Adapter) {
 			e.observeEffect(now)
 		}
 		return
@@ -97,14 +98,14 @@
 		e.observeEffect(now)
 		return
 	}
-	answeredLongAgo := pending.phase != orderSent && registration.Sequence >= pending.sequenceAtAnswer+unloadConfirmations
-	if at < 0 && (found.confirmed || answeredLongAgo) {
+	isAfterUnload := pending.phase != orderSent && registration.Sequence >= pending.sequenceAtAnswer+unloadConfirmations
+	if index < 0 && (found.confirmed || isAfterUnload) {
 		e.observeEffect(now)
 	}
 }
 
-// removeMissingModels removes models that several heartbeats in a row did not show, unless the pending order is for
-// them.
+// removeMissingModels removes the models that maxMissedHeartbeats consecutive heartbeats did not show, except for the
+// model of the pending order.
 func (e *endpoint) removeMissingModels(now time.Time) {
 	for _, m := range slices.Clone(e.models) {
 		if m.missedHeartbeats >= maxMissedHeartbeats && (e.pending == nil || e.pending.order.Model != m.model) {
--- a/internal/control/placer/inspection.go
+++ b/internal/control/placer/inspection.go
@@ -10,16 +10,16 @@
 const (
 	// inspectionInterval is the time until an inspection is repeated that brought no answer or nothing new.
 	inspectionInterval = 300 * time.Millisecond
-	// firstInspectionDelay is the time from an order without an answer, or an unload, to the first inspection: an
-	// endpoint's report is about 100 ms old.
+	// firstInspectionDelay is the time from an unanswered order, or from an unload, to the first inspection. It allows
+	// for the age of an endpoint's report, about 100 ms.
 	firstInspectionDelay = 120 * time.Millisecond
-	// lateArrivalWindow is how long an order without an answer may still arrive at its endpoint.
+	// lateArrivalWindow is how long an unanswered order may still arrive at its endpoint.
 	lateArrivalWindow = time.Second
-	// minLoadTimeShare is the shortest time of a load from the store, as a share of load_time_s.
+	// minLoadTimeShare is the minimum duration of a load from the store, as a share of load_time_s.
 	minLoadTimeShare = 0.9
 )
 
-// requestInspections asks for the inspections that are due.
+// requestInspections requests the inspections that are due.
 func (p *Placer) requestInspections(now time.Time, f *fleet, out *Output) {
 	if !p.config.InspectEndpoints {
 		return
@@ -34,7 +34,7 @@
 	}
 }
 
-// handleInspection takes an endpoint's own report in, or that none came.
+// handleInspection processes an endpoint's own report, or the failure to get one.
 func (p *Placer) handleInspection(now time.Time, inspection Inspection) {
 	for _, f := range p.fleets {
 		e := f.endpoints[inspection.Endpoint]
@@ -50,8 +50,8 @@
 	}
 }
 
-// minLoadTime is the shortest time that a load of one of these models from the store lasts; the longest duration that
-// there is if there are none.
+// minLoadTime returns the minimum duration of a load from the store over the given models, or the maximum
+// time.Duration if there are none.
 func (f *fleet) minLoadTime(models []protocol.LoadedModel) time.Duration {
 	shortest := time.Duration(math.MaxInt64)
 	for _, loaded := range models {
@@ -61,16 +61,16 @@
 	return shortest
 }
 
-// observeInspection takes the endpoint's own report in. While an order is sent but not answered it may be from before
-// or after the order, and is ignored; so is one that is older than an accepted order, or that can't show yet whether
-// an uncertain one arrives.
+// observeInspection updates the state from the endpoint's own report. It ignores the report in three cases: an order has
+// been sent but not answered, so the report may be from before or after it; the report is older than an accepted order;
+// or an order without an answer may still arrive.
 func (e *endpoint) observeInspection(now time.Time, inspection Inspection) {
 	e.inspectAt = now.Add(inspectionInterval)
 	if inspection.Failed || (e.pending != nil && e.pending.phase == orderSent) {
 		return
 	}
 	if e.stateKnown && inspection.Revision < e.revision {
-		return // older than an order that was accepted
+		return // older than an accepted order
 	}
 	if e.pending != nil && e.pending.phase == orderUncertain && inspection.Revision == e.revision &&
 		now.Sub(e.pending.answeredAt) < lateArrivalWindow {
@@ -85,17 +85,17 @@
 	e.replaceState(now, inspection)
 }
 
-// replaceState takes a report without an order under way as the endpoint's exact state.
+// replaceState makes a report without an order in progress the endpoint's exact state.
 func (e *endpoint) replaceState(now time.Time, inspection Inspection) {
 	e.pending = nil
 	e.stateKnown = true
 	e.revision = inspection.Revision
 	e.inspectAt = time.Time{}
-	before := e.models
+	previous := e.models
 	e.models = nil
 	for _, model := range inspection.Models {
 		loaded := e.add(model.Name, now)
-		for _, old := range before {
+		for _, old := range previous {
 			if old.model == model.Name {
 				loaded.loadedAt, loaded.confirmed = old.loadedAt, old.confirmed
 				loaded.reportedAdapters, loaded.adapterLoadedAt = old.reportedAdapters, old.adapterLoadedAt
--- a/internal/control/placer/mechanism.go
+++ b/internal/control/placer/mechanism.go
@@ -1,18 +1,18 @@
 package placer
 
-// Mechanism is a set of mechanisms of the placer. Tests and trials switch single ones off, to measure what each is worth; the
-// programs use all.
+// Mechanism is a set of the placer's optional mechanisms. Tests and trials switch off single mechanisms to measure the
+// benefit of each; the programs use all of them.
 type Mechanism uint32
 
 // Mechanisms that can be switched off.
 const (
 	DemandTrend   Mechanism = 1 << iota // rates are extrapolated to the end of a load
-	Redundancy                          // a second replica has a value of its own
-	Packing                             // endpoints whose memory is filled well are preferred
-	ZoneSpread                          // the first replica in a zone has a value of its own
-	DormantValue                        // models that nobody has asked for yet are kept
-	WaitingGrowth                       // requests that wait longer for a first replica weigh more
+	Redundancy                          // a second replica has additional value
+	Packing                             // endpoints with little memory left after the load are preferred
+	ZoneSpread                          // the first replica in a zone has additional value
+	DormantValue                        // the last replica of a model that has not been requested yet has a value
+	WaitingGrowth                       // the weight of requests that wait for a first replica grows with time
 )
 
-// uses reports whether the placer uses a mechanism.
-func (p *Placer) uses(mechanism Mechanism) bool { return p.config.Without&mechanism == 0 }
+// uses reports whether the mechanism is enabled.
+func (p *Placer) uses(mechanism Mechanism) bool { return p.config.Disabled&mechanism == 0 }
--- a/internal/control/placer/memory.go
+++ b/internal/control/placer/memory.go
@@ -2,8 +2,9 @@
 
 import "raventrestle/internal/configuration"
 
-// freeMemoryMB is what is certainly free of the endpoint's weights_mb. All counts that may be loaded or may be
-// arriving; while an order of an earlier leader may be under way, so does a load of the largest model.
+// freeMemoryMB returns how much of the endpoint's weights_mb is certainly free. Everything that may be loaded or may
+// still arrive counts as used. While an order of an earlier leader may be in progress, this includes a load of the
+// largest model.
 func (f *fleet) freeMemoryMB(e *endpoint) float64 {
 	free := f.engine.WeightMemoryMB
 	for i := range e.models {
@@ -18,8 +19,8 @@
 	return free
 }
 
-// modelMemoryMB is what a loaded model takes with its adapters. One that the configuration does not know may take
-// everything.
+// modelMemoryMB returns the memory of a loaded model with its adapters. A model that is not configured may use all of
+// the endpoint's memory.
 func (f *fleet) modelMemoryMB(loaded *loadedModel) float64 {
 	model, configured := f.models[loaded.model]
 	if !configured {
@@ -28,7 +29,7 @@
 	return model.WeightsMB + float64(len(loaded.adapters))*model.AdapterSizeMB
 }
 
-// orderMemoryMB is what a load takes, of a model or of an adapter.
+// orderMemoryMB returns the memory that the load of a model or an adapter takes.
 func (f *fleet) orderMemoryMB(order Order) float64 {
 	model := f.models[order.Model]
 	if order.Adapter != "" {
@@ -37,12 +38,12 @@
 	return model.WeightsMB
 }
 
-// adapterReserveMB is the memory that a model's adapters may take beside its weights.
+// adapterReserveMB returns the memory that a model's adapters may take in addition to its weights.
 func (f *fleet) adapterReserveMB(model configuration.Model) float64 {
 	return float64(min(model.AdapterCount, f.engine.AdapterSlots)) * model.AdapterSizeMB
 }
 
-// freeAdapterSlots is how many more adapters the endpoint can certainly load.
+// freeAdapterSlots returns how many more adapters the endpoint can certainly load.
 func (f *fleet) freeAdapterSlots(e *endpoint) int {
 	free := f.engine.AdapterSlots
 	for i := range e.models {
--- a/internal/control/placer/new_leader_test.go
+++ b/internal/control/placer/new_leader_test.go
@@ -9,8 +9,8 @@
 	"raventrestle/internal/protocol"
 )
 
-// newLeaderFleet is a fleet of six endpoints as a new leader finds it, each with a replica of "busy" and memory for
-// one more model.
+// newLeaderFleet returns the configuration and the table of six endpoints that a new leader finds. Each endpoint has a
+// replica of "busy" and memory for one more model.
 func newLeaderFleet() (*configuration.Configuration, []protocol.Endpoint) {
 	models := []configuration.Model{{Name: "busy", WeightsMB: 60, LoadTimeSeconds: 6}}
 	for _, name := range []string{"m1", "m2", "m3", "m4", "m5", "m6"} {
@@ -28,7 +28,7 @@
 	return &configuration.Configuration{Generation: 1, Services: services}, table
 }
 
-// inspectionsOf answers an inspection of each endpoint.
+// inspectionsOf returns the answers to an inspection of each endpoint.
 func inspectionsOf(table []protocol.Endpoint, busy bool) []Inspection {
 	var inspections []Inspection
 	for _, e := range table {
@@ -37,8 +37,8 @@
 	return inspections
 }
 
-// reportsOfDemand is a router's report of five requests for each of the models, of which so many were unserved, and
-// one for busy.
+// reportsOfDemand returns a router report of five requests for each of the models, of which the given number was
+// unserved, and of one request for busy.
 func reportsOfDemand(unserved int, names ...string) []protocol.Report {
 	report := protocol.Report{Node: "r", Sequence: 1, Window: 500 * time.Millisecond}
 	for _, name := range names {
@@ -51,8 +51,8 @@
 	return []protocol.Report{report}
 }
 
-// TestNewLeaderLoadsUnservedModelsAtOnce has a new leader whose inspections show that no endpoint has begun a load
-// lately: it need not wait a window for the earlier leader's loads.
+// TestNewLeaderLoadsUnservedModelsAtOnce gives a new leader inspections that show no recent load at any endpoint. It need
+// not wait until the loads of the earlier leader have left the window.
 func TestNewLeaderLoadsUnservedModelsAtOnce(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := newLeaderFleet()
@@ -73,7 +73,7 @@
 	}
 }
 
-// TestNewLeaderCountsLoadsOfEarlierLeader has every endpoint busy: each may carry out a load of the earlier leader.
+// TestNewLeaderCountsLoadsOfEarlierLeader starts with endpoints that may all be carrying out a load of the earlier leader.
 func TestNewLeaderCountsLoadsOfEarlierLeader(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	limiter := newLoadRateLimiter(now, 5*time.Second, time.Second)
@@ -90,21 +90,21 @@
 		return n
 	}
 	if got := count(now); got != reservedLoads {
-		t.Errorf("got %d loads beside 5 of the earlier leader, want %d", got, reservedLoads)
+		t.Errorf("got %d loads in addition to 5 of the earlier leader, want %d", got, reservedLoads)
 	}
 	limiter.observeIdle(now, "a", 6*time.Second)
 	limiter.observeIdle(now, "b", 6*time.Second)
-	if got := count(now); got != 1 { // limit 8, of these 2 reserved: 3 of the earlier leader and 2 own leave 1
+	if got := count(now); got != 1 { // the limit of 8 minus 2 reserved, 3 of the earlier leader and 2 own loads leaves 1
 		t.Errorf("got %d loads after inspections of two endpoints, want 1", got)
 	}
 }
 
-// TestNewLeaderEvictsNothingBeforeReports has a new leader that has heard one report only, and a model that needs
-// memory.
-func TestNewLeaderEvictsNothingBeforeReports(t *testing.T) {
+// TestNewLeaderEvictsNothingBeforeAllRoutersReport has a new leader that has received only one report, and a model that
+// needs memory.
+func TestNewLeaderEvictsNothingBeforeAllRoutersReport(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := newLeaderFleet()
-	c.Services[0].Engine.WeightMemoryMB = 100 // no memory beside the replica that is there
+	c.Services[0].Engine.WeightMemoryMB = 100 // no free memory next to the loaded replica
 	p := New(Config{InspectEndpoints: true, HandoverGap: time.Second})
 	p.Step(now, Input{Configuration: c, Endpoints: table})
 	out := p.Step(now.Add(100*time.Millisecond), Input{
@@ -120,8 +120,8 @@
 	}
 }
 
-// TestLeaderEvictsNothingAfterAGapInReports has a leader act again after seconds in which others led.
-func TestLeaderEvictsNothingAfterAGapInReports(t *testing.T) {
+// TestLeaderEvictsNothingRightAfterGapInReports has a leader act again after some seconds in which other instances led.
+func TestLeaderEvictsNothingRightAfterGapInReports(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := newLeaderFleet()
 	c.Services[0].Engine.WeightMemoryMB = 100
@@ -130,20 +130,20 @@
 	p.Step(now.Add(100*time.Millisecond), Input{
 		Endpoints: table, Inspections: inspectionsOf(table, false), Reports: reportsOfDemand(0),
 	})
-	again := now.Add(5 * time.Second)
-	out := p.Step(again, Input{Endpoints: table, Reports: reportsOfDemand(5, "m1")})
+	resumedAt := now.Add(5 * time.Second)
+	out := p.Step(resumedAt, Input{Endpoints: table, Reports: reportsOfDemand(5, "m1")})
 	if len(out.Orders) != 0 {
 		t.Errorf("got orders before all routers reported again, want none: %+v", out.Orders)
 	}
-	out = p.Step(again.Add(600*time.Millisecond), Input{Endpoints: table, Reports: reportsOfDemand(5, "m1")})
+	out = p.Step(resumedAt.Add(600*time.Millisecond), Input{Endpoints: table, Reports: reportsOfDemand(5, "m1")})
 	if len(out.Orders) == 0 {
 		t.Error("got no orders after all routers reported, want an unload")
 	}
 }
 
-// TestRecoveryDelaysNoReplica has a single endpoint serve what all ask for while the replicated state recovers from a
+// TestRecoveryDoesNotDelayReplicas has a single endpoint serve all requests while the replicated state recovers from a
 // fault.
-func TestRecoveryDelaysNoReplica(t *testing.T) {
+func TestRecoveryDoesNotDelayReplicas(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := newLeaderFleet()
 	for i := range table[1:] {
@@ -177,8 +177,8 @@
 	}
 }
 
-// TestStalledUnloadLetsAnotherEndpointLoadTheModel has the unload that frees memory for an unserved model wait for
-// running requests.
+// TestStalledUnloadLetsAnotherEndpointLoadTheModel has an unload that frees memory for an unserved model wait for running
+// requests.
 func TestStalledUnloadLetsAnotherEndpointLoadTheModel(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := newLeaderFleet()
@@ -188,7 +188,7 @@
 	p.Step(now.Add(50*time.Millisecond), Input{
 		Endpoints: table, Inspections: inspectionsOf(table, false), Reports: reportsOfDemand(0),
 	})
-	endpoints := map[string]bool{}
+	loadingEndpoints := map[string]bool{}
 	var results []Result
 	for at := 500 * time.Millisecond; at < 4*time.Second; at += 100 * time.Millisecond {
 		in := Input{Endpoints: table, Results: results}
@@ -198,18 +198,18 @@
 		results = nil
 		for _, order := range p.Step(now.Add(at), in).Orders {
 			if strings.Contains(order.Reason, "first copy") {
-				endpoints[order.Endpoint] = true
+				loadingEndpoints[order.Endpoint] = true
 			}
 			results = append(results, Result{ID: order.ID, Outcome: Accepted})
 		}
 	}
-	if len(endpoints) < 2 {
-		t.Errorf("got orders at %v, want them at 2 endpoints at least", endpoints)
+	if len(loadingEndpoints) < 2 {
+		t.Errorf("got orders at %v, want them at 2 or more endpoints", loadingEndpoints)
 	}
 }
 
-// TestReplicaWithFewerRunningRequestsIsEvicted has three endpoints run many requests of one model, and three run few
-// of another.
+// TestReplicaWithFewerRunningRequestsIsEvicted has three endpoints with many running requests of one model, and three with
+// few running requests of another.
 func TestReplicaWithFewerRunningRequestsIsEvicted(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := newLeaderFleet()
@@ -247,9 +247,9 @@
 	}
 }
 
-// TestStalledUnloadEvictsNoOtherReplicaInUse has all replicas run requests: one unload waits for them, and no other
-// joins it.
-func TestStalledUnloadEvictsNoOtherReplicaInUse(t *testing.T) {
+// TestStalledUnloadPreventsEvictionOfOtherReplicasInUse has running requests at all replicas: while one unload waits for
+// them, no second unload may start.
+func TestStalledUnloadPreventsEvictionOfOtherReplicasInUse(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c, table := newLeaderFleet()
 	c.Services[0].Engine.WeightMemoryMB = 100
--- a/internal/control/placer/order_result.go
+++ b/internal/control/placer/order_result.go
@@ -2,50 +2,50 @@
 
 import "time"
 
-// Times within which orders are answered and end.
+// Timeouts and expected durations of orders and plans.
 const (
-	// answerTimeout is how long an order may go without a result; it counts as Unknown then.
+	// answerTimeout is how long an order may go without a result before it counts as Unknown.
 	answerTimeout = 3 * time.Second
-	// adapterLoadTime is the expected time of an order for an adapter: it arrives within some milliseconds, and a
-	// heartbeat says so.
+	// adapterLoadTime is the expected duration of an adapter order: the order arrives within milliseconds, and a heartbeat
+	// shows its effect.
 	adapterLoadTime = 200 * time.Millisecond
-	// adapterLoadTimeout is how long after its answer an order for an adapter counts as done without a heartbeat that
-	// shows it.
+	// adapterLoadTimeout is how long after its answer an adapter order counts as completed even if no heartbeat has shown
+	// its effect.
 	adapterLoadTimeout = time.Second
-	// loadTimeoutFactor gives the time after which a load that nothing shows as done is given up, in load times of
-	// the model.
+	// loadTimeoutFactor is the number of the model's load times after which a load is abandoned if nothing has shown its
+	// effect.
 	loadTimeoutFactor = 3
-	// unloadTimeout is the same for an unload.
+	// unloadTimeout is the time after which an unload is abandoned if nothing has shown its effect.
 	unloadTimeout = 30 * time.Second
-	// busyBackoff is the time without orders to an endpoint after 409.
+	// busyBackoff is how long an endpoint gets no orders after a 409.
 	busyBackoff = 300 * time.Millisecond
-	// invalidBackoff is the same after any other 4xx.
+	// invalidBackoff is how long an endpoint gets no orders after any other 4xx.
 	invalidBackoff = 2 * time.Second
-	// planTimeout is how long a plan may go without an order until its endpoint is decided about again.
+	// planTimeout is how long a plan may go without an order before it is dropped and its endpoint is available again.
 	planTimeout = 4 * time.Second
 )
 
-// When no order of an earlier leader can be under way any more, without inspections.
+// Without inspections, an order of an earlier leader counts as possibly in progress until both limits are exceeded.
 const (
-	inheritedOrderWindow     = 15 * time.Second // since the first step
-	inheritedOrderHeartbeats = 2                // and more heartbeats than this
+	inheritedOrderWindow     = 15 * time.Second // time since the first step
+	inheritedOrderHeartbeats = 2                // heartbeats of the endpoint
 )
 
-// handleResult takes the answer to an order in.
+// handleResult processes the answer to an order.
 func (p *Placer) handleResult(now time.Time, result Result) {
 	e := p.unanswered[result.ID]
 	if e == nil {
 		return
 	}
 	delete(p.unanswered, result.ID)
-	mayHaveBegun := result.Outcome == Accepted || result.Outcome == Unknown
+	mayHaveStarted := result.Outcome == Accepted || result.Outcome == Unknown
 	if e.pending != nil && e.pending.order.ID == result.ID {
 		p.handlePendingResult(now, e, result.Outcome)
 	}
-	p.loadLimiter.resolve(result.ID, now, mayHaveBegun)
+	p.loadLimiter.resolve(result.ID, now, mayHaveStarted)
 }
 
-// handlePendingResult takes the answer to the endpoint's pending order in.
+// handlePendingResult processes the answer to the endpoint's pending order.
 func (p *Placer) handlePendingResult(now time.Time, e *endpoint, outcome Outcome) {
 	pending := e.pending
 	pending.answeredAt, pending.sequenceAtAnswer = now, e.Sequence
@@ -73,7 +73,7 @@
 	}
 }
 
-// handleRejection ends an order that the endpoint rejected: its state is not the assumed one.
+// handleRejection ends an order that the endpoint rejected because its state differs from the assumed state.
 func (p *Placer) handleRejection(now time.Time, e *endpoint, outcome Outcome) {
 	p.counters.Rejected++
 	e.pending = nil
@@ -86,8 +86,8 @@
 	e.backoffUntil = now.Add(backoff)
 }
 
-// expireOrders ends orders and plans that have taken too long, and notes which endpoints can have no order of an
-// earlier leader.
+// expireOrders ends orders and plans that have taken too long, and records which endpoints can no longer have an order
+// of an earlier leader.
 func (p *Placer) expireOrders(now time.Time, f *fleet) {
 	for _, e := range f.sortedEndpoints {
 		if e.heartbeats > inheritedOrderHeartbeats && now.Sub(p.startedAt) > inheritedOrderWindow {
@@ -102,8 +102,8 @@
 	}
 }
 
-// expireOrder ends the endpoint's pending order if it has taken too long. With inspections an accepted order for a
-// model is not ended here: its end is asked for.
+// expireOrder ends the endpoint's pending order if it has taken too long. With inspections, an accepted order for a
+// model is not ended here, because inspections show when it ends.
 func (p *Placer) expireOrder(now time.Time, f *fleet, e *endpoint) {
 	pending := e.pending
 	switch {
@@ -116,7 +116,7 @@
 	}
 }
 
-// orderTimeout is how long after it was sent an order is given up if no heartbeat shows its effect.
+// orderTimeout returns how long after it was sent an order is abandoned if no heartbeat has shown its effect.
 func (f *fleet) orderTimeout(order Order) time.Duration {
 	if order.Unload {
 		return unloadTimeout
@@ -124,8 +124,8 @@
 	return time.Duration(loadTimeoutFactor*f.models[order.Model].LoadTimeSeconds*float64(time.Second)) + answerTimeout
 }
 
-// abandonOrder ends an order of which nothing more will be heard. A model that was to be unloaded may still be there,
-// and counts as loaded.
+// abandonOrder ends an order whose effect nothing has shown in time. A model that was to be unloaded may still be
+// loaded, and counts as loaded.
 func (e *endpoint) abandonOrder(now time.Time) {
 	unloadedModel := e.pending.unloadsModel()
 	e.pending = nil
--- a/internal/control/placer/order_tracking_test.go
+++ b/internal/control/placer/order_tracking_test.go
@@ -8,7 +8,7 @@
 	"raventrestle/internal/protocol"
 )
 
-// oneEndpointFleet is a fleet of one endpoint with one model that has adapters, and a placer that has its
+// oneEndpointFleet returns a placer that knows one endpoint, which has one model with adapters, and the endpoint's
 // registration.
 func oneEndpointFleet(t *testing.T, now time.Time) (*Placer, protocol.Endpoint) {
 	t.Helper()
@@ -32,7 +32,8 @@
 	return p, e
 }
 
-// unservedRequests is a router's report of two requests for big, or an adapter of it, that no endpoint served.
+// unservedRequests returns a router report of two requests for the model big, or for one of its adapters, that no
+// endpoint served.
 func unservedRequests(adapter string) []protocol.Report {
 	return []protocol.Report{{
 		Node: "r", Sequence: 1, Window: 500 * time.Millisecond,
@@ -40,10 +41,11 @@
 	}}
 }
 
-// TestRevisionCountsOrderWhoseEffectAHeartbeatShowsFirst has the heartbeat that shows an adapter arrive with the
-// answer to its order, and before it: the next order must name the revision with that order counted.
-func TestRevisionCountsOrderWhoseEffectAHeartbeatShowsFirst(t *testing.T) {
-	for _, together := range []bool{true, false} {
+// TestNextOrderNamesRevisionAfterEarlyHeartbeat delivers the heartbeat that shows an adapter in the same step as the
+// answer to the adapter's order, and in an earlier step. In both cases the next order must name the revision that
+// counts this order.
+func TestNextOrderNamesRevisionAfterEarlyHeartbeat(t *testing.T) {
+	for _, sameStep := range []bool{true, false} {
 		now := time.Unix(1e9, 0)
 		p, e := oneEndpointFleet(t, now)
 		table := func() []protocol.Endpoint { return []protocol.Endpoint{e} }
@@ -56,22 +58,22 @@
 		e.Sequence = 2
 		e.Models = []protocol.LoadedModel{{Name: "big", Generation: 1, Adapters: []string{first.Adapter}}}
 		in := Input{Endpoints: table()}
-		if !together {
+		if !sameStep {
 			if out = p.Step(now.Add(100*time.Millisecond), in); len(out.Orders) != 0 {
-				t.Fatalf("got orders before the answer to the last one, want none: %+v", out.Orders)
+				t.Fatalf("got orders before the answer to the previous one, want none: %+v", out.Orders)
 			}
 		}
 		in.Results = []Result{{ID: first.ID, Outcome: Accepted}}
 		out = p.Step(now.Add(150*time.Millisecond), in)
 		if len(out.Orders) != 1 || *out.Orders[0].Revision != 8 {
-			t.Errorf("together %v: got orders %+v, want one at revision 8", together, out.Orders)
+			t.Errorf("same step %v: got orders %+v, want one at revision 8", sameStep, out.Orders)
 		}
 	}
 }
 
-// TestRestartedEndpointIsInspectedBeforeItsFirstOrder has an endpoint start again, empty, with a new ID at its old
-// address: its revision begins at 0. While an order of an earlier leader may be on its way, an inspection must show
-// that first.
+// TestRestartedEndpointIsInspectedBeforeItsFirstOrder restarts an endpoint without models and with a new ID at its old
+// address, so that its revision starts at 0. While an order of an earlier leader may still arrive, the endpoint must be
+// inspected before its first order.
 func TestRestartedEndpointIsInspectedBeforeItsFirstOrder(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	p, e := oneEndpointFleet(t, now)
@@ -101,23 +103,24 @@
 	}
 }
 
-// TestHeartbeatWithoutUnloadedAdapterEndsItsOrder has the adapter slot free at once.
-func TestHeartbeatWithoutUnloadedAdapterEndsItsOrder(t *testing.T) {
+// TestHeartbeatWithoutAdapterCompletesItsUnload checks that the adapter's slot is free as soon as a heartbeat no longer
+// shows the adapter.
+func TestHeartbeatWithoutAdapterCompletesItsUnload(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	p, e := oneEndpointFleet(t, now)
 	e.Sequence, e.Models = 2, []protocol.LoadedModel{{Name: "big", Generation: 1, Adapters: []string{"a1", "a2"}}}
-	asked := unservedRequests("a3")
+	reports := unservedRequests("a3")
 	inspection := Inspection{Endpoint: e.ID, Models: e.Models}
-	in := Input{Endpoints: []protocol.Endpoint{e}, Inspections: []Inspection{inspection}, Reports: asked}
+	in := Input{Endpoints: []protocol.Endpoint{e}, Inspections: []Inspection{inspection}, Reports: reports}
 	out := p.Step(now.Add(50*time.Millisecond), in)
 	if len(out.Orders) != 1 || !out.Orders[0].Unload {
 		t.Fatalf("got orders %+v, want an unload", out.Orders)
 	}
-	left := "a1"
-	if out.Orders[0].Adapter == left {
-		left = "a2"
+	remaining := "a1"
+	if out.Orders[0].Adapter == remaining {
+		remaining = "a2"
 	}
-	e.Sequence, e.Models = 3, []protocol.LoadedModel{{Name: "big", Generation: 1, Adapters: []string{left}}}
+	e.Sequence, e.Models = 3, []protocol.LoadedModel{{Name: "big", Generation: 1, Adapters: []string{remaining}}}
 	in = Input{Endpoints: []protocol.Endpoint{e}, Results: []Result{{ID: out.Orders[0].ID, Outcome: Accepted}}}
 	out = p.Step(now.Add(100*time.Millisecond), in)
 	if len(out.Orders) != 1 || out.Orders[0].Unload || out.Orders[0].Adapter != "a3" {
@@ -125,24 +128,25 @@
 	}
 }
 
-// TestIdleAdapterEvictsNoOther has both slots taken, and a request for another adapter some seconds ago.
-func TestIdleAdapterEvictsNoOther(t *testing.T) {
+// TestAdapterWithoutRecentRequestsEvictsNoOther uses both slots, and requests a third adapter some seconds before
+// the endpoint's state becomes known.
+func TestAdapterWithoutRecentRequestsEvictsNoOther(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	p, e := oneEndpointFleet(t, now)
 	e.Sequence, e.Models = 2, []protocol.LoadedModel{{Name: "big", Generation: 1, Adapters: []string{"a1", "a2"}}}
-	asked := unservedRequests("a3")
+	reports := unservedRequests("a3")
 	table := []protocol.Endpoint{e}
-	p.Step(now.Add(50*time.Millisecond), Input{Endpoints: table, Reports: asked}) // its inspection is not answered yet
+	p.Step(now.Add(50*time.Millisecond), Input{Endpoints: table, Reports: reports}) // the inspection is not answered yet
 	inspection := Inspection{Endpoint: e.ID, Models: e.Models}
 	out := p.Step(now.Add(4*time.Second), Input{Endpoints: table, Inspections: []Inspection{inspection}})
 	if len(out.Orders) != 0 {
-		t.Errorf("got orders %+v for an adapter that nobody asked for in the last seconds, want none", out.Orders)
+		t.Errorf("got orders %+v for an adapter without requests in the last seconds, want none", out.Orders)
 	}
 }
 
-// TestAdaptersInUseTakeTurns has four adapters asked for all the time share two slots: each stays its time, and none
-// waits for ever.
-func TestAdaptersInUseTakeTurns(t *testing.T) {
+// TestActiveAdaptersShareSlotsWithoutStarvation requests four adapters all the time, which share two slots. Each must
+// stay loaded for its minimum residency, and none may starve.
+func TestActiveAdaptersShareSlotsWithoutStarvation(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	p, e := oneEndpointFleet(t, now)
 	loaded := map[string]bool{}
@@ -166,7 +170,7 @@
 		for _, order := range p.Step(now.Add(at), in).Orders {
 			results = append(results, Result{ID: order.ID, Outcome: Accepted})
 			if order.Unload && at > 8*time.Second && at-loadedAt[order.Adapter] < 2*time.Second {
-				t.Errorf("%v: got %s unloaded after %v, want 2 s at least", at, order.Adapter, at-loadedAt[order.Adapter])
+				t.Errorf("%v: got %s unloaded after %v, want at least 2 s", at, order.Adapter, at-loadedAt[order.Adapter])
 			}
 			if !order.Unload {
 				loadedAt[order.Adapter] = at
@@ -187,15 +191,14 @@
 		}
 		for _, name := range []string{"a1", "a2", "a3", "a4"} {
 			if at > 8*time.Second && at-served[name] > 6*time.Second {
-				t.Fatalf("%v: got %s not loaded since %v, want 6 s at most", at, name, served[name])
+				t.Fatalf("%v: got %s not loaded since %v, want at most 6 s", at, name, served[name])
 			}
 		}
 	}
 }
 
-// TestOneAdapterIsEvictedForOneAdapter has two endpoints with all slots taken, and one adapter that is loaded
-// nowhere.
-func TestOneAdapterIsEvictedForOneAdapter(t *testing.T) {
+// TestUnplacedAdapterEvictsOnlyOneAdapter uses all slots of two endpoints and requests an adapter that is loaded nowhere.
+func TestUnplacedAdapterEvictsOnlyOneAdapter(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	p, first := oneEndpointFleet(t, now)
 	second := first
@@ -204,9 +207,9 @@
 	first.Models, second.Models, first.Sequence = models, models, 2
 	table := []protocol.Endpoint{first, second}
 	p.Step(now.Add(50*time.Millisecond), Input{Endpoints: table})
-	asked := unservedRequests("a3")
+	reports := unservedRequests("a3")
 	inspections := []Inspection{{Endpoint: "i-1", Models: models}, {Endpoint: "i-2", Models: models}}
-	in := Input{Endpoints: table, Reports: asked, Inspections: inspections}
+	in := Input{Endpoints: table, Reports: reports, Inspections: inspections}
 	unloads := 0
 	for i := range 10 {
 		for _, order := range p.Step(now.Add(time.Duration(2+i)*50*time.Millisecond), in).Orders {
--- a/internal/control/placer/placement_table.go
+++ b/internal/control/placer/placement_table.go
@@ -7,39 +7,39 @@
 	"time"
 )
 
-// replica is a model loaded at an endpoint, or on its way there.
+// replica is a model that is loaded at an endpoint, or will be by a load that is in progress or planned.
 type replica struct {
 	endpoint *endpoint
-	share    float64 // of the endpoint's time that the model's requests take
+	share    float64 // share of the endpoint's time that the model's requests take
 }
 
-// modelPlacement is one model's expected demand, and the replicas that serve it.
+// modelPlacement is one model's expected demand and the replicas that serve it.
 type modelPlacement struct {
 	model         string
-	demand        *demand // nil: nobody has asked for it
-	projectedRate float64 // requests a second to be expected when a load that begins now ends
-	longTermRate  float64 // requests a second
-	offeredLoad   float64 // endpoint seconds a second that the projected rate takes
+	demand        *demand // nil: it has not been requested
+	projectedRate float64 // expected requests per second when a load that starts now ends
+	longTermRate  float64 // requests per second
+	offeredLoad   float64 // endpoint seconds per second that the projected rate takes
 	replicas      []replica
 	fairLevel     float64 // utilization of the endpoints that take its requests; infinite without replicas
 
-	unloadStalled bool    // an unload that frees memory for the model waits for running requests
-	adapterGain   float64 // value a second of the adapter slots that one more replica brings
+	unloadStalled bool    // an unload that frees memory for the model is waiting for running requests
+	adapterGain   float64 // value per second of the adapter slots that one more replica brings
 }
 
-// placementTable has the placements of all models of a fleet during one step.
+// placementTable contains the placements of all models of a fleet during one step.
 type placementTable struct {
-	placements []*modelPlacement // by model
+	placements []*modelPlacement // sorted by model
 	byModel    map[string]*modelPlacement
 
-	// Of the choice under way; see beginChoice.
+	// Cached for one selection of the best change; see prepareSelection.
 	serving          map[string]int                 // number of endpoints that serve a model now
-	evictable        map[*endpoint][]evictableModel // found when first asked for
+	evictable        map[*endpoint][]evictableModel // computed when first needed
 	storeLoadAllowed bool                           // the load rate limit allows one more load
 }
 
-// newPlacementTable makes the table of what is known now: expected demand, replicas, and the utilization of endpoints
-// that follows.
+// newPlacementTable builds the table from the current state: the expected demand, the replicas, and the resulting
+// utilization of the endpoints.
 func (p *Placer) newPlacementTable(now time.Time, f *fleet) *placementTable {
 	table := &placementTable{byModel: make(map[string]*modelPlacement, len(f.models))}
 	observed := p.demand.observedFor(now)
@@ -75,7 +75,7 @@
 	return m
 }
 
-// addReplicas adds the endpoints that serve each model, now or soon, by ID.
+// addReplicas adds to each model the endpoints that serve it, now or soon, ordered by ID.
 func (t *placementTable) addReplicas(now time.Time, f *fleet) {
 	for _, e := range f.sortedEndpoints {
 		e.utilization = 0
@@ -96,15 +96,15 @@
 	}
 }
 
-// addReplica adds a replica without a share. A model that is not configured has no placement.
+// addReplica adds a replica without a share. It ignores models that are not configured, which have no placement.
 func (t *placementTable) addReplica(model string, e *endpoint) {
 	if m := t.byModel[model]; m != nil {
 		m.replicas = append(m.replicas, replica{endpoint: e})
 	}
 }
 
-// beginChoice counts what one choice among all models and endpoints uses again and again.
-func (t *placementTable) beginChoice(f *fleet, storeLoadAllowed bool) {
+// prepareSelection computes the values that the selection of one change uses for many models and endpoints.
+func (t *placementTable) prepareSelection(f *fleet, storeLoadAllowed bool) {
 	t.storeLoadAllowed = storeLoadAllowed
 	t.evictable = make(map[*endpoint][]evictableModel)
 	t.serving = make(map[string]int, len(t.placements))
@@ -117,7 +117,7 @@
 	}
 }
 
-// hasRunningRequests reports whether the model's replicas have more than half a request running on average.
+// hasRunningRequests reports whether the model's replicas have more than half a running request each on average.
 func (m *modelPlacement) hasRunningRequests() bool {
 	return m.demand != nil && float64(m.demand.running) > 0.5*float64(len(m.replicas))
 }
@@ -126,7 +126,7 @@
 	return slices.ContainsFunc(m.replicas, func(r replica) bool { return r.endpoint.Zone == zone })
 }
 
-// removeReplica removes the endpoint's replica and its share of the endpoint's utilization.
+// removeReplica removes the endpoint's replica, and subtracts its share from the endpoint's utilization.
 func (m *modelPlacement) removeReplica(e *endpoint) {
 	m.replicas = slices.DeleteFunc(m.replicas, func(r replica) bool {
 		if r.endpoint == e {
@@ -136,11 +136,11 @@
 	})
 }
 
-// distributionPasses is how often the loads are distributed again, each among the others.
+// distributionPasses is how often each model's load is redistributed, given the loads of the other models.
 const distributionPasses = 2
 
-// distributeLoads distributes each model's load over its replicas so that the less an endpoint is used, the more it
-// takes. Models with few replicas come first, as they have the least choice.
+// distributeLoads distributes each model's load over its replicas; the less an endpoint is utilized, the more load it
+// takes. Models with few replicas come first, because they have the fewest alternatives.
 func (t *placementTable) distributeLoads() {
 	order := slices.Clone(t.placements)
 	slices.SortStableFunc(order, func(x, y *modelPlacement) int { return cmp.Compare(len(x.replicas), len(y.replicas)) })
@@ -151,7 +151,7 @@
 	}
 }
 
-// distributeLoad takes the model's load off its endpoints and distributes it again, up to their fair level.
+// distributeLoad removes the model's load from its endpoints and distributes it again, up to their fair level.
 func (m *modelPlacement) distributeLoad() {
 	for i := range m.replicas {
 		m.replicas[i].endpoint.utilization -= m.replicas[i].share
@@ -173,7 +173,8 @@
 	}
 }
 
-// otherUtilizations returns the utilization by other models of the model's endpoints, without the excluded one.
+// otherUtilizations returns the utilizations of the endpoints that have the model, except for the excluded endpoint,
+// counting only the load of other models.
 func (m *modelPlacement) otherUtilizations(excluded *endpoint) []float64 {
 	utilizations := make([]float64, 0, len(m.replicas)+1)
 	for _, r := range m.replicas {
@@ -184,7 +185,7 @@
 	return utilizations
 }
 
-// fairLevelWithout is the model's fair level without one endpoint; infinite if it is the only one.
+// fairLevelWithout returns the model's fair level without one endpoint, infinite if it is the only one.
 func (m *modelPlacement) fairLevelWithout(e *endpoint) float64 {
 	utilizations := m.otherUtilizations(e)
 	if len(utilizations) == 0 {
--- a/internal/control/placer/placer.go
+++ b/internal/control/placer/placer.go
@@ -4,23 +4,23 @@
 	"time"
 )
 
-// busyStepInterval is the time until the next step while orders, plans or inspections are under way. Package roles
-// steps no more often than this.
+// busyStepInterval is the time until the next step while an order, a plan or an inspection is in progress. Package
+// roles never steps more often than this.
 const busyStepInterval = 50 * time.Millisecond
 
 // idleStepInterval is the time until the next step otherwise.
 const idleStepInterval = time.Second
 
-// Counters count what happened since New, for people and tests.
+// Counters counts events since New, for diagnostics and tests.
 type Counters struct {
-	Loads        int `json:"loads"`      // loads of models
+	Loads        int `json:"loads"`      // model loads
 	WarmLoads    int `json:"warm_loads"` // of those, loads from the endpoint's own disk
-	Unloads      int `json:"unloads"`    // unloads of models
-	Adapters     int `json:"adapters"`   // loads and unloads of adapters
-	Inspections  int `json:"looks"`      // inspections requested
+	Unloads      int `json:"unloads"`    // model unloads
+	Adapters     int `json:"adapters"`   // adapter loads and unloads
+	Inspections  int `json:"looks"`      // requested inspections
 	Rejected     int `json:"refused"`    // orders that the endpoint rejected
 	Unanswered   int `json:"unanswered"` // orders without an answer
-	Inadmissible int `json:"dropped"`    // orders that the admission check stopped: a defect in the planning
+	Inadmissible int `json:"dropped"`    // orders that the admission check rejected; each one shows a bug in the planning
 }
 
 // Placer decides which endpoint loads which models and adapters. It is not safe for concurrent use.
@@ -28,15 +28,15 @@
 	config      Config
 	startedAt   time.Time                  // time of the first step
 	fleets      map[string]*fleet          // by service
-	demand      *demandTable               // what routers report
-	loadLimiter *loadRateLimiter           // of loads from the store, over all services
-	lastOrderID uint64                     // of the order issued last
-	unanswered  map[uint64]*endpoint       // endpoints of orders without a result, by order ID
+	demand      *demandTable               // aggregated router reports
+	loadLimiter *loadRateLimiter           // limits loads from the store, over all services
+	lastOrderID uint64                     // ID of the last order issued
+	unanswered  map[uint64]*endpoint       // endpoints of the orders without a result, by order ID
 	counters    Counters                   // since New
-	warmModels  map[string]map[string]bool // by service and address: models that its disk probably has
+	warmModels  map[string]map[string]bool // by service and address: models that are probably on the disk there
 }
 
-// New returns a Placer that knows nothing yet. Its first Step counts as the beginning of its leadership.
+// New returns a Placer without any knowledge. Its first Step counts as the start of its leadership.
 func New(config Config) *Placer {
 	return &Placer{
 		config:     config.withDefaults(),
@@ -47,9 +47,10 @@
 	}
 }
 
-// Step takes in what is new and returns what is to be done. The time must not go back from one step to the next.
+// Step processes the input and returns the orders to send and the endpoints to inspect. The time must not go backwards
+// from one step to the next.
 func (p *Placer) Step(now time.Time, in Input) Output {
-	p.begin(now)
+	p.initialize(now)
 	p.observe(now, in)
 	out := Output{}
 	for _, f := range p.sortedFleets() {
@@ -61,8 +62,9 @@
 	return out
 }
 
-// begin notes the time of the first step, from which the loads of earlier leaders are counted.
-func (p *Placer) begin(now time.Time) {
+// initialize records the time of the first step and starts the load rate limit, which includes loads that earlier
+// leaders may have started.
+func (p *Placer) initialize(now time.Time) {
 	if !p.startedAt.IsZero() {
 		return
 	}
@@ -70,8 +72,8 @@
 	p.loadLimiter = newLoadRateLimiter(now, p.config.LoadRateWindow, p.config.HandoverGap)
 }
 
-// observe takes in the input. Heartbeats come before answers to orders and inspections: a heartbeat often shows an
-// order's effect before its answer arrives.
+// observe updates the state from the input. Heartbeats are processed before answers to orders and inspections, because
+// a heartbeat often shows the effect of an order before its answer arrives.
 func (p *Placer) observe(now time.Time, in Input) {
 	if in.Configuration != nil {
 		p.configure(in.Configuration)
@@ -89,7 +91,7 @@
 	}
 }
 
-// nextStepAt is when the next step may decide something without new input.
+// nextStepAt returns when the next step may have something to decide without new input.
 func (p *Placer) nextStepAt(now time.Time) time.Time {
 	for _, f := range p.fleets {
 		for _, e := range f.sortedEndpoints {
--- a/internal/control/placer/schedule.go
+++ b/internal/control/placer/schedule.go
@@ -3,17 +3,18 @@
 import "time"
 
 const (
-	// urgentOnlyWindow is how long a new leader, or one that gets reports again after a gap, decides only what is
-	// urgent: it has not heard all routers yet.
+	// urgentOnlyWindow is how long after its first step, or after a gap in the reports, a leader makes only urgent
+	// decisions, because it has not heard from all routers yet.
 	urgentOnlyWindow = 2 * time.Second
-	// maxPlansPerStep is how many plans one step begins for a service.
+	// maxPlansPerStep is the maximum number of plans that one step starts for a service.
 	maxPlansPerStep = 8
-	// concurrentLoadShare is the share of a window's loads that may be under way at the same moment.
+	// concurrentLoadShare is the share of the loads allowed in a window that may be in progress at the same time.
 	concurrentLoadShare = 0.85
 )
 
-// decide goes on with the plans under way and begins what is worth it. Adapters that are loaded nowhere come before
-// new plans: an order for an adapter takes a moment, a load keeps adapters from its endpoint for seconds.
+// decide continues the plans in progress and starts changes that gain more than they cost. Adapters that are loaded
+// nowhere are placed before new plans start: an adapter order takes a moment, whereas a model load blocks adapter
+// orders to its endpoint for seconds.
 func (p *Placer) decide(now time.Time, f *fleet, out *Output) {
 	table := p.newPlacementTable(now, f)
 	p.learnSecondsPerToken(now, f, table, now.Sub(f.decidedAt))
@@ -26,26 +27,26 @@
 	onlyUrgent := now.Sub(p.startedAt) < urgentOnlyWindow || p.demand.observedFor(now) < urgentOnlyWindow
 	p.placeAdapters(now, f, table, true, out)
 	for range maxPlansPerStep {
-		if !p.beginBestPlan(now, f, table, onlyUrgent, out) {
+		if !p.startBestPlan(now, f, table, onlyUrgent, out) {
 			break
 		}
 	}
 	p.placeAdapters(now, f, table, false, out)
 	if !onlyUrgent || p.demand.observedSince.IsZero() {
-		p.fillFreeSlots(now, f, table, out)
+		p.preloadAdapters(now, f, table, out)
 	}
 }
 
-// beginBestPlan binds the change with the highest score, of all models and endpoints. It reports false if there is
-// none.
-func (p *Placer) beginBestPlan(now time.Time, f *fleet, table *placementTable, onlyUrgent bool, out *Output) bool {
-	if f.loadsUnderWay() >= f.maxLoadsUnderWay(p.config.LoadRateWindow) {
+// startBestPlan binds the change with the highest score over all models and endpoints. It reports false if no change
+// scores above zero or too many loads are in progress.
+func (p *Placer) startBestPlan(now time.Time, f *fleet, table *placementTable, onlyUrgent bool, out *Output) bool {
+	if f.loadsInProgress() >= f.maxLoadsInProgress(p.config.LoadRateWindow) {
 		return false
 	}
 	var best *candidate
-	table.beginChoice(f, p.loadLimiter.allows(now))
+	table.prepareSelection(f, p.loadLimiter.allows(now))
 	for _, m := range table.placements {
-		if !p.mayGain(m, onlyUrgent) {
+		if !p.mayBenefit(m, onlyUrgent) {
 			continue
 		}
 		if found := p.bestCandidate(now, f, table, m); found != nil && (best == nil || found.score > best.score) {
@@ -68,12 +69,12 @@
 			continue
 		}
 		c := &candidate{placement: m, endpoint: e, gain: p.gain(now, m, e, utilizations)}
-		highest := p.highestScore(c)
-		if highest <= 0 || best != nil && highest <= best.score || !p.chooseEvictions(now, f, table, c) {
+		upperBound := p.scoreUpperBound(c)
+		if upperBound <= 0 || best != nil && upperBound <= best.score || !p.chooseEvictions(now, f, table, c) {
 			continue
 		}
 		if m.unloadStalled && table.evictsRunningRequests(c) {
-			continue // one replica in use that is evicted for the model is enough
+			continue // one evicted replica with running requests is enough for the model
 		}
 		c.score = p.score(f, c)
 		if c.score > 0 && (best == nil || c.score > best.score) {
@@ -83,8 +84,8 @@
 	return best
 }
 
-// loadsUnderWay is the number of endpoints that load a model or are to load one.
-func (f *fleet) loadsUnderWay() int {
+// loadsInProgress returns the number of endpoints that are loading a model or have a plan to load one.
+func (f *fleet) loadsInProgress() int {
 	count := 0
 	for _, e := range f.sortedEndpoints {
 		if e.incomingModel() != "" {
@@ -94,6 +95,7 @@
 	return count
 }
 
-func (f *fleet) maxLoadsUnderWay(window time.Duration) int {
+// maxLoadsInProgress returns how many loads may be in progress at the same time, at least two.
+func (f *fleet) maxLoadsInProgress(window time.Duration) int {
 	return max(2, int(f.engine.LoadsPerSecond*window.Seconds()*concurrentLoadShare))
 }
--- a/internal/control/placer/score.go
+++ b/internal/control/placer/score.go
@@ -6,37 +6,37 @@
 	"time"
 )
 
-// Gains and losses are in requests of middle priority; a rate counts over the planning horizon.
+// Gains and losses are in requests of middle priority. Rates are multiplied by the planning horizon.
 const (
-	planningHorizonS   = 10.0 // seconds for which the present demand is expected to last
-	missLoss           = 0.4  // share of its value that a request loses that finds no replica and waits for a load
-	redundancyShare    = 0.05 // share of a model's demand at stake while a single endpoint serves it
-	adapterMissLoss    = 0.3  // share of its value that a request loses that finds its adapter not loaded
-	minNetGain         = 0.4  // hysteresis: by so much a change must bring more than it costs
+	planningHorizonS   = 10.0 // seconds for which the current demand is expected to last
+	missLoss           = 0.4  // share of its value that a request loses if it finds no replica and waits for a load
+	redundancyShare    = 0.05 // share of a model's demand that is at risk while a single endpoint serves it
+	adapterMissLoss    = 0.3  // share of its value that a request loses if its adapter is not loaded
+	minNetGain         = 0.4  // hysteresis: minimum gain of a change beyond its losses and costs
 	delayLossPerS      = 0.03 // loss for each second until the replica serves
-	packingBonus       = 0.05 // for a replica that fills the endpoint's memory
+	packingBonus       = 0.05 // maximum bonus for a replica that fills the endpoint's memory
 	zoneBonus          = 0.1  // for the first replica in a zone
-	waitingGrowthPerS  = 0.5  // growth of a waiting request's weight, for each second that it has waited
-	maxWaitingRequests = 5.0  // waiting and unserved requests that count for a model's first replica
+	waitingGrowthPerS  = 0.5  // growth of a waiting request's weight for each second of waiting
+	maxWaitingRequests = 5.0  // maximum of the waiting and unserved requests that count for a model's first replica
 )
 
-// candidate is a change that may be made: the endpoint loads the model after the evictions.
+// candidate is a possible change: the endpoint unloads the evictions, then loads the model.
 type candidate struct {
 	placement *modelPlacement
 	endpoint  *endpoint
 	evictions []string // models to unload first
-	gain      float64  // of the model's requests
-	loss      float64  // of the evicted models' requests
+	gain      float64  // for the requests of the loaded model
+	loss      float64  // for the requests of the evicted models
 	score     float64
 }
 
-// highestScore bounds the candidate's score from above before its evictions are known, so that hopeless ones are left
-// out early.
-func (p *Placer) highestScore(c *candidate) float64 {
+// scoreUpperBound returns an upper bound of the candidate's score before its evictions are known, so that candidates
+// that cannot win are skipped early.
+func (p *Placer) scoreUpperBound(c *candidate) float64 {
 	return c.gain + packingBonus - p.config.LoadCost - p.config.OrderCost - minNetGain
 }
 
-// score is what the change brings beyond what it costs.
+// score returns by how much the gain of the change exceeds its losses, its costs and minNetGain.
 func (p *Placer) score(f *fleet, c *candidate) float64 {
 	cost := p.config.LoadCost + p.config.OrderCost*float64(1+len(c.evictions))
 	score := c.gain - c.loss - cost - minNetGain
@@ -47,8 +47,8 @@
 	return score
 }
 
-// gain is what one more replica of the model at the endpoint brings. The utilizations are those of the model's
-// endpoints by other models, sorted.
+// gain returns the gain of one more replica of the model at the endpoint. utilizations are the sorted utilizations of
+// the endpoints that have the model, counting only the load of other models.
 func (p *Placer) gain(now time.Time, m *modelPlacement, e *endpoint, utilizations []float64) float64 {
 	d := m.demand
 	valueAfter := valueAt(fairLevelWith(utilizations, e.utilization, m.offeredLoad))
@@ -61,14 +61,14 @@
 		return waiting + planningHorizonS*math.Max(m.projectedRate, m.longTermRate)*(missLoss*d.value+p.config.LoadCost)*valueAfter
 	}
 	rate := m.projectedRate * d.value * (valueAfter - valueAt(m.fairLevel))
-	sum := planningHorizonS * (rate + p.redundancyGain(m) + m.adapterGain)
+	gain := planningHorizonS * (rate + p.redundancyGain(m) + m.adapterGain)
 	if p.uses(ZoneSpread) && !m.hasReplicaInZone(e.Zone) {
-		sum += zoneBonus
+		gain += zoneBonus
 	}
-	return sum
+	return gain
 }
 
-// redundancyGain is the value a second of a second replica, against the loss of the first.
+// redundancyGain returns the gain per second of a second replica as protection against the loss of the first.
 func (p *Placer) redundancyGain(m *modelPlacement) float64 {
 	if len(m.replicas) != 1 || !p.uses(Redundancy) {
 		return 0
@@ -76,7 +76,7 @@
 	return redundancyShare * m.projectedRate * m.demand.value
 }
 
-// waitingRequests is how many requests count as waiting for the model's first replica.
+// waitingRequests returns how many requests count as waiting for the model's first replica.
 func waitingRequests(m *modelPlacement) float64 {
 	if len(m.replicas) > 0 {
 		return 0
@@ -84,16 +84,18 @@
 	return math.Min(maxWaitingRequests, m.demand.unmet+float64(m.demand.waiting))
 }
 
-// packingScore prefers the endpoint whose memory is filled best: from nothing to packingBonus.
+// packingScore returns the bonus for filling the endpoint's memory: the less memory remains free, the closer it is to
+// packingBonus.
 func (f *fleet) packingScore(c *candidate) float64 {
-	left := f.freeMemoryMB(c.endpoint) - f.models[c.placement.model].WeightsMB
+	freeMB := f.freeMemoryMB(c.endpoint) - f.models[c.placement.model].WeightsMB
 	for _, model := range c.evictions {
-		left += f.modelMemoryMB(c.endpoint.find(model))
+		freeMB += f.modelMemoryMB(c.endpoint.find(model))
 	}
-	return packingBonus * (1 - left/f.engine.WeightMemoryMB)
+	return packingBonus * (1 - freeMB/f.engine.WeightMemoryMB)
 }
 
-// sortedUtilizations returns the utilization by other models of the model's endpoints, sorted.
+// sortedUtilizations returns the sorted utilizations of the endpoints that have the model, counting only the load of
+// other models.
 func sortedUtilizations(m *modelPlacement) []float64 {
 	utilizations := m.otherUtilizations(nil)
 	slices.Sort(utilizations)
--- a/internal/control/placer/step_benchmark_test.go
+++ b/internal/control/placer/step_benchmark_test.go
@@ -10,11 +10,11 @@
 	"raventrestle/internal/sizetest"
 )
 
-// stepsPerS is the highest rate of steps: one takes place no sooner than busyStepInterval after the one before.
+// stepsPerS is the maximum number of steps per second, because consecutive steps are at least busyStepInterval apart.
 const stepsPerS = 20
 
-// BenchmarkStepAtSize measures one of 20 steps a second at the size of the operators' plan, with its part of all
-// routers' reports. Orders are accepted and done at once, so that the placement becomes stable.
+// BenchmarkStepAtSize measures one of 20 steps per second at the size of the operators' plan, with a proportional part of
+// all routers' reports. Orders are accepted and completed at once, so that the placement becomes stable.
 func BenchmarkStepAtSize(b *testing.B) {
 	random := rand.New(rand.NewPCG(1, 1))
 	now := time.Unix(0, 0)
@@ -26,7 +26,7 @@
 	var results []Result
 	var inspections []Inspection
 	revisions := make(map[string]uint64)
-	one := func() {
+	runStep := func() {
 		now = now.Add(time.Second / stepsPerS)
 		in := Input{Endpoints: table, Results: results, Inspections: inspections}
 		for i := range sizetest.Routers * sizetest.ReportsPerSecond / stepsPerS {
@@ -51,19 +51,19 @@
 		}
 	}
 	for range 10 * stepsPerS {
-		one()
+		runStep()
 	}
 	orders = 0
 	b.ReportAllocs()
 	b.StartTimer()
 	for b.Loop() {
-		one()
+		runStep()
 		b.StartTimer()
 	}
 	b.ReportMetric(float64(orders)/float64(b.N), "orders/op")
 }
 
-// modelsOf is what the endpoint has loaded.
+// modelsOf returns the models that the endpoint has loaded.
 func modelsOf(table []protocol.Endpoint, id string) []protocol.LoadedModel {
 	for i := range table {
 		if table[i].ID == id {
@@ -89,7 +89,7 @@
 	e.Models = models
 }
 
-// applyOrder changes the endpoint in the table as it was ordered.
+// applyOrder applies the order to the endpoint in the table.
 func applyOrder(table []protocol.Endpoint, order Order) {
 	for i := range table {
 		e := &table[i]
--- a/internal/control/placer/value.go
+++ b/internal/control/placer/value.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Value of being served, by the utilization of the endpoints that serve.
+// Constants of the value of a served request, which depends on the utilization of the endpoints that serve it.
 const (
 	latenessLoss  = 0.6 // share of its value that a late answer loses
-	latenessSlope = 5.0 // latency target in times of one prefill: how steeply lateness grows as the utilization nears 1
-	overloadValue = 0.4 // share of the value that is left at utilization 1, where every answer is late
+	latenessSlope = 5.0 // latency target as a multiple of one prefill; sets how steeply lateness grows as utilization nears 1
+	overloadValue = 0.4 // share of the value that remains at utilization 1, where every answer is late
 )
 
-// valueAt is the share of their value that requests earn at endpoints of the given utilization.
+// valueAt returns the share of their value that requests earn at endpoints of the given utilization.
 func valueAt(utilization float64) float64 {
 	if utilization < 1 {
 		return 1 - latenessLoss*utilization*math.Exp(-latenessSlope*(1-utilization))
@@ -20,19 +20,19 @@
 	return overloadValue / utilization
 }
 
-// How the endpoint time of a token is estimated. Routers report how many requests run; an engine that is in prefill
-// for the share u of its time has x = r·u/(1-u) requests running, where r is the number of prompts that it could read
-// in the time in which it puts out one answer undisturbed. Hence u = x/(x+r).
+// Constants for estimating the endpoint time per token. Routers report the number of running requests. An engine that
+// spends the share u of its time on prefill has x = r·u/(1-u) running requests, where r is the number of prompts that it
+// could prefill in the time in which it produces one answer without interruption. Hence u = x/(x+r).
 const (
-	promptsPerSlot          = 0.375      // r, by slot of the engine
-	initialSecondsPerToken  = 1.0 / 25e3 // endpoint seconds of one token of prompt and answer, until it is learned
+	promptsPerSlot          = 0.375      // r, per slot of the engine
+	initialSecondsPerToken  = 1.0 / 25e3 // endpoint seconds per token of prompt and answer, until a value is learned
 	learningTimeConstant    = 4 * time.Second
-	minLearningRate         = 1.0 // requests a second; below, there are too few to learn from
-	maxLearningFactor       = 8.0 // what is learned stays within this factor of what it begins from
+	minLearningRate         = 1.0 // requests per second; below this rate there are too few requests to learn from
+	maxLearningFactor       = 8.0 // a learned value differs from its reference value by at most this factor
 	defaultTokensPerRequest = 1000
 )
 
-// requestTime is how many endpoint seconds a request of the model takes.
+// requestTime returns how many endpoint seconds a request for the model takes.
 func (f *fleet) requestTime(d *demand, observed time.Duration) float64 {
 	tokens := defaultTokensPerRequest * 1.0
 	if rate := d.slowRate.rate(observed, slowTimeConstant); rate > 0 {
@@ -45,11 +45,11 @@
 	return secondsPerToken * tokens
 }
 
-// learnSecondsPerToken estimates utilizations from the requests that run, and compares them with the tokens a second
-// to learn the endpoint time of a token, by model and for the service.
+// learnSecondsPerToken estimates utilizations from the running requests and divides them by the token rates to learn
+// the endpoint time per token, for each model and for the service.
 func (p *Placer) learnSecondsPerToken(now time.Time, f *fleet, table *placementTable, elapsed time.Duration) {
 	observed := p.demand.observedFor(now)
-	prompts := promptsPerSlot * float64(max(1, f.engine.Slots))
+	promptsPerAnswer := promptsPerSlot * float64(max(1, f.engine.Slots))
 	running := f.runningPerEndpoint(table)
 	weight := 1 - math.Exp(-elapsed.Seconds()/learningTimeConstant.Seconds())
 	totalUtilization, totalTokens := 0.0, 0.0
@@ -60,8 +60,8 @@
 		}
 		utilization := 0.0
 		for _, r := range m.replicas {
-			own := float64(d.running) / float64(len(m.replicas))
-			utilization += own / (running[r.endpoint] + prompts)
+			perReplica := float64(d.running) / float64(len(m.replicas))
+			utilization += perReplica / (running[r.endpoint] + promptsPerAnswer)
 		}
 		tokens := d.tokenRate.rate(observed, slowTimeConstant)
 		if tokens <= 0 || utilization <= 0 {
@@ -81,21 +81,22 @@
 	}
 }
 
-// clampAround bounds an estimate to a factor of maxLearningFactor around the center.
+// clampAround limits an estimate to within a factor of maxLearningFactor of the center.
 func clampAround(estimate, center float64) float64 {
 	return min(max(estimate, center/maxLearningFactor), center*maxLearningFactor)
 }
 
-// runningPerEndpoint distributes each model's running requests evenly over its replicas.
+// runningPerEndpoint distributes each model's running requests evenly over its replicas and returns the sum for each
+// endpoint.
 func (f *fleet) runningPerEndpoint(table *placementTable) map[*endpoint]float64 {
 	running := make(map[*endpoint]float64, len(f.sortedEndpoints))
 	for _, m := range table.placements {
 		if m.demand == nil || len(m.replicas) == 0 {
 			continue
 		}
-		own := float64(m.demand.running) / float64(len(m.replicas))
+		perReplica := float64(m.demand.running) / float64(len(m.replicas))
 		for _, r := range m.replicas {
-			running[r.endpoint] += own
+			running[r.endpoint] += perReplica
 		}
 	}
 	return running
--- a/internal/control/placer/world_checks_test.go
+++ b/internal/control/placer/world_checks_test.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// outcomes count what clients got and what endpoints were ordered. Violations are described for people, empty if
-// there is none.
+// outcomes counts what clients got and what endpoints were ordered to do. A violation is a description, empty if there
+// was none.
 type outcomes struct {
-	value, earnedValue       float64 // of all requests, and what was earned of it
-	requests, missed, late   int     // all, those never served, those served after their latency target
-	rareRequests, rareMissed int     // of classes that ask for rare models
-	starved, models          int     // models and adapters never served, of those asked for repeatedly
-	loads, warmLoads         int     // of models; of those, from an endpoint's own disk
+	value, earnedValue       float64 // value of all requests, and the part of it that was earned
+	requests, missed, late   int     // all requests, those never served, and those served after their latency target
+	rareRequests, rareMissed int     // of classes that request rare models
+	starved, models          int     // models and adapters that were never served, of those that were requested repeatedly
+	loads, warmLoads         int     // model loads, and those of them from an endpoint's own disk
 	orders, inspections      int
-	rejected                 int    // orders
+	rejected                 int    // rejected orders
 	limitViolation           string // of LIMIT
 	loadRateViolation        string // of CEILING
 }
 
-// earnedShare is the value of the served requests, as a share of the value of all.
+// earnedShare returns the earned value as a share of the value of all requests.
 func (o outcomes) earnedShare() float64 { return o.earnedValue / o.value }
 
-// countFirstToken counts what the request earns by its first token.
-func (w *world) countFirstToken(c *request) {
-	c.hasFirstToken = true
-	took := w.now + tick - c.arrived
-	name := w.shape.models[c.model].configuration.Name
+// countFirstToken counts what the request earns with its first token.
+func (w *world) countFirstToken(req *request) {
+	req.hasFirstToken = true
+	took := w.now + tick - req.arrived
+	name := w.shape.models[req.model].configuration.Name
 	w.servedRequests[name]++
-	w.servedRequests[name+"/"+c.adapter]++
-	if took <= c.class.latencyTarget {
-		w.outcomes.earnedValue += c.class.value
+	w.servedRequests[name+"/"+req.adapter]++
+	if took <= req.class.latencyTarget {
+		w.outcomes.earnedValue += req.class.value
 		return
 	}
-	w.outcomes.earnedValue += c.class.lateValue
+	w.outcomes.earnedValue += req.class.lateValue
 	w.outcomes.late++
 }
 
-// checkMemory checks LIMIT at the beginning of a load of a model or an adapter.
+// checkMemory checks LIMIT at the start of a load of a model or an adapter.
 func (w *world) checkMemory(e *worldEndpoint, order Order) {
 	model := w.shape.models[w.byModel[order.Model]].configuration
 	if order.Adapter == "" {
@@ -56,7 +56,7 @@
 	}
 }
 
-// checkLoadRate checks CEILING at the beginning of a load from the store.
+// checkLoadRate checks CEILING at the start of a load from the store.
 func (w *world) checkLoadRate() {
 	limit := w.shape.loadsPerSecond*5*1.1 + 3
 	count := 0
@@ -70,7 +70,8 @@
 	}
 }
 
-// countUnfinished counts the requests that still wait as missed, and the models that were asked for but never served.
+// countUnfinished counts the requests that are still waiting as missed, and the models and adapters that were requested
+// repeatedly but never served as starved.
 func (w *world) countUnfinished() {
 	w.outcomes.missed += len(w.waiting)
 	for name, times := range w.requestTimes {
--- a/internal/control/placer/world_clients_test.go
+++ b/internal/control/placer/world_clients_test.go
@@ -14,34 +14,34 @@
 // request is one client's request, at a router or at an endpoint.
 type request struct {
 	class         *requestClass
-	model         int    // place in the shape
+	model         int    // index in the shape
 	adapter       string // empty: none
 	arrived       time.Duration
 	router        int
-	promptTokens  float64 // still to be read
-	outputTokens  float64 // still to be put out
+	promptTokens  float64 // remaining for prefill
+	outputTokens  float64 // remaining for decode
 	hasFirstToken bool
 }
 
-// generateTraffic lets the tick's requests arrive.
+// generateTraffic adds the requests that arrive in one tick.
 func (w *world) generateTraffic() {
 	shares := w.demandShares()
 	for i := range w.shape.classes {
-		c := &w.shape.classes[i]
-		rate := c.rate * w.schedule.demandScale
+		class := &w.shape.classes[i]
+		rate := class.rate * w.schedule.demandScale
 		for _, b := range w.schedule.bursts {
 			if b.class == i && w.now >= b.from && w.now < b.to {
 				rate *= b.factor
 			}
 		}
 		for n := w.poisson(rate * tick.Seconds()); n > 0; n-- {
-			w.addRequest(c, shares)
+			w.addRequest(class, shares)
 		}
 	}
 }
 
-// demandShares is the share of the demand for each rotating model: in a shift it moves from each busy model to the
-// next.
+// demandShares returns the share of the demand for each rotating model. During a shift, demand moves from each busy model
+// to the next one.
 func (w *world) demandShares() []float64 {
 	weights := []float64{0.648, 0.352}
 	shares := make([]float64, w.shape.rotatingModels)
@@ -60,7 +60,7 @@
 	return shares
 }
 
-// poisson draws from a Poisson distribution (Knuth).
+// poisson draws from a Poisson distribution with Knuth's algorithm.
 func (w *world) poisson(mean float64) int {
 	limit, product := math.Exp(-mean), w.random.Float64()
 	n := 0
@@ -71,79 +71,79 @@
 	return n
 }
 
-// addRequest has a client of the class send a request.
-func (w *world) addRequest(c *requestClass, shares []float64) {
+// addRequest adds a request from a client of the class.
+func (w *world) addRequest(class *requestClass, shares []float64) {
 	r := w.random
 	model := 0
-	if c.rare {
+	if class.rare {
 		model = w.shape.rotatingModels + int(float64(len(w.shape.models)-w.shape.rotatingModels)*math.Pow(r.Float64(), 1.2))
 	} else {
-		pick := r.Float64()
-		for model < len(shares)-1 && pick >= shares[model] {
-			pick -= shares[model]
+		draw := r.Float64()
+		for model < len(shares)-1 && draw >= shares[model] {
+			draw -= shares[model]
 			model++
 		}
 	}
 	size := func(mean float64) float64 {
-		return mean * math.Exp(c.spread*r.NormFloat64()-c.spread*c.spread/2)
+		return mean * math.Exp(class.spread*r.NormFloat64()-class.spread*class.spread/2)
 	}
-	request := &request{
-		class: c, model: model, arrived: w.now, router: r.IntN(w.shape.routers),
-		promptTokens: math.Max(20, size(c.promptTokens)), outputTokens: math.Max(4, size(c.outputTokens)),
+	req := &request{
+		class: class, model: model, arrived: w.now, router: r.IntN(w.shape.routers),
+		promptTokens: math.Max(20, size(class.promptTokens)), outputTokens: math.Max(4, size(class.outputTokens)),
 	}
-	if count := w.shape.models[model].configuration.AdapterCount; count > 0 && r.Float64() < c.adapterShare {
-		request.adapter = fmt.Sprintf("a%d", 1+int(float64(count)*math.Pow(r.Float64(), 1.2)))
+	if count := w.shape.models[model].configuration.AdapterCount; count > 0 && r.Float64() < class.adapterShare {
+		req.adapter = fmt.Sprintf("a%d", 1+int(float64(count)*math.Pow(r.Float64(), 1.2)))
 	}
 	name := w.shape.models[model].configuration.Name
 	w.requestTimes[name] = append(w.requestTimes[name], w.now)
-	if request.adapter != "" {
-		w.requestTimes[name+"/"+request.adapter] = append(w.requestTimes[name+"/"+request.adapter], w.now)
+	if req.adapter != "" {
+		w.requestTimes[name+"/"+req.adapter] = append(w.requestTimes[name+"/"+req.adapter], w.now)
 	}
 	w.outcomes.requests++
-	w.outcomes.value += c.value
-	if c.rare {
+	w.outcomes.value += class.value
+	if class.rare {
 		w.outcomes.rareRequests++
 	}
-	row := w.demandRow(request)
+	row := w.demandRow(req)
 	row.Requests++
-	row.Tokens += int64(request.promptTokens + request.outputTokens)
-	row.Value += int64(10 - c.priority)
-	w.waiting = append(w.waiting, request)
+	row.Tokens += int64(req.promptTokens + req.outputTokens)
+	row.Value += int64(10 - class.priority)
+	w.waiting = append(w.waiting, req)
 }
 
-// routeRequests sends waiting requests to endpoints that can run them, and gives up those past their deadline.
+// routeRequests sends waiting requests to endpoints that can run them, and drops requests past their deadline.
 func (w *world) routeRequests() {
 	kept := w.waiting[:0]
-	for _, c := range w.waiting {
-		if w.now-c.arrived > c.class.deadline {
-			w.demandRow(c).Unserved++
+	for _, req := range w.waiting {
+		if w.now-req.arrived > req.class.deadline {
+			w.demandRow(req).Unserved++
 			w.outcomes.missed++
-			if c.class.rare {
+			if req.class.rare {
 				w.outcomes.rareMissed++
 			}
 			continue
 		}
-		if e := w.chooseEndpoint(c); e != nil {
-			e.prefills = append(e.prefills, c)
+		if e := w.chooseEndpoint(req); e != nil {
+			e.prefills = append(e.prefills, req)
 			continue
 		}
-		kept = append(kept, c)
+		kept = append(kept, req)
 	}
 	w.waiting = kept
 }
 
 // chooseEndpoint returns the endpoint with the least queued work that can run the request, nil if there is none.
-func (w *world) chooseEndpoint(c *request) *worldEndpoint {
-	name := w.shape.models[c.model].configuration.Name
+func (w *world) chooseEndpoint(req *request) *worldEndpoint {
+	name := w.shape.models[req.model].configuration.Name
 	var best *worldEndpoint
 	bestQueue := 0.0
 	for _, e := range w.endpoints {
 		adapters, loaded := e.models[name]
-		if !e.up || e.draining || !loaded || (c.adapter != "" && !adapters[c.adapter]) {
+		if !e.up || e.draining || !loaded || (req.adapter != "" && !adapters[req.adapter]) {
 			continue
 		}
 		if e.order != nil && e.order.order.Model == name &&
-			(e.order.order.Adapter == "" || e.order.order.Adapter == c.adapter) {
+			(e.order.order.Adapter == "" || e.order.order.Adapter == req.adapter) {
 			continue
 		}
 		queued := 0.0
@@ -161,18 +161,18 @@
 	return best
 }
 
-// demandRow is the row of the next report of the request's router that counts the request.
-func (w *world) demandRow(c *request) *protocol.ModelDemand {
-	key := [2]string{w.shape.models[c.model].configuration.Name, c.adapter}
-	found := w.demandRows[c.router][key]
+// demandRow returns the row that counts the request in the next report of its router.
+func (w *world) demandRow(req *request) *protocol.ModelDemand {
+	key := [2]string{w.shape.models[req.model].configuration.Name, req.adapter}
+	found := w.demandRows[req.router][key]
 	if found == nil {
 		found = &protocol.ModelDemand{Service: "lm", Model: key[0], Adapter: key[1]}
-		w.demandRows[c.router][key] = found
+		w.demandRows[req.router][key] = found
 	}
 	return found
 }
 
-// sendReports sends each router's demand every half second.
+// sendReports sends the demand at each router every half second.
 func (w *world) sendReports() {
 	for i := range w.demandRows {
 		if w.now < w.nextReport[i] {
@@ -181,15 +181,15 @@
 		w.nextReport[i] = w.now + 500*time.Millisecond
 		node := fmt.Sprintf("r%d", i)
 		w.reportSequence[node]++
-		for _, c := range w.waiting {
-			if c.router == i {
-				w.demandRow(c).Queued++
+		for _, req := range w.waiting {
+			if req.router == i {
+				w.demandRow(req).Queued++
 			}
 		}
 		for _, e := range w.endpoints {
-			for _, c := range append(slices.Clone(e.prefills), e.decodes...) {
-				if c.router == i {
-					w.demandRow(c).InFlight++
+			for _, req := range append(slices.Clone(e.prefills), e.decodes...) {
+				if req.router == i {
+					w.demandRow(req).InFlight++
 				}
 			}
 		}
--- a/internal/control/placer/world_endpoints_test.go
+++ b/internal/control/placer/world_endpoints_test.go
@@ -17,25 +17,25 @@
 	zone          string
 	up            bool
 	draining      bool
-	restartsAt    time.Duration              // when it starts again after a crash
+	restartsAt    time.Duration              // when it restarts after a crash
 	models        map[string]map[string]bool // in memory, with their adapters
 	onDisk        map[string]bool            // models
 	order         *orderInProgress           // nil: none
-	revision      uint64                     // orders accepted by this incarnation
-	heartbeat     uint64                     // heartbeats sent by it
+	revision      uint64                     // number of orders accepted by this incarnation
+	heartbeat     uint64                     // number of heartbeats sent by this incarnation
 	nextHeartbeat time.Duration
-	prefills      []*request   // queued for prefill, the first one in progress
+	prefills      []*request   // queued for prefill; the first one is in progress
 	decodes       []*request   // in decode
-	reports       []Inspection // what inspections of the last ticks would have shown, the newest last
+	reports       []Inspection // what inspections would have shown in the last ticks, newest last
 }
 
-// orderInProgress is the order that an endpoint carries out.
+// orderInProgress is the order that an endpoint is carrying out.
 type orderInProgress struct {
 	order Order
 	ends  time.Duration
 }
 
-// startEndpoint starts an endpoint, empty and under a new ID; its disk keeps what it had.
+// startEndpoint starts an endpoint without models in memory and with a new ID. Its disk keeps its contents.
 func (w *world) startEndpoint(e *worldEndpoint) {
 	w.endpointsStarted++
 	e.id = fmt.Sprintf("i-%04d", w.endpointsStarted)
@@ -45,7 +45,7 @@
 	e.reports = nil
 }
 
-// usedMemoryMB is what the endpoint's models and adapters take.
+// usedMemoryMB returns the memory that the endpoint's models and adapters take.
 func (w *world) usedMemoryMB(e *worldEndpoint) float64 {
 	sum := 0.0
 	for name, adapters := range e.models {
@@ -55,7 +55,7 @@
 	return sum
 }
 
-// loadedModels is what the endpoint reports as loaded.
+// loadedModels returns the models that the endpoint reports as loaded.
 func (w *world) loadedModels(e *worldEndpoint) []protocol.LoadedModel {
 	loaded := make([]protocol.LoadedModel, 0, len(e.models))
 	for _, name := range slices.Sorted(maps.Keys(e.models)) {
@@ -67,18 +67,18 @@
 	return loaded
 }
 
-// runningRequests is the number of requests for the model at the endpoint.
+// runningRequests returns the number of requests for the model at the endpoint.
 func (w *world) runningRequests(e *worldEndpoint, model string) int {
 	n := 0
-	for _, c := range append(slices.Clone(e.prefills), e.decodes...) {
-		if w.shape.models[c.model].configuration.Name == model {
+	for _, req := range append(slices.Clone(e.prefills), e.decodes...) {
+		if w.shape.models[req.model].configuration.Name == model {
 			n++
 		}
 	}
 	return n
 }
 
-// advanceEndpoint lets one endpoint work for a tick: its order, prefill, then decode with the time that is left.
+// advanceEndpoint simulates one tick of an endpoint: its order, prefill, then decode in the remaining time.
 func (w *world) advanceEndpoint(e *worldEndpoint) {
 	if !e.up {
 		return
@@ -96,41 +96,41 @@
 	}
 }
 
-// prefill reads prompts for the milliseconds and returns those that are left.
-func (w *world) prefill(e *worldEndpoint, left float64) float64 {
-	for len(e.prefills) > 0 && left > 0 && len(e.decodes) < w.shape.slots {
-		c := e.prefills[0]
-		speed := w.shape.prefillTokensPerMS / w.shape.models[c.model].relativeTime
-		part := math.Min(left, c.promptTokens/speed)
-		c.promptTokens -= part * speed
-		left -= part
-		if c.promptTokens > 1e-6 {
+// prefill processes prompts for at most budgetMS milliseconds, and returns the unused milliseconds.
+func (w *world) prefill(e *worldEndpoint, budgetMS float64) float64 {
+	for len(e.prefills) > 0 && budgetMS > 0 && len(e.decodes) < w.shape.slots {
+		req := e.prefills[0]
+		speed := w.shape.prefillTokensPerMS / w.shape.models[req.model].relativeDuration
+		usedMS := math.Min(budgetMS, req.promptTokens/speed)
+		req.promptTokens -= usedMS * speed
+		budgetMS -= usedMS
+		if req.promptTokens > 1e-6 {
 			break
 		}
 		e.prefills = e.prefills[1:]
-		e.decodes = append(e.decodes, c)
-		w.countFirstToken(c)
+		e.decodes = append(e.decodes, req)
+		w.countFirstToken(req)
 	}
-	return left
+	return budgetMS
 }
 
-// decode puts tokens out for the milliseconds, all running requests in step.
-func (w *world) decode(e *worldEndpoint, left float64) {
+// decode generates tokens for budgetMS milliseconds, for all running requests in parallel.
+func (w *world) decode(e *worldEndpoint, budgetMS float64) {
 	if len(e.decodes) == 0 {
 		return
 	}
-	steps := left / w.shape.decodeStepMS
+	steps := budgetMS / w.shape.decodeStepMS
 	kept := e.decodes[:0]
-	for _, c := range e.decodes {
-		c.outputTokens -= steps / math.Max(0.3, w.shape.models[c.model].relativeTime)
-		if c.outputTokens > 0 {
-			kept = append(kept, c)
+	for _, req := range e.decodes {
+		req.outputTokens -= steps / math.Max(0.3, w.shape.models[req.model].relativeDuration)
+		if req.outputTokens > 0 {
+			kept = append(kept, req)
 		}
 	}
 	e.decodes = kept
 }
 
-// sendHeartbeat sends the endpoint's registration; one in twenty is late.
+// sendHeartbeat sends the endpoint's registration. One in twenty is late.
 func (w *world) sendHeartbeat(e *worldEndpoint) {
 	e.nextHeartbeat = w.now + 1200*time.Millisecond
 	e.heartbeat++
@@ -150,11 +150,11 @@
 			return
 		}
 		w.table[registration.ID] = registration
-		w.heardAt[registration.ID] = w.now
+		w.heartbeatAt[registration.ID] = w.now
 	})
 }
 
-// receiveOrder is the endpoint's answer to an order.
+// receiveOrder returns the endpoint's answer to an order.
 func (w *world) receiveOrder(order Order) Outcome {
 	var e *worldEndpoint
 	for _, candidate := range w.endpoints {
@@ -184,7 +184,7 @@
 	return Accepted
 }
 
-// beginOrder starts an order at the endpoint and checks it against the rules from the endpoint's own point of view.
+// beginOrder starts an order at the endpoint and checks it against LIMIT and CEILING, from the endpoint's point of view.
 func (w *world) beginOrder(e *worldEndpoint, order Order) {
 	e.order = &orderInProgress{order: order, ends: w.now + 20*time.Millisecond}
 	if order.Unload {
@@ -208,7 +208,7 @@
 	e.order.ends = w.now + time.Duration(seconds*float64(time.Second))
 }
 
-// modelLoadsInProgress is the number of endpoints that load a model.
+// modelLoadsInProgress returns the number of endpoints that are loading a model.
 func (w *world) modelLoadsInProgress() int {
 	count := 0
 	for _, e := range w.endpoints {
@@ -219,7 +219,7 @@
 	return count
 }
 
-// finishOrder ends the order in progress when its time has come; an unload waits for the model's requests.
+// finishOrder completes the order in progress when it is due. An unload of a model waits for the model's requests.
 func (w *world) finishOrder(e *worldEndpoint) {
 	if e.order == nil || w.now < e.order.ends {
 		return
--- a/internal/control/placer/world_faults_test.go
+++ b/internal/control/placer/world_faults_test.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// faultKinds says which kinds of faults a day has.
+// faultKinds selects the kinds of faults that a day has.
 type faultKinds struct {
-	bursts        bool // a class has more requests for a time
-	crashes       bool // some endpoints crash together
-	demandShifts  bool // demand moves from model to model
-	leaderChanges bool // a new policy takes over after some time without one
-	orderLosses   bool // orders or their answers are lost or late
-	releases      bool // two endpoints drain and start again, one after the other
+	bursts          bool // a class has more requests for some time
+	crashes         bool // several endpoints crash together
+	demandShifts    bool // demand moves between models
+	leaderChanges   bool // a new policy takes over after some time without a policy
+	orderLosses     bool // orders or their answers are lost or late
+	rollingRestarts bool // two endpoints drain and restart, one after the other
 }
 
 // allFaults is a day with faults of every kind.
 var allFaults = faultKinds{true, true, true, true, true, true}
 
-// daySchedule has the times of a day's faults and changes of demand, since the start of the world.
+// daySchedule contains the times of a day's faults and changes of demand, since the start of the simulation.
 type daySchedule struct {
-	demandScale   float64
-	demandShifts  []time.Duration
-	bursts        []burst
-	crashes       []time.Duration
-	leaderChanges []time.Duration
-	releases      []time.Duration
+	demandScale     float64
+	demandShifts    []time.Duration
+	bursts          []burst
+	crashes         []time.Duration
+	leaderChanges   []time.Duration
+	rollingRestarts []time.Duration
 }
 
-// burst is a time in which a class has more requests.
+// burst is a period in which a class has more requests.
 type burst struct {
-	class    int // place in the shape
+	class    int // index in the shape
 	from, to time.Duration
 	factor   float64
 }
@@ -54,13 +54,13 @@
 	if w.faults.leaderChanges {
 		day.leaderChanges = append(day.leaderChanges, between(3, 14), between(15, 28))
 	}
-	if w.faults.releases && r.IntN(3) == 0 {
-		day.releases = append(day.releases, between(2, 12))
+	if w.faults.rollingRestarts && r.IntN(3) == 0 {
+		day.rollingRestarts = append(day.rollingRestarts, between(2, 12))
 	}
 	w.schedule = day
 }
 
-// takeDue removes the first time if it has come, and reports whether it has.
+// takeDue removes the first time if it has come, and reports whether it did.
 func (w *world) takeDue(times *[]time.Duration) bool {
 	if len(*times) == 0 || w.now < (*times)[0] {
 		return false
@@ -69,7 +69,7 @@
 	return true
 }
 
-// injectFaults begins the tick's faults and starts crashed endpoints again.
+// injectFaults starts the faults that are due, and restarts crashed endpoints.
 func (w *world) injectFaults() {
 	if w.takeDue(&w.schedule.crashes) {
 		for range max(1, int(w.shape.crashShare*float64(len(w.endpoints)))) {
@@ -80,7 +80,7 @@
 		w.policy = nil
 		w.leaderlessUntil = w.now + time.Duration(1000+w.random.IntN(4000))*time.Millisecond
 	}
-	if w.takeDue(&w.schedule.releases) {
+	if w.takeDue(&w.schedule.rollingRestarts) {
 		for i := range 2 {
 			e := w.endpoints[(i*5+3)%len(w.endpoints)]
 			w.after(time.Duration(i)*6*time.Second, func() {
@@ -97,7 +97,8 @@
 	}
 }
 
-// crash ends an endpoint for a time. Requests without a first token go back to their routers, the others are lost.
+// crash stops an endpoint for the given time. Requests without a first token return to their routers; all others are
+// lost.
 func (w *world) crash(e *worldEndpoint, down time.Duration) {
 	if !e.up {
 		return
@@ -105,9 +106,9 @@
 	e.up = false
 	e.restartsAt = w.now + down
 	e.order = nil
-	for _, c := range append(e.prefills, e.decodes...) {
-		if !c.hasFirstToken {
-			w.waiting = append(w.waiting, c)
+	for _, req := range append(e.prefills, e.decodes...) {
+		if !req.hasFirstToken {
+			w.waiting = append(w.waiting, req)
 		}
 	}
 	e.prefills, e.decodes = nil, nil
--- a/internal/control/placer/world_fleets_test.go
+++ b/internal/control/placer/world_fleets_test.go
@@ -7,7 +7,7 @@
 	"raventrestle/internal/configuration"
 )
 
-// fleetShape is a kind of fleet.
+// fleetShape describes a kind of fleet.
 type fleetShape struct {
 	name               string
 	endpoints          int
@@ -15,44 +15,44 @@
 	routers            int
 	memoryMB           float64 // weights_mb of an endpoint
 	adapterSlots       int     // of an endpoint
-	slots              int     // requests that an endpoint decodes at a time
+	slots              int     // number of requests that an endpoint decodes at the same time
 	loadsPerSecond     float64 // loads_per_s
-	concurrentLoads    int     // loads from the store at a time, from which on all are slower
+	concurrentLoads    int     // number of concurrent loads from the store above which all of them become slower
 	models             []fleetModel
-	rotatingModels     int // the first so many models take turns at being busy
-	busyModels         int // number of them that are busy at a time
+	rotatingModels     int // number of models at the start of the list that take turns being busy
+	busyModels         int // number of rotating models that are busy at the same time
 	classes            []requestClass
-	prefillTokensPerMS float64       // of a model with relative time 1
-	decodeStepMS       float64       // time of one token of each running request, of such a model
-	length             time.Duration // time with traffic
-	initialModels      int           // models that an endpoint has loaded at the start
+	prefillTokensPerMS float64       // of a model with a relativeDuration of 1
+	decodeStepMS       float64       // time per token of all running requests, for such a model
+	length             time.Duration // duration of the traffic
+	initialModels      int           // number of models that an endpoint has loaded at the start
 	crashShare         float64       // share of the endpoints that crash together
 }
 
-// fleetModel is a model as its endpoints run it.
+// fleetModel is a model and how fast the fleet's endpoints run it.
 type fleetModel struct {
-	configuration   configuration.Model
-	warmLoadSeconds float64 // time of a load from the endpoint's own disk
-	relativeTime    float64 // time of prefill and decode, relative to the fleet's
+	configuration    configuration.Model
+	warmLoadSeconds  float64 // duration of a load from the endpoint's own disk
+	relativeDuration float64 // duration of prefill and decode, as a multiple of the duration that the shape gives
 }
 
-// requestClass is a kind of requests.
+// requestClass describes a kind of request.
 type requestClass struct {
 	name          string
-	rate          float64       // requests a second
-	latencyTarget time.Duration // of the first token
-	deadline      time.Duration // of being sent to an endpoint
-	value         float64       // of a request with its first token in time
-	lateValue     float64       // of one that is later
+	rate          float64       // requests per second
+	latencyTarget time.Duration // for the first token
+	deadline      time.Duration // for sending the request to an endpoint
+	value         float64       // of a request whose first token is in time
+	lateValue     float64       // of a request whose first token is late
 	promptTokens  float64       // mean
 	outputTokens  float64       // mean
-	spread        float64       // standard deviation of the logarithm of both
+	spread        float64       // standard deviation of the logarithm of both token counts
 	adapterShare  float64       // share of the requests that name an adapter
-	rare          bool          // asks for the models that take no turns
+	rare          bool          // requests the models that do not rotate
 	priority      int
 }
 
-// bookingFleet has 12 endpoints in three zones, and few large models that take turns at being busy.
+// bookingFleet returns a fleet of 12 endpoints in three zones, with few large models that take turns being busy.
 func bookingFleet() fleetShape {
 	s := fleetShape{
 		name: "booking", endpoints: 12, zones: 3, routers: 9, memoryMB: 180000, adapterSlots: 8, slots: 64, loadsPerSecond: 2.8,
@@ -74,10 +74,10 @@
 		{"rewrite", 2.53, 8 * time.Second, 30 * time.Second, 3, 0.9, 1460, 172, 0.7, 0, true, 0},
 		{"reply", 15.9, 400 * time.Millisecond, 10 * time.Second, 1, 0.3, 646, 70, 0.7, 0.5, false, 2},
 	}
-	return s.named()
+	return s.withModelNames()
 }
 
-// walletFleet has more models, and endpoints with memory for three of them.
+// walletFleet returns a fleet with more models, whose endpoints have memory for three of them.
 func walletFleet() fleetShape {
 	s := bookingFleet()
 	s.name, s.zones, s.routers, s.memoryMB, s.concurrentLoads, s.initialModels = "wallet", 4, 8, 230000, 16, 3
@@ -96,18 +96,18 @@
 		{"review", 2.31, 10 * time.Second, 30 * time.Second, 3, 1.5, 1460, 172, 0.7, 0, true, 0},
 		{"lookup", 19.4, 400 * time.Millisecond, 8 * time.Second, 1, 0.5, 646, 70, 0.7, 0.5, false, 2},
 	}
-	return s.named()
+	return s.withModelNames()
 }
 
-// named names the models by their place.
-func (s fleetShape) named() fleetShape {
+// withModelNames names each model by its index.
+func (s fleetShape) withModelNames() fleetShape {
 	for i := range s.models {
 		s.models[i].configuration.Name = fmt.Sprintf("m%02d", i)
 	}
 	return s
 }
 
-// configuration is what the placer is given of the fleet.
+// configuration returns the configuration of the fleet for the placer.
 func (s fleetShape) configuration() *configuration.Configuration {
 	engine := &configuration.Engine{
 		Slots: s.slots, WeightMemoryMB: s.memoryMB, AdapterSlots: s.adapterSlots, LoadsPerSecond: s.loadsPerSecond,
@@ -118,13 +118,14 @@
 	return &configuration.Configuration{Generation: 1, Services: []configuration.Service{{Name: "lm", Engine: engine}}}
 }
 
-// loadInitialModels loads each rare model at one endpoint and fills up with the busy ones.
+// loadInitialModels loads each model that is not busy at first at one endpoint, and fills the endpoints with the busy
+// models.
 func (w *world) loadInitialModels() {
-	place := func(i int, from int) {
+	loadModel := func(model int, start int) {
 		for j := range w.endpoints {
-			e := w.endpoints[(from+j)%len(w.endpoints)]
-			name := w.shape.models[i].configuration.Name
-			if e.models[name] == nil && w.usedMemoryMB(e)+w.shape.models[i].configuration.WeightsMB <= w.shape.memoryMB &&
+			e := w.endpoints[(start+j)%len(w.endpoints)]
+			name := w.shape.models[model].configuration.Name
+			if e.models[name] == nil && w.usedMemoryMB(e)+w.shape.models[model].configuration.WeightsMB <= w.shape.memoryMB &&
 				len(e.models) < w.shape.initialModels {
 				e.models[name] = map[string]bool{}
 				e.onDisk[name] = true
@@ -134,15 +135,15 @@
 	}
 	for i := range w.endpoints {
 		if i%2 == 0 || w.shape.initialModels > 2 {
-			place(i/2%w.shape.busyModels, i)
+			loadModel(i/2%w.shape.busyModels, i)
 		}
 	}
 	for i := range w.shape.models {
 		if i >= w.shape.busyModels {
-			place(i, i)
+			loadModel(i, i)
 		}
 	}
 	for i := range 2 * len(w.endpoints) {
-		place(i%w.shape.busyModels, i)
+		loadModel(i%w.shape.busyModels, i)
 	}
 }
--- a/internal/control/placer/world_policy_test.go
+++ b/internal/control/placer/world_policy_test.go
@@ -8,13 +8,12 @@
 	"raventrestle/internal/protocol"
 )
 
-// policy is what the world drives: the Placer, or a baseline to compare it with.
+// policy decides on the world's orders. It is the Placer, or a baseline to compare the Placer with.
 type policy interface {
 	Step(now time.Time, in Input) Output
 }
 
-// stepPolicy has the policy decide, every 100 ms or when an answer came. Without a leader answers and reports are
-// lost.
+// stepPolicy steps the policy every 100 ms and when an answer has arrived. Without a leader, answers and reports are lost.
 func (w *world) stepPolicy() {
 	if w.now < w.leaderlessUntil {
 		w.results, w.inspections, w.reports = nil, nil, nil
@@ -34,7 +33,7 @@
 		w.configurationDue = false
 	}
 	for id, registration := range w.table {
-		switch sinceHeartbeat := w.now - w.heardAt[id]; {
+		switch sinceHeartbeat := w.now - w.heartbeatAt[id]; {
 		case sinceHeartbeat > 6*time.Second:
 			delete(w.table, id)
 			continue
@@ -54,7 +53,7 @@
 	}
 }
 
-// inspect answers an inspection, with a report that is some ticks old.
+// inspect answers an inspection with a report that is some ticks old.
 func (w *world) inspect(leader policy, id string) {
 	w.outcomes.inspections++
 	w.after(5*time.Millisecond, func() {
@@ -72,25 +71,25 @@
 	})
 }
 
-// sendOrder carries an order to its endpoint and the answer back; some are lost or late, or their answers.
+// sendOrder delivers an order to its endpoint and returns the answer. Some orders and answers are lost or late.
 func (w *world) sendOrder(leader policy, order Order) {
 	w.outcomes.orders++
 	lost := w.faults.orderLosses && w.random.IntN(33) == 0
-	after := 3 * time.Millisecond
+	delay := 3 * time.Millisecond
 	if lost && w.random.IntN(3) == 0 {
-		after = time.Duration(w.random.IntN(900)) * time.Millisecond
+		delay = time.Duration(w.random.IntN(900)) * time.Millisecond
 	}
 	dropped := lost && w.random.IntN(2) == 0
-	w.after(after, func() {
+	w.after(delay, func() {
 		outcome := Unknown
 		if !dropped {
 			outcome = w.receiveOrder(order)
 		}
-		back := 3 * time.Millisecond
+		answerDelay := 3 * time.Millisecond
 		if lost {
-			outcome, back = Unknown, time.Second
+			outcome, answerDelay = Unknown, time.Second
 		}
-		w.after(back, func() {
+		w.after(answerDelay, func() {
 			if w.policy == leader {
 				w.results = append(w.results, Result{ID: order.ID, Outcome: outcome})
 			}
--- a/internal/control/placer/world_run_test.go
+++ b/internal/control/placer/world_run_test.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// days is how long the simulated world is played: go test -run World -v -days 20 shows what fleets earn.
-var days = flag.Int("days", 1, "days of each fleet that the tests of the simulated world play")
+// days is the number of days that each fleet is simulated: go test -run World -v -days 20 shows what the fleets earn.
+var days = flag.Int("days", 1, "number of days that the tests of the simulated world run each fleet")
 
-// noOrders is a baseline: the fleet stays as it is found.
+// noOrders is a baseline that leaves the fleet as it is.
 type noOrders struct{}
 
 func (noOrders) Step(time.Time, Input) Output { return Output{} }
 
-// inspectingPlacer is a placer that inspects endpoints.
+// inspectingPlacer returns a placer that inspects endpoints.
 func inspectingPlacer(gap time.Duration) policy {
 	return New(Config{HandoverGap: gap, InspectEndpoints: true})
 }
 
-// heartbeatPlacer is a placer that knows endpoints by their heartbeats alone.
+// heartbeatPlacer returns a placer that knows endpoints only by their heartbeats.
 func heartbeatPlacer(gap time.Duration) policy {
 	return New(Config{HandoverGap: gap})
 }
 
-// playDays plays days with the seeds from 0 on, and returns the sum of their outcomes. No day may violate LIMIT or
-// CEILING.
-func playDays(t *testing.T, s fleetShape, days int, faults faultKinds, newPolicy func(time.Duration) policy) outcomes {
+// simulateDays simulates days with the seeds from 0 on, and returns the sum of their outcomes. No day may violate LIMIT
+// or CEILING.
+func simulateDays(t *testing.T, s fleetShape, days int, faults faultKinds, newPolicy func(time.Duration) policy) outcomes {
 	t.Helper()
 	var sum outcomes
 	for seed := range days {
@@ -55,7 +55,7 @@
 	return sum
 }
 
-// summary prints the outcomes of the days, counts of endpoints' work as an average of a day.
+// summary formats the outcomes of the days. Counts of loads, orders and inspections are averages per day.
 func (o outcomes) summary(days int) string {
 	n := float64(days)
 	return fmt.Sprintf("earned %.4f missed %.4f late %.4f rare missed %.4f starved %d/%d loads %.1f (warm %.1f) orders %.1f "+
@@ -65,7 +65,7 @@
 		float64(o.orders)/n, float64(o.inspections)/n, float64(o.rejected)/n)
 }
 
-// TestWorldKeepsLimitsUnderAllFaults plays fleets with faults of all kinds: no order may violate LIMIT or CEILING.
+// TestWorldKeepsLimitsUnderAllFaults simulates fleets with faults of all kinds. No order may violate LIMIT or CEILING.
 func TestWorldKeepsLimitsUnderAllFaults(t *testing.T) {
 	for _, s := range []fleetShape{bookingFleet(), walletFleet()} {
 		for _, test := range []struct {
@@ -78,14 +78,15 @@
 		} {
 			t.Run(s.name+" "+test.name, func(t *testing.T) {
 				t.Parallel()
-				got := playDays(t, s, *days, allFaults, test.newPolicy)
+				got := simulateDays(t, s, *days, allFaults, test.newPolicy)
 				t.Logf("%-8s %-14s %s", s.name, test.name, got.summary(*days))
 			})
 		}
 	}
 }
 
-// TestWorldKeepsLimitsUnderOneKindOfFault plays the fleets with one kind of fault at a time, or none.
+// TestWorldKeepsLimitsUnderOneKindOfFault simulates the fleets without faults, and with one kind of fault at a time in
+// addition to shifts of demand.
 func TestWorldKeepsLimitsUnderOneKindOfFault(t *testing.T) {
 	for name, faults := range map[string]faultKinds{
 		"without faults": {},
@@ -96,7 +97,7 @@
 		for _, s := range []fleetShape{bookingFleet(), walletFleet()} {
 			t.Run(s.name+" "+name, func(t *testing.T) {
 				t.Parallel()
-				got := playDays(t, s, *days, faults, inspectingPlacer)
+				got := simulateDays(t, s, *days, faults, inspectingPlacer)
 				t.Logf("%-8s %-14s %s", s.name, name, got.summary(*days))
 			})
 		}
