--- a/internal/control/placer/world_policy_test.go
+++ b/internal/control/placer/world_policy_test.go
@@ -74,19 +74,19 @@
 // sendOrder delivers an order to its endpoint and returns the answer. Some orders and answers are lost or late.
 func (w *world) sendOrder(leader policy, order Order) {
 	w.outcomes.orders++
-	lost := w.faults.orderLosses && w.random.IntN(33) == 0
+	disturbed := w.faults.orderLosses && w.random.IntN(33) == 0
 	delay := 3 * time.Millisecond
-	if lost && w.random.IntN(3) == 0 {
+	if disturbed && w.random.IntN(3) == 0 {
 		delay = time.Duration(w.random.IntN(900)) * time.Millisecond
 	}
-	dropped := lost && w.random.IntN(2) == 0
+	dropped := disturbed && w.random.IntN(2) == 0
 	w.after(delay, func() {
 		outcome := Unknown
 		if !dropped {
 			outcome = w.receiveOrder(order)
 		}
 		answerDelay := 3 * time.Millisecond
-		if lost {
+		if disturbed {
 			outcome, answerDelay = Unknown, time.Second
 		}
 		w.after(answerDelay, func() {
--- a/internal/control/roles/fencing_test.go
+++ b/internal/control/roles/fencing_test.go
@@ -170,13 +170,15 @@
 		}
 		switch {
 		case earlier.epoch > current.epoch:
-			f.fail("token %d of machine %d after token %d, want tokens that never decrease", current.epoch, current.machine, earlier.epoch)
+			f.fail("token %d of machine %d after token %d, want tokens that never decrease",
+				current.epoch, current.machine, earlier.epoch)
 		case earlier.epoch == current.epoch && earlier.machine != current.machine:
 			f.fail("token %d from machines %d and %d, want it from one", current.epoch, current.machine, earlier.machine)
 		case earlier.machine != current.machine:
 			otherInBetween = true
 		case otherInBetween && current.at-earlier.at < shortLease:
-			f.fail("machine %d acts again after %v with another leader in between, want %v or more", current.machine, current.at-earlier.at, shortLease)
+			f.fail("machine %d acts again after %v with another leader in between, want %v or more",
+				current.machine, current.at-earlier.at, shortLease)
 		}
 	}
 	if last := len(f.arrivals) - 1; last >= 0 && f.arrivals[last].machine != current.machine {
--- a/internal/control/roles/leadership_test.go
+++ b/internal/control/roles/leadership_test.go
@@ -117,11 +117,12 @@
 			if out.MayAct && lastActor >= 0 && lastActor != leader {
 				leaderChanges++
 				if now.Sub(lastActed) < lease/handoverDivisor {
-					t.Fatalf("instance %d acts %v after instance %d, want %v or more", leader, now.Sub(lastActed), lastActor, lease/handoverDivisor)
+					t.Fatalf("instance %d acts %v after instance %d, want %v or more",
+						leader, now.Sub(lastActed), lastActor, lease/handoverDivisor)
 				}
 				if !lastActs[leader].IsZero() && now.Sub(lastActs[leader]) < lease {
-					t.Fatalf("instance %d acts %v after its last act, with instance %d in between, want %v or more", leader, now.Sub(lastActs[leader]),
-						lastActor, lease)
+					t.Fatalf("instance %d acts %v after its last act, with instance %d in between, want %v or more",
+						leader, now.Sub(lastActs[leader]), lastActor, lease)
 				}
 			}
 			if out.MayAct {
