--- a/internal/router/dispatch/decider.go
+++ b/internal/router/dispatch/decider.go
@@ -63,7 +63,7 @@
 		requests:    map[RequestID]*request{},
 	}
 	d.schedule.Slots = config.Slots
-	d.schedule.Period = config.MonitorPeriod
+	d.schedule.MonitorPeriod = config.MonitorPeriod
 	d.schedule.Tolerance = monitorTolerance
 	return d
 }
--- a/internal/router/dispatch/dispatch.go
+++ b/internal/router/dispatch/dispatch.go
@@ -27,7 +27,7 @@
 }
 
 // offerFlow is the callback of the ASFQ scheduler's Next. It reports whether a request of the endpoint's queue can be
-// sent now; the first result, an addition to the flow's penalty, is always 0.
+// sent now; the first result, which is added to the flow's start tag and penalty, is always 0.
 func (d *Decider) offerFlow(e *endpoint) (float64, bool) {
 	return 0, d.nextRequest(e) != nil
 }
@@ -102,7 +102,7 @@
 	ms, cached := d.predict(res, r)
 	e.queue = remove(e.queue, r)
 	e.dispatched++
-	d.schedule.Sent(e, d.now)
+	d.schedule.StartCall(e, d.now)
 	r.target.queued--
 	r.target.inFlight++
 	d.countSend(r)
--- a/internal/router/dispatch/doc.go
+++ b/internal/router/dispatch/doc.go
@@ -9,7 +9,7 @@
 //
 // Requests wait in the queue of the endpoint chosen for them. The queues are flows of ASFQ (adaptive start-time fair
 // queuing, package asfq). While the router has free slots, it serves, among the flows that have a request that can be
-// sent now, the one with the lowest sum of start tag and penalty (the flow's delta). Health, connection limit and
+// sent now, the one with the lowest sum of start tag and penalty (asfq.Flow.Penalty). Health, connection limit and
 // expected time to the first byte do not change that order; they only decide whether a request can be sent now. A
 // request that can't be sent within about a quarter of its latency target is rejected, or is sent although it will
 // miss that target (deadline.go).
--- a/internal/router/dispatch/queue.go
+++ b/internal/router/dispatch/queue.go
@@ -58,7 +58,7 @@
 	r.endpoint = e
 	r.stage = stageQueued
 	d.insertQueued(e, r)
-	d.schedule.Hold(e, d.schedule.Cost(e), d.now)
+	d.schedule.AddTurn(e, d.schedule.Cost(e), d.now)
 	r.target.queued++
 }
 
@@ -103,7 +103,7 @@
 	d.recordDemandChange()
 	if r.endpoint != nil {
 		r.endpoint.queue = remove(r.endpoint.queue, r)
-		d.schedule.Unhold(r.endpoint)
+		d.schedule.RemoveLastTurn(r.endpoint)
 		r.endpoint = nil
 		return
 	}
@@ -145,8 +145,8 @@
 
 // rebalanceQueues moves requests that can't be sent from their queue, but could be sent from another one.
 func (d *Decider) rebalanceQueues() {
-	for i := 0; i < len(d.schedule.Active); i++ {
-		e := d.schedule.Active[i]
+	for i := 0; i < len(d.schedule.ActiveFlows); i++ {
+		e := d.schedule.ActiveFlows[i]
 		for j := 0; j < min(len(e.queue), maxQueueScan); j++ {
 			r := e.queue[j]
 			if r.chosenAtVersion == r.group.version || d.canDispatchNow(e, r) {
