--- a/internal/router/dispatch/simulation_test.go
+++ b/internal/router/dispatch/simulation_test.go
@@ -261,12 +261,13 @@
 			w.inputs[i] = append(w.inputs[i], view)
 		}
 		for _, row := range view.Endpoints {
-			w.noteDelivered(row)
+			w.recordDrainNotification(row)
 		}
 	}
 }
 
-func (w *simulation) noteDelivered(row protocol.Endpoint) {
+// recordDrainNotification records when the routers were informed that an endpoint drains.
+func (w *simulation) recordDrainNotification(row protocol.Endpoint) {
 	for _, s := range w.servers {
 		if s.row.ID == row.ID && row.State == protocol.Draining {
 			s.drainNotifiedAt = w.now
--- a/internal/router/dispatch/size_intervals_test.go
+++ b/internal/router/dispatch/size_intervals_test.go
@@ -18,7 +18,7 @@
 		for _, tokens := range prompts {
 			sizes.add(tokens)
 		}
-		covered, last := 0.0, -1.0
+		covered, previousFrom := 0.0, -1.0
 		for bucket, tokens := range sizes.tokens {
 			if tokens == 0 {
 				continue
@@ -28,10 +28,10 @@
 					continue
 				}
 				interval := sizes.interval(prompt)
-				if interval.from < last || interval.to < interval.from || interval.to > 1+1e-9 {
-					t.Fatalf("got interval %v of %d tokens after one that begins at %v", interval, prompt, last)
+				if interval.from < previousFrom || interval.to < interval.from || interval.to > 1+1e-9 {
+					t.Fatalf("got interval %v of %d tokens after one that begins at %v", interval, prompt, previousFrom)
 				}
-				last = interval.from
+				previousFrom = interval.from
 				covered += interval.to - interval.from
 				break
 			}
@@ -43,13 +43,13 @@
 }
 
 func TestSizeBucketsAreInOrder(t *testing.T) {
-	last := 0
+	previous := 0
 	for tokens := range 1 << 16 {
 		bucket := sizeBucket(tokens)
-		if bucket < last || bucket > last+1 && tokens > sizeSubdivisions {
-			t.Fatalf("got bucket %d of %d tokens after %d", bucket, tokens, last)
+		if bucket < previous || bucket > previous+1 && tokens > sizeSubdivisions {
+			t.Fatalf("got bucket %d of %d tokens after %d", bucket, tokens, previous)
 		}
-		last = bucket
+		previous = bucket
 	}
 }
 
@@ -64,7 +64,7 @@
 	s := newScript(t, table...)
 	s.d.seed = router
 	s.d.config.Without = without
-	went := map[int]map[string]int{}
+	sendCounts := map[int]map[string]int{}
 	for i := range 400 {
 		r := s.request("m")
 		r.PromptTokens = sizes[i%len(sizes)]
@@ -74,21 +74,21 @@
 		if i < 100 {
 			continue // the sizes are being learned
 		}
-		if went[r.PromptTokens] == nil {
-			went[r.PromptTokens] = map[string]int{}
+		if sendCounts[r.PromptTokens] == nil {
+			sendCounts[r.PromptTokens] = map[string]int{}
 		}
-		went[r.PromptTokens][send.Endpoint]++
+		sendCounts[r.PromptTokens][send.Endpoint]++
 	}
-	return went
+	return sendCounts
 }
 
 // Prompts of different sizes are sent to different endpoints, by each router to the same ones. Without the mechanism
 // the sizes mix.
 func TestPromptsOfDifferentSizesGoToDifferentEndpoints(t *testing.T) {
-	shared := func(went map[int]map[string]int) int {
+	shared := func(sendCounts map[int]map[string]int) int {
 		count := 0
-		for id := range went[4000] {
-			if went[200][id] > 0 {
+		for id := range sendCounts[4000] {
+			if sendCounts[200][id] > 0 {
 				count++
 			}
 		}
--- a/internal/router/dispatch/structures_test.go
+++ b/internal/router/dispatch/structures_test.go
@@ -64,7 +64,7 @@
 func TestTimersFireInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list timers
-		last := map[*request]time.Duration{}
+		dueAt := map[*request]time.Duration{}
 		var all []*request
 		for range rapid.IntRange(1, 40).Draw(t, "count") {
 			r := &request{}
@@ -75,24 +75,25 @@
 			}
 			at := time.Duration(rapid.IntRange(1, 100).Draw(t, "at"))
 			list.add(at, r)
-			last[r] = at
+			dueAt[r] = at
 		}
-		before := time.Duration(0)
+		previous := time.Duration(0)
 		for now := time.Duration(1); now <= 100; now++ {
 			for r, ok := list.popDue(now); ok; r, ok = list.popDue(now) {
-				if last[r] != now || now < before {
-					t.Fatalf("due at %d, want %d", now, last[r])
+				if dueAt[r] != now || now < previous {
+					t.Fatalf("due at %d, want %d", now, dueAt[r])
 				}
-				before = now
-				delete(last, r)
+				previous = now
+				delete(dueAt, r)
 			}
 		}
-		if len(last) > 0 || len(list) > 0 {
-			t.Fatalf("%d timers never fired and %d are left, want none", len(last), len(list))
+		if len(dueAt) > 0 || len(list) > 0 {
+			t.Fatalf("%d timers never fired and %d are left, want none", len(dueAt), len(list))
 		}
 	})
 }
 
+// Clients can't make the decider's tables grow without bound by the names that they choose.
 func TestNamesChosenByClientsAreBounded(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
 	rejection := s.oneRejection(s.step(1, RequestArrived{s.request("nonsense")}))
