--- a/internal/fleet/facts/facts.go
+++ b/internal/fleet/facts/facts.go
@@ -50,6 +50,7 @@
 // Kind is the type of an observation; it determines what the two parts of the Value mean.
 type Kind uint8
 
+// Kinds of observations, with the meaning of the two parts of their Value.
 const (
 	ListVersion Kind = iota + 1 // Number: version of the list of endpoints, an integer; For: unused
 	Wait                        // For: the requested wait before the next call, measured from the fact's creation; Number: unused
@@ -85,6 +86,7 @@
 	Age, TTL   time.Duration
 }
 
+// Limits for the fields of a fact.
 const (
 	MaxName         = 128                 // maximum length of an origin's or endpoint's name in bytes
 	MaxValue        = 30 * 24 * time.Hour // maximum duration in a Value
@@ -101,6 +103,7 @@
 // FieldError names a field with an impossible value.
 type FieldError struct{ Field, Problem string }
 
+// Error names the field and what is wrong with it.
 func (e *FieldError) Error() string {
 	return "fact refused: " + e.Field + " " + e.Problem + "; the member that sent it is faulty"
 }
--- a/internal/fleet/facts/table.go
+++ b/internal/fleet/facts/table.go
@@ -158,6 +158,7 @@
 // Change is the effect of a merge.
 type Change uint8
 
+// Effects of a merge.
 const (
 	Unchanged    Change = iota // the table did not change
 	AgeCorrected               // an equal copy showed the fact to be older than assumed; not worth sending on
--- a/internal/fleet/lease/audit/audit.go
+++ b/internal/fleet/lease/audit/audit.go
@@ -18,6 +18,7 @@
 // Kind is the type of a record.
 type Kind string
 
+// Types of records.
 const (
 	Incarnation Kind = "life"     // the incarnation ran
 	Size        Kind = "size"     // the quota had this size; of several at a time the largest counts
--- a/internal/fleet/lease/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -15,6 +15,7 @@
 // Kind determines how a quota is spent.
 type Kind uint8
 
+// Kinds of quotas.
 const (
 	Rate  Kind = iota // uses per second
 	Count             // uses in any Window
--- a/internal/fleet/members/counters.go
+++ b/internal/fleet/members/counters.go
@@ -10,6 +10,7 @@
 // Reason is why input was dropped.
 type Reason int
 
+// Reasons for dropping input.
 const (
 	WrongKey           Reason = iota // encrypted with an unknown key, not encrypted, or encrypted although this group has no key
 	Garbled                          // not a valid message
--- a/internal/fleet/members/members.go
+++ b/internal/fleet/members/members.go
@@ -93,6 +93,7 @@
 // EventKind is the kind of change of a member.
 type EventKind int
 
+// Kinds of changes of a member.
 const (
 	Joined    EventKind = iota // the member is up
 	Left                       // the member announced that it leaves
--- a/internal/fleet/members/view.go
+++ b/internal/fleet/members/view.go
@@ -262,6 +262,7 @@
 // Dropped is the error for input that was dropped.
 type Dropped struct{ Reason Reason }
 
+// Error returns the reason. logWriter recognizes the text in memberlist's log, as the input is already counted.
 func (d *Dropped) Error() string { return "members: dropped: " + d.Reason.String() }
 
 // drop counts err if it is a Dropped.
