--- a/cmd/raventrestle-control/quota_command.go
+++ b/cmd/raventrestle-control/quota_command.go
@@ -37,7 +37,7 @@
 		for _, t := range issued.Tenants {
 			view.Tenants = append(view.Tenants, api.TenantQuotaView{
 				Tenant: t.Tenant, RatePerSecond: t.Limit.RatePerSecond, Burst: t.Limit.Burst, Allowance: math.Round(t.Allowance),
-				Part: math.Round(t.Part), Issued: math.Round(t.Issued), Granted: math.Round(t.Granted), Denied: math.Round(t.Denied),
+				Part: math.Round(t.LocalLimit), Issued: math.Round(t.Issued), Granted: math.Round(t.Granted), Denied: math.Round(t.Denied),
 				Waiting: t.Waiting,
 			})
 		}
--- a/internal/control/quota/config.go
+++ b/internal/control/quota/config.go
@@ -7,16 +7,16 @@
 	"raventrestle/internal/protocol"
 )
 
-// Config is fixed at the start of the process. A Window or HolderLease of zero is replaced by its default.
+// Config is fixed when the process starts. A Window or HolderLease of zero is replaced by its default.
 type Config struct {
-	Identity          string        // of this instance's disk, as in shares.Share.Owner
-	Address           string        // of this instance's transport
-	Incarnation       uint64        // of this process
-	Zone              string        // peers of this zone are asked first
+	Identity          string        // of this instance, as in shares.Share.Owner; stored on its disk
+	Address           string        // transport address of this instance
+	Incarnation       uint64        // identifies this process
+	Zone              string        // peers in this zone receive credit requests first
 	HolderLease       time.Duration // shares.HolderLease
-	Window            time.Duration // quota_window_s: every window of this length is bounded
-	OvershootFraction float64       // quota_over: fraction of a window's limit that may be exceeded
-	OvershootSlack    float64       // quota_slack: what may be exceeded on top, in the tenant's unit
+	Window            time.Duration // quota_window_s: spending is limited in every window of this length
+	OvershootFraction float64       // quota_over: fraction by which a window's limit may be exceeded
+	OvershootSlack    float64       // quota_slack: additional amount by which it may be exceeded, in the tenant's unit
 }
 
 // Defaults of Config.
@@ -26,19 +26,20 @@
 )
 
 const (
-	withheldShare = 0.01                   // of a window's allowance, never spent: routers may not agree on their number
-	cellLength    = 100 * time.Millisecond // resolution of the count of issues
-
-	peerTimeout    = 40 * time.Millisecond  // of a request to a peer
-	askTimeout     = 90 * time.Millisecond  // of an ask with all its requests to peers
-	minPeerBackoff = 50 * time.Millisecond  // a peer that did not answer in time is not asked for so long, then twice as long
-	maxPeerBackoff = time.Second            // and at most for so long
-	exhaustedTime  = cellLength             // a peer that granted less than was asked is not asked again for that tenant
-	maxRetryAfter  = 2 * time.Second        // of refusals
-	minRetryAfter  = 100 * time.Millisecond // of refusals
-
-	// aheadFraction is the part of what is left of this holder's own shares that credit for expected requests may take.
-	aheadFraction = 0.25
+	withheldShare = 0.01                   // of a window's allowance, never issued: routers may disagree on their number
+	cellLength    = 100 * time.Millisecond // length of the cells in which issued credit is counted
+
+	peerRequestTimeout   = 40 * time.Millisecond // for the answer to a credit request to a peer
+	routerRequestTimeout = 90 * time.Millisecond // for the answer to a router, including all requests to peers
+	minPeerBackoff       = 50 * time.Millisecond // without requests to a peer after its first timeout; doubles with each further one
+	maxPeerBackoff       = time.Second
+	exhaustedPeerBackoff = cellLength             // without requests to a peer for a tenant after it granted too little
+	maxRetryAfter        = 2 * time.Second        // of denials
+	minRetryAfter        = 100 * time.Millisecond // of denials
+
+	// maxPrefetchFraction limits what is issued for expected requests: a request that includes credit for them gets at most this
+	// fraction of what this holder's shares have left, or the amount for its waiting requests if that is more.
+	maxPrefetchFraction = 0.25
 )
 
 func (c Config) withDefaults() Config {
@@ -51,5 +52,5 @@
 	return c
 }
 
-// interval is the time in which all issues together are bounded.
-func (c Config) interval() time.Duration { return c.Window + protocol.CreditTTL }
+// issuanceInterval returns the length of the interval in which the sum of all issued credit is limited.
+func (c Config) issuanceInterval() time.Duration { return c.Window + protocol.CreditTTL }
--- a/internal/control/quota/doc.go
+++ b/internal/control/quota/doc.go
@@ -1,35 +1,38 @@
-// Package quota issues credit for tenants' limits. Routers spend nothing but credit, and a small reserved part of each limit.
+// Package quota issues credit for tenants' limits. Routers spend only issued credit and a small reserved part of each limit.
 //
-// Each control instance is a holder of some of the equal shares of every limit (package shares). It issues credit for its shares to
-// the routers that follow it, by need: a router asks when requests wait, or when credit for expected ones runs low. What
-// the shares of one holder lack it asks for at others, one after the other, until the request can be served. No leader takes part,
-// so limits hold and tenants are served whoever leads, and while nobody does.
+// Each control instance is a holder of some of the equal shares of every limit (package shares). It issues credit for its
+// shares to the routers that follow it, on demand: a router requests credit when requests are waiting, or when its credit for
+// expected requests runs low. If the shares of one holder do not suffice, the holder requests the rest from its peers, one
+// after another, until the request can be granted. No leader takes part, so limits are enforced and tenants are served during
+// changes of leader and while there is none.
 //
 // # Invariant
 //
-// In no window of Config.Window does a tenant spend more than the rule QUOTA allows, whichever messages are lost and
-// however routers and holders are partitioned, suspended, killed and started again. For every tenant:
+// In no window of Config.Window does a tenant spend more than the rule QUOTA allows, whichever messages are lost and however
+// routers and holders are partitioned, suspended, killed and restarted. The issuance interval is Config.Window +
+// protocol.CreditTTL. For every tenant:
 //
-//	a holder's issues in each interval of Config.Window + protocol.CreditTTL  <=  its shares / shares.Count of the issuable part
-//	a router's spending of its reserve in each window                         <=  an even part of protocol.ReservedShare
-//	issuable part + reserved part                                             <=  what the rule allows (allowance.go)
+//	credit issued by a holder in each issuance interval  <=  its shares / shares.Count of the issuable part
+//	a router's spending of its reserve in each window    <=  an even part of protocol.ReservedShare
+//	issuable part + reserved part                        <=  what the rule allows (allowance.go)
 //
-// Credit is spent within CreditTTL of its issue or not at all, so what is spent in a window was issued in the interval that begins
-// CreditTTL before it. Issues are counted from when they are decided, whether or not they arrive.
+// Credit is spent within CreditTTL after it was issued, or not at all. So what is spent in a window was issued in the issuance
+// interval, which starts CreditTTL before the window. Credit counts as issued from the decision on, whether or not the grant arrives.
 //
-//   - A holder that is given another one's shares counts what that one issued as its own, or rests until it has left all windows:
-//     ownership.go, takeover.go.
-//   - A holder that was killed knows what it issued: a record on its disk says so, with a headroom for what it may issue
-//     before the next record. Nothing is issued beyond the headroom of a record that is synced here and at a peer (recorder.go).
-//   - A holder without a usable record issues nothing in its first interval, unless its disk was empty.
+//   - A new owner of shares counts the credit that the previous owner issued for them as its own, or does not use the shares
+//     until that credit has left all windows: ownership.go, takeover.go.
+//   - A holder that was killed knows what it issued from a record on its disk. The record also has a headroom, which is what
+//     may be issued before the next record. Nothing is issued beyond the headroom of a durable record, which is one that is
+//     synced to the holder's disk and to that of a peer (recorder.go).
+//   - A holder without a readable record issues nothing in its first issuance interval, unless its disk was empty.
 //
 // # Liveness
 //
-// While holders reach each other and have their shares, no request is refused as long as what is issued in the interval, the
-// request included, stays within the issuable part: a request may be paid by several holders.
+// While holders reach each other and their shares are usable, no request is denied as long as the credit issued in the
+// issuance interval, including the request, stays within the issuable part. Several holders may contribute to one request.
 //
 // # Parts
 //
-// Holder is a pure state machine: Step takes in what happened and returns messages and records to be written; package
-// quotahost does I/O. An ask (ask.go) is a request for credit until its answer. issuance.go counts what was issued.
+// Holder is a pure state machine: Step processes events and returns messages and records to write. Package quotahost performs
+// the I/O. request.go handles requests for credit until they are answered, and issuance.go counts the issued credit.
 package quota
--- a/internal/control/quota/holder.go
+++ b/internal/control/quota/holder.go
@@ -11,91 +11,90 @@
 	"raventrestle/internal/protocol"
 )
 
-// Holder issues credit from the shares of this instance. It is pure and not safe for concurrent use.
+// Holder issues credit for the shares of this instance. It is a pure state machine and not safe for concurrent use.
 type Holder struct {
 	config    Config
-	started   time.Time
+	startedAt time.Time
 	ownership ownership
 	recorder  recorder
 	stopping  bool
 
-	configuration *configuration.Configuration // that limits are from
-	configured    bool                         // there is a configuration
-	limits        map[string]Limit             // of the tenants that have one
-	table         shares.Table                 // that ownership has
-	hasTable      bool
-	confirmedAt   time.Time            // everything that was acknowledged before is applied here
-	registered    map[string]time.Time // when each holder was last seen in a table
-	takeovers     []*takeover
-	ended         map[string]bool        // former holders whose leases had ended by the record of an earlier process
-	copies        map[string]*RecordCopy // newest records of other holders, by identity
-	copiesLost    bool
-
-	nearPeers, farPeers []Peer                 // in this zone and in others, by address
-	peerBackoffs        map[string]peerBackoff // peers that did not answer, by address
-
-	tenants     map[string]*tenant // those with issues in the interval, or with asks
-	asks        []*ask             // that wait, in order of arrival
-	lastRequest uint64             // number of the newest request to a peer
-	sweptAt     time.Time
-
-	out Output // of the step in progress
+	configuration      *configuration.Configuration // that the limits are from; nil: none yet
+	configured         bool                         // there is a configuration
+	limits             map[string]Limit             // by tenant; tenants without a limit are not listed
+	table              shares.Table                 // that was last applied to ownership
+	hasTable           bool
+	confirmedAt        time.Time            // everything that was acknowledged before is applied here
+	lastRegisteredAt   map[string]time.Time // when each holder was last listed in a table, by identity
+	takeovers          []*takeover
+	expiredBeforeStart map[string]bool        // former holders that an earlier process recorded as expired
+	copies             map[string]*RecordCopy // newest records of other holders, by identity
+	copiesUnreadable   bool                   // see PersistedState.CopiesUnreadable
+
+	nearPeers, farPeers []Peer                 // in this holder's zone and in other zones, sorted by address
+	peerBackoffs        map[string]peerBackoff // peers that did not answer in time, by address
+
+	tenants         map[string]*tenant // those with recently issued credit or requests, by name
+	requests        []*creditRequest   // not answered yet, in order of arrival
+	lastPeerRequest uint64             // number of the newest request to a peer
+	lastSweepAt     time.Time          // see sweepInterval
+
+	output Output // of the current step
 }
 
-// Peer is another instance that may hold shares.
+// Peer is another instance that may own shares.
 type Peer struct {
-	Identity string // of its disk
-	Address  string // of its transport
+	Identity string // stored on its disk
+	Address  string // of its transport listener
 	Zone     string
 }
 
-// peerBackoff is how a peer that does not answer is left alone.
+// peerBackoff is the backoff after the timeouts of a peer. No requests are sent to it before until.
 type peerBackoff struct {
 	interval time.Duration
 	until    time.Time
 }
 
-// Connection is the host's handle of a router's connection. The holder hands it back.
+// Connection is the host's handle of a router's connection. The holder only returns it in RouterGrant.
 type Connection any
 
-// Input is what a step takes in. All fields but Events are what is known at the step, not only what is new.
+// Input is the input of a step. All fields except Events describe the current state, not changes.
 type Input struct {
-	Configuration *configuration.Configuration // nil: there is none yet
+	Configuration *configuration.Configuration // nil: none yet
 	Table         shares.Table
-	ConfirmedAt   time.Time // newest moment of which this instance knows all that was acknowledged before; zero: of none
+	ConfirmedAt   time.Time // everything that was acknowledged before this time is applied here; zero: not confirmed yet
 	Peers         []Peer
-	Events        []Event // since the last step, in the order in which they happened
+	Events        []Event // since the last step, in order of occurrence
 }
 
-// Event is something that happened: one of RouterAsked, PeerMessageReceived, RecordWritten, CopyKept and
-// ShutdownBegan.
+// Event is one of RouterRequestReceived, PeerMessageReceived, RecordWritten, CopyWritten and ShutdownBegan.
 type Event interface{ event() }
 
-// RouterAsked is an event: a router asks for credit.
-type RouterAsked struct {
+// RouterRequestReceived is an event: a router requests credit.
+type RouterRequestReceived struct {
 	Connection Connection
 	Request    *protocol.CreditRequest
 }
 
-// PeerMessageReceived is an event: a message of quota.go of package protocol came from another instance.
+// PeerMessageReceived is an event: another instance sent a message of protocol/quota.go.
 type PeerMessageReceived struct{ Message protocol.PeerMessage }
 
-// ShutdownBegan is an event: this process is about to end. It issues nothing any more, and writes a last record.
+// ShutdownBegan is an event: the process is about to end. The holder stops issuing credit and makes its last record.
 type ShutdownBegan struct{}
 
-func (RouterAsked) event()         {}
-func (PeerMessageReceived) event() {}
-func (RecordWritten) event()       {}
-func (ShutdownBegan) event()       {}
-func (CopyKept) event()            {}
+func (RouterRequestReceived) event() {}
+func (PeerMessageReceived) event()   {}
+func (RecordWritten) event()         {}
+func (ShutdownBegan) event()         {}
+func (CopyWritten) event()           {}
 
-// Output is what the host carries out.
+// Output is what the host has to execute.
 type Output struct {
 	RouterGrants []RouterGrant
 	PeerMessages []PeerMessage
-	Record       *Record       // to be written and synced, then RecordWritten; nil: none
-	Copies       []*RecordCopy // to be written and synced each, then CopyKept
-	WakeAt       time.Time     // when the next step is due, if nothing happens before; zero: never
+	Record       *Record       // to be written and synced, and then reported by RecordWritten; nil: none
+	Copies       []*RecordCopy // each to be written and synced, and then reported by CopyWritten
+	WakeAt       time.Time     // when the next step is due if no event occurs before; zero: never
 }
 
 // RouterGrant is an answer to a router.
@@ -104,46 +103,46 @@
 	Grant      *protocol.CreditGrant
 }
 
-// PeerMessage is a message for another instance.
+// PeerMessage is a message to another instance.
 type PeerMessage struct {
 	Address string
 	Message protocol.PeerMessage
 }
 
-// sweepInterval is how often tenants without issues are forgotten.
+// sweepInterval is the interval between removals of tenants without recently issued credit.
 const sweepInterval = 5 * time.Second
 
-// New returns a holder that goes on from what an earlier process of this instance left.
-func New(config Config, now time.Time, former Former) *Holder {
+// New returns a holder that continues from the state that an earlier process of this instance persisted.
+func New(config Config, now time.Time, persisted PersistedState) *Holder {
 	config = config.withDefaults()
-	earlier, fresh := former.Record, former.Fresh
+	earlier, diskEmpty := persisted.Record, persisted.DiskEmpty
 	if earlier != nil && earlier.Identity != config.Identity {
-		earlier, fresh = nil, false
+		earlier, diskEmpty = nil, false
 	}
 	h := &Holder{
-		config:       config,
-		started:      now,
-		ownership:    newOwnership(config, now, earlier, fresh),
-		registered:   make(map[string]time.Time),
-		ended:        make(map[string]bool),
-		copies:       make(map[string]*RecordCopy),
-		copiesLost:   former.CopiesLost,
-		limits:       make(map[string]Limit),
-		peerBackoffs: make(map[string]peerBackoff),
-		tenants:      make(map[string]*tenant),
-		sweptAt:      now,
+		config:             config,
+		startedAt:          now,
+		ownership:          newOwnership(config, now, earlier, diskEmpty),
+		lastRegisteredAt:   make(map[string]time.Time),
+		expiredBeforeStart: make(map[string]bool),
+		copies:             make(map[string]*RecordCopy),
+		copiesUnreadable:   persisted.CopiesUnreadable,
+		limits:             make(map[string]Limit),
+		peerBackoffs:       make(map[string]peerBackoff),
+		tenants:            make(map[string]*tenant),
+		lastSweepAt:        now,
 	}
-	for _, kept := range former.Copies {
-		h.copies[kept.Record.Identity] = kept
+	for _, stored := range persisted.Copies {
+		h.copies[stored.Record.Identity] = stored
 	}
-	if earlier == nil && !fresh {
+	if earlier == nil && !diskEmpty {
 		h.recorder.sequence = unknownSequence
 	}
 	if earlier != nil {
-		for _, holder := range earlier.Ended {
-			h.ended[holder] = true
+		for _, holder := range earlier.ExpiredHolders {
+			h.expiredBeforeStart[holder] = true
 		}
-		// A record after this one may have reached peers and not the disk.
+		// A later record may have reached peers without reaching the disk.
 		h.recorder.sequence = earlier.Sequence + recordSequenceGap
 		for _, recorded := range earlier.Tenants {
 			h.tenant(now, recorded.Name).issued.restore(recorded.Issued, recorded.Headroom)
@@ -152,63 +151,64 @@
 	return h
 }
 
-// Step takes in what is known and what happened. Times of successive steps must not decrease.
+// Step processes the input and returns what the host has to execute. The time must not decrease between steps.
 func (h *Holder) Step(now time.Time, in Input) Output {
-	h.out = Output{}
+	h.output = Output{}
 	h.observe(now, in)
 	for _, event := range in.Events {
 		h.handle(now, event)
 	}
 	h.continueTakeovers(now)
 	h.failUnacknowledgedRecord(now)
-	h.resumeAsks(now, func(a *ask) bool { return !now.Before(a.stageUntil) })
+	h.resumeRequests(now, func(r *creditRequest) bool { return !now.Before(r.stageDeadline) })
 	h.sweep(now)
-	h.beginRecord(now)
-	h.out.WakeAt = h.wakeAt()
-	return h.out
+	h.startRecord(now)
+	h.output.WakeAt = h.wakeAt()
+	return h.output
 }
 
 func (h *Holder) handle(now time.Time, event Event) {
 	switch event := event.(type) {
-	case RouterAsked:
-		h.routerAsked(now, event)
+	case RouterRequestReceived:
+		h.routerRequestReceived(now, event)
 	case PeerMessageReceived:
 		switch message := event.Message.(type) {
 		case *protocol.PeerCreditRequest:
-			h.peerAsked(now, message)
+			h.peerRequestReceived(now, message)
 		case *protocol.PeerCreditGrant:
-			h.peerGranted(now, message)
+			h.peerGrantReceived(now, message)
 		case *protocol.PeerCreditReturn:
-			h.peerReturned(now, message)
+			h.peerReturnReceived(now, message)
 		case *protocol.PeerRecord:
-			h.peerRecorded(message)
+			h.peerRecordReceived(message)
 		case *protocol.PeerRecordAck:
 			h.recordAcknowledged(now, message)
 		case *protocol.PeerCopyRequest:
-			h.peerAskedForCopy(now, message)
+			h.copyRequestReceived(now, message)
 		case *protocol.PeerCopy:
 			h.copyReceived(now, message)
 		}
 	case RecordWritten:
 		h.recordWritten(now, event)
-	case CopyKept:
-		h.copyKept(now, event)
+	case CopyWritten:
+		h.copyWritten(now, event)
 	case ShutdownBegan:
 		h.shutDown(now)
 	}
 }
 
-// shutDown ends all issues and makes the last record. One that is being written is superseded: its headroom is not used.
+// shutDown stops issuing credit and makes the last record. It supersedes a record that is being written, whose headroom is then
+// not used.
 func (h *Holder) shutDown(now time.Time) {
 	if h.stopping {
 		return
 	}
 	h.stopping = true
-	h.out.Record = h.newRecord(now, true)
-	h.resumeAsks(now, func(*ask) bool { return true })
+	h.output.Record = h.newRecord(now, true)
+	h.resumeRequests(now, func(*creditRequest) bool { return true })
 }
 
-// observe takes in configuration, shares and peers where they changed.
+// observe updates the configuration, the peers and the table of shares.
 func (h *Holder) observe(now time.Time, in Input) {
 	h.confirmedAt = in.ConfirmedAt
 	if in.Configuration != h.configuration {
@@ -231,6 +231,7 @@
 	}
 }
 
+// observePeers groups the peers by zone and sorts them.
 func (h *Holder) observePeers(peers []Peer) {
 	h.nearPeers, h.farPeers = h.nearPeers[:0], h.farPeers[:0]
 	for _, peer := range peers {
@@ -248,102 +249,103 @@
 
 func comparePeers(a, b Peer) int { return strings.Compare(a.Address, b.Address) }
 
-// part returns what this holder may issue of a limit in an interval.
-func (h *Holder) part(now time.Time, limit Limit) float64 {
+// localLimit returns the amount that this holder may issue of a limit in an issuance interval.
+func (h *Holder) localLimit(now time.Time, limit Limit) float64 {
 	if h.stopping || h.confirmedAt.IsZero() || now.Sub(h.confirmedAt) > h.config.HolderLease {
 		return 0
 	}
-	return h.config.issuable(limit) * h.ownership.usable(now)
+	return h.config.issuable(limit) * h.ownership.usableFraction(now)
 }
 
-// tenant returns a tenant's state with its count at the present.
+// tenant returns a tenant's state with its issuance advanced to the current time.
 func (h *Holder) tenant(now time.Time, name string) *tenant {
-	cell := int64(now.Sub(h.started) / cellLength)
+	cell := int64(now.Sub(h.startedAt) / cellLength)
 	t := h.tenants[name]
 	if t == nil {
-		t = &tenant{name: name, issued: newIssuance(h.config.interval(), cell)}
+		t = &tenant{name: name, issued: newIssuance(h.config.issuanceInterval(), cell)}
 		h.tenants[name] = t
 	}
 	t.issued.advance(cell)
 	return t
 }
 
-// sweep forgets the tenants of which nothing was issued in the interval.
+// sweep removes the tenants without issued credit in the interval.
 func (h *Holder) sweep(now time.Time) {
-	if now.Sub(h.sweptAt) < sweepInterval {
+	if now.Sub(h.lastSweepAt) < sweepInterval {
 		return
 	}
-	h.sweptAt = now
+	h.lastSweepAt = now
 	for name := range h.tenants {
-		if t := h.tenant(now, name); t.issued.sum <= 0 && t.record.awaited == 0 && !t.record.writing && !h.hasAsk(name) {
+		if t := h.tenant(now, name); t.issued.sum <= 0 && t.headroom.awaitedAmount == 0 && !t.headroom.writing && !h.hasRequest(name) {
 			delete(h.tenants, name)
 		}
 	}
 }
 
-func (h *Holder) hasAsk(tenant string) bool {
-	return slices.ContainsFunc(h.asks, func(a *ask) bool { return a.tenant == tenant })
+func (h *Holder) hasRequest(tenant string) bool {
+	return slices.ContainsFunc(h.requests, func(r *creditRequest) bool { return r.tenant == tenant })
 }
 
-// send sends a message to another instance.
+// send adds a message to another instance to the output.
 func (h *Holder) send(address string, message protocol.PeerMessage) {
-	h.out.PeerMessages = append(h.out.PeerMessages, PeerMessage{Address: address, Message: message})
+	h.output.PeerMessages = append(h.output.PeerMessages, PeerMessage{Address: address, Message: message})
 }
 
-// wakeAt is when the next ask, record or request for a copy is due.
+// wakeAt returns when the next step is due for a request, a record, a takeover or the expiry of a former holder's lease.
 func (h *Holder) wakeAt() time.Time {
 	wake := h.recordDueAt()
 	for _, t := range h.takeovers {
-		if retry := t.askedAt.Add(takeoverRetryInterval); wake.IsZero() || retry.Before(wake) {
+		if retry := t.requestedAt.Add(takeoverRetryInterval); wake.IsZero() || retry.Before(wake) {
 			wake = retry
 		}
 	}
-	if len(h.table.Former) > h.recorder.ended { // so that the record says when their leases have ended
-		if check := h.sweptAt.Add(sweepInterval); wake.IsZero() || check.Before(wake) {
+	if len(h.table.FormerHolders) > h.recorder.expiredHolderCount { // the next record lists those whose leases have ended
+		if check := h.lastSweepAt.Add(sweepInterval); wake.IsZero() || check.Before(wake) {
 			wake = check
 		}
 	}
-	for _, a := range h.asks {
-		if wake.IsZero() || a.stageUntil.Before(wake) {
-			wake = a.stageUntil
+	for _, request := range h.requests {
+		if wake.IsZero() || request.stageDeadline.Before(wake) {
+			wake = request.stageDeadline
 		}
 	}
 	return wake
 }
 
+// origin identifies this process and the time of sending in messages to peers.
 func (h *Holder) origin(now time.Time) protocol.Origin {
-	return protocol.Origin{Address: h.config.Address, Incarnation: h.config.Incarnation, SentAt: now.Sub(h.started)}
+	return protocol.Origin{Address: h.config.Address, Incarnation: h.config.Incarnation, SentAt: now.Sub(h.startedAt)}
 }
 
-// TenantView is one limit as this holder knows it.
+// TenantView describes one limit at this holder, for operators.
 type TenantView struct {
-	Tenant    string
-	Limit     Limit
-	Allowance float64 // of a window, by the rule
-	Part      float64 // that this holder may issue in an interval
-	Issued    float64 // by this holder in the newest interval
-	Granted   float64 // by this holder since its process started
-	Denied    float64 // that it was asked for and could not issue or gather, since then
-	Waiting   int     // asks that wait now
+	Tenant     string
+	Limit      Limit
+	Allowance  float64 // of a window, by the rule QUOTA
+	LocalLimit float64 // that this holder may issue in an issuance interval
+	Issued     float64 // by this holder in the newest issuance interval
+	Granted    float64 // by this holder since its process started
+	Denied     float64 // requested here and granted neither by this holder nor by peers, since then
+	Waiting    int     // requests for credit that are not answered yet
 }
 
-// View is this holder's state, for people.
+// View is the state of this holder, for operators.
 type View struct {
-	Usable  float64 // fraction of each limit that it may issue now
-	Tenants []TenantView
+	Usable  float64      // fraction of each limit for which it may issue credit now
+	Tenants []TenantView // by name
 }
 
-// View returns the state of all limits by tenant.
+// View returns the state of all limits, sorted by tenant.
 func (h *Holder) View(now time.Time) View {
-	view := View{Usable: h.ownership.usable(now)}
+	view := View{Usable: h.ownership.usableFraction(now)}
 	for name, limit := range h.limits {
-		row := TenantView{Tenant: name, Limit: limit, Allowance: h.config.windowAllowance(limit), Part: h.part(now, limit)}
+		row := TenantView{Tenant: name, Limit: limit, Allowance: h.config.windowAllowance(limit), LocalLimit: h.localLimit(now, limit)}
 		if t, known := h.tenants[name]; known {
-			t.issued.advance(int64(now.Sub(h.started) / cellLength))
+			t.issued.advance(int64(now.Sub(h.startedAt) / cellLength))
 			row.Issued, row.Granted, row.Denied = math.Max(0, t.issued.sum), t.granted, t.denied
 		}
-		for _, a := range h.asks {
-			if a.tenant == name {
+		for _, request := range h.requests {
+			if request.tenant == name {
 				row.Waiting++
 			}
 		}
--- a/internal/control/quota/holder_test.go
+++ b/internal/control/quota/holder_test.go
@@ -9,7 +9,7 @@
 	"raventrestle/internal/protocol"
 )
 
-// tableOf returns the first table, in which the holders have equal parts.
+// tableOf returns the first table of the given holders, in which they own equal numbers of shares.
 func tableOf(holders ...string) shares.Table {
 	owners := make([]string, shares.Count)
 	for i := range owners {
@@ -21,22 +21,22 @@
 
 var testStart = time.Unix(1000, 0)
 
-// holderDriver steps one holder and writes its records at once, unless the test holds them back.
+// holderDriver steps one holder and writes its records at once, unless the test sets delayRecords.
 type holderDriver struct {
-	t        *testing.T
-	holder   *Holder
-	now      time.Time
-	in       Input
-	record   *Record // newest that is written
-	heldBack bool
+	t            *testing.T
+	holder       *Holder
+	now          time.Time
+	in           Input
+	record       *Record // newest written record
+	delayRecords bool
 }
 
-func newDriver(t *testing.T, identity string, earlier *Record, fresh bool, table shares.Table) *holderDriver {
+func newDriver(t *testing.T, identity string, previousRecord *Record, fresh bool, table shares.Table) *holderDriver {
 	t.Helper()
 	d := &holderDriver{t: t, now: testStart}
 	d.holder = New(Config{
 		Identity: identity, Address: identity, Zone: "z", OvershootFraction: 0.1, OvershootSlack: 1000,
-	}, d.now, Former{Record: earlier, Fresh: fresh})
+	}, d.now, PersistedState{Record: previousRecord, DiskEmpty: fresh})
 	d.in = Input{
 		Configuration: &configuration.Configuration{Tenants: []configuration.Tenant{{Name: "t", RatePerSecond: 1000, Burst: 1000}}},
 		Table:         table,
@@ -45,7 +45,8 @@
 	return d
 }
 
-// step steps the holder with events, and with its records written, until it returns no record.
+// step steps the holder with the events, then with the results of writing its records until it returns none, and collects the
+// output.
 func (d *holderDriver) step(after time.Duration, events ...Event) (all Output) {
 	d.t.Helper()
 	d.now = d.now.Add(after)
@@ -55,7 +56,7 @@
 		all.RouterGrants = append(all.RouterGrants, out.RouterGrants...)
 		all.PeerMessages = append(all.PeerMessages, out.PeerMessages...)
 		all.WakeAt = out.WakeAt
-		if out.Record == nil || d.heldBack {
+		if out.Record == nil || d.delayRecords {
 			all.Record = out.Record
 			return all
 		}
@@ -64,13 +65,13 @@
 	}
 }
 
-func routerAsk(id uint64, amount float64) RouterAsked {
-	return RouterAsked{Connection: "router", Request: &protocol.CreditRequest{
+func routerRequest(id uint64, amount float64) RouterRequestReceived {
+	return RouterRequestReceived{Connection: "router", Request: &protocol.CreditRequest{
 		ID: id, Tenant: "t", Amount: amount, Waiting: amount, Minimum: amount,
 	}}
 }
 
-// granted returns the amount of the only answer to a router.
+// granted returns the amount of the only grant to a router.
 func (d *holderDriver) granted(out Output) float64 {
 	d.t.Helper()
 	if len(out.RouterGrants) != 1 {
@@ -79,25 +80,25 @@
 	return out.RouterGrants[0].Grant.Amount
 }
 
-func TestHolderIssuesWhatItsSharesAllow(t *testing.T) {
+func TestHolderIssuesUpToTheLimitOfItsShares(t *testing.T) {
 	d := newDriver(t, "a", nil, true, tableOf("a"))
 	limit := d.holder.config.issuable(Limit{RatePerSecond: 1000, Burst: 1000})
-	if got := d.granted(d.step(0, routerAsk(1, 4000))); got != 4000 {
+	if got := d.granted(d.step(0, routerRequest(1, 4000))); got != 4000 {
 		t.Fatalf("granted %v, want 4000", got)
 	}
-	if got := d.granted(d.step(10*time.Millisecond, routerAsk(2, limit-4000))); got != limit-4000 {
-		t.Errorf("granted %v, want %v, the rest of the limit", got, limit-4000)
+	if got := d.granted(d.step(10*time.Millisecond, routerRequest(2, limit-4000))); got != limit-4000 {
+		t.Errorf("granted %v, want %v, the remainder of the limit", got, limit-4000)
 	}
 }
 
-// TestNoRecordFollowsTheLast: the host ends with the record that shutting down makes.
-func TestNoRecordFollowsTheLast(t *testing.T) {
+// The host ends after it has written the record that shutting down makes, so a later record would not be written.
+func TestNoRecordIsMadeAfterShutdown(t *testing.T) {
 	d := newDriver(t, "a", nil, true, tableOf("a"))
-	d.granted(d.step(0, routerAsk(1, 4000)))
+	d.granted(d.step(0, routerRequest(1, 4000)))
 	last := d.holder.recorder.sequence + 1
 	d.step(time.Millisecond, ShutdownBegan{})
-	for id := range uint64(8) { // while what it issued still counts as recent
-		d.step(100*time.Millisecond, routerAsk(id+2, 100))
+	for id := range uint64(8) { // while the issued credit is still in the interval
+		d.step(100*time.Millisecond, routerRequest(id+2, 100))
 	}
 	if got := d.holder.recorder.sequence; got != last {
 		t.Errorf("made record %d, want %d to be the last", got, last)
--- a/internal/control/quota/model_test.go
+++ b/internal/control/quota/model_test.go
@@ -12,94 +12,94 @@
 	"raventrestle/internal/protocol"
 )
 
-// world plays holders, their leader and routers in virtual time, and checks after each spending that no window holds more
-// than the rule allows.
-type world struct {
-	random  *rand.Rand
-	now     time.Duration
-	zero    time.Time
-	config  Config
-	tenants []configuration.Tenant
-	current *configuration.Configuration
-
-	table    shares.Table // committed
-	assigner *shares.Assigner
-	leader   bool // there is one
-	holders  []*modelHolder
-	routers  []*modelRouter
-	events   []modelEvent
-	lossRate float64
-
-	spent    map[string][]modelSpending // by tenant
-	refused  map[string]float64         // by tenant
-	wrongly  []string                   // refusals of what was within servedFraction of the limit
-	within   float64                    // of the limit, below which a refusal is wrong; 0: no refusal is
-	breach   string                     // of the rule
-	requests int
+// simulation runs holders, their leader and routers in virtual time. Each time credit is spent it checks that no window exceeds
+// what the rule QUOTA allows.
+type simulation struct {
+	random        *rand.Rand
+	now           time.Duration
+	startTime     time.Time
+	config        Config
+	tenants       []configuration.Tenant
+	configuration *configuration.Configuration
+
+	table     shares.Table // as committed
+	assigner  *shares.Assigner
+	hasLeader bool // a leader exists
+	holders   []*simulatedHolder
+	routers   []*simulatedRouter
+	scheduled []scheduledEvent
+	lossRate  float64
+
+	spent              map[string][]spending // by tenant
+	denied             map[string]float64    // amounts, by tenant
+	wronglyDenied      []string              // messages about denied requests within guaranteedFraction of the limit
+	guaranteedFraction float64               // of the limit, up to which no request may be denied; 0: any request may be
+	violation          string                // message about the first window that exceeded the allowance; empty: none did
+	requests           int
 }
 
-type modelSpending struct {
+type spending struct {
 	at     time.Duration
 	amount float64
 }
 
-type modelEvent struct {
-	at time.Duration
-	do func()
+type scheduledEvent struct {
+	at  time.Duration
+	run func()
 }
 
-// modelHolder is a control instance with its disk.
-type modelHolder struct {
-	name           string
-	holder         *Holder                // nil: the process is down
-	process        int                    // rises with each start
-	disk           *Record                // synced
-	inFlight       *Record                // being written
-	copies         map[string]*RecordCopy // synced
-	copying        []*RecordCopy          // being written
-	fresh          bool
-	partitionUntil time.Duration // from the majority: nothing is applied or confirmed
-	partitionID    int           // of the cut; those of one cut reach each other
-	frozenUntil    time.Duration
-	pending        []Event
-	confirmedAt    time.Time
-	table          shares.Table // as applied here
-	wake           time.Time
+// simulatedHolder is a control instance with its disk.
+type simulatedHolder struct {
+	name             string
+	holder           *Holder                // nil: the process is down
+	process          int                    // number of the process, incremented by each start
+	record           *Record                // on the disk
+	writing          *Record                // being written
+	copies           map[string]*RecordCopy // of other holders' records on the disk, by identity
+	writingCopies    []*RecordCopy          // copies being written
+	diskEmpty        bool
+	partitionedUntil time.Duration // partitioned from the majority until then, so nothing is applied or confirmed
+	partitionID      int           // of the partition; partitioned holders with the same ID reach each other
+	suspendedUntil   time.Duration
+	pending          []Event
+	confirmedAt      time.Time
+	table            shares.Table // as applied at this holder
+	wakeAt           time.Time
 }
 
-// modelRouter asks for credit and spends it.
-type modelRouter struct {
-	follows     int
-	lastID      uint64
-	frozenUntil time.Duration
-	asked       map[uint64]*modelRequest
-	held        []func() // what arrived while it was frozen
+// simulatedRouter requests credit and spends it.
+type simulatedRouter struct {
+	follows        int
+	lastID         uint64
+	suspendedUntil time.Duration
+	outstanding    map[uint64]*simulatedRequest // by request ID
+	delayed        []func()                     // grants that arrived while it was suspended
 }
 
-type modelRequest struct {
+type simulatedRequest struct {
 	tenant string
 	amount float64
 	at     time.Duration
 }
 
-const modelTick = 2 * time.Millisecond
+const tick = 2 * time.Millisecond
 
-func newWorld(seed uint64, holders, routers int, tenants []configuration.Tenant, slack float64) *world {
-	w := &world{
-		random: rand.New(rand.NewPCG(seed, 17)), zero: testStart, tenants: tenants, leader: true,
-		config:  Config{Window: 8 * time.Second, OvershootFraction: 0.1, OvershootSlack: slack},
-		current: &configuration.Configuration{Tenants: tenants},
-		spent:   map[string][]modelSpending{}, refused: map[string]float64{},
+func newSimulation(seed uint64, holders, routers int, tenants []configuration.Tenant, slack float64) *simulation {
+	w := &simulation{
+		random: rand.New(rand.NewPCG(seed, 17)), startTime: testStart, tenants: tenants, hasLeader: true,
+		config:        Config{Window: 8 * time.Second, OvershootFraction: 0.1, OvershootSlack: slack},
+		configuration: &configuration.Configuration{Tenants: tenants},
+		spent:         map[string][]spending{}, denied: map[string]float64{},
 	}
 	w.config = w.config.withDefaults()
 	w.assigner = shares.NewAssigner(w.config.HolderLease)
 	for i := range holders {
 		name := fmt.Sprintf("h%d", i)
 		w.table = w.table.Register(shares.Registration{Identity: name})
-		w.holders = append(w.holders, &modelHolder{name: name, fresh: true, copies: map[string]*RecordCopy{}})
+		w.holders = append(w.holders, &simulatedHolder{name: name, diskEmpty: true, copies: map[string]*RecordCopy{}})
 	}
 	for i := range routers {
-		w.routers = append(w.routers, &modelRouter{follows: i % holders, asked: map[uint64]*modelRequest{}})
+		w.routers = append(w.routers, &simulatedRouter{follows: i % holders, outstanding: map[uint64]*simulatedRequest{}})
 	}
 	for _, h := range w.holders {
 		w.start(h)
@@ -107,325 +107,337 @@
 	return w
 }
 
-func (w *world) clock() time.Time { return w.zero.Add(w.now) }
+func (sim *simulation) clock() time.Time { return sim.startTime.Add(sim.now) }
 
-func (w *world) after(wait time.Duration, do func()) {
-	event := modelEvent{at: w.now + wait, do: do}
-	at, _ := slices.BinarySearchFunc(w.events, event, func(a, b modelEvent) int {
+// schedule calls a function after the given wait, and after all functions that are already scheduled for the same time.
+func (sim *simulation) schedule(wait time.Duration, run func()) {
+	event := scheduledEvent{at: sim.now + wait, run: run}
+	at, _ := slices.BinarySearchFunc(sim.scheduled, event, func(a, b scheduledEvent) int {
 		if a.at <= b.at {
-			return -1 // after those of the same moment
+			return -1 // functions scheduled for the same time keep their order
 		}
 		return 1
 	})
-	w.events = slices.Insert(w.events, at, event)
+	sim.scheduled = slices.Insert(sim.scheduled, at, event)
 }
 
-// send delivers a message after a moment, seldom much later or not at all.
-func (w *world) send(deliver func()) {
-	if w.random.Float64() < w.lossRate {
+// send delivers a message after 1 to 6 ms. With message loss, it loses some and delays one in 40 by up to 3 s.
+func (sim *simulation) send(deliver func()) {
+	if sim.random.Float64() < sim.lossRate {
 		return
 	}
-	delay := time.Duration(1+w.random.IntN(6)) * time.Millisecond
-	if w.lossRate > 0 && w.random.IntN(40) == 0 {
-		delay = time.Duration(w.random.IntN(3000)) * time.Millisecond
+	delay := time.Duration(1+sim.random.IntN(6)) * time.Millisecond
+	if sim.lossRate > 0 && sim.random.IntN(40) == 0 {
+		delay = time.Duration(sim.random.IntN(3000)) * time.Millisecond
 	}
-	w.after(delay, deliver)
+	sim.schedule(delay, deliver)
 }
 
-func (w *world) start(h *modelHolder) {
-	config := w.config
+// start starts a process of the holder with what its disk holds.
+func (sim *simulation) start(h *simulatedHolder) {
+	config := sim.config
 	config.Identity, config.Address, config.Zone, config.Incarnation = h.name, h.name, "z", uint64(h.process+1)
 	h.process++
-	former := Former{Record: h.disk, Fresh: h.fresh}
-	for _, kept := range h.copies {
-		former.Copies = append(former.Copies, kept)
+	persisted := PersistedState{Record: h.record, DiskEmpty: h.diskEmpty}
+	for _, stored := range h.copies {
+		persisted.Copies = append(persisted.Copies, stored)
 	}
-	h.holder = New(config, w.clock(), former)
-	h.confirmedAt, h.pending, h.inFlight, h.table = time.Time{}, nil, nil, shares.Table{}
+	h.holder = New(config, sim.clock(), persisted)
+	h.confirmedAt, h.pending, h.writing, h.table = time.Time{}, nil, nil, shares.Table{}
 }
 
-// kill ends the process. A record that was being written may have reached the disk.
-func (w *world) kill(h *modelHolder) {
+// kill ends the process. A record or copy that is being written may have reached the disk or not.
+func (sim *simulation) kill(h *simulatedHolder) {
 	if h.holder == nil {
 		return
 	}
-	if h.inFlight != nil && w.random.IntN(2) == 0 {
-		h.disk, h.fresh = h.inFlight, false
+	if h.writing != nil && sim.random.IntN(2) == 0 {
+		h.record, h.diskEmpty = h.writing, false
 	}
-	for _, kept := range h.copying {
-		if w.random.IntN(2) == 0 {
-			h.copies[kept.Record.Identity] = kept
+	for _, stored := range h.writingCopies {
+		if sim.random.IntN(2) == 0 {
+			h.copies[stored.Record.Identity] = stored
 		}
 	}
-	h.holder, h.copying = nil, nil
+	h.holder, h.writingCopies = nil, nil
 }
 
-func (w *world) reachable(h *modelHolder) bool { return h.holder != nil && w.now >= h.partitionUntil }
+// reachable reports whether the holder's process runs and is not partitioned from the majority.
+func (sim *simulation) reachable(h *simulatedHolder) bool {
+	return h.holder != nil && sim.now >= h.partitionedUntil
+}
 
-// connected reports whether two holders reach each other.
-func (w *world) connected(a, b *modelHolder) bool {
+// connected reports whether two holders can exchange messages.
+func (sim *simulation) connected(a, b *simulatedHolder) bool {
 	if a.holder == nil || b.holder == nil {
 		return false
 	}
-	aPartitioned, bPartitioned := w.now < a.partitionUntil, w.now < b.partitionUntil
+	aPartitioned, bPartitioned := sim.now < a.partitionedUntil, sim.now < b.partitionedUntil
 	return !aPartitioned && !bPartitioned || aPartitioned && bPartitioned && a.partitionID == b.partitionID
 }
 
-func (w *world) usableNow(h *modelHolder) bool { return h.holder != nil && w.now >= h.frozenUntil }
+// running reports whether the holder's process runs and is not suspended.
+func (sim *simulation) running(h *simulatedHolder) bool {
+	return h.holder != nil && sim.now >= h.suspendedUntil
+}
 
-// run plays until the time, with requests drawn by the callback in each tick.
-func (w *world) run(until time.Duration, arrive func()) {
-	for ; w.now < until; w.now += modelTick {
-		for len(w.events) > 0 && w.events[0].at <= w.now {
-			do := w.events[0].do
-			w.events = w.events[1:]
-			do()
+// run advances the time in ticks until the given time. The callback draws the requests of each tick.
+func (sim *simulation) run(until time.Duration, drawRequests func()) {
+	for ; sim.now < until; sim.now += tick {
+		for len(sim.scheduled) > 0 && sim.scheduled[0].at <= sim.now {
+			run := sim.scheduled[0].run
+			sim.scheduled = sim.scheduled[1:]
+			run()
 		}
-		if arrive != nil {
-			arrive()
+		if drawRequests != nil {
+			drawRequests()
 		}
-		w.stepLeader()
-		for _, h := range w.holders {
-			w.step(h)
+		sim.stepLeader()
+		for _, h := range sim.holders {
+			sim.step(h)
 		}
 	}
 }
 
-// stepLeader has the leader assign shares each 100 ms, if there is one with a majority.
-func (w *world) stepLeader() {
-	if w.now%(100*time.Millisecond) != 0 {
+// stepLeader steps the assigner every 100 ms while there is a leader with a majority, and registers the reachable holders.
+func (sim *simulation) stepLeader() {
+	if sim.now%(100*time.Millisecond) != 0 {
 		return
 	}
 	var live, voters []string
-	for _, h := range w.holders {
+	for _, h := range sim.holders {
 		voters = append(voters, h.name)
-		if w.reachable(h) && w.usableNow(h) {
+		if sim.reachable(h) && sim.running(h) {
 			live = append(live, h.name)
 		}
 	}
-	if !w.leader || 2*len(live) <= len(voters) {
+	if !sim.hasLeader || 2*len(live) <= len(voters) {
 		return
 	}
-	if proposed := w.assigner.Step(w.clock(), shares.AssignerInput{Table: w.table, Members: voters, Live: live}); proposed != nil {
-		if next, ok := w.table.Assign(*proposed); ok {
-			w.table = next
+	if proposed := sim.assigner.Step(sim.clock(), shares.AssignerInput{Table: sim.table, Members: voters, Live: live}); proposed != nil {
+		if next, ok := sim.table.Assign(*proposed); ok {
+			sim.table = next
 		}
 	}
-	for _, h := range w.holders {
-		if w.reachable(h) && w.usableNow(h) {
-			w.table = w.table.Register(shares.Registration{Identity: h.name})
+	for _, h := range sim.holders {
+		if sim.reachable(h) && sim.running(h) {
+			sim.table = sim.table.Register(shares.Registration{Identity: h.name})
 		}
 	}
 }
 
-// majority reports whether a holder reaches a majority, so that it learns what is committed.
-func (w *world) majority(h *modelHolder) bool {
-	if !w.reachable(h) {
+// reachesMajority reports whether a holder reaches a majority, so that it applies what is committed.
+func (sim *simulation) reachesMajority(h *simulatedHolder) bool {
+	if !sim.reachable(h) {
 		return false
 	}
 	reached := 0
-	for _, other := range w.holders {
-		if w.reachable(other) && w.usableNow(other) {
+	for _, other := range sim.holders {
+		if sim.reachable(other) && sim.running(other) {
 			reached++
 		}
 	}
-	return 2*reached > len(w.holders)
+	return 2*reached > len(sim.holders)
 }
 
-// step steps a holder that has something to do.
-func (w *world) step(h *modelHolder) {
-	idle := len(h.pending) == 0 && w.clock().Before(h.wake) && w.now%(50*time.Millisecond) != 0
-	if !w.usableNow(h) || idle {
+// step steps a holder if it has events, its wake time has come, or 50 ms have passed.
+func (sim *simulation) step(h *simulatedHolder) {
+	idle := len(h.pending) == 0 && sim.clock().Before(h.wakeAt) && sim.now%(50*time.Millisecond) != 0
+	if !sim.running(h) || idle {
 		return
 	}
-	if w.majority(h) {
-		h.table, h.confirmedAt = w.table, w.clock()
+	if sim.reachesMajority(h) {
+		h.table, h.confirmedAt = sim.table, sim.clock()
 	}
 	var peers []Peer
-	for _, other := range w.holders {
-		if other != h && w.connected(h, other) {
+	for _, other := range sim.holders {
+		if other != h && sim.connected(h, other) {
 			peers = append(peers, Peer{Identity: other.name, Address: other.name, Zone: "z"})
 		}
 	}
 	events := h.pending
 	h.pending = nil
-	out := h.holder.Step(w.clock(), Input{
-		Configuration: w.current, Table: h.table, ConfirmedAt: h.confirmedAt, Peers: peers, Events: events,
+	out := h.holder.Step(sim.clock(), Input{
+		Configuration: sim.configuration, Table: h.table, ConfirmedAt: h.confirmedAt, Peers: peers, Events: events,
 	})
-	if h.wake = out.WakeAt; h.wake.IsZero() {
-		h.wake = w.clock().Add(time.Hour)
+	if h.wakeAt = out.WakeAt; h.wakeAt.IsZero() {
+		h.wakeAt = sim.clock().Add(time.Hour)
 	}
-	w.carryOut(h, out)
+	sim.execute(h, out)
 }
 
-func (w *world) carryOut(h *modelHolder, out Output) {
+// execute sends the messages and writes the records that a holder's step returned.
+func (sim *simulation) execute(h *simulatedHolder, out Output) {
 	for _, grant := range out.RouterGrants {
-		router := grant.Connection.(*modelRouter)
-		w.send(func() { w.receive(router, grant.Grant) })
+		router := grant.Connection.(*simulatedRouter)
+		sim.send(func() { sim.receive(router, grant.Grant) })
 	}
 	for _, message := range out.PeerMessages {
-		to := w.holders[slices.IndexFunc(w.holders, func(o *modelHolder) bool { return o.name == message.Address })]
-		if w.connected(h, to) {
+		to := sim.holders[slices.IndexFunc(sim.holders, func(o *simulatedHolder) bool { return o.name == message.Address })]
+		if sim.connected(h, to) {
 			process := to.process
-			w.send(func() {
-				if w.connected(h, to) && to.process == process {
+			sim.send(func() {
+				if sim.connected(h, to) && to.process == process {
 					to.pending = append(to.pending, PeerMessageReceived{Message: message.Message})
 				}
 			})
 		}
 	}
 	if out.Record != nil {
-		w.write(h, out.Record)
+		sim.writeRecord(h, out.Record)
 	}
-	for _, kept := range out.Copies {
-		w.keep(h, kept)
+	for _, recordCopy := range out.Copies {
+		sim.writeCopy(h, recordCopy)
 	}
 }
 
-// keep syncs a copy of another holder's record a moment later.
-func (w *world) keep(h *modelHolder, kept *RecordCopy) {
-	h.copying = append(h.copying, kept)
+// writeCopy syncs a copy of another holder's record after 1 to 4 ms.
+func (sim *simulation) writeCopy(h *simulatedHolder, recordCopy *RecordCopy) {
+	h.writingCopies = append(h.writingCopies, recordCopy)
 	process := h.process
-	w.after(time.Duration(1+w.random.IntN(4))*time.Millisecond, func() {
+	sim.schedule(time.Duration(1+sim.random.IntN(4))*time.Millisecond, func() {
 		if h.holder == nil || h.process != process {
 			return
 		}
-		h.copying = slices.DeleteFunc(h.copying, func(c *RecordCopy) bool { return c == kept })
-		if before := h.copies[kept.Record.Identity]; before == nil || before.Record.Sequence < kept.Record.Sequence {
-			h.copies[kept.Record.Identity] = kept
+		h.writingCopies = slices.DeleteFunc(h.writingCopies, func(c *RecordCopy) bool { return c == recordCopy })
+		if existing := h.copies[recordCopy.Record.Identity]; existing == nil || existing.Record.Sequence < recordCopy.Record.Sequence {
+			h.copies[recordCopy.Record.Identity] = recordCopy
 		}
-		h.pending = append(h.pending, CopyKept{Copy: kept})
+		h.pending = append(h.pending, CopyWritten{Copy: recordCopy})
 	})
 }
 
-// write syncs a record a moment later. Seldom that fails, and the record may be on the disk or not.
-func (w *world) write(h *modelHolder, record *Record) {
-	h.inFlight = record
+// writeRecord syncs a record after 1 to 6 ms. With message loss, one write in 50 fails, and the record is then on the disk or not.
+func (sim *simulation) writeRecord(h *simulatedHolder, record *Record) {
+	h.writing = record
 	process := h.process
-	w.after(time.Duration(1+w.random.IntN(6))*time.Millisecond, func() {
-		if h.holder == nil || h.process != process || h.inFlight != record {
+	sim.schedule(time.Duration(1+sim.random.IntN(6))*time.Millisecond, func() {
+		if h.holder == nil || h.process != process || h.writing != record {
 			return
 		}
-		h.inFlight = nil
+		h.writing = nil
 		written := RecordWritten{Sequence: record.Sequence}
-		if w.lossRate > 0 && w.random.IntN(50) == 0 {
+		if sim.lossRate > 0 && sim.random.IntN(50) == 0 {
 			written.Err = errRecordChecksum
 		}
-		if written.Err == nil || w.random.IntN(2) == 0 {
-			h.disk, h.fresh = record, false
+		if written.Err == nil || sim.random.IntN(2) == 0 {
+			h.record, h.diskEmpty = record, false
 		}
 		h.pending = append(h.pending, written)
 	})
 }
 
-// request has a router ask for credit for one request.
-func (w *world) request(router *modelRouter, tenant string, amount float64) {
-	if w.now < router.frozenUntil {
+// request sends a request for credit from a router to the holder that it follows.
+func (sim *simulation) request(router *simulatedRouter, tenant string, amount float64) {
+	if sim.now < router.suspendedUntil {
 		return
 	}
-	w.requests++
-	h := w.holders[router.follows]
-	if !w.usableNow(h) && w.random.IntN(10) == 0 { // after a while the router follows another one
-		router.follows = w.random.IntN(len(w.holders))
+	sim.requests++
+	h := sim.holders[router.follows]
+	if !sim.running(h) && sim.random.IntN(10) == 0 { // the router notices after some requests and follows another holder
+		router.follows = sim.random.IntN(len(sim.holders))
 	}
 	router.lastID++
-	id, asked := router.lastID, &modelRequest{tenant: tenant, amount: amount, at: w.now}
-	router.asked[id] = asked
-	w.send(func() {
+	id, request := router.lastID, &simulatedRequest{tenant: tenant, amount: amount, at: sim.now}
+	router.outstanding[id] = request
+	sim.send(func() {
 		if h.holder == nil {
 			return
 		}
-		h.pending = append(h.pending, RouterAsked{Connection: router, Request: &protocol.CreditRequest{
+		h.pending = append(h.pending, RouterRequestReceived{Connection: router, Request: &protocol.CreditRequest{
 			ID: id, Tenant: tenant, Amount: amount, Waiting: amount, Minimum: amount,
 		}})
 	})
-	w.after(protocol.CreditTTL, func() { delete(router.asked, id) })
+	sim.schedule(protocol.CreditTTL, func() { delete(router.outstanding, id) })
 }
 
-// receive takes an answer to a router, which spends it at once if it has not expired.
-func (w *world) receive(router *modelRouter, grant *protocol.CreditGrant) {
-	if w.now < router.frozenUntil {
-		router.held = append(router.held, func() { w.receive(router, grant) })
+// receive handles a grant at a router. The router spends it unless the credit has expired or is too little.
+func (sim *simulation) receive(router *simulatedRouter, grant *protocol.CreditGrant) {
+	if sim.now < router.suspendedUntil {
+		router.delayed = append(router.delayed, func() { sim.receive(router, grant) })
 		return
 	}
-	asked := router.asked[grant.ID]
-	if asked == nil || w.now >= asked.at+protocol.CreditTTL {
+	request := router.outstanding[grant.ID]
+	if request == nil || sim.now >= request.at+protocol.CreditTTL {
 		return
 	}
-	delete(router.asked, grant.ID)
-	if grant.Amount+1e-6 < asked.amount {
-		w.refuse(asked)
+	delete(router.outstanding, grant.ID)
+	if grant.Amount+1e-6 < request.amount {
+		sim.deny(request)
 		return
 	}
-	// A request may leave as late as the credit allows.
+	// The router may spend the credit at any time before it expires.
 	wait := time.Duration(0)
-	if w.lossRate > 0 {
-		wait = time.Duration(w.random.Int64N(int64(asked.at + protocol.CreditTTL - w.now)))
+	if sim.lossRate > 0 {
+		wait = time.Duration(sim.random.Int64N(int64(request.at + protocol.CreditTTL - sim.now)))
 	}
-	w.after(wait, func() { w.spend(asked) })
+	sim.schedule(wait, func() { sim.spend(request) })
 }
 
-func (w *world) thaw(router *modelRouter) {
-	held := router.held
-	router.held = nil
-	for _, do := range held {
-		do()
+// resume delivers the grants that arrived while the router was suspended.
+func (sim *simulation) resume(router *simulatedRouter) {
+	delayed := router.delayed
+	router.delayed = nil
+	for _, deliver := range delayed {
+		deliver()
 	}
 }
 
-func (w *world) tenant(name string) configuration.Tenant {
-	return w.tenants[slices.IndexFunc(w.tenants, func(t configuration.Tenant) bool { return t.Name == name })]
+func (sim *simulation) tenant(name string) configuration.Tenant {
+	return sim.tenants[slices.IndexFunc(sim.tenants, func(t configuration.Tenant) bool { return t.Name == name })]
 }
 
-func (w *world) spend(asked *modelRequest) {
-	list := append(w.spent[asked.tenant], modelSpending{w.now, asked.amount})
-	w.spent[asked.tenant] = list
-	t := w.tenant(asked.tenant)
+// spend records that a router spends credit, and checks the window that ends now.
+func (sim *simulation) spend(request *simulatedRequest) {
+	list := append(sim.spent[request.tenant], spending{sim.now, request.amount})
+	sim.spent[request.tenant] = list
+	t := sim.tenant(request.tenant)
 	limit := Limit{RatePerSecond: t.RatePerSecond, Burst: t.Burst}
-	if sum, allowed := w.inWindow(asked.tenant, w.config.Window), w.config.windowAllowance(limit); sum > allowed && w.breach == "" {
-		w.breach = fmt.Sprintf("%s spent %.0f in a window that ends at %v, want %.0f at most", asked.tenant, sum, w.now, allowed)
+	if sum, allowed := sim.sumSpent(request.tenant, sim.config.Window), sim.config.windowAllowance(limit); sum > allowed && sim.violation == "" {
+		sim.violation = fmt.Sprintf("%s spent %.0f in a window that ends at %v, want %.0f at most", request.tenant, sum, sim.now, allowed)
 	}
 }
 
-// inWindow is what a tenant spent in the newest span of time.
-func (w *world) inWindow(tenant string, span time.Duration) float64 {
+// sumSpent returns what a tenant spent in the newest span of time.
+func (sim *simulation) sumSpent(tenant string, span time.Duration) float64 {
 	sum := 0.0
-	list := w.spent[tenant]
-	for i := len(list) - 1; i >= 0 && list[i].at >= w.now-span; i-- {
+	list := sim.spent[tenant]
+	for i := len(list) - 1; i >= 0 && list[i].at >= sim.now-span; i-- {
 		sum += list[i].amount
 	}
 	return sum
 }
 
-// refuse notes a refusal, and whether it was wrong: what was spent in the window, a little before it and with the request is well
-// within the limit. What was issued before the window may be spent in it, so holders must count the interval.
-func (w *world) refuse(asked *modelRequest) {
-	w.refused[asked.tenant] += asked.amount
-	t := w.tenant(asked.tenant)
-	limit := t.RatePerSecond*w.config.Window.Seconds() + t.Burst
-	sum := w.inWindow(asked.tenant, w.config.interval()+cellLength) + asked.amount
-	if sum <= w.within*limit {
-		w.wrongly = append(w.wrongly, fmt.Sprintf("at %v %s is refused %.0f, with which it would have %.0f of %.0f", w.now,
-			asked.tenant, asked.amount, sum, limit))
+// deny records a denied request, and whether it was wrong to deny it: what was spent in the issuance interval, including the
+// request, is within guaranteedFraction of the limit. The interval is longer than the window because credit issued before the
+// window may be spent in it, so holders must count it.
+func (sim *simulation) deny(request *simulatedRequest) {
+	sim.denied[request.tenant] += request.amount
+	t := sim.tenant(request.tenant)
+	limit := t.RatePerSecond*sim.config.Window.Seconds() + t.Burst
+	sum := sim.sumSpent(request.tenant, sim.config.issuanceInterval()+cellLength) + request.amount
+	if sum <= sim.guaranteedFraction*limit {
+		sim.wronglyDenied = append(sim.wronglyDenied, fmt.Sprintf(
+			"at %v %s is denied %.0f, with which it would have spent %.0f of %.0f", sim.now, request.tenant, request.amount, sum, limit))
 	}
 }
 
-// poisson draws how many requests come in a tick.
-func (w *world) poisson(perSecond float64) int {
-	count, left := 0, w.random.ExpFloat64()
-	for mean := perSecond * modelTick.Seconds(); left < mean; count++ {
-		left += w.random.ExpFloat64()
+// poisson draws the number of requests in a tick.
+func (sim *simulation) poisson(perSecond float64) int {
+	count, elapsed := 0, sim.random.ExpFloat64()
+	for mean := perSecond * tick.Seconds(); elapsed < mean; count++ {
+		elapsed += sim.random.ExpFloat64()
 	}
 	return count
 }
 
-// arrivals returns a callback that draws each tenant's requests, at a factor of its rate.
-func (w *world) arrivals(factor func(tenant int) float64, mean float64) func() {
+// arrivals returns a callback that draws the requests of all tenants. Their mean rate is the tenant's rate times the factor.
+func (sim *simulation) arrivals(factor func(tenant int) float64, mean float64) func() {
 	return func() {
-		for i, t := range w.tenants {
-			for range w.poisson(t.RatePerSecond * factor(i) / mean) {
-				amount := math.Max(1, math.Min(mean*4, mean*w.random.ExpFloat64()))
-				w.request(w.routers[w.random.IntN(len(w.routers))], t.Name, amount)
+		for i, t := range sim.tenants {
+			for range sim.poisson(t.RatePerSecond * factor(i) / mean) {
+				amount := math.Max(1, math.Min(mean*4, mean*sim.random.ExpFloat64()))
+				sim.request(sim.routers[sim.random.IntN(len(sim.routers))], t.Name, amount)
 			}
 		}
 	}
--- a/internal/control/quota/ownership.go
+++ b/internal/control/quota/ownership.go
@@ -6,23 +6,23 @@
 	"raventrestle/internal/control/shares"
 )
 
-// leaseMargin is added to the holder lease where a former owner may go on issuing until its lease ends.
+// leaseMargin is added to the holder lease where a previous owner may issue credit until its lease ends.
 const leaseMargin = 500 * time.Millisecond
 
-// ownership says which shares this instance may issue credit for, and from when.
+// ownership tracks the shares for which this instance may issue credit, and from when.
 //
-// A share that was given to this instance has belonged to another one until a moment before. It is usable as soon as that
-// one's issues are known (takeover.go), else once its lease has ended and a whole interval has passed. A share that an
-// earlier process of this instance had is usable at once by that one's record, else after a whole interval.
+// A share that was reassigned to this instance is usable as soon as the credit issued by the previous owner is known
+// (takeover.go), or else after that owner's lease has ended and the credit has expired. A share that an earlier process of
+// this instance owned is usable at once if that process recorded it, or else after an issuance interval.
 type ownership struct {
-	identity string
-	rest     time.Duration // a whole interval
-	lease    time.Duration
-	started  time.Time
-	recorded map[int]uint64 // shares usable by the record of an earlier process, and their shares.Share.Since
-	hasPast  bool           // an earlier process of this instance may have issued credit
-	owned    map[int]ownedShare
-	lost     map[int]time.Time // usable shares that were taken from this instance, and when
+	identity       string
+	issuanceExpiry time.Duration // how long issued credit is counted: an issuance interval and a cell
+	holderLease    time.Duration
+	startedAt      time.Time
+	recordedShares map[int]uint64     // Since of the shares that an earlier process recorded as usable, by index
+	mayHaveIssued  bool               // an earlier process of this instance may have issued credit
+	owned          map[int]ownedShare // by index
+	lostAt         map[int]time.Time  // when this instance lost usable shares, by index
 }
 
 type ownedShare struct {
@@ -31,34 +31,34 @@
 	usableFrom time.Time
 }
 
-func newOwnership(config Config, now time.Time, earlier *Record, fresh bool) ownership {
+func newOwnership(config Config, now time.Time, previousRecord *Record, diskEmpty bool) ownership {
 	o := ownership{
-		identity: config.Identity,
-		rest:     config.interval() + cellLength,
-		lease:    config.HolderLease,
-		started:  now,
-		recorded: make(map[int]uint64),
-		hasPast:  !fresh,
-		owned:    make(map[int]ownedShare),
-		lost:     make(map[int]time.Time),
+		identity:       config.Identity,
+		issuanceExpiry: config.issuanceInterval() + cellLength,
+		holderLease:    config.HolderLease,
+		startedAt:      now,
+		recordedShares: make(map[int]uint64),
+		mayHaveIssued:  !diskEmpty,
+		owned:          make(map[int]ownedShare),
+		lostAt:         make(map[int]time.Time),
 	}
-	if earlier != nil {
-		for _, share := range earlier.Shares {
-			o.recorded[share.Index] = share.Since
+	if previousRecord != nil {
+		for _, share := range previousRecord.Shares {
+			o.recordedShares[share.Index] = share.Since
 		}
 	}
 	return o
 }
 
-// observe takes in the table, and returns which shares were given to this instance by another one, by their former owner.
-func (o *ownership) observe(now time.Time, table shares.Table) (given map[string][]int) {
-	given = make(map[string][]int)
+// observeTable applies the table. It returns the indexes of shares that were reassigned to this instance, by previous owner.
+func (o *ownership) observeTable(now time.Time, table shares.Table) (reassigned map[string][]int) {
+	reassigned = make(map[string][]int)
 	for i, share := range table.Shares {
 		known, owned := o.owned[i]
 		switch {
 		case share.Owner != o.identity:
 			if owned && !now.Before(known.usableFrom) {
-				o.lost[i] = now
+				o.lostAt[i] = now
 			}
 			delete(o.owned, i)
 			continue
@@ -68,35 +68,36 @@
 		from := o.usableFrom(now, i, share)
 		o.owned[i] = ownedShare{since: share.Since, previous: share.Previous, usableFrom: from}
 		if share.Previous != "" && now.Before(from) {
-			given[share.Previous] = append(given[share.Previous], i)
+			reassigned[share.Previous] = append(reassigned[share.Previous], i)
 		}
 	}
-	return given
+	return reassigned
 }
 
+// usableFrom returns when a share of this instance becomes usable unless a takeover makes it usable before.
 func (o *ownership) usableFrom(now time.Time, index int, share shares.Share) time.Time {
-	since, recorded := o.recorded[index]
+	since, recorded := o.recordedShares[index]
 	switch {
 	case recorded && since == share.Since:
 		return now
-	case share.Previous == "" && !o.hasPast:
+	case share.Previous == "" && !o.mayHaveIssued:
 		return now
 	case share.Previous == "" || share.Previous == o.identity:
-		return o.started.Add(o.rest)
+		return o.startedAt.Add(o.issuanceExpiry)
 	}
-	return now.Add(o.lease + leaseMargin + o.rest)
+	return now.Add(o.holderLease + leaseMargin + o.issuanceExpiry)
 }
 
-// takeOver makes a share usable at once: its former owner's issues are counted here now.
-func (o *ownership) takeOver(now time.Time, index int) {
+// setUsable makes a share usable at once. The credit issued by its previous owner is counted here from then on.
+func (o *ownership) setUsable(now time.Time, index int) {
 	if share, owned := o.owned[index]; owned && now.Before(share.usableFrom) {
 		share.usableFrom = now
 		o.owned[index] = share
 	}
 }
 
-// usable returns the fraction of every limit that this instance may issue credit for.
-func (o *ownership) usable(now time.Time) float64 {
+// usableFraction returns the fraction of every limit for which this instance may issue credit.
+func (o *ownership) usableFraction(now time.Time) float64 {
 	count := 0
 	for _, share := range o.owned {
 		if !now.Before(share.usableFrom) {
@@ -106,8 +107,8 @@
 	return float64(count) / shares.Count
 }
 
-// record lists the usable shares.
-func (o *ownership) record(now time.Time) []RecordedShare {
+// usableShares lists the usable shares for a record.
+func (o *ownership) usableShares(now time.Time) []RecordedShare {
 	var usable []RecordedShare
 	for i := range shares.Count {
 		if share, owned := o.owned[i]; owned && !now.Before(share.usableFrom) {
@@ -117,15 +118,15 @@
 	return usable
 }
 
-// issuedFor lists the shares that this instance may have issued credit for in the newest interval.
-func (o *ownership) issuedFor(now time.Time) []RecordedShare {
-	list := o.record(now)
-	for i, at := range o.lost {
-		if now.Sub(at) > o.rest {
-			delete(o.lost, i)
+// recentlyUsableShares lists the shares for which this instance may have issued credit in the newest issuance interval.
+func (o *ownership) recentlyUsableShares(now time.Time) []RecordedShare {
+	recent := o.usableShares(now)
+	for i, at := range o.lostAt {
+		if now.Sub(at) > o.issuanceExpiry {
+			delete(o.lostAt, i)
 			continue
 		}
-		list = append(list, RecordedShare{Index: i})
+		recent = append(recent, RecordedShare{Index: i})
 	}
-	return list
+	return recent
 }
--- a/internal/control/quota/record.go
+++ b/internal/control/quota/record.go
@@ -10,14 +10,14 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Record is what a holder keeps on its disk of what it issued, for a later process of the same instance. How much time
-// passed until then is unknown, so that process takes all of it as issued a moment ago.
+// Record is what a holder stores on its disk about the credit that it issued, for a later process of the same instance. That
+// process cannot know how much time has passed since, so it counts the credit as issued just before its own start.
 type Record struct {
-	Sequence uint64           `cbor:"1,keyasint"`
-	Identity string           `cbor:"2,keyasint"`
-	Shares   []RecordedShare  `cbor:"3,keyasint,omitempty"` // that were usable
-	Tenants  []RecordedTenant `cbor:"4,keyasint,omitempty"` // with issues in the interval, or headroom
-	Ended    []string         `cbor:"5,keyasint,omitempty"` // former holders whose leases have ended
+	Sequence       uint64           `cbor:"1,keyasint"`
+	Identity       string           `cbor:"2,keyasint"`
+	Shares         []RecordedShare  `cbor:"3,keyasint,omitempty"` // that were usable
+	Tenants        []RecordedTenant `cbor:"4,keyasint,omitempty"` // with issued credit in the interval, or with headroom
+	ExpiredHolders []string         `cbor:"5,keyasint,omitempty"` // former holders whose leases have ended
 }
 
 // RecordedShare is a share that was usable.
@@ -27,18 +27,18 @@
 	Since uint64 // as in shares.Share
 }
 
-// RecordedTenant is what was issued of one tenant's limit, and what may be before the next record.
+// RecordedTenant is what was issued of one tenant's limit, and what may be issued before the next record.
 type RecordedTenant struct {
 	_        struct{} `cbor:",toarray"`
 	Name     string
-	Headroom uint64
-	Issued   []uint64 // in parts of recordedPart, newest first, each rounded up
+	Headroom uint64   // that may be issued before the next record
+	Issued   []uint64 // by cells of recordedCellLength, newest first, each rounded up
 }
 
-// recordedPart is the resolution of a record.
-const recordedPart = 500 * time.Millisecond
+// recordedCellLength is the resolution of a record. It is coarser than cellLength to keep records small.
+const recordedCellLength = 500 * time.Millisecond
 
-const cellsPerPart = int64(recordedPart / cellLength)
+const cellsPerRecordedCell = int64(recordedCellLength / cellLength)
 
 var (
 	errRecordTooShort = errors.New("shorter than its checksum")
@@ -58,7 +58,7 @@
 	return hash.Sum(body), nil
 }
 
-// DecodeRecord reads what Encode returned.
+// DecodeRecord decodes a record that Encode returned.
 func DecodeRecord(encoded []byte) (*Record, error) {
 	if len(encoded) < checksumBytes {
 		return nil, fmt.Errorf("quota: decode record: %w", errRecordTooShort)
@@ -76,32 +76,33 @@
 	return &record, nil
 }
 
-// recordedParts sums cells into parts, newest first, without the empty ones at the end.
-func (s *issuance) recordedParts() []uint64 {
-	var parts []uint64
+// recordedCells sums the cells into cells of recordedCellLength, newest first, without the empty ones at the end.
+func (s *issuance) recordedCells() []uint64 {
+	var cells []uint64
 	count := int64(len(s.cells))
-	for from := int64(0); from < count; from += cellsPerPart {
+	for from := int64(0); from < count; from += cellsPerRecordedCell {
 		sum := 0.0
-		for n := from; n < min(from+cellsPerPart, count); n++ {
-			sum += s.cells[s.at(s.newest-n)]
+		for n := from; n < min(from+cellsPerRecordedCell, count); n++ {
+			sum += s.cells[s.index(s.newest-n)]
 		}
-		parts = append(parts, uint64(math.Ceil(math.Max(0, sum))))
+		cells = append(cells, uint64(math.Ceil(math.Max(0, sum))))
 	}
-	for len(parts) > 0 && parts[len(parts)-1] == 0 {
-		parts = parts[:len(parts)-1]
+	for len(cells) > 0 && cells[len(cells)-1] == 0 {
+		cells = cells[:len(cells)-1]
 	}
-	return parts
+	return cells
 }
 
-// restore takes in recorded parts as if the record were of this moment: each counts in the newest cell of its part.
-func (s *issuance) restore(parts []uint64, headroom uint64) {
+// restore adds recorded amounts as if the record were written now. The amount of each recorded cell is counted in the newest of
+// the cells that it covers.
+func (s *issuance) restore(cells []uint64, headroom uint64) {
 	s.add(float64(headroom))
-	for i, part := range parts {
-		cell := int64(i) * cellsPerPart
+	for i, amount := range cells {
+		cell := int64(i) * cellsPerRecordedCell
 		if cell >= int64(len(s.cells)) {
 			break
 		}
-		s.cells[s.at(s.newest-cell)] += float64(part)
-		s.sum += float64(part)
+		s.cells[s.index(s.newest-cell)] += float64(amount)
+		s.sum += float64(amount)
 	}
 }
--- a/internal/control/quota/recorder.go
+++ b/internal/control/quota/recorder.go
@@ -10,117 +10,122 @@
 )
 
 const (
-	minRecordInterval    = 5 * time.Millisecond   // between the beginnings of two records, while asks wait
-	renewRecordInterval  = 200 * time.Millisecond // the same, while none do
-	recordTimeout        = 30 * time.Millisecond  // an ask waits so long for a record, then goes to peers
-	recordRetryInterval  = 500 * time.Millisecond // after a record that could not be written
-	ackTimeout           = 25 * time.Millisecond  // of a record, by a peer
-	ackRetryInterval     = 50 * time.Millisecond  // after a record that no peer acknowledged
-	recordSequenceGap    = 1 << 20                // between the sequences of two processes
-	unknownSequence      = 1 << 40                // of a process that can't read its earlier record
-	lowHeadroomFraction  = 0.3                    // of the headroom that is wanted: a new record is due
-	headroomCells        = int64(time.Second / cellLength)
-	awaitedHeadroomTimes = 2 // what asks wait for is recorded so many times
-	largestAskDecay      = 0.95
+	minRecordInterval     = 5 * time.Millisecond            // between the starts of two records while requests wait for one
+	idleRecordInterval    = 200 * time.Millisecond          // the same while none waits
+	recordWaitTimeout     = 30 * time.Millisecond           // how long a request waits for a record before it is sent to peers
+	recordRetryInterval   = 500 * time.Millisecond          // after a record that could not be written
+	ackTimeout            = 25 * time.Millisecond           // for a peer's acknowledgement, from the start of the record
+	ackRetryInterval      = 50 * time.Millisecond           // after a record that no peer acknowledged in time
+	recordSequenceGap     = 1 << 20                         // between the sequences of two processes
+	unknownSequence       = 1 << 40                         // first sequence of a process that cannot read its earlier record
+	minHeadroomFraction   = 0.3                             // of the recently issued credit: with less headroom a new record is due
+	headroomCells         = int64(time.Second / cellLength) // over which recently issued credit is summed
+	awaitedHeadroomFactor = 2                               // headroom for waiting requests, as a multiple of what they need
+	largestRequestDecay   = 0.95                            // per record
 )
 
-// headroom is what may be issued before another record is synced. While a record is being written, both its headroom
-// and that of the record before bound what is issued: either may be the one that a later process finds.
+// headroom is the amount that may be issued before another record is durable. While a record is being written, both its
+// headroom and that of the previous record limit what is issued, because a later process may find either of the two.
 type headroom struct {
-	left     float64 // of the newest synced record
-	awaited  float64 // what asks wait for
-	writing  bool    // a record is being written
-	nextLeft float64 // of that record
+	remaining     float64 // of the newest durable record
+	awaitedAmount float64 // amount needed by requests that wait for a record
+	writing       bool    // a record is being written
+	nextRemaining float64 // of the record that is being written
 }
 
-// available is what may be issued now.
+// available returns the amount that may be issued now.
 func (h *headroom) available() float64 {
 	if h.writing {
-		return math.Max(0, math.Min(h.left, h.nextLeft))
+		return math.Max(0, math.Min(h.remaining, h.nextRemaining))
 	}
-	return math.Max(0, h.left)
+	return math.Max(0, h.remaining)
 }
 
+// spend subtracts an issued amount.
 func (h *headroom) spend(amount float64) {
-	h.left -= amount
-	h.nextLeft -= amount
+	h.remaining -= amount
+	h.nextRemaining -= amount
 }
 
-// recorder says when a record is due. One is written at a time.
+// recorder is the progress of writing records. At most one record is written at a time.
 type recorder struct {
-	sequence uint64    // of the newest record begun
-	writing  bool      // it is not in force yet
-	synced   bool      // it is on the disk
-	acked    bool      // a peer keeps it, or none needs to
-	begunAt  time.Time // of the newest record
-	retryAt  time.Time // no record before: the last one could not be written
-	awaited  bool      // asks wait for the next record
-	ended    int       // former holders that the newest record lists as ended
+	sequence           uint64    // of the newest record
+	writing            bool      // the newest record is neither durable nor abandoned yet
+	synced             bool      // the newest record is on the disk
+	acknowledged       bool      // a peer has stored the newest record, or none has to
+	startedAt          time.Time // when the newest record was made
+	retryAt            time.Time // no record is made before, because the previous one failed
+	hasWaiters         bool      // requests wait for the next record
+	expiredHolderCount int       // number of former holders that the newest record lists as expired
 }
 
-// RecordWritten is an event: the record that Output.Record named is synced, or Err says why not.
+// RecordWritten is an event: the record with this sequence is synced, or Err is the reason why not.
 type RecordWritten struct {
 	Sequence uint64
 	Err      error
 }
 
-// recordDueAt returns when the record that asks wait for is to begin, or the newest one is given up; zero: neither.
+// recordDueAt returns when a record that requests wait for is to be made, or when the newest one is to be abandoned; zero: neither.
 func (h *Holder) recordDueAt() time.Time {
 	if h.recorder.writing && h.recorder.synced {
-		return h.recorder.begunAt.Add(ackTimeout)
+		return h.recorder.startedAt.Add(ackTimeout)
 	}
-	if h.recorder.writing || !h.recorder.awaited {
+	if h.recorder.writing || !h.recorder.hasWaiters {
 		return time.Time{}
 	}
-	return later(h.recorder.begunAt.Add(minRecordInterval), h.recorder.retryAt)
+	return later(h.recorder.startedAt.Add(minRecordInterval), h.recorder.retryAt)
 }
 
-// beginRecord makes a record if asks wait for one, or if some tenant's headroom is low. None follows the one that shutDown made.
-func (h *Holder) beginRecord(now time.Time) {
+// startRecord makes a record if requests wait for one, if the headroom of a tenant is low, or if the lease of a former holder
+// has ended. It makes none after shutDown made the last one.
+func (h *Holder) startRecord(now time.Time) {
 	if h.stopping || h.recorder.writing || now.Before(h.recorder.retryAt) {
 		return
 	}
-	awaited := h.recorder.awaited && now.Sub(h.recorder.begunAt) >= minRecordInterval
-	due := h.headroomIsLow() || len(h.endedHolders(now)) > h.recorder.ended
-	if awaited || now.Sub(h.recorder.begunAt) >= renewRecordInterval && due {
-		h.out.Record = h.newRecord(now, false)
+	awaited := h.recorder.hasWaiters && now.Sub(h.recorder.startedAt) >= minRecordInterval
+	due := h.headroomIsLow() || len(h.expiredHolders(now)) > h.recorder.expiredHolderCount
+	if awaited || now.Sub(h.recorder.startedAt) >= idleRecordInterval && due {
+		h.output.Record = h.newRecord(now, false)
 	}
 }
 
-// headroomIsLow reports whether some tenant is about to use up its headroom.
+// headroomIsLow reports whether a tenant is about to use up its headroom.
 func (h *Holder) headroomIsLow() bool {
 	for _, t := range h.tenants {
-		recent := t.issued.since(headroomCells)
-		if t.record.left < lowHeadroomFraction*recent || recent > 0 && t.record.left < t.largest {
+		recent := t.issued.sumOfNewest(headroomCells)
+		if t.headroom.remaining < minHeadroomFraction*recent || recent > 0 && t.headroom.remaining < t.largestRequest {
 			return true
 		}
 	}
 	return false
 }
 
-// newRecord makes a record of all that was issued. The last one before the end of the process has no headroom.
+// newRecord makes a record of all issued credit. The last one before the process ends has no headroom.
 func (h *Holder) newRecord(now time.Time, last bool) *Record {
 	h.recorder.sequence++
-	h.recorder.writing, h.recorder.awaited, h.recorder.begunAt = true, false, now
-	record := &Record{Sequence: h.recorder.sequence, Identity: h.config.Identity, Shares: h.ownership.record(now), Ended: h.endedHolders(now)}
-	h.recorder.synced, h.recorder.acked, h.recorder.ended = false, !h.needsAck(), len(record.Ended)
+	h.recorder.writing, h.recorder.hasWaiters, h.recorder.startedAt = true, false, now
+	record := &Record{
+		Sequence: h.recorder.sequence, Identity: h.config.Identity, Shares: h.ownership.usableShares(now),
+		ExpiredHolders: h.expiredHolders(now),
+	}
+	h.recorder.synced, h.recorder.acknowledged, h.recorder.expiredHolderCount = false, !h.needsAck(), len(record.ExpiredHolders)
 	for _, t := range h.tenants {
-		wanted := math.Ceil(t.issued.since(headroomCells) + awaitedHeadroomTimes*t.record.awaited + t.largest)
-		t.largest *= largestAskDecay
-		if last || t.issued.sum <= 0 && t.record.awaited == 0 {
-			wanted = 0
+		needed := math.Ceil(t.issued.sumOfNewest(headroomCells) + awaitedHeadroomFactor*t.headroom.awaitedAmount + t.largestRequest)
+		t.largestRequest *= largestRequestDecay
+		if last || t.issued.sum <= 0 && t.headroom.awaitedAmount == 0 {
+			needed = 0
 		}
-		t.record.writing, t.record.nextLeft, t.record.awaited = true, wanted, 0
+		t.headroom.writing, t.headroom.nextRemaining, t.headroom.awaitedAmount = true, needed, 0
 		record.Tenants = append(record.Tenants, RecordedTenant{
-			Name: t.name, Headroom: uint64(wanted), Issued: t.issued.recordedParts(),
+			Name: t.name, Headroom: uint64(needed), Issued: t.issued.recordedCells(),
 		})
 	}
 	slices.SortFunc(record.Tenants, func(a, b RecordedTenant) int { return cmp.Compare(a.Name, b.Name) })
-	h.shareRecord(now, record)
+	h.replicateRecord(now, record)
 	return record
 }
 
-// recordWritten takes in that a record is synced.
+// recordWritten handles the result of writing a record to the disk.
 func (h *Holder) recordWritten(now time.Time, written RecordWritten) {
 	if written.Sequence != h.recorder.sequence || !h.recorder.writing {
 		return
@@ -130,50 +135,53 @@
 		return
 	}
 	h.recorder.synced = true
-	h.endRecordInForce(now)
+	h.endRecordIfDurable(now)
 }
 
-// recordAcknowledged takes in that a peer keeps the newest record.
+// recordAcknowledged handles a peer's acknowledgement of the newest record.
 func (h *Holder) recordAcknowledged(now time.Time, ack *protocol.PeerRecordAck) {
 	if ack.Sequence == h.recorder.sequence && h.recorder.writing {
-		h.recorder.acked = true
-		h.endRecordInForce(now)
+		h.recorder.acknowledged = true
+		h.endRecordIfDurable(now)
 	}
 }
 
-// failUnacknowledgedRecord gives a record up that no peer has acknowledged in time.
+// failUnacknowledgedRecord abandons a record that no peer has acknowledged in time.
 func (h *Holder) failUnacknowledgedRecord(now time.Time) {
-	if h.recorder.writing && h.recorder.synced && !h.recorder.acked && now.Sub(h.recorder.begunAt) >= ackTimeout {
+	if h.recorder.writing && h.recorder.synced && !h.recorder.acknowledged && now.Sub(h.recorder.startedAt) >= ackTimeout {
 		h.endRecord(now, false, ackRetryInterval)
 	}
 }
 
-func (h *Holder) endRecordInForce(now time.Time) {
-	if h.recorder.synced && h.recorder.acked {
+// endRecordIfDurable ends a record that is synced here and at a peer.
+func (h *Holder) endRecordIfDurable(now time.Time) {
+	if h.recorder.synced && h.recorder.acknowledged {
 		h.endRecord(now, true, 0)
 	}
 }
 
-// endRecord puts the headroom of a record in force, or gives the record up, and goes on with the asks that waited for it.
-func (h *Holder) endRecord(now time.Time, inForce bool, backoff time.Duration) {
+// endRecord makes the headroom of a durable record available, or abandons the record, and resumes the requests that waited for it.
+func (h *Holder) endRecord(now time.Time, durable bool, backoff time.Duration) {
 	h.recorder.writing = false
-	if !inForce {
+	if !durable {
 		h.recorder.retryAt = now.Add(backoff)
 	}
 	for _, t := range h.tenants {
-		if !t.record.writing {
-			t.record.left = 0 // it came after the record was made, which does not have it
+		if !t.headroom.writing {
+			t.headroom.remaining = 0 // the tenant was added after the record was made, so the record does not include it
 			continue
 		}
-		t.record.writing = false
-		if inForce {
-			t.record.left = t.record.nextLeft
+		t.headroom.writing = false
+		if durable {
+			t.headroom.remaining = t.headroom.nextRemaining
 		} else {
-			// The disk or a peer may have it all the same.
-			t.record.left = math.Min(t.record.left, t.record.nextLeft)
+			// The record may still be on the disk or at a peer.
+			t.headroom.remaining = math.Min(t.headroom.remaining, t.headroom.nextRemaining)
 		}
 	}
-	h.resumeAsks(now, func(a *ask) bool { return a.stage == awaitingRecord && a.record <= h.recorder.sequence })
+	h.resumeRequests(now, func(r *creditRequest) bool {
+		return r.stage == awaitingRecord && r.awaitedRecord <= h.recorder.sequence
+	})
 }
 
 func later(a, b time.Time) time.Time {
--- a/internal/control/quota/takeover.go
+++ b/internal/control/quota/takeover.go
@@ -9,92 +9,96 @@
 	"raventrestle/internal/protocol"
 )
 
-// A holder that is given another one's shares need not wait until that one's issues have left all windows, if it knows them.
+// A holder that is given another holder's shares may use them at once if it knows what that holder issued. It does not have to
+// wait until that credit has left all windows.
 //
-// A holder issues nothing beyond the headroom of a record that a peer has acknowledged. A peer acknowledges no record that
-// lists a share which the holder has lost by the table as applied there. So once every instance that may have acknowledged
-// one has applied the change that took the shares away, the newest record that they keep bounds all that the former owner
-// has issued and will issue, whether it lives or not. Its successor asks them all, and counts its part of that record as its own
-// issues.
+// A holder issues nothing beyond the headroom of a record that a peer has acknowledged. A peer does not acknowledge a record
+// that lists a share which the holder has lost according to the table applied at the peer. So once every instance that may have
+// acknowledged a record has applied the change that reassigned the shares, the newest record that they store is an upper bound
+// of what the previous owner has issued and will issue, whether that owner is running or not. The new owner requests the record
+// from all of them, and counts its part of what the newest one lists as issued by itself.
 //
-// Which instances may have acknowledged one: those registered at any time within the holder lease. An instance that was
-// dropped from the table before has no lease any more, nor has a holder that is cut off together with it. The table lists
-// the former holders, and the own record which of them were dropped longer ago.
+// The instances that may have acknowledged a record are those that were registered at any time within the holder lease. An
+// instance that was removed from the table earlier has no valid lease, and neither has a holder that was partitioned together
+// with it. The table lists the former holders, and a holder's record lists those of them whose leases have ended.
 //
-// Copies are on the disk before they are acknowledged: what all but the former owner know outlives a loss of all power.
+// Copies are synced to disk before they are acknowledged, so the copies at the peers of a previous owner survive a power loss of
+// all machines.
 
 const (
 	takeoverRetryInterval = 150 * time.Millisecond
-	maxRecordPeers        = 3 // that a record is sent to
+	maxRecordReplicas     = 3 // peers that a record is sent to
 )
 
-// takeover is the search for the newest record of a former owner.
+// takeover is the retrieval of the newest record of a previous owner.
 type takeover struct {
-	owner   string // identity
-	table   uint64 // sequence of the table that gave the shares
-	shares  []int
-	answers map[string]bool // by identity of the instances that have answered
-	newest  *Record
-	askedAt time.Time
+	owner         string          // identity of the previous owner
+	tableSequence uint64          // of the table that reassigned the shares
+	shares        []int           // indexes
+	answered      map[string]bool // identities of the instances that have answered
+	newestRecord  *Record         // newest of the received records and the local copy; nil: none yet
+	requestedAt   time.Time       // zero: not yet
 }
 
 // RecordCopy is the newest record of another holder.
 type RecordCopy struct {
-	Record  *Record
-	Encoded []byte // as Record.Encode returned it
-	ReplyTo string // address of the holder's process that waits for the acknowledgement
+	Record     *Record
+	Encoded    []byte // as returned by Record.Encode
+	AckAddress string // address of the holder's process, which waits for the acknowledgement
 }
 
-// CopyKept is an event: a copy that Output.Copies named is synced, or Err says why not.
-type CopyKept struct {
+// CopyWritten is an event: a copy in Output.Copies is synced, or Err is the reason why not.
+type CopyWritten struct {
 	Copy *RecordCopy
 	Err  error
 }
 
-// Former is what an earlier process of this instance left on its disk.
-type Former struct {
-	Record *Record // newest of what it issued; nil: there is none that can be read
-	Fresh  bool    // no earlier process has issued anything: the disk was empty
-	Copies []*RecordCopy
-	// CopiesLost says that some copy can't be read: this instance can't say what other holders had issued.
-	CopiesLost bool
+// PersistedState is what an earlier process of this instance left on its disk.
+type PersistedState struct {
+	Record    *Record       // newest record of issued credit; nil: none is readable
+	DiskEmpty bool          // the disk was empty, so no earlier process has issued credit
+	Copies    []*RecordCopy // of other holders' records
+	// CopiesUnreadable reports that some copy cannot be read, so this instance does not know what other holders issued.
+	CopiesUnreadable bool
 }
 
-// observeTable takes in the table of shares.
+// observeTable applies the table of shares.
 func (h *Holder) observeTable(now time.Time, table shares.Table) {
 	for _, holder := range table.Holders {
-		h.registered[holder] = now
-		delete(h.ended, holder)
+		h.lastRegisteredAt[holder] = now
+		delete(h.expiredBeforeStart, holder)
 	}
-	for _, holder := range table.Former {
-		if _, known := h.registered[holder]; !known && !h.ended[holder] {
-			h.registered[holder] = now // it may have been dropped a moment ago
+	for _, holder := range table.FormerHolders {
+		if _, known := h.lastRegisteredAt[holder]; !known && !h.expiredBeforeStart[holder] {
+			h.lastRegisteredAt[holder] = now // it may have been removed just before
 		}
 	}
 	if h.hasTable && table.Sequence == h.table.Sequence {
 		return
 	}
 	h.hasTable, h.table = true, table
-	for owner, given := range h.ownership.observe(now, table) {
-		h.takeovers = append(h.takeovers, &takeover{owner: owner, table: table.Sequence, shares: given, answers: make(map[string]bool)})
+	for owner, reassigned := range h.ownership.observeTable(now, table) {
+		h.takeovers = append(h.takeovers, &takeover{
+			owner: owner, tableSequence: table.Sequence, shares: reassigned, answered: make(map[string]bool),
+		})
 	}
 }
 
-// needsAck reports whether a record must be acknowledged by a peer: another instance is registered.
+// needsAck reports whether a record must be acknowledged by a peer, which is so if another instance is registered.
 func (h *Holder) needsAck() bool {
 	return slices.ContainsFunc(h.table.Holders, func(holder string) bool { return holder != h.config.Identity })
 }
 
-// shareRecord sends a record to some peers.
-func (h *Holder) shareRecord(now time.Time, record *Record) {
+// replicateRecord sends a record to at most maxRecordReplicas peers.
+func (h *Holder) replicateRecord(now time.Time, record *Record) {
 	encoded, err := record.Encode()
 	if err != nil {
-		return // plain fields can always be encoded
+		return // cannot happen: all fields are encodable
 	}
 	sent := 0
-	for _, group := range [][]Peer{h.farPeers, h.nearPeers} { // another zone is less likely to be lost at the same time
+	for _, group := range [][]Peer{h.farPeers, h.nearPeers} { // another zone is less likely to fail at the same time
 		for _, peer := range group {
-			if sent < maxRecordPeers && h.table.HasHolder(peer.Identity) {
+			if sent < maxRecordReplicas && h.table.HasHolder(peer.Identity) {
 				sent++
 				h.send(peer.Address, &protocol.PeerRecord{
 					Origin: h.origin(now), Identity: h.config.Identity, Sequence: record.Sequence, Record: encoded,
@@ -104,8 +108,8 @@
 	}
 }
 
-// peerRecorded keeps another holder's record, unless it lists a share that the holder has lost.
-func (h *Holder) peerRecorded(message *protocol.PeerRecord) {
+// peerRecordReceived stores another holder's record unless it lists a share that the holder has lost.
+func (h *Holder) peerRecordReceived(message *protocol.PeerRecord) {
 	record, err := DecodeRecord(message.Record)
 	if err != nil || record.Identity != message.Identity || record.Sequence != message.Sequence {
 		return
@@ -118,53 +122,55 @@
 			return
 		}
 	}
-	if kept := h.copies[message.Identity]; kept != nil && kept.Record.Sequence > record.Sequence {
+	if existing := h.copies[message.Identity]; existing != nil && existing.Record.Sequence > record.Sequence {
 		return
 	}
-	kept := &RecordCopy{Record: record, Encoded: message.Record, ReplyTo: message.Origin.Address}
-	h.copies[message.Identity] = kept
-	h.out.Copies = append(h.out.Copies, kept)
+	received := &RecordCopy{Record: record, Encoded: message.Record, AckAddress: message.Origin.Address}
+	h.copies[message.Identity] = received
+	h.output.Copies = append(h.output.Copies, received)
 }
 
-// copyKept acknowledges a record that is on the disk now.
-func (h *Holder) copyKept(now time.Time, kept CopyKept) {
-	if kept.Err == nil {
-		h.send(kept.Copy.ReplyTo, &protocol.PeerRecordAck{Origin: h.origin(now), Sequence: kept.Copy.Record.Sequence})
+// copyWritten acknowledges a record whose copy is synced.
+func (h *Holder) copyWritten(now time.Time, written CopyWritten) {
+	if written.Err == nil {
+		h.send(written.Copy.AckAddress, &protocol.PeerRecordAck{Origin: h.origin(now), Sequence: written.Copy.Record.Sequence})
 	}
 }
 
-// endedHolders returns the former holders whose leases have ended.
-func (h *Holder) endedHolders(now time.Time) []string {
-	var ended []string
-	for _, holder := range h.table.Former {
-		if h.ended[holder] || now.Sub(h.registered[holder]) > h.config.HolderLease+leaseMargin {
-			ended = append(ended, holder)
+// expiredHolders returns the former holders whose leases have ended.
+func (h *Holder) expiredHolders(now time.Time) []string {
+	var expired []string
+	for _, holder := range h.table.FormerHolders {
+		if h.expiredBeforeStart[holder] || now.Sub(h.lastRegisteredAt[holder]) > h.config.HolderLease+leaseMargin {
+			expired = append(expired, holder)
 		}
 	}
-	return ended
+	return expired
 }
 
-// peerAskedForCopy answers with the newest record of a holder, once this instance has the table that took its shares.
-func (h *Holder) peerAskedForCopy(now time.Time, request *protocol.PeerCopyRequest) {
-	if h.table.Sequence < request.Table || h.copiesLost && request.Owner != h.config.Identity {
-		return // asked again, or it can't be told
+// copyRequestReceived answers with the newest record of a holder once this instance has applied the table that reassigned its
+// shares.
+func (h *Holder) copyRequestReceived(now time.Time, request *protocol.PeerCopyRequest) {
+	if h.table.Sequence < request.Table || h.copiesUnreadable && request.Owner != h.config.Identity {
+		return // the requester retries, or this instance cannot know the newest record
 	}
 	answer := &protocol.PeerCopy{Origin: h.origin(now), Identity: h.config.Identity, Owner: request.Owner, Table: request.Table}
-	switch kept := h.copies[request.Owner]; {
+	switch stored := h.copies[request.Owner]; {
 	case request.Owner == h.config.Identity:
-		answer.Record = h.encodedIssues(now)
-	case kept != nil:
-		answer.Record = kept.Encoded
+		answer.Record = h.encodeIssuedCredit(now)
+	case stored != nil:
+		answer.Record = stored.Encoded
 	}
 	h.send(request.Origin.Address, answer)
 }
 
-// encodedIssues is a record of what this holder issued in the newest interval, for the successor of shares that it has lost.
-func (h *Holder) encodedIssues(now time.Time) []byte {
-	record := &Record{Sequence: math.MaxUint64, Identity: h.config.Identity, Shares: h.ownership.issuedFor(now)}
+// encodeIssuedCredit returns a record of what this holder issued in the newest interval. It is meant for the new owner of shares
+// that this holder has lost.
+func (h *Holder) encodeIssuedCredit(now time.Time) []byte {
+	record := &Record{Sequence: math.MaxUint64, Identity: h.config.Identity, Shares: h.ownership.recentlyUsableShares(now)}
 	for name := range h.tenants {
 		t := h.tenant(now, name)
-		record.Tenants = append(record.Tenants, RecordedTenant{Name: name, Issued: t.issued.recordedParts()})
+		record.Tenants = append(record.Tenants, RecordedTenant{Name: name, Issued: t.issued.recordedCells()})
 	}
 	encoded, err := record.Encode()
 	if err != nil {
@@ -173,7 +179,7 @@
 	return encoded
 }
 
-// continueTakeovers asks those that have not answered, and ends what is over: the shares are usable by now, or lost again.
+// continueTakeovers removes takeovers whose shares are usable or lost again, and requests missing answers for the others.
 func (h *Holder) continueTakeovers(now time.Time) {
 	h.takeovers = slices.DeleteFunc(h.takeovers, func(t *takeover) bool {
 		t.shares = slices.DeleteFunc(t.shares, func(i int) bool {
@@ -183,77 +189,78 @@
 		return len(t.shares) == 0
 	})
 	for _, t := range h.takeovers {
-		if now.Sub(t.askedAt) < takeoverRetryInterval {
+		if now.Sub(t.requestedAt) < takeoverRetryInterval {
 			continue
 		}
-		t.askedAt = now
+		t.requestedAt = now
 		for _, peer := range slices.Concat(h.nearPeers, h.farPeers) {
-			if !t.answers[peer.Identity] {
-				h.send(peer.Address, &protocol.PeerCopyRequest{Origin: h.origin(now), Owner: t.owner, Table: t.table})
+			if !t.answered[peer.Identity] {
+				h.send(peer.Address, &protocol.PeerCopyRequest{Origin: h.origin(now), Owner: t.owner, Table: t.tableSequence})
 			}
 		}
 		h.finishTakeover(now, t)
 	}
 }
 
-// copyReceived takes in an answer to a request for a record.
-func (h *Holder) copyReceived(now time.Time, copied *protocol.PeerCopy) {
-	at := slices.IndexFunc(h.takeovers, func(t *takeover) bool { return t.owner == copied.Owner && t.table == copied.Table })
-	if at < 0 {
+// copyReceived handles a peer's answer to a request for a copy.
+func (h *Holder) copyReceived(now time.Time, answer *protocol.PeerCopy) {
+	index := slices.IndexFunc(h.takeovers, func(t *takeover) bool { return t.owner == answer.Owner && t.tableSequence == answer.Table })
+	if index < 0 {
 		return
 	}
-	t := h.takeovers[at]
-	if len(copied.Record) > 0 {
-		record, err := DecodeRecord(copied.Record)
+	t := h.takeovers[index]
+	if len(answer.Record) > 0 {
+		record, err := DecodeRecord(answer.Record)
 		if err != nil || record.Identity != t.owner {
 			return
 		}
-		if t.newest == nil || record.Sequence > t.newest.Sequence {
-			t.newest = record
+		if t.newestRecord == nil || record.Sequence > t.newestRecord.Sequence {
+			t.newestRecord = record
 		}
 	}
-	t.answers[copied.Identity] = true
+	t.answered[answer.Identity] = true
 	h.finishTakeover(now, t)
 }
 
-// finishTakeover counts a part of the former owner's issues here and makes the shares usable, once all have answered that may have
-// acknowledged a record of it.
+// finishTakeover ends a takeover once all instances that may have acknowledged a record of the previous owner have answered. It
+// counts this holder's part of the credit that the newest record lists, and makes the shares usable.
 func (h *Holder) finishTakeover(now time.Time, t *takeover) {
-	if h.copiesLost {
+	if h.copiesUnreadable {
 		return
 	}
-	kept := h.copies[t.owner]
-	if kept != nil && (t.newest == nil || kept.Record.Sequence > t.newest.Sequence) {
-		t.newest = kept.Record
+	stored := h.copies[t.owner]
+	if stored != nil && (t.newestRecord == nil || stored.Record.Sequence > t.newestRecord.Sequence) {
+		t.newestRecord = stored.Record
 	}
-	for holder, seen := range h.registered {
-		if holder != h.config.Identity && holder != t.owner && now.Sub(seen) <= h.config.HolderLease+leaseMargin && !t.answers[holder] {
+	for holder, registeredAt := range h.lastRegisteredAt {
+		if holder != h.config.Identity && holder != t.owner &&
+			now.Sub(registeredAt) <= h.config.HolderLease+leaseMargin && !t.answered[holder] {
 			return
 		}
 	}
-	if t.newest == nil {
+	if t.newestRecord == nil {
 		return
 	}
-	listed := 0
+	takenOver := 0
 	for _, i := range t.shares {
-		if slices.ContainsFunc(t.newest.Shares, func(s RecordedShare) bool { return s.Index == i }) {
-			listed++
-			h.ownership.takeOver(now, i)
+		if slices.ContainsFunc(t.newestRecord.Shares, func(s RecordedShare) bool { return s.Index == i }) {
+			takenOver++
+			h.ownership.setUsable(now, i)
 		}
 	}
-	h.countIssues(now, t.newest, float64(listed)/float64(max(1, len(t.newest.Shares))))
+	h.countIssuedCredit(now, t.newestRecord, float64(takenOver)/float64(max(1, len(t.newestRecord.Shares))))
 }
 
-// countIssues counts a part of another holder's issues, and of its headroom, as this one's.
-func (h *Holder) countIssues(now time.Time, record *Record, part float64) {
-	if part <= 0 {
+// countIssuedCredit counts a fraction of the issued credit and the headroom in another holder's record as issued by this holder.
+func (h *Holder) countIssuedCredit(now time.Time, record *Record, fraction float64) {
+	if fraction <= 0 {
 		return
 	}
 	for _, recorded := range record.Tenants {
-		parts := make([]uint64, len(recorded.Issued))
+		cells := make([]uint64, len(recorded.Issued))
 		for i, amount := range recorded.Issued {
-			parts[i] = uint64(math.Ceil(float64(amount) * part))
+			cells[i] = uint64(math.Ceil(float64(amount) * fraction))
 		}
-		h.tenant(now, recorded.Name).issued.restore(parts, uint64(math.Ceil(float64(recorded.Headroom)*part)))
+		h.tenant(now, recorded.Name).issued.restore(cells, uint64(math.Ceil(float64(recorded.Headroom)*fraction)))
 	}
 }
--- a/internal/control/quota/takeover_test.go
+++ b/internal/control/quota/takeover_test.go
@@ -9,7 +9,8 @@
 	"raventrestle/internal/protocol"
 )
 
-// takeoverTables returns a table in which four holders have equal parts, and the next, in which the others have the part of "d".
+// takeoverTables returns a table in which four holders own equal numbers of shares, and one in which the shares of "d" are
+// reassigned to the other three.
 func takeoverTables() (before, after shares.Table) {
 	before = tableOf("a", "b", "c", "d")
 	owners := make([]string, shares.Count)
@@ -24,8 +25,8 @@
 	return before, after
 }
 
-// copyOf is what a peer answers that keeps a record of "d" with all of its former shares; nothing was recorded if sequence is 0.
-func copyOf(t *testing.T, before, after shares.Table, peer string, sequence, issued uint64) PeerMessageReceived {
+// copyFrom returns the answer of a peer that stores a record of "d" with all its former shares. A sequence of 0 means no record.
+func copyFrom(t *testing.T, before, after shares.Table, peer string, sequence, issued uint64) PeerMessageReceived {
 	t.Helper()
 	answer := &protocol.PeerCopy{Identity: peer, Owner: "d", Table: after.Sequence}
 	if sequence > 0 {
@@ -44,7 +45,7 @@
 	return PeerMessageReceived{Message: answer}
 }
 
-// newSuccessor returns the holder "a" just after it was given a third of the shares of "d".
+// newSuccessor returns the holder "a" just after a third of the shares of "d" were reassigned to it.
 func newSuccessor(t *testing.T) (d *holderDriver, before, after shares.Table) {
 	t.Helper()
 	before, after = takeoverTables()
@@ -63,40 +64,40 @@
 	}
 }
 
-func TestSuccessorWaitsForTheCopiesOfAll(t *testing.T) {
+func TestSuccessorWaitsForTheAnswersOfAllPeers(t *testing.T) {
 	d, before, after := newSuccessor(t)
 	d.requireUsable(15.0 / 60)
-	d.step(10*time.Millisecond, copyOf(t, before, after, "b", 5, 300))
-	d.requireUsable(15.0 / 60) // "c" may keep a newer one
-	d.step(10*time.Millisecond, copyOf(t, before, after, "c", 6, 900))
+	d.step(10*time.Millisecond, copyFrom(t, before, after, "b", 5, 300))
+	d.requireUsable(15.0 / 60) // "c" may have a newer one
+	d.step(10*time.Millisecond, copyFrom(t, before, after, "c", 6, 900))
 	d.requireUsable(20.0 / 60)
 	if got := d.holder.View(d.now).Tenants[0].Issued; got != 300 {
-		t.Errorf("counts %v as issued, want 300: a third of the newest copy", got)
+		t.Errorf("counted %v as issued, want 300, a third of the newest copy", got)
 	}
 }
 
 func TestSuccessorCountsTheNewestCopyInAnyOrder(t *testing.T) {
 	d, before, after := newSuccessor(t)
-	d.step(10*time.Millisecond, copyOf(t, before, after, "c", 6, 900))
-	d.step(10*time.Millisecond, copyOf(t, before, after, "b", 5, 300))
+	d.step(10*time.Millisecond, copyFrom(t, before, after, "c", 6, 900))
+	d.step(10*time.Millisecond, copyFrom(t, before, after, "b", 5, 300))
 	d.requireUsable(20.0 / 60)
 	if got := d.holder.View(d.now).Tenants[0].Issued; got != 300 {
-		t.Errorf("counts %v as issued, want 300: a third of the newest copy", got)
+		t.Errorf("counted %v as issued, want 300, a third of the newest copy", got)
 	}
 }
 
-func TestSharesWithoutAnyCopyRest(t *testing.T) {
+func TestSharesWithoutACopyAreUnusableUntilIssuedCreditExpires(t *testing.T) {
 	d, before, after := newSuccessor(t)
-	d.step(10*time.Millisecond, copyOf(t, before, after, "b", 0, 0), copyOf(t, before, after, "c", 0, 0))
+	d.step(10*time.Millisecond, copyFrom(t, before, after, "b", 0, 0), copyFrom(t, before, after, "c", 0, 0))
 	d.requireUsable(15.0 / 60)
-	d.step(d.holder.config.HolderLease + leaseMargin + d.holder.config.interval() + time.Second)
-	d.requireUsable(20.0 / 60) // what "d" had issued has left all windows
+	d.step(d.holder.config.HolderLease + leaseMargin + d.holder.config.issuanceInterval() + time.Second)
+	d.requireUsable(20.0 / 60) // what "d" issued has left all windows
 }
 
-func TestNothingIsIssuedBeforeAPeerKeepsTheRecord(t *testing.T) {
+func TestNothingIsIssuedBeforeAPeerAcknowledgesTheRecord(t *testing.T) {
 	d := newDriver(t, "a", nil, true, tableOf("a", "b"))
-	if out := d.step(0, routerAsk(1, 100)); len(out.RouterGrants) != 0 {
-		t.Fatalf("answered %+v when only the own disk has the record", out.RouterGrants[0].Grant)
+	if out := d.step(0, routerRequest(1, 100)); len(out.RouterGrants) != 0 {
+		t.Fatalf("answered %+v while only the own disk has the record", out.RouterGrants[0].Grant)
 	}
 	kept := PeerMessageReceived{Message: &protocol.PeerRecordAck{Sequence: d.record.Sequence}}
 	if got := d.granted(d.step(time.Millisecond, kept)); got != 100 {
@@ -104,8 +105,9 @@
 	}
 }
 
-// A record that lists a share which its holder has lost is not acknowledged: the successor has asked by then.
-func TestNoRecordOfLostSharesIsAcknowledged(t *testing.T) {
+// A record that lists a share which its holder has lost is not acknowledged, because the new owner may already have requested
+// the copies.
+func TestRecordOfLostSharesIsNotAcknowledged(t *testing.T) {
 	before, after := takeoverTables()
 	for _, test := range []struct {
 		name  string
@@ -116,11 +118,11 @@
 		{"after the change", after, 0},
 	} {
 		d := newDriver(t, "a", nil, true, test.table)
-		copied := copyOf(t, before, after, "d", 1, 100).Message.(*protocol.PeerCopy)
+		copied := copyFrom(t, before, after, "d", 1, 100).Message.(*protocol.PeerCopy)
 		d.in.ConfirmedAt = d.now
 		d.in.Events = []Event{PeerMessageReceived{Message: &protocol.PeerRecord{Identity: "d", Sequence: 1, Record: copied.Record}}}
 		if got := len(d.holder.Step(d.now, d.in).Copies); got != test.want {
-			t.Errorf("%s: %d copies are kept, want %d", test.name, got, test.want)
+			t.Errorf("%s: stored %d copies, want %d", test.name, got, test.want)
 		}
 	}
 }
--- a/internal/control/quota/tenant.go
+++ b/internal/control/quota/tenant.go
@@ -5,67 +5,69 @@
 	"time"
 )
 
-// tenant is one limit as this holder issues credit for it. A tenant without issues in the interval has none.
+// tenant is the state of one limit at this holder. Tenants without issued credit in the interval have no state.
 type tenant struct {
-	name    string
-	issued  issuance
-	record  headroom
-	largest float64 // newest large ask: it decays with each record
-	denial  denial
-	peers   map[string]time.Time // by address: not to be asked again for this tenant before
-	askedOf int                  // requests to peers so far: they are asked by turns
+	name           string
+	issued         issuance
+	headroom       headroom
+	largestRequest float64 // largest recent request, reduced by largestRequestDecay with each record
+	reservation    priorityReservation
+	exhaustedUntil map[string]time.Time // until when peers that granted too little get no request for this tenant, by address
+	peerRequests   int                  // number of requests to peers so far, for round robin
 
 	granted, denied float64 // since the process started
 }
 
-// denial is the most urgent rank of a tenant that was lately refused for want of credit. Small requests find what they need
-// more often than large ones: for a moment, less urgent ones leave what one of the refused ones needs.
-type denial struct {
-	rank     int
-	missing  float64 // mean of what the refused requests needed
-	until    time.Time
-	bypasses int // less urgent requests since then
+// priorityReservation keeps credit available for requests of a rank that was recently denied. A small request finds enough credit
+// more often than a large one, so for reservationTTL less urgent requests must leave as much as one denied request needs.
+type priorityReservation struct {
+	rank               int     // of the most urgent denied request; 0 is the most urgent
+	meanAmount         float64 // moving average of what the denied requests needed
+	expiresAt          time.Time
+	lessUrgentRequests int // since the process started
 }
 
 const (
-	denialTime      = time.Second
-	denialSmoothing = 0.25 // weight of a refused request in the mean
-	denialExemption = 8    // each so many less urgent requests are exempt
-	maxDenialShare  = 0.5  // of this holder's part of the limit, that is left at most
+	reservationTTL             = time.Second
+	reservationSmoothing       = 0.25 // weight of the newest denied request in the average
+	reservationExemptionPeriod = 8    // one in this many less urgent requests is exempt
+	maxReservationFraction     = 0.5  // maximum of the reserved amount, as a fraction of the holder's limit
 )
 
-// note takes in a refusal; less urgent ones than the noted rank don't count.
-func (d *denial) note(now time.Time, rank int, missing float64) {
-	active := now.Before(d.until)
-	if active && rank > d.rank {
+// recordDenial renews the reservation for a denied request. It ignores a request that is less urgent than an active reservation.
+func (r *priorityReservation) recordDenial(now time.Time, rank int, amount float64) {
+	active := now.Before(r.expiresAt)
+	if active && rank > r.rank {
 		return
 	}
-	if !active || rank < d.rank {
-		d.missing = missing
+	if !active || rank < r.rank {
+		r.meanAmount = amount
 	}
-	d.rank = rank
-	d.missing += (missing - d.missing) * denialSmoothing
-	d.until = now.Add(denialTime)
+	r.rank = rank
+	r.meanAmount += (amount - r.meanAmount) * reservationSmoothing
+	r.expiresAt = now.Add(reservationTTL)
 }
 
-// left returns what a request of a rank must leave of this holder's part of the limit.
-func (d *denial) left(now time.Time, rank int, part float64) float64 {
-	if !now.Before(d.until) || rank <= d.rank {
+// reservedFrom returns the amount that a request of the given rank must leave of the holder's limit.
+func (r *priorityReservation) reservedFrom(now time.Time, rank int, localLimit float64) float64 {
+	if !now.Before(r.expiresAt) || rank <= r.rank {
 		return 0
 	}
-	if d.bypasses++; d.bypasses%denialExemption == 0 {
+	if r.lessUrgentRequests++; r.lessUrgentRequests%reservationExemptionPeriod == 0 {
 		return 0
 	}
-	return math.Min(d.missing, maxDenialShare*part)
+	return math.Min(r.meanAmount, maxReservationFraction*localLimit)
 }
 
-// mayAsk reports whether a peer may be asked for this tenant's credit.
-func (t *tenant) mayAsk(now time.Time, peer string) bool { return !now.Before(t.peers[peer]) }
+// mayRequestFrom reports whether this tenant's credit may be requested from a peer now.
+func (t *tenant) mayRequestFrom(now time.Time, peer string) bool {
+	return !now.Before(t.exhaustedUntil[peer])
+}
 
-// noteExhausted keeps a peer from being asked again for a moment.
+// noteExhausted prevents further requests to a peer for this tenant until exhaustedPeerBackoff has passed.
 func (t *tenant) noteExhausted(now time.Time, peer string) {
-	if t.peers == nil {
-		t.peers = make(map[string]time.Time)
+	if t.exhaustedUntil == nil {
+		t.exhaustedUntil = make(map[string]time.Time)
 	}
-	t.peers[peer] = now.Add(exhaustedTime)
+	t.exhaustedUntil[peer] = now.Add(exhaustedPeerBackoff)
 }
--- a/internal/control/quotahost/doc.go
+++ b/internal/control/quotahost/doc.go
@@ -1,3 +1,3 @@
-// Package quotahost runs the quota holder of a control instance in the process: one goroutine owns it, takes requests for
-// credit from a queue, steps it, sends its answers, and has its records written to the instance's disk.
+// Package quotahost runs the quota holder of a control instance. One goroutine owns the holder, takes events from a queue, steps
+// the holder, sends its messages, and has its records written to the instance's disk.
 package quotahost
--- a/internal/control/quotahost/host.go
+++ b/internal/control/quotahost/host.go
@@ -18,78 +18,79 @@
 )
 
 const (
-	queueCapacity       = 1024 // events; who posts more waits
-	maxStepEvents       = 256  // taken from the queue for one step, beside the one that began it
-	registrationTimeout = 2 * time.Second
-	registrationRetry   = time.Second
+	queueCapacity          = 1024 // commands; a caller that posts to a full queue waits
+	maxStepEvents          = 256  // additional events taken from the queue for one step
+	registrationTimeout    = 2 * time.Second
+	registrationRetryDelay = time.Second
 )
 
-// ErrStopped says that the host has stopped.
+// ErrStopped is returned once the host has stopped.
 var ErrStopped = errors.New("quota holder has stopped")
 
-// Mesh sends messages to other instances. It never blocks; messages may be lost.
+// Mesh sends messages to other instances. It does not block, and messages may be lost.
 type Mesh interface {
 	Send(address string, message any)
 }
 
-// Replicated is the replicated state as this instance has it.
+// Replicated is the replicated state as applied at this instance.
 type Replicated interface {
-	Current() *configuration.Configuration // nil: there is none yet
+	Current() *configuration.Configuration // nil: none yet
 	Shares() shares.Table
 }
 
-// EventRecorder records the host's events in the log, one line each. The host calls it from one goroutine.
+// EventRecorder logs the host's events, one line each. The host calls it from one goroutine at a time.
 type EventRecorder interface {
-	// RecordFailed records that a record of issues could not be written.
+	// RecordFailed logs that a record of issued credit could not be written.
 	RecordFailed(err error)
 }
 
-// Config is fixed at the start of the process.
+// Config is fixed when the process starts.
 type Config struct {
 	Holder    quota.Config
-	Directory string // of the instance's disk, for the records of what was issued
+	Directory string // on the instance's disk, for the records of issued credit
 }
 
-// Dependencies are the collaborators of a host. All are required.
+// Dependencies are what a host depends on. All of them are required.
 type Dependencies struct {
 	Replica     replica.Interface
 	Replicated  Replicated
-	ConfirmedAt func() time.Time // newest moment of which this instance knows all that was acknowledged before
+	ConfirmedAt func() time.Time // everything that was acknowledged before this time is applied here
 	Mesh        Mesh
 	Events      EventRecorder
 }
 
-// Host owns a holder. Its methods are safe for concurrent use.
+// Host runs a holder. Its methods are safe for concurrent use.
 type Host struct {
 	config       Config
 	dependencies Dependencies
-	queue        *commandqueue.Queue // commands: quota.Event and viewRequest
-	stopped      chan struct{}       // closed once the last record is written, or could not be
+	queue        *commandqueue.Queue // commands, for example quota.Event and viewRequest
+	stopped      chan struct{}       // closed after the attempt to write the last record
 	tasks        sync.WaitGroup
 
 	// Owned by Run.
-	holder  *quota.Holder
-	pending []quota.Event
-
-	// Owned by the goroutine that writes a record; at most one runs.
-	records *recordStore
-	queued  *quota.Record // of Run: to be written after the one that is being written
-	writing bool          // of Run
-	last    bool          // of Run: no record follows the one that shutting down makes
-
-	registering  bool                // of Run: a registration is under way
-	queuedCopies []*quota.RecordCopy // of Run: to be written after those that are being written
-	copying      bool                // of Run
+	holder        *quota.Holder
+	pendingEvents []quota.Event
+
+	// Used by the goroutines that write records and copies, at most one of each kind.
+	records       *recordStore
+	queuedRecord  *quota.Record // owned by Run: to be written after the record that is being written
+	writingRecord bool          // owned by Run
+	stopping      bool          // owned by Run: shutting down has begun, and the record that it makes is the last one
+
+	registering   bool                // owned by Run: a registration is in progress
+	queuedCopies  []*quota.RecordCopy // owned by Run: to be written after the copies that are being written
+	writingCopies bool                // owned by Run
 }
 
+// viewRequest is a command: it requests the holder's view.
 type viewRequest struct{ answer chan quota.View }
 
-// stopRequest asks for the last record.
+// stopRequest is a command: it begins the shutdown, which makes the last record.
 type stopRequest struct{}
 
-// New reads what an earlier process of this instance has recorded and returns a host; Run starts it.
+// New returns a host with the state that an earlier process of this instance persisted. Run starts it.
 func New(config Config, dependencies Dependencies) (*Host, error) {
-	records, former, err := openRecordStore(config.Directory)
+	records, persisted, err := openRecordStore(config.Directory)
 	if err != nil {
 		return nil, err
 	}
@@ -98,16 +99,16 @@
 		dependencies: dependencies,
 		queue:        commandqueue.New(queueCapacity),
 		stopped:      make(chan struct{}),
-		holder:       quota.New(config.Holder, time.Now(), former),
+		holder:       quota.New(config.Holder, time.Now(), persisted),
 		records:      records,
 	}, nil
 }
 
-// Message takes a message if it is one about credit, and reports whether it is.
+// Message queues a message about credit. It reports false for other messages, which it ignores.
 func (h *Host) Message(c *transport.Connection, message any) bool {
 	switch message := message.(type) {
 	case *protocol.CreditRequest:
-		h.queue.Post(context.Background(), quota.RouterAsked{Connection: c, Request: message})
+		h.queue.Post(context.Background(), quota.RouterRequestReceived{Connection: c, Request: message})
 	case *protocol.PeerCreditRequest, *protocol.PeerCreditGrant, *protocol.PeerCreditReturn,
 		*protocol.PeerRecord, *protocol.PeerRecordAck, *protocol.PeerCopyRequest, *protocol.PeerCopy:
 		h.queue.Post(context.Background(), quota.PeerMessageReceived{Message: message.(protocol.PeerMessage)})
@@ -117,7 +118,7 @@
 	return true
 }
 
-// View returns the state of the limits here. The error is ErrStopped or wraps the context's.
+// View returns the state of the limits at this instance. The error is ErrStopped or wraps that of the context.
 func (h *Host) View(ctx context.Context) (quota.View, error) {
 	answer := make(chan quota.View, 1)
 	if !h.queue.Post(ctx, viewRequest{answer: answer}) {
@@ -133,7 +134,7 @@
 	}
 }
 
-// Stop ends all issues and returns once the last record is written, or the context ends.
+// Stop stops issuing credit. It returns after the attempt to write the last record, or when the context ends.
 func (h *Host) Stop(ctx context.Context) {
 	if !h.queue.Post(ctx, stopRequest{}) {
 		return
@@ -145,7 +146,7 @@
 	}
 }
 
-// Run works through the queue until the context ends, and awaits the goroutines that it started.
+// Run processes commands until the context ends, and then waits for the goroutines that it started.
 func (h *Host) Run(ctx context.Context) {
 	defer h.tasks.Wait()
 	defer h.queue.End()
@@ -159,12 +160,12 @@
 		case command := <-h.queue.Commands():
 			h.handle(command)
 			h.queue.Drain(maxStepEvents, h.handle)
-		case <-changed: // shares may have changed: from now on they count as given to this instance
+		case <-changed: // a share counts as owned or lost from the step that observes the change
 			changed = h.dependencies.Replica.Changed()
 		case <-timer.C:
 		}
 		output := h.step(time.Now())
-		h.carryOut(ctx, output)
+		h.execute(ctx, output)
 		h.ensureRegistered(ctx)
 		if output.WakeAt.IsZero() {
 			timer.Stop()
@@ -177,31 +178,31 @@
 func (h *Host) handle(command any) {
 	switch command := command.(type) {
 	case quota.Event:
-		h.pending = append(h.pending, command)
+		h.pendingEvents = append(h.pendingEvents, command)
 	case viewRequest:
 		command.answer <- h.holder.View(time.Now())
 	case recordWritten:
-		h.writing = false
+		h.writingRecord = false
 		if command.result.Err != nil {
 			h.dependencies.Events.RecordFailed(command.result.Err)
 		}
-		h.pending = append(h.pending, command.result)
+		h.pendingEvents = append(h.pendingEvents, command.result)
 	case copiesWritten:
-		h.copying = false
+		h.writingCopies = false
 	case registrationEnded:
 		h.registering = false
 	case stopRequest:
-		h.last = true
-		h.pending = append(h.pending, quota.ShutdownBegan{})
+		h.stopping = true
+		h.pendingEvents = append(h.pendingEvents, quota.ShutdownBegan{})
 	}
 }
 
 func (h *Host) step(now time.Time) quota.Output {
-	events := h.pending
-	h.pending = nil
+	events := h.pendingEvents
+	h.pendingEvents = nil
 	status := h.dependencies.Replica.Status()
 	return h.holder.Step(now, quota.Input{
-		ConfirmedAt:   h.dependencies.ConfirmedAt(), // before the table, which then has all that it covers
+		ConfirmedAt:   h.dependencies.ConfirmedAt(), // read before the table, so that the table covers it
 		Table:         h.dependencies.Replicated.Shares(),
 		Configuration: h.dependencies.Replicated.Current(),
 		Peers:         peersOf(status, h.dependencies.Replicated.Shares()),
@@ -209,7 +210,7 @@
 	})
 }
 
-// peersOf returns the live instances that can hold shares.
+// peersOf returns the live instances that are registered as holders.
 func peersOf(status replica.Status, table shares.Table) []quota.Peer {
 	peers := make([]quota.Peer, 0, len(status.LiveMembers))
 	for _, member := range status.LiveMembers {
@@ -220,32 +221,32 @@
 	return peers
 }
 
-// carryOut sends the answers and begins the record of a step.
-func (h *Host) carryOut(ctx context.Context, output quota.Output) {
+// execute sends the messages of a step and starts writing its records.
+func (h *Host) execute(ctx context.Context, output quota.Output) {
 	for _, grant := range output.RouterGrants {
-		_ = grant.Connection.(*transport.Connection).Send(grant.Grant) // whose connection broke asks elsewhere
+		_ = grant.Connection.(*transport.Connection).Send(grant.Grant) // a router that lost its connection repeats the request
 	}
 	for _, message := range output.PeerMessages {
 		h.dependencies.Mesh.Send(message.Address, message.Message)
 	}
 	if output.Record != nil {
-		h.queued = output.Record
+		h.queuedRecord = output.Record
 	}
 	h.queuedCopies = append(h.queuedCopies, output.Copies...)
-	h.writeQueued(ctx)
-	h.writeCopies(ctx)
+	h.writeQueuedRecord(ctx)
+	h.writeQueuedCopies(ctx)
 }
 
-// writeCopies begins to write the newest copies of other holders' records, unless some are being written.
-func (h *Host) writeCopies(ctx context.Context) {
-	if h.copying || len(h.queuedCopies) == 0 {
+// writeQueuedCopies starts writing the newest queued copies of other holders' records unless copies are being written.
+func (h *Host) writeQueuedCopies(ctx context.Context) {
+	if h.writingCopies || len(h.queuedCopies) == 0 {
 		return
 	}
 	copies := newestCopies(h.queuedCopies)
-	h.queuedCopies, h.copying = nil, true
+	h.queuedCopies, h.writingCopies = nil, true
 	h.tasks.Go(func() {
-		for _, kept := range copies {
-			h.queue.Post(ctx, quota.CopyKept{Copy: kept, Err: h.records.writeCopy(kept)})
+		for _, recordCopy := range copies {
+			h.queue.Post(ctx, quota.CopyWritten{Copy: recordCopy, Err: h.records.writeCopy(recordCopy)})
 		}
 		h.queue.Post(ctx, copiesWritten{})
 	})
@@ -254,31 +255,31 @@
 // copiesWritten is a command: the goroutine that wrote copies has ended.
 type copiesWritten struct{}
 
-// newestCopies leaves out copies that were superseded before they were written.
+// newestCopies returns the newest copy of each holder's record, omitting the superseded ones.
 func newestCopies(copies []*quota.RecordCopy) []*quota.RecordCopy {
-	newest := make(map[string]int) // in kept, by identity
-	var kept []*quota.RecordCopy
+	indexes := make(map[string]int) // in newest, by identity
+	var newest []*quota.RecordCopy
 	for _, c := range copies {
-		if at, known := newest[c.Record.Identity]; known {
-			kept[at] = c
+		if i, known := indexes[c.Record.Identity]; known {
+			newest[i] = c
 			continue
 		}
-		newest[c.Record.Identity] = len(kept)
-		kept = append(kept, c)
+		indexes[c.Record.Identity] = len(newest)
+		newest = append(newest, c)
 	}
-	return kept
+	return newest
 }
 
-// writeQueued begins to write the newest record, unless one is being written.
-func (h *Host) writeQueued(ctx context.Context) {
-	if h.writing || h.queued == nil {
+// writeQueuedRecord starts writing the queued record unless one is being written.
+func (h *Host) writeQueuedRecord(ctx context.Context) {
+	if h.writingRecord || h.queuedRecord == nil {
 		return
 	}
-	record, last := h.queued, h.last
-	h.queued, h.writing = nil, true
+	record, stopping := h.queuedRecord, h.stopping
+	h.queuedRecord, h.writingRecord = nil, true
 	h.tasks.Go(func() {
 		err := h.records.writeOwn(record)
-		if last {
+		if stopping {
 			close(h.stopped)
 		}
 		h.queue.Post(ctx, recordWritten{result: quota.RecordWritten{Sequence: record.Sequence, Err: err}})
@@ -288,9 +289,9 @@
 // recordWritten is a command: the goroutine that wrote a record has ended.
 type recordWritten struct{ result quota.RecordWritten }
 
-// ensureRegistered begins a registration if this instance is not listed among those that can hold shares.
+// ensureRegistered starts a registration if this instance is not listed as a holder.
 func (h *Host) ensureRegistered(ctx context.Context) {
-	if h.registering || h.last || h.dependencies.Replicated.Shares().HasHolder(h.config.Holder.Identity) {
+	if h.registering || h.stopping || h.dependencies.Replicated.Shares().HasHolder(h.config.Holder.Identity) {
 		return
 	}
 	h.registering = true
@@ -303,8 +304,8 @@
 // registrationEnded is a command: the goroutine that registered this instance has ended.
 type registrationEnded struct{}
 
-// register proposes that this instance be listed. Whether that succeeded is seen in the table; it ends a moment later than
-// the proposal, so that what failed is not repeated at once.
+// register proposes this instance as a holder. The result shows in the table. After a failure it waits for
+// registrationRetryDelay, so that the proposal is not repeated at once.
 func (h *Host) register(ctx context.Context) {
 	command, err := state.NewRegistration(h.config.Holder.Identity)
 	if err != nil {
@@ -315,7 +316,7 @@
 	if _, err := h.dependencies.Replica.Propose(bounded, command); err != nil {
 		select {
 		case <-ctx.Done():
-		case <-time.After(registrationRetry):
+		case <-time.After(registrationRetryDelay):
 		}
 	}
 }
--- a/internal/control/shares/assigner.go
+++ b/internal/control/shares/assigner.go
@@ -6,117 +6,118 @@
 )
 
 const (
-	// goneTimeout is how long a holder must have been gone before its shares are taken from it. It gets as many back when
-	// it returns.
-	goneTimeout = time.Second
+	// failureTimeout is how long a holder must be unreachable before its shares are reassigned. It gets an equal number of
+	// shares again after it returns.
+	failureTimeout = time.Second
 	// firstAssignmentDelay is how long the first assignment waits for live instances that have not registered yet.
 	firstAssignmentDelay = 2 * time.Second
-	// settleMargin is added to the lease until an instance counts as settled.
-	settleMargin = time.Second
-	// proposalTimeout is how long an assignment may be under way before the next is proposed.
+	// minLiveTimeMargin is added to the holder lease to give Assigner.minLiveTime.
+	minLiveTimeMargin = time.Second
+	// proposalTimeout is how long a proposed assignment may take to be applied before another one is proposed.
 	proposalTimeout = 2 * time.Second
-	// balanceInterval and maxMovedShares bound how fast shares are taken from live holders.
+	// balanceInterval and maxMovedShares limit how many shares are moved between live holders, and how often.
 	balanceInterval = 2 * time.Second
 	maxMovedShares  = Count / 3
 )
 
-// Assigner decides which assignment the leader proposes. It is pure and not safe for concurrent use. Each instance has one that
-// observes all the time, so that a new leader knows since when holders are gone.
+// Assigner determines which assignment the leader proposes. It is a pure state machine and not safe for concurrent use. Every
+// instance has one that observes all the time, so that a new leader already knows how long each holder has been unreachable.
 type Assigner struct {
-	startedAt  time.Time
-	proposedAt time.Time
-	proposed   uint64               // sequence of the newest proposal
-	balancedAt time.Time            // when shares were taken from live holders last
-	goneSince  map[string]time.Time // holders that are not live
-	liveSince  map[string]time.Time // since when each instance has been live, or silent for a moment only
-	settleTime time.Duration
+	startedAt        time.Time
+	lastProposedAt   time.Time
+	lastProposed     uint64               // sequence of the newest proposal
+	lastBalancedAt   time.Time            // when shares were last moved between live holders
+	unreachableSince map[string]time.Time // holders that are not live, and since when
+	liveSince        map[string]time.Time // since when each instance has been live; absences shorter than failureTimeout do not count
+	minLiveTime      time.Duration        // live time from which an instance is preferred as an owner
 }
 
-// AssignerInput is what an instance knows at a step.
+// AssignerInput is the state that an instance observes at a step.
 type AssignerInput struct {
-	Table   Table    // as applied here
-	Members []string // identities of the view's voters and of the chain's members
-	Live    []string // identities of the instances heard from lately
+	Table   Table    // as applied at this instance
+	Members []string // identities of the voters in the view and of the chain members
+	Live    []string // identities of the instances with recent heartbeats
 }
 
-// NewAssigner returns an assigner that has observed nothing; lease is HolderLease of the deployment. An instance that has run for
-// less than its lease may have to wait for that before it can use another one's shares (package quota), so they go to others if
-// possible.
+// NewAssigner returns an assigner without observations; lease is the HolderLease of the deployment. An instance that has been
+// running for less than the lease may have to wait for the rest of it before it can issue credit for reassigned shares (package
+// quota), so such shares go to instances that have been live for longer, if there are any.
 func NewAssigner(lease time.Duration) *Assigner {
 	return &Assigner{
-		goneSince:  make(map[string]time.Time),
-		liveSince:  make(map[string]time.Time),
-		settleTime: lease + settleMargin,
+		unreachableSince: make(map[string]time.Time),
+		liveSince:        make(map[string]time.Time),
+		minLiveTime:      lease + minLiveTimeMargin,
 	}
 }
 
-// Step takes in what the leader knows and returns the assignment to be proposed now, nil if none is due.
+// Step observes the input and returns the assignment to propose now, or nil if none is due.
 func (a *Assigner) Step(now time.Time, in AssignerInput) *Assignment {
 	a.Observe(now, in)
 	if a.startedAt.IsZero() {
 		a.startedAt = now
 	}
-	if a.proposed > in.Table.Sequence && now.Sub(a.proposedAt) < proposalTimeout {
+	if a.lastProposed > in.Table.Sequence && now.Sub(a.lastProposedAt) < proposalTimeout {
 		return nil
 	}
-	owners, remaining := a.decide(now, in), a.remaining(now, in)
+	owners, remaining := a.nextOwners(now, in), a.remainingHolders(now, in)
 	if owners == nil && len(remaining) < len(in.Table.Holders) && len(in.Table.Shares) > 0 {
-		owners = currentOwners(in.Table) // who is gone is dropped also if it owns nothing: a successor would ask it
+		owners = currentOwners(in.Table) // also remove failed holders without shares: a new owner of shares would wait for their answers
 	}
 	if owners == nil {
 		return nil
 	}
-	a.proposed, a.proposedAt = in.Table.Sequence+1, now
+	a.lastProposed, a.lastProposedAt = in.Table.Sequence+1, now
 	return &Assignment{Sequence: in.Table.Sequence + 1, Holders: remaining, Owners: owners}
 }
 
-// Observe notes which holders are gone. All instances call it when something changed.
+// Observe tracks which holders are unreachable. Every instance calls it when its input has changed.
 func (a *Assigner) Observe(now time.Time, in AssignerInput) {
 	for _, instance := range in.Live {
-		if _, noted := a.liveSince[instance]; !noted {
+		if _, known := a.liveSince[instance]; !known {
 			a.liveSince[instance] = now
 		}
 	}
 	for _, holder := range in.Table.Holders {
 		if slices.Contains(in.Live, holder) {
-			delete(a.goneSince, holder)
-		} else if since, noted := a.goneSince[holder]; !noted {
-			a.goneSince[holder] = now
-		} else if now.Sub(since) >= goneTimeout {
-			delete(a.liveSince, holder) // it settles anew; a moment's silence is none of it
+			delete(a.unreachableSince, holder)
+		} else if since, known := a.unreachableSince[holder]; !known {
+			a.unreachableSince[holder] = now
+		} else if now.Sub(since) >= failureTimeout {
+			delete(a.liveSince, holder) // its live time starts again when it returns
 		}
 	}
 }
 
-// isGone reports whether a holder loses its shares: it has been gone for a while, or has been replaced in the group.
-func (a *Assigner) isGone(now time.Time, in AssignerInput, holder string) bool {
-	since, gone := a.goneSince[holder]
-	return gone && (now.Sub(since) >= goneTimeout || !slices.Contains(in.Members, holder))
+// hasFailed reports whether a holder's shares are to be reassigned: it has been unreachable for failureTimeout, or it is
+// unreachable and is no longer a member of the group.
+func (a *Assigner) hasFailed(now time.Time, in AssignerInput, holder string) bool {
+	since, unreachable := a.unreachableSince[holder]
+	return unreachable && (now.Sub(since) >= failureTimeout || !slices.Contains(in.Members, holder))
 }
 
-// remaining returns the registered holders without those that are gone.
-func (a *Assigner) remaining(now time.Time, in AssignerInput) []string {
-	return slices.DeleteFunc(slices.Clone(in.Table.Holders), func(holder string) bool { return a.isGone(now, in, holder) })
+// remainingHolders returns the registered holders that have not failed.
+func (a *Assigner) remainingHolders(now time.Time, in AssignerInput) []string {
+	return slices.DeleteFunc(slices.Clone(in.Table.Holders), func(holder string) bool { return a.hasFailed(now, in, holder) })
 }
 
-// candidates returns the holders that may be given shares: the live ones, sorted.
+// candidates returns the live holders, sorted. Only they are given shares.
 func (a *Assigner) candidates(in AssignerInput) []string {
 	return slices.DeleteFunc(slices.Clone(in.Table.Holders), func(holder string) bool {
-		_, gone := a.goneSince[holder]
-		return gone
+		_, unreachable := a.unreachableSince[holder]
+		return unreachable
 	})
 }
 
-// settled returns those candidates that have been live for long.
-func (a *Assigner) settled(now time.Time, candidates []string) []string {
+// stable returns the candidates that have been live for at least minLiveTime.
+func (a *Assigner) stable(now time.Time, candidates []string) []string {
 	return slices.DeleteFunc(slices.Clone(candidates), func(holder string) bool {
 		since, live := a.liveSince[holder]
-		return !live || now.Sub(since) < a.settleTime
+		return !live || now.Sub(since) < a.minLiveTime
 	})
 }
 
-// owning returns those candidates that own a share already.
-func owning(owners, candidates []string) []string {
+// withShares returns the candidates that already own a share.
+func withShares(owners, candidates []string) []string {
 	return slices.DeleteFunc(slices.Clone(candidates), func(holder string) bool { return !slices.Contains(owners, holder) })
 }
 
@@ -129,8 +130,8 @@
 	return nil
 }
 
-// decide returns the owners of all shares after the next assignment, nil if nothing is to change.
-func (a *Assigner) decide(now time.Time, in AssignerInput) []string {
+// nextOwners returns the owners of all shares after the next assignment, or nil if no share changes its owner.
+func (a *Assigner) nextOwners(now time.Time, in AssignerInput) []string {
 	candidates := a.candidates(in)
 	if len(candidates) == 0 {
 		return nil
@@ -139,51 +140,51 @@
 		if len(candidates) < len(in.Live) && now.Sub(a.startedAt) < firstAssignmentDelay {
 			return nil
 		}
-		return give(make([]string, Count), candidates, func(string) bool { return true })
+		return reassign(make([]string, Count), candidates, func(string) bool { return true })
 	}
 	owners := currentOwners(in.Table)
-	settled := a.settled(now, candidates)
-	given := give(owners, firstNonEmpty(settled, owning(owners, candidates), candidates), func(owner string) bool {
-		return owner == "" || a.isGone(now, in, owner) || !in.Table.HasHolder(owner)
+	stable := a.stable(now, candidates)
+	updated := reassign(owners, firstNonEmpty(stable, withShares(owners, candidates), candidates), func(owner string) bool {
+		return owner == "" || a.hasFailed(now, in, owner) || !in.Table.HasHolder(owner)
 	})
-	if len(settled) > 0 && slices.Equal(given, owners) && now.Sub(a.balancedAt) >= balanceInterval {
-		given = balance(given, settled)
-		a.balancedAt = now
+	if len(stable) > 0 && slices.Equal(updated, owners) && now.Sub(a.lastBalancedAt) >= balanceInterval {
+		updated = balance(updated, stable)
+		a.lastBalancedAt = now
 	}
-	if slices.Equal(given, owners) {
+	if slices.Equal(updated, owners) {
 		return nil
 	}
-	return given
+	return updated
 }
 
-// give returns the owners with the shares of some owners spread evenly: each goes to the candidate with the fewest.
-func give(owners, candidates []string, isGiven func(owner string) bool) []string {
-	given := slices.Clone(owners)
+// reassign gives each share whose owner matches needsOwner to the candidate with the fewest shares, and returns all owners.
+func reassign(owners, candidates []string, needsOwner func(owner string) bool) []string {
+	updated := slices.Clone(owners)
 	owned := countOwned(owners)
 	for i, owner := range owners {
-		if !isGiven(owner) {
+		if !needsOwner(owner) {
 			continue
 		}
-		given[i] = slices.MinFunc(candidates, func(x, y string) int { return owned[x] - owned[y] })
-		owned[given[i]]++
+		updated[i] = slices.MinFunc(candidates, func(x, y string) int { return owned[x] - owned[y] })
+		owned[updated[i]]++
 	}
-	return given
+	return updated
 }
 
-// balance gives shares of the holders with the most to candidates that have notably fewer than an even part.
+// balance moves up to maxMovedShares shares from the candidates with the most to candidates with fewer than the even count.
 func balance(owners, candidates []string) []string {
 	owned := countOwned(owners)
 	balanced := slices.Clone(owners)
-	even := Count / len(candidates)
+	evenCount := Count / len(candidates)
 	for range maxMovedShares {
-		richest := slices.MaxFunc(candidates, func(x, y string) int { return owned[x] - owned[y] })
-		poorest := slices.MinFunc(candidates, func(x, y string) int { return owned[x] - owned[y] })
-		if owned[poorest] >= even || owned[richest] <= even {
+		largestOwner := slices.MaxFunc(candidates, func(x, y string) int { return owned[x] - owned[y] })
+		smallestOwner := slices.MinFunc(candidates, func(x, y string) int { return owned[x] - owned[y] })
+		if owned[smallestOwner] >= evenCount || owned[largestOwner] <= evenCount {
 			break
 		}
-		balanced[slices.Index(balanced, richest)] = poorest
-		owned[richest]--
-		owned[poorest]++
+		balanced[slices.Index(balanced, largestOwner)] = smallestOwner
+		owned[largestOwner]--
+		owned[smallestOwner]++
 	}
 	return balanced
 }
--- a/internal/control/shares/assigner_test.go
+++ b/internal/control/shares/assigner_test.go
@@ -12,39 +12,39 @@
 
 const testLease = 6 * time.Second
 
-// group is a replicated group as an assigner sees it.
-type group struct {
-	table    Table
-	voters   []string
-	live     []string
-	assigner *Assigner
-	now      time.Time
-	proposed []Assignment
+// simulatedGroup is a replicated group with one assigner. Its proposals are committed at once.
+type simulatedGroup struct {
+	table     Table
+	voters    []string
+	live      []string
+	assigner  *Assigner
+	now       time.Time
+	proposals []Assignment
 }
 
-func newGroup(identities ...string) *group {
-	g := &group{voters: identities, live: identities, assigner: NewAssigner(testLease), now: testStart}
+func newSimulatedGroup(identities ...string) *simulatedGroup {
+	g := &simulatedGroup{voters: identities, live: identities, assigner: NewAssigner(testLease), now: testStart}
 	for _, identity := range identities {
 		g.table = g.table.Register(Registration{Identity: identity})
 	}
 	return g
 }
 
-// run steps the assigner each 100 ms and commits at once what it proposes.
-func (g *group) run(length time.Duration) {
+// run steps the assigner every 100 ms and commits its proposals at once.
+func (g *simulatedGroup) run(length time.Duration) {
 	for end := g.now.Add(length); g.now.Before(end); g.now = g.now.Add(100 * time.Millisecond) {
 		proposed := g.assigner.Step(g.now, AssignerInput{Table: g.table, Members: g.voters, Live: g.live})
 		if proposed == nil {
 			continue
 		}
-		g.proposed = append(g.proposed, *proposed)
+		g.proposals = append(g.proposals, *proposed)
 		if next, ok := g.table.Assign(*proposed); ok {
 			g.table = next
 		}
 	}
 }
 
-func (g *group) owned() map[string]int {
+func (g *simulatedGroup) owned() map[string]int {
 	owners := make([]string, len(g.table.Shares))
 	for i, share := range g.table.Shares {
 		owners[i] = share.Owner
@@ -52,11 +52,11 @@
 	return countOwned(owners)
 }
 
-func TestFirstAssignmentIsEvenAndStays(t *testing.T) {
-	g := newGroup("a", "b", "c", "d", "e")
+func TestFirstAssignmentIsEvenAndUnchangedAfterwards(t *testing.T) {
+	g := newSimulatedGroup("a", "b", "c", "d", "e")
 	g.run(time.Minute)
-	if len(g.proposed) != 1 {
-		t.Fatalf("%d assignments in a calm minute, want 1", len(g.proposed))
+	if len(g.proposals) != 1 {
+		t.Fatalf("%d assignments in a minute without changes, want 1", len(g.proposals))
 	}
 	for _, holder := range g.voters {
 		if got := g.owned()[holder]; got != Count/5 {
@@ -64,16 +64,16 @@
 		}
 	}
 	if g.table.Shares[0].Previous != "" {
-		t.Error("the first owners have one before them")
+		t.Error("the first owner of share 0 has a previous owner, want none")
 	}
 }
 
 func TestFirstAssignmentWaitsForInstancesThatRegisterLate(t *testing.T) {
-	g := newGroup("a", "b")
+	g := newSimulatedGroup("a", "b")
 	g.voters = []string{"a", "b", "c"}
 	g.live = g.voters
 	g.run(firstAssignmentDelay / 2)
-	if len(g.proposed) != 0 {
+	if len(g.proposals) != 0 {
 		t.Fatalf("assigned after %v without the third instance", firstAssignmentDelay/2)
 	}
 	g.table = g.table.Register(Registration{Identity: "c"})
@@ -83,21 +83,22 @@
 	}
 }
 
-// TestSharesOfAGoneHolderAreGivenOn: after goneTimeout, evenly to the others. When it is back it gets an even part again.
-func TestSharesOfAGoneHolderAreGivenOn(t *testing.T) {
-	g := newGroup("a", "b", "c")
+// The shares of a failed holder are spread evenly over the others after failureTimeout. After it returns it gets an even number
+// of shares again.
+func TestSharesOfAFailedHolderAreReassigned(t *testing.T) {
+	g := newSimulatedGroup("a", "b", "c")
 	g.run(5 * time.Second)
 	g.live = []string{"a", "c"}
-	g.run(goneTimeout - 500*time.Millisecond)
+	g.run(failureTimeout - 500*time.Millisecond)
 	if owned := g.owned(); owned["b"] != Count/3 {
-		t.Fatalf("owned %v before %v, want b's third by b", owned, goneTimeout)
+		t.Fatalf("owned %v before %v, want b's third by b", owned, failureTimeout)
 	}
 	g.run(time.Second)
 	if owned := g.owned(); owned["a"] != Count/2 || owned["c"] != Count/2 {
-		t.Fatalf("owned %v after %v, want a half each by a and c", owned, goneTimeout)
+		t.Fatalf("owned %v after %v, want a half each by a and c", owned, failureTimeout)
 	}
 	if g.table.HasHolder("b") {
-		t.Error("b is listed still, want it to register again when it is back")
+		t.Error("b is still listed, want it removed until it registers again")
 	}
 	for i, share := range g.table.Shares {
 		if share.Since == g.table.Sequence && share.Previous != "b" {
@@ -108,7 +109,7 @@
 	g.table = g.table.Register(Registration{Identity: "b"})
 	g.run(testLease)
 	if owned := g.owned(); owned["b"] != 0 {
-		t.Errorf("owned %v, want none by b before it has settled", owned)
+		t.Errorf("owned %v, want none by b before it has been live for minLiveTime", owned)
 	}
 	g.run(10 * time.Second)
 	if owned := g.owned(); owned["b"] != Count/3 {
@@ -116,9 +117,9 @@
 	}
 }
 
-// TestReplacedHolderLosesItsSharesAtOnce: a member that has been replaced in the group will not be back.
-func TestReplacedHolderLosesItsSharesAtOnce(t *testing.T) {
-	g := newGroup("a", "b", "c")
+// A holder that was replaced in the group does not return, so its shares are reassigned without waiting for failureTimeout.
+func TestSharesOfAReplacedHolderAreReassignedAtOnce(t *testing.T) {
+	g := newSimulatedGroup("a", "b", "c")
 	g.run(5 * time.Second)
 	g.live, g.voters = []string{"a", "c"}, []string{"a", "c", "d"}
 	g.run(time.Second)
@@ -127,33 +128,33 @@
 	}
 }
 
-// TestNewLeaderKnowsWhatItObserved: it does not wait anew for what it saw before it led.
-func TestNewLeaderKnowsWhatItObserved(t *testing.T) {
-	g := newGroup("a", "b", "c")
+// A new leader does not wait again for a failure that it observed before it led.
+func TestNewLeaderUsesFailuresObservedAsFollower(t *testing.T) {
+	g := newSimulatedGroup("a", "b", "c")
 	g.run(5 * time.Second)
 	follower := NewAssigner(testLease)
 	g.live = []string{"a", "c"}
-	for range int((goneTimeout - 200*time.Millisecond) / (100 * time.Millisecond)) {
+	for range int((failureTimeout - 200*time.Millisecond) / (100 * time.Millisecond)) {
 		follower.Observe(g.now, AssignerInput{Table: g.table, Members: g.voters, Live: g.live})
 		g.run(100 * time.Millisecond)
 	}
 	g.assigner = follower
 	g.run(time.Second)
 	if owned := g.owned(); owned["b"] != 0 {
-		t.Errorf("owned %v a second after the change of leader, want b's shares given on", owned)
+		t.Errorf("owned %v a second after the change of leader, want b's shares reassigned", owned)
 	}
 }
 
-// TestNewHolderGetsAnEvenPart: by a few shares at a time.
-func TestNewHolderGetsAnEvenPart(t *testing.T) {
-	g := newGroup("a", "b", "c")
+// A new holder gets an even number of shares, at most maxMovedShares of them at a time.
+func TestNewHolderGetsAnEvenNumberOfShares(t *testing.T) {
+	g := newSimulatedGroup("a", "b", "c")
 	g.run(5 * time.Second)
 	g.voters = []string{"a", "b", "c", "d"}
 	g.live = g.voters
 	g.table = g.table.Register(Registration{Identity: "d"})
 	g.run(testLease - time.Second)
 	if owned := g.owned(); owned["d"] != 0 {
-		t.Errorf("owned %v, want none by d before it can take shares over at once", owned)
+		t.Errorf("owned %v, want none by d before it has been live for minLiveTime", owned)
 	}
 	before := 0
 	for range 100 {
@@ -166,17 +167,17 @@
 	if owned := g.owned(); owned["d"] != Count/4 {
 		t.Errorf("owned %v, want %d by d", owned, Count/4)
 	}
-	if proposals := len(g.proposed); proposals > 4 {
-		t.Errorf("%d assignments, want few", proposals)
+	if proposals := len(g.proposals); proposals > 4 {
+		t.Errorf("%d assignments, want at most 4", proposals)
 	}
 }
 
 func TestAssignmentForAnotherTableIsRejected(t *testing.T) {
-	g := newGroup("a", "b")
+	g := newSimulatedGroup("a", "b")
 	g.run(time.Second)
-	stale := g.proposed[0]
+	stale := g.proposals[0]
 	if _, ok := g.table.Assign(stale); ok {
-		t.Error("the same assignment is accepted twice, want it rejected")
+		t.Error("the same assignment is accepted twice, want the second one rejected")
 	}
 	stale.Sequence = g.table.Sequence + 1
 	stale.Owners = stale.Owners[:Count-1]
@@ -185,12 +186,12 @@
 	}
 }
 
-// TestSharesEndEven draws groups whose members come and go and whose leaders change. Each share that changes hands names the one
-// before; in a calm end all shares are owned by voters, evenly.
-func TestSharesEndEven(t *testing.T) {
+// Members fail, return and are replaced at random, and leaders change. Each reassigned share names its previous owner. Two
+// minutes after the last change all shares are owned by voters, in even numbers.
+func TestSharesBecomeEvenAfterRandomChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := []string{"a", "b", "c", "d", "e", "f"}
-		g := newGroup(all[:rapid.IntRange(2, 6).Draw(t, "members")]...)
+		g := newSimulatedGroup(all[:rapid.IntRange(2, 6).Draw(t, "members")]...)
 		former := make([]Share, Count)
 		observe := func() {
 			for i, share := range g.table.Shares {
@@ -224,7 +225,7 @@
 		owned := g.owned()
 		fewest := slices.MinFunc(g.voters, func(x, y string) int { return owned[x] - owned[y] })
 		if owned[""] > 0 || owned[fewest] < Count/len(g.voters) {
-			t.Fatalf("after two calm minutes owned are %v by voters %v", owned, g.voters)
+			t.Fatalf("owned after two minutes without changes: %v, want all shares spread evenly over %v", owned, g.voters)
 		}
 	})
 }
--- a/internal/control/shares/doc.go
+++ b/internal/control/shares/doc.go
@@ -1,19 +1,21 @@
-// Package shares divides every tenant's limit among control instances, the holders, which issue credit for it.
+// Package shares assigns parts of every tenant's limit to control instances, the holders, which issue credit for them.
 //
-// All limits are divided alike, into Count equal shares, and each share belongs to one holder or to none. The table that says
-// so is part of the replicated state: a change of it is in force for nobody before it is committed. It changes when a
-// holder comes or is gone, not with demand, and not when the leader changes, so a limit stays divided as it is
-// while there is no leader and no majority.
+// Every limit is divided in the same way, into Count equal shares. Each share has one owner or none. The table of owners is
+// part of the replicated state, so a change takes effect only after it is committed. The table changes when a holder joins or
+// fails. It does not depend on demand or on which instance leads, so limits stay divided as they are while there is no leader
+// or no majority.
 //
 // # Invariant
 //
-// What is issued for a share by all its owners together stays within it. It rests on three rules, of which this package keeps the
-// first and package quota the others:
+// The credit that all successive owners of a share issue together stays within that share. Three rules ensure this. This
+// package implements the first, package quota the others:
 //
-//   - Each change of the table is committed, rises by one, and names for each share the owner before.
-//   - A holder issues credit only while it has known within its lease (HolderLease) that everything acknowledged before is applied
-//     at it, and only what a record allows that an instance with the same shares in its table has acknowledged.
-//   - A new owner counts what the former one's newest record says, or waits until its lease has ended and a whole interval has passed.
+//   - Each change of the table is committed, increments its sequence by one, and records the previous owner of each share.
+//   - A holder issues credit only for the duration of its lease (HolderLease) after it has confirmed that it has applied every
+//     acknowledged change, and only within the limits of a record that an instance with the same shares in its table has
+//     acknowledged.
+//   - A new owner counts what the newest record of the previous owner lists as issued, or waits until that owner's lease has
+//     ended and one issuance interval has passed since.
 //
-// Assigner, a pure state machine, observes at each instance and is stepped by the leader of the singleton roles.
+// Assigner is a pure state machine. Every instance passes it observations, and the leader of the singleton roles steps it.
 package shares
--- a/internal/control/shares/table.go
+++ b/internal/control/shares/table.go
@@ -5,71 +5,73 @@
 	"time"
 )
 
-// maxFormer bounds the former holders that a table lists.
-const maxFormer = 16
+// maxFormerHolders limits the former holders that a table lists.
+const maxFormerHolders = 16
 
-// Count is the number of shares of each limit. Up to six holders have equal numbers of them.
+// Count is the number of shares of each limit. It is divisible by 1 to 6, so up to six holders own equal numbers of shares.
 const Count = 60
 
-// leaseMargin is added to the longest expected lack of a majority.
+// leaseMargin is added to the longest expected partition from the majority.
 const leaseMargin = time.Second
 
-// HolderLease returns how long a holder issues credit after its newest proof that it knows everything that was acknowledged
-// before: longer than machines are expected to be cut off from a majority. All instances must have the same.
+// HolderLease returns how long a holder may issue credit after it last confirmed that it has applied every acknowledged change.
+// It is longer than the longest time for which machines are expected to be partitioned from a majority. All instances must use
+// the same value.
 func HolderLease(partitionAllowance time.Duration) time.Duration {
 	return partitionAllowance + leaseMargin
 }
 
 // Share is one of the equal shares of every limit.
 type Share struct {
-	Owner string `cbor:"1,keyasint,omitempty"` // identity of the holder; "": none
-	Since uint64 `cbor:"2,keyasint,omitempty"` // Table.Sequence with which the owner, or the lack of one, began
-	// Previous is the identity of the last owner before this one; "": nobody has owned it before.
-	Previous string `cbor:"4,keyasint,omitempty"` // number 3 was another field in trials
+	Owner string `cbor:"1,keyasint,omitempty"` // identity of the holder; empty: none
+	Since uint64 `cbor:"2,keyasint,omitempty"` // Table.Sequence as of which the share has had this owner, or none
+	// Previous is the identity of the owner before this one; empty: the share has had no other owner.
+	Previous string `cbor:"4,keyasint,omitempty"` // key 3 was used by a field of a test build
 }
 
-// Table says who holds what. It is immutable.
+// Table lists the holders and the owner of each share. It is immutable.
 type Table struct {
-	Sequence uint64   `cbor:"1,keyasint"`           // rises by one with each change; 0: there was none
-	Holders  []string `cbor:"2,keyasint,omitempty"` // identities of the instances that can hold shares, sorted
-	Shares   []Share  `cbor:"3,keyasint,omitempty"` // Count of them, or none before the first Assignment
-	Former   []string `cbor:"4,keyasint,omitempty"` // the newest holders that were dropped, oldest first
+	Sequence      uint64   `cbor:"1,keyasint"`           // incremented by each change; 0: the table has never been changed
+	Holders       []string `cbor:"2,keyasint,omitempty"` // sorted identities of the instances that can own shares
+	Shares        []Share  `cbor:"3,keyasint,omitempty"` // Count shares, or none before the first Assignment
+	FormerHolders []string `cbor:"4,keyasint,omitempty"` // the most recently removed holders, oldest first
 }
 
-// Registration is a change: an instance can hold shares.
+// Registration is a replicated command: it adds an instance to the holders.
 type Registration struct {
 	Identity string `cbor:"1,keyasint"`
 }
 
-// Assignment is a change: the complete list of holders and owners.
+// Assignment is a replicated command: it replaces the lists of holders and owners.
 type Assignment struct {
-	Sequence uint64   `cbor:"1,keyasint"` // of the table that it makes; it is rejected unless that is the next
+	Sequence uint64   `cbor:"1,keyasint"` // of the resulting table; the assignment is rejected unless it is the table's next sequence
 	Holders  []string `cbor:"2,keyasint"`
-	Owners   []string `cbor:"3,keyasint"` // Count of them
+	Owners   []string `cbor:"3,keyasint"` // one for each of the Count shares
 }
 
-// Register returns the table with one holder more; the table itself if it has the holder.
+// Register returns the table with the instance added to its holders. It returns an unchanged table if the instance is already
+// listed or has no identity.
 func (t Table) Register(change Registration) Table {
-	at, known := slices.BinarySearch(t.Holders, change.Identity)
+	index, known := slices.BinarySearch(t.Holders, change.Identity)
 	if known || change.Identity == "" {
 		return t
 	}
 	return Table{
-		Sequence: t.Sequence + 1,
-		Holders:  slices.Insert(slices.Clone(t.Holders), at, change.Identity),
-		Shares:   t.Shares,
-		Former:   slices.DeleteFunc(slices.Clone(t.Former), func(holder string) bool { return holder == change.Identity }),
+		Sequence:      t.Sequence + 1,
+		Holders:       slices.Insert(slices.Clone(t.Holders), index, change.Identity),
+		Shares:        t.Shares,
+		FormerHolders: slices.DeleteFunc(slices.Clone(t.FormerHolders), func(holder string) bool { return holder == change.Identity }),
 	}
 }
 
-// Assign returns the table that an assignment makes; ok is false if the assignment was made for another table.
+// Assign returns the table after an assignment. It is not ok if the assignment was made for another version of the table.
 func (t Table) Assign(change Assignment) (next Table, ok bool) {
 	if change.Sequence != t.Sequence+1 || len(change.Owners) != Count {
 		return t, false
 	}
 	next = Table{Sequence: change.Sequence, Holders: slices.Clone(change.Holders), Shares: make([]Share, Count)}
 	slices.Sort(next.Holders)
-	next.Former = t.formerAfter(next)
+	next.FormerHolders = t.nextFormerHolders(next)
 	for i, owner := range change.Owners {
 		switch {
 		case len(t.Shares) == 0:
@@ -77,32 +79,32 @@
 		case t.Shares[i].Owner == owner:
 			next.Shares[i] = t.Shares[i]
 		default:
-			next.Shares[i] = Share{Owner: owner, Since: next.Sequence, Previous: t.Shares[i].lastOwner()}
+			next.Shares[i] = Share{Owner: owner, Since: next.Sequence, Previous: t.Shares[i].latestOwner()}
 		}
 	}
 	return next, true
 }
 
-// formerAfter returns the former holders of the table that follows.
-func (t Table) formerAfter(next Table) []string {
-	former := slices.Clone(t.Former)
+// nextFormerHolders returns the former holders that the next table lists.
+func (t Table) nextFormerHolders(next Table) []string {
+	former := slices.Clone(t.FormerHolders)
 	for _, holder := range t.Holders {
 		if !next.HasHolder(holder) {
 			former = append(former, holder)
 		}
 	}
-	return former[max(0, len(former)-maxFormer):]
+	return former[max(0, len(former)-maxFormerHolders):]
 }
 
-// lastOwner is the owner, or the one before where there is none.
-func (s Share) lastOwner() string {
+// latestOwner returns the current owner, or the previous one if the share has none.
+func (s Share) latestOwner() string {
 	if s.Owner == "" {
 		return s.Previous
 	}
 	return s.Owner
 }
 
-// HasHolder reports whether an instance is registered.
+// HasHolder reports whether an instance is registered as a holder.
 func (t Table) HasHolder(identity string) bool {
 	_, known := slices.BinarySearch(t.Holders, identity)
 	return known
