--- a/internal/router/subscription/applied.go
+++ b/internal/router/subscription/applied.go
@@ -2,29 +2,30 @@
 
 import "time"
 
+// maxPendingClaims limits the claims that are kept for generations that are not applied yet.
 const maxPendingClaims = 16
 
-// appliedState is what is applied, and how fresh that is proven to be.
+// appliedState is the state that has been applied, and its proven freshness.
 //
-// Invariant: every version of the configuration that was acknowledged anywhere before freshAsOf is applied. A claim of an
-// instance therefore counts only once the generation that it names is applied.
+// Invariant: every version of the configuration that was acknowledged anywhere before freshAsOf is applied. The claim of an
+// instance therefore takes effect only after the generation that it names is applied.
 type appliedState struct {
-	generation          int64 // of the configuration; 0: none
-	hasSnapshot         bool  // a complete table of endpoints was applied
-	generationConfirmed bool  // at some moment since this process started the applied generation was the newest, maybe 0
+	generation          int64 // of the applied configuration; 0: none
+	hasSnapshot         bool  // a complete table of endpoints has been applied
+	generationConfirmed bool  // the applied generation, or 0, was the newest at some time since this process started
 	ready               bool
 	freshAsOf           time.Time        // zero: unknown
-	pendingClaims       []freshnessClaim // of generations that are not applied yet, oldest first
+	pendingClaims       []freshnessClaim // for generations that are not applied yet, oldest first
 }
 
-// freshnessClaim states that all versions that were acknowledged anywhere before a moment are at or below a generation.
+// freshnessClaim states that all versions that were acknowledged anywhere before asOf have at most the given generation.
 type freshnessClaim struct {
 	generation int64
 	asOf       time.Time
 }
 
-// addClaim takes in a claim. Of each generation the newest counts; beyond maxPendingClaims the oldest is dropped, which
-// makes freshAsOf rise later, never too early.
+// addClaim adds a claim. Only the newest claim for each generation is kept. If there are more than maxPendingClaims, the oldest is
+// dropped, which can make freshAsOf older than necessary but never too new.
 func (a *appliedState) addClaim(claim freshnessClaim) {
 	if claim.generation <= a.generation {
 		a.raiseFreshness(claim.asOf)
@@ -46,7 +47,7 @@
 	a.freshAsOf = laterOf(a.freshAsOf, asOf)
 }
 
-// configurationApplied notes a generation that is applied, and the claims of it and of earlier ones.
+// configurationApplied records that a generation is applied, which makes the claims for it and for earlier ones effective.
 func (a *appliedState) configurationApplied(generation int64) {
 	a.generation = generation
 	var pending []freshnessClaim
@@ -60,9 +61,10 @@
 	a.pendingClaims = pending
 }
 
-// becomesReady says whether the process is ready from now on. It stays ready: what is applied serves on while the control
-// plane is out of reach.
-func (a *appliedState) becomesReady() bool {
+// setReadyIfComplete makes the state ready once a configuration and a complete table of endpoints are applied and a generation is
+// confirmed. It reports whether the state became ready. The state remains ready, because the process continues to serve with the
+// applied state while the control plane is unreachable.
+func (a *appliedState) setReadyIfComplete() bool {
 	if a.ready || !a.hasSnapshot || !a.generationConfirmed || a.generation == 0 {
 		return false
 	}
--- a/internal/router/subscription/candidates.go
+++ b/internal/router/subscription/candidates.go
@@ -11,39 +11,39 @@
 )
 
 const (
-	minRoundBackoff = 50 * time.Millisecond // before the second round over all instances
-	maxRoundBackoff = 250 * time.Millisecond
+	minRoundBackoff = 50 * time.Millisecond  // before the second round
+	maxRoundBackoff = 250 * time.Millisecond // before later rounds
 
-	zoneLocalProximity = 33 // of an instance that is known to be in the own zone: above that of any address
-	lastProximity      = -1 // of the instance that comes last
+	zoneLocalProximity     = 33 // of an instance that is known to be in the local zone; higher than that of any address
+	deprioritizedProximity = -1 // of an instance that is probed last
 )
 
 // Candidate is an instance to probe.
 type Candidate struct {
 	Address   string
-	Proximity int // higher is closer; a reply from a closer instance is worth a short wait
+	Proximity int // higher is closer; the router waits briefly for a reply of a closer instance
 }
 
-// Candidates decides in which order control instances are probed: those in the own zone first, then the others, shuffled.
-// Between rounds over all of them there is an exponential backoff. It is not safe for concurrent use.
+// Candidates determines the order in which control instances are probed: first those in the local zone, then the others, each
+// group shuffled. Rounds over all instances are separated by an exponential backoff. It is not safe for concurrent use.
 type Candidates struct {
 	zone          string
-	own           netip.Addr
+	ownAddress    netip.Addr
 	random        *rand.Rand
 	seeds         []string
 	members       []protocol.Member
-	deprioritized string        // address that comes last in the next round
-	backoff       time.Duration // before jitter
-	started       bool          // the first round has been due
+	deprioritized string        // address of the instance that comes last in the next round
+	backoff       time.Duration // without jitter
+	started       bool          // the first round has begun, or is due now
 }
 
-// NewCandidates returns the candidates of a router in that zone and at that address. Random shuffles and draws the
+// NewCandidates returns the candidates of a router in the given zone with the given address. Random is used for shuffling and
 // jitter.
 func NewCandidates(zone string, own netip.Addr, random *rand.Rand) *Candidates {
-	return &Candidates{zone: zone, own: own, random: random}
+	return &Candidates{zone: zone, ownAddress: own, random: random}
 }
 
-// SetSeeds replaces the addresses of the settings. It says whether they have changed.
+// SetSeeds replaces the instances from the settings. It reports whether they have changed.
 func (c *Candidates) SetSeeds(seeds []string) bool {
 	if slices.Equal(c.seeds, seeds) {
 		return false
@@ -52,12 +52,12 @@
 	return true
 }
 
-// SetMembers replaces the instances that the control plane has named.
+// SetMembers replaces the instances that the control plane has reported.
 func (c *Candidates) SetMembers(members []protocol.Member) {
 	c.members = slices.Clone(members)
 }
 
-// NextBackoff is the wait before the next round: none before the first one, then longer each time, with jitter.
+// NextBackoff returns the wait before the next round: none before the first one, then increasing waits with jitter.
 func (c *Candidates) NextBackoff() time.Duration {
 	if !c.started {
 		c.started = true
@@ -67,18 +67,18 @@
 	return c.backoff/2 + time.Duration(c.random.Int64N(int64(c.backoff/2)))
 }
 
-// Restart has the next round begin without a backoff. Deprioritized is the address that is probed last in it: one that worked
-// for a while and has been left. It may be empty.
+// Restart lets the next round begin without a backoff. The instance at the deprioritized address, which may be empty, is probed
+// last in that round. It is an instance that worked for a while and was then left.
 func (c *Candidates) Restart(deprioritized string) {
 	c.deprioritized = deprioritized
 	c.backoff = 0
 	c.started = false
 }
 
-// Deprioritize has an instance that failed come last in the next round.
+// Deprioritize makes an instance that failed come last in the next round.
 func (c *Candidates) Deprioritize(address string) { c.deprioritized = address }
 
-// NextRound lists all known instances in the order in which to probe them.
+// NextRound returns all known instances in the order in which to probe them.
 func (c *Candidates) NextRound() []Candidate {
 	var list []Candidate
 	add := func(address string, proximity int) {
@@ -98,7 +98,7 @@
 	}
 	for i := range list {
 		if list[i].Address == c.deprioritized {
-			list[i].Proximity = lastProximity
+			list[i].Proximity = deprioritizedProximity
 		}
 	}
 	c.deprioritized = ""
@@ -107,14 +107,14 @@
 	return list
 }
 
-// ZoneLocal lists the instances that are known to be in the own zone, as the next round.
+// ZoneLocal returns the instances that are known to be in the local zone. They form the next round.
 func (c *Candidates) ZoneLocal() []Candidate {
 	return slices.DeleteFunc(c.NextRound(), func(candidate Candidate) bool { return candidate.Proximity != zoneLocalProximity })
 }
 
-// HasZoneLocalAlternative says whether an instance in the own zone is known while the one at this address is in another.
+// HasZoneLocalAlternative reports whether an instance in the local zone is known while the one at this address is in another zone.
 func (c *Candidates) HasZoneLocalAlternative(address string) bool {
-	has := false
+	found := false
 	for _, member := range c.members {
 		if member.Zone != c.zone {
 			continue
@@ -122,19 +122,19 @@
 		if member.Address == address {
 			return false
 		}
-		has = true
+		found = true
 	}
-	return has
+	return found
 }
 
-// proximity guesses how close a seed is, whose zone is unknown: addresses of one zone have a long prefix in common. It is the
-// length of that prefix in bits, from 0 to 32.
+// proximity estimates how close a seed is. The zone of a seed is unknown, but addresses in one zone share a long prefix. The
+// result is the length of the common prefix in bits, from 0 to 32.
 func (c *Candidates) proximity(address string) int {
 	other, err := netip.ParseAddrPort(address)
-	if err != nil || !other.Addr().Is4() || !c.own.Is4() {
+	if err != nil || !other.Addr().Is4() || !c.ownAddress.Is4() {
 		return 0
 	}
-	a, b := c.own.As4(), other.Addr().As4()
+	a, b := c.ownAddress.As4(), other.Addr().As4()
 	for i := range a {
 		if a[i] != b[i] {
 			return 8*i + bits.LeadingZeros8(a[i]^b[i])
--- a/internal/router/subscription/candidates_test.go
+++ b/internal/router/subscription/candidates_test.go
@@ -9,7 +9,7 @@
 	"raventrestle/internal/protocol"
 )
 
-func TestCandidatesPreferTheOwnZoneAndBackOff(t *testing.T) {
+func TestRoundsStartInTheLocalZoneAndBackOff(t *testing.T) {
 	c := NewCandidates("z2", netip.MustParseAddr("10.2.0.9"), rand.New(rand.NewPCG(1, 2)))
 	c.SetSeeds([]string{"10.1.0.1:1", "10.2.0.1:1", "10.3.0.1:1"})
 	round := func() (list []string, backoff time.Duration) {
--- a/internal/router/subscription/decider.go
+++ b/internal/router/subscription/decider.go
@@ -7,56 +7,57 @@
 )
 
 const (
-	// maxStepDelay is how much later than Output.WakeAt a Step may come. One that is later shows that this process was
-	// paused, not that the instances were.
+	// maxStepDelay is the largest delay of a Step after Output.WakeAt that counts as normal. A larger one shows that this process
+	// was paused, so a missing message does not show that an instance was.
 	maxStepDelay = 100 * time.Millisecond
-	// resumeGrace is how long the instances then have to be heard: what they sent meanwhile has yet to be read.
-	resumeGrace = 250 * time.Millisecond
+	// stallGracePeriod is the minimum time until the deadlines of the instances after such a pause, so that queued messages can
+	// be processed before.
+	stallGracePeriod = 250 * time.Millisecond
 
-	maxQueuedReports = 8 // while no instance is followed
+	maxQueuedReports = 8 // kept while no instance is followed
 )
 
-// Config holds the values of a subscription. All are required.
+// Config holds the parameters of a subscription. All of them are required.
 type Config struct {
 	Node        string // name of this router
 	Zone        string // failure domain of this router
-	Incarnation uint64 // random, one for each start of the process
-	// TrustTTL is how long an instance is trusted after its newest proven contact with a majority. Then the router looks
-	// for another instance. See trust.go.
+	Incarnation uint64 // random number that identifies this process
+	// TrustTTL is how long an instance is trusted after its newest proven contact with a majority. After that the router
+	// searches for another instance. See trust.go.
 	TrustTTL time.Duration
 }
 
-// Decider decides which instance a router follows, and which of its updates are applied. It is pure: its host passes in
-// what has happened with the time, and carries out what is returned. It is not safe for concurrent use.
+// Decider decides which instance a router follows and which of its updates are applied. It is a pure state machine: the host
+// passes in events and the time, and executes the output. It is not safe for concurrent use.
 //
-// It follows one instance and knows how old that one's newest contact with a majority is. When trust in it has expired, or its
-// connection ends or it is unresponsive, it probes all instances at once and moves to one that proves a fresh contact. If none
-// does, it follows the best of them provisionally and goes on probing.
+// It follows one instance and knows the age of that instance's newest contact with a majority. When trust in the instance has
+// expired, its connection ends, or it is unresponsive, the decider probes all instances, several at a time, and moves to one
+// that proves a recent contact. If none does, it follows the best of them provisionally and continues to probe.
 type Decider struct {
 	config     Config
 	candidates *Candidates
 
 	applied        appliedState
 	followed       *followedInstance // nil: none
-	search         *search           // nil: nothing is probed
-	pendingUpdates []pendingUpdate   // of the followed instance, received and not applied yet
-	applying       *pendingUpdate    // requested by Output.Apply; nil: none
-	queuedReports  []protocol.Report // oldest first, until an instance is followed
-
-	newestEpoch          uint64          // newest epoch that any instance has stated
-	unresponsiveToProbes map[string]bool // by address: an older program, or a paused process
-	lastConnection       ConnectionID    // number used last
-	lastEcho             uint64          // number used last
-	lastReport           uint64          // sequence number used last
-	zoneLocalBackoff     time.Duration   // until the next search for an instance in the own zone
-	unreachableRecorded  bool            // ControlPlaneUnreachable is recorded, and no instance was followed since
+	search         *search           // nil: no search is in progress
+	pendingUpdates []pendingUpdate   // received from the followed instance and not yet being applied
+	applying       *pendingUpdate    // update that Output.Apply requested; nil: none
+	queuedReports  []protocol.Report // oldest first, sent once an instance is followed
+
+	newestEpoch          uint64          // newest epoch that any instance has reported
+	unresponsiveToProbes map[string]bool // by address; such an instance runs an older program, or its process is paused
+	lastConnection       ConnectionID    // last ID that was assigned
+	lastEcho             uint64          // last sequence number that was used
+	lastReport           uint64          // last sequence number that was used
+	zoneLocalBackoff     time.Duration   // until the next search for an instance in the local zone
+	unreachableRecorded  bool            // ControlPlaneUnreachable was recorded, and no instance has been followed since
 	lastRoundAt          time.Time       // start of the newest round of probes
-	wakeAt               time.Time       // as returned last
+	wakeAt               time.Time       // as last returned
 
 	out Output // of the current Step
 }
 
-// NewDecider returns a decider that follows no instance yet. The candidates are the decider's from then on.
+// NewDecider returns a decider that follows no instance yet. It owns the candidates from then on.
 func NewDecider(config Config, candidates *Candidates) *Decider {
 	return &Decider{
 		config:               config,
@@ -66,8 +67,8 @@
 	}
 }
 
-// Step takes in what has happened up to now, in that order, and returns what the host is to carry out. Now must not go
-// back.
+// Step processes the inputs in their order of occurrence and returns what the host has to execute. The time must not decrease
+// between steps.
 func (d *Decider) Step(now time.Time, inputs ...Input) Output {
 	d.out = Output{}
 	d.extendDeadlinesAfterStall(now)
@@ -81,13 +82,13 @@
 	return d.completeOutput(now)
 }
 
-// extendDeadlinesAfterStall gives the instances time if this process was the one that paused: what they sent meanwhile
-// waits to be read.
+// extendDeadlinesAfterStall extends the deadlines of the instances if this process was paused, because messages that arrived
+// during the pause have not been processed yet.
 func (d *Decider) extendDeadlinesAfterStall(now time.Time) {
 	if d.wakeAt.IsZero() || now.Sub(d.wakeAt) < maxStepDelay {
 		return
 	}
-	until := now.Add(resumeGrace)
+	until := now.Add(stallGracePeriod)
 	if d.followed != nil {
 		d.followed.unresponsiveAt = laterOf(d.followed.unresponsiveAt, until)
 	}
@@ -120,24 +121,24 @@
 		d.leave(now, err)
 		return
 	}
-	if p := d.search.probeOn(id); p != nil {
+	if p := d.search.probeByConnection(id); p != nil {
 		d.probeFailed(p, err)
 	}
 }
 
-// messageReceived ignores what comes on a connection that was given up.
+// messageReceived ignores messages on connections that the decider has closed.
 func (d *Decider) messageReceived(now time.Time, id ConnectionID, message any) {
 	if f := d.followed; f != nil && f.id == id {
-		d.followedMessage(now, f, message)
+		d.followedMessageReceived(now, f, message)
 		return
 	}
 	reply, isReply := message.(*protocol.ProbeReply)
-	if p := d.search.probeOn(id); p != nil && isReply {
+	if p := d.search.probeByConnection(id); p != nil && isReply {
 		d.probeReplied(now, p, reply)
 	}
 }
 
-// seedsRead takes in the addresses of the settings. New ones are probed at once if no instance is followed.
+// seedsRead updates the seeds. If no instance is followed, changed seeds are probed at once.
 func (d *Decider) seedsRead(addresses []string) {
 	if !d.candidates.SetSeeds(addresses) || d.followed != nil {
 		return
@@ -148,7 +149,7 @@
 	}
 }
 
-// demandReported sends demand to the control plane. While no instance is followed the oldest reports are dropped.
+// demandReported sends a report to the followed instance. While none is followed, reports are queued and the oldest dropped.
 func (d *Decider) demandReported(report protocol.Report) {
 	if d.followed != nil {
 		d.sendReport(report)
@@ -160,7 +161,7 @@
 	d.queuedReports = append(d.queuedReports, report)
 }
 
-// creditRequested sends a request for credit to the followed instance, if that answers such requests.
+// creditRequested sends a request for credit to the followed instance if that instance issues credit.
 func (d *Decider) creditRequested(request protocol.CreditRequest) {
 	if d.followed != nil && d.followed.issuesCredit {
 		d.send(d.followed.id, request)
@@ -181,15 +182,15 @@
 
 func (d *Decider) record(event Event) { d.out.Events = append(d.out.Events, event) }
 
-// nextEcho draws the sequence number of an echo that is sent on a connection now.
+// nextEcho returns the sequence number of an echo to be sent on a connection now.
 func (d *Decider) nextEcho(now time.Time, c *instanceConnection) uint64 {
 	d.lastEcho++
 	c.clock.echoSent(d.lastEcho, now)
 	return d.lastEcho
 }
 
-// proofReceived takes in what an instance proves about its freshness, and about a version of the configuration: all that were
-// acknowledged anywhere before its contact with a majority are at or below that version.
+// proofReceived processes an instance's proof of freshness. The proof also covers the configuration: all versions that were
+// acknowledged anywhere before the instance's contact with a majority have at most the given generation.
 func (d *Decider) proofReceived(now time.Time, c *instanceConnection, proof protocol.FreshnessProof, generation int64) {
 	if proof == (protocol.FreshnessProof{}) { // an older program, which proves nothing
 		return
@@ -204,7 +205,7 @@
 	d.applied.addClaim(freshnessClaim{generation: generation, asOf: contact})
 }
 
-// completeOutput adds the state after the Step and the time of the next one.
+// completeOutput adds the state after the Step and the time of the next one to the output.
 func (d *Decider) completeOutput(now time.Time) Output {
 	if d.followed != nil {
 		d.out.Following = d.followed.address
@@ -224,17 +225,17 @@
 	return d.out
 }
 
-// instanceConnection is a connection to an instance and what the instance has proved on it.
+// instanceConnection is a connection to an instance, with what the instance has proved on it.
 type instanceConnection struct {
 	id                ConnectionID
 	address           string
 	clock             remoteClock
-	provesFreshness   bool // false: nothing was received yet, or the program is an older one
+	provesFreshness   bool // false: nothing has been received yet, or the program is an older one
 	epoch             uint64
-	majorityContactAt time.Time // newest moment at which the instance is proven to have had contact with a majority
+	majorityContactAt time.Time // newest time at which the instance is proven to have had contact with a majority
 }
 
-// earliestDeadline is the earliest of the deadlines that are still to come; zero: there is none.
+// earliestDeadline is the earliest deadline after now; at is zero if there is none.
 type earliestDeadline struct{ now, at time.Time }
 
 func (e *earliestDeadline) add(deadline time.Time) {
--- a/internal/router/subscription/decider_test.go
+++ b/internal/router/subscription/decider_test.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// Day lompakko-reitti-cut-5: one instance is partitioned, the others restart, and the partitioned one answers first.
+// Observed in the simulated day lompakko-reitti-cut-5: one instance is partitioned, the others restart, and the partitioned one
+// answers first.
 func TestPartitionedInstanceThatAnswersFirstIsNotTrusted(t *testing.T) {
 	n := newTrustingRouter(t, threeInstances...)
 	partitioned := n.others(n.followedInstance())[0]
@@ -69,7 +70,7 @@
 	}
 }
 
-// A router that starts while only a partitioned instance answers applies what that has, and neither trusts it nor is ready.
+// A router that starts while only a partitioned instance answers applies its configuration, but does not trust it and is not ready.
 func TestStartWithAPartitionedInstanceOnlyIsNeitherTrustedNorReady(t *testing.T) {
 	n := newSimulatedNetwork(t, threeInstances...)
 	partitioned := n.instances[threeInstances[0]]
@@ -94,23 +95,23 @@
 	}
 }
 
-// Messages that are delayed more and more come without a gap, and yet prove older and older contacts.
+// Increasing delays leave no gap in the sequence of messages, but the messages prove older and older contacts.
 func TestDelayedMessagesProveNoFreshContact(t *testing.T) {
-	for _, only := range []bool{true, false} {
-		t.Run(fmt.Sprint("only instance ", only), func(t *testing.T) {
+	for _, onlyInstance := range []bool{true, false} {
+		t.Run(fmt.Sprint("only instance ", onlyInstance), func(t *testing.T) {
 			n := newTrustingRouter(t, threeInstances...)
 			slow := n.followedInstance()
 			for _, instance := range n.others(slow) {
-				instance.blackholed = only
+				instance.blackholed = onlyInstance
 			}
 			for range 25 {
 				slow.sendDelay += 200 * time.Millisecond
 				n.run(beaconInterval) // the network checks FreshAsOf against the times of sending
 			}
-			if age := n.now.Sub(n.out.FreshAsOf); only && age < 2*time.Second {
+			if age := n.now.Sub(n.out.FreshAsOf); onlyInstance && age < 2*time.Second {
 				t.Errorf("applied state: got an age of %v, want 2 s or more: messages are up to %v late", age, slow.sendDelay)
 			}
-			if only != (n.out.Following == slow.address) || n.out.Trusted == only {
+			if onlyInstance != (n.out.Following == slow.address) || n.out.Trusted == onlyInstance {
 				t.Errorf("got %q followed, trusted %v; want the delayed %q only if it is the only one, and then untrusted; events %v",
 					n.out.Following, n.out.Trusted, slow.address, n.events)
 			}
@@ -118,7 +119,7 @@
 	}
 }
 
-// Whatever still comes on a connection that was closed changes nothing.
+// Inputs of a connection that the router has closed have no effect.
 func TestMessagesOnAClosedConnectionAreIgnored(t *testing.T) {
 	n := newTrustingRouter(t, threeInstances...)
 	first := n.followedConnection()
@@ -166,8 +167,8 @@
 	}
 }
 
-// Of instances that can't be trusted the one in the newest epoch is followed, then the one with the newest contact; the
-// followed one is kept unless another is in a newer epoch.
+// Of several untrusted instances, the router follows the one in the newest epoch, and among those the one with the newest contact. It
+// keeps the followed instance unless another is in a newer epoch.
 func TestProvisionalChoicePrefersEpochThenContact(t *testing.T) {
 	n := newSimulatedNetwork(t, threeInstances...)
 	for i, address := range threeInstances {
@@ -191,7 +192,7 @@
 	}
 }
 
-// Without a majority anywhere the followed instance is kept, and it is trusted again once it has a proof.
+// Without a majority anywhere the router keeps the followed instance and trusts it again once it has proved a contact.
 func TestInstanceIsKeptWhileNoneCanBeTrusted(t *testing.T) {
 	n := newTrustingRouter(t, threeInstances...)
 	for _, instance := range n.instances {
@@ -207,7 +208,7 @@
 	}
 }
 
-// Contacts that are all nearly as old as TrustTTL don't make the router flap between instances.
+// The router does not alternate between instances whose contacts are all nearly as old as TrustTTL.
 func TestContactsNearTheTrustTTLCauseNoFlapping(t *testing.T) {
 	n := newTrustingRouter(t, threeInstances...)
 	for _, instance := range n.instances {
@@ -241,7 +242,7 @@
 	}
 }
 
-// An instance whose proof is often nearly too old between two beacons is probed itself before any other is.
+// If the proof of the followed instance is nearly too old between beacons, the router probes that instance before any other.
 func TestFollowedInstanceIsProbedBeforeTrustExpires(t *testing.T) {
 	n := newTrustingRouter(t, threeInstances...)
 	n.followedInstance().contactLag = 760 * time.Millisecond
@@ -309,14 +310,14 @@
 	}
 }
 
-// The router's process was paused; what the instance sent meanwhile waits, or comes a little later.
-func TestStallOfTheRouterIsNotTheInstancesFault(t *testing.T) {
-	for _, waits := range []bool{true, false} {
-		t.Run(fmt.Sprint("messages wait ", waits), func(t *testing.T) {
+// The router's process is paused. Messages that the instance sent during the pause are queued, or are received shortly afterwards.
+func TestPausedRouterKeepsFollowingItsInstance(t *testing.T) {
+	for _, messagesQueued := range []bool{true, false} {
+		t.Run(fmt.Sprint("messages queued ", messagesQueued), func(t *testing.T) {
 			n := newTrustingRouter(t, threeInstances...)
 			n.run(10 * time.Millisecond)
 			followed := n.followedInstance()
-			followed.unresponsive = !waits
+			followed.unresponsive = !messagesQueued
 			n.pausedUntil = n.now.Add(5 * time.Second)
 			n.run(5*time.Second - time.Millisecond)
 			followed.unresponsive = false
@@ -346,7 +347,7 @@
 	}
 }
 
-func TestInvalidUpdatesMakeTheRouterMoveOn(t *testing.T) {
+func TestInstanceIsLeftAfterAnInvalidMessage(t *testing.T) {
 	for name, c := range map[string]struct {
 		inject func(n *simulatedNetwork, conn *simulatedConnection)
 		want   error
@@ -385,7 +386,7 @@
 	}
 }
 
-// An instance whose first update is lost while its beacons come is left as well.
+// An instance is also left if its first update is lost while its beacons are received.
 func TestInstanceWhoseFirstUpdateIsLostIsLeft(t *testing.T) {
 	n := newSimulatedNetwork(t, threeInstances...)
 	for n.out.Following == "" {
@@ -401,7 +402,7 @@
 	}
 }
 
-// A change that takes long doesn't make the instance unresponsive, and counts only once it is applied.
+// A change that takes long to apply does not make the instance count as unresponsive. It is acknowledged only after it is applied.
 func TestSlowChangeCountsOnlyOnceApplied(t *testing.T) {
 	n := newTrustingRouter(t, threeInstances...)
 	followed := n.followedInstance()
@@ -424,7 +425,7 @@
 	}
 }
 
-// The router goes back to its own zone once an instance there can be trusted, and searches for one more and more rarely.
+// The router returns to its zone once an instance there is trusted. The searches for one become less frequent.
 func TestRouterReturnsToItsZoneWithGrowingBackoff(t *testing.T) {
 	n := newSimulatedNetwork(t, threeInstances...)
 	zoneLocal := n.instances[threeInstances[0]]
@@ -443,12 +444,12 @@
 	zoneLocal.refusesConnections, zoneLocal.partitioned = false, true
 	n.run(2 * maxZoneLocalBackoff)
 	if len(n.followedInOrder) != 1 {
-		t.Errorf("followed: got %v, want one: that in the own zone is partitioned", n.followedInOrder)
+		t.Errorf("followed: got %v, want one: the instance in the local zone is partitioned", n.followedInOrder)
 	}
 	zoneLocal.partitioned, zoneLocal.contactLag = false, trustTTL*9/10
 	n.run(2 * maxZoneLocalBackoff)
 	if len(n.followedInOrder) != 1 {
-		t.Errorf("followed: got %v, want one: that in the own zone has no trust margin", n.followedInOrder)
+		t.Errorf("followed: got %v, want one: the instance in the local zone has no trust margin", n.followedInOrder)
 	}
 	zoneLocal.contactLag = 0
 	n.run(maxZoneLocalBackoff + time.Second)
@@ -458,7 +459,7 @@
 	}
 }
 
-// An instance in the own zone that fails soon after each return is returned to more and more rarely.
+// Returns to an instance in the local zone that fails soon after each return become less frequent.
 func TestReturnsToAFailingZoneLocalInstanceBackOff(t *testing.T) {
 	n := newSimulatedNetwork(t, threeInstances...)
 	zoneLocal := n.instances[threeInstances[0]]
@@ -481,8 +482,8 @@
 	}
 }
 
-// While the closest instance is slow to answer, the router waits for it for a short time, and no longer.
-func TestShortWaitForTheOwnZone(t *testing.T) {
+// The router waits for a slow closest instance, but only for a short time.
+func TestRouterWaitsBrieflyForTheClosestInstance(t *testing.T) {
 	for delay, want := range map[time.Duration]string{15 * time.Millisecond: threeInstances[0], 60 * time.Millisecond: threeInstances[1]} {
 		n := newSimulatedNetwork(t, threeInstances[0], threeInstances[1])
 		n.instances[threeInstances[0]].sendDelay = delay
@@ -493,8 +494,8 @@
 	}
 }
 
-// The router doesn't move to an instance without a trust margin while another one may answer with a newer contact.
-func TestShortWaitForANewerProof(t *testing.T) {
+// The router does not move to an instance without a trust margin while another one may answer with a newer contact.
+func TestRouterWaitsBrieflyForANewerProof(t *testing.T) {
 	n := newSimulatedNetwork(t, threeInstances[0], threeInstances[1])
 	n.instances[threeInstances[0]].contactLag = trustTTL * 95 / 100
 	n.instances[threeInstances[1]].sendDelay = 10 * time.Millisecond
@@ -523,7 +524,7 @@
 	}
 }
 
-// Older programs prove nothing and answer no probes: the router follows one provisionally.
+// Older programs prove nothing and answer no probes. The router follows one of them provisionally.
 func TestOlderProgramsAreFollowedProvisionally(t *testing.T) {
 	n := newSimulatedNetwork(t, threeInstances...)
 	for _, instance := range n.instances {
@@ -545,8 +546,8 @@
 	}
 }
 
-// A configuration never goes back.
-func TestConfigurationNeverGoesBack(t *testing.T) {
+// An update with an older configuration does not replace the applied one.
+func TestConfigurationIsNotReplacedByAnOlderOne(t *testing.T) {
 	n := newTrustingRouter(t, threeInstances...)
 	conn := n.followedConnection()
 	conn.instance.generation = 3
--- a/internal/router/subscription/followed.go
+++ b/internal/router/subscription/followed.go
@@ -7,31 +7,31 @@
 )
 
 const (
-	beaconTimeout                 = 750 * time.Millisecond // without any message: beacons come every 250 ms
-	announcedConfigurationTimeout = time.Second            // from the announcement of a configuration until it comes
-	stableFollowTime              = 2 * time.Second        // an instance followed for so long works
-	minZoneLocalBackoff           = 3 * time.Second        // between searches for an instance in the own zone
+	beaconTimeout                 = 750 * time.Millisecond // without any message; instances send a beacon every 250 ms
+	announcedConfigurationTimeout = time.Second            // from the announcement of a configuration until it is received
+	minStableFollowTime           = 2 * time.Second        // from which an instance counts as working
+	minZoneLocalBackoff           = 3 * time.Second        // between searches for an instance in the local zone
 	maxZoneLocalBackoff           = time.Minute
 )
 
-// followedInstance is the instance that the router takes updates from.
+// followedInstance is the instance whose updates the router applies.
 type followedInstance struct {
 	instanceConnection
-	unresponsiveAt    time.Time // it is left then, unless a message comes
-	responded         bool      // a message has come
-	issuesCredit      bool      // it answers requests for credit
-	wasTrusted        bool      // it has been trusted since the last search
-	probeInFlight     bool
-	nextEarlyProbeAt  time.Time // no early probe is sent before
-	lastUpdate        uint64    // sequence number of the newest update, 0: none
-	lastAckedUpdate   uint64    // sequence number of the newest update that is applied, 0: none
-	newestGeneration  int64     // of the configurations that it has sent
-	followedSince     time.Time // when its first update was applied; zero: none is
-	zoneLocalSearchAt time.Time // when an instance in the own zone is searched for; zero: never
-	withheldDeadline  time.Time // it is left then, unless it sends the configuration that it has announced; zero: none is due
+	unresponsiveAt                 time.Time // when the instance is left unless another message is received
+	responded                      bool      // a message has been received
+	issuesCredit                   bool      // the instance answers requests for credit
+	wasTrusted                     bool      // the instance has been trusted since the last search
+	probeInFlight                  bool
+	nextEarlyProbeAt               time.Time // no early probe is sent before
+	lastUpdate                     uint64    // sequence number of the newest received update; 0: none
+	lastAckedUpdate                uint64    // sequence number of the newest applied update; 0: none
+	newestGeneration               int64     // of the configurations that the instance has sent
+	followedSince                  time.Time // when the first update was applied; zero: not yet
+	zoneLocalSearchAt              time.Time // when to search for an instance in the local zone; zero: never
+	announcedConfigurationDeadline time.Time // when the instance is left unless it sends the announced configuration; zero: none
 }
 
-// follow subscribes to an instance on an open connection. The one before has been left.
+// follow subscribes to an instance on an open connection. The previous instance must have been left.
 func (d *Decider) follow(now time.Time, c instanceConnection) {
 	d.followed = &followedInstance{
 		instanceConnection: c,
@@ -53,7 +53,7 @@
 	d.queuedReports = nil
 }
 
-// leave stops following the instance. What it sent and is not applied yet is dropped: the next one sends it again.
+// leave stops following the instance. Its pending updates are dropped, because the next instance sends them again.
 func (d *Decider) leave(now time.Time, err error) {
 	f := d.followed
 	d.followed, d.pendingUpdates = nil, nil
@@ -65,7 +65,7 @@
 	}
 	d.unreachableRecorded = false
 	d.record(InstanceLeft{Instance: f.address, Err: err})
-	if now.Sub(f.followedSince) < stableFollowTime {
+	if now.Sub(f.followedSince) < minStableFollowTime {
 		d.candidates.Deprioritize(f.address)
 		return
 	}
@@ -75,7 +75,7 @@
 	}
 }
 
-// recordUnreachable records once that no instance can be followed.
+// recordUnreachable records that no instance can be followed, unless that is recorded already.
 func (d *Decider) recordUnreachable(address string, err error) {
 	if !d.unreachableRecorded {
 		d.unreachableRecorded = true
@@ -83,8 +83,8 @@
 	}
 }
 
-// followedMessage takes in a message of the followed instance.
-func (d *Decider) followedMessage(now time.Time, f *followedInstance, message any) {
+// followedMessageReceived processes a message of the followed instance.
+func (d *Decider) followedMessageReceived(now time.Time, f *followedInstance, message any) {
 	f.unresponsiveAt = now.Add(beaconTimeout)
 	f.responded = true
 	switch m := message.(type) {
@@ -96,15 +96,15 @@
 			d.leave(now, ErrSequenceGap)
 			return
 		}
-		d.followedProof(now, f, m.Freshness, m.Generation)
+		d.followedProofReceived(now, f, m.Freshness, m.Generation)
 	case *protocol.ProbeReply:
 		f.probeInFlight = false
-		d.followedProof(now, f, m.Freshness, m.Generation)
+		d.followedProofReceived(now, f, m.Freshness, m.Generation)
 	}
 }
 
-// followedProof takes in a proof of the followed instance. One that has gone back to an earlier epoch is left.
-func (d *Decider) followedProof(now time.Time, f *followedInstance, proof protocol.FreshnessProof, generation int64) {
+// followedProofReceived processes a proof of the followed instance. An instance that returned to an earlier epoch is left.
+func (d *Decider) followedProofReceived(now time.Time, f *followedInstance, proof protocol.FreshnessProof, generation int64) {
 	if proof.Epoch < f.epoch && proof != (protocol.FreshnessProof{}) {
 		d.leave(now, ErrOlderEpoch)
 		return
@@ -113,23 +113,23 @@
 	f.trackAnnouncement(generation, now)
 }
 
-// trackAnnouncement notes whether the instance announces a configuration that it has not sent.
+// trackAnnouncement sets or clears the deadline for a configuration that the instance has announced and not yet sent.
 func (f *followedInstance) trackAnnouncement(generation int64, now time.Time) {
 	switch {
 	case generation <= f.newestGeneration:
-		f.withheldDeadline = time.Time{}
-	case f.withheldDeadline.IsZero():
-		f.withheldDeadline = now.Add(announcedConfigurationTimeout)
+		f.announcedConfigurationDeadline = time.Time{}
+	case f.announcedConfigurationDeadline.IsZero():
+		f.announcedConfigurationDeadline = now.Add(announcedConfigurationTimeout)
 	}
 }
 
-// checkFollowed checks the deadlines of the followed instance. Without one, or without trust in it, others are searched
-// for.
+// checkFollowed checks the deadlines of the followed instance. It starts a search if no instance is followed or the followed one
+// is not trusted.
 func (d *Decider) checkFollowed(now time.Time) {
 	f := d.followed
 	switch {
 	case f == nil:
-	case !f.withheldDeadline.IsZero() && !now.Before(f.withheldDeadline):
+	case !f.announcedConfigurationDeadline.IsZero() && !now.Before(f.announcedConfigurationDeadline):
 		d.leave(now, ErrConfigurationWithheld)
 	case !now.Before(f.unresponsiveAt):
 		d.leave(now, ErrUnresponsive)
@@ -140,8 +140,8 @@
 	d.startSearch(now)
 }
 
-// checkTrusted ends a search that is no longer needed, renews trust before it expires, and from time to time searches
-// for an instance in the own zone.
+// checkTrusted ends a search that is no longer needed, probes the instance before trust expires, and searches for an instance in
+// the local zone when such a search is due.
 func (d *Decider) checkTrusted(now time.Time, f *followedInstance) {
 	f.wasTrusted = true
 	if d.search != nil && !d.search.zoneLocal {
@@ -153,7 +153,7 @@
 	}
 }
 
-// probeBeforeTrustExpires asks the followed instance for a newer proof, shortly before others would be probed.
+// probeBeforeTrustExpires requests a newer proof from the followed instance shortly before the other instances would be probed.
 func (d *Decider) probeBeforeTrustExpires(now time.Time, f *followedInstance) {
 	if now.Before(d.earlyProbeAt(&f.instanceConnection)) || now.Before(f.nextEarlyProbeAt) {
 		return
@@ -162,7 +162,8 @@
 	d.probeFollowed(now)
 }
 
-// renewClockSync sends an echo to the followed instance if the last one was long ago. A probe brings it back at once.
+// renewClockSync sends an echo to the followed instance if the last one is old. The echo is sent as a probe, which is answered at
+// once.
 func (d *Decider) renewClockSync(now time.Time) {
 	if f := d.followed; f != nil && f.provesFreshness && f.clock.echoDue(now) {
 		d.send(f.id, protocol.Probe{EchoSequence: d.nextEcho(now, &f.instanceConnection)})
@@ -171,7 +172,7 @@
 
 func (d *Decider) addFollowedDeadlines(next *earliestDeadline, f *followedInstance) {
 	next.add(f.unresponsiveAt)
-	next.add(f.withheldDeadline)
+	next.add(f.announcedConfigurationDeadline)
 	if !f.majorityContactAt.IsZero() {
 		next.add(d.trustedUntil(&f.instanceConnection))
 		next.add(laterOf(f.nextEarlyProbeAt, d.earlyProbeAt(&f.instanceConnection)))
--- a/internal/router/subscription/network_test.go
+++ b/internal/router/subscription/network_test.go
@@ -17,20 +17,20 @@
 	beaconInterval = 250 * time.Millisecond
 )
 
-// failer is what a simulated network fails: a test, or one of rapid's.
-type failer interface {
+// testFailer is the part of *testing.T and *rapid.T that a simulated network uses.
+type testFailer interface {
 	Helper()
 	Fatalf(format string, arguments ...any)
 }
 
-// simulatedInstance is a control instance: what it knows, and its injected faults.
+// simulatedInstance is the state of a control instance, with its injected faults.
 type simulatedInstance struct {
 	address            string
-	clockAtStart       time.Duration // what its own clock reads at the network's start
-	driftPerSecond     time.Duration // how much its clock gains in a second
+	clockAtStart       time.Duration // reading of its clock at the start of the network
+	driftPerSecond     time.Duration // what its clock gains per second
 	epoch              uint64
-	majorityContactAt  time.Time     // renewed unless it is partitioned or lacks the newest generation
-	contactLag         time.Duration // how much older its contact is than it could be
+	majorityContactAt  time.Time     // renewed unless the instance is partitioned or lacks the newest generation
+	contactLag         time.Duration // by which its contact is older than possible
 	partitioned        bool          // from the majority, not from the router
 	refusesConnections bool          // dials fail at once
 	blackholed         bool          // dials are never answered
@@ -56,7 +56,7 @@
 	lastArrivalAtInstance time.Time
 }
 
-// scheduledEvent is something that happens at a time: an input of the decider, or an action.
+// scheduledEvent is an input of the decider or an action, with the time at which it occurs.
 type scheduledEvent struct {
 	at            time.Time
 	input         Input
@@ -64,15 +64,15 @@
 	action        func()
 }
 
-// simulatedNetwork runs one decider against instances in simulated time. After each step it checks that FreshAsOf is no later
-// than the newest contact that a received message can prove.
+// simulatedNetwork runs one decider with simulated instances in simulated time. After each step it checks that FreshAsOf is not
+// later than the newest contact that a received message can prove.
 type simulatedNetwork struct {
-	t                   failer
+	t                   testFailer
 	start               time.Time
 	now                 time.Time
-	pausedUntil         time.Time // the router's process is paused until then
+	pausedUntil         time.Time // until which the router's process is paused
 	newestGeneration    int64     // acknowledged; every instance that is not partitioned has it
-	newestProvenContact time.Time // newest contact of an instance when it sent a message that the router has received
+	newestProvenContact time.Time // newest contact that an instance had when it sent a message that the router has received
 	decider             *Decider
 	out                 Output
 	instances           map[string]*simulatedInstance
@@ -81,18 +81,18 @@
 	scheduled           []scheduledEvent
 	nextBeaconAt        time.Time
 	events              []Event
-	followedInOrder     []string // addresses of the instances followed, one after the other; empty: none
+	followedInOrder     []string // addresses of the followed instances in order; empty: none was followed
 	dials               int
 	probes              int
 	changes             []*Change
 	appliedGeneration   int64
-	applyDelay          time.Duration // how long a change takes to apply
-	applyError          error         // if set, changes fail with it
-	invariant           func()        // checked after each step; may be nil
+	applyDelay          time.Duration // duration of applying a change
+	applyError          error         // result of applying a change; nil: success
+	invariant           func()        // called after each step; may be nil
 }
 
-// newSimulatedNetwork starts a router in zone z1, and instances in epoch 1 that have version 4.
-func newSimulatedNetwork(t failer, addresses ...string) *simulatedNetwork {
+// newSimulatedNetwork returns a network with a router in zone z1 and instances in epoch 1 that have generation 4.
+func newSimulatedNetwork(t testFailer, addresses ...string) *simulatedNetwork {
 	t.Helper()
 	begin := time.Unix(1_000_000, 0)
 	candidates := NewCandidates("z1", netip.MustParseAddr("10.1.0.9"), rand.New(rand.NewPCG(1, 1)))
@@ -107,7 +107,7 @@
 	return n
 }
 
-// freshnessProof is what an instance proves now on a connection.
+// freshnessProof returns the proof that an instance sends on a connection now.
 func (n *simulatedNetwork) freshnessProof(conn *simulatedConnection) protocol.FreshnessProof {
 	instance := conn.instance
 	if instance.olderProgram {
@@ -121,19 +121,19 @@
 	return s
 }
 
-// renewContact is an instance's contact with the majority, if it has one now.
+// renewContact renews an instance's contact with the majority if the instance is able to have one.
 func (n *simulatedNetwork) renewContact(instance *simulatedInstance) {
 	if !instance.partitioned && instance.generation == n.newestGeneration {
 		instance.majorityContactAt = laterOf(instance.majorityContactAt, n.now.Add(-instance.contactLag))
 	}
 }
 
-// elapsed is how long a time lasts by the instance's clock.
+// elapsed converts a duration to the instance's clock.
 func (instance *simulatedInstance) elapsed(d time.Duration) time.Duration {
 	return d + time.Duration(d.Seconds()*float64(instance.driftPerSecond))
 }
 
-// sendToRouter sends a message of an instance.
+// sendToRouter schedules the arrival of an instance's message at the router.
 func (n *simulatedNetwork) sendToRouter(conn *simulatedConnection, message any) {
 	if conn.instance.unresponsive || conn.closedByInstance {
 		return
@@ -146,15 +146,15 @@
 	n.schedule(n.now.Add(d), scheduledEvent{input: in})
 }
 
-func (n *simulatedNetwork) schedule(at time.Time, o scheduledEvent) {
-	o.at = at
-	i, _ := slices.BinarySearchFunc(n.scheduled, at, func(o scheduledEvent, at time.Time) int {
-		if o.at.After(at) {
+func (n *simulatedNetwork) schedule(at time.Time, event scheduledEvent) {
+	event.at = at
+	i, _ := slices.BinarySearchFunc(n.scheduled, at, func(other scheduledEvent, at time.Time) int {
+		if other.at.After(at) {
 			return 1
 		}
 		return -1
 	})
-	n.scheduled = slices.Insert(n.scheduled, i, o)
+	n.scheduled = slices.Insert(n.scheduled, i, event)
 }
 
 func (n *simulatedNetwork) step(inputs ...Input) {
@@ -224,7 +224,7 @@
 	}})
 }
 
-// receive is the arrival of a message at an instance.
+// receive handles a message that arrives at an instance.
 func (n *simulatedNetwork) receive(conn *simulatedConnection, message any) {
 	switch m := message.(type) {
 	case protocol.Probe:
@@ -244,10 +244,11 @@
 	}
 }
 
-func (n *simulatedNetwork) sendUpdate(conn *simulatedConnection, u protocol.Update, has int64) {
+// sendUpdate sends an update to the router. It contains the document if the router has an older generation.
+func (n *simulatedNetwork) sendUpdate(conn *simulatedConnection, u protocol.Update, previousGeneration int64) {
 	conn.lastUpdate++
 	u.Sequence, u.Generation, u.Freshness = conn.lastUpdate, conn.instance.generation, n.freshnessProof(conn)
-	if has < u.Generation {
+	if previousGeneration < u.Generation {
 		u.Document = []byte("document")
 	}
 	n.sendToRouter(conn, &u)
@@ -271,7 +272,7 @@
 	return nil
 }
 
-// run advances the time, and brings about what is due meanwhile.
+// run advances the time and executes what becomes due.
 func (n *simulatedNetwork) run(d time.Duration) {
 	n.t.Helper()
 	for end := n.now.Add(d); ; {
@@ -291,27 +292,27 @@
 	}
 }
 
-// runScheduled brings about what is due now. Inputs wait while the router's process is paused.
+// runScheduled executes what is due now. Inputs are delayed while the router's process is paused.
 func (n *simulatedNetwork) runScheduled() {
 	n.t.Helper()
 	n.sendBeacons()
 	var inputs []Input
 	var paused []scheduledEvent
 	for len(n.scheduled) > 0 && !n.scheduled[0].at.After(n.now) {
-		o := n.scheduled[0]
+		event := n.scheduled[0]
 		n.scheduled = n.scheduled[1:]
 		switch {
-		case o.action != nil:
-			o.action()
+		case event.action != nil:
+			event.action()
 		case n.now.Before(n.pausedUntil):
-			paused = append(paused, o)
+			paused = append(paused, event)
 		default:
-			inputs = append(inputs, o.input)
-			n.newestProvenContact = laterOf(n.newestProvenContact, o.provenContact)
+			inputs = append(inputs, event.input)
+			n.newestProvenContact = laterOf(n.newestProvenContact, event.provenContact)
 		}
 	}
-	for _, o := range paused {
-		n.schedule(n.pausedUntil, o)
+	for _, event := range paused {
+		n.schedule(n.pausedUntil, event)
 	}
 	if !n.now.Before(n.pausedUntil) && (len(inputs) > 0 || !n.now.Before(n.out.WakeAt)) {
 		n.step(inputs...)
@@ -330,13 +331,13 @@
 	}
 }
 
-// stopInstance ends an instance's process: its connections end, and dials are refused.
+// stopInstance ends an instance's process: its connections close, and dials are refused.
 func (n *simulatedNetwork) stopInstance(instance *simulatedInstance) {
 	instance.refusesConnections = true
 	n.closeConnections(instance)
 }
 
-// closeConnections ends an instance's connections.
+// closeConnections closes an instance's connections.
 func (n *simulatedNetwork) closeConnections(instance *simulatedInstance) {
 	for _, conn := range n.connections {
 		if conn.instance == instance && !conn.closedByRouter && !conn.closedByInstance {
@@ -346,18 +347,18 @@
 	}
 }
 
-// setGeneration has an instance receive a version and send it to the router if that is subscribed.
+// setGeneration makes an instance receive a generation, which it sends to the router if that is subscribed.
 func (n *simulatedNetwork) setGeneration(instance *simulatedInstance, generation int64) {
-	had := instance.generation
+	previousGeneration := instance.generation
 	instance.generation = generation
 	for _, conn := range n.connections {
 		if conn.instance == instance && conn.subscribed && !conn.closedByRouter {
-			n.sendUpdate(conn, protocol.Update{}, had)
+			n.sendUpdate(conn, protocol.Update{}, previousGeneration)
 		}
 	}
 }
 
-// commitConfiguration acknowledges a new version, which all instances have that are not partitioned.
+// commitConfiguration acknowledges a new generation, which all instances that are not partitioned receive.
 func (n *simulatedNetwork) commitConfiguration() {
 	n.newestGeneration++
 	for _, address := range n.seeds {
@@ -367,7 +368,7 @@
 	}
 }
 
-// followedConnection is the connection to the followed instance.
+// followedConnection returns the connection to the followed instance.
 func (n *simulatedNetwork) followedConnection() *simulatedConnection {
 	n.t.Helper()
 	for _, conn := range n.connections {
@@ -394,7 +395,7 @@
 	return others
 }
 
-// reasonsForLeaving lists the errors with which instances were left.
+// reasonsForLeaving returns the errors with which instances were left.
 func (n *simulatedNetwork) reasonsForLeaving() (reasons []error) {
 	for _, event := range n.events {
 		if e, ok := event.(InstanceLeft); ok {
@@ -415,12 +416,12 @@
 	return n
 }
 
-// awaitLeft runs the network until an instance is left, and returns how long that took.
+// awaitLeft runs the network until an instance is left, and returns how long that took in simulated time.
 func (n *simulatedNetwork) awaitLeft(instance *simulatedInstance, timeout time.Duration) (took time.Duration) {
 	n.t.Helper()
 	for begin := n.now; n.out.Following == instance.address; {
 		if n.now.Sub(begin) > timeout {
-			n.t.Fatalf("%s: got followed for more than %v, want it left; events %v", instance.address, timeout, n.events)
+			n.t.Fatalf("%s: followed for more than %v, want it left; events %v", instance.address, timeout, n.events)
 		}
 		n.run(time.Millisecond)
 		took = n.now.Sub(begin)
--- a/internal/router/subscription/property_test.go
+++ b/internal/router/subscription/property_test.go
@@ -10,15 +10,15 @@
 	"raventrestle/internal/protocol"
 )
 
-// committedVersion is a version that was acknowledged, and when.
+// committedVersion is a version that was acknowledged, with the time of the acknowledgement.
 type committedVersion struct {
 	generation  int64
 	committedAt time.Time
 }
 
-// TestTrustNeverOutlastsTheMajority injects delays, pauses, partitions, restarts and changes of epoch at random. The network
-// checks FreshAsOf against the contacts when messages were sent; here it is checked against what was acknowledged, and that
-// no instance is trusted whose contact with the majority is as old as TrustTTL.
+// Delays, pauses, partitions, restarts and changes of epoch are injected at random. The simulated network checks FreshAsOf against
+// the contacts at the time when messages were sent. This test checks it against the acknowledged versions, and also checks that an
+// instance is not trusted once its contact with the majority is as old as TrustTTL.
 func TestTrustNeverOutlastsTheMajority(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := newSimulatedNetwork(t, threeInstances...)
@@ -56,7 +56,7 @@
 	})
 }
 
-// injectFault injects a fault, or ends one.
+// injectFault injects or ends a fault drawn at random.
 func injectFault(t *rapid.T, n *simulatedNetwork, acknowledge func()) {
 	instance := n.instances[rapid.SampledFrom(threeInstances).Draw(t, "instance")]
 	duration := func() time.Duration {
@@ -116,7 +116,7 @@
 	return newest
 }
 
-// healPartition ends an instance's partition: it receives what the others have, and a complete update follows.
+// healPartition ends an instance's partition. The instance receives the newest generation and sends a complete update.
 func healPartition(n *simulatedNetwork, instance *simulatedInstance) {
 	if !instance.partitioned {
 		return
--- a/internal/router/subscription/remoteclock_test.go
+++ b/internal/router/subscription/remoteclock_test.go
@@ -7,8 +7,8 @@
 	"raventrestle/internal/protocol"
 )
 
-// A proof counts once an echo has come back, and then by the instance's clock.
-func TestRemoteClockProvesContacts(t *testing.T) {
+// A proof is effective once an echo has been returned, and its time is then computed from the instance's clock.
+func TestMajorityContactOfAProof(t *testing.T) {
 	begin := time.Unix(1000, 0)
 	at := func(d time.Duration) time.Time { return begin.Add(d) }
 	proof := func(echo uint64, sentAt, age time.Duration) protocol.FreshnessProof {
@@ -16,10 +16,10 @@
 	}
 	const s = time.Second
 	for name, c := range map[string]struct {
-		echoes map[time.Duration]uint64 // sequence numbers, by when they were sent
+		echoes map[time.Duration]uint64 // sequence numbers, by the time at which they were sent
 		now    time.Duration
 		proof  protocol.FreshnessProof
-		want   time.Duration // of the contact, without what the clocks may drift
+		want   time.Duration // of the contact, without the allowance for drift
 		proves bool
 	}{
 		"no echo has come back": {map[time.Duration]uint64{1 * s: 5}, 2 * s, proof(4, 70*s, 0), 0, false},
@@ -46,7 +46,7 @@
 	}
 }
 
-// A later message is placed by the instance's clock, not by when it was received.
+// The time of a later message is computed from the instance's clock, not from the time of its arrival.
 func TestRemoteClockPlacesMessagesByWhenTheyWereSent(t *testing.T) {
 	begin := time.Unix(1000, 0)
 	var clock remoteClock
@@ -63,7 +63,8 @@
 	}
 }
 
-// An exact sync is kept for a while; then any newer one replaces it, and without one nothing is proved.
+// A more exact sync is kept until clockSyncRefresh. Then a newer sync replaces it. After clockSyncTTL without a returned echo nothing
+// is proved.
 func TestRemoteClockIsSyncedAgain(t *testing.T) {
 	begin := time.Unix(1000, 0)
 	var clock remoteClock
@@ -71,12 +72,12 @@
 	clock.majorityContact(begin, protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 1, SentAt: 0})
 	clock.echoSent(2, begin.Add(clockSyncRefresh/2))
 	clock.majorityContact(begin.Add(clockSyncRefresh/2+time.Second), protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 2, SentAt: clockSyncRefresh/2 + time.Second})
-	if !clock.zero.Equal(begin) {
-		t.Errorf("less exact sync: got a zero of %v, want that of the exact one, 0", clock.zero.Sub(begin))
+	if !clock.zeroAt.Equal(begin) {
+		t.Errorf("less exact sync: got a zero of %v, want that of the exact one, 0", clock.zeroAt.Sub(begin))
 	}
 	clock.echoSent(3, begin.Add(clockSyncRefresh))
 	clock.majorityContact(begin.Add(clockSyncRefresh+time.Second), protocol.FreshnessProof{HasMajorityContact: true, EchoedSequence: 3, SentAt: clockSyncRefresh + time.Second})
-	if clock.zero.Equal(begin) {
+	if clock.zeroAt.Equal(begin) {
 		t.Error("newer sync: got the zero of the old one, want another")
 	}
 	end := begin.Add(clockSyncRefresh + clockSyncTTL)
--- a/internal/router/subscription/search.go
+++ b/internal/router/subscription/search.go
@@ -10,30 +10,30 @@
 const (
 	dialTimeout         = 350 * time.Millisecond
 	probeTimeout        = 350 * time.Millisecond
-	maxConcurrentProbes = 4 // that wait for a connection or a reply
+	maxConcurrentProbes = 4 // waiting for a connection or a reply
 	minWakeDelay        = time.Millisecond
 )
 
-// search is the probing of instances, round after round, until one that is trusted is followed.
+// search probes instances in rounds until one that is trusted is followed.
 type search struct {
-	zoneLocal      bool // a single round over the own zone, while a trusted instance of another zone is followed
+	zoneLocal      bool // only one round over the local zone, while a trusted instance in another zone is followed
 	startedAt      time.Time
-	nextRoundAt    time.Time // the next round begins no earlier, and once all of this one are probed
+	nextRoundAt    time.Time // the next round begins at this time, but not before all candidates of the current one are probed
 	rounds         int
-	remaining      []Candidate // of this round, not probed yet
+	remaining      []Candidate // candidates of the current round that are not probed yet
 	probes         []*probe
-	firstTrustedAt time.Time // when an instance was first found that can be trusted and is worth a move; zero: none is known
+	firstTrustedAt time.Time // when the first instance was found that is trusted and justifies a move; zero: none is known
 	failedAddress  string    // of the probe that failed last
-	failure        error     // of the probe that failed last
+	lastError      error     // of the probe that failed last
 }
 
-// probe is a connection on which an instance is asked for a proof of its freshness. It stays open until the search ends,
-// and is probed again in each round.
+// probe is a connection on which an instance is asked for a proof of its freshness. It stays open until the search ends, and the
+// instance is probed again in each round.
 type probe struct {
 	instanceConnection
 	proximity int // see Candidate
 	state     probeState
-	deadline  time.Time // of the present state; it does not count once answered
+	deadline  time.Time // of the current state; unused once the probe is answered
 }
 
 type probeState uint8
@@ -44,7 +44,7 @@
 	probeAnswered
 )
 
-// startSearch begins a search over all candidates, unless one is under way.
+// startSearch begins a search over all candidates unless one is in progress. It replaces a zone-local search.
 func (d *Decider) startSearch(now time.Time) {
 	if d.search != nil && !d.search.zoneLocal {
 		return
@@ -60,7 +60,7 @@
 	}
 }
 
-// startZoneLocalSearch begins a search for an instance in the own zone. No other search is under way.
+// startZoneLocalSearch begins a search for an instance in the local zone. No other search may be in progress.
 func (d *Decider) startZoneLocalSearch(now time.Time) {
 	d.lastRoundAt = now
 	d.search = &search{zoneLocal: true, startedAt: now, rounds: 1, remaining: d.candidates.ZoneLocal()}
@@ -76,7 +76,7 @@
 	d.search = nil
 }
 
-// continueSearch does what is due in the search, if one is under way.
+// continueSearch advances the search, if one is in progress.
 func (d *Decider) continueSearch(now time.Time) {
 	s := d.search
 	if s == nil {
@@ -92,15 +92,15 @@
 	d.selectInstance(now, s)
 }
 
-// beginRound begins the next round when its time has come.
+// beginRound begins the next round if it is due.
 func (d *Decider) beginRound(now time.Time, s *search) {
 	if s.zoneLocal || len(s.remaining) > 0 || now.Before(s.nextRoundAt) {
 		return
 	}
-	if s.rounds > 0 { // all known instances were probed: the settings may name others by now
+	if s.rounds > 0 { // all known instances were probed without success; the settings may list others now
 		d.out.ReadSeeds = true
-		if d.followed == nil && s.failure != nil {
-			d.recordUnreachable(s.failedAddress, s.failure)
+		if d.followed == nil && s.lastError != nil {
+			d.recordUnreachable(s.failedAddress, s.lastError)
 		}
 	}
 	s.rounds++
@@ -110,7 +110,7 @@
 	d.probeFollowed(now)
 }
 
-// probeFollowed probes the followed instance on its own connection: it may have a newer proof than its last beacon had.
+// probeFollowed probes the followed instance on its own connection, because it may have a newer proof than in its last beacon.
 func (d *Decider) probeFollowed(now time.Time) {
 	f := d.followed
 	if f == nil || !f.provesFreshness {
@@ -120,7 +120,7 @@
 	d.send(f.id, protocol.Probe{EchoSequence: d.nextEcho(now, &f.instanceConnection)})
 }
 
-// probeRemaining probes the candidates that are left of this round, maxConcurrentProbes at a time.
+// probeRemaining probes the remaining candidates of the round, with at most maxConcurrentProbes in flight.
 func (d *Decider) probeRemaining(now time.Time, s *search) {
 	for len(s.remaining) > 0 && s.inFlight() < maxConcurrentProbes {
 		candidate := s.remaining[0]
@@ -128,7 +128,7 @@
 		if d.followed != nil && d.followed.address == candidate.Address {
 			continue
 		}
-		p := s.probeOf(candidate.Address)
+		p := s.probeByAddress(candidate.Address)
 		switch {
 		case p == nil:
 			d.dialCandidate(now, s, candidate)
@@ -156,10 +156,10 @@
 	d.send(p.id, protocol.Probe{EchoSequence: d.nextEcho(now, &p.instanceConnection)})
 }
 
-// connectionOpened probes the instance on its new connection. One that is known not to answer probes is followed right
-// away if no instance is followed: it may be an older program that works.
+// connectionOpened probes the instance on its new connection. If no instance is followed, one that is known not to answer probes
+// is followed without a probe, because it may run an older program that works.
 func (d *Decider) connectionOpened(now time.Time, id ConnectionID) {
-	p := d.search.probeOn(id)
+	p := d.search.probeByConnection(id)
 	if p == nil || p.state != probeDialing {
 		return
 	}
@@ -177,11 +177,11 @@
 	d.proofReceived(now, &p.instanceConnection, reply.Freshness, reply.Generation)
 }
 
-// probeFailed gives a probe up.
+// probeFailed closes a failed probe.
 func (d *Decider) probeFailed(p *probe, err error) {
 	d.out.Close = append(d.out.Close, p.id)
 	d.search.remove(p)
-	d.search.failedAddress, d.search.failure = p.address, err
+	d.search.failedAddress, d.search.lastError = p.address, err
 	if p.state == probeSent && !p.provesFreshness {
 		d.unresponsiveToProbes[p.address] = true
 	}
@@ -202,7 +202,7 @@
 	next.add(s.startedAt.Add(provisionalFollowTimeout))
 }
 
-// restartRound has the next round begin at once.
+// restartRound makes the next round begin at once.
 func (s *search) restartRound() {
 	s.remaining, s.nextRoundAt = nil, time.Time{}
 }
@@ -213,7 +213,7 @@
 	}
 }
 
-// inFlight counts the probes that wait for a connection or a reply.
+// inFlight returns the number of probes that wait for a connection or a reply.
 func (s *search) inFlight() int {
 	count := 0
 	for _, p := range s.probes {
@@ -224,8 +224,8 @@
 	return count
 }
 
-// probeOn returns the probe on a connection; nil: there is none, or no search.
-func (s *search) probeOn(id ConnectionID) *probe {
+// probeByConnection returns the probe on a connection, or nil if there is none or no search is in progress.
+func (s *search) probeByConnection(id ConnectionID) *probe {
 	if s == nil {
 		return nil
 	}
@@ -237,7 +237,7 @@
 	return nil
 }
 
-func (s *search) probeOf(address string) *probe {
+func (s *search) probeByAddress(address string) *probe {
 	for _, p := range s.probes {
 		if p.address == address {
 			return p
--- a/internal/router/subscription/selection.go
+++ b/internal/router/subscription/selection.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// betterReplyTimeout is the wait for a better instance, once one that can be trusted has answered.
+	// betterReplyTimeout is the wait for a better instance after the first trusted one has answered.
 	betterReplyTimeout = 30 * time.Millisecond
-	// provisionalFollowTimeout is how long a search lasts before an instance without a fresh proof is followed while others
-	// have yet to answer.
+	// provisionalFollowTimeout is the duration of a search after which an instance without a recent proof is followed although other
+	// instances have not answered yet.
 	provisionalFollowTimeout = 350 * time.Millisecond
 )
 
-// selectInstance moves to the best instance that has answered, if that one is worth leaving the followed one for.
+// selectInstance moves to the best instance that has answered, if that justifies leaving the followed one.
 func (d *Decider) selectInstance(now time.Time, s *search) {
 	if best := d.bestTrusted(now, s); best != nil {
 		if s.firstTrustedAt.IsZero() {
@@ -36,8 +36,7 @@
 	}
 }
 
-// bestTrusted is the best of the probed instances that are trusted and worth leaving the followed one for; nil: there is
-// none.
+// bestTrusted returns the best of the probed instances that are trusted and justify a move, or nil if there is none.
 func (d *Decider) bestTrusted(now time.Time, s *search) *probe {
 	var best *probe
 	for _, p := range s.probes {
@@ -51,8 +50,7 @@
 	return best
 }
 
-// compareTrusted prefers an instance with a trust margin to one without, then a closer one, then the one with the newer
-// contact.
+// compareTrusted prefers an instance with a trust margin, then the closer one, then the one with the newer contact.
 func (d *Decider) compareTrusted(now time.Time, a, b *probe) int {
 	byMargin := 0
 	if d.hasTrustMargin(now, &a.instanceConnection) != d.hasTrustMargin(now, &b.instanceConnection) {
@@ -61,7 +59,7 @@
 	return cmp.Or(byMargin, cmp.Compare(a.proximity, b.proximity), a.majorityContactAt.Compare(b.majorityContactAt))
 }
 
-// justifiesMove says whether a trusted instance is worth leaving the followed one for.
+// justifiesMove reports whether a trusted instance is better than the followed one by enough to move to it.
 func (d *Decider) justifiesMove(now time.Time, s *search, p *probe) bool {
 	f := d.followed
 	switch {
@@ -73,7 +71,7 @@
 	return p.majorityContactAt.Sub(f.majorityContactAt) >= d.trustMargin()
 }
 
-// mayGetBetterReply says whether a probe is in flight whose reply might be preferred to the best one so far.
+// mayGetBetterReply reports whether a probe is in flight whose reply may be preferred to the best one so far.
 func (d *Decider) mayGetBetterReply(now time.Time, s *search, best *probe) bool {
 	if d.followed != nil && d.followed.probeInFlight && !s.zoneLocal {
 		return true
@@ -87,7 +85,7 @@
 	return false
 }
 
-// moveTo follows a trusted instance in the place of the present one and ends the search.
+// moveTo replaces the followed instance by a trusted one and ends the search.
 func (d *Decider) moveTo(now time.Time, s *search, p *probe) {
 	reason := ErrTrustExpired
 	if s.zoneLocal {
@@ -99,7 +97,7 @@
 	d.endSearch()
 }
 
-// replaceFollowed follows an instance in the place of the present one, if there is one.
+// replaceFollowed leaves the followed instance, if there is one, and follows another.
 func (d *Decider) replaceFollowed(now time.Time, p *probe, reason error) {
 	if d.followed != nil {
 		d.leave(now, reason)
@@ -107,7 +105,7 @@
 	d.follow(now, p.instanceConnection)
 }
 
-// endZoneLocalSearch ends a search in the own zone that has found no instance to move to, and schedules the next one.
+// endZoneLocalSearch ends a zone-local search that found no instance to move to, and schedules the next one.
 func (d *Decider) endZoneLocalSearch(now time.Time) {
 	d.endSearch()
 	d.raiseZoneLocalBackoff()
@@ -118,8 +116,8 @@
 	d.zoneLocalBackoff = min(maxZoneLocalBackoff, 2*d.zoneLocalBackoff)
 }
 
-// followProvisionally follows the best instance that can't be trusted, unless the present one is as good. The search
-// goes on.
+// followProvisionally follows the best instance that is not trusted, unless the followed one is as good. The search
+// continues.
 func (d *Decider) followProvisionally(now time.Time, s *search) {
 	var best *probe
 	for _, p := range s.probes {
--- a/internal/router/subscription/subscription.go
+++ b/internal/router/subscription/subscription.go
@@ -18,36 +18,36 @@
 	maxQueuedInputs = 64
 )
 
-// Applier makes what the control plane sends take effect in this process.
+// Applier applies what the control plane sends to this process.
 type Applier interface {
-	// ParseConfiguration reads a configuration without applying it.
+	// ParseConfiguration parses a configuration without applying it.
 	ParseConfiguration(document []byte) (*configuration.Configuration, error)
-	// Apply returns once the change is in effect.
+	// Apply returns once the change has taken effect.
 	Apply(ctx context.Context, view dispatch.ViewChanged) error
-	// CreditGranted takes the answer to a request for credit. It does not block, and may be called by any goroutine.
+	// CreditGranted handles the answer to a request for credit. It must not block, and may be called by any goroutine.
 	CreditGranted(grant *protocol.CreditGrant)
-	// ReadSeeds reads the settings again: which instances to ask while no other is known.
+	// ReadSeeds reads the seeds from the settings. They are the instances to probe while no others are known.
 	ReadSeeds() []string
 }
 
-// EventRecorder takes the events that operators should see. Its methods are called by the goroutine of Run alone.
+// EventRecorder logs the events for operators. Only the goroutine of Run calls its methods.
 type EventRecorder interface {
 	InstanceFollowed(instance string)
 	InstanceLeft(instance string, err error)
-	ControlPlaneUnreachable(instance string, err error) // no instance has been followed since the last event
+	ControlPlaneUnreachable(instance string, err error) // no instance has been followed since the previous event
 	ConfigurationApplied(generation int64)
 	RouterReady()
 }
 
-// Dependencies are what a subscription works with. All are required.
+// Dependencies are what a subscription depends on. All of them are required.
 type Dependencies struct {
-	Candidates *Candidates // the subscription's from then on
+	Candidates *Candidates // owned by the subscription from then on
 	Applier    Applier
 	Events     EventRecorder
 }
 
-// Subscription follows the control plane. Run is one goroutine, which owns the decider and the connections; the other
-// methods may be called from any.
+// Subscription follows the control plane. Run owns the decider and the connections. The other methods may be called by any
+// goroutine.
 type Subscription struct {
 	decider     *Decider
 	applier     Applier
@@ -58,13 +58,13 @@
 	reports     chan protocol.Report
 	credit      chan protocol.CreditRequest
 	connections map[ConnectionID]*connection
-	running     sync.WaitGroup // dials, and the change that is being applied
+	tasks       sync.WaitGroup // dials, and the change that is being applied
 
 	ready     atomic.Bool
 	freshAsOf atomic.Pointer[time.Time]
 }
 
-// New returns a subscription that follows no instance until Run.
+// New returns a subscription that follows no instance until Run is called.
 func New(config Config, dependencies Dependencies) *Subscription {
 	dependencies.Candidates.SetSeeds(dependencies.Applier.ReadSeeds())
 	return &Subscription{
@@ -80,12 +80,12 @@
 	}
 }
 
-// Ready says whether the newest configuration and a complete table of endpoints have been applied since the process started. It
-// stays so while the control plane is out of reach.
+// Ready reports whether the newest configuration and a complete table of endpoints have been applied since the process started.
+// It remains true while the control plane is unreachable.
 func (s *Subscription) Ready() bool { return s.ready.Load() }
 
-// FreshAsOf is the newest moment for which it is proven that every version of the configuration acknowledged anywhere
-// before it is applied here. It is zero while none is known.
+// FreshAsOf returns the newest time for which it is proven that every version of the configuration acknowledged anywhere
+// before it is applied here. It returns the zero time if none is known.
 func (s *Subscription) FreshAsOf() time.Time {
 	if at := s.freshAsOf.Load(); at != nil {
 		return *at
@@ -93,18 +93,18 @@
 	return time.Time{}
 }
 
-// SetSeeds replaces the seeds. The followed instance stays followed.
+// SetSeeds replaces the seeds. It does not change which instance is followed.
 func (s *Subscription) SetSeeds(seeds []string) {
 	for {
 		select {
 		case s.seeds <- seeds:
 			return
-		case <-s.seeds: // earlier ones that Run has not taken yet
+		case <-s.seeds: // earlier seeds that Run has not received yet
 		}
 	}
 }
 
-// Report sends demand to the control plane. It never blocks: while no instance is followed, the oldest reports are
+// Report sends a report of demand to the control plane. It never blocks. While no instance is followed, the oldest reports are
 // dropped.
 func (s *Subscription) Report(report protocol.Report) {
 	for {
@@ -120,8 +120,8 @@
 	}
 }
 
-// RequestCredit asks the followed instance for credit. It never blocks: while this process is behind, requests are dropped, and
-// asked again by who needs them.
+// RequestCredit sends a request for credit to the followed instance. It never blocks. If the queue of requests is full, the request
+// is dropped, and the caller has to repeat it.
 func (s *Subscription) RequestCredit(request protocol.CreditRequest) {
 	select {
 	case s.credit <- request:
@@ -129,9 +129,9 @@
 	}
 }
 
-// Run follows one instance after the other until the context ends. It returns once its goroutines have ended.
+// Run follows the control plane until the context ends. It returns after its goroutines have ended.
 func (s *Subscription) Run(ctx context.Context) {
-	defer s.running.Wait()
+	defer s.tasks.Wait()
 	defer s.closeAll()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -150,8 +150,8 @@
 	}
 }
 
-// collectInputs waits for an input or the timer, then takes all inputs that are queued: the decider must see what came in
-// time, although this process was late, before it checks its deadlines. It is not ok once the context has ended.
+// collectInputs waits for an input or the timer, and then takes all queued inputs: if this process is late, the decider must
+// process messages that arrived in time before it checks deadlines. It is not ok after the context has ended.
 func (s *Subscription) collectInputs(ctx context.Context, timer <-chan time.Time) (inputs []Input, ok bool) {
 	select {
 	case <-ctx.Done():
@@ -179,7 +179,7 @@
 	return inputs, ctx.Err() == nil
 }
 
-// execute carries out what the decider has returned.
+// execute executes what the decider returned.
 func (s *Subscription) execute(ctx context.Context, out Output) {
 	s.ready.Store(out.Ready)
 	if !out.FreshAsOf.IsZero() {
@@ -195,17 +195,17 @@
 		s.close(id)
 	}
 	if out.Apply != nil {
-		s.running.Go(func() { s.apply(ctx, out.Apply) })
+		s.tasks.Go(func() { s.apply(ctx, out.Apply) })
 	}
 	for _, event := range out.Events {
 		s.record(event)
 	}
 }
 
-// apply applies a change and returns the outcome as an input. It runs in its own goroutine, one at a time, so that Run
-// goes on reading messages meanwhile.
+// apply applies a change and passes the result to Run as an input. It runs in its own goroutine, one at a time, so that Run
+// continues to receive messages.
 func (s *Subscription) apply(ctx context.Context, change *Change) {
-	s.input(ctx, ChangeApplied{Err: s.applyChange(ctx, change)})
+	s.enqueue(ctx, ChangeApplied{Err: s.applyChange(ctx, change)})
 }
 
 func (s *Subscription) applyChange(ctx context.Context, change *Change) error {
@@ -217,9 +217,9 @@
 		}
 		view.Configuration = parsed
 	}
-	applying, stop := context.WithTimeout(ctx, applyTimeout)
-	defer stop()
-	return s.applier.Apply(applying, view)
+	applyCtx, cancel := context.WithTimeout(ctx, applyTimeout)
+	defer cancel()
+	return s.applier.Apply(applyCtx, view)
 }
 
 func (s *Subscription) parse(compressed []byte) (*configuration.Configuration, error) {
@@ -230,8 +230,8 @@
 	return s.applier.ParseConfiguration(document)
 }
 
-// input passes an input to Run.
-func (s *Subscription) input(ctx context.Context, in Input) {
+// enqueue passes an input to Run.
+func (s *Subscription) enqueue(ctx context.Context, in Input) {
 	select {
 	case s.inputs <- in:
 	case <-ctx.Done():
--- a/internal/router/subscription/subscription_test.go
+++ b/internal/router/subscription/subscription_test.go
@@ -17,8 +17,8 @@
 
 const testTimeout = 10 * time.Second
 
-// stubInstance is a control instance that answers probes with proof of a fresh contact. All other messages go to received, and
-// the test answers them.
+// stubInstance is a control instance that answers probes with proof of a recent contact. All other messages are sent to the
+// channel received, and the test answers them.
 type stubInstance struct {
 	t        *testing.T
 	started  time.Time
@@ -42,7 +42,7 @@
 	i.server = server
 	t.Cleanup(func() {
 		if err := server.Close(); err != nil {
-			t.Logf("close: %v", err) // a test may have closed it before
+			t.Logf("close: %v", err) // a test may have closed it already
 		}
 	})
 	return i
@@ -83,13 +83,13 @@
 	}
 }
 
-// recordingApplier keeps the views that it is asked to apply.
+// recordingApplier stores the views and the grants that it receives.
 type recordingApplier struct {
 	seeds   []string
 	mutex   sync.Mutex
 	views   []dispatch.ViewChanged
 	grants  []*protocol.CreditGrant
-	release chan struct{} // if set, Apply waits for it
+	release chan struct{} // Apply waits for it unless it is nil
 }
 
 func (f *recordingApplier) ParseConfiguration(document []byte) (*configuration.Configuration, error) {
@@ -204,8 +204,8 @@
 	}
 }
 
-// After a fault of its instance the router subscribes to another one, from the generation that it has.
-func TestSubscriptionMovesOnAfterAFault(t *testing.T) {
+// After a fault of the followed instance the router subscribes to another one, starting from the generation that it has applied.
+func TestRouterSubscribesToAnotherInstanceAfterAFault(t *testing.T) {
 	for name, inject := range map[string]func(*transport.Connection) error{
 		"missing update":             func(c *transport.Connection) error { return c.Send(protocol.Update{Sequence: 3, Generation: 4}) },
 		"repeated update":            func(c *transport.Connection) error { return c.Send(protocol.Update{Sequence: 1, Generation: 4}) },
@@ -241,7 +241,7 @@
 	}
 }
 
-// A configuration never goes back, and an older one that is confirmed as the newest doesn't make the router ready.
+// An older configuration is not applied, and an update that confirms it as the newest does not make the router ready.
 func TestOlderConfigurationIsNotApplied(t *testing.T) {
 	i := newInstance(t)
 	w := startSubscription(t, i)
@@ -260,7 +260,7 @@
 	}
 }
 
-func TestReadyNeedsACompleteTable(t *testing.T) {
+func TestReadinessRequiresACompleteTableOfEndpoints(t *testing.T) {
 	i := newInstance(t)
 	w := startSubscription(t, i)
 	c, _ := receive[*protocol.Subscribe](i)
@@ -276,8 +276,8 @@
 	}
 }
 
-// At the system's first start the confirmation comes before there is any configuration. What comes later on the same
-// connection is committed, and newer.
+// When the system starts for the first time, the confirmation is sent before there is a configuration. A configuration that follows
+// on the same connection is committed and newer, so no further confirmation is needed.
 func TestFirstConfigurationMakesTheRouterReady(t *testing.T) {
 	i := newInstance(t)
 	w := startSubscription(t, i)
--- a/internal/router/subscription/updates.go
+++ b/internal/router/subscription/updates.go
@@ -7,13 +7,13 @@
 	"raventrestle/internal/router/dispatch"
 )
 
-// pendingUpdate is an update that is not applied yet, and the connection that it came on.
+// pendingUpdate is an update that is not applied yet, with the connection on which it was received.
 type pendingUpdate struct {
 	connection ConnectionID
 	update     *protocol.Update
 }
 
-// updateReceived takes in the next update of the followed instance.
+// updateReceived handles an update of the followed instance. The instance is left if it is not the next one in sequence.
 func (d *Decider) updateReceived(now time.Time, f *followedInstance, u *protocol.Update) {
 	if u.Sequence != f.lastUpdate+1 {
 		d.leave(now, ErrSequenceGap)
@@ -24,10 +24,10 @@
 		f.newestGeneration = max(f.newestGeneration, u.Generation)
 	}
 	d.pendingUpdates = append(d.pendingUpdates, pendingUpdate{connection: f.id, update: u})
-	d.followedProof(now, f, u.Freshness, u.Generation)
+	d.followedProofReceived(now, f, u.Freshness, u.Generation)
 }
 
-// applyNext requests the next update to be applied, one at a time.
+// applyNext requests that the next update be applied, unless one is being applied.
 func (d *Decider) applyNext() {
 	if d.applying != nil || len(d.pendingUpdates) == 0 {
 		return
@@ -38,7 +38,7 @@
 	d.out.Apply = d.changeOf(next.update)
 }
 
-// changeOf is what an update changes. A configuration never goes back.
+// changeOf returns the change of an update. An older configuration never replaces the applied one.
 func (d *Decider) changeOf(u *protocol.Update) *Change {
 	change := &Change{
 		View: dispatch.ViewChanged{Full: u.Snapshot, Endpoints: u.Endpoints, RouterCount: u.RouterCount},
@@ -49,16 +49,16 @@
 	return change
 }
 
-// changeApplied takes in that an update is applied, or has failed. It is acknowledged if its instance is still followed.
+// changeApplied handles the result of applying an update. It acknowledges the update if the instance is still followed.
 func (d *Decider) changeApplied(now time.Time, err error) {
-	done := d.applying
-	if done == nil {
+	applied := d.applying
+	if applied == nil {
 		return
 	}
 	d.applying = nil
 	f := d.followed
-	if f != nil && f.id != done.connection {
-		f = nil // another one is followed by now
+	if f != nil && f.id != applied.connection {
+		f = nil // another instance is followed now
 	}
 	if err != nil {
 		if f != nil {
@@ -70,15 +70,15 @@
 		f.followedSince = now
 		d.record(InstanceFollowed{Instance: f.address})
 	}
-	d.recordApplied(done.update)
+	d.recordApplied(applied.update)
 	if f != nil {
-		f.lastAckedUpdate = done.update.Sequence
+		f.lastAckedUpdate = applied.update.Sequence
 		d.scheduleZoneLocalSearch(now, f)
 		d.send(f.id, protocol.UpdateAck{Sequence: f.lastAckedUpdate})
 	}
 }
 
-// recordApplied notes that an update is applied.
+// recordApplied updates the applied state after an update was applied.
 func (d *Decider) recordApplied(u *protocol.Update) {
 	a := &d.applied
 	if u.Generation > a.generation && len(u.Document) > 0 {
@@ -87,7 +87,7 @@
 	}
 	a.hasSnapshot = a.hasSnapshot || u.Snapshot
 	a.generationConfirmed = a.generationConfirmed || u.GenerationConfirmed && u.Generation == a.generation
-	if a.becomesReady() {
+	if a.setReadyIfComplete() {
 		d.record(BecameReady{})
 	}
 	if len(u.Members) > 0 {
@@ -95,13 +95,13 @@
 	}
 }
 
-// scheduleZoneLocalSearch sets the time of the next search for an instance in the own zone, if one is known there while an
-// instance of another zone is followed.
+// scheduleZoneLocalSearch schedules the next search for an instance in the local zone if one is known there while the followed
+// instance is in another zone.
 func (d *Decider) scheduleZoneLocalSearch(now time.Time, f *followedInstance) {
 	switch {
 	case !d.candidates.HasZoneLocalAlternative(f.address):
 		f.zoneLocalSearchAt = time.Time{}
-		if now.Sub(f.followedSince) >= stableFollowTime {
+		if now.Sub(f.followedSince) >= minStableFollowTime {
 			d.zoneLocalBackoff = minZoneLocalBackoff
 		}
 	case f.zoneLocalSearchAt.IsZero():
