--- a/internal/control/quota/doc.go
+++ b/internal/control/quota/doc.go
@@ -13,11 +13,12 @@
 // protocol.CreditTTL. For every tenant:
 //
 //	credit issued by a holder in each issuance interval  <=  its shares / shares.Count of the issuable part
-//	a router's spending of its reserve in each window    <=  an even part of protocol.ReservedShare
+//	a router's spending of its reserve in each window    <=  an equal part of protocol.ReservedShare
 //	issuable part + reserved part                        <=  what the rule allows (allowance.go)
 //
 // Credit is spent within CreditTTL after it was issued, or not at all. So what is spent in a window was issued in the issuance
-// interval, which starts CreditTTL before the window. Credit counts as issued from the decision on, whether or not the grant arrives.
+// interval, which starts CreditTTL before the window. Credit counts as issued once the holder decides to issue it,
+// whether or not the grant arrives.
 //
 //   - A new owner of shares counts the credit that the previous owner issued for them as its own, or does not use the shares
 //     until that credit has left all windows: ownership.go, takeover.go.
--- a/internal/control/quota/holder.go
+++ b/internal/control/quota/holder.go
@@ -115,14 +115,14 @@
 // New returns a holder that continues from the state that an earlier process of this instance persisted.
 func New(config Config, now time.Time, persisted PersistedState) *Holder {
 	config = config.withDefaults()
-	earlier, diskEmpty := persisted.Record, persisted.DiskEmpty
-	if earlier != nil && earlier.Identity != config.Identity {
-		earlier, diskEmpty = nil, false
+	previousRecord, diskEmpty := persisted.Record, persisted.DiskEmpty
+	if previousRecord != nil && previousRecord.Identity != config.Identity {
+		previousRecord, diskEmpty = nil, false
 	}
 	h := &Holder{
 		config:             config,
 		startedAt:          now,
-		ownership:          newOwnership(config, now, earlier, diskEmpty),
+		ownership:          newOwnership(config, now, previousRecord, diskEmpty),
 		lastRegisteredAt:   make(map[string]time.Time),
 		expiredBeforeStart: make(map[string]bool),
 		copies:             make(map[string]*RecordCopy),
@@ -135,16 +135,16 @@
 	for _, stored := range persisted.Copies {
 		h.copies[stored.Record.Identity] = stored
 	}
-	if earlier == nil && !diskEmpty {
+	if previousRecord == nil && !diskEmpty {
 		h.recorder.sequence = unknownSequence
 	}
-	if earlier != nil {
-		for _, holder := range earlier.ExpiredHolders {
+	if previousRecord != nil {
+		for _, holder := range previousRecord.ExpiredHolders {
 			h.expiredBeforeStart[holder] = true
 		}
 		// A later record may have reached peers without reaching the disk.
-		h.recorder.sequence = earlier.Sequence + recordSequenceGap
-		for _, recorded := range earlier.Tenants {
+		h.recorder.sequence = previousRecord.Sequence + recordSequenceGap
+		for _, recorded := range previousRecord.Tenants {
 			h.tenant(now, recorded.Name).issued.restore(recorded.Issued, recorded.Headroom)
 		}
 	}
@@ -159,7 +159,7 @@
 		h.handle(now, event)
 	}
 	h.continueTakeovers(now)
-	h.failUnacknowledgedRecord(now)
+	h.abandonUnacknowledgedRecord(now)
 	h.resumeRequests(now, func(r *creditRequest) bool { return !now.Before(r.stageDeadline) })
 	h.sweep(now)
 	h.startRecord(now)
--- a/internal/control/quota/holder_test.go
+++ b/internal/control/quota/holder_test.go
@@ -31,12 +31,12 @@
 	delayRecords bool
 }
 
-func newDriver(t *testing.T, identity string, previousRecord *Record, fresh bool, table shares.Table) *holderDriver {
+func newDriver(t *testing.T, identity string, previousRecord *Record, diskEmpty bool, table shares.Table) *holderDriver {
 	t.Helper()
 	d := &holderDriver{t: t, now: testStart}
 	d.holder = New(Config{
 		Identity: identity, Address: identity, Zone: "z", OvershootFraction: 0.1, OvershootSlack: 1000,
-	}, d.now, PersistedState{Record: previousRecord, DiskEmpty: fresh})
+	}, d.now, PersistedState{Record: previousRecord, DiskEmpty: diskEmpty})
 	d.in = Input{
 		Configuration: &configuration.Configuration{Tenants: []configuration.Tenant{{Name: "t", RatePerSecond: 1000, Burst: 1000}}},
 		Table:         table,
--- a/internal/control/quota/recorder.go
+++ b/internal/control/quota/recorder.go
@@ -146,8 +146,8 @@
 	}
 }
 
-// failUnacknowledgedRecord abandons a record that no peer has acknowledged in time.
-func (h *Holder) failUnacknowledgedRecord(now time.Time) {
+// abandonUnacknowledgedRecord abandons a record that no peer has acknowledged in time.
+func (h *Holder) abandonUnacknowledgedRecord(now time.Time) {
 	if h.recorder.writing && h.recorder.synced && !h.recorder.acknowledged && now.Sub(h.recorder.startedAt) >= ackTimeout {
 		h.endRecord(now, false, ackRetryInterval)
 	}
--- a/internal/control/quota/rules_test.go
+++ b/internal/control/quota/rules_test.go
@@ -33,7 +33,7 @@
 		for range rapid.IntRange(1, 8).Draw(t, "faults") {
 			h := sim.holders[rapid.IntRange(0, holders-1).Draw(t, "holder")]
 			router := sim.routers[rapid.IntRange(0, len(sim.routers)-1).Draw(t, "router")]
-			duration := time.Duration(rapid.IntRange(1, 1500).Draw(t, "for")) * 10 * time.Millisecond
+			duration := time.Duration(rapid.IntRange(1, 1500).Draw(t, "duration")) * 10 * time.Millisecond
 			switch rapid.IntRange(0, 5).Draw(t, "fault") {
 			case 0:
 				sim.schedule(drawTime("kill at"), func() {
@@ -41,16 +41,16 @@
 					sim.schedule(duration, func() { sim.kill(h); sim.start(h) })
 				})
 			case 1:
-				other, id := sim.holders[rapid.IntRange(0, holders-1).Draw(t, "cut together")], sim.random.Int()
-				sim.schedule(drawTime("cut at"), func() {
+				other, id := sim.holders[rapid.IntRange(0, holders-1).Draw(t, "other partitioned holder")], sim.random.Int()
+				sim.schedule(drawTime("partition at"), func() {
 					for _, partitioned := range []*simulatedHolder{h, other} {
 						partitioned.partitionedUntil, partitioned.partitionID = sim.now+duration, id
 					}
 				})
 			case 2:
-				sim.schedule(drawTime("freeze at"), func() { h.suspendedUntil = sim.now + duration })
+				sim.schedule(drawTime("suspend at"), func() { h.suspendedUntil = sim.now + duration })
 			case 3:
-				sim.schedule(drawTime("router frozen at"), func() {
+				sim.schedule(drawTime("suspend router at"), func() {
 					router.suspendedUntil = sim.now + duration
 					sim.schedule(duration, func() { sim.resume(router) })
 				})
--- a/internal/control/quota/takeover_test.go
+++ b/internal/control/quota/takeover_test.go
@@ -14,14 +14,14 @@
 func takeoverTables() (before, after shares.Table) {
 	before = tableOf("a", "b", "c", "d")
 	owners := make([]string, shares.Count)
-	rest := []string{"a", "b", "c"}
+	remaining := []string{"a", "b", "c"}
 	for i := range owners {
 		owners[i] = before.Shares[i].Owner
 		if owners[i] == "d" {
-			owners[i] = rest[i/4%len(rest)]
+			owners[i] = remaining[i/4%len(remaining)]
 		}
 	}
-	after, _ = before.Assign(shares.Assignment{Sequence: before.Sequence + 1, Holders: rest, Owners: owners})
+	after, _ = before.Assign(shares.Assignment{Sequence: before.Sequence + 1, Holders: remaining, Owners: owners})
 	return before, after
 }
 
@@ -99,8 +99,8 @@
 	if out := d.step(0, routerRequest(1, 100)); len(out.RouterGrants) != 0 {
 		t.Fatalf("answered %+v while only the own disk has the record", out.RouterGrants[0].Grant)
 	}
-	kept := PeerMessageReceived{Message: &protocol.PeerRecordAck{Sequence: d.record.Sequence}}
-	if got := d.granted(d.step(time.Millisecond, kept)); got != 100 {
+	ack := PeerMessageReceived{Message: &protocol.PeerRecordAck{Sequence: d.record.Sequence}}
+	if got := d.granted(d.step(time.Millisecond, ack)); got != 100 {
 		t.Errorf("granted %v, want 100", got)
 	}
 }
@@ -118,9 +118,9 @@
 		{"after the change", after, 0},
 	} {
 		d := newDriver(t, "a", nil, true, test.table)
-		copied := copyFrom(t, before, after, "d", 1, 100).Message.(*protocol.PeerCopy)
+		answer := copyFrom(t, before, after, "d", 1, 100).Message.(*protocol.PeerCopy)
 		d.in.ConfirmedAt = d.now
-		d.in.Events = []Event{PeerMessageReceived{Message: &protocol.PeerRecord{Identity: "d", Sequence: 1, Record: copied.Record}}}
+		d.in.Events = []Event{PeerMessageReceived{Message: &protocol.PeerRecord{Identity: "d", Sequence: 1, Record: answer.Record}}}
 		if got := len(d.holder.Step(d.now, d.in).Copies); got != test.want {
 			t.Errorf("%s: stored %d copies, want %d", test.name, got, test.want)
 		}
--- a/internal/control/quotahost/host.go
+++ b/internal/control/quotahost/host.go
@@ -311,9 +311,9 @@
 	if err != nil {
 		return
 	}
-	bounded, cancel := context.WithTimeout(ctx, registrationTimeout)
+	proposeCtx, cancel := context.WithTimeout(ctx, registrationTimeout)
 	defer cancel()
-	if _, err := h.dependencies.Replica.Propose(bounded, command); err != nil {
+	if _, err := h.dependencies.Replica.Propose(proposeCtx, command); err != nil {
 		select {
 		case <-ctx.Done():
 		case <-time.After(registrationRetryDelay):
--- a/internal/control/quotahost/host_test.go
+++ b/internal/control/quotahost/host_test.go
@@ -243,8 +243,8 @@
 	}
 }
 
-// The newest complete record is used, whichever slot it is in. If its write was cut off, the previous record is used.
-func TestRecordSlotsAlternate(t *testing.T) {
+// The newest complete record is used, whichever file it is in. If its write was cut off, the previous record is used.
+func TestRecordFilesAlternate(t *testing.T) {
 	directory := t.TempDir()
 	store, persisted, err := openRecordStore(directory)
 	if err != nil || !persisted.DiskEmpty {
--- a/internal/control/shares/assigner.go
+++ b/internal/control/shares/assigner.go
@@ -171,15 +171,15 @@
 	return updated
 }
 
-// balance moves up to maxMovedShares shares from the candidates with the most to candidates with fewer than the even count.
+// balance moves up to maxMovedShares shares from the candidates with the most to those with fewer than an equal number.
 func balance(owners, candidates []string) []string {
 	owned := countOwned(owners)
 	balanced := slices.Clone(owners)
-	evenCount := Count / len(candidates)
+	equalCount := Count / len(candidates)
 	for range maxMovedShares {
 		largestOwner := slices.MaxFunc(candidates, func(x, y string) int { return owned[x] - owned[y] })
 		smallestOwner := slices.MinFunc(candidates, func(x, y string) int { return owned[x] - owned[y] })
-		if owned[smallestOwner] >= evenCount || owned[largestOwner] <= evenCount {
+		if owned[smallestOwner] >= equalCount || owned[largestOwner] <= equalCount {
 			break
 		}
 		balanced[slices.Index(balanced, largestOwner)] = smallestOwner
--- a/internal/control/shares/assigner_test.go
+++ b/internal/control/shares/assigner_test.go
@@ -52,7 +52,7 @@
 	return countOwned(owners)
 }
 
-func TestFirstAssignmentIsEvenAndUnchangedAfterwards(t *testing.T) {
+func TestFirstAssignmentIsBalancedAndNotRepeated(t *testing.T) {
 	g := newSimulatedGroup("a", "b", "c", "d", "e")
 	g.run(time.Minute)
 	if len(g.proposals) != 1 {
@@ -83,7 +83,7 @@
 	}
 }
 
-// The shares of a failed holder are spread evenly over the others after failureTimeout. After it returns it gets an even number
+// The shares of a failed holder are spread evenly over the others after failureTimeout. After it returns it gets an equal number
 // of shares again.
 func TestSharesOfAFailedHolderAreReassigned(t *testing.T) {
 	g := newSimulatedGroup("a", "b", "c")
@@ -145,8 +145,8 @@
 	}
 }
 
-// A new holder gets an even number of shares, at most maxMovedShares of them at a time.
-func TestNewHolderGetsAnEvenNumberOfShares(t *testing.T) {
+// A new holder gets an equal number of shares, at most maxMovedShares of them at a time.
+func TestNewHolderGetsAnEqualNumberOfShares(t *testing.T) {
 	g := newSimulatedGroup("a", "b", "c")
 	g.run(5 * time.Second)
 	g.voters = []string{"a", "b", "c", "d"}
@@ -187,8 +187,8 @@
 }
 
 // Members fail, return and are replaced at random, and leaders change. Each reassigned share names its previous owner. Two
-// minutes after the last change all shares are owned by voters, in even numbers.
-func TestSharesBecomeEvenAfterRandomChanges(t *testing.T) {
+// minutes after the last change all shares are owned by voters, in equal numbers.
+func TestSharesBecomeBalancedAfterRandomChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := []string{"a", "b", "c", "d", "e", "f"}
 		g := newSimulatedGroup(all[:rapid.IntRange(2, 6).Draw(t, "members")]...)
--- a/internal/control/shares/doc.go
+++ b/internal/control/shares/doc.go
@@ -15,7 +15,7 @@
 //     acknowledged change, and only within the limits of a record that an instance with the same shares in its table has
 //     acknowledged.
 //   - A new owner counts what the newest record of the previous owner lists as issued, or waits until that owner's lease has
-//     ended and one issuance interval has passed since.
+//     ended and one issuance interval (package quota) has passed since.
 //
 // Assigner is a pure state machine. Every instance passes it observations, and the leader of the singleton roles steps it.
 package shares
--- a/internal/router/subscription/decider.go
+++ b/internal/router/subscription/decider.go
@@ -28,7 +28,7 @@
 }
 
 // Decider decides which instance a router follows and which of its updates are applied. It is a pure state machine: the host
-// passes in events and the time, and executes the output. It is not safe for concurrent use.
+// passes in inputs and the time, and executes the output. It is not safe for concurrent use.
 //
 // It follows one instance and knows the age of that instance's newest contact with a majority. When trust in the instance has
 // expired, its connection ends, or it is unresponsive, the decider probes all instances, several at a time, and moves to one
