--- a/internal/lab/spread/result.go
+++ b/internal/lab/spread/result.go
@@ -27,7 +27,7 @@
 		r.AgeLow, r.AgeP99, r.AgeTop = f.ages[0], f.ages[n*99/100], f.ages[n-1]
 	}
 	seconds := max(1, int(f.Tell/time.Second))
-	probes := f.figures.Probes
+	probes := f.figures.ProbeRate
 	for _, m := range f.members {
 		sum := 0
 		for s := range min(seconds, len(m.sent)) {
@@ -39,7 +39,7 @@
 			r.Hub = sum/seconds + probes
 		}
 		s := m.store.Stats()
-		r.Dropped += s.MailDropped + s.QueueDropped + s.Shed + s.Origins + s.RaisesRefused
+		r.Dropped += s.JobsDropped + s.GossipDropped + s.Evicted + s.TooManyOrigins + s.EpochsDropped
 	}
 	r.Mean = r.Mean/seconds/f.Members + probes
 	if f.equal >= 0 && f.TTL > f.last+f.After {
@@ -61,7 +61,7 @@
 	keys := map[facts.Key]bool{}
 	for _, m := range f.members {
 		held := map[id]bool{}
-		for _, x := range m.store.Whole(m.clock(f.now)) {
+		for _, x := range m.store.FullState(m.clock(f.now)) {
 			held[id{x.Key(), x.Origin, x.Seq}] = true
 			keys[x.Key()] = true
 		}
@@ -81,7 +81,7 @@
 			b, is := m.store.Read(m.clock(f.now), k.Subject, k.Kind)
 			apart := a.Age - b.Age
 			if k.Kind == facts.Wait {
-				apart = a.Left - b.Left // 0 for one that isn't read: it is over
+				apart = a.Remaining - b.Remaining // 0 for one that isn't read: it is over
 			}
 			if (is != was || a.Origin != b.Origin || a.Seq != b.Seq) && apart.Abs() > within {
 				n++
