--- a/cmd/raventrestle-lab/days.go
+++ b/cmd/raventrestle-lab/days.go
@@ -7,18 +7,18 @@
 
 	"github.com/spf13/cobra"
 
-	"raventrestle/internal/lab/daydraw"
+	"raventrestle/internal/lab/faultschedule"
 )
 
-// daysCommand writes days for the users' bench.
+// daysCommand returns the command that writes fault schedules, called days, for the operators' benchmark.
 func daysCommand() *cobra.Command {
-	var o daydraw.Options
+	var o faultschedule.Options
 	c := &cobra.Command{
-		Use: "days", Args: cobra.NoArgs, Short: "Draw days of trouble for the users' bench, fitted to a site file",
-		Long: "Draw days of trouble for the users' bench, one file a seed and theme. The themes:\n" + themeLines(),
+		Use: "days", Args: cobra.NoArgs, Short: "Generate fault schedules for the operators' benchmark, fitted to a site file",
+		Long: "Generate fault schedules for the operators' benchmark, one file per seed and theme. The themes:\n" + themeLines(),
 		RunE: func(c *cobra.Command, _ []string) error {
-			paths, err := daydraw.Write(o)
-			var flag *daydraw.FlagError
+			paths, err := faultschedule.Write(o)
+			var flag *faultschedule.FlagError
 			if errors.As(err, &flag) {
 				return err
 			}
@@ -30,19 +30,19 @@
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&o.Site, "site", "", "the site file (needed)")
-	f.StringVar(&o.Out, "out", "", "folder for the days (needed)")
-	f.StringSliceVar(&o.Themes, "themes", nil, "themes, by commas (default: all)")
+	f.StringVar(&o.Site, "site", "", "the site file (required)")
+	f.StringVar(&o.Out, "out", "", "directory for the schedules (required)")
+	f.StringSliceVar(&o.Themes, "themes", nil, "themes, separated by commas (default: all)")
 	f.Uint64Var(&o.First, "first", 1, "first seed")
 	f.Uint64Var(&o.Last, "last", 1, "last seed")
 	return c
 }
 
-// themeLines tells of each theme in a line.
+// themeLines returns one line of help text for each theme.
 func themeLines() string {
 	var lines strings.Builder
-	for _, theme := range daydraw.Themes() {
-		fmt.Fprintf(&lines, "  %-8s %s\n", theme.Name, theme.About)
+	for _, theme := range faultschedule.Themes() {
+		fmt.Fprintf(&lines, "  %-8s %s\n", theme.Name, theme.Description)
 	}
 	return lines.String()
 }
