--- a/cmd/raventrestle-lab/scenario.go
+++ b/cmd/raventrestle-lab/scenario.go
@@ -24,7 +24,7 @@
 			for _, name := range args {
 				s, err := lab.Find(name)
 				if err == nil {
-					_, err = s.Draw(seed)
+					_, err = s.Generate(seed)
 				}
 				if err != nil {
 					return err
@@ -41,7 +41,7 @@
 			if err != nil {
 				return err
 			}
-			day, err := s.Draw(seed)
+			day, err := s.Generate(seed)
 			if err != nil {
 				return err
 			}
@@ -66,7 +66,7 @@
 				if err != nil {
 					return &failure{err}
 				}
-				fmt.Fprintf(t, "%s\t%s\n", name, s.About)
+				fmt.Fprintf(t, "%s\t%s\n", name, s.Description)
 			}
 			return t.Flush()
 		},
@@ -74,7 +74,7 @@
 	schema := &cobra.Command{
 		Use: "schema", Short: "Print the schema: every field, its range, default and meaning", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			_, err := fmt.Fprint(c.OutOrStdout(), scenario.Text)
+			_, err := fmt.Fprint(c.OutOrStdout(), scenario.Schema)
 			return err
 		},
 	}
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -117,7 +117,7 @@
 	if !o.Keep {
 		defer os.RemoveAll(dir)
 	}
-	spec, err := s.Draw(seed)
+	spec, err := s.Generate(seed)
 	if err != nil {
 		return nil, err
 	}
@@ -165,7 +165,7 @@
 // PlayVirtual plays the same day against the decision module alone, in virtual time. A nil maker is the
 // module as it stands.
 func PlayVirtual(s *scenario.Scenario, seed uint64, out string, maker virtual.Maker) (*Day, error) {
-	spec, err := s.Draw(seed)
+	spec, err := s.Generate(seed)
 	if err != nil {
 		return nil, err
 	}
@@ -313,14 +313,14 @@
 	for _, v := range w.ledger.Check(w.end) {
 		d.Violations = append(d.Violations, v.String())
 	}
-	if late := float64(d.RigLate) / float64(max(d.Asked, 1)); late > s.Holds.RigLateShare {
+	if late := float64(d.RigLate) / float64(max(d.Asked, 1)); late > s.PassCriteria.MaxRigLateShare {
 		d.Void = fmt.Sprintf("the rig itself submitted %.1f%% of the messages more than 50 ms late", 100*late)
 	}
-	if len(d.Violations) > s.Holds.Violations {
-		d.Failed = append(d.Failed, fmt.Sprintf("%d violations, at most %d may be", len(d.Violations), s.Holds.Violations))
+	if len(d.Violations) > s.PassCriteria.MaxViolations {
+		d.Failed = append(d.Failed, fmt.Sprintf("%d violations, at most %d may be", len(d.Violations), s.PassCriteria.MaxViolations))
 	}
-	if d.Service.Figure < s.Holds.Service {
-		d.Failed = append(d.Failed, fmt.Sprintf("service %.3f, under %.3f", d.Service.Figure, s.Holds.Service))
+	if d.Service.Figure < s.PassCriteria.MinService {
+		d.Failed = append(d.Failed, fmt.Sprintf("service %.3f, under %.3f", d.Service.Figure, s.PassCriteria.MinService))
 	}
 	return d, all
 }
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario reads the lab's scenarios and draws days from them. It is pure but for Load: the
-// same scenario and seed give the same day.
+// Package scenario parses the lab's scenarios and generates runs of the emulator from them. The same scenario and seed
+// always give the same run. The package does no input or output.
 package scenario
 
 import (
@@ -22,141 +22,143 @@
 	"raventrestle/internal/settings/schema"
 )
 
-// Text is the schema, with a comment on every field.
+// Schema is the CUE schema of a scenario. Its comments document the fields, and `raventrestle-lab scenario schema` prints
+// it.
 //
 //go:embed schema.cue
-var Text string
+var Schema string
 
-// Range is drawn from evenly.
+// Range is a lower and an upper bound, between which a value is drawn from a uniform distribution.
 type Range [2]float64
 
-// Class, Channels, Trouble and Restart are parts of a scenario, as the schema explains them.
+// Class is a class of messages. As in all types of this package, the key of a time ends with its unit, _s or _ms.
 type Class struct {
-	Allowed  string  `json:"allowed"`
-	Window   float64 `json:"window_s"`
-	Aim      float64 `json:"aim_s"`
-	Deadline float64 `json:"deadline_s"`
-	Worth    float64 `json:"worth"`
-	Late     float64 `json:"late"`
-	Share    float64 `json:"share"`
-	Kind     string  `json:"kind"`
-	Service  Range   `json:"service_ms"`
+	DeliverySemantics   string  `json:"allowed"`
+	DeduplicationWindow float64 `json:"window_s"`
+	LatencyTarget       float64 `json:"aim_s"`
+	Deadline            float64 `json:"deadline_s"`
+	Value               float64 `json:"worth"`
+	MinLateShare        float64 `json:"late"`
+	Share               float64 `json:"share"`
+	ChannelKind         string  `json:"kind"`
+	ServiceTime         Range   `json:"service_ms"`
 }
 
-// Channels is a kind of channel.
-type Channels struct {
-	Count       int     `json:"count"`
-	Endpoints   int     `json:"endpoints"`
-	Headroom    Range   `json:"headroom"`
-	Queue       int     `json:"queue"`
-	Limit       *Range  `json:"limit"`
-	Apart       bool    `json:"apart"`
-	Bulk        int     `json:"bulk"`
-	Connections int     `json:"connections"`
-	Reports     bool    `json:"reports"`
-	TellsWait   float64 `json:"tells_wait"`
-	Wait        Range   `json:"wait_ms"`
-	Pace        Range   `json:"pace"`
-	Cold        float64 `json:"cold_s"`
-	StartShare  Range   `json:"start_share"`
+// ChannelGroup describes Count channels of one kind. Values that are ranges are drawn for each channel.
+type ChannelGroup struct {
+	Count             int     `json:"count"`
+	Endpoints         int     `json:"endpoints"`
+	Headroom          Range   `json:"headroom"`
+	QueueLength       int     `json:"queue"`
+	RateLimit         *Range  `json:"limit"`
+	IndependentRoutes bool    `json:"apart"`
+	BatchSize         int     `json:"bulk"`
+	Connections       int     `json:"connections"`
+	ReportsLimit      bool    `json:"reports"`
+	RetryAfterShare   float64 `json:"tells_wait"`
+	RetryAfter        Range   `json:"wait_ms"`
+	ServiceTimeFactor Range   `json:"pace"`
+	WarmUp            float64 `json:"cold_s"`
+	InitialCapacity   Range   `json:"start_share"`
 }
 
-// Trouble strikes channels.
-type Trouble struct {
-	Mode     emulator.Mode `json:"mode"`
-	Channels int           `json:"channels"`
-	Kind     string        `json:"kind"`
-	Busiest  bool          `json:"busiest"`
-	At       Range         `json:"at_s"`
-	For      Range         `json:"for_s"`
+// ChannelFault is a fault of several channels, drawn from one kind or from all.
+type ChannelFault struct {
+	Mode        emulator.Mode `json:"mode"`
+	Channels    int           `json:"channels"`
+	ChannelKind string        `json:"kind"`
+	Busiest     bool          `json:"busiest"`
+	Start       Range         `json:"at_s"`
+	Duration    Range         `json:"for_s"`
 }
 
-// Span is a stretch of time.
-type Span struct {
-	At  Range `json:"at_s"`
-	For Range `json:"for_s"`
+// Outage is a period in which discovery does not answer.
+type Outage struct {
+	Start    Range `json:"at_s"`
+	Duration Range `json:"for_s"`
 }
 
-// Hot channels get more messages for a while.
-type Hot struct {
-	Channels int    `json:"channels"`
-	Kind     string `json:"kind"`
-	Times    Range  `json:"times"`
-	At       Range  `json:"at_s"`
-	For      Range  `json:"for_s"`
+// TrafficSurge multiplies the messages of several channels by Factor for a period.
+type TrafficSurge struct {
+	Channels    int    `json:"channels"`
+	ChannelKind string `json:"kind"`
+	Factor      Range  `json:"times"`
+	Start       Range  `json:"at_s"`
+	Duration    Range  `json:"for_s"`
 }
 
-// Restart strikes couriers.
+// Restart stops and restarts several couriers.
 type Restart struct {
-	How      string `json:"how"`
+	Mode     string `json:"how"`
 	Couriers int    `json:"couriers"`
-	At       Range  `json:"at_s"`
-	Down     Range  `json:"down_s"`
+	Start    Range  `json:"at_s"`
+	Downtime Range  `json:"down_s"`
 }
 
-// Holds is what must hold for a run to pass.
-type Holds struct {
-	Violations   int     `json:"violations"`
-	Service      float64 `json:"service"`
-	RigLateShare float64 `json:"rig_late_share"`
+// PassCriteria are the limits that a run must meet to pass.
+type PassCriteria struct {
+	MaxViolations   int     `json:"violations"`
+	MinService      float64 `json:"service"`
+	MaxRigLateShare float64 `json:"rig_late_share"`
 }
 
-// Scenario is a whole one.
+// Scenario describes the couriers, channels, traffic and faults from which runs are generated. The schema documents the
+// fields by their keys.
 type Scenario struct {
-	Name     string              `json:"-"`
-	About    string              `json:"about"`
-	Couriers int                 `json:"couriers"`
-	Traffic  float64             `json:"traffic_s"`
-	Settle   float64             `json:"settle_s"`
-	FullRate float64             `json:"full_rate"`
-	Load     Range               `json:"load"`
-	Floors   []string            `json:"floors"`
-	Hotels   map[string]float64  `json:"hotels"`
-	Clumps   Range               `json:"clumps"`
-	ClumpLen Range               `json:"clump_s"`
-	Zipf     Range               `json:"zipf"`
-	Classes  map[string]Class    `json:"classes"`
-	Channels map[string]Channels `json:"channels"`
-	Delay    Range               `json:"floor_delay_ms"`
-	Notices  Range               `json:"front_notices_s"`
-	ListLate Range               `json:"list_late_s"`
-	ListOut  []Span              `json:"list_out"`
-	Hot      []Hot               `json:"hot"`
-	Troubles []Trouble           `json:"troubles"`
-	Restarts []Restart           `json:"restarts"`
-	Faults   link.Record         `json:"faults"`
-	Fleet    bool                `json:"fleet"`
-	Slots    Range               `json:"slots_room"`
-	Held     Range               `json:"held_s"`
-	MemoryMB float64             `json:"memory_mb"`
-	DiskMB   float64             `json:"disk_mb"`
-	Settings json.RawMessage     `json:"settings"`
-	Holds    Holds               `json:"holds"`
+	Name                  string                  `json:"-"`
+	Description           string                  `json:"about"`
+	Couriers              int                     `json:"couriers"`
+	TrafficDuration       float64                 `json:"traffic_s"`
+	CompletionTimeout     float64                 `json:"settle_s"`
+	FullRate              float64                 `json:"full_rate"`
+	Load                  Range                   `json:"load"`
+	Floors                []string                `json:"floors"`
+	Hotels                map[string]float64      `json:"hotels"`
+	BurstShare            Range                   `json:"clumps"`
+	BurstLength           Range                   `json:"clump_s"`
+	ZipfExponent          Range                   `json:"zipf"`
+	Classes               map[string]Class        `json:"classes"`
+	Channels              map[string]ChannelGroup `json:"channels"`
+	FloorDelay            Range                   `json:"floor_delay_ms"`
+	FailureDetectionDelay Range                   `json:"front_notices_s"`
+	DiscoveryDelay        Range                   `json:"list_late_s"`
+	DiscoveryOutages      []Outage                `json:"list_out"`
+	TrafficSurges         []TrafficSurge          `json:"hot"`
+	ChannelFaults         []ChannelFault          `json:"troubles"`
+	Restarts              []Restart               `json:"restarts"`
+	LinkAndProcessFaults  link.Record             `json:"faults"`
+	Fleet                 bool                    `json:"fleet"`
+	SlotHeadroom          Range                   `json:"slots_room"`
+	HeldMessages          Range                   `json:"held_s"`
+	MemoryMB              float64                 `json:"memory_mb"`
+	DiskMB                float64                 `json:"disk_mb"`
+	Settings              json.RawMessage         `json:"settings"`
+	PassCriteria          PassCriteria            `json:"holds"`
 }
 
-func kind() cuefile.Kind {
-	return cuefile.Kind{Name: "scenario", Schema: Text, Definition: "#Scenario", Check: whole}
+func cueKind() cuefile.Kind {
+	return cuefile.Kind{Name: "scenario", Schema: Schema, Definition: "#Scenario", Check: validate}
 }
 
-// Compile checks the text and returns the scenario as JSON, all defaults filled in.
-func Compile(name string, text []byte) ([]byte, error) { return kind().Compile(name, text) }
+// Compile checks the text against the schema and returns the scenario as JSON with all defaults.
+func Compile(name string, text []byte) ([]byte, error) { return cueKind().Compile(name, text) }
 
-// Parse is Compile, read into records.
+// Parse compiles the text and returns the scenario. The name is used in error messages and as the scenario's name.
 func Parse(name string, text []byte) (*Scenario, error) {
-	out, err := Compile(name, text)
+	compiled, err := Compile(name, text)
 	if err != nil {
 		return nil, err
 	}
 	s := &Scenario{Name: name}
-	if err := json.Unmarshal(out, s); err != nil {
+	if err := json.Unmarshal(compiled, s); err != nil {
 		return nil, fmt.Errorf("scenario: %s: %w", name, err)
 	}
 	return s, nil
 }
 
-// whole holds what single fields can't say.
-func whole(name string, v cue.Value) error {
-	text, err := v.MarshalJSON()
+// validate checks the constraints between fields, which the schema can't express.
+func validate(name string, value cue.Value) error {
+	text, err := value.MarshalJSON()
 	if err != nil {
 		return err
 	}
@@ -164,65 +166,65 @@
 	if err := json.Unmarshal(text, s); err != nil {
 		return err
 	}
-	bad := func(field, format string, args ...any) error {
+	fieldError := func(field, format string, args ...any) error {
 		return fmt.Errorf("%s: field %s: %w", name, field, fmt.Errorf(format, args...))
 	}
-	hotels, shares := 0.0, 0.0
+	hotelTotal, classTotal := 0.0, 0.0
 	for _, share := range s.Hotels {
-		hotels += share
+		hotelTotal += share
 	}
-	if math.Abs(hotels-1) > 0.001 {
-		return bad("hotels", "the shares add up to %.3f, not 1", hotels)
+	if math.Abs(hotelTotal-1) > 0.001 {
+		return fieldError("hotels", "the shares add up to %.3f, not 1", hotelTotal)
 	}
-	for _, n := range slices.Sorted(maps.Keys(s.Classes)) {
-		c := s.Classes[n]
-		shares += c.Share
-		if _, known := s.Channels[c.Kind]; c.Kind != "" && !known {
-			return bad("classes."+n+".kind", "no channels are of kind %q", c.Kind)
+	for _, className := range slices.Sorted(maps.Keys(s.Classes)) {
+		class := s.Classes[className]
+		classTotal += class.Share
+		if _, known := s.Channels[class.ChannelKind]; class.ChannelKind != "" && !known {
+			return fieldError("classes."+className+".kind", "no channels are of kind %q", class.ChannelKind)
 		}
-		if c.Deadline < c.Aim {
-			return bad("classes."+n+".deadline_s", "%v is under the aim, %v", c.Deadline, c.Aim)
+		if class.Deadline < class.LatencyTarget {
+			return fieldError("classes."+className+".deadline_s", "%v is less than aim_s, %v", class.Deadline, class.LatencyTarget)
 		}
 	}
-	if math.Abs(shares-1) > 0.001 {
-		return bad("classes", "the shares add up to %.3f, not 1", shares)
+	if math.Abs(classTotal-1) > 0.001 {
+		return fieldError("classes", "the shares add up to %.3f, not 1", classTotal)
 	}
-	of := func(wanted string) (n int) {
-		for kind, c := range s.Channels {
-			if wanted == "" || wanted == kind {
-				n += c.Count
+	channelCount := func(wantKind string) (n int) {
+		for kind, group := range s.Channels {
+			if wantKind == "" || wantKind == kind {
+				n += group.Count
 			}
 		}
 		return n
 	}
-	for i, t := range s.Troubles {
-		if n := of(t.Kind); t.Channels > n {
-			return bad(fmt.Sprintf("troubles.%d.channels", i), "%d are struck, and there are %d", t.Channels, n)
+	for i, fault := range s.ChannelFaults {
+		if n := channelCount(fault.ChannelKind); fault.Channels > n {
+			return fieldError(fmt.Sprintf("troubles.%d.channels", i), "%d channels are affected, but there are only %d", fault.Channels, n)
 		}
 	}
-	for i, h := range s.Hot {
-		if n := of(h.Kind); h.Channels > n {
-			return bad(fmt.Sprintf("hot.%d.channels", i), "%d are hot, and there are %d", h.Channels, n)
+	for i, surge := range s.TrafficSurges {
+		if n := channelCount(surge.ChannelKind); surge.Channels > n {
+			return fieldError(fmt.Sprintf("hot.%d.channels", i), "%d channels get more messages, but there are only %d", surge.Channels, n)
 		}
-		if h.Times[0] < 1 {
-			return bad(fmt.Sprintf("hot.%d.times", i), "%v is under 1", h.Times[0])
+		if surge.Factor[0] < 1 {
+			return fieldError(fmt.Sprintf("hot.%d.times", i), "%v is less than 1", surge.Factor[0])
 		}
 	}
-	for i, r := range s.Restarts {
-		if r.Couriers > s.Couriers {
-			return bad(fmt.Sprintf("restarts.%d.couriers", i), "%d are struck, and there are %d", r.Couriers, s.Couriers)
+	for i, restart := range s.Restarts {
+		if restart.Couriers > s.Couriers {
+			return fieldError(fmt.Sprintf("restarts.%d.couriers", i), "%d couriers are affected, but there are only %d", restart.Couriers, s.Couriers)
 		}
 	}
-	if len(s.Faults.Links)+len(s.Faults.Processes) > 0 {
-		day, err := s.Draw(0)
+	if len(s.LinkAndProcessFaults.Links)+len(s.LinkAndProcessFaults.Processes) > 0 {
+		spec, err := s.Generate(0)
 		if err == nil {
-			err = day.CheckFaults()
+			err = spec.CheckFaults()
 		}
 		if err != nil {
-			return bad("faults", "%w", err)
+			return fieldError("faults", "%w", err)
 		}
 	}
-	if len(s.Settings) > 0 { // JSON is CUE
+	if len(s.Settings) > 0 { // every JSON text is valid CUE
 		if _, err := schema.Compile(name+" (settings)", s.Settings); err != nil {
 			return err
 		}
@@ -230,153 +232,158 @@
 	return nil
 }
 
-func (r Range) draw(rnd *rand.Rand) float64 { return r[0] + rnd.Float64()*(r[1]-r[0]) }
+func (r Range) draw(rng *rand.Rand) float64 { return r[0] + rng.Float64()*(r[1]-r[0]) }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func secondsToDuration(seconds float64) time.Duration {
+	return time.Duration(seconds * float64(time.Second))
+}
 
-var allowed = map[string]emulator.Allowed{"any": emulator.AnyNumber, "floor": emulator.OnceByFloor, "once": emulator.OnceEver}
+var deliverySemantics = map[string]emulator.Allowed{"any": emulator.AnyNumber, "floor": emulator.OnceByFloor, "once": emulator.OnceEver}
 
-// Draw draws the day of a seed.
-func (s *Scenario) Draw(seed uint64) (emulator.Spec, error) {
-	rnd := rand.New(rand.NewPCG(seed, 0x5ce))
-	load := s.Load.draw(rnd)
-	d := emulator.Spec{
-		Seed: seed, Couriers: s.Couriers, Rate: s.FullRate * load, Traffic: seconds(s.Traffic), Settle: seconds(s.Settle),
-		MemoryMB: s.MemoryMB, DiskMB: s.DiskMB, Faults: s.Faults, Fleet: s.Fleet, Clumps: s.Clumps.draw(rnd), ClumpLen: seconds(s.ClumpLen.draw(rnd)), Settings: string(s.Settings),
+// Generate returns the run of a seed.
+func (s *Scenario) Generate(seed uint64) (emulator.Spec, error) {
+	rng := rand.New(rand.NewPCG(seed, 0x5ce))
+	load := s.Load.draw(rng)
+	spec := emulator.Spec{
+		Seed: seed, Couriers: s.Couriers, Rate: s.FullRate * load, Traffic: secondsToDuration(s.TrafficDuration), Settle: secondsToDuration(s.CompletionTimeout),
+		MemoryMB: s.MemoryMB, DiskMB: s.DiskMB, Faults: s.LinkAndProcessFaults, Fleet: s.Fleet, Clumps: s.BurstShare.draw(rng), ClumpLen: secondsToDuration(s.BurstLength.draw(rng)), Settings: string(s.Settings),
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Hotels)) {
-		d.Hotels, d.HotelShares = append(d.Hotels, name), append(d.HotelShares, s.Hotels[name])
+		spec.Hotels, spec.HotelShares = append(spec.Hotels, name), append(spec.HotelShares, s.Hotels[name])
 	}
-	classes := slices.Sorted(maps.Keys(s.Classes))
-	for _, name := range classes {
-		c := s.Classes[name]
-		d.Classes = append(d.Classes, emulator.ClassSpec{
-			Name: name, Allowed: allowed[c.Allowed], Window: seconds(c.Window), Aim: seconds(c.Aim),
-			Deadline: seconds(c.Deadline), Worth: c.Worth, Late: c.Late, Share: c.Share, Kind: c.Kind,
+	classNames := slices.Sorted(maps.Keys(s.Classes))
+	for _, name := range classNames {
+		class := s.Classes[name]
+		spec.Classes = append(spec.Classes, emulator.ClassSpec{
+			Name: name, Allowed: deliverySemantics[class.DeliverySemantics], Window: secondsToDuration(class.DeduplicationWindow), Aim: secondsToDuration(class.LatencyTarget),
+			Deadline: secondsToDuration(class.Deadline), Worth: class.Value, Late: class.MinLateShare, Share: class.Share, Kind: class.ChannelKind,
 		})
 	}
-	busy := s.channels(&d, classes, rnd)
-	slots := busy / float64(s.Couriers) * s.Slots.draw(rnd)
-	d.Slots = max(int(math.Ceil(slots)), 3)
-	d.MostHeld = max(int(s.Held.draw(rnd)*s.FullRate/float64(s.Couriers)), 16)
-	for _, t := range s.Troubles {
-		var to []int
-		for i, c := range d.Channels {
-			if t.Kind == "" || t.Kind == c.Kind {
-				to = append(to, i)
+	busySlots := s.addChannels(&spec, classNames, rng)
+	slots := busySlots / float64(s.Couriers) * s.SlotHeadroom.draw(rng)
+	spec.Slots = max(int(math.Ceil(slots)), 3)
+	spec.MostHeld = max(int(s.HeldMessages.draw(rng)*s.FullRate/float64(s.Couriers)), 16)
+	for _, fault := range s.ChannelFaults {
+		var candidates []int
+		for i, channel := range spec.Channels {
+			if fault.ChannelKind == "" || fault.ChannelKind == channel.Kind {
+				candidates = append(candidates, i)
 			}
 		}
-		if t.Busiest {
-			slices.SortStableFunc(to, func(a, b int) int { return cmp.Compare(d.Channels[b].Weight, d.Channels[a].Weight) })
+		if fault.Busiest {
+			slices.SortStableFunc(candidates, func(a, b int) int { return cmp.Compare(spec.Channels[b].Weight, spec.Channels[a].Weight) })
 		} else {
-			rnd.Shuffle(len(to), func(i, j int) { to[i], to[j] = to[j], to[i] })
+			rng.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
 		}
-		at, length := seconds(t.At.draw(rnd)), seconds(t.For.draw(rnd))
-		for _, i := range to[:t.Channels] {
-			x := emulator.Trouble{Dest: d.Channels[i].Dest, Mode: t.Mode, At: at, For: length}
-			if t.Mode == "drain" {
-				x.Mode, x.Drain = emulator.Well, true
+		start, duration := secondsToDuration(fault.Start.draw(rng)), secondsToDuration(fault.Duration.draw(rng))
+		for _, i := range candidates[:fault.Channels] {
+			channelFault := emulator.Trouble{Dest: spec.Channels[i].Dest, Mode: fault.Mode, At: start, For: duration}
+			if fault.Mode == "drain" {
+				channelFault.Mode, channelFault.Drain = emulator.Well, true
 			}
-			d.Troubles = append(d.Troubles, x)
+			spec.Troubles = append(spec.Troubles, channelFault)
 		}
 	}
-	for _, r := range s.Restarts {
-		at := seconds(r.At.draw(rnd))
-		for i, n := range rnd.Perm(s.Couriers)[:r.Couriers] {
-			down := seconds(r.Down.draw(rnd))
-			d.Restarts = append(d.Restarts, emulator.Restart{Courier: n, At: at, Down: down, Term: r.How != "kill"})
-			if r.How == "rolling" && i+1 < r.Couriers {
-				at += down + 4*time.Second // the next one when this one is back
+	for _, restart := range s.Restarts {
+		start := secondsToDuration(restart.Start.draw(rng))
+		for i, courier := range rng.Perm(s.Couriers)[:restart.Couriers] {
+			downtime := secondsToDuration(restart.Downtime.draw(rng))
+			spec.Restarts = append(spec.Restarts, emulator.Restart{Courier: courier, At: start, Down: downtime, Term: restart.Mode != "kill"})
+			if restart.Mode == "rolling" && i+1 < restart.Couriers {
+				start += downtime + 4*time.Second // the next courier stops when this one has restarted
 			}
 		}
 	}
-	// What came later to the schema draws for itself, so that older scenarios keep their days.
-	rnd = rand.New(rand.NewPCG(seed, 0x5cf))
-	span := func(r Range) [2]time.Duration { return [2]time.Duration{seconds(r[0]), seconds(r[1])} }
-	d.FloorDelay, d.FrontNotices, d.ListLate = seconds(s.Delay.draw(rnd)/1000), span(s.Notices), span(s.ListLate)
-	for _, o := range s.ListOut {
-		d.ListOut = append(d.ListOut, emulator.Span{At: seconds(o.At.draw(rnd)), For: seconds(o.For.draw(rnd))})
+	// Fields that were added to the schema later use a random source of their own, so that the runs of older scenarios
+	// remain the same.
+	rng = rand.New(rand.NewPCG(seed, 0x5cf))
+	durations := func(r Range) [2]time.Duration {
+		return [2]time.Duration{secondsToDuration(r[0]), secondsToDuration(r[1])}
+	}
+	spec.FloorDelay, spec.FrontNotices, spec.ListLate = secondsToDuration(s.FloorDelay.draw(rng)/1000), durations(s.FailureDetectionDelay), durations(s.DiscoveryDelay)
+	for _, outage := range s.DiscoveryOutages {
+		spec.ListOut = append(spec.ListOut, emulator.Span{At: secondsToDuration(outage.Start.draw(rng)), For: secondsToDuration(outage.Duration.draw(rng))})
 	}
-	for _, h := range s.Hot {
-		var to []int
-		for i, c := range d.Channels {
-			if h.Kind == "" || h.Kind == c.Kind {
-				to = append(to, i)
+	for _, surge := range s.TrafficSurges {
+		var candidates []int
+		for i, channel := range spec.Channels {
+			if surge.ChannelKind == "" || surge.ChannelKind == channel.Kind {
+				candidates = append(candidates, i)
 			}
 		}
-		rnd.Shuffle(len(to), func(i, j int) { to[i], to[j] = to[j], to[i] })
-		for _, i := range to[:h.Channels] {
-			d.Hot = append(d.Hot, emulator.Hot{Dest: d.Channels[i].Dest, Times: h.Times.draw(rnd), At: seconds(h.At.draw(rnd)), For: seconds(h.For.draw(rnd))})
+		rng.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+		for _, i := range candidates[:surge.Channels] {
+			spec.Hot = append(spec.Hot, emulator.Hot{Dest: spec.Channels[i].Dest, Times: surge.Factor.draw(rng), At: secondsToDuration(surge.Start.draw(rng)), For: secondsToDuration(surge.Duration.draw(rng))})
 		}
 	}
-	if len(d.Channels) == 0 {
-		return d, errors.New("scenario: no channels")
+	if len(spec.Channels) == 0 {
+		return spec, errors.New("scenario: no channels")
 	}
-	return d, nil
+	return spec, nil
 }
 
-// channels draws every channel and returns how many slots full load keeps busy. What a channel can
-// do follows from what full load brings it.
-func (s *Scenario) channels(d *emulator.Spec, classes []string, rnd *rand.Rand) (busy float64) {
-	type place struct {
+// addChannels adds all channels to the run and returns the number of slots that are busy at full load. The capacity and
+// the rate limit of a channel are multiples of what it receives at full load.
+func (s *Scenario) addChannels(spec *emulator.Spec, classNames []string, rng *rand.Rand) (busySlots float64) {
+	type kindedChannel struct {
 		kind string
-		Channels
+		ChannelGroup
 	}
-	var all []place
+	var channels []kindedChannel
 	for _, kind := range slices.Sorted(maps.Keys(s.Channels)) {
 		for range s.Channels[kind].Count {
-			all = append(all, place{kind, s.Channels[kind]})
+			channels = append(channels, kindedChannel{kind, s.Channels[kind]})
 		}
 	}
-	power := s.Zipf.draw(rnd)
-	weights := make([]float64, len(all))
-	for rank, i := range rnd.Perm(len(all)) {
-		weights[i] = math.Pow(float64(rank+1), -power)
+	exponent := s.ZipfExponent.draw(rng)
+	weights := make([]float64, len(channels))
+	for rank, i := range rng.Perm(len(channels)) {
+		weights[i] = math.Pow(float64(rank+1), -exponent)
 	}
-	calls := make([]float64, len(all)) // a second at full load
-	work := make([]float64, len(all))  // seconds of service a second
-	paces := make([]float64, len(all))
-	for i := range all {
-		paces[i] = all[i].Pace.draw(rnd)
+	callRates := make([]float64, len(channels))    // calls per second at full load, by channel
+	offeredLoads := make([]float64, len(channels)) // seconds of service per second at full load, by channel
+	serviceTimeFactors := make([]float64, len(channels))
+	for i := range channels {
+		serviceTimeFactors[i] = channels[i].ServiceTimeFactor.draw(rng)
 	}
-	for _, name := range classes {
-		c, sum := s.Classes[name], 0.0
-		for i, p := range all {
-			if c.Kind == "" || c.Kind == p.kind {
-				sum += weights[i]
+	for _, name := range classNames {
+		class, weightSum := s.Classes[name], 0.0
+		for i, channel := range channels {
+			if class.ChannelKind == "" || class.ChannelKind == channel.kind {
+				weightSum += weights[i]
 			}
 		}
-		for i, p := range all {
-			if c.Kind == "" || c.Kind == p.kind {
-				n := s.FullRate * c.Share * weights[i] / sum
-				calls[i] += n
-				work[i] += n * paces[i] * (c.Service[0] + c.Service[1]) / 2000
+		for i, channel := range channels {
+			if class.ChannelKind == "" || class.ChannelKind == channel.kind {
+				callRate := s.FullRate * class.Share * weights[i] / weightSum
+				callRates[i] += callRate
+				offeredLoads[i] += callRate * serviceTimeFactors[i] * (class.ServiceTime[0] + class.ServiceTime[1]) / 2000
 			}
 		}
 	}
-	for i, p := range all {
-		x := emulator.ChannelSpec{
-			Dest: int64(i + 1), Kind: p.kind, Queue: p.Queue, Apart: p.Apart, Bulk: p.Bulk, Connections: p.Connections, Reports: p.Reports,
-			TellsWait: p.TellsWait, Wait: time.Duration(p.Wait.draw(rnd)) * time.Millisecond, ColdFor: seconds(p.Cold),
-			StartShare: p.StartShare.draw(rnd), Weight: weights[i], Service: map[string][2]time.Duration{},
+	for i, channel := range channels {
+		channelSpec := emulator.ChannelSpec{
+			Dest: int64(i + 1), Kind: channel.kind, Queue: channel.QueueLength, Apart: channel.IndependentRoutes, Bulk: channel.BatchSize, Connections: channel.Connections, Reports: channel.ReportsLimit,
+			TellsWait: channel.RetryAfterShare, Wait: time.Duration(channel.RetryAfter.draw(rng)) * time.Millisecond, ColdFor: secondsToDuration(channel.WarmUp),
+			StartShare: channel.InitialCapacity.draw(rng), Weight: weights[i], Service: map[string][2]time.Duration{},
 		}
-		for _, name := range classes {
-			c := s.Classes[name]
-			x.Window = max(x.Window, seconds(c.Window))
-			x.Service[name] = [2]time.Duration{seconds(paces[i] * c.Service[0] / 1000), seconds(paces[i] * c.Service[1] / 1000)}
+		for _, name := range classNames {
+			class := s.Classes[name]
+			channelSpec.Window = max(channelSpec.Window, secondsToDuration(class.DeduplicationWindow))
+			channelSpec.Service[name] = [2]time.Duration{secondsToDuration(serviceTimeFactors[i] * class.ServiceTime[0] / 1000), secondsToDuration(serviceTimeFactors[i] * class.ServiceTime[1] / 1000)}
 		}
-		for n := range p.Endpoints {
-			x.Floors = append(x.Floors, s.Floors[n%len(s.Floors)])
+		for n := range channel.Endpoints {
+			channelSpec.Floors = append(channelSpec.Floors, s.Floors[n%len(s.Floors)])
 		}
-		x.Capacity = max(int(math.Ceil(work[i]*p.Headroom.draw(rnd)/float64(p.Endpoints))), 1)
-		if p.Limit != nil {
-			x.Limit = max(calls[i]*p.Limit.draw(rnd), 2)
-			if p.Apart { // each route has its own
-				x.Limit = max(x.Limit/float64(p.Endpoints), 2)
+		channelSpec.Capacity = max(int(math.Ceil(offeredLoads[i]*channel.Headroom.draw(rng)/float64(channel.Endpoints))), 1)
+		if channel.RateLimit != nil {
+			channelSpec.Limit = max(callRates[i]*channel.RateLimit.draw(rng), 2)
+			if channel.IndependentRoutes { // every route has its own limit
+				channelSpec.Limit = max(channelSpec.Limit/float64(channel.Endpoints), 2)
 			}
 		}
-		busy += work[i]
-		d.Channels = append(d.Channels, x)
+		busySlots += offeredLoads[i]
+		spec.Channels = append(spec.Channels, channelSpec)
 	}
-	return busy
+	return busySlots
 }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -13,31 +13,31 @@
 	"raventrestle/lab/scenarios"
 )
 
-// What is wrong with a scenario is told by file, line or field.
-func TestFaults(t *testing.T) {
-	for name, c := range map[string]struct{ text, want string }{
-		"faults nowhere":     {"about: \"x\"\nfaults: links: [{between: \"site:attic <-> others\", at_s: [1, 2], for_s: [1, 2], cut: true}]", "links.0.between"},
-		"loss over TCP":      {"about: \"x\"\nfaults: links: [{between: \"courier -> discovery\", at_s: [1, 2], for_s: [1, 2], loss: [0.1, 0.1]}]", "field loss"},
-		"no purpose":         {"couriers: 3", "field about"},
-		"unknown field":      {"about: \"x\"\ntrafic_s: 5", "f.cue:2:1: field trafic_s: no such field"},
-		"no such trouble":    {"about: \"x\"\ntroubles: [{mode: \"flood\", channels: 1, at_s: [1, 2], for_s: [1, 2]}]", "flood"},
-		"too many channels":  {"about: \"x\"\ntroubles: [{mode: \"shut\", channels: 99, at_s: [1, 2], for_s: [1, 2]}]", "99 are struck, and there are 13"},
-		"too many couriers":  {"about: \"x\"\nrestarts: [{how: \"kill\", couriers: 4, at_s: [1, 2]}]", "4 are struck, and there are 3"},
-		"shares":             {"about: \"x\"\nhotels: {a: 0.5, b: 0.4}", "add up to 0.900"},
-		"courier's settings": {"about: \"x\"\nsettings: {undeliverable: max_letters: -1}", "undeliverable.max_letters"},
-		"class of no kind":   {"about: \"x\"\nchannels: {deputy: count: 2}", "no channels are of kind \"principal\""},
+// An error of Parse names the field or the line with the fault, in one line of text.
+func TestParseErrorsNameThePosition(t *testing.T) {
+	for name, test := range map[string]struct{ text, want string }{
+		"fault at unknown site": {"about: \"x\"\nfaults: links: [{between: \"site:attic <-> others\", at_s: [1, 2], for_s: [1, 2], cut: true}]", "links.0.between"},
+		"loss over TCP":         {"about: \"x\"\nfaults: links: [{between: \"courier -> discovery\", at_s: [1, 2], for_s: [1, 2], loss: [0.1, 0.1]}]", "field loss"},
+		"no description":        {"couriers: 3", "field about"},
+		"unknown field":         {"about: \"x\"\ntrafic_s: 5", "f.cue:2:1: field trafic_s: no such field"},
+		"unknown fault mode":    {"about: \"x\"\ntroubles: [{mode: \"flood\", channels: 1, at_s: [1, 2], for_s: [1, 2]}]", "flood"},
+		"too many channels":     {"about: \"x\"\ntroubles: [{mode: \"shut\", channels: 99, at_s: [1, 2], for_s: [1, 2]}]", "99 channels are affected, but there are only 13"},
+		"too many couriers":     {"about: \"x\"\nrestarts: [{how: \"kill\", couriers: 4, at_s: [1, 2]}]", "4 couriers are affected, but there are only 3"},
+		"shares below 1":        {"about: \"x\"\nhotels: {a: 0.5, b: 0.4}", "add up to 0.900"},
+		"courier settings":      {"about: \"x\"\nsettings: {undeliverable: max_letters: -1}", "undeliverable.max_letters"},
+		"unknown channel kind":  {"about: \"x\"\nchannels: {deputy: count: 2}", "no channels are of kind \"principal\""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := Parse("f.cue", []byte(c.text))
-			if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-				t.Fatalf("got %v, want %s", err, c.want)
+			_, err := Parse("f.cue", []byte(test.text))
+			if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
+				t.Fatalf("got %v, want %s", err, test.want)
 			}
 		})
 	}
 }
 
-// What a scenario gives takes the defaults' place and does not come on top.
-func TestOwnClasses(t *testing.T) {
+// The classes, channels and hotels of a scenario replace the defaults. They are not added to them.
+func TestGivenMapsReplaceDefaults(t *testing.T) {
 	s, err := Parse("f", []byte(`about: "x"
 hotels: h: 1
 classes: a: {allowed: "any", aim_s: 1, deadline_s: 3, worth: 1, late: 0.2, share: 1, service_ms: [20, 40]}
@@ -50,45 +50,45 @@
 	}
 }
 
-// Every scenario that comes with the program is valid, and a seed draws the same day each time,
-// another seed another.
-func TestScenariosDraw(t *testing.T) {
+// Every built-in scenario is valid. The same seed generates the same run each time, and different seeds generate different
+// runs.
+func TestBuiltInScenariosAreValidAndReproducible(t *testing.T) {
 	entries, err := scenarios.Files.ReadDir(".")
 	if err != nil || len(entries) < 6 {
 		t.Fatal(entries, err)
 	}
-	for _, e := range entries {
-		text, err := scenarios.Files.ReadFile(e.Name())
+	for _, entry := range entries {
+		text, err := scenarios.Files.ReadFile(entry.Name())
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, err := Parse(e.Name(), text)
+		s, err := Parse(entry.Name(), text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		day := func(seed uint64) string {
-			d, err := s.Draw(seed)
+		specJSON := func(seed uint64) string {
+			spec, err := s.Generate(seed)
 			if err != nil {
 				t.Fatal(err)
 			}
-			out, err := json.Marshal(d)
+			encoded, err := json.Marshal(spec)
 			if err != nil {
 				t.Fatal(err)
 			}
-			return string(out)
+			return string(encoded)
 		}
-		if diff := cmp.Diff(day(7), day(7)); diff != "" {
-			t.Errorf("%s: %s", e.Name(), diff)
+		if diff := cmp.Diff(specJSON(7), specJSON(7)); diff != "" {
+			t.Errorf("%s: %s", entry.Name(), diff)
 		}
-		if day(7) == day(8) {
-			t.Errorf("%s: two seeds, one day", e.Name())
+		if specJSON(7) == specJSON(8) {
+			t.Errorf("%s: two seeds gave the same run", entry.Name())
 		}
 	}
 }
 
-// Days hold what the scenario says: rates and times in their ranges, troubles for as many channels,
-// every class with a channel to go to, and channels that can do what full load brings them.
-func TestDrawnWithinRanges(t *testing.T) {
+// Generated runs match the scenario: the load and the times are within their ranges, faults affect the given number and
+// kind of channels, every channel has capacity and a weight, and a rolling restart stops one courier at a time.
+func TestGeneratedRunsRespectScenario(t *testing.T) {
 	s, err := Parse("f", []byte(`about: "x"
 load: [0.5, 0.7]
 troubles: [{mode: "shut", channels: 2, kind: "agent", at_s: [5, 9], for_s: [3, 4]}, {mode: "slow", channels: 1, busiest: true, at_s: [1, 1], for_s: [2, 2]}]
@@ -97,35 +97,35 @@
 		t.Fatal(err)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		d, err := s.Draw(rapid.Uint64().Draw(t, "seed"))
+		spec, err := s.Generate(rapid.Uint64().Draw(t, "seed"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r := d.Rate / s.FullRate; r < 0.5 || r > 0.7 {
-			t.Fatalf("load %v", r)
+		if load := spec.Rate / s.FullRate; load < 0.5 || load > 0.7 {
+			t.Fatalf("load %v", load)
 		}
-		if len(d.Channels) != 13 || len(d.Troubles) != 3 || len(d.Restarts) != 3 || d.Slots < 3 || d.MostHeld < 16 {
-			t.Fatalf("%+v", d)
+		if len(spec.Channels) != 13 || len(spec.Troubles) != 3 || len(spec.Restarts) != 3 || spec.Slots < 3 || spec.MostHeld < 16 {
+			t.Fatalf("%+v", spec)
 		}
-		heaviest, kinds := 0.0, map[int64]string{}
-		for _, c := range d.Channels {
-			kinds[c.Dest] = c.Kind
-			heaviest = math.Max(heaviest, c.Weight)
-			if c.Capacity < 1 || len(c.Floors) != 2 || c.Weight <= 0 {
-				t.Fatalf("%+v", c)
+		maxWeight, kindByDest := 0.0, map[int64]string{}
+		for _, channel := range spec.Channels {
+			kindByDest[channel.Dest] = channel.Kind
+			maxWeight = math.Max(maxWeight, channel.Weight)
+			if channel.Capacity < 1 || len(channel.Floors) != 2 || channel.Weight <= 0 {
+				t.Fatalf("%+v", channel)
 			}
 		}
-		for _, x := range d.Troubles[:2] {
-			if kinds[x.Dest] != "agent" || x.At < 5*time.Second || x.At > 9*time.Second || x.For < 3*time.Second || x.For > 4*time.Second {
-				t.Fatalf("%+v", x)
+		for _, fault := range spec.Troubles[:2] {
+			if kindByDest[fault.Dest] != "agent" || fault.At < 5*time.Second || fault.At > 9*time.Second || fault.For < 3*time.Second || fault.For > 4*time.Second {
+				t.Fatalf("%+v", fault)
 			}
 		}
-		if d.Channels[d.Troubles[2].Dest-1].Weight != heaviest {
-			t.Fatal("not the busiest")
+		if spec.Channels[spec.Troubles[2].Dest-1].Weight != maxWeight {
+			t.Fatal("the fault does not affect the busiest channel")
 		}
 		for i := 1; i < 3; i++ {
-			if d.Restarts[i].At < d.Restarts[i-1].At+d.Restarts[i-1].Down {
-				t.Fatal("rolling, and two are down at once")
+			if spec.Restarts[i].At < spec.Restarts[i-1].At+spec.Restarts[i-1].Down {
+				t.Fatal("a rolling restart has two couriers down at the same time")
 			}
 		}
 	})
--- a/internal/lab/small.go
+++ b/internal/lab/small.go
@@ -47,7 +47,7 @@
 	if len(d.Violations) == 0 {
 		return nil, fmt.Errorf("%s, seed %d, broke no rule", d.Scenario, d.Seed)
 	}
-	spec, err := s.Draw(d.Seed)
+	spec, err := s.Generate(d.Seed)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/small_test.go
+++ b/internal/lab/small_test.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Traffic, s.Settle = 30, 5
+	s.TrafficDuration, s.CompletionTimeout = 30, 5
 	d, err := PlayVirtual(s, 1, "", maker)
 	if err != nil {
 		t.Fatal(err)
