--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -23,7 +23,7 @@
 	"raventrestle/internal/emulator/link"
 	"raventrestle/internal/lab/scenario"
 	"raventrestle/internal/lab/scoring"
-	"raventrestle/internal/lab/virtual"
+	"raventrestle/internal/lab/simulation"
 	"raventrestle/lab/scenarios"
 )
 
@@ -164,19 +164,19 @@
 
 // PlayVirtual plays the same day against the decision module alone, in virtual time. A nil maker is the
 // module as it stands.
-func PlayVirtual(s *scenario.Scenario, seed uint64, out string, maker virtual.Maker) (*Day, error) {
+func PlayVirtual(s *scenario.Scenario, seed uint64, out string, maker simulation.DeciderFactory) (*Day, error) {
 	spec, err := s.Generate(seed)
 	if err != nil {
 		return nil, err
 	}
-	r, err := virtual.Play(spec, virtual.Usual, maker)
+	r, err := simulation.Play(spec, simulation.DefaultDelays, maker)
 	if err != nil {
 		return nil, fmt.Errorf("%s, seed %d, virtual: %w", s.Name, seed, err)
 	}
-	day, _ := judge(s, seed, spec, played{r.Ledger, r.Start, r.End, r.Asked, 0})
+	day, _ := judge(s, seed, spec, played{r.Ledger, r.Start, r.End, r.Submitted, 0})
 	day.Virtual = true
 	var series []second
-	for i, c := range r.Series {
+	for i, c := range r.CountsPerSecond {
 		series = append(series, second{at: i, counts: c})
 	}
 	return day, keep(out, day, series, 0)
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"encoding/json"
@@ -18,13 +18,13 @@
 
 const ms = time.Millisecond
 
-// day is a small world of two couriers and three channels in which much goes wrong.
-func day(seed uint64) emulator.Spec {
+// testSpec returns a run with two couriers and three channels and with many kinds of faults.
+func testSpec(seed uint64) emulator.Spec {
 	service := map[string][2]time.Duration{"any": {60 * ms, 120 * ms}, "floor": {60 * ms, 120 * ms}, "once": {60 * ms, 120 * ms}}
 	class := func(name string, a emulator.Allowed) emulator.ClassSpec {
 		return emulator.ClassSpec{Name: name, Allowed: a, Window: 5 * time.Second, Aim: time.Second, Deadline: 6 * time.Second, Worth: 1, Late: 0.3, Share: 1. / 3}
 	}
-	s := emulator.Spec{
+	spec := emulator.Spec{
 		Seed: seed, Couriers: 2, Classes: []emulator.ClassSpec{
 			class("any", emulator.AnyNumber), class("floor", emulator.OnceByFloor),
 			class("once", emulator.OnceEver),
@@ -40,65 +40,65 @@
 		},
 	}
 	for i := range 3 {
-		s.Channels = append(s.Channels, emulator.ChannelSpec{
+		spec.Channels = append(spec.Channels, emulator.ChannelSpec{
 			Dest: int64(i + 1), Kind: []string{"deputy", "agent", "principal"}[i], Floors: []string{"a", "b"}, Service: service, Capacity: 3,
 			Queue: 6, TellsWait: 0.8, Wait: 700 * ms, ColdFor: 10 * time.Second, StartShare: 0.2, Window: 5 * time.Second, Bulk: 1 + 3*i, Connections: 20,
 		})
 	}
-	return s
+	return spec
 }
 
-// The same day twice is the same to the byte, with everything that went wrong in it.
-func TestSameSeedSameRun(t *testing.T) {
-	text := func(seed uint64) string {
-		r, err := Play(day(seed), Usual, nil)
+// The same seed must give the same result byte for byte, including all violations.
+func TestSameSeedGivesSameRun(t *testing.T) {
+	resultJSON := func(seed uint64) string {
+		result, err := Play(testSpec(seed), DefaultDelays, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		all := []any{r.Asked, r.Steps, r.Series}
-		r.Ledger.Messages(func(m emulator.Message) { all = append(all, m, m.History()) })
-		for _, v := range r.Ledger.Check(r.End) {
-			all = append(all, v)
+		values := []any{result.Submitted, result.Steps, result.CountsPerSecond}
+		result.Ledger.Messages(func(m emulator.Message) { values = append(values, m, m.History()) })
+		for _, v := range result.Ledger.Check(result.End) {
+			values = append(values, v)
 		}
-		out, err := json.Marshal(all)
+		encoded, err := json.Marshal(values)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return string(out)
+		return string(encoded)
 	}
-	if diff := cmp.Diff(text(7), text(7)); diff != "" {
+	if diff := cmp.Diff(resultJSON(7), resultJSON(7)); diff != "" {
 		t.Fatal(diff)
 	}
-	if text(7) == text(8) {
-		t.Fatal("another seed gives the same run")
+	if resultJSON(7) == resultJSON(8) {
+		t.Fatal("two seeds gave the same run")
 	}
 }
 
-// The module as it stands keeps the rules on many seeds, and messages do end.
-func TestModuleKeepsTheRules(t *testing.T) {
+// The real module must follow the rules for several seeds, and messages must end in every way.
+func TestModuleFollowsRules(t *testing.T) {
 	for seed := range uint64(12) {
-		r, err := Play(day(seed), Usual, nil)
+		result, err := Play(testSpec(seed), DefaultDelays, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, v := range r.Ledger.Check(r.End) {
+		for _, v := range result.Ledger.Check(result.End) {
 			t.Errorf("seed %d: %v", seed, v)
 		}
-		c := r.Ledger.Counts()
-		if c.Delivered < r.Asked/2 || c.Undeliverable == 0 || c.Deferred == 0 || c.CallsRefused == 0 {
-			t.Errorf("seed %d: of %d messages: %+v", seed, r.Asked, c)
+		counts := result.Ledger.Counts()
+		if counts.Delivered < result.Submitted/2 || counts.Undeliverable == 0 || counts.Deferred == 0 || counts.CallsRefused == 0 {
+			t.Errorf("seed %d: of %d messages: %+v", seed, result.Submitted, counts)
 		}
 	}
 }
 
-// double is the module with a fault: events pass through before, actions through after.
-type double struct {
+// modifiedModule is a module with a fault: before may change the events, after may change the actions.
+type modifiedModule struct {
 	inner  Decider
 	before func(now time.Duration, in []raventrestle.Event) []raventrestle.Event
 	after  func(now time.Duration, in []raventrestle.Event, out []raventrestle.Action) []raventrestle.Action
 }
 
-func (d *double) Step(now time.Duration, in []raventrestle.Event) []raventrestle.Action {
+func (d *modifiedModule) Step(now time.Duration, in []raventrestle.Event) []raventrestle.Action {
 	if d.before != nil {
 		in = d.before(now, in)
 	}
@@ -109,28 +109,28 @@
 	return out
 }
 
-// greedy is no module at all: it sends whatever it has at once, and again as soon as it failed.
-type greedy struct {
-	ends map[raventrestle.DestID][]raventrestle.TargetID
-	of   map[raventrestle.MessageID]raventrestle.DestID
-	rnd  *rand.Rand
+// greedySender replaces the module. It sends every message immediately, and again as soon as a send has failed.
+type greedySender struct {
+	targets      map[raventrestle.DestID][]raventrestle.TargetID
+	destinations map[raventrestle.MessageID]raventrestle.DestID
+	rng          *rand.Rand
 }
 
-func (g *greedy) Step(_ time.Duration, in []raventrestle.Event) (out []raventrestle.Action) {
+func (g *greedySender) Step(_ time.Duration, in []raventrestle.Event) (out []raventrestle.Action) {
 	send := func(id raventrestle.MessageID) {
-		ends := g.ends[g.of[id]]
-		out = append(out, raventrestle.Send{ID: id, Target: ends[g.rnd.IntN(len(ends))], Timeout: time.Second})
+		targets := g.targets[g.destinations[id]]
+		out = append(out, raventrestle.Send{ID: id, Target: targets[g.rng.IntN(len(targets))], Timeout: time.Second})
 	}
 	for _, e := range in {
 		switch e := e.(type) {
 		case raventrestle.ListUpdate:
-			for _, x := range e.Entries {
-				if !slices.Contains(g.ends[x.Dest], x.Target) {
-					g.ends[x.Dest] = append(g.ends[x.Dest], x.Target)
+			for _, entry := range e.Entries {
+				if !slices.Contains(g.targets[entry.Dest], entry.Target) {
+					g.targets[entry.Dest] = append(g.targets[entry.Dest], entry.Target)
 				}
 			}
 		case raventrestle.Arrival:
-			g.of[e.ID] = e.Dest
+			g.destinations[e.ID] = e.Dest
 			send(e.ID)
 		case raventrestle.Outcome:
 			if !e.Final {
@@ -141,13 +141,13 @@
 	return out
 }
 
-// Every rule is found broken, by its name, when a courier or module breaks it.
-func TestEachRuleIsFoundBroken(t *testing.T) {
+// The ledger must report each rule by its name when a module breaks it. The subtests are named after the rules.
+func TestEachBrokenRuleIsFound(t *testing.T) {
 	type events = []raventrestle.Event
 	type actions = []raventrestle.Action
-	drop := func(gone func(raventrestle.Event) bool) func(time.Duration, events) events {
+	drop := func(dropped func(raventrestle.Event) bool) func(time.Duration, events) events {
 		return func(_ time.Duration, in events) events {
-			return slices.DeleteFunc(slices.Clone(in), gone)
+			return slices.DeleteFunc(slices.Clone(in), dropped)
 		}
 	}
 	firstSend := func(out actions) (raventrestle.Send, bool) {
@@ -158,10 +158,10 @@
 		}
 		return raventrestle.Send{}, false
 	}
-	lately := map[int]raventrestle.MessageID{}
-	doubles := map[string]func(inner Decider, courier int) Decider{
-		"allowance": func(inner Decider, _ int) Decider { // a deposit-charge that may have run is sent again
-			return &double{inner: inner, after: func(_ time.Duration, in events, out actions) actions {
+	lastSent := map[int]raventrestle.MessageID{}
+	faultyModules := map[string]func(inner Decider, courier int) Decider{
+		"allowance": func(inner Decider, _ int) Decider { // sends a message again although it may have run
+			return &modifiedModule{inner: inner, after: func(_ time.Duration, in events, out actions) actions {
 				for i, a := range out {
 					f, failed := a.(raventrestle.Fail)
 					if !failed {
@@ -177,7 +177,7 @@
 			}}
 		},
 		"waits heeded": func(inner Decider, _ int) Decider {
-			return &double{inner: inner, before: func(_ time.Duration, in events) events {
+			return &modifiedModule{inner: inner, before: func(_ time.Duration, in events) events {
 				in = slices.Clone(in)
 				for i, e := range in {
 					if o, ok := e.(raventrestle.Outcome); ok {
@@ -188,8 +188,8 @@
 				return in
 			}}
 		},
-		"drains kept": func(inner Decider, _ int) Decider { // what the list says of an endpoint is not heeded
-			return &double{inner: inner, before: func(_ time.Duration, in events) events {
+		"drains kept": func(inner Decider, _ int) Decider { // ignores that endpoints drain
+			return &modifiedModule{inner: inner, before: func(_ time.Duration, in events) events {
 				in = slices.Clone(in)
 				for i, e := range in {
 					if l, ok := e.(raventrestle.ListUpdate); ok {
@@ -203,8 +203,8 @@
 				return in
 			}}
 		},
-		"one final answer": func(inner Decider, _ int) Decider { // two, of different words
-			return &double{inner: inner, after: func(_ time.Duration, _ events, out actions) actions {
+		"one final answer": func(inner Decider, _ int) Decider { // sends two different final answers
+			return &modifiedModule{inner: inner, after: func(_ time.Duration, _ events, out actions) actions {
 				for _, a := range slices.Clone(out) {
 					switch a := a.(type) {
 					case raventrestle.Refuse:
@@ -216,36 +216,36 @@
 				return out
 			}}
 		},
-		"one final answer, after a restart": func(inner Decider, _ int) Decider { // what the journal has is forgotten
-			return &double{inner: inner, before: drop(func(e raventrestle.Event) bool {
+		"one final answer, after a restart": func(inner Decider, _ int) Decider { // ignores the messages of the journal
+			return &modifiedModule{inner: inner, before: drop(func(e raventrestle.Event) bool {
 				_, ok := e.(raventrestle.Restored)
 				return ok
 			})}
 		},
-		"on time": func(inner Decider, _ int) Decider { // ends are kept back for two seconds
-			var late []raventrestle.Action
+		"on time": func(inner Decider, _ int) Decider { // delays final answers by two seconds
+			var delayed []raventrestle.Action
 			var due []time.Duration
-			return &double{inner: inner, after: func(now time.Duration, _ events, out actions) actions {
-				var rest actions
+			return &modifiedModule{inner: inner, after: func(now time.Duration, _ events, out actions) actions {
+				var passed actions
 				for _, a := range out {
 					switch a.(type) {
 					case raventrestle.Refuse, raventrestle.Fail:
-						late, due = append(late, a), append(due, now+2*time.Second)
+						delayed, due = append(delayed, a), append(due, now+2*time.Second)
 					default:
-						rest = append(rest, a)
+						passed = append(passed, a)
 					}
 				}
 				for len(due) > 0 && due[0] <= now {
-					rest, late, due = append(rest, late[0]), late[1:], due[1:]
+					passed, delayed, due = append(passed, delayed[0]), delayed[1:], due[1:]
 				}
 				if len(due) > 0 {
-					rest = append(rest, raventrestle.WakeAt{At: due[0]})
+					passed = append(passed, raventrestle.WakeAt{At: due[0]})
 				}
-				return rest
+				return passed
 			}}
 		},
 		"no second copy": func(inner Decider, _ int) Decider {
-			return &double{inner: inner, after: func(_ time.Duration, _ events, out actions) actions {
+			return &modifiedModule{inner: inner, after: func(_ time.Duration, _ events, out actions) actions {
 				if s, ok := firstSend(out); ok {
 					out = append(out, s)
 				}
@@ -253,7 +253,7 @@
 			}}
 		},
 		"own channel": func(inner Decider, _ int) Decider {
-			return &double{inner: inner, after: func(_ time.Duration, _ events, out actions) actions {
+			return &modifiedModule{inner: inner, after: func(_ time.Duration, _ events, out actions) actions {
 				for i, a := range out {
 					if s, ok := a.(raventrestle.Send); ok && s.Target == "s-1-0" {
 						s.Target = "s-2-0"
@@ -263,21 +263,21 @@
 				return out
 			}}
 		},
-		"own messages": func(inner Decider, courier int) Decider { // a message of the other's is sent too
-			return &double{inner: inner, after: func(_ time.Duration, _ events, out actions) actions {
+		"own messages": func(inner Decider, courier int) Decider { // also sends a message of the other courier
+			return &modifiedModule{inner: inner, after: func(_ time.Duration, _ events, out actions) actions {
 				s, ok := firstSend(out)
 				if !ok {
 					return out
 				}
-				lately[courier] = s.ID
-				if s.ID = lately[1-courier]; s.ID != "" {
+				lastSent[courier] = s.ID
+				if s.ID = lastSent[1-courier]; s.ID != "" {
 					out = append(out, s)
 				}
 				return out
 			}}
 		},
 		"unknown message": func(inner Decider, _ int) Decider {
-			return &double{inner: inner, after: func(_ time.Duration, _ events, out actions) actions {
+			return &modifiedModule{inner: inner, after: func(_ time.Duration, _ events, out actions) actions {
 				if s, ok := firstSend(out); ok {
 					s.ID = "t99999999"
 					out = append(out, s)
@@ -286,17 +286,17 @@
 			}}
 		},
 		"no returning channel pushed over": func(_ Decider, courier int) Decider {
-			return &greedy{map[raventrestle.DestID][]raventrestle.TargetID{}, map[raventrestle.MessageID]raventrestle.DestID{}, rand.New(rand.NewPCG(uint64(courier), 1))}
+			return &greedySender{map[raventrestle.DestID][]raventrestle.TargetID{}, map[raventrestle.MessageID]raventrestle.DestID{}, rand.New(rand.NewPCG(uint64(courier), 1))}
 		},
 	}
-	for name, make := range doubles {
+	for name, make := range faultyModules {
 		t.Run(name, func(t *testing.T) {
-			s := day(3)
-			if strings.HasPrefix(name, "no returning") { // it makes thousands of calls a second
-				s.Traffic, s.Restarts = 14*time.Second, nil
+			spec := testSpec(3)
+			if strings.HasPrefix(name, "no returning") { // greedySender makes thousands of calls per second
+				spec.Traffic, spec.Restarts = 14*time.Second, nil
 			}
-			r, err := Play(s, Usual, func(n int, set raventrestle.Settings, seed uint64) (Decider, error) {
-				inner, err := Module(n, set, seed)
+			result, err := Play(spec, DefaultDelays, func(n int, set raventrestle.Settings, seed uint64) (Decider, error) {
+				inner, err := NewModule(n, set, seed)
 				if err != nil {
 					return nil, err
 				}
@@ -307,11 +307,11 @@
 			}
 			rule, _, _ := strings.Cut(name, ",")
 			found := map[string]int{}
-			for _, v := range r.Ledger.Check(r.End) {
+			for _, v := range result.Ledger.Check(result.End) {
 				found[v.Rule]++
 			}
 			if found[rule] == 0 {
-				t.Fatalf("not found; found: %v", fmt.Sprint(found))
+				t.Fatalf("the rule was not reported; reported: %v", fmt.Sprint(found))
 			}
 		})
 	}
--- a/internal/lab/small.go
+++ b/internal/lab/small.go
@@ -13,7 +13,7 @@
 	"raventrestle/internal/emulator"
 	"raventrestle/internal/lab/reduction"
 	"raventrestle/internal/lab/scenario"
-	"raventrestle/internal/lab/virtual"
+	"raventrestle/internal/lab/simulation"
 )
 
 // smallVersion goes into a small day's file.
@@ -35,10 +35,10 @@
 
 // ShrinkOptions say how a day is made small.
 type ShrinkOptions struct {
-	Rule     string        // by name; the first that the day broke where it is ""
-	Plays    int           // at most
-	Tries    int           // of each smaller day with real processes, which break a rule only sometimes
-	Maker    virtual.Maker // nil for the module as it stands
+	Rule     string                    // by name; the first that the day broke where it is ""
+	Plays    int                       // at most
+	Tries    int                       // of each smaller day with real processes, which break a rule only sometimes
+	Maker    simulation.DeciderFactory // nil for the module as it stands
 	Progress io.Writer
 }
 
@@ -84,14 +84,14 @@
 }
 
 // Play plays the small day once and returns how it broke its rule.
-func (s *Small) Play(ctx context.Context, maker virtual.Maker, run Options) ([]emulator.Violation, error) {
+func (s *Small) Play(ctx context.Context, maker simulation.DeciderFactory, run Options) ([]emulator.Violation, error) {
 	return s.play(ctx, s.Day, maker, run)
 }
 
-func (s *Small) play(ctx context.Context, day emulator.Spec, maker virtual.Maker, run Options) (broken []emulator.Violation, err error) {
+func (s *Small) play(ctx context.Context, day emulator.Spec, maker simulation.DeciderFactory, run Options) (broken []emulator.Violation, err error) {
 	var all []emulator.Violation
 	if s.Virtual {
-		r, err := virtual.Play(day, virtual.Usual, maker)
+		r, err := simulation.Play(day, simulation.DefaultDelays, maker)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lab/small_test.go
+++ b/internal/lab/small_test.go
@@ -10,11 +10,11 @@
 	"time"
 
 	"raventrestle"
-	"raventrestle/internal/lab/virtual"
+	"raventrestle/internal/lab/simulation"
 )
 
 // repeater is the module with a fault: what may have run and is given up is sent once more instead.
-type repeater struct{ virtual.Decider }
+type repeater struct{ simulation.Decider }
 
 func (r repeater) Step(now time.Duration, in []raventrestle.Event) []raventrestle.Action {
 	out := r.Decider.Step(now, in)
@@ -35,8 +35,8 @@
 // A fault that shows in a day of some thousand messages is shrunk to a handful, which still breaks the
 // rule when it is read from its file and played again; the module as it stands keeps the rule there.
 func TestShrink(t *testing.T) {
-	maker := func(n int, set raventrestle.Settings, seed uint64) (virtual.Decider, error) {
-		inner, err := virtual.Module(n, set, seed)
+	maker := func(n int, set raventrestle.Settings, seed uint64) (simulation.Decider, error) {
+		inner, err := simulation.NewModule(n, set, seed)
 		return repeater{inner}, err
 	}
 	s, err := Find("storm")
