--- a/internal/lab/standin/standin.go
+++ b/internal/lab/standin/standin.go
@@ -1,5 +1,5 @@
-// Package standin is an endpoint for trying the system by hand: it registers itself by heartbeats, holds models, takes
-// orders, and serves streams of a made-up text. It is no measure of anything.
+// Package standin provides a simple endpoint for trying out the system by hand. It registers with heartbeats, simulates
+// loaded models, executes orders and serves streams of placeholder text. Its timing says nothing about real endpoints.
 package standin
 
 import (
@@ -13,42 +13,42 @@
 	"time"
 )
 
-// Options of an endpoint.
+// Options are the settings of an endpoint.
 type Options struct {
-	ID        string
-	Service   string
-	Zone      string
-	Address   string   // IP:port to listen on
-	Controls  []string // addresses of control instances
-	Slots     int
-	Models    []string // held at the start
-	LoadTime  time.Duration
-	Event     time.Duration // between two events of a stream
-	Events    int           // of one stream
-	Heartbeat time.Duration
-	Log       *slog.Logger
+	ID                string
+	Service           string
+	Zone              string
+	Address           string   // IP:port to listen on
+	ControlAddresses  []string // addresses of control instances
+	Slots             int
+	Models            []string // loaded at the start
+	LoadTime          time.Duration
+	EventInterval     time.Duration // time between two events of a stream
+	EventsPerStream   int           // number of events of a stream
+	HeartbeatInterval time.Duration
+	Log               *slog.Logger
 }
 
 // Endpoint is one running stand-in.
 type Endpoint struct {
-	options  Options
-	listener net.Listener
-	server   *http.Server
-	stop     context.CancelFunc
-	ended    sync.WaitGroup
+	options    Options
+	listener   net.Listener
+	server     *http.Server
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
 
-	mutex    sync.Mutex
-	models   map[string]*held
-	orders   uint64 // taken since the start
-	busy     bool
-	running  int
-	sequence uint64
-	draining bool
-	served   int
+	mutex           sync.Mutex
+	models          map[string]*loadedModel
+	revision        uint64 // number of accepted orders since the start
+	orderRunning    bool
+	runningRequests int
+	sequence        uint64
+	draining        bool
+	served          int
 }
 
-// held is a model in memory.
-type held struct{ adapters []string }
+// loadedModel is a model that the endpoint serves, with its adapters.
+type loadedModel struct{ adapters []string }
 
 // Start listens, serves and registers the endpoint.
 func Start(ctx context.Context, options Options) (*Endpoint, error) {
@@ -57,24 +57,24 @@
 		return nil, fmt.Errorf("stand-in %s: %w", options.ID, err)
 	}
 	ctx, stop := context.WithCancel(ctx)
-	e := &Endpoint{options: options, listener: listener, stop: stop, models: make(map[string]*held)}
+	e := &Endpoint{options: options, listener: listener, stop: stop, models: make(map[string]*loadedModel)}
 	for _, model := range options.Models {
-		e.models[model] = &held{}
+		e.models[model] = &loadedModel{}
 	}
 	e.server = &http.Server{Handler: e.handler(), ReadHeaderTimeout: 5 * time.Second}
-	e.ended.Go(func() { _ = e.server.Serve(listener) }) // it ends by Shutdown or Close
-	e.ended.Go(func() { e.register(ctx) })
+	e.goroutines.Go(func() { _ = e.server.Serve(listener) }) // returns after Shutdown or Close
+	e.goroutines.Go(func() { e.register(ctx) })
 	return e, nil
 }
 
-// Served is how many requests were answered in full.
+// Served returns the number of requests with a complete response.
 func (e *Endpoint) Served() int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.served
 }
 
-// Models lists what it holds now, adapters after a slash.
+// Models returns the sorted names of the loaded models, and of their adapters as MODEL/ADAPTER.
 func (e *Endpoint) Models() []string {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -89,24 +89,24 @@
 	return names
 }
 
-// ID names the endpoint.
+// ID returns the endpoint's ID.
 func (e *Endpoint) ID() string { return e.options.ID }
 
-// Address is where it listens.
+// Address returns the address on which the endpoint listens.
 func (e *Endpoint) Address() string { return e.listener.Addr().String() }
 
-// Stop says farewell to the system, lets calls finish until the context ends, and ends.
+// Stop deregisters the endpoint and stops it. Running requests may finish until the context ends.
 func (e *Endpoint) Stop(ctx context.Context) error {
 	e.mutex.Lock()
 	e.draining = true
 	e.mutex.Unlock()
 	e.stop()
-	e.leave(ctx)
+	e.deregister(ctx)
 	err := e.server.Shutdown(ctx)
 	if err != nil {
 		err = fmt.Errorf("stand-in %s: %w", e.options.ID, err)
-		_ = e.server.Close() // what is left is cut
+		_ = e.server.Close() // closes the remaining connections
 	}
-	e.ended.Wait()
+	e.goroutines.Wait()
 	return err
 }
--- a/internal/lab/system/system.go
+++ b/internal/lab/system/system.go
@@ -152,19 +152,19 @@
 		Service: service,
 		Zone:    zoneOf(number),
 		Address: w.places.endpoint(number),
-		Controls: func() (list []string) {
+		ControlAddresses: func() (list []string) {
 			for n := range instances {
 				list = append(list, w.places.control((number+n)%instances))
 			}
 			return list
 		}(),
-		Slots:     slots,
-		Models:    models,
-		LoadTime:  loadTime,
-		Event:     eventEvery,
-		Events:    eventsEach,
-		Heartbeat: heartbeat,
-		Log:       w.options.Log,
+		Slots:             slots,
+		Models:            models,
+		LoadTime:          loadTime,
+		EventInterval:     eventEvery,
+		EventsPerStream:   eventsEach,
+		HeartbeatInterval: heartbeat,
+		Log:               w.options.Log,
 	})
 	if err == nil {
 		w.endpoints = append(w.endpoints, endpoint)
