--- a/cmd/raventrestle/fleet.go
+++ b/cmd/raventrestle/fleet.go
@@ -34,7 +34,7 @@
 		d.log.Error("fleet_not_up", "name", d.conf.Name, "error", err.Error())
 		return nil
 	}
-	d.courier.Share(host)
+	d.courier.UseFleet(host)
 	ctx, leave := context.WithCancel(ctx)
 	f := &fellows{host, leave, make(chan struct{}), drawn}
 	go func() {
--- a/cmd/raventrestle/history_test.go
+++ b/cmd/raventrestle/history_test.go
@@ -125,7 +125,7 @@
 	ledger.told = append(ledger.told, check.Told{At: history.Now(), Message: notice.ID, Courier: "a", How: notice.Status})
 	called("free")
 	for _, f := range fleet {
-		f.until("done", func(s admin.Status) bool { return s.Courier.Owed == 0 })
+		f.until("done", func(s admin.Status) bool { return s.Courier.Pending == 0 })
 		if err := f.process.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/raventrestle/life_test.go
+++ b/cmd/raventrestle/life_test.go
@@ -70,7 +70,7 @@
 		res.Body.Close()
 		return res.StatusCode
 	}
-	if s := status(); s.Report.State != "ready" || !s.Report.Ready || s.Courier.MostHeld != 50 || s.Name != "n0" {
+	if s := status(); s.Report.State != "ready" || !s.Report.Ready || s.Courier.MaxHeld != 50 || s.Name != "n0" {
 		t.Fatalf("%+v", s)
 	}
 	if probe("/livez") != 200 || probe("/readyz") != 200 || healthz() != 200 {
@@ -80,7 +80,7 @@
 		t.Fatal(code)
 	}
 	s := status()
-	if len(s.Courier.Channels) != 1 || s.Courier.Channels[0].Dest != 7 || s.Courier.Held != 1 || s.Courier.Owed != 1 || s.JournalBytes == 0 {
+	if len(s.Courier.Channels) != 1 || s.Courier.Channels[0].Dest != 7 || s.Courier.Held != 1 || s.Courier.Pending != 1 || s.JournalBytes == 0 {
 		t.Errorf("%+v", s.Courier)
 	}
 	if out, _, code := command(t, env, "status"); code != 0 || !strings.Contains(out, "1 held of 50") || !strings.Contains(out, "s-0") {
--- a/cmd/raventrestle/serve.go
+++ b/cmd/raventrestle/serve.go
@@ -161,17 +161,17 @@
 	if d.courier, err = courier.New(d.conf, d.store, kept, d.figures, d.log); err != nil {
 		return err
 	}
-	d.courier.Tell, d.courier.Successors = d.tell, listener != nil
+	d.courier.OnLifecycleEvent, d.courier.KeepForSuccessor = d.tell, listener != nil
 	if remembers {
 		keeper := learned.Keep(life.Folder, d.log)
 		defer keeper.Close()
-		d.courier.Recall(d.before(life.Folder), keeper)
+		d.courier.UseLearned(d.before(life.Folder), keeper)
 	}
 	d.front = front.New(d.courier, d.conf.Names, d.figures, d.log)
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	if d.deadLetters != nil {
-		d.courier.Keep(d.deadLetters)
+		d.courier.UseDeadLetters(d.deadLetters)
 		go d.deadLetters.Run(ctx)
 	}
 	d.fleet = d.meet(ctx, set, life.Folder, shared)
@@ -285,7 +285,7 @@
 		d.log.Warn("raventrestle: client connections", "err", err)
 	}
 	d.front.Leave()
-	quiet := d.courier.Pass()
+	quiet := d.courier.HandOver()
 	d.tell(lifecycle.End{})
 	look := time.NewTicker(20 * time.Millisecond)
 	defer look.Stop()
@@ -416,7 +416,7 @@
 		Folder: deadLetterFolder(set, d.conf.State), Limits: limits(u, d.conf.Settings.Forwarders, d.conf.Settings.WarmupDuration), MaxAge: u.MaxAge.Duration(),
 		Settled: u.SettledAge.Duration(), Log: d.log, Seed: d.conf.Seed, Append: d.store.Append,
 		Options: deadletter.Options{MaxBytes: u.MaxBytes, MaxLetters: u.MaxLetters, Sync: u.Sync},
-		Begin:   func(a deadletter.Again) bool { return d.courier.Again(a) },
+		Begin:   func(a deadletter.Again) bool { return d.courier.Resend(a) },
 		Class: func(name string) (raventrestle.Class, bool) {
 			i, ok := names.Classes[name]
 			if !ok {
@@ -462,7 +462,7 @@
 	if err != nil {
 		return err
 	}
-	if err := d.courier.Retune(ctx, next); err != nil {
+	if err := d.courier.Reconfigure(ctx, next); err != nil {
 		return err
 	}
 	for name := range next.Names.Classes {
@@ -470,7 +470,7 @@
 	}
 	d.front.Serve(next.Names)
 	if next.Discovery != d.held.Discovery {
-		d.courier.Move(next.Discovery)
+		d.courier.SetDiscovery(next.Discovery)
 	}
 	d.held = next
 	return nil
--- a/cmd/raventrestle/status.go
+++ b/cmd/raventrestle/status.go
@@ -80,10 +80,10 @@
 	if len(r.Troubles) > 0 {
 		fmt.Fprintf(t, "trouble\t%s\n", strings.Join(r.Troubles, "; "))
 	}
-	fmt.Fprintf(t, "messages\t%d held of %d, %d of them resends; %d owed their end\n", c.Held, c.MostHeld, c.Resends, c.Owed)
-	fmt.Fprintf(t, "tries\t%d out in %d slots\n", c.Out, c.Slots)
+	fmt.Fprintf(t, "messages\t%d held of %d, %d of them resends; %d owed their end\n", c.Held, c.MaxHeld, c.Resends, c.Pending)
+	fmt.Fprintf(t, "tries\t%d out in %d slots\n", c.InFlight, c.Slots)
 	fmt.Fprintf(t, "journal\t%.1f KB\n", float64(s.JournalBytes)/1024)
-	fmt.Fprintf(t, "list\tversion %d, last answer %s ago\n", c.Index, ago(c.Listed))
+	fmt.Fprintf(t, "list\tversion %d, last answer %s ago\n", c.ListIndex, ago(c.ListedAt))
 	fmt.Fprintf(t, "settings\t%s\n", cmp.Or(s.Settings, "none"))
 	if f := s.Fleet; f != nil {
 		var up []string
@@ -151,16 +151,16 @@
 			s, err := client.Status(ctx)
 			switch {
 			case ctx.Err() != nil:
-				return fmt.Errorf("after %v the courier still owes %d messages their end", wait, s.Courier.Owed)
+				return fmt.Errorf("after %v the courier still owes %d messages their end", wait, s.Courier.Pending)
 			case err != nil:
 				return err
-			case s.Courier.Owed == 0:
+			case s.Courier.Pending == 0:
 				fmt.Fprintln(c.OutOrStdout(), "owes nothing")
 				return nil
 			}
 			select {
 			case <-ctx.Done():
-				return fmt.Errorf("after %v the courier still owes %d messages their end", wait, s.Courier.Owed)
+				return fmt.Errorf("after %v the courier still owes %d messages their end", wait, s.Courier.Pending)
 			case <-tick.C:
 			}
 		}
--- a/internal/net/courier/act.go
+++ b/internal/net/courier/act.go
@@ -1,6 +1,6 @@
 package courier
 
-// The module's actions, carried out once the journal has them.
+// Carries out the actions of the policy, after the journal has recorded them.
 
 import (
 	"slices"
@@ -13,31 +13,31 @@
 	"raventrestle/internal/net/peer"
 )
 
-// calls are the tries of one step, in calls.
-type calls struct {
-	to     *peer.Peer
-	target raventrestle.TargetID
-	tries  []peer.Try
-	size   int // of its body, in frames
+// pendingCall is a call to one peer that is assembled from the attempts of one step.
+type pendingCall struct {
+	peer     *peer.Peer
+	target   raventrestle.TargetID
+	attempts []peer.Try
+	size     int // estimated size of the body in bytes
 }
 
 const (
-	mostBody = 64 << 10 // of a call; more gets 413
-	frame    = 16       // of a message in a call, beside its id, key and bytes
+	maxCallBody     = 64 << 10 // bytes of a call's body; the endpoint answers a larger one with 413
+	messageOverhead = 16       // bytes per message in a call, besides its id, key and body
 )
 
-// effects are what the actions of one step come to, in their order.
-type effects struct {
+// stepEffects collects the effects of the actions of one step, in order.
+type stepEffects struct {
 	at      time.Duration
 	records []journal.Record
-	calls   []*calls
-	moot    []raventrestle.Outcome // of what has nowhere to go any more
-	owed    []notice.Item          // ends to be told
+	calls   []*pendingCall
+	notSent []raventrestle.Outcome // outcomes of attempts whose target is no longer listed for the destination
+	endings []notice.Item          // messages that ended in this step; the platform has to be notified
 }
 
-// act carries the actions out in order; what they do waits until the journal has them.
-func (c *Courier) act(actions []raventrestle.Action, records []journal.Record) {
-	e := &effects{at: now(), records: records}
+// applyActions carries out the actions in order. Calls and notifications start only after the journal write.
+func (c *Courier) applyActions(actions []raventrestle.Action, records []journal.Record) {
+	e := &stepEffects{at: now(), records: records}
 	for _, a := range actions {
 		switch a := a.(type) {
 		case raventrestle.Send:
@@ -57,140 +57,142 @@
 		case raventrestle.Subscribe:
 			c.group.Subscribe()
 		case raventrestle.WakeAt:
-			if c.wake == 0 || a.At < c.wake {
-				c.wake = a.At
+			if c.wakeAt == 0 || a.At < c.wakeAt {
+				c.wakeAt = a.At
 			}
 		case raventrestle.Log:
 			c.log.Info(a.Text)
 		}
 	}
-	for _, it := range e.owed {
+	for _, it := range e.endings {
 		delete(c.msgs, raventrestle.MessageID(it.ID))
 		e.records = append(e.records, journal.Ended(it.ID, it.End))
 	}
-	for _, o := range e.moot {
+	for _, o := range e.notSent {
 		c.post(o)
 	}
 	if len(e.records) == 0 {
 		return
 	}
-	answers := c.answers()
-	then := func(err error) {
-		c.ended(err, answers, e.owed)
-		c.written(err, e.calls, e.owed)
+	finalAnswers := c.takePendingEndings()
+	done := func(err error) {
+		c.recordEndings(err, finalAnswers, e.endings)
+		c.afterJournalWrite(err, e.calls, e.endings)
 	}
-	if err := c.journal.Append(e.records, then); err != nil {
-		then(err)
+	if err := c.journal.Append(e.records, done); err != nil {
+		done(err)
 	}
 }
 
-// send notes a try, and adds it to a call to its target that has room for it, or to a new one.
-func (c *Courier) send(e *effects, a raventrestle.Send) {
+// send records an attempt and adds it to a call to its target that has room for it, or to a new call.
+func (c *Courier) send(e *stepEffects, a raventrestle.Send) {
 	m := c.msgs[a.ID]
 	if m == nil {
-		c.log.Error("courier: send of an unknown message", "id", a.ID)
+		c.log.Error("courier: the policy sent an unknown message", "id", a.ID)
 		return
 	}
 	r := c.peers[a.Target]
-	try := peer.Try{ID: m.ID, Key: m.Key, N: m.Tries, Body: m.Body, Wait: a.Timeout, Until: time.Unix(0, m.Until)}
+	attempt := peer.Try{ID: m.ID, Key: m.Key, N: m.Tries, Body: m.Body, Wait: a.Timeout, Until: time.Unix(0, m.Until)}
 	if a.MaxSendDelay > 0 {
-		try.Before = time.Unix(0, int64(e.at+a.MaxSendDelay))
+		attempt.Before = time.Unix(0, int64(e.at+a.MaxSendDelay))
 	}
 	m.Tries++
-	m.out = true
-	c.out++
+	m.inFlight = true
+	c.inFlight++
 	if r == nil || r.entry.Dest != raventrestle.DestID(m.Dest) {
-		e.moot = append(e.moot, raventrestle.Outcome{ID: a.ID, Target: a.Target, Attempt: try.N, Status: raventrestle.NotSent})
+		e.notSent = append(e.notSent, raventrestle.Outcome{ID: a.ID, Target: a.Target, Attempt: attempt.N, Status: raventrestle.NotSent})
 		return
 	}
 	zone := ""
 	if z := r.entry.Zone; z >= 0 {
 		zone = c.conf.Settings.Zones[z].Name
 	}
-	begun := journal.Try{Peer: string(a.Target), Zone: zone, At: int64(e.at)}
+	started := journal.Try{Peer: string(a.Target), Zone: zone, At: int64(e.at)}
 	if c.deadLetters != nil {
-		c.begin(m, begun)
+		c.attemptStarted(m, started)
 	}
-	e.records = append(e.records, journal.Begun(m.ID, begun))
-	c.tries(m.ID, a.Target)
-	e.add(r, a.Target, try, c.kind(r).MaxBatch)
+	e.records = append(e.records, journal.Begun(m.ID, started))
+	c.recordAttempt(m.ID, a.Target)
+	e.add(r, a.Target, attempt, c.destinationKind(r).MaxBatch)
 }
 
-// add puts a try into a call.
-func (e *effects) add(r *ref, target raventrestle.TargetID, try peer.Try, most int) {
-	size := len(try.ID) + len(try.Key) + len(try.Body) + frame
-	i := slices.IndexFunc(e.calls, func(x *calls) bool {
-		return x.to == r.Peer && len(x.tries) < most && x.size+size <= mostBody
+// add puts an attempt into a call to its target, a new one if no call has room.
+func (e *stepEffects) add(r *listedPeer, target raventrestle.TargetID, attempt peer.Try, maxBatch int) {
+	size := len(attempt.ID) + len(attempt.Key) + len(attempt.Body) + messageOverhead
+	i := slices.IndexFunc(e.calls, func(x *pendingCall) bool {
+		return x.peer == r.Peer && len(x.attempts) < maxBatch && x.size+size <= maxCallBody
 	})
 	if i < 0 {
-		i, e.calls = len(e.calls), append(e.calls, &calls{to: r.Peer, target: target})
+		i, e.calls = len(e.calls), append(e.calls, &pendingCall{peer: r.Peer, target: target})
 	}
 	x := e.calls[i]
-	x.tries, x.size = append(x.tries, try), x.size+size
+	x.attempts, x.size = append(x.attempts, attempt), x.size+size
 }
 
-// refuse ends a message that surely did not run, or leaves it to the dead letters or to the next process.
-func (c *Courier) refuse(e *effects, a raventrestle.Refuse) {
+// refuse ends a message that certainly did not run. A message that is kept as a dead letter, or that another process
+// takes over, is ended there instead.
+func (c *Courier) refuse(e *stepEffects, a raventrestle.Refuse) {
 	m := c.msgs[a.ID]
 	end := journal.End{Deferred: true, AgainMS: a.RetryAfter.Milliseconds()}
 	switch {
 	case m != nil && m.Resend > 0:
-		c.resent(m, "refused")
+		c.finishResend(m, "refused")
 		return
-	case c.passing && m == nil: // it was handed over in this step: the next process ends it
+	case c.handingOver && m == nil: // handed over in this step: the next process ends it
 		return
 	case m != nil && c.deadLetters != nil && rule.Lost(time.Duration(m.Until)-e.at):
-		c.undeliverable(m, e.at, end)
+		c.giveUp(m, e.at, end)
 		return
 	}
 	c.Counts.Deferred.Add(1)
 	if m != nil {
-		c.counted(m.Message, false, true)
+		c.countEnding(m.Message, false, true)
 	}
-	e.owed = append(e.owed, notice.Item{ID: string(a.ID), End: end})
+	e.endings = append(e.endings, notice.Item{ID: string(a.ID), End: end})
 }
 
-// fail ends a message that may have run, or leaves it to the dead letters or to the next process.
-func (c *Courier) fail(e *effects, a raventrestle.Fail) {
+// fail ends a message that may have run. A message that is kept as a dead letter, or that another process takes over,
+// is ended there instead.
+func (c *Courier) fail(e *stepEffects, a raventrestle.Fail) {
 	m := c.msgs[a.ID]
 	switch {
 	case m != nil && m.Resend > 0:
-		c.resent(m, "failed")
+		c.finishResend(m, "failed")
 		return
 	case m != nil && c.deadLetters != nil:
-		c.undeliverable(m, e.at, journal.End{})
+		c.giveUp(m, e.at, journal.End{})
 		return
-	case c.passing && m == nil:
+	case c.handingOver && m == nil:
 		return
 	}
 	c.Counts.Undeliverable.Add(1)
 	if m != nil {
-		c.counted(m.Message, false, false)
+		c.countEnding(m.Message, false, false)
 	}
-	e.owed = append(e.owed, notice.Item{ID: string(a.ID)})
+	e.endings = append(e.endings, notice.Item{ID: string(a.ID)})
 }
 
-// written goes on with a step once the journal has it. What it could not write is not sent;
-// an ending is told all the same.
-func (c *Courier) written(err error, out []*calls, owed []notice.Item) {
+// afterJournalWrite starts the calls and notifications of a step after its journal write. If the write failed, the calls
+// are not made, but the platform is still notified of messages that ended.
+func (c *Courier) afterJournalWrite(err error, calls []*pendingCall, endings []notice.Item) {
 	if err != nil {
 		c.log.Error("courier: journal", "err", err)
 	}
-	c.writes(err)
-	for _, x := range out {
-		if err == nil && x.to.Call(x.tries) {
+	c.noteWriteResult(err)
+	for _, x := range calls {
+		if err == nil && x.peer.Call(x.attempts) {
 			continue
 		}
-		for _, t := range x.tries {
+		for _, t := range x.attempts {
 			c.post(raventrestle.Outcome{
 				ID: raventrestle.MessageID(t.ID), Target: x.target, Attempt: t.N,
 				Status: raventrestle.NotSent,
 			})
 		}
 	}
-	for _, it := range owed {
-		if !c.notices.Add(it) { // the journal owes it still
-			c.log.Error("courier: no room for a notice", "id", it.ID)
+	for _, it := range endings {
+		if !c.notices.Add(it) { // the journal still records that the notification is due
+			c.log.Error("courier: notification queue is full", "id", it.ID)
 		}
 	}
 }
--- a/internal/net/courier/courier.go
+++ b/internal/net/courier/courier.go
@@ -1,5 +1,6 @@
-// Package courier is the actor of the decision module: events come in by its mailbox, its
-// actions go out to the journal, the peers and the notices. It decides nothing.
+// Package courier runs the delivery policy (package raventrestle) as an actor. It feeds events from its mailbox to the
+// policy, and carries out the resulting actions through the journal, the peers and the notification sender. It makes no
+// decisions of its own.
 package courier
 
 import (
@@ -21,10 +22,10 @@
 	"raventrestle/internal/net/upstream"
 )
 
-// ErrFull says that the courier holds all that it may.
+// ErrFull is returned by Take when the courier has as many pending messages as its settings allow.
 var ErrFull = errors.New("courier: full")
 
-// Counts are what the courier has done.
+// Counts are counters of what the courier has done since the process started.
 type Counts struct {
 	Taken, Full, Withdrawn, Restored         atomic.Int64
 	Delivered, Void, Deferred, Undeliverable atomic.Int64
@@ -33,7 +34,7 @@
 	Peers                                    peer.Counts
 }
 
-// Courier is the module's actor.
+// Courier is the actor that runs the policy.
 type Courier struct {
 	Counts      Counts
 	conf        *config.Config
@@ -42,140 +43,141 @@
 	journal     *journal.Store
 	group       *upstream.Group
 	notices     *notice.Sender
-	mail        chan any
-	quiet       chan struct{}      // closed once it is closing and owes nothing
-	deadLetters *deadletter.Keeper // nil where none are kept
+	mailbox     chan any
+	drained     chan struct{}      // closed when a courier that is shutting down or handing over has no pending messages
+	deadLetters *deadletter.Keeper // nil if undeliverable messages are not kept
 
-	mu        sync.Mutex
-	known     map[string]bool     // ids written down whose end is not told yet; true once let in
-	resends   map[string]bool     // ids of dead letters that are being sent again
-	handed    int                 // of the known ones, how many are the next process's
-	elsewhere map[string]bool     // ids that another process of this courier has out
-	dests     map[int64]time.Time // when the list last named a peer of the destination
-	longest   time.Duration       // that a message may wait
-	most      int                 // messages that it may hold
+	mu              sync.Mutex
+	pendingIDs      map[string]bool     // ids in the journal whose end the platform has not acknowledged; true once admitted
+	resendIDs       map[string]bool     // ids of dead letters that are being resent
+	handedOver      int                 // number of pendingIDs that the next process has taken over
+	otherProcessIDs map[string]bool     // ids that another process of this courier has in flight
+	destsLastListed map[int64]time.Time // when the endpoint list last named an endpoint of the destination
+	maxDeadline     time.Duration       // the longest deadline of any class
+	maxMessages     int                 // bound on pending messages
 
-	// What follows is the actor's own.
-	msgs    map[raventrestle.MessageID]*message
-	peers   map[raventrestle.TargetID]*ref
-	out     int
-	wake    time.Duration
-	closing bool
-	handover
-	recall
-	sharing
-	diary
-	seen   []deadletter.Seen // of this step
-	again  int               // resends that the module has
-	shown  time.Time         // when the dead letters' keeper last heard of the load
-	listed time.Time         // when discovery last answered
-	index  int64             // of its list
+	// The fields below are used by the actor's goroutine only.
+	msgs     map[raventrestle.MessageID]*message
+	peers    map[raventrestle.TargetID]*listedPeer
+	inFlight int
+	wakeAt   time.Duration
+	closing  bool
+	handoverState
+	learnedState
+	fleetState
+	historyState
+	endedCalls    []deadletter.Seen // calls that ended in this step
+	activeResends int               // resends that the policy has at present
+	viewSentAt    time.Time         // when the dead-letter keeper was last sent a view of the load
+	listedAt      time.Time         // when discovery last answered
+	listIndex     int64             // index of discovery's last answer
 
-	Figures *figures.Book // counts the ends
-	// Successors says that another process may take over while this one runs: what it has to know is journalled.
-	Successors bool
-	// Tell hears of what concerns the life of the instance; set it before Run.
-	Tell         func(lifecycle.Event)
-	journalFails atomic.Bool
-	listStale    bool
-	listKnown    bool
+	Metrics *figures.Book // counters and gauges for monitoring
+	// KeepForSuccessor says that another process may take over while this one runs, so the journal also has to record
+	// what that process needs to know, such as Retry-After pauses.
+	KeepForSuccessor bool
+	// OnLifecycleEvent is called with events that affect the state of the instance. Set it before Run.
+	OnLifecycleEvent func(lifecycle.Event)
+	journalFailing   atomic.Bool
+	listStale        bool
+	listKnown        bool
 }
 
 type message struct {
 	*journal.Message
-	journal.Progress // Tries always; how they ended only where dead letters are kept
-	out              bool
+	journal.Progress // Tries is always maintained; the outcomes only if dead letters are kept
+	inFlight         bool
 }
 
-// ref is a peer as the list names it.
-type ref struct {
+// listedPeer is a peer with its entry in the endpoint list.
+type listedPeer struct {
 	*peer.Peer
 	entry upstream.Entry
 }
 
-// arrival is a message whose client has heard that it is taken on.
+// arrival is a message whose client has been told that it was accepted.
 type arrival struct {
 	*journal.Message
-	again, orphan bool
+	resubmitted, orphaned bool
 }
 
-type closingMsg struct{ at time.Time }
+type shutdownMsg struct{ deadline time.Time }
 
-type heardMsg struct{} // notices were taken
+type notifiedMsg struct{} // the platform has acknowledged notifications
 
-// lag is what a repeat may take longer on its way than the first try did: a new connection, a
-// journal write and a busy core on the one side and none of them on the other.
-const lag = 250 * time.Millisecond
+// maxSendJitter is how much longer a retry may take to be sent than the first attempt did. It covers the worst case, in
+// which only the retry needs a new connection, waits for a journal write and runs on a busy core.
+const maxSendJitter = 250 * time.Millisecond
 
-// New puts a courier together. Kept is what the journal held at the start.
-func New(conf *config.Config, store *journal.Store, kept []journal.Kept, book *figures.Book, log *slog.Logger) (*Courier, error) {
-	conf.Settings.MaxSendJitter = lag
+// New returns a courier that is not running yet. Kept is the content of the journal at the start.
+func New(conf *config.Config, store *journal.Store, kept []journal.Kept, metrics *figures.Book, log *slog.Logger) (*Courier, error) {
+	conf.Settings.MaxSendJitter = maxSendJitter
 	policy, err := raventrestle.New(conf.Settings, conf.Seed)
 	if err != nil {
 		return nil, err
 	}
-	set := &conf.Settings
-	room := set.MaxMessages + len(kept) + 16*set.CallSlots + 256
+	settings := &conf.Settings
+	mailboxSize := settings.MaxMessages + len(kept) + 16*settings.CallSlots + 256
 	c := &Courier{
-		conf: conf, policy: policy, log: log, journal: store, mail: make(chan any, room),
-		Tell: func(lifecycle.Event) {}, Figures: book, quiet: make(chan struct{}), known: map[string]bool{}, resends: map[string]bool{}, dests: map[int64]time.Time{},
-		msgs: map[raventrestle.MessageID]*message{}, peers: map[raventrestle.TargetID]*ref{},
+		conf: conf, policy: policy, log: log, journal: store, mailbox: make(chan any, mailboxSize),
+		OnLifecycleEvent: func(lifecycle.Event) {}, Metrics: metrics, drained: make(chan struct{}), pendingIDs: map[string]bool{}, resendIDs: map[string]bool{}, destsLastListed: map[int64]time.Time{},
+		msgs: map[raventrestle.MessageID]*message{}, peers: map[raventrestle.TargetID]*listedPeer{},
 	}
-	c.bound(set)
-	c.notices = notice.New(conf.Discovery, room, log, c.heard)
-	c.group = upstream.New(conf.Discovery, conf.Known, &conf.Settings, conf.Names, log, func(u upstream.Update) { c.mail <- u })
+	c.applyLimits(settings)
+	c.notices = notice.New(conf.Discovery, mailboxSize, log, c.notificationsDelivered)
+	c.group = upstream.New(conf.Discovery, conf.Known, &conf.Settings, conf.Names, log, func(u upstream.Update) { c.mailbox <- u })
 	for _, k := range kept {
 		if k.Resend > 0 {
-			c.resends[k.ID] = true
-			c.mail <- k
+			c.resendIDs[k.ID] = true
+			c.mailbox <- k
 			continue
 		}
-		c.known[k.ID] = true
+		c.pendingIDs[k.ID] = true
 		if k.Owed != nil {
 			c.notices.Add(notice.Item{ID: k.ID, End: *k.Owed})
 			continue
 		}
 		c.Counts.Restored.Add(1)
-		book.Pending.Add(1)
-		c.mail <- k
+		metrics.Pending.Add(1)
+		c.mailbox <- k
 	}
 	return c, nil
 }
 
-// peer starts the peer of an entry.
-func (c *Courier) peer(ctx context.Context, e upstream.Entry) *peer.Peer {
+// startPeer starts the peer for an entry of the endpoint list.
+func (c *Courier) startPeer(ctx context.Context, e upstream.Entry) *peer.Peer {
 	p := peer.New(ctx, peer.Config{
 		Name: string(e.Target), Addr: e.Addr, ConnectWithin: c.conf.Settings.ConnectTimeout,
 		IdleClose: c.conf.Settings.IdleTimeout, Mailbox: 4*c.conf.Settings.CallSlots + 16, Log: c.log, Counts: &c.Counts.Peers,
 		Wrote: func(n int) {
-			c.Figures.UpstreamRequests.Add(int64(n))
-			c.called(e.Target)
+			c.Metrics.UpstreamRequests.Add(int64(n))
+			c.recordCallWritten(e.Target)
 		},
-		Tell: func(e raventrestle.Event) { c.mail <- e },
+		Tell: func(e raventrestle.Event) { c.mailbox <- e },
 	})
 	if e.State == raventrestle.Draining {
-		p.Hold(peer.Never)
+		p.BlockUntil(peer.Never)
 	}
 	return p
 }
 
-// Run is the actor; it ends with the context.
+// Run runs the actor until the context ends.
 func (c *Courier) Run(ctx context.Context) {
 	go c.group.Run(ctx)
 	go c.notices.Run(ctx)
-	c.inheritBefore(ctx)
+	c.applyPreviousLearned(ctx)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	look := time.NewTicker(lookAgain)
+	ticker := time.NewTicker(journalProbeInterval)
 	if c.conf.Admin != "" {
-		look.Reset(showAgain)
+		ticker.Reset(metricsInterval)
 	}
-	defer look.Stop()
+	defer ticker.Stop()
 	var last time.Time
 	for {
 		var first any
-		if c.wake > 0 {
-			timer.Reset(time.Until(time.Unix(0, int64(c.wake))))
+		if c.wakeAt > 0 {
+			timer.Reset(time.Until(time.Unix(0, int64(c.wakeAt))))
 		} else {
 			timer.Reset(time.Hour)
 		}
@@ -185,82 +187,83 @@
 				r.Stop()
 			}
 			return
-		case first = <-c.mail:
+		case first = <-c.mailbox:
 		case <-timer.C:
-		case <-c.looks():
-			c.share()
+		case <-c.exchangeTimer():
+			c.exchangeFacts()
 			continue
-		case <-look.C:
-			c.tryJournal()
-			c.figure()
+		case <-ticker.C:
+			c.probeJournal()
+			c.updateGauges()
 			continue
 		}
-		// The module's least time between two batches: what comes meanwhile goes along.
-		if rest := c.conf.Settings.MinBatchInterval - time.Since(last); rest > 0 {
-			time.Sleep(rest)
+		// The policy's minimum interval between two batches; events that arrive meanwhile join this batch.
+		if remaining := c.conf.Settings.MinBatchInterval - time.Since(last); remaining > 0 {
+			time.Sleep(remaining)
 		}
 		last = time.Now()
-		mail := []any{first}
-		for range len(c.mail) {
-			mail = append(mail, <-c.mail)
+		queued := []any{first}
+		for range len(c.mailbox) {
+			queued = append(queued, <-c.mailbox)
 		}
-		c.step(ctx, mail)
+		c.step(ctx, queued)
 	}
 }
 
-// clock is the module's: Unix time, which outlasts the process, read off a clock that never
-// goes back.
-var start = time.Now()
+// processStart is the base of the policy's clock. That clock counts Unix time, so that its readings are valid in the next
+// process too, but it is advanced by the monotonic clock, so that it never goes back.
+var processStart = time.Now()
 
-func now() time.Duration { return time.Duration(start.UnixNano()) + time.Since(start) }
+func now() time.Duration { return time.Duration(processStart.UnixNano()) + time.Since(processStart) }
 
-// lookAgain is how often a journal that could not be written is tried.
-const lookAgain = time.Second
+// journalProbeInterval is the interval between test writes while the journal fails.
+const journalProbeInterval = time.Second
 
-// showAgain is how often the figures are brought up to date where nothing happens.
-const showAgain = 200 * time.Millisecond
+// metricsInterval is the interval between updates of the gauges while no events arrive.
+const metricsInterval = 200 * time.Millisecond
 
-// tryJournal writes a record that says nothing while the journal fails: a courier that is not sent
-// messages for that reason would else never hear that it is well again.
-func (c *Courier) tryJournal() {
-	if !c.journalFails.Load() {
+// probeJournal writes an empty record while the journal fails. An instance whose journal fails is not ready and is sent no
+// messages, so without this write it would never notice that the journal works again.
+func (c *Courier) probeJournal() {
+	if !c.journalFailing.Load() {
 		return
 	}
-	if err := c.journal.Append([]journal.Record{journal.Over("")}, c.writes); err != nil {
-		c.writes(err)
+	if err := c.journal.Append([]journal.Record{journal.Over("")}, c.noteWriteResult); err != nil {
+		c.noteWriteResult(err)
 	}
 }
 
-// writes notes what came of a write: one that found the journal full, or closed, tells nothing of the disk.
-func (c *Courier) writes(err error) {
-	fails := err != nil
+// noteWriteResult tracks whether the journal can be written, and reports changes as lifecycle events. A write that found
+// the journal full or closed says nothing about the disk.
+func (c *Courier) noteWriteResult(err error) {
+	failing := err != nil
 	switch {
-	case errors.Is(err, journal.ErrFull), errors.Is(err, journal.ErrClosed), c.journalFails.Swap(fails) == fails:
-	case fails:
-		c.Tell(lifecycle.Began{Trouble: lifecycle.JournalFails})
+	case errors.Is(err, journal.ErrFull), errors.Is(err, journal.ErrClosed), c.journalFailing.Swap(failing) == failing:
+	case failing:
+		c.OnLifecycleEvent(lifecycle.Began{Trouble: lifecycle.JournalFails})
 	default:
-		c.Tell(lifecycle.Ended{Trouble: lifecycle.JournalFails})
+		c.OnLifecycleEvent(lifecycle.Ended{Trouble: lifecycle.JournalFails})
 	}
 }
 
-// post puts mail in the box without blocking whoever does.
+// post puts a message into the mailbox without blocking the caller.
 func (c *Courier) post(m any) {
 	select {
-	case c.mail <- m:
+	case c.mailbox <- m:
 	default:
-		go func() { c.mail <- m }()
+		go func() { c.mailbox <- m }()
 	}
 }
 
-// Move makes the courier ask and tell at another discovery from now on.
-func (c *Courier) Move(discovery string) {
+// SetDiscovery changes the address that is asked for the endpoint list and sent notifications.
+func (c *Courier) SetDiscovery(discovery string) {
 	c.group.Move(discovery)
 	c.notices.Move(discovery)
 }
 
-// Close makes the courier finish by then: the channel closes if it comes to owe nothing before.
-// What it still holds then is the journal's.
-func (c *Courier) Close(by time.Time) <-chan struct{} {
-	c.post(closingMsg{by})
-	return c.quiet
+// Close makes the courier finish its messages by the deadline. The returned channel closes if no message is pending before
+// then; the journal keeps what is still pending at the deadline.
+func (c *Courier) Close(deadline time.Time) <-chan struct{} {
+	c.post(shutdownMsg{deadline})
+	return c.drained
 }
--- a/internal/net/courier/deadletters.go
+++ b/internal/net/courier/deadletters.go
@@ -10,17 +10,17 @@
 	"raventrestle/internal/net/notice"
 )
 
-// Keep makes the courier keep what it gives up. Call it before Run.
-func (c *Courier) Keep(k *deadletter.Keeper) { c.deadLetters = k }
+// UseDeadLetters makes the courier keep undeliverable messages as dead letters. Call it before Run.
+func (c *Courier) UseDeadLetters(k *deadletter.Keeper) { c.deadLetters = k }
 
-// Again takes a dead letter that is to be sent again; the journal has it already. It does not block, and
-// says whether there was room.
-func (c *Courier) Again(a deadletter.Again) bool {
+// Resend accepts a dead letter for another delivery. The journal already has it. Resend does not block; it returns false
+// if the mailbox is full.
+func (c *Courier) Resend(a deadletter.Again) bool {
 	c.mu.Lock()
-	c.resends[a.ID] = true
+	c.resendIDs[a.ID] = true
 	c.mu.Unlock()
 	select {
-	case c.mail <- a:
+	case c.mailbox <- a:
 		return true
 	default:
 		c.forget(a.ID)
@@ -28,22 +28,24 @@
 	}
 }
 
-// begin and note keep the message's tries for its dead letter.
-func (c *Courier) begin(m *message, t journal.Try) {
-	c.past(m, "")
+// attemptStarted notes an attempt in the message's progress, which its dead letter will contain.
+func (c *Courier) attemptStarted(m *message, t journal.Try) {
+	c.moveToPast(m, "")
 	m.Out = &t
 }
 
-func (c *Courier) note(m *message, o raventrestle.Outcome, word string) {
+// attemptEnded notes how the attempt in flight ended, for the dead-letter keeper's view of the destination and for the
+// message's own dead letter.
+func (c *Courier) attemptEnded(m *message, o raventrestle.Outcome, outcome string) {
 	if o.Status != raventrestle.NotSent && o.Status != raventrestle.Canceled {
-		c.seen = append(c.seen, deadletter.Seen{Dest: destOf(m, c.peers[o.Target]), Delivered: o.Status == raventrestle.OK})
+		c.endedCalls = append(c.endedCalls, deadletter.Seen{Dest: destOf(m, c.peers[o.Target]), Delivered: o.Status == raventrestle.OK})
 	}
 	if m != nil {
-		c.past(m, word)
+		c.moveToPast(m, outcome)
 	}
 }
 
-func destOf(m *message, r *ref) int64 {
+func destOf(m *message, r *listedPeer) int64 {
 	if m != nil {
 		return m.Dest
 	}
@@ -53,64 +55,64 @@
 	return -1
 }
 
-// mostPast bounds the tries that are remembered of one message.
-const mostPast = 16
+// maxPastAttempts bounds the ended attempts that are kept per message.
+const maxPastAttempts = 16
 
-// past moves the try that was out to those that have ended. The first that may have run is
-// remembered whatever becomes of the list.
-func (c *Courier) past(m *message, word string) {
+// moveToPast moves the attempt in flight to the ended ones. The first attempt that may have run is kept in m.Ran, also
+// when the list is full.
+func (c *Courier) moveToPast(m *message, outcome string) {
 	if m.Out == nil {
 		return
 	}
-	t := deadletter.Try{Outcome: word}
+	t := deadletter.Try{Outcome: outcome}
 	if m.Ran == nil && t.MayHaveRun() {
 		m.Ran = m.Out
 	}
-	if len(m.Past) < mostPast {
-		m.Past = append(m.Past, journal.Tried{Try: *m.Out, Outcome: word})
+	if len(m.Past) < maxPastAttempts {
+		m.Past = append(m.Past, journal.Tried{Try: *m.Out, Outcome: outcome})
 	}
 	m.Out = nil
 }
 
-// undeliverable writes the dead letter of a message that was given up, then its end, and then tells the
-// platform, in that order. Without the dead letter the module's own end is told.
-func (c *Courier) undeliverable(m *message, t time.Duration, end journal.End) {
+// giveUp writes the dead letter of an undeliverable message, then its end, and then notifies the platform, in that order.
+// If the dead letter can't be written, the notification carries the end that the policy decided.
+func (c *Courier) giveUp(m *message, t time.Duration, end journal.End) {
 	delete(c.msgs, raventrestle.MessageID(m.ID))
 	class := raventrestle.Class{Name: m.Class, Idempotency: raventrestle.NonIdempotent}
 	if i, known := c.conf.Names.Classes[m.Class]; known {
 		class = c.conf.Settings.Classes[i]
 	}
-	l := deadletter.Of(journal.Kept{Message: m.Message, Progress: m.Progress}, class, c.why(m, class, t), time.Unix(0, int64(t)))
+	l := deadletter.Of(journal.Kept{Message: m.Message, Progress: m.Progress}, class, c.giveUpReason(m, class, t), time.Unix(0, int64(t)))
 	it := notice.Item{ID: m.ID}
-	c.deadLetters.Keep(l, end.Deferred, func(err error) { // the keeper has counted and logged what it could not write
+	c.deadLetters.Keep(l, end.Deferred, func(err error) { // the keeper has counted and logged a failed write
 		if err != nil {
 			it.End = end
 		}
-		c.counted(m.Message, false, it.Deferred)
+		c.countEnding(m.Message, false, it.Deferred)
 		if it.Deferred {
 			c.Counts.Deferred.Add(1)
 		} else {
 			c.Counts.Undeliverable.Add(1)
 		}
-		then := func(err error) {
-			c.ended(err, nil, []notice.Item{it})
-			c.written(err, nil, []notice.Item{it})
+		done := func(err error) {
+			c.recordEndings(err, nil, []notice.Item{it})
+			c.afterJournalWrite(err, nil, []notice.Item{it})
 		}
-		if err := c.journal.Append([]journal.Record{journal.Ended(it.ID, it.End)}, then); err != nil {
-			then(err)
+		if err := c.journal.Append([]journal.Record{journal.Ended(it.ID, it.End)}, done); err != nil {
+			done(err)
 		}
 	})
 }
 
-// why words for operators what the message had come to when the module gave it up.
-func (c *Courier) why(m *message, class raventrestle.Class, t time.Duration) string {
-	most := c.conf.Settings.MaxAttempts
+// giveUpReason describes for operators why the message was given up.
+func (c *Courier) giveUpReason(m *message, class raventrestle.Class, t time.Duration) string {
+	maxAttempts := c.conf.Settings.MaxAttempts
 	switch {
 	case m.Ran != nil && class.Idempotency == raventrestle.NonIdempotent:
 		return "may have run"
-	case most > 0 && m.Tries >= most:
+	case maxAttempts > 0 && m.Tries >= maxAttempts:
 		return "all tries used"
-	case m.Tries == 0 && c.peersOf(m.Dest) == 0:
+	case m.Tries == 0 && c.countPeers(m.Dest) == 0:
 		return "no endpoint listed"
 	case int64(t) >= m.Until-int64(time.Second):
 		return "out of time"
@@ -118,7 +120,7 @@
 	return "given up"
 }
 
-func (c *Courier) peersOf(dest int64) (n int) {
+func (c *Courier) countPeers(dest int64) (n int) {
 	for _, r := range c.peers {
 		if int64(r.entry.Dest) == dest {
 			n++
@@ -127,127 +129,127 @@
 	return n
 }
 
-// resend hands a dead letter to the module as a message of its own life, unless a fresh one would have to
-// wait for it; then it goes back unsent.
-func (c *Courier) resend(a deadletter.Again, t time.Duration) raventrestle.Event {
+// startResend passes a dead letter to the policy as a message of this process. If fresh messages would have to wait for
+// it, it is returned to the dead letters unsent.
+func (c *Courier) startResend(a deadletter.Again, t time.Duration) raventrestle.Event {
 	m := &message{Message: a.Message}
 	if a.MayRun {
 		m.Prior, m.Ran = &a.Ran, &a.Ran
 	}
 	c.msgs[raventrestle.MessageID(m.ID)] = m
-	c.again++
+	c.activeResends++
 	load := c.load()
-	if c.closing || c.deadLetters == nil || load.Held > load.MostHeld*3/4 || c.waiting()[m.Dest] > 0 {
-		c.resent(m, "yielded")
+	if c.closing || c.deadLetters == nil || load.Held > load.MostHeld*3/4 || c.waitingByDest()[m.Dest] > 0 {
+		c.finishResend(m, "yielded")
 		return nil
 	}
-	e := c.arrived(arrival{Message: a.Message}, t)
+	e := c.arrivalEvent(arrival{Message: a.Message}, t)
 	if !a.MayRun {
 		return e
 	}
 	return raventrestle.Restored{
 		Arrival: e, MayHaveRun: true, RunTarget: raventrestle.TargetID(a.Ran.Peer),
-		RunZone: c.zone(a.Ran.Zone), RunAt: time.Duration(a.Ran.At),
+		RunZone: c.zoneIndex(a.Ran.Zone), RunAt: time.Duration(a.Ran.At),
 	}
 }
 
-func (c *Courier) zone(name string) int {
+func (c *Courier) zoneIndex(name string) int {
 	if i, ok := c.conf.Names.Zones[name]; ok {
 		return i
 	}
 	return -1
 }
 
-// resent writes a resend's end into its dead letter, and then lets the journal forget it. Where the dead letter
-// can't be written, the journal goes on answering for it until the next start.
-func (c *Courier) resent(m *message, what string) {
+// finishResend writes the result of a resend into its dead letter and then ends it in the journal. If the dead letter
+// can't be written, the journal entry stays until the next start.
+func (c *Courier) finishResend(m *message, result string) {
 	delete(c.msgs, raventrestle.MessageID(m.ID))
-	c.again--
+	c.activeResends--
 	if c.deadLetters == nil {
 		return
 	}
 	id := m.ID
-	c.deadLetters.Finish(deadletter.Result{ID: id, Dest: m.Dest, What: what, List: deadletter.Tries(m.Progress)}, func(err error) {
+	c.deadLetters.Finish(deadletter.Result{ID: id, Dest: m.Dest, What: result, List: deadletter.Tries(m.Progress)}, func(err error) {
 		if err != nil {
 			return
 		}
-		c.deadLetterEnded(id, what)
-		c.over(id)
-		c.post(heardMsg{})
+		c.deadLetterEnded(id, result)
+		c.recordEnd(id)
+		c.post(notifiedMsg{})
 	})
 }
 
-// yield takes resends that wait back out of the module where fresh messages come for their
-// destination, or for the room.
-func (c *Courier) yield(mail []any) (events []raventrestle.Event) {
-	if c.again == 0 {
+// yieldResends withdraws waiting resends from the policy if fresh messages arrive for their destination, or if their
+// space is needed for fresh messages.
+func (c *Courier) yieldResends(queued []any) (events []raventrestle.Event) {
+	if c.activeResends == 0 {
 		return nil
 	}
-	fresh := map[int64]bool{}
+	freshDests := map[int64]bool{}
 	load := c.load()
-	for _, m := range mail {
+	for _, m := range queued {
 		if a, ok := m.(arrival); ok {
-			fresh[a.Dest] = true
+			freshDests[a.Dest] = true
 			load.Held++
 		}
 	}
-	crowded := rule.Limits{}.Crowded(load)
+	excess := rule.Limits{}.Crowded(load)
 	for id, m := range c.msgs {
-		if m.Resend == 0 || m.out || !fresh[m.Dest] && crowded <= 0 {
+		if m.Resend == 0 || m.inFlight || !freshDests[m.Dest] && excess <= 0 {
 			continue
 		}
-		crowded--
+		excess--
 		events = append(events, raventrestle.Withdrawn{ID: id})
-		c.resent(m, "yielded")
+		c.finishResend(m, "yielded")
 	}
 	return events
 }
 
 func (c *Courier) load() rule.Load {
 	return rule.Load{
-		Slots: c.conf.Settings.CallSlots, Out: c.out, MostHeld: c.conf.Settings.MaxMessages,
-		Held: len(c.msgs), Resends: c.again,
+		Slots: c.conf.Settings.CallSlots, Out: c.inFlight, MostHeld: c.conf.Settings.MaxMessages,
+		Held: len(c.msgs), Resends: c.activeResends,
 	}
 }
 
-// waiting counts the fresh messages that are held and not out, by destination.
-func (c *Courier) waiting() map[int64]int {
+// waitingByDest counts, by destination, the fresh messages that have no attempt in flight.
+func (c *Courier) waitingByDest() map[int64]int {
 	n := map[int64]int{}
 	for _, m := range c.msgs {
-		if m.Resend == 0 && !m.out {
+		if m.Resend == 0 && !m.inFlight {
 			n[m.Dest]++
 		}
 	}
 	return n
 }
 
-// showEvery is how often the dead letters' keeper hears of the load.
-const showEvery = 20 * time.Millisecond
+// viewInterval is the minimum interval between two views of the load for the dead-letter keeper.
+const viewInterval = 20 * time.Millisecond
 
-// show tells the dead letters' keeper how calls ended and what there is to do.
-func (c *Courier) show() {
+// sendView tells the dead-letter keeper how calls ended, and the present load.
+func (c *Courier) sendView() {
 	if c.deadLetters == nil {
 		return
 	}
-	c.deadLetters.Saw(c.seen)
-	c.seen = nil
-	if time.Since(c.shown) < showEvery {
+	c.deadLetters.Saw(c.endedCalls)
+	c.endedCalls = nil
+	if time.Since(c.viewSentAt) < viewInterval {
 		return
 	}
-	c.shown = time.Now()
-	v := &deadletter.View{Load: c.load(), Waiting: c.waiting(), Places: map[int64][]rule.Place{}}
-	if c.closing { // nothing begins any more
+	c.viewSentAt = time.Now()
+	v := &deadletter.View{Load: c.load(), Waiting: c.waitingByDest(), Places: map[int64][]rule.Place{}}
+	if c.closing { // no resend may start any more
 		v.Slots, v.MostHeld = 0, 0
 	}
 	for _, r := range c.peers {
 		if r.entry.State != raventrestle.Ready {
 			continue
 		}
-		floor := ""
+		zone := ""
 		if z := r.entry.Zone; z >= 0 {
-			floor = c.conf.Settings.Zones[z].Name
+			zone = c.conf.Settings.Zones[z].Name
 		}
-		v.Places[int64(r.entry.Dest)] = append(v.Places[int64(r.entry.Dest)], rule.Place{Peer: string(r.entry.Target), Floor: floor})
+		v.Places[int64(r.entry.Dest)] = append(v.Places[int64(r.entry.Dest)], rule.Place{Peer: string(r.entry.Target), Floor: zone})
 	}
 	c.deadLetters.Tell(v)
 }
--- a/internal/net/courier/deadletters_test.go
+++ b/internal/net/courier/deadletters_test.go
@@ -23,52 +23,52 @@
 	"raventrestle/internal/net/nettest"
 )
 
-// stopper ends a life at its nth write, of the journal or of the dead letters: that write and all after
-// it never happen, as if the process had been killed there.
-type stopper struct {
-	left   atomic.Int64
-	wrote  atomic.Int64
-	served atomic.Bool // the life has begun; before, a write that must not happen fails at once
-	hit    chan struct{}
-	once   sync.Once
-	dead   chan struct{}
+// writeStopper blocks a process at its nth write to the journal or the dead letters. That write and all later ones fail, as
+// if the process had been killed there.
+type writeStopper struct {
+	remaining atomic.Int64
+	wrote     atomic.Int64
+	started   atomic.Bool // the process runs; before that, a write that must not happen fails at once
+	hit       chan struct{}
+	once      sync.Once
+	ended     chan struct{}
 }
 
-var errDead = errors.New("the process has ended")
+var errProcessEnded = errors.New("the process has ended")
 
-func stopAt(n int64) *stopper {
-	s := &stopper{hit: make(chan struct{}), dead: make(chan struct{})}
-	s.left.Store(n)
+func newWriteStopper(n int64) *writeStopper {
+	s := &writeStopper{hit: make(chan struct{}), ended: make(chan struct{})}
+	s.remaining.Store(n)
 	return s
 }
 
-func (s *stopper) before() error {
-	if s.left.Add(-1) >= 0 {
+func (s *writeStopper) beforeWrite() error {
+	if s.remaining.Add(-1) >= 0 {
 		s.wrote.Add(1)
 		return nil
 	}
 	s.once.Do(func() { close(s.hit) })
-	if s.served.Load() {
-		<-s.dead
+	if s.started.Load() {
+		<-s.ended
 	}
-	return errDead
+	return errProcessEnded
 }
 
-// site is what the lives of a courier share.
-type site struct {
-	t       *testing.T
-	dir     string
-	peers   []*nettest.Peer // zones a, b
-	notices *nettest.Peer
-	mu      sync.Mutex
-	seen    map[string]int // calls by dead letter
-	effects map[string]int // by dead letter, repeats in one zone dropped
-	zones   map[string]bool
+// resendSite is the environment that consecutive processes of a courier share.
+type resendSite struct {
+	t         *testing.T
+	dir       string
+	peers     []*nettest.Peer // one in zone a, one in zone b
+	platform  *nettest.Peer
+	mu        sync.Mutex
+	calls     map[string]int // number of calls by dead letter
+	effects   map[string]int // number of effects by dead letter, without repeats that a zone dropped
+	ranInZone map[string]bool
 }
 
 var resendLimits = rule.Limits{
 	Automatic: true, MaxResends: 8, LastDate: time.Hour, FirstRate: 1000, MaxRate: 1000, Growth: 1,
-	Backoff: 5 * time.Millisecond, MaxBackoff: 20 * time.Millisecond, SlotsShare: 0.5, HeldShare: 0.5, Lag: lag,
+	Backoff: 5 * time.Millisecond, MaxBackoff: 20 * time.Millisecond, SlotsShare: 0.5, HeldShare: 0.5, Lag: maxSendJitter,
 }
 
 var siteClasses = []raventrestle.Class{
@@ -77,18 +77,18 @@
 	{Name: "single", SoftDeadline: time.Second, Deadline: 5 * time.Second, Value: 5, Idempotency: raventrestle.NonIdempotent},
 }
 
-// newSite has the dead letters of one failure: of every class some that never ran and some that may have.
-// The first dead letter of an id is its class; what follows says what its endpoint does at the first call:
-// ok, 500 (after it ran), reset (after it ran) or busy (it never ran).
-func newSite(t *testing.T) *site {
-	s := &site{t: t, dir: t.TempDir(), seen: map[string]int{}, effects: map[string]int{}, zones: map[string]bool{}}
+// newResendSite stores dead letters of every class, some of which never ran and some of which may have. The first letter of
+// an id is its class (free, guarded or single). The rest says what the endpoint does at the first call: ok, 500 (after it
+// ran), reset (after it ran) or busy (it did not run).
+func newResendSite(t *testing.T) *resendSite {
+	s := &resendSite{t: t, dir: t.TempDir(), calls: map[string]int{}, effects: map[string]int{}, ranInZone: map[string]bool{}}
 	for i := range 2 {
 		zone := string("ab"[i])
 		s.peers = append(s.peers, nettest.NewPeer(t, func(c net.Conn, call nettest.Call) bool {
 			return s.answer(c, call.Header.Get("X-Txn"), zone)
 		}))
 	}
-	s.notices = nettest.NewPeer(t, nettest.Answer("HTTP/1.1 204 No Content\r\n\r\n"))
+	s.platform = nettest.NewPeer(t, nettest.Answer("HTTP/1.1 204 No Content\r\n\r\n"))
 	store, err := deadletter.Open(filepath.Join(s.dir, "letters"), deadletter.Options{MaxBytes: 1 << 20, MaxLetters: 100}, nettest.Log)
 	if err != nil {
 		t.Fatal(err)
@@ -103,7 +103,7 @@
 		if strings.HasSuffix(id, "ran") || strings.HasSuffix(id, "old") {
 			l.Ran = &deadletter.Try{Peer: "s-0", Floor: "a", At: now.Add(-time.Second).UnixNano(), Outcome: "reset"}
 			l.Tries = []deadletter.Try{*l.Ran}
-			s.effects[id], s.zones["a"+id] = 1, true
+			s.effects[id], s.ranInZone["a"+id] = 1, true
 		}
 		if strings.HasSuffix(id, "old") {
 			l.Ran.At = now.Add(-time.Minute).UnixNano()
@@ -118,36 +118,36 @@
 	return s
 }
 
-func (s *site) answer(c net.Conn, id, zone string) bool {
+func (s *resendSite) answer(c net.Conn, id, zone string) bool {
 	s.mu.Lock()
-	s.seen[id]++
-	first := s.seen[id] == 1
-	_, how, _ := strings.Cut(id, "-")
-	if !first || how != "busy" {
-		if id[0] != 'g' || !s.zones[zone+id] { // a repeat of a guarded one is dropped in its zone
+	s.calls[id]++
+	first := s.calls[id] == 1
+	_, behavior, _ := strings.Cut(id, "-")
+	if !first || behavior != "busy" {
+		if id[0] != 'g' || !s.ranInZone[zone+id] { // a zone drops repeats of a guarded message
 			s.effects[id]++
 		}
-		s.zones[zone+id] = true
+		s.ranInZone[zone+id] = true
 	}
 	s.mu.Unlock()
 	code := 200
 	switch {
-	case first && how == "500":
+	case first && behavior == "500":
 		code = 500
-	case first && how == "busy":
+	case first && behavior == "busy":
 		code = 503
-	case first && how == "reset":
+	case first && behavior == "reset":
 		return false
 	}
 	_, err := io.WriteString(c, nettest.Plain(code, "", ""))
 	return err == nil
 }
 
-// life runs a courier until it has settled all dead letters or meets its last write, and says which.
-func (s *site) life(w *stopper) (done bool) {
+// runProcess runs a courier until all dead letters are settled, or its writes stop; done says which.
+func (s *resendSite) runProcess(stopper *writeStopper) (done bool) {
 	t := s.t
 	conf := &config.Config{
-		Discovery: s.notices.Addr(), Known: []byte(fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[`+
+		Discovery: s.platform.Addr(), Known: []byte(fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[`+
 			`{"name":"s-0","address":%q,"zone":"a","type":"k","group":7,"status":"SERVING"},`+
 			`{"name":"s-1","address":%q,"zone":"b","type":"k","group":7,"status":"SERVING"}]}`, s.peers[0].Addr(), s.peers[1].Addr())),
 		Names: &config.Names{
@@ -164,15 +164,15 @@
 	if err := os.MkdirAll(state, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	store, kept, err := journal.Open(state, journal.Options{Limit: 1 << 20, Tries: true, Before: w.before}, nettest.Log)
+	store, kept, err := journal.Open(state, journal.Options{Limit: 1 << 20, Tries: true, Before: stopper.beforeWrite}, nettest.Log)
 	if err != nil {
-		return false // it ended at its start
+		return false // stopped while it started
 	}
 	var c *Courier
 	k, live, stale, err := deadletter.Start(deadletter.Config{
 		Folder: filepath.Join(s.dir, "letters"), Limits: resendLimits,
-		Options: deadletter.Options{MaxBytes: 1 << 20, MaxLetters: 100, Before: w.before}, MaxAge: time.Hour, Settled: time.Hour,
-		Log: nettest.Log, Seed: 1, Append: store.Append, Begin: func(a deadletter.Again) bool { return c.Again(a) },
+		Options: deadletter.Options{MaxBytes: 1 << 20, MaxLetters: 100, Before: stopper.beforeWrite}, MaxAge: time.Hour, Settled: time.Hour,
+		Log: nettest.Log, Seed: 1, Append: store.Append, Begin: func(a deadletter.Again) bool { return c.Resend(a) },
 		Class: func(name string) (raventrestle.Class, bool) { return siteClasses[conf.Names.Classes[name]], true },
 	},
 		kept, store.Sound())
@@ -180,7 +180,7 @@
 		store.Close()
 		return false
 	}
-	w.served.Store(true)
+	stopper.started.Store(true)
 	for _, id := range stale {
 		if err := store.Append([]journal.Record{journal.Over(id)}, nil); err != nil {
 			t.Fatal(err)
@@ -189,7 +189,7 @@
 	if c, err = New(conf, store, live, &figures.Book{}, nettest.Log); err != nil {
 		t.Fatal(err)
 	}
-	c.Keep(k)
+	c.UseDeadLetters(k)
 	ctx, stop := context.WithCancel(context.Background())
 	ran := make(chan struct{})
 	go k.Run(ctx)
@@ -197,10 +197,10 @@
 	deadline := time.Now().Add(nettest.Patience)
 	for tick := time.NewTicker(5 * time.Millisecond); !done; {
 		select {
-		case <-w.hit:
+		case <-stopper.hit:
 		case <-tick.C:
-			k.Saw([]deadletter.Seen{{Dest: 7, Delivered: true}}) // by fresh messages
-			if done = s.settled(ctx, k); !done && time.Now().Before(deadline) {
+			k.Saw([]deadletter.Seen{{Dest: 7, Delivered: true}}) // as if fresh messages were delivered
+			if done = s.noneUnsettled(ctx, k); !done && time.Now().Before(deadline) {
 				continue
 			}
 		}
@@ -208,23 +208,23 @@
 		break
 	}
 	if !done && time.Now().After(deadline) {
-		t.Errorf("not settled in time: %v", s.left(ctx, k))
+		t.Errorf("dead letters not settled in time: %v", s.unsettled(ctx, k))
 	}
-	// The end: what is out reaches its endpoint or does not, and nobody hears of it.
+	// The process ends: calls in flight may still reach their endpoint, but their outcome is lost.
 	stop()
 	<-ran
-	for began := time.Now(); time.Since(began) < time.Second; time.Sleep(time.Millisecond) {
+	for start := time.Now(); time.Since(start) < time.Second; time.Sleep(time.Millisecond) {
 		if p := &c.Counts.Peers; p.Calls.Load() == p.Answers.Load()+p.Failures.Load() {
 			break
 		}
 	}
-	close(w.dead)
+	close(stopper.ended)
 	k.Wait()
 	store.Close()
 	return done
 }
 
-func (s *site) left(ctx context.Context, k *deadletter.Keeper) (left []string) {
+func (s *resendSite) unsettled(ctx context.Context, k *deadletter.Keeper) (left []string) {
 	items, err := k.List(ctx, deadletter.Filter{})
 	if err != nil {
 		return []string{err.Error()}
@@ -237,15 +237,15 @@
 	return left
 }
 
-// settled asks without waiting for a keeper that is stopped at a write.
-func (s *site) settled(ctx context.Context, k *deadletter.Keeper) bool {
+// noneUnsettled uses a short timeout, since the keeper may be blocked at a write.
+func (s *resendSite) noneUnsettled(ctx context.Context, k *deadletter.Keeper) bool {
 	ctx, stop := context.WithTimeout(ctx, 50*time.Millisecond)
 	defer stop()
-	return len(s.left(ctx, k)) == 0
+	return len(s.unsettled(ctx, k)) == 0
 }
 
-// check reads the dead letters as the last life left them.
-func (s *site) check() {
+// checkDeadLetters checks the dead letters that the last process left.
+func (s *resendSite) checkDeadLetters() {
 	t := s.t
 	store, err := deadletter.Open(filepath.Join(s.dir, "letters"), deadletter.Options{ReadOnly: true}, nettest.Log)
 	if err != nil {
@@ -265,61 +265,61 @@
 		case l.State != rule.Delivered && l.State != rule.Held:
 			t.Errorf("%s is %s at the end", id, l.State)
 		case id[0] != 'f' && n > 1:
-			t.Errorf("%s took effect %d times (%d calls): %+v", id, n, s.seen[id], l)
-		case (id == "s-ran" || id == "g-old") && s.seen[id] > 0:
+			t.Errorf("%s took effect %d times (%d calls): %+v", id, n, s.calls[id], l)
+		case (id == "s-ran" || id == "g-old") && s.calls[id] > 0:
 			t.Errorf("%s was sent", id)
 		case l.State == rule.Delivered && n == 0:
-			t.Errorf("%s counts as delivered and had no effect", id)
+			t.Errorf("%s is delivered but had no effect", id)
 		case id[0] != 's' && id != "g-old" && l.State != rule.Delivered:
 			t.Errorf("%s is not delivered: %+v", id, l)
 		case id[0] == 's' && l.State == rule.Held && l.Ran == nil:
-			t.Errorf("%s is held, and nothing says that it may have run", id)
+			t.Errorf("%s is held, but not marked as one that may have run", id)
 		}
 	}
 }
 
-// Dead letters of every class are sent again by a courier that is killed at every write boundary in turn,
-// in its journal and in its store, and then started again: none takes effect more often than its
-// class allows, none is lost, and all come to their end. Every third run is killed a second time.
-func TestEveryWriteBoundary(t *testing.T) {
-	s := newSite(t)
-	w := stopAt(1 << 40)
-	if !s.life(w) {
-		t.Fatal("not settled without a stop")
-	}
-	s.check()
+// A courier that resends dead letters of every class is killed at each write to its journal and its store in turn, and then
+// started again. No message takes effect more often than its class allows, none is lost, and all are settled. Every third
+// run is killed a second time.
+func TestResendSurvivesKillAtEveryWrite(t *testing.T) {
+	s := newResendSite(t)
+	w := newWriteStopper(1 << 40)
+	if !s.runProcess(w) {
+		t.Fatal("dead letters not settled in a run without a kill")
+	}
+	s.checkDeadLetters()
 	n := w.wrote.Load()
 	if n < 30 {
-		t.Fatalf("%d writes: too few to enumerate anything", n)
+		t.Fatalf("only %d writes: the test covers too little", n)
 	}
 	t.Logf("%d writes", n)
 	for at := range n {
 		t.Run(fmt.Sprint("write ", at), func(t *testing.T) {
 			t.Parallel()
-			s := newSite(t)
-			done := s.life(stopAt(at))
+			s := newResendSite(t)
+			done := s.runProcess(newWriteStopper(at))
 			if !done && at%3 == 0 {
-				done = s.life(stopAt(at * 7 % n))
+				done = s.runProcess(newWriteStopper(at * 7 % n))
 			}
 			if !done {
-				done = s.life(stopAt(1 << 40))
+				done = s.runProcess(newWriteStopper(1 << 40))
 			}
 			if !done {
-				t.Fatal("not settled")
+				t.Fatal("dead letters not settled")
 			}
-			s.check()
+			s.checkDeadLetters()
 		})
 	}
 }
 
-// The courier's own way to a dead letter: what is given up is on disk with all its tries before the
-// platform hears of it, and the journal forgets it only then.
-func TestGivenUp(t *testing.T) {
-	s := newSite(t)
-	told := make(chan string, 8)
-	s.notices = nettest.NewPeer(t, func(c net.Conn, call nettest.Call) bool {
+// The dead letter of a message that is given up is on disk with all its attempts before the platform is notified, and the
+// journal ends the message only after that.
+func TestDeadLetterIsStoredBeforeNotification(t *testing.T) {
+	s := newResendSite(t)
+	notifications := make(chan string, 8)
+	s.platform = nettest.NewPeer(t, func(c net.Conn, call nettest.Call) bool {
 		if call.Path == "/v1/outcomes" {
-			told <- call.Body
+			notifications <- call.Body
 			return nettest.Answer("HTTP/1.1 204 No Content\r\n\r\n")(c, call)
 		}
 		return true
@@ -329,7 +329,7 @@
 		t.Fatal(err)
 	}
 	conf := &config.Config{
-		Discovery: s.notices.Addr(), Known: []byte(fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[`+
+		Discovery: s.platform.Addr(), Known: []byte(fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[`+
 			`{"name":"s-0","address":%q,"zone":"a","type":"k","group":7,"status":"SERVING"}]}`, s.peers[0].Addr())),
 		Names: &config.Names{Classes: map[string]int{"single": 0}, Kinds: map[string]int{"k": 0}, Zones: map[string]int{"a": 0}},
 		Settings: raventrestle.Settings{
@@ -345,17 +345,17 @@
 			MaxBytes: 1 << 20, MaxLetters: 9,
 			Before: func() error { order <- "letter"; return nil },
 		}, MaxAge: time.Hour, Settled: time.Hour, Log: nettest.Log, Limits: resendLimits,
-		Append: store.Append, Begin: func(a deadletter.Again) bool { return c.Again(a) },
+		Append: store.Append, Begin: func(a deadletter.Again) bool { return c.Resend(a) },
 		Class: func(string) (raventrestle.Class, bool) { return siteClasses[2], true },
 	}, nil, true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	nettest.Wait(t, "making of the store", order)
+	nettest.Wait(t, "creation of the store", order)
 	if c, err = New(conf, store, nil, &figures.Book{}, nettest.Log); err != nil {
 		t.Fatal(err)
 	}
-	c.Keep(k)
+	c.UseDeadLetters(k)
 	ctx, stop := context.WithCancel(t.Context())
 	t.Cleanup(func() { stop(); k.Wait() })
 	go k.Run(ctx)
@@ -368,7 +368,7 @@
 		t.Fatal(err)
 	}
 	c.Admit(m, false, false)
-	if got := nettest.Wait(t, "notice", told); got != `{"id":"s-reset","status":"undeliverable"}`+"\n" {
+	if got := nettest.Wait(t, "notice", notifications); got != `{"id":"s-reset","status":"undeliverable"}`+"\n" {
 		t.Fatal(got)
 	}
 	if got := nettest.Wait(t, "letter", order); got != "letter" {
@@ -387,19 +387,19 @@
 		t.Fatalf("%+v %v", answers, err)
 	}
 	k.Saw([]deadletter.Seen{{Dest: 7, Delivered: true}})
-	time.Sleep(150 * time.Millisecond) // room for what must not come
-	if s.mu.Lock(); s.seen["s-reset"] != 1 {
-		t.Errorf("sent %d times", s.seen["s-reset"])
+	time.Sleep(150 * time.Millisecond) // time in which a wrong resend would arrive
+	if s.mu.Lock(); s.calls["s-reset"] != 1 {
+		t.Errorf("sent %d times", s.calls["s-reset"])
 	}
 	s.mu.Unlock()
 }
 
-// Fresh messages first: a dead letter that the module holds, since its endpoint told a wait, goes back to
-// the store when a fresh message for the same channel comes, and is sent after it.
-func TestLetterMakesWay(t *testing.T) {
+// A resend that waits in the policy because of a Retry-After pause goes back to the store when a fresh message for the same
+// destination arrives, and is sent after it.
+func TestResendYieldsToFreshMessage(t *testing.T) {
 	order := make(chan string, 16)
 	first := true
-	end := nettest.NewPeer(t, func(c net.Conn, call nettest.Call) bool {
+	endpoint := nettest.NewPeer(t, func(c net.Conn, call nettest.Call) bool {
 		order <- call.Header.Get("X-Txn")
 		if first {
 			first = false
@@ -414,7 +414,7 @@
 	}
 	conf := &config.Config{
 		Discovery: discovery.Addr(), Known: []byte(fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[`+
-			`{"name":"s-0","address":%q,"zone":"a","type":"k","group":7,"status":"SERVING"}]}`, end.Addr())),
+			`{"name":"s-0","address":%q,"zone":"a","type":"k","group":7,"status":"SERVING"}]}`, endpoint.Addr())),
 		Names: &config.Names{Classes: map[string]int{"free": 0}, Kinds: map[string]int{"k": 0}, Zones: map[string]int{"a": 0}},
 		Settings: raventrestle.Settings{
 			Forwarders: 1, CallSlots: 8, MaxMessages: 60, Kinds: []raventrestle.DestinationKind{{MaxBatch: 1}},
@@ -426,7 +426,7 @@
 	k, _, _, err := deadletter.Start(deadletter.Config{
 		Folder: t.TempDir(), Options: deadletter.Options{MaxBytes: 1 << 20, MaxLetters: 9},
 		MaxAge: time.Hour, Settled: time.Hour, Log: nettest.Log, Limits: resendLimits, Append: store.Append,
-		Begin: func(a deadletter.Again) bool { return c.Again(a) },
+		Begin: func(a deadletter.Again) bool { return c.Resend(a) },
 		Class: func(string) (raventrestle.Class, bool) { return siteClasses[0], true },
 	}, nil, true)
 	if err != nil {
@@ -435,23 +435,23 @@
 	if c, err = New(conf, store, nil, &figures.Book{}, nettest.Log); err != nil {
 		t.Fatal(err)
 	}
-	c.Keep(k)
+	c.UseDeadLetters(k)
 	ctx, stop := context.WithCancel(t.Context())
 	t.Cleanup(func() { stop(); k.Wait() })
 	go k.Run(ctx)
 	go c.Run(ctx)
-	fresh := func(id string, left time.Duration) {
-		m := &journal.Message{ID: id, Class: "free", Dest: 7, Since: 1, Until: time.Now().Add(left).UnixNano()}
+	fresh := func(id string, timeLeft time.Duration) {
+		m := &journal.Message{ID: id, Class: "free", Dest: 7, Since: 1, Until: time.Now().Add(timeLeft).UnixNano()}
 		if err := c.Take(m); err != nil {
 			t.Fatal(err)
 		}
 		c.Admit(m, false, false)
 	}
-	fresh("told", 50*time.Millisecond) // is told the wait, and runs out of time: it becomes the dead letter
+	fresh("told", 50*time.Millisecond) // gets a Retry-After pause longer than its deadline, and becomes the dead letter
 	if got := nettest.Wait(t, "call", order); got != "told" {
 		t.Fatal(got)
 	}
-	until := func(what string, ok func() bool) {
+	waitFor := func(what string, ok func() bool) {
 		t.Helper()
 		for began := time.Now(); !ok(); time.Sleep(2 * time.Millisecond) {
 			if time.Since(began) > nettest.Patience {
@@ -459,8 +459,8 @@
 			}
 		}
 	}
-	until("letter", func() bool { return k.Counts.Kept.Load() == 1 })
-	until("resend", func() bool {
+	waitFor("letter", func() bool { return k.Counts.Kept.Load() == 1 })
+	waitFor("resend", func() bool {
 		if k.Counts.Begun.Load() > 0 {
 			return true
 		}
@@ -470,16 +470,16 @@
 		return false
 	})
 	fresh("fresh", 4*time.Second)
-	until("way made", func() bool { return k.Counts.Yielded.Load() > 0 })
+	waitFor("yielded resend", func() bool { return k.Counts.Yielded.Load() > 0 })
 	if got := nettest.Wait(t, "call", order); got != "fresh" {
-		t.Fatalf("%s went first", got)
+		t.Fatalf("%s was sent first", got)
 	}
 	if got := nettest.Wait(t, "call", order); got != "told" {
 		t.Fatal(got)
 	}
-	until("end", func() bool { return k.Counts.Delivered.Load() == 1 })
+	waitFor("end", func() bool { return k.Counts.Delivered.Load() == 1 })
 	it, err := k.Show(t.Context(), "told")
 	if err != nil || it.State != rule.Delivered || len(it.Resends) != 1 {
-		t.Fatalf("%+v %v: what made way does not count as a resend", it, err)
+		t.Fatalf("%+v %v: a yielded resend must not count as a resend", it, err)
 	}
 }
--- a/internal/net/courier/fleet.go
+++ b/internal/net/courier/fleet.go
@@ -12,61 +12,62 @@
 	"raventrestle/internal/fleet/facts"
 )
 
-// Fleet is what the couriers that know one another share, as the actor sees it. No method waits for anything.
+// Fleet is the access to the facts that couriers share with each other. Its methods do not block.
 type Fleet interface {
 	Learn(s facts.Subject, k facts.Kind, v facts.Value)
 	Read(s facts.Subject, k facts.Kind) (facts.Evidence, bool)
 	Forget(endpoint string)
 }
 
-// sharing is the actor's part in it: what this life is told goes out when it comes, and every adviseEvery the outages
-// that it sees and what others told of the listed destinations.
-type sharing struct {
-	fleet   Fleet // nil where there is none
-	chance  *rand.Rand
-	timer   *time.Timer
-	version int64                                   // of the list, as last told
-	named   map[raventrestle.TargetID]bool          // by the list, as of the last look
-	outages map[raventrestle.TargetID]time.Duration // told and not ended, since when
+// fleetState is the part of the actor that exchanges facts with the fleet. Pauses and limits from endpoints are shared as
+// they arrive. Outages are shared, and the facts of other couriers are read, once per exchangeInterval.
+type fleetState struct {
+	fleet             Fleet // nil if the courier belongs to no fleet
+	rng               *rand.Rand
+	timer             *time.Timer
+	sharedListVersion int64                                   // last version of the endpoint list that was shared
+	sharedTargets     map[raventrestle.TargetID]bool          // targets listed at the last exchange
+	outages           map[raventrestle.TargetID]time.Duration // shared outages that have not ended, by target, with their start
 }
 
-// adviseEvery is the mean time between two looks, each of which is drawn from half to one and a half of it.
-const adviseEvery = 250 * time.Millisecond
+// exchangeInterval is the mean interval between two exchanges. Each interval is drawn from 0.5 to 1.5 times this value.
+const exchangeInterval = 250 * time.Millisecond
 
-// Share makes the courier tell and hear what the fleet shares. Call it before Run.
-func (c *Courier) Share(f Fleet) {
-	c.sharing = sharing{
-		fleet: f, chance: rand.New(rand.NewPCG(c.conf.Seed, uint64(now()))),
-		named: map[raventrestle.TargetID]bool{}, outages: map[raventrestle.TargetID]time.Duration{},
+// UseFleet makes the courier exchange facts with the fleet. Call it before Run.
+func (c *Courier) UseFleet(f Fleet) {
+	c.fleetState = fleetState{
+		fleet: f, rng: rand.New(rand.NewPCG(c.conf.Seed, uint64(now()))),
+		sharedTargets: map[raventrestle.TargetID]bool{}, outages: map[raventrestle.TargetID]time.Duration{},
 	}
 }
 
-// looks is the channel of the next look at what is shared, nil without a fleet.
-func (c *Courier) looks() <-chan time.Time {
+// exchangeTimer returns the channel that signals the next exchange, nil without a fleet.
+func (c *Courier) exchangeTimer() <-chan time.Time {
 	if c.fleet == nil {
 		return nil
 	}
 	if c.timer == nil {
-		c.timer = time.NewTimer(c.pause())
+		c.timer = time.NewTimer(c.nextExchange())
 	}
 	return c.timer.C
 }
 
-func (c *Courier) pause() time.Duration {
-	return time.Duration((0.5 + c.chance.Float64()) * float64(adviseEvery))
+func (c *Courier) nextExchange() time.Duration {
+	return time.Duration((0.5 + c.rng.Float64()) * float64(exchangeInterval))
 }
 
-// route is what the limits and waits of a target are about: itself where routes are apart, else its destination.
-func (c *Courier) route(r *ref) facts.Subject {
+// routeSubject returns what the limits and pauses of a target apply to: the target itself if its destination kind has a
+// route per target, else the destination.
+func (c *Courier) routeSubject(r *listedPeer) facts.Subject {
 	s := facts.Subject{Dest: int64(r.entry.Dest)}
-	if c.kind(r).RoutePerTarget {
+	if c.destinationKind(r).RoutePerTarget {
 		s.Endpoint = string(r.entry.Target)
 	}
 	return s
 }
 
-// told shares the wait and the limit that came with an outcome.
-func (c *Courier) told(o raventrestle.Outcome) {
+// shareOutcome shares the Retry-After pause and the limit that an outcome reported.
+func (c *Courier) shareOutcome(o raventrestle.Outcome) {
 	if c.fleet == nil {
 		return
 	}
@@ -74,110 +75,110 @@
 	if r == nil {
 		return
 	}
-	defer c.unharmed()
+	defer c.recoverPanic()
 	if o.RetryAfter > 0 {
-		c.fleet.Learn(c.route(r), facts.Wait, facts.Value{For: o.RetryAfter})
+		c.fleet.Learn(c.routeSubject(r), facts.Wait, facts.Value{For: o.RetryAfter})
 	}
 	if o.Report.Limit > 0 {
-		c.fleet.Learn(c.route(r), facts.Limit, facts.Value{Number: o.Report.Limit, For: time.Second})
+		c.fleet.Learn(c.routeSubject(r), facts.Limit, facts.Value{Number: o.Report.Limit, For: time.Second})
 	}
 }
 
-// share is one look.
-func (c *Courier) share() {
-	c.timer.Reset(c.pause())
-	defer c.unharmed()
+// exchangeFacts shares what this courier observed and applies what others did.
+func (c *Courier) exchangeFacts() {
+	c.timer.Reset(c.nextExchange())
+	defer c.recoverPanic()
 	t := now()
-	c.tellList()
-	c.tellOutages(t)
-	c.hear(t)
+	c.shareList()
+	c.shareOutages(t)
+	c.applyFleetFacts(t)
 }
 
-// unharmed keeps a fault of what is shared from ending the process.
-func (c *Courier) unharmed() {
+// recoverPanic keeps a panic in the fleet code from ending the process.
+func (c *Courier) recoverPanic() {
 	if e := recover(); e != nil {
 		c.Counts.Panics.Add(1)
-		c.log.Error("courier: what couriers share broke", "panic", fmt.Sprint(e), "stack", string(debug.Stack()))
+		c.log.Error("courier: panic in the fleet code", "panic", fmt.Sprint(e), "stack", string(debug.Stack()))
 	}
 }
 
-// tellList tells the list's version, and which endpoints are gone from it.
-func (c *Courier) tellList() {
-	if c.index > c.version {
-		c.version = c.index
-		c.fleet.Learn(facts.Subject{}, facts.ListVersion, facts.Value{Number: float64(c.index)})
+// shareList shares the version of the endpoint list and removes the facts of endpoints that are gone.
+func (c *Courier) shareList() {
+	if c.listIndex > c.sharedListVersion {
+		c.sharedListVersion = c.listIndex
+		c.fleet.Learn(facts.Subject{}, facts.ListVersion, facts.Value{Number: float64(c.listIndex)})
 	}
-	for id := range c.named {
+	for id := range c.sharedTargets {
 		if c.peers[id] == nil {
-			delete(c.named, id)
+			delete(c.sharedTargets, id)
 			delete(c.outages, id)
 			c.fleet.Forget(string(id))
 		}
 	}
 	for id := range c.peers {
-		c.named[id] = true
+		c.sharedTargets[id] = true
 	}
 }
 
-// tellOutages compares the targets' health with that of the last look. One that is held off without a failure of its own
-// (a call that seems to hang) is no outage yet.
-func (c *Courier) tellOutages(t time.Duration) {
+// shareOutages compares the targets' health with that at the last exchange. A target that is half-open without a failure
+// of its own (a call that seems to hang) is not reported as an outage.
+func (c *Courier) shareOutages(t time.Duration) {
 	for _, d := range c.policy.View() {
 		for _, x := range d.Targets {
 			s := facts.Subject{Dest: int64(d.Dest), Endpoint: string(x.Target)}
-			was, out := c.outages[x.Target]
-			switch held := x.Health == heldOff; {
-			case held && x.ConsecutiveFailures > 0 && !out:
+			since, shared := c.outages[x.Target]
+			switch suspended := x.Health == halfOpen; {
+			case suspended && x.ConsecutiveFailures > 0 && !shared:
 				c.outages[x.Target] = t
-				c.fleet.Learn(s, facts.Outage, facts.Value{Number: 1}) // of the calls in a row that held it off
-			case held && out: // told again before it is too old to count
-				c.fleet.Learn(s, facts.Outage, facts.Value{Number: 1, For: t - was})
-			case !held && out:
+				c.fleet.Learn(s, facts.Outage, facts.Value{Number: 1}) // one failed call is enough to report it
+			case suspended && shared: // renewed before it expires
+				c.fleet.Learn(s, facts.Outage, facts.Value{Number: 1, For: t - since})
+			case !suspended && shared:
 				delete(c.outages, x.Target)
-				c.fleet.Learn(s, facts.OutageEnd, facts.Value{For: t - was})
+				c.fleet.Learn(s, facts.OutageEnd, facts.Value{For: t - since})
 			}
 		}
 	}
 }
 
-// heldOff is the module's word for a target that gets trials only.
-const heldOff = "half-open"
+// halfOpen is the policy's name for the health of a target that is sent probes only.
+const halfOpen = "half-open"
 
-// hear hands the module what others told of the listed targets. What a life told that is over decides nothing, and what
-// this life told the module has heard before.
-func (c *Courier) hear(t time.Duration) {
-	var told []raventrestle.PeerObservation
-	c.look()
+// applyFleetFacts passes to the policy what other couriers reported about the listed targets. It ignores the facts of
+// processes that have ended, and those of this process, which the policy already has.
+func (c *Courier) applyFleetFacts(t time.Duration) {
+	var observations []raventrestle.PeerObservation
+	c.startEvidenceRead()
 	read := func(s facts.Subject, k facts.Kind) (facts.Evidence, bool) {
 		e, ok := c.fleet.Read(s, k)
 		if ok = ok && !e.Dead; ok {
-			c.takes(s, k, e)
+			c.recordEvidence(s, k, e)
 		}
 		return e, ok
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.peers)) {
 		r := c.peers[id]
-		s := c.route(r)
-		a := raventrestle.PeerObservation{Target: id}
+		s := c.routeSubject(r)
+		observation := raventrestle.PeerObservation{Target: id}
 		if e, ok := read(s, facts.Wait); ok && e.Origin != c.conf.Name && e.Left > 0 {
-			a.WaitUntil = t + e.Left
-			r.Hold(time.Unix(0, int64(a.WaitUntil)))
+			observation.WaitUntil = t + e.Left
+			r.BlockUntil(time.Unix(0, int64(observation.WaitUntil)))
 		}
 		if e, ok := read(s, facts.Limit); ok && e.Origin != c.conf.Name && e.For > 0 {
-			a.Limit, a.LimitAt = e.Number/e.For.Seconds(), t-e.Age
+			observation.Limit, observation.LimitAt = e.Number/e.For.Seconds(), t-e.Age
 		}
 		s.Endpoint = string(id)
 		if e, ok := read(s, facts.Outage); ok && e.Origin != c.conf.Name {
 			if end, ended := read(s, facts.OutageEnd); !ended || end.Age > e.Age {
-				a.OutageAt = t - e.Age
+				observation.OutageAt = t - e.Age
 			}
 		}
-		if a != (raventrestle.PeerObservation{Target: id}) {
-			told = append(told, a)
+		if observation != (raventrestle.PeerObservation{Target: id}) {
+			observations = append(observations, observation)
 		}
 	}
-	if len(told) > 0 {
-		c.policy.ApplyObservations(t, told)
-		c.decided(told)
+	if len(observations) > 0 {
+		c.policy.ApplyObservations(t, observations)
+		c.recordDecision(observations)
 	}
 }
--- a/internal/net/courier/fleet_test.go
+++ b/internal/net/courier/fleet_test.go
@@ -11,60 +11,60 @@
 	"raventrestle/internal/net/upstream"
 )
 
-// scripted is a fleet that says what it is told to, and notes what it hears.
-type scripted struct {
-	says  map[facts.Key]facts.Evidence
-	heard []facts.Key
-	gone  []string
+// fakeFleet returns the given facts and records what it learns.
+type fakeFleet struct {
+	facts     map[facts.Key]facts.Evidence
+	learned   []facts.Key
+	forgotten []string
 }
 
-func (s *scripted) Learn(x facts.Subject, k facts.Kind, _ facts.Value) {
-	s.heard = append(s.heard, facts.Key{Subject: x, Kind: k})
+func (s *fakeFleet) Learn(x facts.Subject, k facts.Kind, _ facts.Value) {
+	s.learned = append(s.learned, facts.Key{Subject: x, Kind: k})
 }
-func (s *scripted) Forget(e string) { s.gone = append(s.gone, e) }
-func (s *scripted) Read(x facts.Subject, k facts.Kind) (facts.Evidence, bool) {
-	e, ok := s.says[facts.Key{Subject: x, Kind: k}]
+func (s *fakeFleet) Forget(e string) { s.forgotten = append(s.forgotten, e) }
+func (s *fakeFleet) Read(x facts.Subject, k facts.Kind) (facts.Evidence, bool) {
+	e, ok := s.facts[facts.Key{Subject: x, Kind: k}]
 	return e, ok
 }
 
-func (s *scripted) told() []facts.Key { all := s.heard; s.heard = nil; return all }
+func (s *fakeFleet) takeLearned() []facts.Key { all := s.learned; s.learned = nil; return all }
 
-// What the actor is told and sees goes out once, about the route or the endpoint; what the others told comes in, but for
-// the words of lives that are over and its own.
-func TestSharing(t *testing.T) {
-	c := open(t, "")
+// What the courier observes is shared once, for the route or the endpoint. Facts of other couriers are applied, except
+// those of ended processes and its own.
+func TestFleetFactsAreExchanged(t *testing.T) {
+	c := newTestCourier(t, "")
 	c.conf.Name = "me"
-	if c.looks() != nil {
-		t.Fatal("it looks with no fleet")
+	if c.exchangeTimer() != nil {
+		t.Fatal("exchange timer without a fleet")
 	}
-	f := &scripted{says: map[facts.Key]facts.Evidence{}}
-	c.Share(f)
-	<-c.looks()
-	list := func(index int64, names ...string) {
+	f := &fakeFleet{facts: map[facts.Key]facts.Evidence{}}
+	c.UseFleet(f)
+	<-c.exchangeTimer()
+	applyList := func(index int64, names ...string) {
 		u := upstream.Update{How: raventrestle.ListSnapshot, Index: index}
 		for _, n := range names {
 			u.Entries = append(u.Entries, upstream.Entry{Addr: "127.0.0.1:1", Entry: raventrestle.Entry{Target: raventrestle.TargetID(n), Dest: 7, Zone: -1}})
 		}
-		c.policy.Step(now(), []raventrestle.Event{c.update(t.Context(), u)})
+		c.policy.Step(now(), []raventrestle.Event{c.applyList(t.Context(), u)})
 	}
 	key := func(endpoint string, k facts.Kind) facts.Key {
 		return facts.Key{Subject: facts.Subject{Dest: 7, Endpoint: endpoint}, Kind: k}
 	}
 	want := func(what string, keys ...facts.Key) {
 		t.Helper()
-		if diff := cmp.Diff(keys, f.told()); diff != "" {
+		if diff := cmp.Diff(keys, f.takeLearned()); diff != "" {
 			t.Errorf("%s: %s", what, diff)
 		}
 	}
-	list(3, "a", "b")
-	c.share()
-	c.share()
+	applyList(3, "a", "b")
+	c.exchangeFacts()
+	c.exchangeFacts()
 	want("the list", facts.Key{Kind: facts.ListVersion})
-	c.told(raventrestle.Outcome{Target: "a", RetryAfter: time.Second, Report: raventrestle.LimitReport{Limit: 5, Remaining: 1}})
-	c.told(raventrestle.Outcome{Target: "gone", RetryAfter: time.Second})
+	c.shareOutcome(raventrestle.Outcome{Target: "a", RetryAfter: time.Second, Report: raventrestle.LimitReport{Limit: 5, Remaining: 1}})
+	c.shareOutcome(raventrestle.Outcome{Target: "gone", RetryAfter: time.Second})
 	want("an outcome", key("", facts.Wait), key("", facts.Limit))
 
-	lose := func(status raventrestle.Status, n int) {
+	endAttempts := func(status raventrestle.Status, n int) {
 		for i := range n {
 			id := raventrestle.MessageID([]string{"m", "n"}[i])
 			for _, a := range c.policy.Step(now(), []raventrestle.Event{raventrestle.Arrival{ID: id, Tenant: -1, Dest: 7, Budget: 9 * time.Second}}) {
@@ -74,42 +74,42 @@
 			}
 		}
 	}
-	list(3, "a")
-	c.share()
-	if diff := cmp.Diff([]string{"b"}, f.gone); diff != "" {
+	applyList(3, "a")
+	c.exchangeFacts()
+	if diff := cmp.Diff([]string{"b"}, f.forgotten); diff != "" {
 		t.Error(diff)
 	}
-	f.told()
-	lose(raventrestle.TimedOut, 1) // silent: held off at once
-	c.share()
+	f.takeLearned()
+	endAttempts(raventrestle.TimedOut, 1) // a timeout makes the target half-open at once
+	c.exchangeFacts()
 	want("an outage", key("a", facts.Outage))
-	lose(raventrestle.OK, 1)
-	c.share()
-	want("its end", key("a", facts.OutageEnd))
+	endAttempts(raventrestle.OK, 1)
+	c.exchangeFacts()
+	want("end of the outage", key("a", facts.OutageEnd))
 
-	waits := func() time.Duration { return c.policy.View()[0].WaitRemaining }
+	remainingWait := func() time.Duration { return c.policy.View()[0].WaitRemaining }
 	for _, e := range []facts.Evidence{{Left: time.Minute, Origin: "other", Dead: true}, {Left: time.Minute, Origin: "me"}, {Left: -1, Origin: "other"}} {
-		f.says[key("", facts.Wait)] = e
-		if c.share(); waits() > 0 {
-			t.Errorf("%+v is heeded", e)
+		f.facts[key("", facts.Wait)] = e
+		if c.exchangeFacts(); remainingWait() > 0 {
+			t.Errorf("%+v was applied", e)
 		}
 	}
-	f.says[key("", facts.Wait)] = facts.Evidence{Left: time.Minute, Origin: "other"}
-	if c.share(); waits() < 50*time.Second {
-		t.Errorf("it waits %v", waits())
+	f.facts[key("", facts.Wait)] = facts.Evidence{Left: time.Minute, Origin: "other"}
+	if c.exchangeFacts(); remainingWait() < 50*time.Second {
+		t.Errorf("remaining wait is %v", remainingWait())
 	}
-	c.fleet = broken{}
-	c.share()
+	c.fleet = panickingFleet{}
+	c.exchangeFacts()
 	if c.Counts.Panics.Load() != 1 {
-		t.Error("a fault of the fleet's is not counted")
+		t.Error("panic in the fleet code is not counted")
 	}
 }
 
-// broken is a fleet with a fault.
-type broken struct{}
+// panickingFleet panics in each method.
+type panickingFleet struct{}
 
-func (broken) Learn(facts.Subject, facts.Kind, facts.Value) { panic("broken") }
-func (broken) Forget(string)                                { panic("broken") }
-func (broken) Read(facts.Subject, facts.Kind) (facts.Evidence, bool) {
+func (panickingFleet) Learn(facts.Subject, facts.Kind, facts.Value) { panic("broken") }
+func (panickingFleet) Forget(string)                                { panic("broken") }
+func (panickingFleet) Read(facts.Subject, facts.Kind) (facts.Evidence, bool) {
 	panic("broken")
 }
--- a/internal/net/courier/handover.go
+++ b/internal/net/courier/handover.go
@@ -9,78 +9,78 @@
 	"raventrestle/internal/net/notice"
 )
 
-// What passes between two processes of one courier goes by the journal of the one that goes: see
-// docs/design/upgrade.md. Here is what the courier does of it, on either side.
+// Processes of one courier hand over to each other through the journal of the process that leaves (see
+// docs/design/upgrade.md). This file has both sides of the courier's part.
 
-// handover is the actor's part of it.
-type handover struct {
-	passing   bool // this process goes: what is not out is the next one's
-	theirs    int  // slots that another process uses
-	inherited bool // what the process before had learned has come
+// handoverState is the actor's state for a handover.
+type handoverState struct {
+	handingOver       bool // this process leaves: messages without an attempt in flight go to the next process
+	otherProcessSlots int  // call slots that another process uses
+	inherited         bool // the learned state of the previous process has arrived
 }
 
 type (
-	passMsg      struct{}
-	inheritMsg   struct{ raventrestle.Learned }
-	heedMsg      struct{ waits map[string]int64 }
-	elsewhereMsg struct{ calls int }
+	handOverMsg     struct{}
+	inheritMsg      struct{ raventrestle.Learned }
+	pauseMsg        struct{ pausedUntil map[string]int64 }
+	otherProcessMsg struct{ calls int }
 )
 
-// Pass hands over to the process that follows: nothing is begun here any more, and what is held goes into
-// the journal as the next one's, now or once its call has ended. The channel closes when nothing is left.
-func (c *Courier) Pass() <-chan struct{} {
-	c.post(passMsg{})
-	return c.quiet
+// HandOver starts the handover to the next process. No new attempt starts here. Each message is marked in the journal as
+// the next process's, immediately or once its attempt in flight has ended. The channel closes when none is left.
+func (c *Courier) HandOver() <-chan struct{} {
+	c.post(handOverMsg{})
+	return c.drained
 }
 
-// pass is the step in which the courier begins to hand over: the module forgets all messages, and the
-// journal has those that are not out as the next one's before it says that nothing is begun any more.
-func (c *Courier) pass() (events []raventrestle.Event, records []journal.Record) {
-	left, err := json.Marshal(c.policy.Learned())
+// startHandover withdraws all messages from the policy. The journal records those without an attempt in flight as the
+// next process's, and then records that no further attempt starts here.
+func (c *Courier) startHandover() (events []raventrestle.Event, records []journal.Record) {
+	learnedJSON, err := json.Marshal(c.policy.Learned())
 	if err != nil {
-		c.log.Error("courier: what is known of channels stays here", "err", err)
+		c.log.Error("courier: the learned state is not handed over", "err", err)
 	}
 	for id, m := range c.msgs {
-		if m.Resend > 0 { // its dead letter tells the next life
+		if m.Resend > 0 { // the next process finds it among the dead letters
 			continue
 		}
 		events = append(events, raventrestle.Withdrawn{ID: id})
-		if !m.out {
-			records = append(records, c.handOver(m))
+		if !m.inFlight {
+			records = append(records, c.handOverMessage(m))
 		}
 	}
-	return events, append(records, journal.Closing(left))
+	return events, append(records, journal.Closing(learnedJSON))
 }
 
-// handOver makes the message the next process's.
-func (c *Courier) handOver(m *message) journal.Record {
+// handOverMessage gives the message to the next process.
+func (c *Courier) handOverMessage(m *message) journal.Record {
 	delete(c.msgs, raventrestle.MessageID(m.ID))
-	c.Figures.Pending.Add(-1)
+	c.Metrics.Pending.Add(-1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.handed++ // the id stays known
+	c.handedOver++ // the id stays in pendingIDs
 	return journal.Handed(m.ID)
 }
 
-// Adopt writes messages of an earlier life into this one's journal and takes them up. It says how many, the
-// first ones: what a full journal has no room for stays the earlier one's.
+// Adopt writes messages of an earlier process into this one's journal and takes them over. It returns how many of them it
+// took, from the first on; what a full journal has no room for stays with the earlier process's journal.
 func (c *Courier) Adopt(kept []journal.Kept) (n int, err error) {
 	for _, k := range kept {
 		c.mu.Lock()
-		_, known := c.known[k.ID]
+		_, known := c.pendingIDs[k.ID]
 		if !known {
-			c.known[k.ID] = true
+			c.pendingIDs[k.ID] = true
 		}
 		c.mu.Unlock()
-		if known { // submitted here as well
+		if known { // a client submitted the same message here
 			n++
 			continue
 		}
-		heard := make(chan error, 1)
-		if err = c.journal.Append(journal.Adopted(k), func(err error) { heard <- err }); err == nil {
-			err = <-heard
+		written := make(chan error, 1)
+		if err = c.journal.Append(journal.Adopted(k), func(err error) { written <- err }); err == nil {
+			err = <-written
 		}
-		if c.writes(err); err != nil {
+		if c.noteWriteResult(err); err != nil {
 			c.forget(k.ID)
 			return n, err
 		}
@@ -90,58 +90,59 @@
 			continue
 		}
 		c.Counts.Restored.Add(1)
-		c.Figures.Pending.Add(1)
+		c.Metrics.Pending.Add(1)
 		c.post(k)
 	}
 	return n, nil
 }
 
-// Settled says that no journal of an earlier life is there any more.
-func (c *Courier) Settled() {
+// RecordAllAdopted records in the journal that no journal of an earlier process is left.
+func (c *Courier) RecordAllAdopted() {
 	if err := c.journal.Append([]journal.Record{journal.Settled()}, nil); err != nil {
 		c.log.Warn("courier: journal", "err", err)
 	}
 }
 
-// Inherit takes over what the process before had learned, as its journal has it.
-func (c *Courier) Inherit(left []byte) {
-	if len(left) == 0 {
+// Inherit applies what the previous process learned, as JSON from its journal.
+func (c *Courier) Inherit(learnedJSON []byte) {
+	if len(learnedJSON) == 0 {
 		return
 	}
-	var b raventrestle.Learned
-	if err := json.Unmarshal(left, &b); err != nil {
-		c.log.Warn("courier: what the process before had learned can't be read", "err", err)
+	var learned raventrestle.Learned
+	if err := json.Unmarshal(learnedJSON, &learned); err != nil {
+		c.log.Warn("courier: the learned state of the previous process can't be read", "err", err)
 		return
 	}
-	c.post(inheritMsg{b})
+	c.post(inheritMsg{learned})
 }
 
-// Heed keeps waits that the process before was told, by the names of peers, until when in Unix nanoseconds.
-func (c *Courier) Heed(waits map[string]int64) {
-	if len(waits) > 0 {
-		c.post(heedMsg{waits})
+// PauseTargets applies Retry-After pauses that the previous process received: by target name, the end of the pause in
+// Unix nanoseconds.
+func (c *Courier) PauseTargets(pausedUntil map[string]int64) {
+	if len(pausedUntil) > 0 {
+		c.post(pauseMsg{pausedUntil})
 	}
 }
 
-func (c *Courier) heed(waits map[string]int64) {
-	for name, until := range waits {
+func (c *Courier) pauseTargets(pausedUntil map[string]int64) {
+	for name, until := range pausedUntil {
 		c.policy.PauseTarget(raventrestle.TargetID(name), time.Duration(until))
-		c.hold(raventrestle.TargetID(name), time.Unix(0, until))
+		c.blockRoute(raventrestle.TargetID(name), time.Unix(0, until))
 		if r := c.peers[raventrestle.TargetID(name)]; r != nil {
-			r.Hold(time.Unix(0, until))
+			r.BlockUntil(time.Unix(0, until))
 		}
 	}
 }
 
-// Elsewhere says which messages another process of this courier still has out, on how many calls: what is
-// submitted under their ids is known, and the slots are taken.
-func (c *Courier) Elsewhere(ids []string, calls int) {
+// SetOtherProcess says which messages another process of this courier still has in flight, and in how many calls.
+// Submissions with these ids are refused as known, and the calls occupy slots.
+func (c *Courier) SetOtherProcess(ids []string, calls int) {
 	known := make(map[string]bool, len(ids))
 	for _, id := range ids {
 		known[id] = true
 	}
 	c.mu.Lock()
-	c.elsewhere = known
+	c.otherProcessIDs = known
 	c.mu.Unlock()
-	c.post(elsewhereMsg{calls})
+	c.post(otherProcessMsg{calls})
 }
--- a/internal/net/courier/history.go
+++ b/internal/net/courier/history.go
@@ -11,52 +11,54 @@
 	"raventrestle/internal/net/notice"
 )
 
-// History takes what the courier does, for a check after a run (internal/lab/history). It waits for nothing, and any
-// goroutine may write to it.
+// History receives what the courier does, for checks after a test run (internal/lab/history). Write does not block and is
+// safe for concurrent use.
 type History interface{ Write(history.Record) }
 
-// diary is the courier's part in it. Without a history nothing here is allocated or kept.
+// historyState is the courier's state for writing a history. Without a history it allocates and keeps nothing.
 //
-// An end is written once the journal has it: a life that is killed before owes the message still, and its next life may
-// try it again. What a killed life did last may be missing; nothing is written that was not done.
-type diary struct {
-	history History                      // nil where none is written
-	ending  []history.Record             // of this step: what the journal does not have yet
-	taken   map[facts.Key]facts.Evidence // as of this look
-	earlier map[facts.Key]facts.Evidence // and of the one before
+// The end of a message is written after the journal has it: a process that is killed before that still has the message
+// pending, and the next process may attempt it again. The last events before a kill may be missing; no event is written
+// that did not happen.
+type historyState struct {
+	history          History                      // nil if no history is written
+	pendingEndings   []history.Record             // ends of this step that the journal does not have yet
+	evidence         map[facts.Key]facts.Evidence // facts read in this exchange
+	previousEvidence map[facts.Key]facts.Evidence // facts read in the exchange before
 }
 
 // Record makes the courier write a history. Call it before Run.
 func (c *Courier) Record(h History) { c.history = h }
 
-func (c *Courier) takenOn(m *journal.Message) {
+func (c *Courier) recordAccepted(m *journal.Message) {
 	if c.history != nil {
 		c.history.Write(history.Record{Kind: history.TakenOn, ID: m.ID})
 	}
 }
 
-func (c *Courier) tries(id string, at raventrestle.TargetID) {
+func (c *Courier) recordAttempt(id string, target raventrestle.TargetID) {
 	if c.history != nil {
-		c.history.Write(history.Record{Kind: history.TryBegun, ID: id, Subject: string(at)})
+		c.history.Write(history.Record{Kind: history.TryBegun, ID: id, Subject: string(target)})
 	}
 }
 
-// called notes that a call has just left in full; the peers tell it, each on goroutines of its own.
-func (c *Courier) called(endpoint raventrestle.TargetID) {
+// recordCallWritten records that a call was written in full. Peers call it from their own goroutines.
+func (c *Courier) recordCallWritten(endpoint raventrestle.TargetID) {
 	if c.history != nil {
 		c.history.Write(history.Record{Kind: history.CallWritten, Subject: string(endpoint)})
 	}
 }
 
-// waits notes that the endpoint was told, to this life, one before it or a member, to be sent nothing until then.
-func (c *Courier) waits(endpoint raventrestle.TargetID, until time.Time) {
-	if c.history != nil { // the clock is read first: the end that is written is not after the true one
+// recordWait records that the endpoint must not be sent anything before the given time, as reported to this process, to
+// an earlier one or to another courier.
+func (c *Courier) recordWait(endpoint raventrestle.TargetID, until time.Time) {
+	if c.history != nil { // time.Until runs after history.Now, so the recorded end is not later than the real one
 		c.history.Write(history.Record{Kind: history.WaitHeard, Subject: string(endpoint), Until: history.Now() + int64(time.Until(until))})
 	}
 }
 
-// answered keeps the end of a message that had its final answer until the journal has it.
-func (c *Courier) answered(id string, s raventrestle.Status) {
+// addPendingEnding keeps the end of a message with a final answer until the journal has it.
+func (c *Courier) addPendingEnding(id string, s raventrestle.Status) {
 	if c.history == nil {
 		return
 	}
@@ -64,27 +66,27 @@
 	if s != raventrestle.OK {
 		how = history.Void
 	}
-	c.ending = append(c.ending, history.Record{Kind: history.MessageEnded, ID: id, How: how})
+	c.pendingEndings = append(c.pendingEndings, history.Record{Kind: history.MessageEnded, ID: id, How: how})
 }
 
-// answers are the ends that the journal gets by this step.
-func (c *Courier) answers() (ends []history.Record) {
-	ends, c.ending = c.ending, nil
-	return ends
+// takePendingEndings returns the ends that the journal records with this step, and clears the list.
+func (c *Courier) takePendingEndings() (endings []history.Record) {
+	endings, c.pendingEndings = c.pendingEndings, nil
+	return endings
 }
 
-// ended writes ends once the journal has them, or failed to: of a message that is given up the platform is told all the
-// same, while one that was answered would be tried again.
-func (c *Courier) ended(err error, answers []history.Record, owed []notice.Item) {
+// recordEndings records ends after their journal write. If the write failed, only the messages that were given up are
+// recorded: the platform is notified of these anyway, while an answered message would be attempted again.
+func (c *Courier) recordEndings(err error, finalAnswers []history.Record, endings []notice.Item) {
 	if c.history == nil {
 		return
 	}
 	if err == nil {
-		for _, r := range answers {
+		for _, r := range finalAnswers {
 			c.history.Write(r)
 		}
 	}
-	for _, it := range owed {
+	for _, it := range endings {
 		how := history.Undeliverable
 		if it.Deferred {
 			how = history.Deferred
@@ -93,87 +95,87 @@
 	}
 }
 
-// deadLetterEnded writes that a dead letter went through. What else becomes of a resend is no end of the message, which has
-// had it.
-func (c *Courier) deadLetterEnded(id, what string) {
-	if c.history != nil && what == "delivered" {
+// deadLetterEnded records the delivery of a dead letter. Other results of a resend are not recorded, since the message
+// has already ended.
+func (c *Courier) deadLetterEnded(id, result string) {
+	if c.history != nil && result == "delivered" {
 		c.history.Write(history.Record{Kind: history.MessageEnded, ID: id, How: history.LetterDelivered})
 	}
 }
 
-// look begins a look at what others told.
-func (c *Courier) look() {
+// startEvidenceRead starts the evidence of a new exchange and keeps that of the last one.
+func (c *Courier) startEvidenceRead() {
 	if c.history != nil {
-		c.earlier, c.taken = c.taken, make(map[facts.Key]facts.Evidence, len(c.taken))
+		c.previousEvidence, c.evidence = c.evidence, make(map[facts.Key]facts.Evidence, len(c.evidence))
 	}
 }
 
-// takes notes evidence that this look reads, this courier's own included: by that the checkers know its true age. It
-// is written when it is another learning than at the last look.
-func (c *Courier) takes(s facts.Subject, k facts.Kind, e facts.Evidence) {
+// recordEvidence records a fact that this exchange reads, this courier's own included, from which the checkers know its
+// true age. It is recorded only if it is not the same fact as in the last exchange.
+func (c *Courier) recordEvidence(s facts.Subject, k facts.Kind, e facts.Evidence) {
 	if c.history == nil {
 		return
 	}
 	key := facts.Key{Subject: s, Kind: k}
-	if _, again := c.taken[key]; again { // the endpoints of a route share it
+	if _, alreadyRead := c.evidence[key]; alreadyRead { // the endpoints of a route share it
 		return
 	}
-	if c.taken[key] = e; c.news(key) {
+	if c.evidence[key] = e; c.evidenceChanged(key) {
 		c.history.Write(history.Record{
-			Kind: history.FactTaken, ID: learning(e), What: k.String(), Subject: about(s), Peer: e.Origin, PeerEpoch: e.Epoch,
+			Kind: history.FactTaken, ID: factID(e), What: k.String(), Subject: subjectName(s), Peer: e.Origin, PeerEpoch: e.Epoch,
 			Age: int64(e.Age),
 		})
 	}
 }
 
-// news says whether the evidence is another learning than at the last look.
-func (c *Courier) news(key facts.Key) bool {
-	was, known := c.earlier[key]
-	now := c.taken[key]
-	return !known || was.Origin != now.Origin || was.Epoch != now.Epoch || was.Seq != now.Seq
+// evidenceChanged reports whether the fact differs from that of the last exchange.
+func (c *Courier) evidenceChanged(key facts.Key) bool {
+	previous, known := c.previousEvidence[key]
+	current := c.evidence[key]
+	return !known || previous.Origin != current.Origin || previous.Epoch != current.Epoch || previous.Seq != current.Seq
 }
 
-// learning names a fact for all couriers: its origin, the origin's life and its count within that.
-func learning(e facts.Evidence) string { return fmt.Sprintf("%s/%d/%d", e.Origin, e.Epoch, e.Seq) }
+// factID identifies a fact across all couriers: by its origin, the origin's epoch and its sequence number within that.
+func factID(e facts.Evidence) string { return fmt.Sprintf("%s/%d/%d", e.Origin, e.Epoch, e.Seq) }
 
-func about(s facts.Subject) string {
+func subjectName(s facts.Subject) string {
 	if s.Endpoint == "" {
 		return fmt.Sprintf("dest %d", s.Dest)
 	}
 	return s.Endpoint
 }
 
-// decided writes what of the advice changed something, with the age that was read and the bound that it is held to. A wait
-// has none: it counts until its end, and a later look at the same one, counted anew, is no decision.
-func (c *Courier) decided(told []raventrestle.PeerObservation) {
+// recordDecision records which facts changed a decision, with the age that was read and the maximum age that is allowed.
+// A pause has no maximum age: it applies until its end, and reading the same pause again is no new decision.
+func (c *Courier) recordDecision(observations []raventrestle.PeerObservation) {
 	if c.history == nil {
 		return
 	}
-	var rests []history.Rest
-	rest := func(s facts.Subject, k facts.Kind, bound time.Duration) {
-		if e, ok := c.taken[facts.Key{Subject: s, Kind: k}]; ok {
-			rests = append(rests, history.Rest{ID: learning(e), Age: int64(e.Age), Bound: int64(bound)})
+	var sources []history.Rest
+	addSource := func(s facts.Subject, k facts.Kind, bound time.Duration) {
+		if e, ok := c.evidence[facts.Key{Subject: s, Kind: k}]; ok {
+			sources = append(sources, history.Rest{ID: factID(e), Age: int64(e.Age), Bound: int64(bound)})
 		}
 	}
 	bound := c.conf.Settings.WarmupDuration
-	for _, a := range told {
+	for _, a := range observations {
 		r := c.peers[a.Target]
-		s := c.route(r)
+		s := c.routeSubject(r)
 		wait := facts.Key{Subject: s, Kind: facts.Wait}
-		if a.WaitUntil > 0 && c.news(wait) { // each endpoint of the route keeps it
-			c.waits(a.Target, time.Unix(0, int64(a.WaitUntil)))
+		if a.WaitUntil > 0 && c.evidenceChanged(wait) { // recorded for each endpoint of the route
+			c.recordWait(a.Target, time.Unix(0, int64(a.WaitUntil)))
 		}
-		if a.Applied&raventrestle.AppliedWait != 0 && c.news(wait) {
-			rest(s, facts.Wait, 0)
+		if a.Applied&raventrestle.AppliedWait != 0 && c.evidenceChanged(wait) {
+			addSource(s, facts.Wait, 0)
 		}
 		if a.Applied&raventrestle.AppliedLimit != 0 {
-			rest(s, facts.Limit, bound)
+			addSource(s, facts.Limit, bound)
 		}
 		if s.Endpoint = string(a.Target); a.Applied&raventrestle.AppliedOutage != 0 {
-			rest(s, facts.Outage, bound)
+			addSource(s, facts.Outage, bound)
 		}
 	}
-	if len(rests) > 0 {
-		c.history.Write(history.Record{Kind: history.Decided, How: "advise", Rests: rests})
+	if len(sources) > 0 {
+		c.history.Write(history.Record{Kind: history.Decided, How: "advise", Rests: sources})
 	}
 }
--- a/internal/net/courier/history_test.go
+++ b/internal/net/courier/history_test.go
@@ -16,10 +16,10 @@
 	"raventrestle/internal/net/upstream"
 )
 
-// lines are a history as text.
-type lines []string
+// recordedLines is a history as text lines.
+type recordedLines []string
 
-func (l *lines) Write(r history.Record) {
+func (l *recordedLines) Write(r history.Record) {
 	text := fmt.Sprint(r.Kind, " ", r.ID, r.What, r.How, " ", r.Subject)
 	for _, x := range r.Rests {
 		text += fmt.Sprint(" ", x.ID, " ", time.Duration(x.Age), " of ", time.Duration(x.Bound))
@@ -27,71 +27,71 @@
 	*l = append(*l, text)
 }
 
-func (l *lines) all() []string { all := *l; *l = nil; return all }
+func (l *recordedLines) takeAll() []string { all := *l; *l = nil; return all }
 
-// Without a history nothing is allocated. With one a fact is written when it is news and a decision when it changed
-// something; an answer counts once the journal has it, and what the platform is told in any case.
-func TestHistory(t *testing.T) {
-	c := open(t, "")
+// Without a history nothing is allocated. With one, a fact is recorded when it is new and a decision when a fact changed
+// something. An answer is recorded once the journal has it; the end of a message that was given up is always recorded.
+func TestHistoryRecords(t *testing.T) {
+	c := newTestCourier(t, "")
 	c.conf.Name, c.conf.Settings.WarmupDuration = "me", time.Minute
 	if err := c.policy.Reconfigure(c.conf.Settings); err != nil {
 		t.Fatal(err)
 	}
-	f := &scripted{says: map[facts.Key]facts.Evidence{}}
-	c.Share(f)
-	<-c.looks()
+	f := &fakeFleet{facts: map[facts.Key]facts.Evidence{}}
+	c.UseFleet(f)
+	<-c.exchangeTimer()
 	u := upstream.Update{How: raventrestle.ListSnapshot}
 	for _, n := range []raventrestle.TargetID{"a", "b"} {
 		u.Entries = append(u.Entries, upstream.Entry{Addr: "127.0.0.1:1", Entry: raventrestle.Entry{Target: n, Dest: 7, Zone: -1}})
 	}
-	c.policy.Step(now(), []raventrestle.Event{c.update(t.Context(), u)})
+	c.policy.Step(now(), []raventrestle.Event{c.applyList(t.Context(), u)})
 
-	m, told := &journal.Message{ID: "m"}, []raventrestle.PeerObservation{{Target: "a", WaitUntil: 1, Applied: raventrestle.AppliedWait}}
+	m, observations := &journal.Message{ID: "m"}, []raventrestle.PeerObservation{{Target: "a", WaitUntil: 1, Applied: raventrestle.AppliedWait}}
 	if n := testing.AllocsPerRun(100, func() {
-		c.look()
-		c.takes(facts.Subject{Dest: 7}, facts.Wait, facts.Evidence{Origin: "o"})
-		c.decided(told)
-		c.takenOn(m)
-		c.tries("m", "a")
-		c.called("a")
-		c.waits("a", time.Time{})
-		c.answered("m", raventrestle.OK)
-		c.ended(nil, c.answers(), nil)
+		c.startEvidenceRead()
+		c.recordEvidence(facts.Subject{Dest: 7}, facts.Wait, facts.Evidence{Origin: "o"})
+		c.recordDecision(observations)
+		c.recordAccepted(m)
+		c.recordAttempt("m", "a")
+		c.recordCallWritten("a")
+		c.recordWait("a", time.Time{})
+		c.addPendingEnding("m", raventrestle.OK)
+		c.recordEndings(nil, c.takePendingEndings(), nil)
 		c.deadLetterEnded("m", "delivered")
-	}); n > 0 || c.taken != nil {
-		t.Fatalf("%v allocations with no history", n)
+	}); n > 0 || c.evidence != nil {
+		t.Fatalf("%v allocations without a history", n)
 	}
 
-	l := &lines{}
+	l := &recordedLines{}
 	c.Record(l)
 	want := func(what string, all ...string) {
 		t.Helper()
-		if diff := cmp.Diff(all, l.all()); diff != "" {
+		if diff := cmp.Diff(all, l.takeAll()); diff != "" {
 			t.Errorf("%s: %s", what, diff)
 		}
 	}
 	wait := facts.Key{Subject: facts.Subject{Dest: 7}, Kind: facts.Wait}
-	f.says[wait] = facts.Evidence{Left: time.Minute, Age: time.Second, Origin: "o", Epoch: 4, Seq: 9}
-	c.share()
+	f.facts[wait] = facts.Evidence{Left: time.Minute, Age: time.Second, Origin: "o", Epoch: 4, Seq: 9}
+	c.exchangeFacts()
 	want("a wait", "fact taken o/4/9wait dest 7", "wait heard  a", "wait heard  b", "decided advise  o/4/9 1s of 0s")
-	c.share()
-	want("the same again")
-	delete(f.says, wait)
-	out := facts.Key{Subject: facts.Subject{Dest: 7, Endpoint: "b"}, Kind: facts.Outage}
-	f.says[out] = facts.Evidence{Age: 2 * time.Second, Origin: "o", Epoch: 4, Seq: 10}
-	c.share()
-	c.share()
+	c.exchangeFacts()
+	want("the same wait again")
+	delete(f.facts, wait)
+	outage := facts.Key{Subject: facts.Subject{Dest: 7, Endpoint: "b"}, Kind: facts.Outage}
+	f.facts[outage] = facts.Evidence{Age: 2 * time.Second, Origin: "o", Epoch: 4, Seq: 10}
+	c.exchangeFacts()
+	c.exchangeFacts()
 	want("an outage", "fact taken o/4/10outage b", "decided advise  o/4/10 2s of 1m0s")
-	f.says[out] = facts.Evidence{Age: 2 * time.Minute, Origin: "o", Epoch: 5, Seq: 1}
-	c.share()
-	want("one that is too old", "fact taken o/5/1outage b")
+	f.facts[outage] = facts.Evidence{Age: 2 * time.Minute, Origin: "o", Epoch: 5, Seq: 1}
+	c.exchangeFacts()
+	want("an outage that is too old", "fact taken o/5/1outage b")
 
-	c.answered("m", raventrestle.OK)
-	c.ended(errors.New("disk"), c.answers(), []notice.Item{{ID: "n", End: journal.End{Deferred: true}}, {ID: "o"}})
-	want("a disk that fails", "message ended ndeferred ", "message ended oundeliverable ")
-	c.answered("m", raventrestle.Error)
-	c.ended(nil, c.answers(), nil)
-	c.ended(nil, c.answers(), nil)
+	c.addPendingEnding("m", raventrestle.OK)
+	c.recordEndings(errors.New("disk"), c.takePendingEndings(), []notice.Item{{ID: "n", End: journal.End{Deferred: true}}, {ID: "o"}})
+	want("a failed write", "message ended ndeferred ", "message ended oundeliverable ")
+	c.addPendingEnding("m", raventrestle.Error)
+	c.recordEndings(nil, c.takePendingEndings(), nil)
+	c.recordEndings(nil, c.takePendingEndings(), nil)
 	c.deadLetterEnded("o", "failed")
 	c.deadLetterEnded("o", "delivered")
 	want("ends", "message ended mvoid ", "message ended oletter_delivered ")
--- a/internal/net/courier/intake.go
+++ b/internal/net/courier/intake.go
@@ -1,23 +1,22 @@
 package courier
 
-// Messages as clients submit them, and what the courier owes for them.
+// Accepts messages from clients, and tracks which are pending.
 
 import (
 	"raventrestle/internal/journal"
 	"raventrestle/internal/net/front"
 )
 
-// Take writes a message down, unless the courier holds all that it may. The caller then either
-// admits or withdraws it.
+// Take writes a message into the journal, unless the courier is full. The caller then calls Admit or Withdraw.
 func (c *Courier) Take(m *journal.Message) error {
 	c.mu.Lock()
-	full := len(c.known)-c.handed >= c.most || c.resends[m.ID]
-	admitted, known := c.known[m.ID]
-	admitted = admitted || c.elsewhere[m.ID]
-	_, served := c.dests[m.Dest]
-	served = served || len(c.dests) == 0 // no list has come yet
+	full := len(c.pendingIDs)-c.handedOver >= c.maxMessages || c.resendIDs[m.ID]
+	admitted, known := c.pendingIDs[m.ID]
+	admitted = admitted || c.otherProcessIDs[m.ID]
+	_, served := c.destsLastListed[m.Dest]
+	served = served || len(c.destsLastListed) == 0 // no endpoint list has arrived yet
 	if !full && !known && served {
-		c.known[m.ID] = false
+		c.pendingIDs[m.ID] = false
 	}
 	c.mu.Unlock()
 	if admitted {
@@ -31,7 +30,7 @@
 		return ErrFull
 	}
 	err := c.journal.Take(m)
-	c.writes(err)
+	c.noteWriteResult(err)
 	if err != nil {
 		c.Counts.Full.Add(1)
 		c.forget(m.ID)
@@ -39,25 +38,25 @@
 	return err
 }
 
-// Admit lets a message in whose client has heard that it is taken on.
+// Admit starts the delivery of a message whose client has been told that it was accepted.
 func (c *Courier) Admit(m *journal.Message, again, orphan bool) {
 	c.Counts.Taken.Add(1)
-	c.Figures.Pending.Add(1)
+	c.Metrics.Pending.Add(1)
 	c.mu.Lock()
-	c.known[m.ID] = true
+	c.pendingIDs[m.ID] = true
 	c.mu.Unlock()
-	c.takenOn(m)
-	c.mail <- arrival{m, again, orphan}
+	c.recordAccepted(m)
+	c.mailbox <- arrival{m, again, orphan}
 }
 
-// Withdraw drops a message whose client never heard of its being taken on.
+// Withdraw drops a message whose client left before it was told that the message was accepted.
 func (c *Courier) Withdraw(m *journal.Message) {
 	c.Counts.Withdrawn.Add(1)
-	c.over(m.ID)
+	c.recordEnd(m.ID)
 }
 
-// over ends all that is owed for the messages.
-func (c *Courier) over(ids ...string) {
+// recordEnd records in the journal that the messages need no more work, and forgets their ids.
+func (c *Courier) recordEnd(ids ...string) {
 	var records []journal.Record
 	for _, id := range ids {
 		records = append(records, journal.Over(id))
@@ -70,21 +69,22 @@
 	}
 }
 
-func (c *Courier) heard(ids []string) {
-	c.over(ids...)
-	c.post(heardMsg{})
+func (c *Courier) notificationsDelivered(ids []string) {
+	c.recordEnd(ids...)
+	c.post(notifiedMsg{})
 }
 
 func (c *Courier) forget(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.known, id)
-	delete(c.resends, id)
+	delete(c.pendingIDs, id)
+	delete(c.resendIDs, id)
 }
 
-// owed is how many messages have no end yet that is told, or written into their dead letter.
-func (c *Courier) owed() int {
+// pendingCount returns how many messages have an end that is not yet acknowledged by the platform, or not yet written
+// into their dead letter.
+func (c *Courier) pendingCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.known) + len(c.resends) - c.handed
+	return len(c.pendingIDs) + len(c.resendIDs) - c.handedOver
 }
--- a/internal/net/courier/list.go
+++ b/internal/net/courier/list.go
@@ -1,6 +1,6 @@
 package courier
 
-// The list of endpoints, and the peers that stand for it.
+// Maintains the endpoint list and a peer for each listed endpoint.
 
 import (
 	"context"
@@ -14,17 +14,17 @@
 	"raventrestle/internal/net/upstream"
 )
 
-// update brings the peers up to date with the list.
-func (c *Courier) update(ctx context.Context, u upstream.Update) raventrestle.ListUpdate {
+// applyList starts, stops and holds peers according to the endpoint list.
+func (c *Courier) applyList(ctx context.Context, u upstream.Update) raventrestle.ListUpdate {
 	l := raventrestle.ListUpdate{Kind: u.How}
 	if stale := u.How == raventrestle.ListFailed; u.How != raventrestle.ListCached {
 		if stale && !c.listStale {
-			c.Tell(lifecycle.Began{Trouble: lifecycle.ListStale})
+			c.OnLifecycleEvent(lifecycle.Began{Trouble: lifecycle.ListStale})
 		} else if !stale && c.listStale {
-			c.Tell(lifecycle.Ended{Trouble: lifecycle.ListStale})
+			c.OnLifecycleEvent(lifecycle.Ended{Trouble: lifecycle.ListStale})
 		}
 		if c.listStale = stale; !stale {
-			c.listed, c.index = time.Now(), u.Index
+			c.listedAt, c.listIndex = time.Now(), u.Index
 		}
 	}
 	listed := map[raventrestle.TargetID]bool{}
@@ -35,72 +35,73 @@
 			continue
 		}
 		listed[e.Target] = true
-		was := e.State
+		previousState := e.State
 		if r != nil {
-			was = r.entry.State
+			previousState = r.entry.State
 		}
 		if r != nil && r.entry.Addr == e.Addr {
 			switch r.entry = e; {
 			case e.State == raventrestle.Draining:
-				r.Hold(peer.Never)
-			case was == raventrestle.Draining:
-				r.Hold(time.Time{})
+				r.BlockUntil(peer.Never)
+			case previousState == raventrestle.Draining:
+				r.BlockUntil(time.Time{})
 			}
 			continue
 		}
 		if r != nil {
 			r.Stop()
 		}
-		c.peers[e.Target] = &ref{entry: e, Peer: c.peer(ctx, e)}
+		c.peers[e.Target] = &listedPeer{entry: e, Peer: c.startPeer(ctx, e)}
 	}
 	for id, r := range c.peers {
-		whole := u.How == raventrestle.ListSnapshot || u.How == raventrestle.ListCached
-		gone := slices.ContainsFunc(u.Entries, func(e upstream.Entry) bool {
+		complete := u.How == raventrestle.ListSnapshot || u.How == raventrestle.ListCached
+		removed := slices.ContainsFunc(u.Entries, func(e upstream.Entry) bool {
 			return e.Target == id && e.State == raventrestle.Removed
 		})
-		if gone || whole && !listed[id] {
+		if removed || complete && !listed[id] {
 			r.Stop()
 			delete(c.peers, id)
 		}
 	}
-	c.serve(time.Now())
+	c.updateDestinations(time.Now())
 	return l
 }
 
-// serve notes which destinations the list names. One that lost its last peer is served on for as
-// long as a message may wait for another.
-func (c *Courier) serve(t time.Time) {
+// updateDestinations notes which destinations the list names. Messages for a destination that lost its last endpoint are
+// accepted for another maxDeadline, the longest that a message may wait for a new endpoint.
+func (c *Courier) updateDestinations(t time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range c.peers {
-		c.dests[int64(r.entry.Dest)] = t
+		c.destsLastListed[int64(r.entry.Dest)] = t
 	}
-	if !c.listKnown && len(c.dests) > 0 {
+	if !c.listKnown && len(c.destsLastListed) > 0 {
 		c.listKnown = true
-		defer c.Tell(lifecycle.Done{Step: lifecycle.List})
+		defer c.OnLifecycleEvent(lifecycle.Done{Step: lifecycle.List})
 	}
-	maps.DeleteFunc(c.dests, func(_ int64, last time.Time) bool { return t.Sub(last) > c.longest })
+	maps.DeleteFunc(c.destsLastListed, func(_ int64, last time.Time) bool { return t.Sub(last) > c.maxDeadline })
 }
 
-// kind is that of the peer's destination; one of an unknown kind shares its limit and takes single calls.
-func (c *Courier) kind(r *ref) raventrestle.DestinationKind {
+// destinationKind returns the kind of the peer's destination. A destination of an unknown kind shares one limit between
+// its targets and takes one message per call.
+func (c *Courier) destinationKind(r *listedPeer) raventrestle.DestinationKind {
 	if k := r.entry.Kind; k >= 0 {
 		return c.conf.Settings.Kinds[k]
 	}
 	return raventrestle.DestinationKind{MaxBatch: 1}
 }
 
-// hold tells the peers of the target's route that it was told to wait: calls whose connection is
-// still coming up would else be written within the wait.
-func (c *Courier) hold(target raventrestle.TargetID, until time.Time) {
-	told := c.peers[target]
-	if told == nil {
+// blockRoute holds the peers that share the target's route until the given time. Otherwise calls that still wait for their
+// connection would be written during the pause.
+func (c *Courier) blockRoute(target raventrestle.TargetID, until time.Time) {
+	paused := c.peers[target]
+	if paused == nil {
 		return
 	}
 	for id, r := range c.peers {
-		if id == target || r.entry.Dest == told.entry.Dest && !c.kind(r).RoutePerTarget {
-			r.Hold(until)
-			c.waits(id, until)
+		if id == target || r.entry.Dest == paused.entry.Dest && !c.destinationKind(r).RoutePerTarget {
+			r.BlockUntil(until)
+			c.recordWait(id, until)
 		}
 	}
 }
--- a/internal/net/courier/outcome.go
+++ b/internal/net/courier/outcome.go
@@ -1,6 +1,6 @@
 package courier
 
-// How tries end.
+// Handles the outcomes of attempts.
 
 import (
 	"time"
@@ -9,70 +9,70 @@
 	"raventrestle/internal/journal"
 )
 
-// statuses are the words for how a try ended, in records, dead letters and counters.
-var statuses = [...]string{
+// statusNames are the names of an attempt's outcome in journal records, dead letters and counters.
+var statusNames = [...]string{
 	raventrestle.OK: "ok", raventrestle.Error: "error", raventrestle.Rejected: "full",
 	raventrestle.TimedOut: "timed_out", raventrestle.ConnectFailed: "connect_failed", raventrestle.Reset: "reset",
 	raventrestle.Canceled: "cancelled", raventrestle.NotSent: "moot",
 }
 
-// outcome notes how a try ended.
-func (c *Courier) outcome(o raventrestle.Outcome) []journal.Record {
-	c.out--
+// recordOutcome updates the courier's state with an attempt's outcome and returns its journal records.
+func (c *Courier) recordOutcome(o raventrestle.Outcome) []journal.Record {
+	c.inFlight--
 	c.Counts.ByStatus[o.Status].Add(1)
-	c.told(o)
+	c.shareOutcome(o)
 	var records []journal.Record
 	if o.RetryAfter > 0 {
 		until := time.Now().Add(o.RetryAfter)
-		if c.hold(o.Target, until); c.Successors {
+		if c.blockRoute(o.Target, until); c.KeepForSuccessor {
 			records = append(records, journal.Wait(string(o.Target), until.UnixNano()))
 		}
 	}
 	id, m := string(o.ID), c.msgs[o.ID]
-	word := ""
+	outcome := ""
 	if c.deadLetters != nil {
-		word = statuses[o.Status]
-		c.note(m, o, word)
+		outcome = statusNames[o.Status]
+		c.attemptEnded(m, o, outcome)
 	}
 	if m != nil {
-		m.out = false
+		m.inFlight = false
 	}
-	never := o.Status == raventrestle.Rejected || o.Status == raventrestle.ConnectFailed || o.Status == raventrestle.NotSent
+	neverRan := o.Status == raventrestle.Rejected || o.Status == raventrestle.ConnectFailed || o.Status == raventrestle.NotSent
 	switch {
 	case o.Final && m != nil && m.Resend > 0:
-		what := "delivered"
+		result := "delivered"
 		if o.Status != raventrestle.OK {
-			what = "void"
+			result = "void"
 		}
-		c.resent(m, what)
-		return records // the dead letter comes first
+		c.finishResend(m, result)
+		return records // the journal is updated after the dead letter: see finishResend
 	case o.Final:
-		end := &c.Counts.Delivered
+		counter := &c.Counts.Delivered
 		if o.Status != raventrestle.OK {
-			end = &c.Counts.Void
+			counter = &c.Counts.Void
 		}
-		end.Add(1)
+		counter.Add(1)
 		if m != nil {
-			c.counted(m.Message, o.Status == raventrestle.OK, false)
-			c.answered(id, o.Status)
+			c.countEnding(m.Message, o.Status == raventrestle.OK, false)
+			c.addPendingEnding(id, o.Status)
 		}
 		delete(c.msgs, o.ID)
 		c.forget(id)
 		return append(records, journal.Over(id))
-	case never:
-		records = append(records, journal.NeverRan(id, word))
+	case neverRan:
+		records = append(records, journal.NeverRan(id, outcome))
 	default:
-		records = append(records, journal.MayHaveRun(id, word))
+		records = append(records, journal.MayHaveRun(id, outcome))
 	}
-	if c.passing && m != nil && m.Resend == 0 {
-		records = append(records, c.handOver(m))
+	if c.handingOver && m != nil && m.Resend == 0 {
+		records = append(records, c.handOverMessage(m))
 	}
 	return records
 }
 
-// counted adds a message's end to the figures: delivered, handed back, or else failed.
-func (c *Courier) counted(m *journal.Message, delivered, handedBack bool) {
-	class := c.Figures.Class(m.Class)
+// countEnding counts the end of a message as completed, rejected (handed back) or failed.
+func (c *Courier) countEnding(m *journal.Message, delivered, handedBack bool) {
+	class := c.Metrics.Class(m.Class)
 	switch {
 	case delivered:
 		class.Completed.Add(1)
@@ -81,5 +81,5 @@
 	default:
 		class.Failed.Add(1)
 	}
-	c.Figures.Pending.Add(-1)
+	c.Metrics.Pending.Add(-1)
 }
--- a/internal/net/courier/status.go
+++ b/internal/net/courier/status.go
@@ -7,27 +7,27 @@
 	"raventrestle"
 )
 
-// Status is what a courier is at, as its actor sees it.
+// Status is a snapshot of the courier's state.
 type Status struct {
-	Held     int                     `json:"held"`    // messages taken on that have no end yet
-	Out      int                     `json:"out"`     // tries under way
-	Resends  int                     `json:"resends"` // of undeliverable messages, among the held
-	Owed     int                     `json:"owed"`    // messages whose end the platform has not heard, the held included
-	MostHeld int                     `json:"most_held"`
-	Slots    int                     `json:"slots"`
-	Listed   time.Time               `json:"listed"` // when discovery last answered, the zero time if it has not
-	Index    int64                   `json:"list_index"`
-	Channels []raventrestle.DestView `json:"channels"`
+	Held      int                     `json:"held"`    // accepted messages that have not ended
+	InFlight  int                     `json:"out"`     // attempts in flight
+	Resends   int                     `json:"resends"` // resends of dead letters, included in Held
+	Pending   int                     `json:"owed"`    // messages whose end the platform has not acknowledged, Held included
+	MaxHeld   int                     `json:"most_held"`
+	Slots     int                     `json:"slots"`
+	ListedAt  time.Time               `json:"listed"` // when discovery last answered; zero if it never has
+	ListIndex int64                   `json:"list_index"`
+	Channels  []raventrestle.DestView `json:"channels"`
 }
 
-type statusMsg struct{ to chan<- Status }
+type statusMsg struct{ reply chan<- Status }
 
-// Status asks the actor. The courier answers within a step, or the context's end is the error.
+// Status returns the current state. The actor answers after its current step, unless the context ends before.
 func (c *Courier) Status(ctx context.Context) (Status, error) {
-	to := make(chan Status, 1)
-	c.post(statusMsg{to})
+	reply := make(chan Status, 1)
+	c.post(statusMsg{reply})
 	select {
-	case s := <-to:
+	case s := <-reply:
 		return s, nil
 	case <-ctx.Done():
 		return Status{}, ctx.Err()
@@ -36,7 +36,7 @@
 
 func (c *Courier) status() Status {
 	return Status{
-		Held: len(c.msgs), Out: c.out, Resends: c.again, Owed: c.owed(), MostHeld: c.conf.Settings.MaxMessages, Slots: c.conf.Settings.CallSlots,
-		Listed: c.listed, Index: c.index, Channels: c.policy.View(),
+		Held: len(c.msgs), InFlight: c.inFlight, Resends: c.activeResends, Pending: c.pendingCount(), MaxHeld: c.conf.Settings.MaxMessages, Slots: c.conf.Settings.CallSlots,
+		ListedAt: c.listedAt, ListIndex: c.listIndex, Channels: c.policy.View(),
 	}
 }
--- a/internal/net/courier/step.go
+++ b/internal/net/courier/step.go
@@ -1,6 +1,6 @@
 package courier
 
-// A step hands the module what has come in, and has its actions carried out.
+// A step passes all queued events to the policy and carries out its actions.
 
 import (
 	"context"
@@ -16,144 +16,145 @@
 	"raventrestle/internal/net/upstream"
 )
 
-// step hands the module all that has come in, answers and the list first.
+// step passes the queued messages to the policy: first list updates, then outcomes, then the rest.
 func (c *Courier) step(ctx context.Context, mail []any) {
 	t := now()
-	var lists, answers, rest []raventrestle.Event
+	var lists, outcomes, others []raventrestle.Event
 	var records []journal.Record
-	var asked []chan<- Status
-	pass := false
-	rest = append(rest, c.yield(mail)...)
+	var statusReplies []chan<- Status
+	startHandover := false
+	others = append(others, c.yieldResends(mail)...)
 	for _, m := range mail {
 		switch m := m.(type) {
 		case upstream.Update:
-			lists = append(lists, c.update(ctx, m))
+			lists = append(lists, c.applyList(ctx, m))
 		case raventrestle.Outcome:
-			answers = append(answers, m)
-			records = append(records, c.outcome(m)...)
+			outcomes = append(outcomes, m)
+			records = append(records, c.recordOutcome(m)...)
 		case arrival:
 			c.msgs[raventrestle.MessageID(m.ID)] = &message{Message: m.Message}
-			if c.passing {
-				records = append(records, c.handOver(c.msgs[raventrestle.MessageID(m.ID)]))
+			if c.handingOver {
+				records = append(records, c.handOverMessage(c.msgs[raventrestle.MessageID(m.ID)]))
 				continue
 			}
-			rest = append(rest, c.arrived(m, t))
+			others = append(others, c.arrivalEvent(m, t))
 		case journal.Kept:
 			c.msgs[raventrestle.MessageID(m.ID)] = &message{Message: m.Message, Progress: m.Progress}
 			if m.Resend > 0 {
-				c.again++
-			} else if c.passing { // two upgrades in a row: what is taken over meanwhile goes on to the next one
-				records = append(records, c.handOver(c.msgs[raventrestle.MessageID(m.ID)]))
+				c.activeResends++
+			} else if c.handingOver { // two upgrades in a row: a message adopted meanwhile is handed on
+				records = append(records, c.handOverMessage(c.msgs[raventrestle.MessageID(m.ID)]))
 				continue
 			}
-			rest = append(rest, c.restored(m, t))
+			others = append(others, c.restoredEvent(m, t))
 		case deadletter.Again:
-			if e := c.resend(m, t); e != nil {
-				rest = append(rest, e)
+			if e := c.startResend(m, t); e != nil {
+				others = append(others, e)
 			}
-		case passMsg:
-			pass = !c.passing
+		case handOverMsg:
+			startHandover = !c.handingOver
 		case inheritMsg:
 			c.inherited = true
 			c.policy.Inherit(m.Learned)
-		case heedMsg:
-			c.heed(m.waits)
-		case elsewhereMsg:
-			c.policy.AdjustBusySlots(m.calls - c.theirs)
-			c.theirs = m.calls
-		case retuneMsg:
-			err := c.retune(ctx, m.conf)
+		case pauseMsg:
+			c.pauseTargets(m.pausedUntil)
+		case otherProcessMsg:
+			c.policy.AdjustBusySlots(m.calls - c.otherProcessSlots)
+			c.otherProcessSlots = m.calls
+		case reconfigureMsg:
+			err := c.reconfigure(ctx, m.conf)
 			m.done <- err
 		case statusMsg:
-			asked = append(asked, m.to)
-		case closingMsg:
+			statusReplies = append(statusReplies, m.reply)
+		case shutdownMsg:
 			c.closing = true
-			rest = append(rest, raventrestle.Shutdown{At: time.Duration(m.at.UnixNano())})
+			others = append(others, raventrestle.Shutdown{At: time.Duration(m.deadline.UnixNano())})
 		}
 	}
-	if pass {
-		c.passing = true
-		gone, handed := c.pass()
-		rest, records = append(rest, gone...), append(records, handed...)
+	if startHandover {
+		c.handingOver = true
+		withdrawn, handOvers := c.startHandover()
+		others, records = append(others, withdrawn...), append(records, handOvers...)
 	}
-	events := slices.Concat(lists, answers, rest)
-	if c.wake > 0 && c.wake <= t {
-		if t-c.wake > 2*c.conf.Settings.MinBatchInterval {
+	events := slices.Concat(lists, outcomes, others)
+	if c.wakeAt > 0 && c.wakeAt <= t {
+		if t-c.wakeAt > 2*c.conf.Settings.MinBatchInterval {
 			c.Counts.LateSteps.Add(1)
 		}
-		c.wake = 0
+		c.wakeAt = 0
 		events = append(events, raventrestle.Wake{})
 	}
 	c.Counts.Steps.Add(1)
-	c.act(c.decide(t, events), records)
-	c.show()
-	c.figure()
-	c.remember(t)
-	for _, to := range asked {
-		to <- c.status()
+	c.applyActions(c.runPolicy(t, events), records)
+	c.sendView()
+	c.updateGauges()
+	c.saveLearned(t)
+	for _, reply := range statusReplies {
+		reply <- c.status()
 	}
-	if (c.closing || c.passing) && c.owed() == 0 {
+	if (c.closing || c.handingOver) && c.pendingCount() == 0 {
 		select {
-		case <-c.quiet:
+		case <-c.drained:
 		default:
-			close(c.quiet)
+			close(c.drained)
 		}
 	}
 }
 
-// figure brings the figures that are not counted up to date.
-func (c *Courier) figure() {
-	c.Figures.Members.Store(int64(len(c.peers)))
-	c.Figures.MembersUnavailable.Store(int64(c.policy.UnavailableTargets(now())))
+// updateGauges sets the metrics that are current values, not counters.
+func (c *Courier) updateGauges() {
+	c.Metrics.Members.Store(int64(len(c.peers)))
+	c.Metrics.MembersUnavailable.Store(int64(c.policy.UnavailableTargets(now())))
 }
 
-// decide keeps a fault of the module from ending the process: the batch is lost, not the courier.
-func (c *Courier) decide(t time.Duration, events []raventrestle.Event) (actions []raventrestle.Action) {
+// runPolicy runs one step of the policy. If the policy panics, the batch is lost but the process goes on.
+func (c *Courier) runPolicy(t time.Duration, events []raventrestle.Event) (actions []raventrestle.Action) {
 	defer func() {
 		if e := recover(); e != nil {
 			c.Counts.Panics.Add(1)
-			c.log.Error("courier: the module broke", "panic", fmt.Sprint(e), "stack", string(debug.Stack()))
+			c.log.Error("courier: panic in the policy", "panic", fmt.Sprint(e), "stack", string(debug.Stack()))
 			actions = []raventrestle.Action{raventrestle.WakeAt{At: t + c.conf.Settings.MinBatchInterval}}
 		}
 	}()
 	return c.policy.Step(t, events)
 }
 
-func (c *Courier) arrived(a arrival, t time.Duration) raventrestle.Arrival {
+func (c *Courier) arrivalEvent(a arrival, t time.Duration) raventrestle.Arrival {
 	return raventrestle.Arrival{
-		ID: raventrestle.MessageID(a.ID), Class: c.class(a.Message),
+		ID: raventrestle.MessageID(a.ID), Class: c.classIndex(a.Message),
 		Tenant: config.Index(c.conf.Names.Tenants, a.Tenant), Dest: raventrestle.DestID(a.Dest),
-		Budget: time.Duration(a.Until) - t, Resubmitted: a.again, Orphaned: a.orphan,
+		Budget: time.Duration(a.Until) - t, Resubmitted: a.resubmitted, Orphaned: a.orphaned,
 	}
 }
 
-// class is the index of the class that the message was taken with, -1 if it is not known any more.
-func (c *Courier) class(m *journal.Message) int {
+// classIndex returns the index of the class that the message was accepted with, -1 if it is unknown.
+func (c *Courier) classIndex(m *journal.Message) int {
 	i := config.Index(c.conf.Names.Classes, m.Class)
 	if m.Terms == "" || i >= 0 && c.conf.Names.Terms[m.Class] == m.Terms {
 		return i
 	}
 	class, err := config.OfTerms(m.Class, m.Terms)
 	if err != nil {
-		c.log.Error("courier: a class can't be read", "id", m.ID, "err", err)
+		c.log.Error("courier: a stored class can't be read", "id", m.ID, "err", err)
 	}
 	if i := slices.Index(c.conf.Settings.Classes, class); i >= 0 {
 		return i
 	}
-	// Of a life that had other settings: it stands behind the others, and no name leads to it.
+	// The class comes from a process with other settings. It is appended to the classes without an entry in Names, so new
+	// messages can't refer to it.
 	next := *c.conf
 	next.Settings.Classes = append(slices.Clone(next.Settings.Classes), class)
 	if err := c.policy.Reconfigure(next.Settings); err != nil {
-		c.log.Error("courier: a class can't be taken up", "id", m.ID, "class", m.Class, "err", err)
+		c.log.Error("courier: a stored class can't be added", "id", m.ID, "class", m.Class, "err", err)
 		return i
 	}
 	c.conf = &next
 	return len(next.Settings.Classes) - 1
 }
 
-// restored: a try that was out when the last process ended may have run.
-func (c *Courier) restored(k journal.Kept, t time.Duration) raventrestle.Restored {
-	r := raventrestle.Restored{Arrival: c.arrived(arrival{Message: k.Message}, t), Attempts: k.Tries, HandedOver: k.Handed || c.inherited}
+// restoredEvent treats an attempt that was in flight when the last process ended as one that may have run.
+func (c *Courier) restoredEvent(k journal.Kept, t time.Duration) raventrestle.Restored {
+	r := raventrestle.Restored{Arrival: c.arrivalEvent(arrival{Message: k.Message}, t), Attempts: k.Tries, HandedOver: k.Handed || c.inherited}
 	ran := k.Ran
 	if ran == nil {
 		ran = k.Out
--- a/internal/net/peer/peer.go
+++ b/internal/net/peer/peer.go
@@ -62,7 +62,7 @@
 	Config
 	quit  context.CancelFunc
 	idle  []*conn      // the one used last is last
-	until atomic.Int64 // nothing is written before that time, in Unix nanoseconds: see Hold
+	until atomic.Int64 // nothing is written before that time, in Unix nanoseconds: see BlockUntil
 	mu    sync.Mutex
 	ended bool // nobody reads the mailbox any more
 	mail  chan any
@@ -142,10 +142,10 @@
 // CloseIdle closes the connections that carry no call.
 func (p *Peer) CloseIdle() bool { return p.post(closeMsg{}) }
 
-// Hold keeps calls from being written before that time, those included whose connection is still
+// BlockUntil keeps calls from being written before that time, those included whose connection is still
 // coming up: that takes up to ConnectWithin, in which the route may be told to wait or the list may
 // name the peer as draining. They end as NotSent. The zero time lets calls through again.
-func (p *Peer) Hold(until time.Time) {
+func (p *Peer) BlockUntil(until time.Time) {
 	if until.IsZero() {
 		p.until.Store(0)
 		return
@@ -155,12 +155,12 @@
 	}
 }
 
-// Never is a Hold without end.
+// Never is a time for BlockUntil that never comes.
 var Never = time.Unix(0, math.MaxInt64)
 
 // Stop ends the actor; its idle connections are closed, and calls that are written run on.
 func (p *Peer) Stop() {
-	p.Hold(Never)
+	p.BlockUntil(Never)
 	p.quit()
 }
 
--- a/internal/net/peer/peer_test.go
+++ b/internal/net/peer/peer_test.go
@@ -369,20 +369,20 @@
 		p.Call([]Try{try(id, nettest.Patience)})
 		return nettest.Wait(t, "outcome", out).Status
 	}
-	p.Hold(time.Now().Add(time.Hour))
-	p.Hold(time.Now().Add(time.Second)) // a shorter one ends no longer one
+	p.BlockUntil(time.Now().Add(time.Hour))
+	p.BlockUntil(time.Now().Add(time.Second)) // a shorter one ends no longer one
 	if s := call("held"); s != raventrestle.NotSent {
 		t.Fatalf("a held call ended as %v", s)
 	}
 	time.Sleep(2 * rest)
-	p.Hold(time.Time{})
+	p.BlockUntil(time.Time{})
 	if s := call("later"); s != raventrestle.OK || p.Counts.Dials.Load() != 1 {
 		t.Fatalf("the call after it ended as %v, %d connections", s, p.Counts.Dials.Load())
 	}
 	if c := nettest.Wait(t, "call", end.Calls); c.Header.Get("X-Txn") != "later" || len(end.Calls) > 0 {
 		t.Fatalf("%s was written, and %d more", c.Header.Get("X-Txn"), len(end.Calls))
 	}
-	p.Hold(time.Now().Add(20 * time.Millisecond))
+	p.BlockUntil(time.Now().Add(20 * time.Millisecond))
 	time.Sleep(2 * rest)
 	if s := call("after"); s != raventrestle.OK {
 		t.Fatalf("a call after the wait ended as %v", s)
--- a/internal/net/upgrade/golden_test.go
+++ b/internal/net/upgrade/golden_test.go
@@ -31,10 +31,10 @@
 	f.Kept = append(f.Kept, kept...)
 	return len(kept), nil
 }
-func (f *follower) Settled()                          { f.Complete = true }
-func (f *follower) Heed(waits map[string]int64)       { f.Waits = waits }
-func (f *follower) Inherit(left []byte)               { f.Left = string(left) }
-func (f *follower) Elsewhere(ids []string, calls int) { f.Busy, f.Calls = ids, calls }
+func (f *follower) RecordAllAdopted()                       { f.Complete = true }
+func (f *follower) PauseTargets(waits map[string]int64)     { f.Waits = waits }
+func (f *follower) Inherit(left []byte)                     { f.Left = string(left) }
+func (f *follower) SetOtherProcess(ids []string, calls int) { f.Busy, f.Calls = ids, calls }
 
 func goldenMessage(id string) *journal.Message {
 	return &journal.Message{
--- a/internal/net/upgrade/life.go
+++ b/internal/net/upgrade/life.go
@@ -26,10 +26,10 @@
 // Courier is what the following of an earlier life is carried out on.
 type Courier interface {
 	Adopt([]journal.Kept) (n int, err error) // writes them down, then takes them up: the first n of them
-	Settled()                                // no earlier journal is there any more
-	Heed(waits map[string]int64)
+	RecordAllAdopted()                       // no earlier journal is there any more
+	PauseTargets(waits map[string]int64)
 	Inherit(left []byte)
-	Elsewhere(ids []string, calls int)
+	SetOtherProcess(ids []string, calls int)
 }
 
 // Life is this process's place in the folder that lasts: a folder of its own, with a lock that goes with the
@@ -213,7 +213,7 @@
 			l.log.Info("upgrade: taking over", "from", e.folder, "gone", gone, "adopted", len(plan.Adopt), "out there", plan.Calls)
 		}
 		if plan.Begin {
-			c.Heed(legacy.Waits)
+			c.PauseTargets(legacy.Waits)
 		}
 		if len(plan.Adopt) > 0 {
 			n, err := c.Adopt(plan.Adopt)
@@ -222,7 +222,7 @@
 			}
 		}
 		if plan.Begin {
-			c.Elsewhere(plan.Busy, plan.Calls)
+			c.SetOtherProcess(plan.Busy, plan.Calls)
 		}
 		if e.seen = true; !gone {
 			l.before = l.before[i:]
@@ -243,7 +243,7 @@
 		}
 		l.before = l.before[:len(l.before)-1]
 	}
-	c.Settled()
+	c.RecordAllAdopted()
 	return true, nil
 }
 
--- a/internal/net/upgrade/life_test.go
+++ b/internal/net/upgrade/life_test.go
@@ -32,10 +32,13 @@
 	return len(kept), nil
 }
 
-func (h *heir) Settled()                    { h.settled = true; h.Append([]journal.Record{journal.Settled()}, nil) }
-func (h *heir) Heed(map[string]int64)       {}
-func (h *heir) Inherit([]byte)              {}
-func (h *heir) Elsewhere(_ []string, _ int) {}
+func (h *heir) RecordAllAdopted() {
+	h.settled = true
+	h.Append([]journal.Record{journal.Settled()}, nil)
+}
+func (h *heir) PauseTargets(map[string]int64)     {}
+func (h *heir) Inherit([]byte)                    {}
+func (h *heir) SetOtherProcess(_ []string, _ int) {}
 
 var errDead = errors.New("the process is dead")
 
