--- a/cmd/raventrestle/serve.go
+++ b/cmd/raventrestle/serve.go
@@ -27,11 +27,11 @@
 	"raventrestle/internal/learned"
 	"raventrestle/internal/lifecycle"
 	"raventrestle/internal/net/admin"
+	"raventrestle/internal/net/connlimit"
 	"raventrestle/internal/net/courier"
-	"raventrestle/internal/net/front"
-	"raventrestle/internal/net/gate"
 	"raventrestle/internal/net/instance"
 	"raventrestle/internal/net/monitor"
+	"raventrestle/internal/net/submission"
 	"raventrestle/internal/net/upgrade"
 	"raventrestle/internal/settings"
 )
@@ -56,10 +56,10 @@
 	store       *journal.Store
 	deadLetters *deadletter.Keeper // nil where none are kept
 	courier     *courier.Courier
-	front       *front.Front
+	front       *submission.Handler
 	figures     *figures.Book
 	handing     atomic.Bool // to the process that follows
-	clients     *gate.Gate
+	clients     *connlimit.Limiter
 	fleet       *fellows // nil where nothing is shared
 }
 
@@ -167,7 +167,7 @@
 		defer keeper.Close()
 		d.courier.UseLearned(d.before(life.Folder), keeper)
 	}
-	d.front = front.New(d.courier, d.conf.Names, d.figures, d.log)
+	d.front = submission.New(d.courier, d.conf.Names, d.figures, d.log)
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	if d.deadLetters != nil {
@@ -197,12 +197,12 @@
 			return err
 		}
 	}
-	clients := gate.New(listener, descriptors, front.Room)
+	clients := connlimit.New(listener, descriptors, submission.ConnTimeouts)
 	d.clients = clients
 	server := &http.Server{
 		Handler: d.front, ReadHeaderTimeout: 2 * time.Second, ReadTimeout: 2500 * time.Millisecond,
 		WriteTimeout: 15 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10,
-		ConnContext: gate.ConnContext, ConnState: clients.SetState,
+		ConnContext: connlimit.ConnContext, ConnState: clients.SetState,
 		ErrorLog: slog.NewLogLogger(d.log.Handler(), slog.LevelWarn),
 	}
 	failed := make(chan error, 1)
@@ -235,7 +235,7 @@
 			}
 			closing, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
 			defer cancel()
-			if err := clients.End(closing); err != nil && !errors.Is(err, net.ErrClosed) { // closed where another follows
+			if err := clients.Shutdown(closing); err != nil && !errors.Is(err, net.ErrClosed) { // closed where another follows
 				d.log.Warn("raventrestle: client connections", "err", err)
 			}
 			stop()
@@ -260,11 +260,11 @@
 // end waits until nothing is owed and no client's connection is left, or its time is up. From now on each answer
 // closes its connection. Those between requests go at once, but none with a request to be read; new ones, which still
 // come for a while, are given the time in which a client sends.
-func (d *daemon) end(began time.Time, clients *gate.Gate) {
+func (d *daemon) end(began time.Time, clients *connlimit.Limiter) {
 	quiet := d.courier.Close(began.Add(lastWord))
 	look := time.NewTicker(lookAtClients)
 	defer look.Stop()
-	for left := clients.Dismiss(front.Room.Busy); ; left = clients.Dismiss(front.Room.Busy) {
+	for left := clients.CloseIdle(submission.ConnTimeouts.Request); ; left = clients.CloseIdle(submission.ConnTimeouts.Request) {
 		at := time.Since(began)
 		if at > lastWord || left == 0 && quiet == nil && at > lastGuest {
 			return
@@ -279,12 +279,12 @@
 
 // handOver leaves the clients' socket and all that is held to the process that follows. Connections that are
 // still open are closed behind their next answer; those that stay silent for long, between requests.
-func (d *daemon) handOver(began time.Time, clients *gate.Gate) {
+func (d *daemon) handOver(began time.Time, clients *connlimit.Limiter) {
 	d.handing.Store(true)
 	if err := clients.Close(); err != nil {
 		d.log.Warn("raventrestle: client connections", "err", err)
 	}
-	d.front.Leave()
+	d.front.CloseConnections()
 	quiet := d.courier.HandOver()
 	d.tell(lifecycle.End{})
 	look := time.NewTicker(20 * time.Millisecond)
@@ -298,7 +298,7 @@
 				d.log.Warn("raventrestle: not all is handed over", "client connections", left, "owed", quiet != nil)
 				return
 			} else if at > lastPatience {
-				left = clients.Dismiss(0)
+				left = clients.CloseIdle(0)
 			}
 		}
 	}
@@ -468,7 +468,7 @@
 	for name := range next.Names.Classes {
 		d.figures.Class(name)
 	}
-	d.front.Serve(next.Names)
+	d.front.SetNames(next.Names)
 	if next.Discovery != d.held.Discovery {
 		d.courier.SetDiscovery(next.Discovery)
 	}
@@ -479,10 +479,10 @@
 // count prints what was taken in, sent and answered.
 func (d *daemon) count() {
 	in, out, net := &d.front.Counts, &d.courier.Counts, &d.courier.Counts.Peers
-	d.log.Info("counters: client connections", "requests", in.Requests.Load(), "taken", in.Taken.Load(),
-		"refused", in.Refused.Load(), "bad_form", in.BadForm.Load(), "too_large", in.TooLarge.Load(),
-		"left", in.Left.Load(), "closed_unanswered", d.clients.Unanswered.Load())
-	d.log.Info("counters: messages", "taken", out.Taken.Load(), "restored", out.Restored.Load(), "full", out.Full.Load(),
+	d.log.Info("counters: client connections", "requests", in.Requests.Load(), "taken", in.Accepted.Load(),
+		"refused", in.Rejected.Load(), "bad_form", in.Malformed.Load(), "too_large", in.TooLarge.Load(),
+		"left", in.ClientLeft.Load(), "closed_unanswered", d.clients.Unanswered.Load())
+	d.log.Info("counters: messages", "taken", out.Accepted.Load(), "restored", out.Restored.Load(), "full", out.Full.Load(),
 		"withdrawn", out.Withdrawn.Load(), "delivered", out.Delivered.Load(), "void", out.Void.Load(),
 		"deferred", out.Deferred.Load(), "undeliverable", out.Undeliverable.Load())
 	names := []string{"ok", "error", "full", "timed_out", "connect_failed", "reset", "cancelled", "moot"}
--- a/internal/net/courier/act.go
+++ b/internal/net/courier/act.go
@@ -9,7 +9,7 @@
 	"raventrestle"
 	"raventrestle/internal/deadletter/rule"
 	"raventrestle/internal/journal"
-	"raventrestle/internal/net/notice"
+	"raventrestle/internal/net/notify"
 	"raventrestle/internal/net/peer"
 )
 
@@ -32,7 +32,7 @@
 	records []journal.Record
 	calls   []*pendingCall
 	notSent []raventrestle.Outcome // outcomes of attempts whose target is no longer listed for the destination
-	endings []notice.Item          // messages that ended in this step; the platform has to be notified
+	endings []notify.Notification  // messages that ended in this step; the platform has to be notified
 }
 
 // applyActions carries out the actions in order. Calls and notifications start only after the journal write.
@@ -148,7 +148,7 @@
 	if m != nil {
 		c.countEnding(m.Message, false, true)
 	}
-	e.endings = append(e.endings, notice.Item{ID: string(a.ID), End: end})
+	e.endings = append(e.endings, notify.Notification{ID: string(a.ID), End: end})
 }
 
 // fail ends a message that may have run. A message that is kept as a dead letter, or that another process takes over,
@@ -169,12 +169,12 @@
 	if m != nil {
 		c.countEnding(m.Message, false, false)
 	}
-	e.endings = append(e.endings, notice.Item{ID: string(a.ID)})
+	e.endings = append(e.endings, notify.Notification{ID: string(a.ID)})
 }
 
 // afterJournalWrite starts the calls and notifications of a step after its journal write. If the write failed, the calls
 // are not made, but the platform is still notified of messages that ended.
-func (c *Courier) afterJournalWrite(err error, calls []*pendingCall, endings []notice.Item) {
+func (c *Courier) afterJournalWrite(err error, calls []*pendingCall, endings []notify.Notification) {
 	if err != nil {
 		c.log.Error("courier: journal", "err", err)
 	}
--- a/internal/net/courier/courier.go
+++ b/internal/net/courier/courier.go
@@ -17,9 +17,9 @@
 	"raventrestle/internal/figures"
 	"raventrestle/internal/journal"
 	"raventrestle/internal/lifecycle"
-	"raventrestle/internal/net/notice"
+	"raventrestle/internal/net/discovery"
+	"raventrestle/internal/net/notify"
 	"raventrestle/internal/net/peer"
-	"raventrestle/internal/net/upstream"
 )
 
 // ErrFull is returned by Take when the courier has as many pending messages as its settings allow.
@@ -27,7 +27,7 @@
 
 // Counts are counters of what the courier has done since the process started.
 type Counts struct {
-	Taken, Full, Withdrawn, Restored         atomic.Int64
+	Accepted, Full, Withdrawn, Restored      atomic.Int64
 	Delivered, Void, Deferred, Undeliverable atomic.Int64
 	Steps, LateSteps, Panics                 atomic.Int64
 	ByStatus                                 [raventrestle.NotSent + 1]atomic.Int64
@@ -41,8 +41,8 @@
 	policy      *raventrestle.Policy
 	log         *slog.Logger
 	journal     *journal.Store
-	group       *upstream.Group
-	notices     *notice.Sender
+	group       *discovery.Watcher
+	notices     *notify.Sender
 	mailbox     chan any
 	drained     chan struct{}      // closed when a courier that is shutting down or handing over has no pending messages
 	deadLetters *deadletter.Keeper // nil if undeliverable messages are not kept
@@ -92,7 +92,7 @@
 // listedPeer is a peer with its entry in the endpoint list.
 type listedPeer struct {
 	*peer.Peer
-	entry upstream.Entry
+	entry discovery.Entry
 }
 
 // arrival is a message whose client has been told that it was accepted.
@@ -124,8 +124,8 @@
 		msgs: map[raventrestle.MessageID]*message{}, peers: map[raventrestle.TargetID]*listedPeer{},
 	}
 	c.applyLimits(settings)
-	c.notices = notice.New(conf.Discovery, mailboxSize, log, c.notificationsDelivered)
-	c.group = upstream.New(conf.Discovery, conf.Known, &conf.Settings, conf.Names, log, func(u upstream.Update) { c.mailbox <- u })
+	c.notices = notify.New(conf.Discovery, mailboxSize, log, c.notificationsDelivered)
+	c.group = discovery.New(conf.Discovery, conf.Known, &conf.Settings, conf.Names, log, func(u discovery.Update) { c.mailbox <- u })
 	for _, k := range kept {
 		if k.Resend > 0 {
 			c.resendIDs[k.ID] = true
@@ -134,7 +134,7 @@
 		}
 		c.pendingIDs[k.ID] = true
 		if k.Owed != nil {
-			c.notices.Add(notice.Item{ID: k.ID, End: *k.Owed})
+			c.notices.Add(notify.Notification{ID: k.ID, End: *k.Owed})
 			continue
 		}
 		c.Counts.Restored.Add(1)
@@ -145,7 +145,7 @@
 }
 
 // startPeer starts the peer for an entry of the endpoint list.
-func (c *Courier) startPeer(ctx context.Context, e upstream.Entry) *peer.Peer {
+func (c *Courier) startPeer(ctx context.Context, e discovery.Entry) *peer.Peer {
 	p := peer.New(ctx, peer.Config{
 		Name: string(e.Target), Addr: e.Addr, ConnectWithin: c.conf.Settings.ConnectTimeout,
 		IdleClose: c.conf.Settings.IdleTimeout, Mailbox: 4*c.conf.Settings.CallSlots + 16, Log: c.log, Counts: &c.Counts.Peers,
@@ -257,8 +257,8 @@
 
 // SetDiscovery changes the address that is asked for the endpoint list and sent notifications.
 func (c *Courier) SetDiscovery(discovery string) {
-	c.group.Move(discovery)
-	c.notices.Move(discovery)
+	c.group.SetAddress(discovery)
+	c.notices.SetAddress(discovery)
 }
 
 // Close makes the courier finish its messages by the deadline. The returned channel closes if no message is pending before
--- a/internal/net/courier/courier_test.go
+++ b/internal/net/courier/courier_test.go
@@ -16,9 +16,9 @@
 	"raventrestle/internal/figures"
 	"raventrestle/internal/journal"
 	"raventrestle/internal/lifecycle"
-	"raventrestle/internal/net/front"
+	"raventrestle/internal/net/discovery"
 	"raventrestle/internal/net/nettest"
-	"raventrestle/internal/net/upstream"
+	"raventrestle/internal/net/submission"
 )
 
 func newTestCourier(t *testing.T, knownList string) *Courier {
@@ -52,7 +52,7 @@
 func TestAttemptsOfAStepShareCalls(t *testing.T) {
 	endpoint := nettest.NewPeer(t, nettest.Answer(nettest.Plain(500, "", "")))
 	c := newTestCourier(t, "")
-	c.applyList(t.Context(), upstream.Update{Entries: []upstream.Entry{{
+	c.applyList(t.Context(), discovery.Update{Entries: []discovery.Entry{{
 		Addr:  endpoint.Addr(),
 		Entry: raventrestle.Entry{Target: "p", Dest: 7, Zone: -1},
 	}}})
@@ -92,7 +92,7 @@
 		}
 	}
 	c.Admit(&journal.Message{ID: "a"}, false, false)
-	if a, b, d := take("a"), take("b"), take("d"); !errors.Is(a, front.ErrKnown) || !errors.Is(b, ErrFull) || !errors.Is(d, ErrFull) {
+	if a, b, d := take("a"), take("b"), take("d"); !errors.Is(a, submission.ErrDuplicate) || !errors.Is(b, ErrFull) || !errors.Is(d, ErrFull) {
 		t.Fatal(a, b, d)
 	}
 	c.Withdraw(&journal.Message{ID: "b"})
@@ -105,19 +105,19 @@
 // endpoint is accepted, since another may come.
 func TestTakeRefusesUnknownDestination(t *testing.T) {
 	c := newTestCourier(t, "")
-	ready := upstream.Update{Entries: []upstream.Entry{{Addr: "127.0.0.1:1", Entry: raventrestle.Entry{Target: "p", Dest: 7}}}}
+	ready := discovery.Update{Entries: []discovery.Entry{{Addr: "127.0.0.1:1", Entry: raventrestle.Entry{Target: "p", Dest: 7}}}}
 	c.applyList(t.Context(), ready)
 	take := func(id string, dest int64) error { return c.Take(&journal.Message{ID: id, Class: "c", Dest: dest}) }
-	if other, own := take("a", 8), take("b", 7); !errors.Is(other, front.ErrNoDest) || own != nil {
+	if other, own := take("a", 8), take("b", 7); !errors.Is(other, submission.ErrUnknownDest) || own != nil {
 		t.Fatal(other, own)
 	}
-	c.applyList(t.Context(), upstream.Update{How: raventrestle.ListSnapshot})
+	c.applyList(t.Context(), discovery.Update{Kind: raventrestle.ListSnapshot})
 	if err := take("c", 7); err != nil {
 		t.Fatal(err)
 	}
 	c.updateDestinations(time.Now().Add(time.Minute))
-	c.applyList(t.Context(), upstream.Update{Entries: []upstream.Entry{{Addr: "127.0.0.1:1", Entry: raventrestle.Entry{Target: "q", Dest: 9}}}})
-	if err := take("d", 7); !errors.Is(err, front.ErrNoDest) {
+	c.applyList(t.Context(), discovery.Update{Entries: []discovery.Entry{{Addr: "127.0.0.1:1", Entry: raventrestle.Entry{Target: "q", Dest: 9}}}})
+	if err := take("d", 7); !errors.Is(err, submission.ErrUnknownDest) {
 		t.Fatal(err)
 	}
 }
@@ -163,13 +163,13 @@
 			c := newTestCourier(t, "")
 			c.conf.Settings.Kinds[0].RoutePerTarget = perTarget
 			applyList := func(state raventrestle.Readiness) {
-				u := upstream.Update{}
+				u := discovery.Update{}
 				for target, dest := range map[raventrestle.TargetID]raventrestle.DestID{"told": 7, "mate": 7, "other": 8, "drains": 9} {
 					e := raventrestle.Entry{Target: target, Dest: dest, Zone: -1}
 					if target == "drains" {
 						e.State = state
 					}
-					u.Entries = append(u.Entries, upstream.Entry{Addr: endpoint.Addr(), Entry: e})
+					u.Entries = append(u.Entries, discovery.Entry{Addr: endpoint.Addr(), Entry: e})
 				}
 				c.applyList(t.Context(), u)
 			}
@@ -204,7 +204,7 @@
 func TestRetryPastItsSendDeadlineIsNotWritten(t *testing.T) {
 	endpoint := nettest.NewPeer(t, nettest.Answer(nettest.Plain(500, "", "")))
 	c := newTestCourier(t, "")
-	c.applyList(t.Context(), upstream.Update{Entries: []upstream.Entry{{
+	c.applyList(t.Context(), discovery.Update{Entries: []discovery.Entry{{
 		Addr:  endpoint.Addr(),
 		Entry: raventrestle.Entry{Target: "p", Dest: 7, Zone: -1},
 	}}})
--- a/internal/net/courier/deadletters.go
+++ b/internal/net/courier/deadletters.go
@@ -7,7 +7,7 @@
 	"raventrestle/internal/deadletter"
 	"raventrestle/internal/deadletter/rule"
 	"raventrestle/internal/journal"
-	"raventrestle/internal/net/notice"
+	"raventrestle/internal/net/notify"
 )
 
 // UseDeadLetters makes the courier keep undeliverable messages as dead letters. Call it before Run.
@@ -83,7 +83,7 @@
 		class = c.conf.Settings.Classes[i]
 	}
 	l := deadletter.Of(journal.Kept{Message: m.Message, Progress: m.Progress}, class, c.giveUpReason(m, class, t), time.Unix(0, int64(t)))
-	it := notice.Item{ID: m.ID}
+	it := notify.Notification{ID: m.ID}
 	c.deadLetters.Keep(l, end.Deferred, func(err error) { // the keeper has counted and logged a failed write
 		if err != nil {
 			it.End = end
@@ -95,8 +95,8 @@
 			c.Counts.Undeliverable.Add(1)
 		}
 		done := func(err error) {
-			c.recordEndings(err, nil, []notice.Item{it})
-			c.afterJournalWrite(err, nil, []notice.Item{it})
+			c.recordEndings(err, nil, []notify.Notification{it})
+			c.afterJournalWrite(err, nil, []notify.Notification{it})
 		}
 		if err := c.journal.Append([]journal.Record{journal.Ended(it.ID, it.End)}, done); err != nil {
 			done(err)
--- a/internal/net/courier/fleet_test.go
+++ b/internal/net/courier/fleet_test.go
@@ -8,7 +8,7 @@
 
 	"raventrestle"
 	"raventrestle/internal/fleet/facts"
-	"raventrestle/internal/net/upstream"
+	"raventrestle/internal/net/discovery"
 )
 
 // fakeFleet returns the given facts and records what it learns.
@@ -41,9 +41,9 @@
 	c.UseFleet(f)
 	<-c.exchangeTimer()
 	applyList := func(index int64, names ...string) {
-		u := upstream.Update{How: raventrestle.ListSnapshot, Index: index}
+		u := discovery.Update{Kind: raventrestle.ListSnapshot, Index: index}
 		for _, n := range names {
-			u.Entries = append(u.Entries, upstream.Entry{Addr: "127.0.0.1:1", Entry: raventrestle.Entry{Target: raventrestle.TargetID(n), Dest: 7, Zone: -1}})
+			u.Entries = append(u.Entries, discovery.Entry{Addr: "127.0.0.1:1", Entry: raventrestle.Entry{Target: raventrestle.TargetID(n), Dest: 7, Zone: -1}})
 		}
 		c.policy.Step(now(), []raventrestle.Event{c.applyList(t.Context(), u)})
 	}
--- a/internal/net/courier/handover.go
+++ b/internal/net/courier/handover.go
@@ -6,7 +6,7 @@
 
 	"raventrestle"
 	"raventrestle/internal/journal"
-	"raventrestle/internal/net/notice"
+	"raventrestle/internal/net/notify"
 )
 
 // Processes of one courier hand over to each other through the journal of the process that leaves (see
@@ -86,7 +86,7 @@
 		}
 		n++
 		if k.Owed != nil {
-			c.notices.Add(notice.Item{ID: k.ID, End: *k.Owed})
+			c.notices.Add(notify.Notification{ID: k.ID, End: *k.Owed})
 			continue
 		}
 		c.Counts.Restored.Add(1)
--- a/internal/net/courier/history.go
+++ b/internal/net/courier/history.go
@@ -8,7 +8,7 @@
 	"raventrestle/internal/fleet/facts"
 	"raventrestle/internal/history"
 	"raventrestle/internal/journal"
-	"raventrestle/internal/net/notice"
+	"raventrestle/internal/net/notify"
 )
 
 // History receives what the courier does, for checks after a test run (internal/lab/history). Write does not block and is
@@ -77,7 +77,7 @@
 
 // recordEndings records ends after their journal write. If the write failed, only the messages that were given up are
 // recorded: the platform is notified of these anyway, while an answered message would be attempted again.
-func (c *Courier) recordEndings(err error, finalAnswers []history.Record, endings []notice.Item) {
+func (c *Courier) recordEndings(err error, finalAnswers []history.Record, endings []notify.Notification) {
 	if c.history == nil {
 		return
 	}
--- a/internal/net/courier/history_test.go
+++ b/internal/net/courier/history_test.go
@@ -12,8 +12,8 @@
 	"raventrestle/internal/fleet/facts"
 	"raventrestle/internal/history"
 	"raventrestle/internal/journal"
-	"raventrestle/internal/net/notice"
-	"raventrestle/internal/net/upstream"
+	"raventrestle/internal/net/discovery"
+	"raventrestle/internal/net/notify"
 )
 
 // recordedLines is a history as text lines.
@@ -40,9 +40,9 @@
 	f := &fakeFleet{facts: map[facts.Key]facts.Evidence{}}
 	c.UseFleet(f)
 	<-c.exchangeTimer()
-	u := upstream.Update{How: raventrestle.ListSnapshot}
+	u := discovery.Update{Kind: raventrestle.ListSnapshot}
 	for _, n := range []raventrestle.TargetID{"a", "b"} {
-		u.Entries = append(u.Entries, upstream.Entry{Addr: "127.0.0.1:1", Entry: raventrestle.Entry{Target: n, Dest: 7, Zone: -1}})
+		u.Entries = append(u.Entries, discovery.Entry{Addr: "127.0.0.1:1", Entry: raventrestle.Entry{Target: n, Dest: 7, Zone: -1}})
 	}
 	c.policy.Step(now(), []raventrestle.Event{c.applyList(t.Context(), u)})
 
@@ -87,7 +87,7 @@
 	want("an outage that is too old", "fact taken o/5/1outage b")
 
 	c.addPendingEnding("m", raventrestle.OK)
-	c.recordEndings(errors.New("disk"), c.takePendingEndings(), []notice.Item{{ID: "n", End: journal.End{Deferred: true}}, {ID: "o"}})
+	c.recordEndings(errors.New("disk"), c.takePendingEndings(), []notify.Notification{{ID: "n", End: journal.End{Deferred: true}}, {ID: "o"}})
 	want("a failed write", "message ended ndeferred ", "message ended oundeliverable ")
 	c.addPendingEnding("m", raventrestle.Error)
 	c.recordEndings(nil, c.takePendingEndings(), nil)
--- a/internal/net/courier/intake.go
+++ b/internal/net/courier/intake.go
@@ -4,7 +4,7 @@
 
 import (
 	"raventrestle/internal/journal"
-	"raventrestle/internal/net/front"
+	"raventrestle/internal/net/submission"
 )
 
 // Take writes a message into the journal, unless the courier is full. The caller then calls Admit or Withdraw.
@@ -20,10 +20,10 @@
 	}
 	c.mu.Unlock()
 	if admitted {
-		return front.ErrKnown
+		return submission.ErrDuplicate
 	}
 	if !served {
-		return front.ErrNoDest
+		return submission.ErrUnknownDest
 	}
 	if full || known {
 		c.Counts.Full.Add(1)
@@ -40,7 +40,7 @@
 
 // Admit starts the delivery of a message whose client has been told that it was accepted.
 func (c *Courier) Admit(m *journal.Message, again, orphan bool) {
-	c.Counts.Taken.Add(1)
+	c.Counts.Accepted.Add(1)
 	c.Metrics.Pending.Add(1)
 	c.mu.Lock()
 	c.pendingIDs[m.ID] = true
--- a/internal/net/courier/list.go
+++ b/internal/net/courier/list.go
@@ -10,14 +10,14 @@
 
 	"raventrestle"
 	"raventrestle/internal/lifecycle"
+	"raventrestle/internal/net/discovery"
 	"raventrestle/internal/net/peer"
-	"raventrestle/internal/net/upstream"
 )
 
 // applyList starts, stops and holds peers according to the endpoint list.
-func (c *Courier) applyList(ctx context.Context, u upstream.Update) raventrestle.ListUpdate {
-	l := raventrestle.ListUpdate{Kind: u.How}
-	if stale := u.How == raventrestle.ListFailed; u.How != raventrestle.ListCached {
+func (c *Courier) applyList(ctx context.Context, u discovery.Update) raventrestle.ListUpdate {
+	l := raventrestle.ListUpdate{Kind: u.Kind}
+	if stale := u.Kind == raventrestle.ListFailed; u.Kind != raventrestle.ListCached {
 		if stale && !c.listStale {
 			c.OnLifecycleEvent(lifecycle.Began{Trouble: lifecycle.ListStale})
 		} else if !stale && c.listStale {
@@ -54,8 +54,8 @@
 		c.peers[e.Target] = &listedPeer{entry: e, Peer: c.startPeer(ctx, e)}
 	}
 	for id, r := range c.peers {
-		complete := u.How == raventrestle.ListSnapshot || u.How == raventrestle.ListCached
-		removed := slices.ContainsFunc(u.Entries, func(e upstream.Entry) bool {
+		complete := u.Kind == raventrestle.ListSnapshot || u.Kind == raventrestle.ListCached
+		removed := slices.ContainsFunc(u.Entries, func(e discovery.Entry) bool {
 			return e.Target == id && e.State == raventrestle.Removed
 		})
 		if removed || complete && !listed[id] {
--- a/internal/net/courier/metrics_test.go
+++ b/internal/net/courier/metrics_test.go
@@ -11,8 +11,8 @@
 
 	"raventrestle"
 	"raventrestle/internal/journal"
+	"raventrestle/internal/net/discovery"
 	"raventrestle/internal/net/nettest"
-	"raventrestle/internal/net/upstream"
 )
 
 // However messages end (answered, refused, failed, lost, expired, withdrawn by clients that left, handed over to the next
@@ -46,7 +46,7 @@
 			})
 			platform := nettest.NewPeer(t, nettest.Answer("HTTP/1.1 204 No Content\r\n\r\n"))
 			c := newTestCourier(t, "")
-			c.notices.Move(platform.Addr())
+			c.notices.SetAddress(platform.Addr())
 			c.conf.Settings.MaxMessages, c.maxMessages = 40, 40
 			if err := c.policy.Reconfigure(c.conf.Settings); err != nil {
 				t.Fatal(err)
@@ -54,7 +54,7 @@
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
 			go c.Run(ctx)
-			c.mailbox <- upstream.Update{How: raventrestle.ListSnapshot, Entries: []upstream.Entry{{Addr: endpoint.Addr(), Entry: raventrestle.Entry{Target: "p", Dest: 7, Zone: -1}}}}
+			c.mailbox <- discovery.Update{Kind: raventrestle.ListSnapshot, Entries: []discovery.Entry{{Addr: endpoint.Addr(), Entry: raventrestle.Entry{Target: "p", Dest: 7, Zone: -1}}}}
 			class := c.Metrics.Class("c")
 			accepted, handedOver := int64(0), int64(0)
 			check := func(slack int64) {
--- a/internal/net/courier/step.go
+++ b/internal/net/courier/step.go
@@ -13,7 +13,7 @@
 	"raventrestle/internal/config"
 	"raventrestle/internal/deadletter"
 	"raventrestle/internal/journal"
-	"raventrestle/internal/net/upstream"
+	"raventrestle/internal/net/discovery"
 )
 
 // step passes the queued messages to the policy: first list updates, then outcomes, then the rest.
@@ -26,7 +26,7 @@
 	others = append(others, c.yieldResends(mail)...)
 	for _, m := range mail {
 		switch m := m.(type) {
-		case upstream.Update:
+		case discovery.Update:
 			lists = append(lists, c.applyList(ctx, m))
 		case raventrestle.Outcome:
 			outcomes = append(outcomes, m)
--- a/internal/net/upstream/upstream_test.go
+++ b/internal/net/discovery/watcher_test.go
@@ -1,4 +1,4 @@
-package upstream
+package discovery
 
 import (
 	"net"
@@ -13,12 +13,12 @@
 	"raventrestle/internal/net/nettest"
 )
 
-const known = `{"index":41,"snapshot":true,"endpoints":[{"name":"s-1","address":"127.0.0.1:1","zone":"b",` +
+const cachedListJSON = `{"index":41,"snapshot":true,"endpoints":[{"name":"s-1","address":"127.0.0.1:1","zone":"b",` +
 	`"type":"m2","group":3,"status":"SERVING","weight":1.5,"since_ms":1500,"new":{"a":[]}}]}`
 
-// The list starts from what is known; changes and whole lists follow, each watch right after the
-// last answer and from its version; a failure is told, and the next watch waits to be asked.
-func TestWatch(t *testing.T) {
+// The watcher starts with the cached list. Changes and complete lists follow; each watch starts right after the last answer
+// and from its version. A failure is reported, and the next watch starts only on request.
+func TestWatchFollowsList(t *testing.T) {
 	answers := []string{
 		nettest.Plain(200, "", `{"index":43,"snapshot":false,"endpoints":[{"name":"s-1","address":"127.0.0.1:1",`+
 			`"zone":"?","type":"?","group":3,"status":"DRAINING"},{"name":"s-2","status":"DELETED"},{"name":"s-3","status":"NEW"}]}`),
@@ -29,41 +29,41 @@
 	}
 	discovery := nettest.NewPeer(t, func(c net.Conn, call nettest.Call) bool {
 		if call.N > len(answers) {
-			return true // a watch that waits
+			return true // a watch without an answer
 		}
 		return nettest.Answer(answers[call.N-1])(c, call)
 	})
 	names := &config.Names{Kinds: map[string]int{"m1": 0, "m2": 1}, Zones: map[string]int{"a": 0, "b": 1}}
 	updates := make(chan Update, 16)
-	few := &raventrestle.Settings{ListOnRequest: true, ListRequestTimeout: 10 * time.Second}
-	g := New(discovery.Addr(), []byte(known), few, names, nettest.Log, func(u Update) { updates <- u })
-	go g.Run(t.Context())
+	settings := &raventrestle.Settings{ListOnRequest: true, ListRequestTimeout: 10 * time.Second}
+	w := New(discovery.Addr(), []byte(cachedListJSON), settings, names, nettest.Log, func(u Update) { updates <- u })
+	go w.Run(t.Context())
 	entry := func(name string, state raventrestle.Readiness) Entry {
 		return Entry{Entry: raventrestle.Entry{Target: raventrestle.TargetID(name), State: state, Kind: -1, Zone: -1}}
 	}
-	drains := entry("s-1", raventrestle.Draining)
-	drains.Addr, drains.Dest = "127.0.0.1:1", 3
+	draining := entry("s-1", raventrestle.Draining)
+	draining.Addr, draining.Dest = "127.0.0.1:1", 3
 	want := []Update{
 		{raventrestle.ListCached, []Entry{{Addr: "127.0.0.1:1", Entry: raventrestle.Entry{
 			Target: "s-1", Dest: 3,
 			Kind: 1, Zone: 1, RateLimit: 1.5, JoinedAt: 1500 * time.Millisecond,
 		}}}, 41},
-		{raventrestle.ListChanges, []Entry{drains, entry("s-2", raventrestle.Removed), entry("s-3", raventrestle.Draining)}, 43},
+		{raventrestle.ListChanges, []Entry{draining, entry("s-2", raventrestle.Removed), entry("s-3", raventrestle.Draining)}, 43},
 		{raventrestle.ListSnapshot, nil, 44},
-		{How: raventrestle.ListFailed},
-		{How: raventrestle.ListFailed},
+		{Kind: raventrestle.ListFailed},
+		{Kind: raventrestle.ListFailed},
 		{raventrestle.ListChanges, nil, 45},
 	}
-	for i, w := range want {
-		if i == 0 || i >= 4 { // at the start, and after each failure
-			g.Subscribe()
+	for i, expected := range want {
+		if i == 0 || i >= 4 { // at the start and after each failure
+			w.Subscribe()
 		}
-		if diff := cmp.Diff(w, nettest.Wait(t, "update", updates)); diff != "" {
+		if diff := cmp.Diff(expected, nettest.Wait(t, "update", updates)); diff != "" {
 			t.Fatalf("update %d: %s", i, diff)
 		}
-		if w.How == raventrestle.ListFailed {
+		if expected.Kind == raventrestle.ListFailed {
 			if n := len(discovery.Calls); n != i {
-				t.Fatalf("%d calls after update %d: a watch was made unasked", n, i)
+				t.Fatalf("%d calls after update %d: a watch started without a request", n, i)
 			}
 		}
 	}
@@ -73,8 +73,8 @@
 		if !strings.HasPrefix(call.Query, "index="+index+"&wait=") {
 			t.Errorf("watch %d: %s", i, call.Query)
 		}
-		// discovery ends a watch whose next call comes more than 200 ms after its answer; here any
-		// pause of the program's own would show, and a busy machine's would not
+		// Discovery ends a watch whose next call comes more than 200 ms after its answer. The bound is wider, so that it detects
+		// a pause in the code but not a busy machine.
 		if gap := call.At.Sub(last); i == 1 && gap > time.Second {
 			t.Errorf("the next watch came after %v", gap)
 		}
@@ -82,20 +82,20 @@
 	}
 }
 
-// A known list that can't be read stops no start: the group begins with none and asks for all of it.
-func TestUnreadableKnownListIsSetAside(t *testing.T) {
+// A cached list that can't be read does not prevent the start: the watcher fetches the complete list.
+func TestUnreadableCachedListIsIgnored(t *testing.T) {
 	for _, text := range []string{`{"index":`, `[]`, `{"endpoints":[]}`, `{"index":41,"endpoints":[{"name":7}]}`, "null"} {
-		discovery := nettest.NewPeer(t, nettest.Answer(nettest.Plain(200, "", known)))
+		discovery := nettest.NewPeer(t, nettest.Answer(nettest.Plain(200, "", cachedListJSON)))
 		updates := make(chan Update, 16)
-		g := New(discovery.Addr(), []byte(text), &raventrestle.Settings{ListOnRequest: true}, &config.Names{}, nettest.Log, func(u Update) { updates <- u })
-		go g.Run(t.Context())
-		g.Subscribe()
-		first, then := nettest.Wait(t, "update", updates), nettest.Wait(t, "update", updates)
-		if first.How != raventrestle.ListCached || len(first.Entries) > 0 || then.How != raventrestle.ListSnapshot || len(then.Entries) != 1 {
-			t.Errorf("%s: %+v, then %+v", text, first, then)
+		w := New(discovery.Addr(), []byte(text), &raventrestle.Settings{ListOnRequest: true}, &config.Names{}, nettest.Log, func(u Update) { updates <- u })
+		go w.Run(t.Context())
+		w.Subscribe()
+		first, second := nettest.Wait(t, "update", updates), nettest.Wait(t, "update", updates)
+		if first.Kind != raventrestle.ListCached || len(first.Entries) > 0 || second.Kind != raventrestle.ListSnapshot || len(second.Entries) != 1 {
+			t.Errorf("%s: %+v, then %+v", text, first, second)
 		}
 		if call := nettest.Wait(t, "call", discovery.Calls); call.Query != "" {
-			t.Errorf("%s: asked with %q", text, call.Query)
+			t.Errorf("%s: called with query %q", text, call.Query)
 		}
 	}
 }
--- a/internal/net/monitor/monitor.go
+++ b/internal/net/monitor/monitor.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"raventrestle/internal/figures"
-	"raventrestle/internal/net/gate"
+	"raventrestle/internal/net/connlimit"
 	"raventrestle/internal/net/instance"
 )
 
@@ -26,7 +26,7 @@
 
 // room: whoever comes while all places are taken gets that of the one that has said nothing whole for
 // longest. A caller that speaks at once keeps its place.
-var room = gate.Limits{Quiet: 20 * time.Millisecond, Busy: 20 * time.Millisecond}
+var room = connlimit.Timeouts{Idle: 20 * time.Millisecond, Request: 20 * time.Millisecond}
 
 // Serve answers at the address until the server is closed. Life is asked at each call.
 func Serve(addr string, life func() instance.Report, book *figures.Book, log *slog.Logger) (*http.Server, error) {
@@ -34,10 +34,10 @@
 	if err != nil {
 		return nil, err
 	}
-	callers := gate.New(l, MostCallers, room)
+	callers := connlimit.New(l, MostCallers, room)
 	s := &http.Server{
 		Handler: handler(life, book), ReadHeaderTimeout: within, ReadTimeout: within, WriteTimeout: within,
-		MaxHeaderBytes: head, ConnContext: gate.ConnContext, ConnState: callers.SetState, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
+		MaxHeaderBytes: head, ConnContext: connlimit.ConnContext, ConnState: callers.SetState, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
 	s.SetKeepAlivesEnabled(false) // one call for each connection
 	go func() {
@@ -52,8 +52,8 @@
 	mux := http.NewServeMux()
 	get := func(path string, answer func(w *bytes.Buffer) int) {
 		mux.HandleFunc("GET "+path, func(w http.ResponseWriter, r *http.Request) {
-			if c := gate.Of(r.Context()); c != nil {
-				c.Whole()
+			if c := connlimit.FromContext(r.Context()); c != nil {
+				c.RequestRead()
 			}
 			var text bytes.Buffer
 			code := answer(&text)
--- a/internal/net/notice/notice_test.go
+++ b/internal/net/notify/notify_test.go
@@ -1,4 +1,4 @@
-package notice
+package notify
 
 import (
 	"net"
@@ -11,13 +11,13 @@
 	"raventrestle/internal/net/nettest"
 )
 
-// A notice is owed until the platform answers 204, and one that it can't read does not keep
-// the others from it.
-func TestNoticesAreSentUntilTaken(t *testing.T) {
+// A notification is repeated until the platform answers 204, and one that the platform can't read does not block the
+// others.
+func TestNotificationsAreSentUntilAcknowledged(t *testing.T) {
 	platform := nettest.NewPeer(t, func(c net.Conn, call nettest.Call) bool {
 		switch {
 		case call.N == 1:
-			return false // a reset
+			return false // the connection is reset
 		case call.N == 2:
 			return nettest.Answer(nettest.Plain(503, "", ""))(c, call)
 		case strings.Contains(call.Body, "bad"):
@@ -25,19 +25,19 @@
 		}
 		return nettest.Answer("HTTP/1.1 204 No Content\r\n\r\n")(c, call)
 	})
-	heard := make(chan string, 16)
+	acknowledged := make(chan string, 16)
 	s := New(platform.Addr(), 16, nettest.Log, func(ids []string) {
 		for _, id := range ids {
-			heard <- id
+			acknowledged <- id
 		}
 	})
-	s.Add(Item{ID: "a", End: journal.End{Deferred: true, AgainMS: 500}})
-	s.Add(Item{ID: "bad"})
-	s.Add(Item{ID: "b", End: journal.End{Deferred: true}})
+	s.Add(Notification{ID: "a", End: journal.End{Deferred: true, AgainMS: 500}})
+	s.Add(Notification{ID: "bad"})
+	s.Add(Notification{ID: "b", End: journal.End{Deferred: true}})
 	go s.Run(t.Context())
 	got := map[string]bool{}
 	for range 3 {
-		got[nettest.Wait(t, "notice that is taken", heard)] = true
+		got[nettest.Wait(t, "acknowledgment", acknowledged)] = true
 	}
 	if diff := cmp.Diff(map[string]bool{"a": true, "bad": true, "b": true}, got); diff != "" {
 		t.Fatal(diff)
--- a/internal/net/peer/peer.go
+++ b/internal/net/peer/peer.go
@@ -241,7 +241,7 @@
 // fit says whether an idle connection is open and silent: what has come on it unasked, or its
 // end, makes it unfit for another call.
 func fit(c *conn) bool {
-	_, quiet := sock.Look(c.Conn)
+	_, quiet := sock.Peek(c.Conn)
 	return quiet && c.r.Buffered() == 0
 }
 
--- a/internal/net/peer/wire.go
+++ b/internal/net/peer/wire.go
@@ -25,7 +25,7 @@
 	NotWritten                // it broke before the last byte was written
 	Written                   // the endpoint may have the whole call
 	Answered                  // an answer came that can't be read: the call has run
-	Held                      // not written on purpose, see Peer.Hold
+	Held                      // not written on purpose, see Peer.BlockUntil
 )
 
 // TryError says why a try has no answer and how far it got.
--- a/internal/net/sock/sock.go
+++ b/internal/net/sock/sock.go
@@ -9,9 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Look says whether the other side still keeps the connection open, and whether nothing has come
+// Peek says whether the other side still keeps the connection open, and whether nothing has come
 // on it that is not read yet. What it can't look at counts as open and quiet.
-func Look(c net.Conn) (open, quiet bool) {
+func Peek(c net.Conn) (open, quiet bool) {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return true, true
--- a/internal/router/ingress/client_connection.go
+++ b/internal/router/ingress/client_connection.go
@@ -6,7 +6,7 @@
 	"net"
 	"net/http"
 
-	"raventrestle/internal/net/gate"
+	"raventrestle/internal/net/connlimit"
 )
 
 // clientConnection is a client's connection. It scans the heads of requests while net/http reads them, for one thing:
@@ -15,7 +15,7 @@
 //
 // Its methods are called from the connection's goroutine of net/http only.
 type clientConnection struct {
-	*gate.Conn
+	*connlimit.Conn
 	contentLengthSeen bool   // in the head that was read last
 	inHead            bool   // the blank line that ends the head has not been read
 	line              []byte // the head's current line, up to nameBytes of it
--- a/internal/router/ingress/handler.go
+++ b/internal/router/ingress/handler.go
@@ -126,7 +126,7 @@
 	if c == nil {
 		return
 	}
-	c.Whole()
+	c.RequestRead()
 	if len(r.TransferEncoding) > 0 && c.headUnscanned() {
 		w.Header()["Connection"] = []string{"close"}
 	}
--- a/internal/router/ingress/server.go
+++ b/internal/router/ingress/server.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sys/unix"
 
 	"raventrestle/internal/configuration"
-	"raventrestle/internal/net/gate"
+	"raventrestle/internal/net/connlimit"
 )
 
 const (
@@ -44,7 +44,7 @@
 // that are accepted from then on, and the one before goes on with its own.
 type Server struct {
 	handler  *Handler
-	gate     *gate.Gate
+	gate     *connlimit.Limiter
 	current  *limitedServer // owned by Run
 	errorLog *log.Logger
 	closed   atomic.Bool
@@ -63,10 +63,10 @@
 	if err != nil {
 		return nil, err
 	}
-	limits := gate.Limits{Quiet: evictIdleAfter, Busy: evictIncompleteAfter}
+	limits := connlimit.Timeouts{Idle: evictIdleAfter, Request: evictIncompleteAfter}
 	return &Server{
 		handler:  handler,
-		gate:     gate.New(listener, maxConnections, limits),
+		gate:     connlimit.New(listener, maxConnections, limits),
 		errorLog: log.New(errorLog, "", 0),
 	}, nil
 }
@@ -100,7 +100,7 @@
 
 // handOver gives a connection to the http.Server with the limits in force.
 func (s *Server) handOver(conn net.Conn) {
-	accepted, ok := conn.(*gate.Conn)
+	accepted, ok := conn.(*connlimit.Conn)
 	if !ok {
 		_ = conn.Close() // it carries no request
 		return
@@ -165,13 +165,13 @@
 
 // DrainConnections closes idle connections and waits for the others, until none is left or the context ends. New ones are
 // accepted all the while.
-func (s *Server) DrainConnections(ctx context.Context) error { return s.gate.Empty(ctx) }
+func (s *Server) DrainConnections(ctx context.Context) error { return s.gate.Drain(ctx) }
 
 // Shutdown accepts no more connections, closes idle ones and waits for the others until the context ends. It may be
 // called again to wait longer.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.closed.Store(true)
-	err := s.gate.End(ctx)
+	err := s.gate.Shutdown(ctx)
 	if ctx.Err() == nil && errors.Is(err, net.ErrClosed) { // an earlier Shutdown has closed the listener
 		return nil
 	}
--- a/internal/router/pool/connection.go
+++ b/internal/router/pool/connection.go
@@ -145,7 +145,7 @@
 	if c.Reader.Buffered() > 0 {
 		return false
 	}
-	open, quiet := sock.Look(c.Conn)
+	open, quiet := sock.Peek(c.Conn)
 	return open && quiet
 }
 
