--- a/cmd/raventrestle/commands_test.go
+++ b/cmd/raventrestle/commands_test.go
@@ -124,7 +124,7 @@
 		if strings.Contains(text, word) {
 			return
 		}
-		if time.Since(began) > nettest.Patience {
+		if time.Since(began) > nettest.Timeout {
 			t.Fatalf("no %q in the log:\n%s", word, text)
 		}
 	}
@@ -271,7 +271,7 @@
 			if len(items) == 1 && items[0].ID == "rate" {
 				break
 			}
-			if time.Since(began) > nettest.Patience {
+			if time.Since(began) > nettest.Timeout {
 				list()
 				t.Fatalf("%+v", items)
 			}
@@ -338,7 +338,7 @@
 		if n > 0 {
 			break
 		}
-		if time.Since(began) > nettest.Patience {
+		if time.Since(began) > nettest.Timeout {
 			t.Fatal("not sent")
 		}
 	}
--- a/cmd/raventrestle/fleet_figures_test.go
+++ b/cmd/raventrestle/fleet_figures_test.go
@@ -151,7 +151,7 @@
 				for range ticks.C {
 					s, err := f.client.Status(t.Context())
 					took[j] = time.Since(t0)
-					if err != nil || took[j] > nettest.Patience || slices.ContainsFunc(s.Courier.Channels, func(d raventrestle.DestView) bool {
+					if err != nil || took[j] > nettest.Timeout || slices.ContainsFunc(s.Courier.Channels, func(d raventrestle.DestView) bool {
 						return int64(d.Dest) == dest && len(d.Targets) > 0 && d.Targets[0].WaitRemaining > 0
 					}) {
 						return
@@ -174,7 +174,7 @@
 	memory("with facts")
 	status := fleet[0].up(n).Fleet
 	t.Logf("%d facts in %d bytes", status.Facts, status.FactBytes)
-	if p(each, 1) > nettest.Patience {
+	if p(each, 1) > nettest.Timeout {
 		t.Error("a fact did not come")
 	}
 }
--- a/cmd/raventrestle/fleet_test.go
+++ b/cmd/raventrestle/fleet_test.go
@@ -78,7 +78,7 @@
 // until waits for a status, which has no event.
 func (f *fellow) until(what string, ok func(admin.Status) bool) admin.Status {
 	f.t.Helper()
-	ctx, stop := context.WithTimeout(f.t.Context(), nettest.Patience)
+	ctx, stop := context.WithTimeout(f.t.Context(), nettest.Timeout)
 	defer stop()
 	for last := (admin.Status{}); ; time.Sleep(5 * time.Millisecond) {
 		s, err := f.client.Status(ctx)
--- a/cmd/raventrestle/life_test.go
+++ b/cmd/raventrestle/life_test.go
@@ -93,7 +93,7 @@
 	if code := d.submit("free", "two", 8); code != 503 || healthz() != 503 || probe("/readyz") != 503 || probe("/livez") != 200 {
 		t.Errorf("drained, it answers %d", code)
 	}
-	if s := status(); s.Report.State != "draining" || !slices.Equal(s.Report.Why, []string{"it was asked to drain"}) {
+	if s := status(); s.Report.State != "draining" || !slices.Equal(s.Report.Reasons, []string{"it was asked to drain"}) {
 		t.Errorf("%+v", s.Report)
 	}
 	if _, complaint, code := command(t, env, "drain", "--wait", "300ms"); code != exitFailed || !strings.Contains(complaint, "still owes 1 messages") {
--- a/cmd/raventrestle/main_test.go
+++ b/cmd/raventrestle/main_test.go
@@ -125,7 +125,7 @@
 			res.Body.Close()
 			return
 		}
-		if time.Since(began) > nettest.Patience {
+		if time.Since(began) > nettest.Timeout {
 			d.t.Fatal("the courier does not get ready")
 		}
 	}
@@ -192,7 +192,7 @@
 			first[c.Header.Get("X-Txn")] = "s-0"
 		case c := <-b.Calls:
 			first[c.Header.Get("X-Txn")] = "s-1"
-		case <-time.After(nettest.Patience):
+		case <-time.After(nettest.Timeout):
 			t.Fatalf("%s is not sent", m.id)
 		}
 	}
@@ -309,7 +309,7 @@
 	if err := d.process.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	conn.SetDeadline(time.Now().Add(nettest.Patience))
+	conn.SetDeadline(time.Now().Add(nettest.Timeout))
 	if _, err := r.ReadByte(); err != io.EOF {
 		t.Fatalf("an idle client connection: %v", err)
 	}
--- a/cmd/raventrestle/serve.go
+++ b/cmd/raventrestle/serve.go
@@ -108,7 +108,7 @@
 			d.log.Error("monitor: no second address", "admin", d.conf.Admin, "err", err)
 		} else {
 			defer m.Close()
-			descriptors -= monitor.MostCallers + 1
+			descriptors -= monitor.MaxCallers + 1
 		}
 	}
 
@@ -305,7 +305,7 @@
 }
 
 // tell tells the life of an event; what the machine refuses is logged there.
-func (d *daemon) tell(e lifecycle.Event) { d.life.On(e) }
+func (d *daemon) tell(e lifecycle.Event) { d.life.Handle(e) }
 
 // Report is the instance's life in words.
 func (d *daemon) Report() instance.Report { return d.life.Report() }
@@ -313,9 +313,9 @@
 // Drain makes the courier take nothing new, or take it on again.
 func (d *daemon) Drain(on bool) error {
 	if on {
-		return d.life.On(lifecycle.Drain{})
+		return d.life.Handle(lifecycle.Drain{})
 	}
-	return d.life.On(lifecycle.Undrain{})
+	return d.life.Handle(lifecycle.Undrain{})
 }
 
 // Status is all that operators see of a running courier.
--- a/cmd/raventrestle/settings_test.go
+++ b/cmd/raventrestle/settings_test.go
@@ -38,7 +38,7 @@
 func (d *deployment) until(name, value string) {
 	d.t.Helper()
 	for began := time.Now(); d.figures()[name] != value; time.Sleep(5 * time.Millisecond) {
-		if time.Since(began) > nettest.Patience {
+		if time.Since(began) > nettest.Timeout {
 			d.t.Fatalf("%s is %q, want %q", name, d.figures()[name], value)
 		}
 	}
--- a/cmd/raventrestle/status.go
+++ b/cmd/raventrestle/status.go
@@ -74,8 +74,8 @@
 	r, c := s.Report, s.Courier
 	fmt.Fprintf(t, "courier\t%s, process %d, at %s\n", s.Name, s.PID, s.Listen)
 	fmt.Fprintf(t, "state\t%s for %s, up for %s\n", r.State, ago(r.Since), ago(r.Started))
-	if len(r.Why) > 0 {
-		fmt.Fprintf(t, "not ready\t%s\n", strings.Join(r.Why, "; "))
+	if len(r.Reasons) > 0 {
+		fmt.Fprintf(t, "not ready\t%s\n", strings.Join(r.Reasons, "; "))
 	}
 	if len(r.Troubles) > 0 {
 		fmt.Fprintf(t, "trouble\t%s\n", strings.Join(r.Troubles, "; "))
--- a/cmd/raventrestle/term_test.go
+++ b/cmd/raventrestle/term_test.go
@@ -28,7 +28,7 @@
 	// once sends one request; fresh says that the connection is new.
 	once := func(c net.Conn, r *bufio.Reader, fresh bool) (goesOn bool, err error) {
 		id := fmt.Sprintf("t-%d", ids.Add(1))
-		c.SetDeadline(time.Now().Add(nettest.Patience))
+		c.SetDeadline(time.Now().Add(nettest.Timeout))
 		if _, err := fmt.Fprintf(c, "POST /free HTTP/1.1\r\nHost: x\r\nX-Txn: %s\r\nX-Remaining: 10\r\nX-Consignee: dest=7\r\nContent-Length: 2\r\n\r\nhi", id); err != nil {
 			return false, err
 		}
--- a/cmd/raventrestle/untried_test.go
+++ b/cmd/raventrestle/untried_test.go
@@ -57,7 +57,7 @@
 	}
 	close(killed)
 	d.start()
-	n, late := len(untried), time.After(nettest.Patience)
+	n, late := len(untried), time.After(nettest.Timeout)
 	for len(untried) > 0 {
 		select {
 		case id := <-tried:
--- a/cmd/raventrestle/upgrade_test.go
+++ b/cmd/raventrestle/upgrade_test.go
@@ -172,7 +172,7 @@
 		if f := s.figures(); f["app.pending"] == "0" {
 			break
 		}
-		if time.Since(began) > nettest.Patience {
+		if time.Since(began) > nettest.Timeout {
 			s.t.Fatalf("%v\n%s", s.figures(), last.log)
 		}
 	}
--- a/internal/net/admin/admin_test.go
+++ b/internal/net/admin/admin_test.go
@@ -13,19 +13,19 @@
 	"raventrestle/internal/net/nettest"
 )
 
-// The socket is the courier's own user's alone; one that a dead courier left is taken over, one that
-// answers is not, and a file that is no socket is left alone.
-func TestListen(t *testing.T) {
+// Only the courier's own user may open the socket. A socket that a dead courier left is replaced; one that answers and a
+// file that is no socket are not.
+func TestListenReplacesDeadSocketOnly(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "admin.sock")
-	old, err := net.Listen("unix", path)
+	previous, err := net.Listen("unix", path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Listen(path); err == nil || !strings.Contains(err.Error(), "another process") {
 		t.Fatal(err)
 	}
-	old.(*net.UnixListener).SetUnlinkOnClose(false) // as a killed courier leaves it
-	old.Close()
+	previous.(*net.UnixListener).SetUnlinkOnClose(false) // as a killed courier leaves it
+	previous.Close()
 	l, err := Listen(path)
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
-		t.Fatal("the socket is left behind")
+		t.Fatal("Close did not remove the socket")
 	}
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, []byte("x"), 0o600); err != nil {
@@ -48,9 +48,8 @@
 	}
 }
 
-// A courier that keeps no dead letters says so; connections that say nothing shut out nobody for longer
-// than their time.
-func TestNoLetters(t *testing.T) {
+// A courier that keeps no dead letters reports so. Idle connections block other clients no longer than the read timeout.
+func TestNoDeadLettersAndIdleClients(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "admin.sock")
 	l, err := Listen(path)
 	if err != nil {
@@ -58,27 +57,27 @@
 	}
 	s := Serve(l, nil, nil, nettest.Log)
 	t.Cleanup(func() { s.Close() })
-	for range mostClients - 1 {
+	for range maxClients - 1 {
 		c, err := net.Dial("unix", path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
 	}
-	for range 2 * mostClients { // each gives its place back
-		began := time.Now()
+	for range 2 * maxClients { // each connection releases its slot
+		start := time.Now()
 		_, err = (&Client{Path: path}).Stats(t.Context())
 		if err == nil || !strings.Contains(err.Error(), "undeliverable.keep is off") {
 			t.Fatal(err)
 		}
-		if time.Since(began) > 2*time.Second {
-			t.Fatal("shut out")
+		if time.Since(start) > 2*time.Second {
+			t.Fatal("idle connections blocked the client for more than 2 s")
 		}
 	}
 	if (&Client{Path: path + "x"}).Reaches() {
-		t.Fatal("reached nobody")
+		t.Fatal("Reaches returned true for a missing socket")
 	}
 	if _, err := (&Client{Path: path + "x"}).List(t.Context(), deadletter.Filter{}); err == nil {
-		t.Fatal("listed by nobody")
+		t.Fatal("List succeeded at a missing socket")
 	}
 }
--- a/internal/net/connlimit/connlimit_test.go
+++ b/internal/net/connlimit/connlimit_test.go
@@ -50,7 +50,7 @@
 			}
 			if c.sent {
 				fmt.Fprint(client, "POST /free HTTP/1.1\r\nHost: x\r\n\r\n")
-				for deadline := time.Now().Add(nettest.Patience); ; time.Sleep(time.Millisecond) {
+				for deadline := time.Now().Add(nettest.Timeout); ; time.Sleep(time.Millisecond) {
 					if _, idle := sock.Peek(conn.(*Conn).TCPConn); !idle {
 						break
 					} else if time.Now().After(deadline) {
@@ -76,7 +76,7 @@
 	l.SetState(conn, http.StateIdle)
 	fmt.Fprint(client, "POST /free HTTP/1.1\r\nHost: x\r\n\r\n")
 	idle := func() bool { _, idle := sock.Peek(conn.(*Conn).TCPConn); return idle }
-	for deadline := time.Now().Add(nettest.Patience); idle(); runtime.Gosched() {
+	for deadline := time.Now().Add(nettest.Timeout); idle(); runtime.Gosched() {
 		if time.Now().After(deadline) {
 			t.Fatal("the request does not come")
 		}
@@ -153,7 +153,7 @@
 		t.Fatal(err)
 	}
 	defer client.Close()
-	client.SetDeadline(time.Now().Add(nettest.Patience))
+	client.SetDeadline(time.Now().Add(nettest.Timeout))
 	answers := bufio.NewReader(client)
 	readStatus := func() int {
 		t.Helper()
@@ -168,7 +168,7 @@
 		t.Fatal(code)
 	}
 	fmt.Fprint(client, "GET / HTTP/1.1\r\nHo")
-	for deadline := time.Now().Add(nettest.Patience); ; runtime.Gosched() { // until it is read
+	for deadline := time.Now().Add(nettest.Timeout); ; runtime.Gosched() { // until it is read
 		limiter.mu.Lock()
 		n := limiter.active.Len()
 		limiter.mu.Unlock()
@@ -178,7 +178,7 @@
 			t.Fatal("the half header is not read")
 		}
 	}
-	closing, stop := context.WithTimeout(t.Context(), nettest.Patience)
+	closing, stop := context.WithTimeout(t.Context(), nettest.Timeout)
 	defer stop()
 	shutdownErr := make(chan error, 1)
 	go func() { shutdownErr <- limiter.Shutdown(closing) }()
--- a/internal/net/courier/act.go
+++ b/internal/net/courier/act.go
@@ -55,7 +55,7 @@
 				r.Cancel(string(a.ID))
 			}
 		case raventrestle.Subscribe:
-			c.group.Subscribe()
+			c.watcher.Subscribe()
 		case raventrestle.WakeAt:
 			if c.wakeAt == 0 || a.At < c.wakeAt {
 				c.wakeAt = a.At
@@ -191,7 +191,7 @@
 		}
 	}
 	for _, it := range endings {
-		if !c.notices.Add(it) { // the journal still records that the notification is due
+		if !c.notifier.Add(it) { // the journal still records that the notification is due
 			c.log.Error("courier: notification queue is full", "id", it.ID)
 		}
 	}
--- a/internal/net/courier/courier.go
+++ b/internal/net/courier/courier.go
@@ -41,8 +41,8 @@
 	policy      *raventrestle.Policy
 	log         *slog.Logger
 	journal     *journal.Store
-	group       *discovery.Watcher
-	notices     *notify.Sender
+	watcher     *discovery.Watcher
+	notifier    *notify.Sender
 	mailbox     chan any
 	drained     chan struct{}      // closed when a courier that is shutting down or handing over has no pending messages
 	deadLetters *deadletter.Keeper // nil if undeliverable messages are not kept
@@ -124,8 +124,8 @@
 		msgs: map[raventrestle.MessageID]*message{}, peers: map[raventrestle.TargetID]*listedPeer{},
 	}
 	c.applyLimits(settings)
-	c.notices = notify.New(conf.Discovery, mailboxSize, log, c.notificationsDelivered)
-	c.group = discovery.New(conf.Discovery, conf.Known, &conf.Settings, conf.Names, log, func(u discovery.Update) { c.mailbox <- u })
+	c.notifier = notify.New(conf.Discovery, mailboxSize, log, c.notificationsDelivered)
+	c.watcher = discovery.New(conf.Discovery, conf.Known, &conf.Settings, conf.Names, log, func(u discovery.Update) { c.mailbox <- u })
 	for _, k := range kept {
 		if k.Resend > 0 {
 			c.resendIDs[k.ID] = true
@@ -134,7 +134,7 @@
 		}
 		c.pendingIDs[k.ID] = true
 		if k.Owed != nil {
-			c.notices.Add(notify.Notification{ID: k.ID, End: *k.Owed})
+			c.notifier.Add(notify.Notification{ID: k.ID, End: *k.Owed})
 			continue
 		}
 		c.Counts.Restored.Add(1)
@@ -163,8 +163,8 @@
 
 // Run runs the actor until the context ends.
 func (c *Courier) Run(ctx context.Context) {
-	go c.group.Run(ctx)
-	go c.notices.Run(ctx)
+	go c.watcher.Run(ctx)
+	go c.notifier.Run(ctx)
 	c.applyPreviousLearned(ctx)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -257,8 +257,8 @@
 
 // SetDiscovery changes the address that is asked for the endpoint list and sent notifications.
 func (c *Courier) SetDiscovery(discovery string) {
-	c.group.SetAddress(discovery)
-	c.notices.SetAddress(discovery)
+	c.watcher.SetAddress(discovery)
+	c.notifier.SetAddress(discovery)
 }
 
 // Close makes the courier finish its messages by the deadline. The returned channel closes if no message is pending before
--- a/internal/net/courier/courier_test.go
+++ b/internal/net/courier/courier_test.go
@@ -60,7 +60,7 @@
 	for i, size := range []int{40 << 10, 30 << 10, 64 << 10, 9, 9, 9, 9} {
 		id := fmt.Sprint("m", i)
 		c.msgs[raventrestle.MessageID(id)] = &message{Message: &journal.Message{ID: id, Dest: 7, Until: 1 << 62, Body: make([]byte, size)}}
-		sends = append(sends, raventrestle.Send{ID: raventrestle.MessageID(id), Target: "p", Timeout: nettest.Patience})
+		sends = append(sends, raventrestle.Send{ID: raventrestle.MessageID(id), Target: "p", Timeout: nettest.Timeout})
 	}
 	c.applyActions(sends, nil)
 	got := map[string]int{}
@@ -178,7 +178,7 @@
 				n++
 				id := raventrestle.MessageID(fmt.Sprint("m", n))
 				c.msgs[id] = &message{Message: &journal.Message{ID: string(id), Dest: int64(c.peers[target].entry.Dest)}}
-				c.applyActions([]raventrestle.Action{raventrestle.Send{ID: id, Target: target, Timeout: nettest.Patience}}, nil)
+				c.applyActions([]raventrestle.Action{raventrestle.Send{ID: id, Target: target, Timeout: nettest.Timeout}}, nil)
 				return nettest.Wait(t, "outcome", c.mailbox).(raventrestle.Outcome).Status
 			}
 			applyList(raventrestle.Ready)
@@ -209,9 +209,9 @@
 		Entry: raventrestle.Entry{Target: "p", Dest: 7, Zone: -1},
 	}}})
 	<-c.mailbox
-	for id, maxDelay := range map[raventrestle.MessageID]time.Duration{"late": time.Nanosecond, "in time": nettest.Patience, "free": 0} {
+	for id, maxDelay := range map[raventrestle.MessageID]time.Duration{"late": time.Nanosecond, "in time": nettest.Timeout, "free": 0} {
 		c.msgs[id] = &message{Message: &journal.Message{ID: string(id), Dest: 7}}
-		c.applyActions([]raventrestle.Action{raventrestle.Send{ID: id, Target: "p", Timeout: nettest.Patience, MaxSendDelay: maxDelay}}, nil)
+		c.applyActions([]raventrestle.Action{raventrestle.Send{ID: id, Target: "p", Timeout: nettest.Timeout, MaxSendDelay: maxDelay}}, nil)
 		o := nettest.Wait(t, "outcome", c.mailbox).(raventrestle.Outcome)
 		if late := o.Status == raventrestle.NotSent; late != (id == "late") {
 			t.Errorf("%s: %+v", id, o)
--- a/internal/net/courier/deadletters_test.go
+++ b/internal/net/courier/deadletters_test.go
@@ -194,7 +194,7 @@
 	ran := make(chan struct{})
 	go k.Run(ctx)
 	go func() { defer close(ran); c.Run(ctx) }()
-	deadline := time.Now().Add(nettest.Patience)
+	deadline := time.Now().Add(nettest.Timeout)
 	for tick := time.NewTicker(5 * time.Millisecond); !done; {
 		select {
 		case <-stopper.hit:
@@ -454,7 +454,7 @@
 	waitFor := func(what string, ok func() bool) {
 		t.Helper()
 		for began := time.Now(); !ok(); time.Sleep(2 * time.Millisecond) {
-			if time.Since(began) > nettest.Patience {
+			if time.Since(began) > nettest.Timeout {
 				t.Fatal("no ", what)
 			}
 		}
--- a/internal/net/courier/handover.go
+++ b/internal/net/courier/handover.go
@@ -86,7 +86,7 @@
 		}
 		n++
 		if k.Owed != nil {
-			c.notices.Add(notify.Notification{ID: k.ID, End: *k.Owed})
+			c.notifier.Add(notify.Notification{ID: k.ID, End: *k.Owed})
 			continue
 		}
 		c.Counts.Restored.Add(1)
--- a/internal/net/courier/metrics_test.go
+++ b/internal/net/courier/metrics_test.go
@@ -46,7 +46,7 @@
 			})
 			platform := nettest.NewPeer(t, nettest.Answer("HTTP/1.1 204 No Content\r\n\r\n"))
 			c := newTestCourier(t, "")
-			c.notices.SetAddress(platform.Addr())
+			c.notifier.SetAddress(platform.Addr())
 			c.conf.Settings.MaxMessages, c.maxMessages = 40, 40
 			if err := c.policy.Reconfigure(c.conf.Settings); err != nil {
 				t.Fatal(err)
@@ -87,7 +87,7 @@
 				accepted -= handedOver
 			}
 			for start := time.Now(); c.Metrics.Pending.Load() != 0; time.Sleep(5 * time.Millisecond) {
-				if check(2); time.Since(start) > nettest.Patience {
+				if check(2); time.Since(start) > nettest.Timeout {
 					t.Fatalf("%d messages stay pending", c.Metrics.Pending.Load())
 				}
 			}
--- a/internal/net/courier/reconfigure.go
+++ b/internal/net/courier/reconfigure.go
@@ -49,7 +49,7 @@
 	next.Settings, next.Names = *settings, conf.Names
 	c.conf = &next
 	c.applyLimits(settings)
-	c.group.SetConfig(settings, conf.Names)
+	c.watcher.SetConfig(settings, conf.Names)
 	if previous.ConnectTimeout == settings.ConnectTimeout && previous.IdleTimeout == settings.IdleTimeout {
 		return nil
 	}
--- a/internal/net/courier/step.go
+++ b/internal/net/courier/step.go
@@ -17,14 +17,14 @@
 )
 
 // step passes the queued messages to the policy: first list updates, then outcomes, then the rest.
-func (c *Courier) step(ctx context.Context, mail []any) {
+func (c *Courier) step(ctx context.Context, queued []any) {
 	t := now()
 	var lists, outcomes, others []raventrestle.Event
 	var records []journal.Record
 	var statusReplies []chan<- Status
 	startHandover := false
-	others = append(others, c.yieldResends(mail)...)
-	for _, m := range mail {
+	others = append(others, c.yieldResends(queued)...)
+	for _, m := range queued {
 		switch m := m.(type) {
 		case discovery.Update:
 			lists = append(lists, c.applyList(ctx, m))
--- a/internal/net/instance/instance.go
+++ b/internal/net/instance/instance.go
@@ -1,5 +1,5 @@
-// Package instance keeps the life of this process for all that ask: it hands what happens to the state
-// machine, logs each change, and says what the machine says. It decides nothing.
+// Package instance tracks the lifecycle state of this process. It passes events to the state machine, logs each change and
+// reports the state.
 package instance
 
 import (
@@ -10,67 +10,67 @@
 	"raventrestle/internal/lifecycle"
 )
 
-// Instance is this process's life. Its methods may be called from any goroutine.
+// Instance is the lifecycle state of this process. Its methods are safe for concurrent use.
 type Instance struct {
-	log    *slog.Logger
-	drains func(bool) // told whether it drains, at each change
+	log           *slog.Logger
+	onDrainChange func(bool) // called when draining starts or ends
 
-	mu    sync.Mutex
-	life  lifecycle.Life
-	began time.Time
-	since time.Time // of the present state
+	mu      sync.Mutex
+	state   lifecycle.Life
+	started time.Time
+	since   time.Time // start of the present state
 }
 
-// Report is the life in words.
+// Report is the lifecycle state in the form that operators and supervisors read.
 type Report struct {
 	State    string    `json:"state"`
 	Live     bool      `json:"live"`
 	Ready    bool      `json:"ready"`
-	Why      []string  `json:"why,omitempty"`      // it is not ready
-	Troubles []string  `json:"troubles,omitempty"` // that last
-	Since    time.Time `json:"since"`              // of the state
+	Reasons  []string  `json:"why,omitempty"`      // why it is not ready
+	Troubles []string  `json:"troubles,omitempty"` // present troubles
+	Since    time.Time `json:"since"`              // start of the present state
 	Started  time.Time `json:"started"`
 }
 
-// New returns a life that begins. Drains hears of each change between draining and not.
-func New(log *slog.Logger, drains func(bool)) *Instance {
+// New returns an instance that is starting. It calls onDrainChange when draining starts (true) or ends (false).
+func New(log *slog.Logger, onDrainChange func(bool)) *Instance {
 	now := time.Now()
-	return &Instance{log: log, drains: drains, began: now, since: now}
+	return &Instance{log: log, onDrainChange: onDrainChange, started: now, since: now}
 }
 
-// On tells the life of an event, and returns the machine's error where the event can't be.
-func (i *Instance) On(e lifecycle.Event) error {
+// Handle applies an event. It returns the state machine's error if the event is invalid in the present state.
+func (i *Instance) Handle(e lifecycle.Event) error {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	before := i.life
+	before := i.state
 	after, err := before.On(e)
 	if err != nil {
-		i.log.Warn("instance: event refused", "event", slog.AnyValue(e), "err", err)
+		i.log.Warn("instance: invalid event", "event", slog.AnyValue(e), "err", err)
 		return err
 	}
-	i.life = after
+	i.state = after
 	if after.State() != before.State() {
 		i.since = time.Now()
 		_, why := after.Ready()
 		i.log.Info("instance: state", "state", after.State().String(), "was", before.State().String(), "why", why, "troubles", after.Troubles())
 	}
 	if drains := after.State() == lifecycle.Draining; drains != (before.State() == lifecycle.Draining) {
-		i.drains(drains)
+		i.onDrainChange(drains)
 	}
 	return nil
 }
 
-// Life is the life as it is now.
-func (i *Instance) Life() lifecycle.Life {
+// State returns the present lifecycle state.
+func (i *Instance) State() lifecycle.Life {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.life
+	return i.state
 }
 
-// Report is the life as it is now, in words.
+// Report returns a report of the present state.
 func (i *Instance) Report() Report {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	ready, why := i.life.Ready()
-	return Report{State: i.life.State().String(), Live: i.life.Live(), Ready: ready, Why: why, Troubles: i.life.Troubles(), Since: i.since, Started: i.began}
+	ready, why := i.state.Ready()
+	return Report{State: i.state.State().String(), Live: i.state.Live(), Ready: ready, Reasons: why, Troubles: i.state.Troubles(), Since: i.since, Started: i.started}
 }
--- a/internal/net/monitor/monitor.go
+++ b/internal/net/monitor/monitor.go
@@ -1,5 +1,5 @@
-// Package monitor is the second address: whether this process takes clients, and its figures, for the
-// platform and its staff. It waits for no actor, so that it answers at any load. It decides nothing.
+// Package monitor serves readiness and metrics of this process at an address of their own, for the platform and its
+// operators. It waits for no actor, so that it answers at any load.
 package monitor
 
 import (
@@ -16,30 +16,30 @@
 	"raventrestle/internal/net/instance"
 )
 
-// MostCallers is how many connections are open at once: they count for the courier's descriptors.
-const MostCallers = 16
+// MaxCallers is the maximum number of open connections. They are taken from the courier's file descriptors.
+const MaxCallers = 16
 
 const (
-	within = time.Second // for a call, from its connection to its answer
-	head   = 4 << 10
+	requestTimeout = time.Second // from the connection to its answer
+	maxHeaderBytes = 4 << 10
 )
 
-// room: whoever comes while all places are taken gets that of the one that has said nothing whole for
-// longest. A caller that speaks at once keeps its place.
-var room = connlimit.Timeouts{Idle: 20 * time.Millisecond, Request: 20 * time.Millisecond}
+// connTimeouts let a new caller replace the one that has been connected for longest without a complete request, if all
+// slots are in use. A caller that sends its request at once keeps its connection.
+var connTimeouts = connlimit.Timeouts{Idle: 20 * time.Millisecond, Request: 20 * time.Millisecond}
 
-// Serve answers at the address until the server is closed. Life is asked at each call.
-func Serve(addr string, life func() instance.Report, book *figures.Book, log *slog.Logger) (*http.Server, error) {
+// Serve answers at the address until the server is closed. It calls report for each readiness request.
+func Serve(addr string, report func() instance.Report, metrics *figures.Book, log *slog.Logger) (*http.Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	callers := connlimit.New(l, MostCallers, room)
+	callers := connlimit.New(l, MaxCallers, connTimeouts)
 	s := &http.Server{
-		Handler: handler(life, book), ReadHeaderTimeout: within, ReadTimeout: within, WriteTimeout: within,
-		MaxHeaderBytes: head, ConnContext: connlimit.ConnContext, ConnState: callers.SetState, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
+		Handler: handler(report, metrics), ReadHeaderTimeout: requestTimeout, ReadTimeout: requestTimeout, WriteTimeout: requestTimeout,
+		MaxHeaderBytes: maxHeaderBytes, ConnContext: connlimit.ConnContext, ConnState: callers.SetState, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
-	s.SetKeepAlivesEnabled(false) // one call for each connection
+	s.SetKeepAlivesEnabled(false) // one request per connection
 	go func() {
 		if err := s.Serve(callers); !errors.Is(err, http.ErrServerClosed) {
 			log.Error("monitor: listener", "err", err)
@@ -48,9 +48,9 @@
 	return s, nil
 }
 
-func handler(life func() instance.Report, book *figures.Book) http.Handler {
+func handler(report func() instance.Report, metrics *figures.Book) http.Handler {
 	mux := http.NewServeMux()
-	get := func(path string, answer func(w *bytes.Buffer) int) {
+	handle := func(path string, answer func(w *bytes.Buffer) int) {
 		mux.HandleFunc("GET "+path, func(w http.ResponseWriter, r *http.Request) {
 			if c := connlimit.FromContext(r.Context()); c != nil {
 				c.RequestRead()
@@ -59,20 +59,20 @@
 			code := answer(&text)
 			w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 			w.WriteHeader(code)
-			w.Write(text.Bytes()) // a caller that has left misses it
+			w.Write(text.Bytes()) // fails only if the caller has disconnected
 		})
 	}
-	get("/ready", func(text *bytes.Buffer) int {
-		r := life()
+	handle("/ready", func(text *bytes.Buffer) int {
+		r := report()
 		text.WriteString(r.State + "\n")
 		if r.Ready {
 			return http.StatusOK
 		}
-		text.WriteString(strings.Join(r.Why, "\n") + "\n")
+		text.WriteString(strings.Join(r.Reasons, "\n") + "\n")
 		return http.StatusServiceUnavailable
 	})
-	get("/metrics", func(text *bytes.Buffer) int {
-		book.WriteTo(text) // into memory
+	handle("/metrics", func(text *bytes.Buffer) int {
+		metrics.WriteTo(text) // writing to memory does not fail
 		return http.StatusOK
 	})
 	return mux
--- a/internal/net/monitor/monitor_test.go
+++ b/internal/net/monitor/monitor_test.go
@@ -15,7 +15,7 @@
 	"raventrestle/internal/net/nettest"
 )
 
-func listen(t *testing.T, life func() instance.Report) string {
+func startServer(t *testing.T, report func() instance.Report) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -23,9 +23,9 @@
 	}
 	addr := l.Addr().String()
 	l.Close()
-	book := &figures.Book{}
-	book.Class("c").Completed.Store(812)
-	s, err := Serve(addr, life, book, nettest.Log)
+	metrics := &figures.Book{}
+	metrics.Class("c").Completed.Store(812)
+	s, err := Serve(addr, report, metrics, nettest.Log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,15 +33,15 @@
 	return addr
 }
 
-func ask(t *testing.T, addr, method, path string) (code int, body string, took time.Duration) {
+func request(t *testing.T, addr, method, path string) (code int, body string, took time.Duration) {
 	t.Helper()
-	began := time.Now()
+	start := time.Now()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(began.Add(nettest.Patience))
+	c.SetDeadline(start.Add(nettest.Timeout))
 	fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: x\r\n\r\n", method, path)
 	res, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -49,15 +49,15 @@
 	}
 	text, err := io.ReadAll(res.Body)
 	if err != nil || !res.Close {
-		t.Fatalf("the answer ends with %v, close %v", err, res.Close)
+		t.Fatalf("reading the answer: error %v, close %v", err, res.Close)
 	}
-	return res.StatusCode, string(text), time.Since(began)
+	return res.StatusCode, string(text), time.Since(start)
 }
 
-// One call a connection, yes or no by the life's own word; whatever else is asked for gets its error.
-func TestCalls(t *testing.T) {
+// Each connection gets one answer. Readiness is as reported by the instance, and other requests get their error status.
+func TestAnswers(t *testing.T) {
 	ready := instance.Report{State: "ready", Ready: true}
-	addr := listen(t, func() instance.Report { return ready })
+	addr := startServer(t, func() instance.Report { return ready })
 	for _, c := range []struct {
 		method, path string
 		code         int
@@ -70,20 +70,20 @@
 		{"POST", "/ready", 405, ""},
 		{"DELETE", "/metrics", 405, ""},
 	} {
-		if code, text, _ := ask(t, addr, c.method, c.path); code != c.code || !strings.Contains(text, c.says) {
+		if code, text, _ := request(t, addr, c.method, c.path); code != c.code || !strings.Contains(text, c.says) {
 			t.Errorf("%s %s: %d %q", c.method, c.path, code, text)
 		}
 	}
-	ready = instance.Report{State: "draining", Why: []string{"the process ends"}}
-	if code, text, _ := ask(t, addr, "GET", "/ready"); code != 503 || !strings.Contains(text, "the process ends") {
+	ready = instance.Report{State: "draining", Reasons: []string{"the process ends"}}
+	if code, text, _ := request(t, addr, "GET", "/ready"); code != 503 || !strings.Contains(text, "the process ends") {
 		t.Errorf("%d %q", code, text)
 	}
 }
 
-// 200 callers that say nothing, half a head or too much, and stay, keep nobody from an answer within
-// 1 s, and hold no more connections than there are places.
-func TestStalledCallers(t *testing.T) {
-	addr := listen(t, func() instance.Report { return instance.Report{Ready: true} })
+// 200 callers that stay connected and send nothing, half a header or too much do not delay another caller's answer beyond
+// 1 s, and keep no more connections than the limit.
+func TestStalledCallersDoNotBlockOthers(t *testing.T) {
+	addr := startServer(t, func() instance.Report { return instance.Report{Ready: true} })
 	var stalled []net.Conn
 	for i := range 200 {
 		c, err := net.Dial("tcp", addr)
@@ -94,13 +94,13 @@
 		io.WriteString(c, []string{"", "GET /metr", "GET /metrics HTTP/1.1\r\nX: " + strings.Repeat("x", 16<<10)}[i%3])
 		stalled = append(stalled, c)
 		if i%20 == 0 {
-			if code, _, took := ask(t, addr, "GET", "/metrics"); code != 200 || took > time.Second {
+			if code, _, took := request(t, addr, "GET", "/metrics"); code != 200 || took > time.Second {
 				t.Errorf("after %d stalled callers: %d in %v", i, code, took)
 			}
 		}
 	}
 	for range 20 {
-		if code, _, took := ask(t, addr, "GET", "/ready"); code != 200 || took > time.Second {
+		if code, _, took := request(t, addr, "GET", "/ready"); code != 200 || took > time.Second {
 			t.Errorf("%d in %v", code, took)
 		}
 	}
@@ -111,7 +111,7 @@
 			open++
 		}
 	}
-	if open > MostCallers {
+	if open > MaxCallers {
 		t.Errorf("%d stalled callers are still connected", open)
 	}
 }
--- a/internal/net/nettest/nettest.go
+++ b/internal/net/nettest/nettest.go
@@ -1,4 +1,4 @@
-// Package nettest has what the stories over loopback sockets share: scripted peers.
+// Package nettest provides what tests over loopback sockets share, mainly scripted HTTP endpoints.
 package nettest
 
 import (
@@ -13,15 +13,15 @@
 	"time"
 )
 
-// Patience is how long a story waits for an event before it fails.
-const Patience = 10 * time.Second
+// Timeout is how long a test waits for an event before it fails.
+const Timeout = 10 * time.Second
 
-// Log drops what is logged.
+// Log discards its records.
 var Log = slog.New(slog.DiscardHandler)
 
-// Call is one request as it came.
+// Call is a request that an endpoint received.
 type Call struct {
-	N      int // counted from 1
+	N      int // number of the request, from 1
 	At     time.Time
 	Path   string
 	Query  string
@@ -29,35 +29,35 @@
 	Body   string
 }
 
-// Script answers a call on the connection itself; false closes it.
-type Script func(c net.Conn, call Call) bool
+// Handler answers a call on the connection c; it returns false to close the connection.
+type Handler func(c net.Conn, call Call) bool
 
-// Answer is a script that writes the text.
-func Answer(text string) Script {
+// Answer returns a handler that writes the text.
+func Answer(text string) Handler {
 	return func(c net.Conn, _ Call) bool { _, err := io.WriteString(c, text); return err == nil }
 }
 
-// Plain is an answer with a code, further header lines and a body.
+// Plain returns an HTTP answer with a code, further header lines and a body.
 func Plain(code int, header, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d x\r\n%sContent-Length: %d\r\n\r\n%s", code, header, len(body), body)
 }
 
-// Peer is a scripted endpoint; it hands every call that came whole to Calls.
+// Peer is an endpoint that answers with a Handler. It sends each complete call to Calls.
 type Peer struct {
 	net.Listener
-	Calls chan Call
-	Ends  chan struct{} // one for each connection that the courier ended
-	n     atomic.Int64
+	Calls       chan Call
+	ConnsClosed chan struct{} // receives a value for each connection that the courier closed
+	count       atomic.Int64
 }
 
-// NewPeer serves the script until the test ends.
-func NewPeer(t *testing.T, script Script) *Peer {
+// NewPeer starts an endpoint that runs until the test ends.
+func NewPeer(t *testing.T, handler Handler) *Peer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &Peer{Listener: l, Calls: make(chan Call, 1024), Ends: make(chan struct{}, 1024)}
+	p := &Peer{Listener: l, Calls: make(chan Call, 1024), ConnsClosed: make(chan struct{}, 1024)}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -65,44 +65,44 @@
 			if err != nil {
 				return
 			}
-			go p.serve(c, script)
+			go p.serve(c, handler)
 		}
 	}()
 	return p
 }
 
-func (p *Peer) serve(c net.Conn, script Script) {
+func (p *Peer) serve(c net.Conn, handler Handler) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
 		req, err := http.ReadRequest(r)
 		if err != nil {
-			p.Ends <- struct{}{}
+			p.ConnsClosed <- struct{}{}
 			return
 		}
 		body, err := io.ReadAll(req.Body)
 		if err != nil {
 			return
 		}
-		call := Call{int(p.n.Add(1)), time.Now(), req.URL.Path, req.URL.RawQuery, req.Header, string(body)}
+		call := Call{int(p.count.Add(1)), time.Now(), req.URL.Path, req.URL.RawQuery, req.Header, string(body)}
 		p.Calls <- call
-		if !script(c, call) {
+		if !handler(c, call) {
 			return
 		}
 	}
 }
 
-// Addr is where the peer listens.
+// Addr returns the endpoint's address.
 func (p *Peer) Addr() string { return p.Listener.Addr().String() }
 
-// Wait is the next thing on the channel.
+// Wait returns the next value from the channel. It fails the test if none arrives within Timeout.
 func Wait[T any](t *testing.T, what string, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(Patience):
-		t.Fatalf("no %s within %v", what, Patience)
+	case <-time.After(Timeout):
+		t.Fatalf("no %s within %v", what, Timeout)
 		panic("not reached")
 	}
 }
--- a/internal/net/peer/peer_test.go
+++ b/internal/net/peer/peer_test.go
@@ -33,11 +33,11 @@
 // Each way in which a call can end has its outcome, and none is made twice. A call whose last
 // byte was written may have run; what could not be written never ran.
 func TestOutcomes(t *testing.T) {
-	const soon, long = 100 * time.Millisecond, nettest.Patience
+	const soon, long = 100 * time.Millisecond, nettest.Timeout
 	reset := func(c net.Conn, _ nettest.Call) bool { c.(*net.TCPConn).SetLinger(0); return false }
 	hang := func(net.Conn, nettest.Call) bool { return true }
 	for name, c := range map[string]struct {
-		script nettest.Script
+		script nettest.Handler
 		wait   time.Duration
 		want   raventrestle.Outcome
 	}{
@@ -55,8 +55,8 @@
 		"used up":                   {nettest.Answer(nettest.Plain(504, "", "")), long, raventrestle.Outcome{Status: raventrestle.NotSent}},
 		"over":                      {nettest.Answer(nettest.Plain(410, "", "")), long, raventrestle.Outcome{Status: raventrestle.NotSent, Final: true}},
 		"reset":                     {reset, long, raventrestle.Outcome{Status: raventrestle.Reset}},
-		"half a first line":         {nettest.Script(func(c net.Conn, _ nettest.Call) bool { io.WriteString(c, "HTTP/1.1 20"); return false }), long, raventrestle.Outcome{Status: raventrestle.Error}},
-		"broken after a first line": {nettest.Script(func(c net.Conn, _ nettest.Call) bool { io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Pre"); return false }), long, raventrestle.Outcome{Status: raventrestle.OK, Final: true}},
+		"half a first line":         {nettest.Handler(func(c net.Conn, _ nettest.Call) bool { io.WriteString(c, "HTTP/1.1 20"); return false }), long, raventrestle.Outcome{Status: raventrestle.Error}},
+		"broken after a first line": {nettest.Handler(func(c net.Conn, _ nettest.Call) bool { io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Pre"); return false }), long, raventrestle.Outcome{Status: raventrestle.OK, Final: true}},
 		"nothing":                   {hang, soon, raventrestle.Outcome{Status: raventrestle.TimedOut}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -95,7 +95,7 @@
 	})
 	p, out := start(t, end.Addr())
 	for range 5 {
-		p.Call([]Try{try("a", nettest.Patience)})
+		p.Call([]Try{try("a", nettest.Timeout)})
 		if o := nettest.Wait(t, "outcome", out); o.Status != raventrestle.OK && o.Status != raventrestle.Reset {
 			t.Fatalf("%+v", o)
 		}
@@ -125,7 +125,7 @@
 	if o := nettest.Wait(t, "outcome", out); o.Status != raventrestle.TimedOut {
 		t.Fatalf("%+v", o)
 	}
-	p.Call([]Try{try("next", nettest.Patience)})
+	p.Call([]Try{try("next", nettest.Timeout)})
 	if o := nettest.Wait(t, "outcome", out); o.ID != "next" || o.Status != raventrestle.Error {
 		t.Fatalf("%+v", o)
 	}
@@ -171,7 +171,7 @@
 				return true
 			})
 			p, out := start(t, end.Addr())
-			p.Call([]Try{try("a", nettest.Patience)})
+			p.Call([]Try{try("a", nettest.Timeout)})
 			o := nettest.Wait(t, "outcome", out)
 			if o.Status != c.want || o.Final != (c.want == ok) || o.Duration > time.Second || o.Report.Limit != 0 {
 				t.Fatalf("%+v", o)
@@ -179,7 +179,7 @@
 			if c.keep {
 				time.Sleep(2 * rest)
 			}
-			p.Call([]Try{try("b", nettest.Patience)}) // its own answer is an error
+			p.Call([]Try{try("b", nettest.Timeout)}) // its own answer is an error
 			if o := nettest.Wait(t, "outcome", out); o.ID != "b" || o.Status != er {
 				t.Fatalf("the next call: %+v", o)
 			}
@@ -197,7 +197,7 @@
 	})
 	p, out := start(t, end.Addr())
 	for range 3 {
-		p.Call([]Try{try("a", nettest.Patience)})
+		p.Call([]Try{try("a", nettest.Timeout)})
 		nettest.Wait(t, "outcome", out)
 		nettest.Wait(t, "call", end.Calls)
 		time.Sleep(2 * rest)
@@ -206,14 +206,14 @@
 		t.Fatalf("%d connections for three calls in turn", n)
 	}
 	p.CloseIdle()
-	nettest.Wait(t, "end of the idle connection", end.Ends)
-	p.Call([]Try{try("hang", nettest.Patience)})
+	nettest.Wait(t, "end of the idle connection", end.ConnsClosed)
+	p.Call([]Try{try("hang", nettest.Timeout)})
 	nettest.Wait(t, "call", end.Calls)
 	p.Cancel("hang")
 	if o := nettest.Wait(t, "outcome", out); o.Status != raventrestle.Canceled {
 		t.Fatalf("%+v", o)
 	}
-	nettest.Wait(t, "end of the cancelled call", end.Ends)
+	nettest.Wait(t, "end of the cancelled call", end.ConnsClosed)
 }
 
 // Several messages in a call: the frames are exact, each has its own end, and one that the
@@ -241,7 +241,7 @@
 			p, out := start(t, script.Addr())
 			sent, until := make([]Try, len(tries)), time.Now().Add(time.Hour)
 			for i, x := range tries {
-				x.Wait, x.Until = nettest.Patience, until
+				x.Wait, x.Until = nettest.Timeout, until
 				sent[i] = x
 			}
 			p.Call(sent)
@@ -277,15 +277,15 @@
 	late.Until = time.Now().Add(50 * time.Millisecond)
 	longest := try("longest", time.Second)
 	p.Call([]Try{late, mate, longest})
-	if o := nettest.Wait(t, "outcome", out); o.ID != "late" || o.Status != raventrestle.TimedOut || len(end.Ends) > 0 {
-		t.Fatalf("%+v with %d connections ended", o, len(end.Ends))
+	if o := nettest.Wait(t, "outcome", out); o.ID != "late" || o.Status != raventrestle.TimedOut || len(end.ConnsClosed) > 0 {
+		t.Fatalf("%+v with %d connections ended", o, len(end.ConnsClosed))
 	}
 	for _, id := range []raventrestle.MessageID{"longest", "mate"} {
 		if o := nettest.Wait(t, "outcome", out); o.ID != id || o.Duration < time.Second {
 			t.Fatalf("%+v", o)
 		}
 	}
-	nettest.Wait(t, "end of the call", end.Ends)
+	nettest.Wait(t, "end of the call", end.ConnsClosed)
 }
 
 // The one that runs out of time while its call goes on is never the first of it: nine brink days lost the others of 11
@@ -298,7 +298,7 @@
 		return err == nil
 	})
 	p, out := start(t, end.Addr())
-	late, mate, last := try("late", nettest.Patience), try("mate", nettest.Patience), try("last", nettest.Patience)
+	late, mate, last := try("late", nettest.Timeout), try("mate", nettest.Timeout), try("last", nettest.Timeout)
 	late.Until, last.Until = time.Now().Add(20*time.Millisecond), mate.Until.Add(time.Second)
 	p.Call([]Try{late, mate, last})
 	if o := nettest.Wait(t, "outcome", out); o.ID != "late" || o.Status != raventrestle.TimedOut {
@@ -330,7 +330,7 @@
 			return (&net.Dialer{}).DialContext(ctx, network, addr)
 		},
 	})
-	late, mate := try("late", nettest.Patience), try("mate", nettest.Patience)
+	late, mate := try("late", nettest.Timeout), try("mate", nettest.Timeout)
 	late.Until = time.Now().Add(20 * time.Millisecond)
 	p.Call([]Try{mate, late})
 	if o := nettest.Wait(t, "outcome", out); o.ID != "late" || o.Status != raventrestle.TimedOut {
@@ -349,7 +349,7 @@
 	p, out := start(t, end.Addr())
 	p.Stop()
 	for i := range 20 {
-		if p.Call([]Try{try("a", nettest.Patience)}) {
+		if p.Call([]Try{try("a", nettest.Timeout)}) {
 			if o := nettest.Wait(t, "outcome", out); o.Status != raventrestle.NotSent && o.Status != raventrestle.OK {
 				t.Fatalf("%+v", o)
 			}
@@ -366,7 +366,7 @@
 	end := nettest.NewPeer(t, nettest.Answer(nettest.Plain(200, "", "")))
 	p, out := start(t, end.Addr())
 	call := func(id string) raventrestle.Status {
-		p.Call([]Try{try(id, nettest.Patience)})
+		p.Call([]Try{try(id, nettest.Timeout)})
 		return nettest.Wait(t, "outcome", out).Status
 	}
 	p.BlockUntil(time.Now().Add(time.Hour))
@@ -388,7 +388,7 @@
 		t.Fatalf("a call after the wait ended as %v", s)
 	}
 	nettest.Wait(t, "call", end.Calls)
-	late, mate := try("late", nettest.Patience), try("mate", nettest.Patience)
+	late, mate := try("late", nettest.Timeout), try("mate", nettest.Timeout)
 	late.Before = time.Now().Add(-time.Millisecond) // a repeat whose window has passed, and its mate
 	p.Call([]Try{mate, late})
 	for range 2 {
@@ -407,8 +407,8 @@
 		Name: "p", Addr: end.Addr(), ConnectWithin: time.Second, IdleClose: 5 * time.Second, Mailbox: 64, Log: nettest.Log,
 		Counts: &Counts{}, Tell: func(e raventrestle.Event) { out <- e.(raventrestle.Outcome) },
 	})
-	until := time.Now().Add(nettest.Patience)
-	p.Call([]Try{{ID: "a", Wait: nettest.Patience, Until: until}, {ID: "b", Wait: nettest.Patience, Until: until}})
+	until := time.Now().Add(nettest.Timeout)
+	p.Call([]Try{{ID: "a", Wait: nettest.Timeout, Until: until}, {ID: "b", Wait: nettest.Timeout, Until: until}})
 	nettest.Wait(t, "call", end.Calls)
 	p.Cancel("a")
 	for range 2 {
@@ -416,5 +416,5 @@
 			t.Errorf("%+v", o)
 		}
 	}
-	nettest.Wait(t, "end of the connection", end.Ends)
+	nettest.Wait(t, "end of the connection", end.ConnsClosed)
 }
--- a/internal/net/sock/sock.go
+++ b/internal/net/sock/sock.go
@@ -1,4 +1,4 @@
-// Package sock looks at connections without reading from them.
+// Package sock inspects connections without reading from them.
 package sock
 
 import (
@@ -9,9 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Peek says whether the other side still keeps the connection open, and whether nothing has come
-// on it that is not read yet. What it can't look at counts as open and quiet.
-func Peek(c net.Conn) (open, quiet bool) {
+// Peek reports whether the peer keeps the connection open, and whether it is idle, that is, has no unread bytes. A
+// connection that can't be inspected counts as open and idle.
+func Peek(c net.Conn) (open, idle bool) {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return true, true
@@ -23,13 +23,13 @@
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
-		open = quiet || err == nil && n > 0
+		idle = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
+		open = idle || err == nil && n > 0
 	})
-	return err == nil && open, err == nil && quiet
+	return err == nil && open, err == nil && idle
 }
 
-// Age is how long ago the last byte came on the connection, read or not; 0 where that can't be told.
+// Age returns the time since the last byte arrived on the connection, read or not; 0 if it is unknown.
 func Age(c net.Conn) (age time.Duration) {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/net/submission/submission_test.go
+++ b/internal/net/submission/submission_test.go
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(nettest.Patience))
+	c.SetDeadline(time.Now().Add(nettest.Timeout))
 	return c, bufio.NewReader(c)
 }
 
