--- a/cmd/raventrestle/serve.go
+++ b/cmd/raventrestle/serve.go
@@ -114,12 +114,12 @@
 
 	// Where the platform holds the clients' socket, a next process may start beside this one, and each life
 	// has a folder of its own: of disk and memory it takes its part alone.
-	listener, err := upgrade.Inherited(os.Getenv)
+	listener, err := upgrade.InheritedListener(os.Getenv)
 	if err != nil {
 		return err
 	}
 	disk := min(int64(d.conf.Limits.DiskMB*1e6), memory/4)
-	var life *upgrade.Life
+	var life *upgrade.ProcessDir
 	if listener != nil {
 		if life, err = upgrade.Claim(d.conf.State, d.log); err != nil {
 			return err
@@ -132,7 +132,7 @@
 			return err
 		}
 		defer owner()
-		if life, err = upgrade.Alone(d.conf.State, d.log); errors.Is(err, upgrade.ErrRuns) {
+		if life, err = upgrade.ClaimExclusive(d.conf.State, d.log); errors.Is(err, upgrade.ErrRunning) {
 			return fmt.Errorf("%w: %w", errOwned, err)
 		} else if err != nil {
 			return err
@@ -148,7 +148,7 @@
 		disk -= shared
 	}
 	var kept []journal.Kept
-	d.store, kept, err = journal.Open(life.Folder, journal.Options{Limit: disk, Shared: listener != nil, Tries: set.Undeliverable.Keep}, d.log)
+	d.store, kept, err = journal.Open(life.Path, journal.Options{Limit: disk, Shared: listener != nil, Tries: set.Undeliverable.Keep}, d.log)
 	if err != nil {
 		return err
 	}
@@ -163,9 +163,9 @@
 	}
 	d.courier.OnLifecycleEvent, d.courier.KeepForSuccessor = d.tell, listener != nil
 	if remembers {
-		keeper := learned.Keep(life.Folder, d.log)
+		keeper := learned.Keep(life.Path, d.log)
 		defer keeper.Close()
-		d.courier.UseLearned(d.before(life.Folder), keeper)
+		d.courier.UseLearned(d.before(life.Path), keeper)
 	}
 	d.front = submission.New(d.courier, d.conf.Names, d.figures, d.log)
 	ctx, stop := context.WithCancel(ctx)
@@ -174,7 +174,7 @@
 		d.courier.UseDeadLetters(d.deadLetters)
 		go d.deadLetters.Run(ctx)
 	}
-	d.fleet = d.meet(ctx, set, life.Folder, shared)
+	d.fleet = d.meet(ctx, set, life.Path, shared)
 	defer d.record(set, listener != nil)()
 	go d.courier.Run(ctx)
 	d.tell(lifecycle.Done{Step: lifecycle.Notices})
@@ -227,7 +227,7 @@
 			}
 			began := time.Now()
 			d.fleet.part()
-			if inherited && life.Followed() {
+			if inherited && life.HasSuccessor() {
 				d.handOver(began, clients)
 			} else {
 				d.tell(lifecycle.End{})
@@ -486,7 +486,7 @@
 		"withdrawn", out.Withdrawn.Load(), "delivered", out.Delivered.Load(), "void", out.Void.Load(),
 		"deferred", out.Deferred.Load(), "undeliverable", out.Undeliverable.Load())
 	names := []string{"ok", "error", "full", "timed_out", "connect_failed", "reset", "cancelled", "moot"}
-	tries := []any{"dials", net.Dials.Load(), "calls", net.Calls.Load(), "bulk", net.Bulks.Load(), "tries", net.Tries.Load()}
+	tries := []any{"dials", net.Dials.Load(), "calls", net.Calls.Load(), "bulk", net.BatchCalls.Load(), "tries", net.Attempts.Load()}
 	for i, name := range names {
 		tries = append(tries, name, out.ByStatus[i].Load())
 	}
--- a/internal/deadletter/letter.go
+++ b/internal/deadletter/letter.go
@@ -4,7 +4,7 @@
 // The invariant: at every moment one place answers for a message. A message is the journal's until
 // its dead letter is on disk and the journal has its end; a dead letter that is being sent again is marked out
 // first and is the journal's from then on, until its end is written into the dead letter. Reconcile puts
-// a crash between two of these writes right; TestEveryWriteBoundary enumerates them.
+// a crash between two of these writes right; TestResendSurvivesKillAtEveryWrite enumerates them.
 package deadletter
 
 import (
--- a/internal/net/connlimit/connlimit.go
+++ b/internal/net/connlimit/connlimit.go
@@ -278,6 +278,7 @@
 	c.requestRead = true
 }
 
+// Close closes the connection and frees its slot.
 func (c *Conn) Close() error {
 	c.limiter.mu.Lock()
 	c.moveTo(nil)
--- a/internal/net/courier/act.go
+++ b/internal/net/courier/act.go
@@ -17,7 +17,7 @@
 type pendingCall struct {
 	peer     *peer.Peer
 	target   raventrestle.TargetID
-	attempts []peer.Try
+	attempts []peer.Attempt
 	size     int // estimated size of the body in bytes
 }
 
@@ -92,15 +92,15 @@
 		return
 	}
 	r := c.peers[a.Target]
-	attempt := peer.Try{ID: m.ID, Key: m.Key, N: m.Tries, Body: m.Body, Wait: a.Timeout, Until: time.Unix(0, m.Until)}
+	attempt := peer.Attempt{ID: m.ID, Key: m.Key, Index: m.Tries, Body: m.Body, Timeout: a.Timeout, Deadline: time.Unix(0, m.Until)}
 	if a.MaxSendDelay > 0 {
-		attempt.Before = time.Unix(0, int64(e.at+a.MaxSendDelay))
+		attempt.SendBy = time.Unix(0, int64(e.at+a.MaxSendDelay))
 	}
 	m.Tries++
 	m.inFlight = true
 	c.inFlight++
 	if r == nil || r.entry.Dest != raventrestle.DestID(m.Dest) {
-		e.notSent = append(e.notSent, raventrestle.Outcome{ID: a.ID, Target: a.Target, Attempt: attempt.N, Status: raventrestle.NotSent})
+		e.notSent = append(e.notSent, raventrestle.Outcome{ID: a.ID, Target: a.Target, Attempt: attempt.Index, Status: raventrestle.NotSent})
 		return
 	}
 	zone := ""
@@ -117,20 +117,20 @@
 }
 
 // add puts an attempt into a call to its target, a new one if no call has room.
-func (e *stepEffects) add(r *listedPeer, target raventrestle.TargetID, attempt peer.Try, maxBatch int) {
+func (e *stepEffects) add(r *listedPeer, target raventrestle.TargetID, attempt peer.Attempt, maxBatch int) {
 	size := len(attempt.ID) + len(attempt.Key) + len(attempt.Body) + messageOverhead
-	i := slices.IndexFunc(e.calls, func(x *pendingCall) bool {
-		return x.peer == r.Peer && len(x.attempts) < maxBatch && x.size+size <= maxCallBody
+	i := slices.IndexFunc(e.calls, func(call *pendingCall) bool {
+		return call.peer == r.Peer && len(call.attempts) < maxBatch && call.size+size <= maxCallBody
 	})
 	if i < 0 {
 		i, e.calls = len(e.calls), append(e.calls, &pendingCall{peer: r.Peer, target: target})
 	}
-	x := e.calls[i]
-	x.attempts, x.size = append(x.attempts, attempt), x.size+size
+	call := e.calls[i]
+	call.attempts, call.size = append(call.attempts, attempt), call.size+size
 }
 
-// refuse ends a message that certainly did not run. A message that is kept as a dead letter, or that another process
-// takes over, is ended there instead.
+// refuse ends a message that certainly did not run. It does not end a message that the next process takes over, and leaves
+// resends and messages for the dead letters to finishResend and giveUp.
 func (c *Courier) refuse(e *stepEffects, a raventrestle.Refuse) {
 	m := c.msgs[a.ID]
 	end := journal.End{Deferred: true, AgainMS: a.RetryAfter.Milliseconds()}
@@ -151,8 +151,8 @@
 	e.endings = append(e.endings, notify.Notification{ID: string(a.ID), End: end})
 }
 
-// fail ends a message that may have run. A message that is kept as a dead letter, or that another process takes over,
-// is ended there instead.
+// fail ends a message that may have run. It does not end a message that the next process takes over, and leaves resends and
+// messages for the dead letters to finishResend and giveUp.
 func (c *Courier) fail(e *stepEffects, a raventrestle.Fail) {
 	m := c.msgs[a.ID]
 	switch {
@@ -179,13 +179,13 @@
 		c.log.Error("courier: journal", "err", err)
 	}
 	c.noteWriteResult(err)
-	for _, x := range calls {
-		if err == nil && x.peer.Call(x.attempts) {
+	for _, call := range calls {
+		if err == nil && call.peer.Call(call.attempts) {
 			continue
 		}
-		for _, t := range x.attempts {
+		for _, attempt := range call.attempts {
 			c.post(raventrestle.Outcome{
-				ID: raventrestle.MessageID(t.ID), Target: x.target, Attempt: t.N,
+				ID: raventrestle.MessageID(attempt.ID), Target: call.target, Attempt: attempt.Index,
 				Status: raventrestle.NotSent,
 			})
 		}
--- a/internal/net/courier/courier.go
+++ b/internal/net/courier/courier.go
@@ -34,7 +34,8 @@
 	Peers                                    peer.Counts
 }
 
-// Courier is the actor that runs the policy.
+// Courier is the actor that runs the policy. It accepts messages from clients and delivers them to the endpoints that
+// discovery lists.
 type Courier struct {
 	Counts      Counts
 	conf        *config.Config
@@ -103,7 +104,8 @@
 
 type shutdownMsg struct{ deadline time.Time }
 
-type notifiedMsg struct{} // the platform has acknowledged notifications
+// checkDrainedMsg makes the actor run a step after a message has ended outside a step, since the courier may be drained.
+type checkDrainedMsg struct{}
 
 // maxSendJitter is how much longer a retry may take to be sent than the first attempt did. It covers the worst case, in
 // which only the retry needs a new connection, waits for a journal write and runs on a busy core.
@@ -147,13 +149,13 @@
 // startPeer starts the peer for an entry of the endpoint list.
 func (c *Courier) startPeer(ctx context.Context, e discovery.Entry) *peer.Peer {
 	p := peer.New(ctx, peer.Config{
-		Name: string(e.Target), Addr: e.Addr, ConnectWithin: c.conf.Settings.ConnectTimeout,
-		IdleClose: c.conf.Settings.IdleTimeout, Mailbox: 4*c.conf.Settings.CallSlots + 16, Log: c.log, Counts: &c.Counts.Peers,
-		Wrote: func(n int) {
+		Name: string(e.Target), Addr: e.Addr, ConnectTimeout: c.conf.Settings.ConnectTimeout,
+		IdleTimeout: c.conf.Settings.IdleTimeout, MailboxSize: 4*c.conf.Settings.CallSlots + 16, Log: c.log, Counts: &c.Counts.Peers,
+		OnCallWritten: func(n int) {
 			c.Metrics.UpstreamRequests.Add(int64(n))
 			c.recordCallWritten(e.Target)
 		},
-		Tell: func(e raventrestle.Event) { c.mailbox <- e },
+		OnOutcome: func(e raventrestle.Event) { c.mailbox <- e },
 	})
 	if e.State == raventrestle.Draining {
 		p.BlockUntil(peer.Never)
--- a/internal/net/courier/deadletters.go
+++ b/internal/net/courier/deadletters.go
@@ -36,12 +36,12 @@
 
 // attemptEnded notes how the attempt in flight ended, for the dead-letter keeper's view of the destination and for the
 // message's own dead letter.
-func (c *Courier) attemptEnded(m *message, o raventrestle.Outcome, outcome string) {
+func (c *Courier) attemptEnded(m *message, o raventrestle.Outcome, statusName string) {
 	if o.Status != raventrestle.NotSent && o.Status != raventrestle.Canceled {
 		c.endedCalls = append(c.endedCalls, deadletter.Seen{Dest: destOf(m, c.peers[o.Target]), Delivered: o.Status == raventrestle.OK})
 	}
 	if m != nil {
-		c.moveToPast(m, outcome)
+		c.moveToPast(m, statusName)
 	}
 }
 
@@ -175,7 +175,7 @@
 		}
 		c.deadLetterEnded(id, result)
 		c.recordEnd(id)
-		c.post(notifiedMsg{})
+		c.post(checkDrainedMsg{})
 	})
 }
 
--- a/internal/net/courier/fleet.go
+++ b/internal/net/courier/fleet.go
@@ -127,13 +127,13 @@
 		for _, x := range d.Targets {
 			s := facts.Subject{Dest: int64(d.Dest), Endpoint: string(x.Target)}
 			since, shared := c.outages[x.Target]
-			switch suspended := x.Health == halfOpen; {
-			case suspended && x.ConsecutiveFailures > 0 && !shared:
+			switch isHalfOpen := x.Health == halfOpen; {
+			case isHalfOpen && x.ConsecutiveFailures > 0 && !shared:
 				c.outages[x.Target] = t
-				c.fleet.Learn(s, facts.Outage, facts.Value{Number: 1}) // one failed call is enough to report it
-			case suspended && shared: // renewed before it expires
+				c.fleet.Learn(s, facts.Outage, facts.Value{Number: 1}) // the number of consecutive calls that made it half-open
+			case isHalfOpen && shared: // renewed before it expires
 				c.fleet.Learn(s, facts.Outage, facts.Value{Number: 1, For: t - since})
-			case !suspended && shared:
+			case !isHalfOpen && shared:
 				delete(c.outages, x.Target)
 				c.fleet.Learn(s, facts.OutageEnd, facts.Value{For: t - since})
 			}
--- a/internal/net/courier/intake.go
+++ b/internal/net/courier/intake.go
@@ -39,14 +39,14 @@
 }
 
 // Admit starts the delivery of a message whose client has been told that it was accepted.
-func (c *Courier) Admit(m *journal.Message, again, orphan bool) {
+func (c *Courier) Admit(m *journal.Message, resubmitted, orphaned bool) {
 	c.Counts.Accepted.Add(1)
 	c.Metrics.Pending.Add(1)
 	c.mu.Lock()
 	c.pendingIDs[m.ID] = true
 	c.mu.Unlock()
 	c.recordAccepted(m)
-	c.mailbox <- arrival{m, again, orphan}
+	c.mailbox <- arrival{m, resubmitted, orphaned}
 }
 
 // Withdraw drops a message whose client left before it was told that the message was accepted.
@@ -71,7 +71,7 @@
 
 func (c *Courier) notificationsDelivered(ids []string) {
 	c.recordEnd(ids...)
-	c.post(notifiedMsg{})
+	c.post(checkDrainedMsg{})
 }
 
 func (c *Courier) forget(id string) {
--- a/internal/net/courier/list.go
+++ b/internal/net/courier/list.go
@@ -14,7 +14,7 @@
 	"raventrestle/internal/net/peer"
 )
 
-// applyList starts, stops and holds peers according to the endpoint list.
+// applyList starts, stops and blocks peers according to the endpoint list.
 func (c *Courier) applyList(ctx context.Context, u discovery.Update) raventrestle.ListUpdate {
 	l := raventrestle.ListUpdate{Kind: u.Kind}
 	if stale := u.Kind == raventrestle.ListFailed; u.Kind != raventrestle.ListCached {
@@ -91,7 +91,7 @@
 	return raventrestle.DestinationKind{MaxBatch: 1}
 }
 
-// blockRoute holds the peers that share the target's route until the given time. Otherwise calls that still wait for their
+// blockRoute blocks the peers that share the target's route until the given time. Otherwise calls that still wait for their
 // connection would be written during the pause.
 func (c *Courier) blockRoute(target raventrestle.TargetID, until time.Time) {
 	paused := c.peers[target]
--- a/internal/net/courier/outcome.go
+++ b/internal/net/courier/outcome.go
@@ -29,10 +29,10 @@
 		}
 	}
 	id, m := string(o.ID), c.msgs[o.ID]
-	outcome := ""
+	statusName := ""
 	if c.deadLetters != nil {
-		outcome = statusNames[o.Status]
-		c.attemptEnded(m, o, outcome)
+		statusName = statusNames[o.Status]
+		c.attemptEnded(m, o, statusName)
 	}
 	if m != nil {
 		m.inFlight = false
@@ -60,9 +60,9 @@
 		c.forget(id)
 		return append(records, journal.Over(id))
 	case neverRan:
-		records = append(records, journal.NeverRan(id, outcome))
+		records = append(records, journal.NeverRan(id, statusName))
 	default:
-		records = append(records, journal.MayHaveRun(id, outcome))
+		records = append(records, journal.MayHaveRun(id, statusName))
 	}
 	if c.handingOver && m != nil && m.Resend == 0 {
 		records = append(records, c.handOverMessage(m))
--- a/internal/net/courier/step.go
+++ b/internal/net/courier/step.go
@@ -22,7 +22,7 @@
 	var lists, outcomes, others []raventrestle.Event
 	var records []journal.Record
 	var statusReplies []chan<- Status
-	startHandover := false
+	handOverRequested := false
 	others = append(others, c.yieldResends(queued)...)
 	for _, m := range queued {
 		switch m := m.(type) {
@@ -52,7 +52,7 @@
 				others = append(others, e)
 			}
 		case handOverMsg:
-			startHandover = !c.handingOver
+			handOverRequested = !c.handingOver
 		case inheritMsg:
 			c.inherited = true
 			c.policy.Inherit(m.Learned)
@@ -71,7 +71,7 @@
 			others = append(others, raventrestle.Shutdown{At: time.Duration(m.deadline.UnixNano())})
 		}
 	}
-	if startHandover {
+	if handOverRequested {
 		c.handingOver = true
 		withdrawn, handOvers := c.startHandover()
 		others, records = append(others, withdrawn...), append(records, handOvers...)
--- a/internal/net/peer/peer.go
+++ b/internal/net/peer/peer.go
@@ -1,6 +1,6 @@
-// Package peer speaks to one endpoint: an actor that keeps its connections and makes the
-// calls. One try is one call, written once on one connection; an answer that comes too
-// late never meets a later try, since its connection is closed by then.
+// Package peer makes the calls to one endpoint: an actor that keeps its connections. A call carries one or more attempts
+// and is written once, on one connection. A call that is given up closes its connection, so a late answer can't be taken
+// for the answer to a later call.
 package peer
 
 import (
@@ -21,175 +21,175 @@
 	"raventrestle/internal/net/sock"
 )
 
-// Try is one attempt at a message.
-type Try struct {
-	ID, Key string
-	N       int // index of the attempt, from 0
-	Body    []byte
-	Wait    time.Duration // how long the courier waits for it
-	Until   time.Time     // when the message's time is up
-	Before  time.Time     // it is written by then or not at all; zero where nothing binds it
+// Attempt is one attempt to deliver a message.
+type Attempt struct {
+	ID, Key  string
+	Index    int // number of the attempt at this message, from 0
+	Body     []byte
+	Timeout  time.Duration // how long the courier waits for its answer
+	Deadline time.Time     // the message's deadline
+	SendBy   time.Time     // the call must not be written later; zero for no limit
 }
 
-// Config is what a peer needs to know.
+// Config configures a peer.
 type Config struct {
-	Name, Addr    string
-	ConnectWithin time.Duration // a connection takes at most this long
-	IdleClose     time.Duration // the endpoint closes a connection that has been idle so long
-	Mailbox       int
-	Log           *slog.Logger
-	Counts        *Counts
-	Tell          func(raventrestle.Event)                                          // hands an event to the courier
-	Wrote         func(messages int)                                                // hears of a call that is written in full; nil for nobody
-	Dial          func(ctx context.Context, network, addr string) (net.Conn, error) // nil for the usual
+	Name, Addr     string
+	ConnectTimeout time.Duration // maximum time to establish a connection
+	IdleTimeout    time.Duration // the endpoint closes connections that have been idle this long
+	MailboxSize    int
+	Log            *slog.Logger
+	Counts         *Counts
+	OnOutcome      func(raventrestle.Event)                                          // called with each attempt's outcome
+	OnCallWritten  func(messages int)                                                // called after a call has been written in full; may be nil
+	Dial           func(ctx context.Context, network, addr string) (net.Conn, error) // nil for a net.Dialer
 }
 
-// Counts are what all peers do together.
+// Counts are counters that all peers share.
 type Counts struct {
-	Dials, Calls, Bulks, Tries, Answers, Failures atomic.Int64
+	Dials, Calls, BatchCalls, Attempts, Answers, Failures atomic.Int64
 }
 
-// margin is how much sooner than the endpoint a peer closes idle connections: a call on its
-// way takes that long, and one that meets the endpoint's close ends as a reset.
-const margin = 250 * time.Millisecond
+// idleCloseMargin is how much earlier than the endpoint a peer closes idle connections. A call in transit takes up to that
+// long, and a call that arrives when the endpoint closes the connection ends as a reset.
+const idleCloseMargin = 250 * time.Millisecond
 
-// rest is how long a connection stays unused after an answer: the endpoint's close, or bytes beyond
-// the answer, may be on their way, and would end the next call or be taken for its answer.
-const rest = 25 * time.Millisecond
+// reuseDelay is how long a connection is not reused after an answer. The endpoint's close or excess bytes may still be in
+// transit, and would fail the next call or be taken for its answer.
+const reuseDelay = 25 * time.Millisecond
 
 // Peer is the actor of one endpoint.
 type Peer struct {
 	Config
-	quit  context.CancelFunc
-	idle  []*conn      // the one used last is last
-	until atomic.Int64 // nothing is written before that time, in Unix nanoseconds: see BlockUntil
-	mu    sync.Mutex
-	ended bool // nobody reads the mailbox any more
-	mail  chan any
+	cancel       context.CancelFunc
+	idle         []*conn      // in the order of their last use
+	blockedUntil atomic.Int64 // no call is written before this time, in Unix nanoseconds: see BlockUntil
+	mu           sync.Mutex
+	closed       bool // the mailbox is not read any more
+	mailbox      chan any
 }
 
 type conn struct {
 	net.Conn
-	r     *bufio.Reader
-	since time.Time       // idle since
-	left  int             // bytes that may still come in answer to this call
-	ctx   context.Context // of this call
+	r         *bufio.Reader
+	idleSince time.Time
+	remaining int             // maximum number of bytes still to be read in answer to this call
+	ctx       context.Context // of this call
 }
 
-// Read gives no more than an answer may hold.
+// Read returns an error once the answer exceeds its maximum size.
 func (c *conn) Read(b []byte) (int, error) {
-	if c.left <= 0 {
+	if c.remaining <= 0 {
 		return 0, errTooLong
 	}
-	n, err := c.Conn.Read(b[:min(len(b), c.left)])
-	c.left -= n
+	n, err := c.Conn.Read(b[:min(len(b), c.remaining)])
+	c.remaining -= n
 	return n, err
 }
 
-// within bounds what is left to read of the call, whose own end may come sooner.
-func (c *conn) within(d time.Duration) {
+// limitRead sets a deadline for reading the rest of the answer, unless the call has ended before.
+func (c *conn) limitRead(d time.Duration) {
 	c.SetReadDeadline(time.Now().Add(d))
-	if c.ctx.Err() != nil { // it came between
+	if c.ctx.Err() != nil { // the call ended while the deadline was set
 		c.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
 type (
-	callMsg   struct{ tries []Try }
-	cancelMsg struct{ id string }
-	idleMsg   struct{ c *conn }
-	closeMsg  struct{}
-	doneMsg   struct{ cl *call }
+	callMsg      struct{ attempts []Attempt }
+	cancelMsg    struct{ id string }
+	idleMsg      struct{ c *conn }
+	closeIdleMsg struct{}
+	doneMsg      struct{ cl *call }
 )
 
-// call is one call that is out.
+// call is a call in flight.
 type call struct {
-	tries  []Try
-	cancel context.CancelCauseFunc
+	attempts []Attempt
+	cancel   context.CancelCauseFunc
 }
 
 var (
-	errCancelled = errors.New("called off")
-	errHeld      = errors.New("held: the route waits, the peer drains, a repeat comes too late or a mate is over")
+	errCancelled = errors.New("call canceled")
+	errWithheld  = errors.New("call withheld: route paused, peer draining, retry past its send deadline, or another attempt expired")
 )
 
-// New starts a peer; it ends with the context, once its calls are done.
+// New starts a peer. It stops when the context ends; calls in flight still finish.
 func New(ctx context.Context, c Config) *Peer {
 	if c.Dial == nil {
-		c.Dial = (&net.Dialer{Timeout: c.ConnectWithin, KeepAlive: -1}).DialContext
+		c.Dial = (&net.Dialer{Timeout: c.ConnectTimeout, KeepAlive: -1}).DialContext
 	}
-	if c.Wrote == nil {
-		c.Wrote = func(int) {}
+	if c.OnCallWritten == nil {
+		c.OnCallWritten = func(int) {}
 	}
-	ctx, quit := context.WithCancel(ctx)
-	p := &Peer{Config: c, mail: make(chan any, c.Mailbox), quit: quit}
+	ctx, cancel := context.WithCancel(ctx)
+	p := &Peer{Config: c, mailbox: make(chan any, c.MailboxSize), cancel: cancel}
 	go p.run(ctx)
 	return p
 }
 
-// Call makes one call of the tries. It reports whether the mailbox took it. The message with the most time left stands
-// first in the call: a call goes on while some of its messages run out of time, and the platform was seen to count none
-// of the others as delivered where the first one had.
-func (p *Peer) Call(tries []Try) bool {
-	tries = slices.Clone(tries)
-	slices.SortStableFunc(tries, func(a, b Try) int { return b.Until.Compare(a.Until) })
-	return p.post(callMsg{tries})
+// Call makes one call with the attempts; it returns false if the mailbox is full or closed. The attempt with the latest
+// deadline goes first. A call continues while some of its messages expire, and the platform was seen not to count the
+// other messages as delivered if the first one had expired.
+func (p *Peer) Call(attempts []Attempt) bool {
+	attempts = slices.Clone(attempts)
+	slices.SortStableFunc(attempts, func(a, b Attempt) int { return b.Deadline.Compare(a.Deadline) })
+	return p.post(callMsg{attempts})
 }
 
-// Cancel closes the connection of the call with the message; its mates end with it.
+// Cancel closes the connection of the call with the message, which ends all attempts of that call.
 func (p *Peer) Cancel(id string) bool { return p.post(cancelMsg{id}) }
 
-// CloseIdle closes the connections that carry no call.
-func (p *Peer) CloseIdle() bool { return p.post(closeMsg{}) }
+// CloseIdle closes the connections without a call.
+func (p *Peer) CloseIdle() bool { return p.post(closeIdleMsg{}) }
 
-// BlockUntil keeps calls from being written before that time, those included whose connection is still
-// coming up: that takes up to ConnectWithin, in which the route may be told to wait or the list may
-// name the peer as draining. They end as NotSent. The zero time lets calls through again.
+// BlockUntil prevents calls from being written before the given time, including calls that are waiting for a connection.
+// Connecting takes up to ConnectTimeout, and meanwhile the route may be paused or the list may name the endpoint as
+// draining. Blocked calls end as NotSent. The zero time lifts the block.
 func (p *Peer) BlockUntil(until time.Time) {
 	if until.IsZero() {
-		p.until.Store(0)
+		p.blockedUntil.Store(0)
 		return
 	}
-	for old := p.until.Load(); old < until.UnixNano() && !p.until.CompareAndSwap(old, until.UnixNano()); {
-		old = p.until.Load()
+	for old := p.blockedUntil.Load(); old < until.UnixNano() && !p.blockedUntil.CompareAndSwap(old, until.UnixNano()); {
+		old = p.blockedUntil.Load()
 	}
 }
 
-// Never is a time for BlockUntil that never comes.
+// Never blocks calls for good when it is passed to BlockUntil.
 var Never = time.Unix(0, math.MaxInt64)
 
-// Stop ends the actor; its idle connections are closed, and calls that are written run on.
+// Stop ends the actor. It closes idle connections; calls that have been written still finish.
 func (p *Peer) Stop() {
 	p.BlockUntil(Never)
-	p.quit()
+	p.cancel()
 }
 
-// post puts mail in the box, if there is room and somebody reads it.
+// post puts a message into the mailbox; it returns false if the mailbox is full or closed.
 func (p *Peer) post(m any) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.ended {
+	if p.closed {
 		return false
 	}
 	select {
-	case p.mail <- m:
+	case p.mailbox <- m:
 		return true
 	default:
 		return false
 	}
 }
 
-// end closes the mailbox. Calls in it are not made, and are told as such: a peer may be stopped
-// between the module's decision and its call.
-func (p *Peer) end() {
+// closeMailbox closes the mailbox. The calls in it are reported as not sent: a peer may be stopped between the policy's
+// decision and the call.
+func (p *Peer) closeMailbox() {
 	p.mu.Lock()
-	p.ended = true
+	p.closed = true
 	p.mu.Unlock()
 	p.closeIdle(0)
-	for range len(p.mail) {
-		switch m := (<-p.mail).(type) {
+	for range len(p.mailbox) {
+		switch m := (<-p.mailbox).(type) {
 		case callMsg:
-			(&teller{p: p, began: time.Now(), tries: m.tries, open: open(m.tries)}).all(raventrestle.NotSent)
+			(&outcomeReporter{peer: p, start: time.Now(), attempts: m.attempts, unreported: attemptIDs(m.attempts)}).reportAll(raventrestle.NotSent)
 		case idleMsg:
 			m.c.Close()
 		}
@@ -197,64 +197,65 @@
 }
 
 func (p *Peer) run(ctx context.Context) {
-	out := map[*call]bool{}
-	sweep := time.NewTicker(max(margin/2, 10*time.Millisecond))
-	defer sweep.Stop()
+	inFlight := map[*call]bool{}
+	ticker := time.NewTicker(max(idleCloseMargin/2, 10*time.Millisecond))
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			p.end()
+			p.closeMailbox()
 			return
-		case <-sweep.C:
-			p.closeIdle(p.IdleClose - 2*margin)
-		case m := <-p.mail:
+		case <-ticker.C:
+			p.closeIdle(p.IdleTimeout - 2*idleCloseMargin)
+		case m := <-p.mailbox:
 			switch m := m.(type) {
 			case callMsg:
-				cl := &call{tries: m.tries}
+				cl := &call{attempts: m.attempts}
 				var callCtx context.Context
 				callCtx, cl.cancel = context.WithCancelCause(context.WithoutCancel(ctx))
-				out[cl] = true
-				c := p.take()
+				inFlight[cl] = true
+				c := p.takeIdle()
 				go func() {
 					defer p.post(doneMsg{cl})
-					p.call(callCtx, cl, c)
+					p.makeCall(callCtx, cl, c)
 				}()
 			case cancelMsg:
-				for cl := range out {
-					if slices.ContainsFunc(cl.tries, func(t Try) bool { return t.ID == m.id }) {
+				for cl := range inFlight {
+					if slices.ContainsFunc(cl.attempts, func(a Attempt) bool { return a.ID == m.id }) {
 						cl.cancel(errCancelled)
 					}
 				}
 			case idleMsg:
-				m.c.since = time.Now()
+				m.c.idleSince = time.Now()
 				p.idle = append(p.idle, m.c)
-			case closeMsg:
+			case closeIdleMsg:
 				p.closeIdle(0)
 			case doneMsg:
 				m.cl.cancel(nil)
-				delete(out, m.cl)
+				delete(inFlight, m.cl)
 			}
 		}
 	}
 }
 
-// fit says whether an idle connection is open and silent: what has come on it unasked, or its
-// end, makes it unfit for another call.
-func fit(c *conn) bool {
-	_, quiet := sock.Peek(c.Conn)
-	return quiet && c.r.Buffered() == 0
+// reusable reports whether an idle connection is open and has no unread bytes. Unexpected bytes or a close make it unusable
+// for another call.
+func reusable(c *conn) bool {
+	_, idle := sock.Peek(c.Conn)
+	return idle && c.r.Buffered() == 0
 }
 
-// take is an idle connection that is still fit, or nil: the one used last of those that have rested.
-func (p *Peer) take() *conn {
+// takeIdle returns a reusable idle connection or nil. It takes the most recently used one that has been idle for at least
+// reuseDelay.
+func (p *Peer) takeIdle() *conn {
 	for i := len(p.idle) - 1; i >= 0; i-- {
 		c := p.idle[i]
-		age := time.Since(c.since)
-		if age < rest {
+		age := time.Since(c.idleSince)
+		if age < reuseDelay {
 			continue
 		}
 		p.idle = slices.Delete(p.idle, i, i+1)
-		if age < p.IdleClose-margin && fit(c) {
+		if age < p.IdleTimeout-idleCloseMargin && reusable(c) {
 			return c
 		}
 		c.Close()
@@ -262,11 +263,11 @@
 	return nil
 }
 
-// closeIdle closes connections idle for so long, and those that the endpoint has closed.
-func (p *Peer) closeIdle(after time.Duration) {
+// closeIdle closes connections that have been idle for maxIdle, and those that are not reusable.
+func (p *Peer) closeIdle(maxIdle time.Duration) {
 	kept := p.idle[:0]
 	for _, c := range p.idle {
-		if after > 0 && time.Since(c.since) < after && fit(c) {
+		if maxIdle > 0 && time.Since(c.idleSince) < maxIdle && reusable(c) {
 			kept = append(kept, c)
 		} else {
 			c.Close()
@@ -275,34 +276,34 @@
 	p.idle = kept
 }
 
-// call makes the call and tells the courier how each try of it ended.
-func (p *Peer) call(ctx context.Context, cl *call, c *conn) {
-	began := time.Now()
-	wait := time.Duration(0)
-	for _, t := range cl.tries {
-		wait = max(wait, t.Wait)
+// makeCall makes the call and reports the outcome of each of its attempts.
+func (p *Peer) makeCall(ctx context.Context, cl *call, c *conn) {
+	start := time.Now()
+	timeout := time.Duration(0)
+	for _, a := range cl.attempts {
+		timeout = max(timeout, a.Timeout)
 	}
-	ctx, stop := context.WithDeadline(ctx, began.Add(wait))
+	ctx, stop := context.WithDeadline(ctx, start.Add(timeout))
 	defer stop()
-	told := &teller{p: p, began: began, tries: cl.tries, open: open(cl.tries)}
-	if len(cl.tries) > 1 {
-		defer told.watch(ctx, began.Add(wait))()
+	reporter := &outcomeReporter{peer: p, start: start, attempts: cl.attempts, unreported: attemptIDs(cl.attempts)}
+	if len(cl.attempts) > 1 {
+		defer reporter.reportExpired(ctx, start.Add(timeout))()
 	}
 	defer func() {
-		if e := recover(); e != nil { // the fault stays with this call
-			p.Log.Error("peer: call broke", "peer", p.Name, "panic", fmt.Sprint(e))
-			told.all(raventrestle.Reset)
+		if e := recover(); e != nil { // a panic fails this call only
+			p.Log.Error("peer: panic in a call", "peer", p.Name, "panic", fmt.Sprint(e))
+			reporter.reportAll(raventrestle.Reset)
 		}
 	}()
 	p.Counts.Calls.Add(1)
-	p.Counts.Tries.Add(int64(len(cl.tries)))
-	if len(cl.tries) > 1 {
-		p.Counts.Bulks.Add(1)
+	p.Counts.Attempts.Add(int64(len(cl.attempts)))
+	if len(cl.attempts) > 1 {
+		p.Counts.BatchCalls.Add(1)
 	}
-	a, c, err := p.exchange(ctx, cl, c, wait, told)
-	var failed *TryError
-	held := errors.As(err, &failed) && failed.Reach == Held
-	if err == nil && a.reuse || held {
+	a, c, err := p.exchange(ctx, cl, c, timeout, reporter)
+	var attemptErr *AttemptError
+	withheld := errors.As(err, &attemptErr) && attemptErr.Reach == Withheld
+	if err == nil && a.keepAlive || withheld {
 		if !p.post(idleMsg{c}) {
 			c.Close()
 		}
@@ -312,117 +313,117 @@
 	switch {
 	case err == nil:
 		p.Counts.Answers.Add(1)
-		for _, o := range a.outcomes(cl.tries) {
-			o.Duration = a.at.Sub(began)
-			told.one(o)
+		for _, o := range a.outcomes(cl.attempts) {
+			o.Duration = a.at.Sub(start)
+			reporter.report(o)
 		}
-	case held:
-		told.all(raventrestle.NotSent)
-	case failed != nil:
+	case withheld:
+		reporter.reportAll(raventrestle.NotSent)
+	case attemptErr != nil:
 		p.Counts.Failures.Add(1)
-		p.Log.Debug("peer: try failed", "peer", p.Name, "id", cl.tries[0].ID, "n", len(cl.tries), "err", err,
-			"took", time.Since(began))
-		status := failed.Status()
+		p.Log.Debug("peer: call failed", "peer", p.Name, "id", cl.attempts[0].ID, "n", len(cl.attempts), "err", err,
+			"took", time.Since(start))
+		status := attemptErr.Status()
 		if status == raventrestle.TimedOut && errors.Is(context.Cause(ctx), errCancelled) {
 			status = raventrestle.Canceled
 		}
-		told.all(status)
+		reporter.reportAll(status)
 	}
 }
 
-// exchange writes the call and reads its answer; errors are of type *TryError.
-func (p *Peer) exchange(ctx context.Context, cl *call, c *conn, wait time.Duration, told *teller) (answer, *conn, error) {
+// exchange writes the call and reads its answer. Its errors are of type *AttemptError.
+func (p *Peer) exchange(ctx context.Context, cl *call, c *conn, timeout time.Duration, reporter *outcomeReporter) (answer, *conn, error) {
 	if c == nil {
 		p.Counts.Dials.Add(1)
-		raw, err := p.Dial(ctx, "tcp", p.Addr)
+		netConn, err := p.Dial(ctx, "tcp", p.Addr)
 		if err != nil {
-			return answer{}, nil, &TryError{NotConnected, ctx.Err() != nil, err}
+			return answer{}, nil, &AttemptError{NotConnected, ctx.Err() != nil, err}
 		}
-		c = &conn{Conn: raw}
+		c = &conn{Conn: netConn}
 		c.r = bufio.NewReaderSize(c, 4<<10)
 	}
-	if now := time.Now(); now.UnixNano() < p.until.Load() || slices.ContainsFunc(cl.tries, func(t Try) bool {
-		return !t.Before.IsZero() && now.After(t.Before)
-	}) || told.any() {
-		return answer{}, c, &TryError{Held, false, errHeld}
+	if now := time.Now(); now.UnixNano() < p.blockedUntil.Load() || slices.ContainsFunc(cl.attempts, func(a Attempt) bool {
+		return !a.SendBy.IsZero() && now.After(a.SendBy)
+	}) || reporter.anyReported() {
+		return answer{}, c, &AttemptError{Withheld, false, errWithheld}
 	}
-	c.ctx, c.left = ctx, mostHead+mostBody
-	// Closing the connection is how a call is given up, whether time ran out or it was called off.
+	c.ctx, c.remaining = ctx, maxHeaderBytes+maxBodyBytes
+	// A call that times out or is canceled is given up by closing its connection.
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	text := request(p.Addr, cl.tries, wait)
-	if n, err := c.Write(text); err != nil {
+	data := encodeCall(p.Addr, cl.attempts, timeout)
+	if n, err := c.Write(data); err != nil {
 		reach := NotWritten
-		if n == len(text) {
+		if n == len(data) {
 			reach = Written
 		}
-		return answer{}, c, &TryError{reach, ctx.Err() != nil, err}
+		return answer{}, c, &AttemptError{reach, ctx.Err() != nil, err}
 	}
-	p.Wrote(len(cl.tries))
-	a, err := read(c, len(cl.tries) == 1)
-	var failed *TryError
-	if errors.As(err, &failed) {
-		failed.Timeout = ctx.Err() != nil
+	p.OnCallWritten(len(cl.attempts))
+	a, err := readAnswer(c, len(cl.attempts) == 1)
+	var attemptErr *AttemptError
+	if errors.As(err, &attemptErr) {
+		attemptErr.Timeout = ctx.Err() != nil
 	}
 	c.SetReadDeadline(time.Time{})
-	if !stop() { // the deadline above may have fallen into the reading
-		a.reuse = false
+	if !stop() { // the deadline above may have interrupted the read
+		a.keepAlive = false
 	}
 	return a, c, err
 }
 
-// teller tells each try's outcome once.
-type teller struct {
-	p     *Peer
-	began time.Time
-	tries []Try
-	mu    sync.Mutex
-	open  map[string]bool
+// outcomeReporter reports each attempt's outcome once.
+type outcomeReporter struct {
+	peer       *Peer
+	start      time.Time
+	attempts   []Attempt
+	mu         sync.Mutex
+	unreported map[string]bool
 }
 
-func open(tries []Try) map[string]bool {
+func attemptIDs(attempts []Attempt) map[string]bool {
 	ids := map[string]bool{}
-	for _, t := range tries {
-		ids[t.ID] = true
+	for _, a := range attempts {
+		ids[a.ID] = true
 	}
 	return ids
 }
 
-func (t *teller) one(o raventrestle.Outcome) {
-	t.mu.Lock()
-	first := t.open[string(o.ID)]
-	delete(t.open, string(o.ID))
-	t.mu.Unlock()
+func (r *outcomeReporter) report(o raventrestle.Outcome) {
+	r.mu.Lock()
+	first := r.unreported[string(o.ID)]
+	delete(r.unreported, string(o.ID))
+	r.mu.Unlock()
 	if first {
-		o.Target = raventrestle.TargetID(t.p.Name)
-		o.Duration = cmp.Or(o.Duration, time.Since(t.began))
-		t.p.Tell(o)
+		o.Target = raventrestle.TargetID(r.peer.Name)
+		o.Duration = cmp.Or(o.Duration, time.Since(r.start))
+		r.peer.OnOutcome(o)
 	}
 }
 
-// any says whether a try has been told of: its message may have had its final answer since.
-func (t *teller) any() bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return len(t.open) < len(t.tries)
+// anyReported reports whether an attempt has an outcome already: its message may have had its final answer since.
+func (r *outcomeReporter) anyReported() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.unreported) < len(r.attempts)
 }
 
-func (t *teller) all(s raventrestle.Status) {
-	for _, try := range t.tries {
-		t.one(raventrestle.Outcome{ID: raventrestle.MessageID(try.ID), Attempt: try.N, Status: s})
+func (r *outcomeReporter) reportAll(s raventrestle.Status) {
+	for _, attempt := range r.attempts {
+		r.report(raventrestle.Outcome{ID: raventrestle.MessageID(attempt.ID), Attempt: attempt.Index, Status: s})
 	}
 }
 
-// watch ends the tries whose message's time is up while the call goes on for its mates. Others
-// stay out until the call ends: another try beside it would be a second copy.
-func (t *teller) watch(ctx context.Context, end time.Time) (stop func()) {
+// reportExpired reports attempts as timed out when their message's deadline passes during the call. The other attempts end
+// with the call: a further attempt before that could deliver a second copy.
+func (r *outcomeReporter) reportExpired(ctx context.Context, callEnd time.Time) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
-	for _, try := range t.tries {
-		if try.Until.Before(end) {
-			timer := time.AfterFunc(time.Until(try.Until), func() {
+	for _, attempt := range r.attempts {
+		if attempt.Deadline.Before(callEnd) {
+			timer := time.AfterFunc(time.Until(attempt.Deadline), func() {
 				if ctx.Err() == nil {
-					t.one(raventrestle.Outcome{
-						ID: raventrestle.MessageID(try.ID), Attempt: try.N,
+					r.report(raventrestle.Outcome{
+						ID: raventrestle.MessageID(attempt.ID), Attempt: attempt.Index,
 						Status: raventrestle.TimedOut,
 					})
 				}
--- a/internal/net/upgrade/golden_test.go
+++ b/internal/net/upgrade/golden_test.go
@@ -1,7 +1,7 @@
 package upgrade
 
-// The folder that lasts, as a life of the build 73ca247 left it while it handed over: the names in it and the journal
-// of that life. The files in testdata/golden are never written anew; the lock file is made here, as it is empty.
+// The state directory as a process of build 73ca247 left it during a handover: the names in it and that process's journal.
+// The files in testdata/golden are never regenerated; the empty lock file is created by the tests.
 
 import (
 	"os"
@@ -17,7 +17,7 @@
 
 const goldenState = "testdata/golden/state"
 
-// follower is a courier that notes what it is told of the life before.
+// follower is a courier that records what it receives from the previous process.
 type follower struct {
 	Kept     []journal.Kept
 	Waits    map[string]int64
@@ -43,7 +43,7 @@
 	}
 }
 
-func release(t *testing.T, l *Life) {
+func release(t *testing.T, l *ProcessDir) {
 	t.Helper()
 	if err := l.Release(); err != nil {
 		t.Error(err)
@@ -63,24 +63,24 @@
 		t.Fatal(err)
 	}
 	defer release(t, l)
-	if got, want := l.Folder, filepath.Join(state, "life-000042"); got != want {
+	if got, want := l.Path, filepath.Join(state, "life-000042"); got != want {
 		t.Errorf("folder of the next life: got %s, want %s", got, want)
 	}
-	if _, err := os.Stat(filepath.Join(l.Folder, "owner")); err != nil {
+	if _, err := os.Stat(filepath.Join(l.Path, "owner")); err != nil {
 		t.Errorf("lock of the next life: %v", err)
 	}
 	out := journal.Try{Peer: "peer-8", Zone: "zone-9", At: 10}
 	handed := journal.Kept{Message: goldenMessage("handed"), Progress: journal.Progress{Tries: 1, Handed: true}}
 	busy := journal.Kept{Message: goldenMessage("busy"), Progress: journal.Progress{Tries: 1, Out: &out}}
 	var f follower
-	if begin, err := l.look(&f); !begin || err != nil {
+	if begin, err := l.takeOver(&f); !begin || err != nil {
 		t.Fatalf("look: got %v, %v, want true and no error", begin, err)
 	}
 	want := follower{Kept: []journal.Kept{handed, busy}, Waits: map[string]int64{"peer-11": 1<<62 + 12}, Left: `{"CallSec":13}`, Complete: true}
 	if diff := cmp.Diff(want, f); diff != "" {
 		t.Errorf("told of the life before (-want +got):\n%s", diff)
 	}
-	names, err := lives(state)
+	names, err := processDirs(state)
 	if diff := cmp.Diff([]string{"life-000042"}, names); err != nil || diff != "" {
 		t.Errorf("%v: folders left (-want +got):\n%s", err, diff)
 	}
@@ -91,8 +91,8 @@
 	if err := os.CopyFS(state, os.DirFS(goldenState)); err != nil {
 		t.Fatal(err)
 	}
-	before := &Life{Folder: filepath.Join(state, "life-000041"), state: state, log: nettest.Log}
-	before.lock = flock.New(filepath.Join(before.Folder, "owner"))
+	before := &ProcessDir{Path: filepath.Join(state, "life-000041"), root: state, log: nettest.Log}
+	before.lock = flock.New(filepath.Join(before.Path, "owner"))
 	if ok, err := before.lock.TryLock(); !ok || err != nil {
 		t.Fatalf("lock: got %v, %v, want true and no error", ok, err)
 	}
@@ -102,11 +102,11 @@
 		t.Fatal(err)
 	}
 	defer release(t, l)
-	if !before.Followed() {
+	if !before.HasSuccessor() {
 		t.Error("followed: got false, want true")
 	}
 	var f follower
-	if begin, err := l.look(&f); !begin || err != nil {
+	if begin, err := l.takeOver(&f); !begin || err != nil {
 		t.Fatalf("look: got %v, %v, want true and no error", begin, err)
 	}
 	want := follower{
@@ -118,7 +118,7 @@
 	}
 }
 
-// Bytes of the hand-over, as the courier writes them.
+// The courier writes the handover byte for byte as stored.
 func TestHandOverIsWrittenAsStored(t *testing.T) {
 	want, err := os.ReadFile(filepath.Join(goldenState, "life-000041", "journal"))
 	if err != nil {
@@ -135,7 +135,7 @@
 	}
 }
 
-// writeHandOver writes what stands in the stored journal.
+// writeHandOver writes the content of the stored journal.
 func writeHandOver(t *testing.T, folder string) {
 	t.Helper()
 	s, _, err := journal.Open(folder, journal.Options{Limit: 1 << 20, Shared: true}, nettest.Log)
--- a/internal/net/upgrade/socket_test.go
+++ b/internal/net/upgrade/socket_test.go
@@ -13,8 +13,8 @@
 	"raventrestle/internal/net/nettest"
 )
 
-// inherited is a copy of the file's descriptor, as a process that was started with it has one.
-func inherited(t *testing.T, f *os.File) string {
+// dupDescriptor duplicates the file's descriptor, as a process inherits it.
+func dupDescriptor(t *testing.T, f *os.File) string {
 	t.Helper()
 	fd, err := syscall.Dup(int(f.Fd()))
 	if err != nil {
@@ -23,8 +23,8 @@
 	return strconv.Itoa(fd)
 }
 
-// platform holds a clients' socket, and the file that it passes on.
-func platform(t *testing.T) (net.Listener, *os.File) {
+// newPlatformSocket returns the clients' socket, and the file that the platform passes on.
+func newPlatformSocket(t *testing.T) (net.Listener, *os.File) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,8 +41,8 @@
 
 func env(text string) func(string) string { return func(string) string { return text } }
 
-// What is no listening TCP socket is a plain error in one line; without the variable there is none to serve.
-func TestInheritedIsChecked(t *testing.T) {
+// A descriptor that is no listening TCP socket is an error. Without the variable there is no listener and no error.
+func TestInvalidSocketIsAnError(t *testing.T) {
 	file, err := os.Create(filepath.Join(t.TempDir(), "f"))
 	if err != nil {
 		t.Fatal(err)
@@ -64,64 +64,64 @@
 		t.Fatal(err)
 	}
 	for name, text := range map[string]string{
-		"a word": "four", "negative": "-1", "closed": "1000000", "a file": inherited(t, file),
-		"a datagram socket": inherited(t, udp), "a listening Unix socket": inherited(t, unix),
+		"a word": "four", "negative": "-1", "closed": "1000000", "a file": dupDescriptor(t, file),
+		"a datagram socket": dupDescriptor(t, udp), "a listening Unix socket": dupDescriptor(t, unix),
 	} {
-		if l, err := Inherited(env(text)); err == nil || l != nil {
-			t.Errorf("%s: taken", name)
+		if l, err := InheritedListener(env(text)); err == nil || l != nil {
+			t.Errorf("%s: accepted", name)
 		} else if name[0] == 'a' && name != "a word" && !errors.Is(err, errNotListening) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if l, err := Inherited(env("")); l != nil || err != nil {
+	if l, err := InheritedListener(env("")); l != nil || err != nil {
 		t.Error(l, err)
 	}
 }
 
-// Closing it here closes nothing for the platform or another process.
-func TestInheritedStaysOpenForOthers(t *testing.T) {
-	l, f := platform(t)
-	for range 2 { // one process after the other
-		own, err := Inherited(env(inherited(t, f)))
+// Closing the listener does not close the socket for the platform or another process.
+func TestCloseKeepsSocketOpenForOthers(t *testing.T) {
+	l, f := newPlatformSocket(t)
+	for range 2 { // two processes, one after the other
+		listener, err := InheritedListener(env(dupDescriptor(t, f)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if own.Addr().String() != l.Addr().String() {
-			t.Fatal(own.Addr())
+		if listener.Addr().String() != l.Addr().String() {
+			t.Fatal(listener.Addr())
 		}
-		if err := own.Close(); err != nil {
+		if err := listener.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
-		t.Fatal("closed for others:", err)
+		t.Fatal("socket is closed for others:", err)
 	}
 	defer c.Close()
-	if served, err := l.Accept(); err != nil {
+	if accepted, err := l.Accept(); err != nil {
 		t.Fatal(err)
 	} else {
-		served.Close()
+		accepted.Close()
 	}
 }
 
-// Another process that holds the socket makes it block, as passing it on does: whoever accepts here still ends when it
-// closes, and takes no connection after that, which is the next process's.
-func TestInheritedEndsThoughOthersMakeItBlock(t *testing.T) {
-	l, f := platform(t)
-	own, err := Inherited(env(inherited(t, f)))
+// Another process that has the socket makes it blocking, as passing it on does. An Accept here still ends when the listener
+// closes, and takes no connection after that, which would belong to the next process.
+func TestCloseEndsAcceptOnBlockingSocket(t *testing.T) {
+	l, f := newPlatformSocket(t)
+	listener, err := InheritedListener(env(dupDescriptor(t, f)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	accepted := make(chan error, 2)
 	accept := func() {
-		c, err := own.Accept()
+		c, err := listener.Accept()
 		if err == nil {
 			c.Close()
 		}
 		accepted <- err
 	}
-	f.Fd() // the platform passes it on to a next process: the file's method makes the socket block
+	f.Fd() // the platform passes the socket on: File.Fd makes it blocking
 	go accept()
 	first, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -132,16 +132,16 @@
 		t.Fatal(err)
 	}
 	f.Fd()
-	began := make(chan struct{})
-	go func() { close(began); accept() }()
-	<-began
-	time.Sleep(50 * time.Millisecond) // it waits by now; if it does not, it meets the end all the same
+	started := make(chan struct{})
+	go func() { close(started); accept() }()
+	<-started
+	time.Sleep(50 * time.Millisecond) // time for Accept to block; if it does not yet, it still sees the close
 	closed := make(chan error, 1)
-	go func() { closed <- own.Close() }()
+	go func() { closed <- listener.Close() }()
 	if err := nettest.Wait(t, "close", closed); err != nil {
 		t.Fatal(err)
 	}
-	if err := nettest.Wait(t, "end of accepting", accepted); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("accepting ended with %v", err)
+	if err := nettest.Wait(t, "end of Accept", accepted); !errors.Is(err, net.ErrClosed) {
+		t.Errorf("Accept ended with %v", err)
 	}
 }
