--- a/asfq/asfq.go
+++ b/asfq/asfq.go
@@ -1,7 +1,9 @@
-// Package asfq decides which flow's turn is next, by adaptive start-time fair queuing. Whatever is held
-// gives its flow a turn; which of what the flow holds takes a turn is the caller's choice. It is pure, and
-// not safe for concurrent use. Invariants, each with its test: the lowest start tag plus delta among the
-// eligible leaves first, no flow passes its slot cap, virtual time never falls.
+// Package asfq implements adaptive start-time fair queuing: it decides which flow may use the next free slot.
+// A flow queues turns; a turn is the right to occupy one slot for one call. The caller chooses which of its
+// requests takes a turn. The package does no I/O and is not safe for concurrent use.
+//
+// Invariants, each checked by a test: among the eligible flows, the one with the lowest sum of start tag and
+// penalty is next; no flow uses more slots than its limit; virtual time never decreases.
 package asfq
 
 import (
@@ -11,54 +13,56 @@
 	"time"
 )
 
-// Flow is to be embedded in the caller's record of a destination, which then is a [Member].
+// Flow is the scheduling state of one destination. The caller embeds it in its own record, which makes that
+// record a [FlowRecord].
 type Flow struct {
-	Weight          float64 // φ, its part against others; 0 is 1
-	MeanSlotSeconds float64 // slot-seconds of a call, 0 before the first has ended
-	Degraded        bool    // most recent calls failed, or one that is out hangs
-	turns           []turn
-	lastF, delta    float64 // last finish tag, and the monitor's setback in calls
-	use             float64 // slot-seconds in this period up to usedAt, calls still out included
-	usedAt          time.Duration
-	out             int
-	listed          bool // in Scheduler.Active
+	Weight              float64 // share of the slot-seconds relative to other flows; 0 counts as 1
+	MeanSlotSeconds     float64 // moving average of the slot-seconds of a call, 0 before the first call ends
+	Degraded            bool    // most recent calls failed, or a call in flight hangs
+	turns               []turn
+	lastFinish, penalty float64 // finish tag of the last turn, and the penalty in calls
+	slotSeconds         float64 // slot-seconds used in this period until accruedAt, including calls in flight
+	accruedAt           time.Duration
+	inFlight            int
+	active              bool // listed in Scheduler.ActiveFlows
 }
 
 type turn struct{ start, finish float64 }
 
-// FlowRecord is a record that embeds a Flow.
+// FlowRecord is a caller's record that embeds a Flow.
 type FlowRecord interface{ AsFlow() *Flow }
 
-// AsFlow is for [Member].
+// AsFlow returns the embedded Flow of a [FlowRecord].
 func (f *Flow) AsFlow() *Flow { return f }
 
-// QueuedTurns is how many turns wait.
+// QueuedTurns returns the number of turns that wait for a slot.
 func (f *Flow) QueuedTurns() int { return len(f.turns) }
 
-// InFlight is how many calls are out.
-func (f *Flow) InFlight() int { return f.out }
+// InFlight returns the number of calls that occupy a slot.
+func (f *Flow) InFlight() int { return f.inFlight }
 
-// Penalty is the setback by the monitor, in calls.
-func (f *Flow) Penalty() float64 { return f.delta }
+// Penalty returns by how many calls the monitor delays this flow.
+func (f *Flow) Penalty() float64 { return f.penalty }
 
 func (f *Flow) accrue(now time.Duration) {
-	f.use += float64(f.out) * (now - f.usedAt).Seconds()
-	f.usedAt = now
+	f.slotSeconds += float64(f.inFlight) * (now - f.accruedAt).Seconds()
+	f.accruedAt = now
 }
 
-// Scheduler keeps the flows of one forwarder.
+// Scheduler schedules the flows of one forwarder.
 type Scheduler[M FlowRecord] struct {
-	Slots           int           // calls out at once
-	BusySlots       int           // slots in use; the caller adds those in use elsewhere
-	MonitorPeriod   time.Duration // of the monitor
-	PeriodEnd       time.Duration // end of this one
-	Tolerance       float64       // ε: the gap in use that sets nothing back, in calls of the mean slot-seconds
-	MeanSlotSeconds float64       // slot-seconds of a call, over all flows
-	ActiveFlows     []M           // flows with turns held or calls out lately; only to be read
-	v, finish       float64       // virtual time; largest finish tag sent
+	Slots                  int           // maximum number of calls in flight
+	BusySlots              int           // slots in use; the caller adds those used elsewhere
+	MonitorPeriod          time.Duration // interval at which the monitor compares the flows
+	PeriodEnd              time.Duration // end of the current period
+	Tolerance              float64       // excess use without penalty, in average calls (ε)
+	MeanSlotSeconds        float64       // moving average of the slot-seconds of a call, over all flows
+	ActiveFlows            []M           // flows with turns or calls in this period; read-only
+	virtualTime, maxFinish float64       // virtual time; largest finish tag of the calls started so far
 }
 
-// Cost is a turn's in calls of the mean slot-seconds. A flow that is quickly refused wins few turns by it.
+// Cost returns the cost of a turn, in calls of average length. The lower bound keeps a flow whose calls are
+// rejected quickly from getting many turns.
 func (s *Scheduler[M]) Cost(m M) float64 {
 	if m.AsFlow().MeanSlotSeconds == 0 {
 		return 1
@@ -66,72 +70,75 @@
 	return max(m.AsFlow().MeanSlotSeconds/s.MeanSlotSeconds, 0.25)
 }
 
-// AddTurn gives the flow one more turn, behind those it has.
+// AddTurn appends a turn to the flow's queue.
 func (s *Scheduler[M]) AddTurn(m M, cost float64, now time.Duration) {
 	f := m.AsFlow()
 	if s.BusySlots <= 0 {
-		s.v = max(s.v, s.finish)
+		s.virtualTime = max(s.virtualTime, s.maxFinish)
 	}
-	start := max(s.v, f.lastF)
-	f.lastF = start + cost/cmp.Or(f.Weight, 1)
-	f.turns = append(f.turns, turn{start, f.lastF})
-	if !f.listed {
-		f.listed, f.usedAt = true, now
+	start := max(s.virtualTime, f.lastFinish)
+	f.lastFinish = start + cost/cmp.Or(f.Weight, 1)
+	f.turns = append(f.turns, turn{start, f.lastFinish})
+	if !f.active {
+		f.active, f.accruedAt = true, now
 		s.ActiveFlows = append(s.ActiveFlows, m)
 	}
 }
 
-// RemoveLastTurn takes the flow's last turn back: what it was for is withdrawn, or goes along with another.
+// RemoveLastTurn removes the last turn of the flow's queue. It is called when a request is withdrawn or joins
+// the call of another request.
 func (s *Scheduler[M]) RemoveLastTurn(m M) {
 	f, last := m.AsFlow(), m.AsFlow().QueuedTurns()-1
-	f.lastF, f.turns = f.turns[last].start, f.turns[:last]
+	f.lastFinish, f.turns = f.turns[last].start, f.turns[:last]
 }
 
-// AtSlotLimit says whether the flow has all the slots that one may: three quarters, half while in trouble.
+// AtSlotLimit reports whether the flow uses all the slots that one flow may use: three quarters of them, or
+// half if the flow is degraded.
 func (s *Scheduler[M]) AtSlotLimit(m M) bool {
-	most := s.Slots * 3 / 4
+	limit := s.Slots * 3 / 4
 	if m.AsFlow().Degraded {
-		most = s.Slots / 2
+		limit = s.Slots / 2
 	}
-	return m.AsFlow().out >= max(most, 1)
+	return m.AsFlow().inFlight >= max(limit, 1)
 }
 
-// Next is the flow with the lowest start tag plus delta that is not full and that offer says yes to, while
-// a slot is free. What offer calls later, never negative, comes on top. It isn't asked about flows that
-// could not come first.
-func (s *Scheduler[M]) Next(offer func(M) (later float64, ok bool)) (next M, found bool) {
-	least := math.Inf(1)
+// Next returns the flow with the lowest sum of start tag, penalty and the extra turns that offer returns. A
+// flow is eligible if a slot is free, the flow is below its slot limit, and offer returns true. The extra
+// turns are never negative, so offer is only called for flows that could still become the next one.
+func (s *Scheduler[M]) Next(offer func(M) (extraTurns float64, ok bool)) (next M, found bool) {
+	lowest := math.Inf(1)
 	for _, m := range s.ActiveFlows {
 		f := m.AsFlow()
-		if s.BusySlots >= s.Slots || len(f.turns) == 0 || f.turns[0].start+f.delta >= least || s.AtSlotLimit(m) {
+		if s.BusySlots >= s.Slots || len(f.turns) == 0 || f.turns[0].start+f.penalty >= lowest || s.AtSlotLimit(m) {
 			continue
 		}
-		if later, ok := offer(m); ok && f.turns[0].start+f.delta+later < least {
-			next, found, least = m, true, f.turns[0].start+f.delta+later
+		if extraTurns, ok := offer(m); ok && f.turns[0].start+f.penalty+extraTurns < lowest {
+			next, found, lowest = m, true, f.turns[0].start+f.penalty+extraTurns
 		}
 	}
 	return next, found
 }
 
-// StartCall takes the flow's first turn and a slot.
+// StartCall takes a slot for the flow's first turn and removes that turn from the queue.
 func (s *Scheduler[M]) StartCall(m M, now time.Duration) {
 	f := m.AsFlow()
 	f.accrue(now)
-	f.out, s.BusySlots = f.out+1, s.BusySlots+1
-	s.v, s.finish = max(s.v, f.turns[0].start), max(s.finish, f.turns[0].finish)
+	f.inFlight, s.BusySlots = f.inFlight+1, s.BusySlots+1
+	s.virtualTime, s.maxFinish = max(s.virtualTime, f.turns[0].start), max(s.maxFinish, f.turns[0].finish)
 	f.turns = f.turns[1:]
 }
 
-// EndCall frees the slot of a call that was out for so many seconds.
+// EndCall frees the slot of a call that took the given number of seconds.
 func (s *Scheduler[M]) EndCall(m M, seconds float64, now time.Duration) {
 	f := m.AsFlow()
 	f.accrue(now)
-	f.out, s.BusySlots = f.out-1, s.BusySlots-1
+	f.inFlight, s.BusySlots = f.inFlight-1, s.BusySlots-1
 	f.MeanSlotSeconds, s.MeanSlotSeconds =
 		EWMA(f.MeanSlotSeconds, seconds, 8), EWMA(s.MeanSlotSeconds, seconds, 32)
 }
 
-// EWMA takes x into a running mean over about n, which is 0 before the first.
+// EWMA adds x to an exponentially weighted moving average over about n values. A mean of 0 means that there
+// is no value yet.
 func EWMA[T float64 | time.Duration](mean, x, n T) T {
 	if mean == 0 {
 		return x
@@ -139,34 +146,36 @@
 	return mean + (x-mean)/n
 }
 
-// Tick is the monitor. Once a period it compares the slot-seconds of the active flows by their weights, and
-// returns true. A flow above the least used one with turns, by more than the tolerance, is set back by the
-// difference in calls of its own; below that its setback is halved. The state of idle flows is dropped.
+// Tick runs the monitor. It returns true if a period has ended. At the end of a period it compares the flows'
+// slot-seconds divided by their weights. A flow that used more than the least used flow with queued turns, by
+// more than the tolerance, gets the difference as a penalty, in calls of its own. The penalty of any other
+// flow is halved. Flows without turns and calls lose their tags and penalty.
 func (s *Scheduler[M]) Tick(now time.Duration) bool {
 	if now < s.PeriodEnd {
 		return false
 	}
 	s.PeriodEnd = now + s.MonitorPeriod
-	least := math.Inf(1)
+	minUse := math.Inf(1)
 	for _, m := range s.ActiveFlows {
 		f := m.AsFlow()
 		f.accrue(now)
 		if len(f.turns) > 0 {
-			least = min(least, f.use/cmp.Or(f.Weight, 1))
+			minUse = min(minUse, f.slotSeconds/cmp.Or(f.Weight, 1))
 		}
 	}
 	for _, m := range s.ActiveFlows {
 		f, weight := m.AsFlow(), cmp.Or(m.AsFlow().Weight, 1)
-		if gap := f.use/weight - least; gap > s.Tolerance*s.MeanSlotSeconds && f.MeanSlotSeconds > 0 {
-			f.delta = gap * weight / f.MeanSlotSeconds
-		} else if f.delta /= 2; f.delta < 0.5 {
-			f.delta = 0
+		if excess := f.slotSeconds/weight - minUse; excess > s.Tolerance*s.MeanSlotSeconds &&
+			f.MeanSlotSeconds > 0 {
+			f.penalty = excess * weight / f.MeanSlotSeconds
+		} else if f.penalty /= 2; f.penalty < 0.5 {
+			f.penalty = 0
 		}
-		f.use = 0
-		if f.listed = len(f.turns)+f.out > 0; !f.listed {
-			f.lastF, f.delta = 0, 0
+		f.slotSeconds = 0
+		if f.active = len(f.turns)+f.inFlight > 0; !f.active {
+			f.lastFinish, f.penalty = 0, 0
 		}
 	}
-	s.ActiveFlows = slices.DeleteFunc(s.ActiveFlows, func(m M) bool { return !m.AsFlow().listed })
+	s.ActiveFlows = slices.DeleteFunc(s.ActiveFlows, func(m M) bool { return !m.AsFlow().active })
 	return true
 }
--- a/asfq/asfq_test.go
+++ b/asfq/asfq_test.go
@@ -20,36 +20,36 @@
 	return &Scheduler[*flow]{Slots: slots, MonitorPeriod: time.Second, Tolerance: 2}
 }
 
-// all offers every flow.
-func all(*flow) (float64, bool) { return 0, true }
+// offerAll makes every flow eligible.
+func offerAll(*flow) (float64, bool) { return 0, true }
 
-// world plays random callers against a scheduler, beside a second reckoning of the tags.
-type world struct {
-	s        *Scheduler[*flow]
-	flows    []*flow
-	now      time.Duration
-	calls    []call
-	starts   map[*flow][]float64 // as reckoned here
-	finishes map[*flow][]float64
-	last     map[*flow]float64
-	v        float64 // largest seen
-	finish   float64 // largest finish tag sent
-	tickAt   time.Duration
-	began    time.Duration     // of the monitor's period
-	used     map[*flow]float64 // slot-seconds of the calls that ended in it
-	delta    map[*flow]float64
+// model calls the scheduler at random and computes tags and penalties a second time, independently.
+type model struct {
+	scheduler   *Scheduler[*flow]
+	flows       []*flow
+	now         time.Duration
+	calls       []call
+	startTags   map[*flow][]float64 // expected start tags of the queued turns
+	finishTags  map[*flow][]float64
+	lastFinish  map[*flow]float64
+	virtualTime float64 // largest value seen
+	maxFinish   float64 // largest finish tag of the calls started
+	periodEnd   time.Duration
+	periodStart time.Duration     // start of the monitor's period
+	slotSeconds map[*flow]float64 // slot-seconds of the calls that ended in this period
+	penalty     map[*flow]float64
 }
 
 type call struct {
-	of *flow
-	at time.Duration
+	flow      *flow
+	startedAt time.Duration
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{
-		s:      newScheduler(rapid.IntRange(1, 9).Draw(t, "slots")),
-		starts: map[*flow][]float64{}, finishes: map[*flow][]float64{}, last: map[*flow]float64{},
-		used: map[*flow]float64{}, delta: map[*flow]float64{},
+func newModel(t *rapid.T) *model {
+	w := &model{
+		scheduler: newScheduler(rapid.IntRange(1, 9).Draw(t, "slots")),
+		startTags: map[*flow][]float64{}, finishTags: map[*flow][]float64{}, lastFinish: map[*flow]float64{},
+		slotSeconds: map[*flow]float64{}, penalty: map[*flow]float64{},
 	}
 	for i := range rapid.IntRange(1, 6).Draw(t, "flows") {
 		weight := rapid.SampledFrom([]float64{0, 0.5, 1, 3}).Draw(t, "weight")
@@ -58,64 +58,64 @@
 	return w
 }
 
-func (w *world) pick(t *rapid.T) *flow { return rapid.SampledFrom(w.flows).Draw(t, "flow") }
+func (w *model) drawFlow(t *rapid.T) *flow { return rapid.SampledFrom(w.flows).Draw(t, "flow") }
 
-func (w *world) hold(t *rapid.T) {
-	f, cost := w.pick(t), rapid.Float64Range(0.25, 8).Draw(t, "cost")
-	v := w.s.v
+func (w *model) addTurn(t *rapid.T) {
+	f, cost := w.drawFlow(t), rapid.Float64Range(0.25, 8).Draw(t, "cost")
+	v := w.scheduler.virtualTime
 	if len(w.calls) == 0 {
-		v = max(v, w.finish)
+		v = max(v, w.maxFinish)
 	}
-	if w.s.AddTurn(f, cost, w.now); w.s.v != v {
-		t.Fatalf("virtual time is %v, want %v", w.s.v, v)
+	if w.scheduler.AddTurn(f, cost, w.now); w.scheduler.virtualTime != v {
+		t.Fatalf("virtual time is %v, want %v", w.scheduler.virtualTime, v)
 	}
-	start := max(v, w.last[f])
-	w.last[f] = start + cost/cmp.Or(f.Weight, 1)
-	w.starts[f], w.finishes[f] = append(w.starts[f], start), append(w.finishes[f], w.last[f])
+	start := max(v, w.lastFinish[f])
+	w.lastFinish[f] = start + cost/cmp.Or(f.Weight, 1)
+	w.startTags[f], w.finishTags[f] = append(w.startTags[f], start), append(w.finishTags[f], w.lastFinish[f])
 }
 
-func (w *world) unhold(t *rapid.T) {
-	f := w.pick(t)
+func (w *model) removeLastTurn(t *rapid.T) {
+	f := w.drawFlow(t)
 	n := f.QueuedTurns() - 1
 	if n < 0 {
-		t.Skip("nothing held")
+		t.Skip("no turn queued")
 	}
-	w.s.RemoveLastTurn(f)
-	w.last[f] = w.starts[f][n]
-	w.starts[f], w.finishes[f] = w.starts[f][:n], w.finishes[f][:n]
+	w.scheduler.RemoveLastTurn(f)
+	w.lastFinish[f] = w.startTags[f][n]
+	w.startTags[f], w.finishTags[f] = w.startTags[f][:n], w.finishTags[f][:n]
 }
 
-// dispatch sends while it finds a turn, with some flows refused and some put back by the caller.
-func (w *world) dispatch(t *rapid.T) {
-	refused, later := map[*flow]bool{}, map[*flow]float64{}
+// dispatch starts calls until no flow is next. Some flows are not eligible, others get extra turns.
+func (w *model) dispatch(t *rapid.T) {
+	ineligible, extraTurns := map[*flow]bool{}, map[*flow]float64{}
 	for _, f := range w.flows {
-		refused[f] = rapid.IntRange(0, 3).Draw(t, "refused") == 0
-		later[f] = rapid.SampledFrom([]float64{0, 0, 1, 2.5}).Draw(t, "later")
+		ineligible[f] = rapid.IntRange(0, 3).Draw(t, "ineligible") == 0
+		extraTurns[f] = rapid.SampledFrom([]float64{0, 0, 1, 2.5}).Draw(t, "extra turns")
 	}
 	for {
 		var want *flow
-		least := math.Inf(1)
-		for _, f := range w.s.ActiveFlows {
-			most := max(w.s.Slots*3/4, 1)
+		lowest := math.Inf(1)
+		for _, f := range w.scheduler.ActiveFlows {
+			limit := max(w.scheduler.Slots*3/4, 1)
 			if f.Degraded {
-				most = max(w.s.Slots/2, 1)
+				limit = max(w.scheduler.Slots/2, 1)
 			}
-			if len(w.starts[f]) == 0 || refused[f] || w.out(f) >= most || len(w.calls) >= w.s.Slots {
+			if len(w.startTags[f]) == 0 || ineligible[f] || w.inFlight(f) >= limit || len(w.calls) >= w.scheduler.Slots {
 				continue
 			}
-			if key := w.starts[f][0] + f.Penalty() + later[f]; key < least {
-				want, least = f, key
+			if tag := w.startTags[f][0] + f.Penalty() + extraTurns[f]; tag < lowest {
+				want, lowest = f, tag
 			}
 		}
-		least = math.Inf(1)
-		got, found := w.s.Next(func(f *flow) (float64, bool) {
-			if w.starts[f][0]+f.Penalty() >= least {
-				t.Fatalf("%s was asked about though it can't come first", f.name)
+		lowest = math.Inf(1)
+		got, found := w.scheduler.Next(func(f *flow) (float64, bool) {
+			if w.startTags[f][0]+f.Penalty() >= lowest {
+				t.Fatalf("%s was offered though it can't be next", f.name)
 			}
-			if !refused[f] {
-				least = min(least, w.starts[f][0]+f.Penalty()+later[f])
+			if !ineligible[f] {
+				lowest = min(lowest, w.startTags[f][0]+f.Penalty()+extraTurns[f])
 			}
-			return later[f], !refused[f]
+			return extraTurns[f], !ineligible[f]
 		})
 		if found != (want != nil) || found && got != want {
 			t.Fatalf("next is %v, want %v", got, want)
@@ -123,250 +123,251 @@
 		if !found {
 			return
 		}
-		w.s.StartCall(got, w.now)
+		w.scheduler.StartCall(got, w.now)
 		w.calls = append(w.calls, call{got, w.now})
-		w.finish = max(w.finish, w.finishes[got][0])
-		w.starts[got], w.finishes[got] = w.starts[got][1:], w.finishes[got][1:]
-		if w.s.BusySlots > w.s.Slots {
-			t.Fatalf("%d slots of %d in use", w.s.BusySlots, w.s.Slots)
+		w.maxFinish = max(w.maxFinish, w.finishTags[got][0])
+		w.startTags[got], w.finishTags[got] = w.startTags[got][1:], w.finishTags[got][1:]
+		if w.scheduler.BusySlots > w.scheduler.Slots {
+			t.Fatalf("%d slots of %d in use", w.scheduler.BusySlots, w.scheduler.Slots)
 		}
 	}
 }
 
-func (w *world) end(t *rapid.T) {
+func (w *model) endCall(t *rapid.T) {
 	if len(w.calls) == 0 {
-		t.Skip("no call out")
+		t.Skip("no call in flight")
 	}
 	i := rapid.IntRange(0, len(w.calls)-1).Draw(t, "call")
 	c := w.calls[i]
 	w.calls = append(w.calls[:i], w.calls[i+1:]...)
-	seconds := (w.now - c.at).Seconds()
-	own, all := mean(c.of.MeanSlotSeconds, seconds, 8), mean(w.s.MeanSlotSeconds, seconds, 32)
-	if w.s.EndCall(c.of, seconds, w.now); c.of.MeanSlotSeconds != own || w.s.MeanSlotSeconds != all {
-		t.Fatalf("means are %v and %v, want %v and %v", c.of.MeanSlotSeconds, w.s.MeanSlotSeconds, own, all)
+	seconds := (w.now - c.startedAt).Seconds()
+	wantOwn, wantAll := mean(c.flow.MeanSlotSeconds, seconds, 8), mean(w.scheduler.MeanSlotSeconds, seconds, 32)
+	if w.scheduler.EndCall(c.flow, seconds, w.now); c.flow.MeanSlotSeconds != wantOwn || w.scheduler.MeanSlotSeconds != wantAll {
+		t.Fatalf("means are %v and %v, want %v and %v", c.flow.MeanSlotSeconds, w.scheduler.MeanSlotSeconds, wantOwn, wantAll)
 	}
-	w.used[c.of] += (w.now - max(c.at, w.began)).Seconds()
+	w.slotSeconds[c.flow] += (w.now - max(c.startedAt, w.periodStart)).Seconds()
 }
 
-func mean(before, x, n float64) float64 {
-	if before == 0 {
+func mean(previous, x, n float64) float64 {
+	if previous == 0 {
 		return x
 	}
-	return before + (x-before)/n
+	return previous + (x-previous)/n
 }
 
-func (w *world) pass(t *rapid.T) {
+func (w *model) advanceTime(t *rapid.T) {
 	w.now += time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond
-	if due := w.now >= w.tickAt; w.s.Tick(w.now) != due {
-		t.Fatalf("at %v a period ended: want %v", w.now, due)
-	} else if !due {
+	if periodEnded := w.now >= w.periodEnd; w.scheduler.Tick(w.now) != periodEnded {
+		t.Fatalf("at %v: period ended: want %v", w.now, periodEnded)
+	} else if !periodEnded {
 		return
 	}
-	w.tickAt = w.now + w.s.MonitorPeriod
+	w.periodEnd = w.now + w.scheduler.MonitorPeriod
 	for _, c := range w.calls {
-		w.used[c.of] += (w.now - max(c.at, w.began)).Seconds()
+		w.slotSeconds[c.flow] += (w.now - max(c.startedAt, w.periodStart)).Seconds()
 	}
-	least := math.Inf(1)
+	minUse := math.Inf(1)
 	for _, f := range w.flows {
 		if f.QueuedTurns() > 0 {
-			least = min(least, w.used[f]/cmp.Or(f.Weight, 1))
+			minUse = min(minUse, w.slotSeconds[f]/cmp.Or(f.Weight, 1))
 		}
 	}
 	for _, f := range w.flows {
-		w.judge(t, f, w.used[f]/cmp.Or(f.Weight, 1)-least)
+		w.checkPenalty(t, f, w.slotSeconds[f]/cmp.Or(f.Weight, 1)-minUse)
 	}
-	w.began, w.used = w.now, map[*flow]float64{}
+	w.periodStart, w.slotSeconds = w.now, map[*flow]float64{}
 }
 
-// judge says what the monitor owes a flow that used so much more than the least used one.
-func (w *world) judge(t *rapid.T, f *flow, gap float64) {
-	bound := w.s.Tolerance * w.s.MeanSlotSeconds
-	if math.Abs(gap-bound) < 1e-9 { // rounding decides
-		w.delta[f] = f.Penalty()
-	} else if gap > bound && f.MeanSlotSeconds > 0 {
-		w.delta[f] = gap * cmp.Or(f.Weight, 1) / f.MeanSlotSeconds
-	} else if w.delta[f] /= 2; w.delta[f] < 0.5 {
-		w.delta[f] = 0
+// checkPenalty checks the penalty of a flow whose use per weight exceeds that of the least used flow by excess.
+func (w *model) checkPenalty(t *rapid.T, f *flow, excess float64) {
+	tolerance := w.scheduler.Tolerance * w.scheduler.MeanSlotSeconds
+	if math.Abs(excess-tolerance) < 1e-9 { // too close to the tolerance: rounding decides
+		w.penalty[f] = f.Penalty()
+	} else if excess > tolerance && f.MeanSlotSeconds > 0 {
+		w.penalty[f] = excess * cmp.Or(f.Weight, 1) / f.MeanSlotSeconds
+	} else if w.penalty[f] /= 2; w.penalty[f] < 0.5 {
+		w.penalty[f] = 0
 	}
 	if f.QueuedTurns()+f.InFlight() == 0 {
-		w.delta[f], w.last[f] = 0, 0
+		w.penalty[f], w.lastFinish[f] = 0, 0
 	}
-	if math.Abs(f.Penalty()-w.delta[f]) > 1e-6*max(1, w.delta[f]) {
-		t.Fatalf("%s is set back by %v calls, want %v", f.name, f.Penalty(), w.delta[f])
+	if math.Abs(f.Penalty()-w.penalty[f]) > 1e-6*max(1, w.penalty[f]) {
+		t.Fatalf("%s has a penalty of %v calls, want %v", f.name, f.Penalty(), w.penalty[f])
 	}
 }
 
-func (w *world) trouble(t *rapid.T) {
-	f := w.pick(t)
+func (w *model) toggleDegraded(t *rapid.T) {
+	f := w.drawFlow(t)
 	f.Degraded = !f.Degraded
 }
 
-func (w *world) out(f *flow) int {
+func (w *model) inFlight(f *flow) int {
 	n := 0
 	for _, c := range w.calls {
-		if c.of == f {
+		if c.flow == f {
 			n++
 		}
 	}
 	return n
 }
 
-func (w *world) check(t *rapid.T) {
-	if w.s.v < w.v {
-		t.Fatalf("virtual time fell from %v to %v", w.v, w.s.v)
+func (w *model) checkInvariants(t *rapid.T) {
+	if w.scheduler.virtualTime < w.virtualTime {
+		t.Fatalf("virtual time decreased from %v to %v", w.virtualTime, w.scheduler.virtualTime)
 	}
-	w.v = w.s.v
+	w.virtualTime = w.scheduler.virtualTime
 	listed := map[*flow]int{}
-	for _, f := range w.s.ActiveFlows {
+	for _, f := range w.scheduler.ActiveFlows {
 		listed[f]++
 	}
 	for _, f := range w.flows {
-		if f.QueuedTurns() != len(w.starts[f]) || f.InFlight() != w.out(f) {
-			t.Fatalf("%s has %d turns and %d calls, want %d and %d", f.name, f.QueuedTurns(), f.InFlight(), len(w.starts[f]), w.out(f))
+		if f.QueuedTurns() != len(w.startTags[f]) || f.InFlight() != w.inFlight(f) {
+			t.Fatalf("%s has %d turns and %d calls, want %d and %d", f.name, f.QueuedTurns(), f.InFlight(), len(w.startTags[f]), w.inFlight(f))
 		}
 		for i, turn := range f.turns {
-			if turn.start != w.starts[f][i] || turn.finish != w.finishes[f][i] {
-				t.Fatalf("%s has %v, want from %v to %v", f.name, turn, w.starts[f][i], w.finishes[f][i])
+			if turn.start != w.startTags[f][i] || turn.finish != w.finishTags[f][i] {
+				t.Fatalf("%s has turn %v, want tags %v and %v", f.name, turn, w.startTags[f][i], w.finishTags[f][i])
 			}
 		}
 		if f.QueuedTurns()+f.InFlight() > 0 && listed[f] == 0 || listed[f] > 1 {
-			t.Fatalf("%s is listed %d times", f.name, listed[f])
+			t.Fatalf("%s is active %d times", f.name, listed[f])
 		}
-		if listed[f] == 0 && (f.lastF != 0 || f.delta != 0 || f.use != 0) {
-			t.Fatalf("%s is idle and kept its state: %+v", f.name, f.Flow)
+		if listed[f] == 0 && (f.lastFinish != 0 || f.penalty != 0 || f.slotSeconds != 0) {
+			t.Fatalf("%s is idle but kept its state: %+v", f.name, f.Flow)
 		}
 	}
 }
 
-// TestTagsAndOrder: lowest start tag plus delta among the eligible, work conserving (whatever is eligible
-// goes while a slot is free), the slot cap, tags and setbacks by their definition, virtual time never falls, the idle are dropped.
-func TestTagsAndOrder(t *testing.T) {
+// TestSchedulerMatchesModel checks at random that the next flow is the eligible one with the lowest start tag plus
+// penalty, that calls start while a slot is free and a flow is eligible, that the slot limit holds, that tags and
+// penalties have their defined values, that virtual time never decreases, and that idle flows lose their state.
+func TestSchedulerMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newModel(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"": w.check, "hold": w.hold, "hold more": w.hold, "unhold": w.unhold,
-			"dispatch": w.dispatch, "end": w.end, "pass": w.pass, "trouble": w.trouble,
+			"": w.checkInvariants, "new turn": w.addTurn, "new turn again": w.addTurn, "undo last turn": w.removeLastTurn,
+			"dispatch": w.dispatch, "end call": w.endCall, "pass time": w.advanceTime, "toggle degraded": w.toggleDegraded,
 		})
 	})
 }
 
-// day keeps every flow's queue filled while calls take their flows' times, and counts what is sent.
-type day struct {
-	s       *Scheduler[*flow]
-	now     time.Duration
-	calls   []call
-	takes   map[*flow]time.Duration
-	sent    map[*flow]float64
-	seconds map[*flow]float64
-	cost    float64 // of each turn, by its flow's mean if 0
+// backlog keeps every flow's queue filled, gives each flow's calls a fixed duration and counts the calls.
+type backlog struct {
+	scheduler   *Scheduler[*flow]
+	now         time.Duration
+	calls       []call
+	callTimes   map[*flow]time.Duration
+	callCounts  map[*flow]float64
+	slotSeconds map[*flow]float64
+	cost        float64 // cost of each turn; 0: Scheduler.Cost of the flow
 }
 
-func newDay(slots int) *day {
-	return &day{s: newScheduler(slots), takes: map[*flow]time.Duration{}, sent: map[*flow]float64{}, seconds: map[*flow]float64{}}
+func newBacklog(slots int) *backlog {
+	return &backlog{scheduler: newScheduler(slots), callTimes: map[*flow]time.Duration{}, callCounts: map[*flow]float64{}, slotSeconds: map[*flow]float64{}}
 }
 
-func (d *day) add(name string, weight float64, takes time.Duration) *flow {
+func (d *backlog) addFlow(name string, weight float64, callTime time.Duration) *flow {
 	f := &flow{Flow: Flow{Weight: weight}, name: name}
-	d.takes[f] = takes
+	d.callTimes[f] = callTime
 	return f
 }
 
-// play goes on for so long with these flows backlogged.
-func (d *day) play(length time.Duration, flows ...*flow) {
+// run keeps these flows backlogged for the given time.
+func (d *backlog) run(length time.Duration, flows ...*flow) {
 	for end := d.now + length; d.now < end; d.now += 10 * time.Millisecond {
 		for i := 0; i < len(d.calls); i++ {
-			if c := d.calls[i]; d.now-c.at >= d.takes[c.of] {
+			if c := d.calls[i]; d.now-c.startedAt >= d.callTimes[c.flow] {
 				d.calls = append(d.calls[:i], d.calls[i+1:]...)
-				d.s.EndCall(c.of, (d.now - c.at).Seconds(), d.now)
-				d.seconds[c.of] += (d.now - c.at).Seconds()
+				d.scheduler.EndCall(c.flow, (d.now - c.startedAt).Seconds(), d.now)
+				d.slotSeconds[c.flow] += (d.now - c.startedAt).Seconds()
 				i--
 			}
 		}
-		d.s.Tick(d.now)
+		d.scheduler.Tick(d.now)
 		for _, f := range flows {
-			for f.QueuedTurns() < d.s.Slots { // enough for all that frees at once
-				d.s.AddTurn(f, cmp.Or(d.cost, d.s.Cost(f)), d.now)
+			for f.QueuedTurns() < d.scheduler.Slots { // enough for all slots that become free at once
+				d.scheduler.AddTurn(f, cmp.Or(d.cost, d.scheduler.Cost(f)), d.now)
 			}
 		}
-		for f, found := d.s.Next(all); found; f, found = d.s.Next(all) {
-			d.s.StartCall(f, d.now)
-			d.sent[f]++
+		for f, found := d.scheduler.Next(offerAll); found; f, found = d.scheduler.Next(offerAll) {
+			d.scheduler.StartCall(f, d.now)
+			d.callCounts[f]++
 			d.calls = append(d.calls, call{f, d.now})
 		}
 	}
 }
 
-func TestSharesByWeight(t *testing.T) {
+func TestCallsAreProportionalToWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := newDay(rapid.IntRange(1, 12).Draw(t, "slots"))
-		d.cost, d.s.Tolerance = 1, math.Inf(1) // tags alone
+		d := newBacklog(rapid.IntRange(1, 12).Draw(t, "slots"))
+		d.cost, d.scheduler.Tolerance = 1, math.Inf(1) // only the tags decide
 		var flows []*flow
-		for i := range rapid.IntRange(3, 5).Draw(t, "flows") { // none would get more than the slot cap
+		for i := range rapid.IntRange(3, 5).Draw(t, "flows") { // with three flows, no share exceeds the slot limit
 			weight := rapid.SampledFrom([]float64{1, 1.5, 2}).Draw(t, "weight")
-			flows = append(flows, d.add(fmt.Sprint("f", i), weight, 50*time.Millisecond))
+			flows = append(flows, d.addFlow(fmt.Sprint("f", i), weight, 50*time.Millisecond))
 		}
-		d.play(20*time.Second, flows...)
+		d.run(20*time.Second, flows...)
 		for _, a := range flows {
 			for _, b := range flows {
-				// One slot's worth of rounding each, as start-time fair queuing bounds it.
-				if apart := d.sent[a]/a.Weight - d.sent[b]/b.Weight; apart > 2*float64(d.s.Slots) {
-					t.Fatalf("%s sent %v by weight %v, %s %v by %v", a.name, d.sent[a], a.Weight, b.name, d.sent[b], b.Weight)
+				// Start-time fair queuing allows a difference of one call per slot for each flow.
+				if difference := d.callCounts[a]/a.Weight - d.callCounts[b]/b.Weight; difference > 2*float64(d.scheduler.Slots) {
+					t.Fatalf("%s started %v calls at weight %v, %s %v at weight %v", a.name, d.callCounts[a], a.Weight, b.name, d.callCounts[b], b.Weight)
 				}
 			}
 		}
 	})
 }
 
-// TestMonitorPushesBackOverusersAndLetsGo: one flow's calls took long; the others get as many turns before
-// its next one as it used more, in calls of its own. With even use the setback goes.
-func TestMonitorPushesBackOverusersAndLetsGo(t *testing.T) {
+// TestMonitorPenalizesOverusersUntilUseIsEven: a flow whose call took long waits until each other flow has had as many
+// calls as the excess corresponds to. Once the use is even, the penalty is halved each period.
+func TestMonitorPenalizesOverusersUntilUseIsEven(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newScheduler(1)
 		s.Tick(0)
-		over, others := &flow{name: "over"}, []*flow{}
-		for i := range rapid.IntRange(1, 4).Draw(t, "others") {
+		overuser, others := &flow{name: "over"}, []*flow{}
+		for i := range rapid.IntRange(1, 4).Draw(t, "other flows") {
 			others = append(others, &flow{name: fmt.Sprint("f", i)})
 		}
-		for _, f := range append(others, over) {
+		for _, f := range append(others, overuser) {
 			for range 200 {
 				s.AddTurn(f, 1, 0)
 			}
 		}
-		long := time.Duration(rapid.IntRange(50, 900).Draw(t, "ms")) * time.Millisecond
-		took := long.Seconds()
-		s.StartCall(over, 0)
-		s.EndCall(over, took, long)
-		s.MeanSlotSeconds = rapid.Float64Range(0.001, 0.5).Draw(t, "mean") // of all, which the tolerance goes by
-		over.MeanSlotSeconds = rapid.Float64Range(0.01, 0.5).Draw(t, "own mean")
+		callTime := time.Duration(rapid.IntRange(50, 900).Draw(t, "call ms")) * time.Millisecond
+		callSeconds := callTime.Seconds()
+		s.StartCall(overuser, 0)
+		s.EndCall(overuser, callSeconds, callTime)
+		s.MeanSlotSeconds = rapid.Float64Range(0.001, 0.5).Draw(t, "mean") // mean of all flows, which scales the tolerance
+		overuser.MeanSlotSeconds = rapid.Float64Range(0.01, 0.5).Draw(t, "own mean")
 		s.Tick(time.Second)
-		want := took / over.MeanSlotSeconds
-		if took <= 2*s.MeanSlotSeconds {
+		want := callSeconds / overuser.MeanSlotSeconds
+		if callSeconds <= 2*s.MeanSlotSeconds {
 			want = 0
 		}
-		if math.Abs(over.Penalty()-want) > 1e-9 {
-			t.Fatalf("set back by %v calls, want %v", over.Penalty(), want)
+		if math.Abs(overuser.Penalty()-want) > 1e-9 {
+			t.Fatalf("penalty of %v calls, want %v", overuser.Penalty(), want)
 		}
-		ahead := map[*flow]float64{}
-		for f, _ := s.Next(all); f != over; f, _ = s.Next(all) {
+		turnsBefore := map[*flow]float64{}
+		for f, _ := s.Next(offerAll); f != overuser; f, _ = s.Next(offerAll) {
 			s.StartCall(f, time.Second)
 			s.EndCall(f, 0.01, time.Second)
-			ahead[f]++
+			turnsBefore[f]++
 		}
 		for _, f := range others {
-			if ahead[f] < want || ahead[f] > want+2 { // the one sent put it a turn behind as well
-				t.Fatalf("%s sent %v before it, want about %v", f.name, ahead[f], want)
+			if turnsBefore[f] < want || turnsBefore[f] > want+2 { // the finished call also delays it by one turn
+				t.Fatalf("%s started %v calls before it, want about %v", f.name, turnsBefore[f], want)
 			}
 		}
-		for i := 0; over.Penalty() > 0; i++ {
-			was := over.Penalty()
-			if s.Tick(time.Duration(2+i) * time.Second); over.Penalty() > was/2 {
-				t.Fatalf("set back by %v calls after %v, though use is even", over.Penalty(), was)
+		for i := 0; overuser.Penalty() > 0; i++ {
+			previous := overuser.Penalty()
+			if s.Tick(time.Duration(2+i) * time.Second); overuser.Penalty() > previous/2 {
+				t.Fatalf("penalty of %v calls after %v, though the use is even", overuser.Penalty(), previous)
 			}
 		}
 	})
 }
 
-func TestMonitorByWeight(t *testing.T) {
+func TestMonitorDividesUseByWeight(t *testing.T) {
 	s := newScheduler(8)
 	heavy, light := &flow{Flow: Flow{Weight: 3}, name: "heavy"}, &flow{Flow: Flow{Weight: 1}, name: "light"}
 	s.Tick(0)
@@ -378,59 +379,59 @@
 	s.AddTurn(light, 1, 0)
 	s.StartCall(light, 0)
 	s.MeanSlotSeconds, heavy.MeanSlotSeconds, light.MeanSlotSeconds = 0.1, 0.1, 0.1
-	if s.Tick(time.Second); heavy.Penalty() != 0 || light.Penalty() != 0 { // 3 s by 3 is 1 s by 1
-		t.Fatalf("set back by %v and %v though both use their part", heavy.Penalty(), light.Penalty())
+	if s.Tick(time.Second); heavy.Penalty() != 0 || light.Penalty() != 0 { // 3 s at weight 3 equal 1 s at weight 1
+		t.Fatalf("penalties of %v and %v, though both use their share", heavy.Penalty(), light.Penalty())
 	}
 	s.AddTurn(heavy, 1, time.Second)
 	s.StartCall(heavy, time.Second)
 	s.Tick(2 * time.Second)
 	if want := (4.0/3 - 1) * 3 / 0.1; math.Abs(heavy.Penalty()-want) > 1e-9 {
-		t.Fatalf("set back by %v calls, want %v", heavy.Penalty(), want)
+		t.Fatalf("penalty of %v calls, want %v", heavy.Penalty(), want)
 	}
-	for i, want := range []float64{5, 2.5, 1.25, 0.625, 0} { // not above the tolerance: halved, then let go
+	for i, want := range []float64{5, 2.5, 1.25, 0.625, 0} { // within the tolerance: halved, then 0
 		s.Tolerance = math.Inf(1)
 		if s.Tick(time.Duration(3+i) * time.Second); math.Abs(heavy.Penalty()-want) > 1e-9 {
-			t.Fatalf("set back by %v calls, want %v", heavy.Penalty(), want)
+			t.Fatalf("penalty of %v calls, want %v", heavy.Penalty(), want)
 		}
 	}
 }
 
-func TestCost(t *testing.T) {
+func TestCostOfTurn(t *testing.T) {
 	s := newScheduler(1)
 	for _, c := range []struct{ own, all, want float64 }{{0, 0, 1}, {0, 2, 1}, {3, 2, 1.5}, {1, 2, 0.5}, {0.1, 2, 0.25}} {
 		s.MeanSlotSeconds = c.all
 		if got := s.Cost(&flow{Flow: Flow{MeanSlotSeconds: c.own}}); got != c.want {
-			t.Errorf("a call of %v s among those of %v s costs %v, want %v", c.own, c.all, got, c.want)
+			t.Errorf("a call of %v s, with a mean of %v s, costs %v, want %v", c.own, c.all, got, c.want)
 		}
 	}
 }
 
-func TestSlotCap(t *testing.T) {
+func TestSlotLimitPerFlow(t *testing.T) {
 	for _, c := range []struct {
-		slots   int
-		trouble bool
-		want    int
+		slots    int
+		degraded bool
+		want     int
 	}{{8, false, 6}, {8, true, 4}, {4, false, 3}, {4, true, 2}, {1, false, 1}, {1, true, 1}} {
-		d := newDay(c.slots)
-		f := d.add("alone", 1, time.Hour)
-		f.Degraded = c.trouble
-		if d.play(time.Second, f); f.InFlight() != c.want {
-			t.Errorf("%d of %d slots, want %d (trouble %v)", f.InFlight(), c.slots, c.want, c.trouble)
+		d := newBacklog(c.slots)
+		f := d.addFlow("alone", 1, time.Hour)
+		f.Degraded = c.degraded
+		if d.run(time.Second, f); f.InFlight() != c.want {
+			t.Errorf("%d of %d slots, want %d (degraded %v)", f.InFlight(), c.slots, c.want, c.degraded)
 		}
 	}
 }
 
-// TestIdleEarnsNoCredit: a flow that was idle while the others worked gets its part from then on and no more.
-func TestIdleEarnsNoCredit(t *testing.T) {
-	d := newDay(2)
-	d.cost, d.s.Tolerance = 1, math.Inf(1)
-	worker, idler := d.add("worker", 1, 50*time.Millisecond), d.add("idler", 1, 50*time.Millisecond)
-	d.play(time.Second, worker, idler)
-	d.play(30*time.Second, worker)
-	before, had := d.sent[worker], d.sent[idler]
-	d.play(2*time.Second, worker, idler)
-	if ahead := d.sent[idler] - had - (d.sent[worker] - before); math.Abs(ahead) > 4 { // two slots, and two turns held
-		t.Fatalf("after its idle time it sent %v more than the other", ahead)
+// TestIdleFlowEarnsNoCredit: a flow that was idle while others were busy gets its share from then on, not more.
+func TestIdleFlowEarnsNoCredit(t *testing.T) {
+	d := newBacklog(2)
+	d.cost, d.scheduler.Tolerance = 1, math.Inf(1)
+	busy, idle := d.addFlow("worker", 1, 50*time.Millisecond), d.addFlow("idler", 1, 50*time.Millisecond)
+	d.run(time.Second, busy, idle)
+	d.run(30*time.Second, busy)
+	busyBefore, idleBefore := d.callCounts[busy], d.callCounts[idle]
+	d.run(2*time.Second, busy, idle)
+	if difference := d.callCounts[idle] - idleBefore - (d.callCounts[busy] - busyBefore); math.Abs(difference) > 4 { // two slots, and two queued turns
+		t.Fatalf("after its idle time the flow started %v more calls than the other", difference)
 	}
 }
 
@@ -439,10 +440,10 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s := newScheduler(n)
 			for i := range n {
-				s.AddTurn(&flow{Flow: Flow{lastF: float64((i * 7919) % n)}}, 1, 0)
+				s.AddTurn(&flow{Flow: Flow{lastFinish: float64((i * 7919) % n)}}, 1, 0)
 			}
 			for b.Loop() {
-				f, _ := s.Next(all)
+				f, _ := s.Next(offerAll)
 				s.AddTurn(f, 1, 0)
 				s.StartCall(f, 0)
 				s.EndCall(f, 0.1, 0)
--- a/cmd/raventrestle/status.go
+++ b/cmd/raventrestle/status.go
@@ -104,12 +104,12 @@
 	fmt.Fprintln(t, "CHANNEL\tHELD\tOUT\tENDPOINT\tLIST\tHEALTH\tOUT\tFAILS\tPACE/S\tWAIT\tMEAN")
 	for _, d := range c.Channels {
 		if len(d.Targets) == 0 {
-			fmt.Fprintf(t, "%d\t%d\t%d\tnone\t\t\t\t\t\t\t\n", d.Dest, d.Held, d.CallsInFlight)
+			fmt.Fprintf(t, "%d\t%d\t%d\tnone\t\t\t\t\t\t\t\n", d.Dest, d.QueuedMessages, d.CallsInFlight)
 		}
 		for i, e := range d.Targets {
 			channel := "\t\t"
 			if i == 0 {
-				channel = fmt.Sprintf("%d\t%d\t%d", d.Dest, d.Held, d.CallsInFlight)
+				channel = fmt.Sprintf("%d\t%d\t%d", d.Dest, d.QueuedMessages, d.CallsInFlight)
 			}
 			list, pace := "serving", "-"
 			if !e.Ready {
--- a/example_test.go
+++ b/example_test.go
@@ -7,8 +7,8 @@
 	"raventrestle"
 )
 
-// A small host loop: it carries out actions in order and turns what happens into events.
-// Here each call is answered at once, and the clock starts anywhere.
+// A minimal host carries out the actions in order and turns their results into events. Here every call is answered at
+// once, and the clock has an arbitrary start.
 func Example() {
 	p, err := raventrestle.New(raventrestle.Settings{
 		Forwarders: 1, MinBatchInterval: 5 * time.Millisecond, CallSlots: 4, MaxMessages: 20,
@@ -26,7 +26,7 @@
 		raventrestle.Arrival{ID: "a", Dest: 7, Budget: 10 * time.Second},
 		raventrestle.Arrival{ID: "b", Dest: 8, Budget: time.Second}, // no target is listed for it
 	}
-	var wake time.Duration // the earliest WakeAt that is owed, 0 if none
+	var wake time.Duration // the earliest WakeAt not yet due, 0 if none
 	for len(events) > 0 {
 		var next []raventrestle.Event
 		for _, a := range p.Step(now, events) {
@@ -47,7 +47,7 @@
 				}
 			}
 		}
-		if len(next) == 0 && wake > 0 { // nothing else happens: let the time pass
+		if len(next) == 0 && wake > 0 { // nothing else happens: advance the clock
 			now, wake, next = wake, 0, append(next, raventrestle.Wake{})
 		}
 		events = next
--- a/floors_test.go
+++ b/fairness_test.go
@@ -9,10 +9,11 @@
 	. "raventrestle"
 )
 
-// At 120% of what its destinations take, the most that the brief names, no class is served under half of what an even service would
-// give it, and no tenant under a third, though the courier goes by worth. One forwarder, and one of three hundred with
-// its part of the limits; the class that may not be repeated has a destination of its own, as on the platform.
-func TestFloorsUnderOverload(t *testing.T) {
+// At 120% of the destinations' capacity, the highest load in the requirements, every class gets at least half of the
+// service that an even distribution would give it, and every tenant a third, although the policy prefers messages by
+// value. It is tested with one forwarder and with one of three hundred that has its share of the limits. The
+// non-idempotent class has a destination of its own, as in production.
+func TestMinimumServiceUnderOverload(t *testing.T) {
 	for _, n := range []int{1, 300} {
 		rng := rand.New(rand.NewPCG(7, uint64(n)))
 		set := settings()
@@ -28,20 +29,20 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		const dests, each, over = 4, 2.5, 1.2 // calls a second that a destination takes of this forwarder
+		const dests, destinationRate, overload = 4, 2.5, 1.2 // calls per second that a destination accepts from this forwarder
 		var entries []Entry
 		for d := 1; d <= dests; d++ {
 			entries = append(entries, entry(fmt.Sprint("t", d), d, 0, 0))
 		}
 		type message struct{ class, tenant int }
-		type out struct {
-			due time.Duration
-			o   Outcome
+		type pendingOutcome struct {
+			due     time.Duration
+			outcome Outcome
 		}
-		msgs, calls, room := map[MessageID]message{}, []out{}, [dests + 1]float64{}
-		var came, served [2][3]float64 // by tenants, by classes
-		var classes, done [3]float64
-		now, wake, next := 100*sec, time.Duration(0), 0
+		msgs, calls, tokens := map[MessageID]message{}, []pendingOutcome{}, [dests + 1]float64{}
+		var arrived, served [2][3]float64 // by tenant and class
+		var arrivedByClass, servedByClass [3]float64
+		now, wakeAt, lastID := 100*sec, time.Duration(0), 0
 		step := func(events ...Event) {
 			for _, a := range p.Step(now, events) {
 				switch a := a.(type) {
@@ -50,16 +51,16 @@
 					fmt.Sscanf(string(a.Target), "t%d", &d)
 					o := Outcome{
 						ID: a.ID, Target: a.Target, Duration: 100 * ms, Status: OK, Final: true,
-						Report: LimitReport{Remaining: max(0, min(1, room[d]/each)), Limit: each * float64(n)},
+						Report: LimitReport{Remaining: max(0, min(1, tokens[d]/destinationRate)), Limit: destinationRate * float64(n)},
 					}
-					if room[d] < 1 {
+					if tokens[d] < 1 {
 						o.Status, o.Final = Rejected, false
 					} else {
-						room[d]--
+						tokens[d]--
 					}
-					calls = append(calls, out{now + o.Duration, o})
+					calls = append(calls, pendingOutcome{now + o.Duration, o})
 				case WakeAt:
-					wake = a.At
+					wakeAt = a.At
 				}
 			}
 		}
@@ -68,55 +69,55 @@
 			now += 10 * ms
 			var events []Event
 			for d := 1; d <= dests; d++ {
-				room[d] = min(room[d]+each/100, each)
+				tokens[d] = min(tokens[d]+destinationRate/100, destinationRate)
 			}
-			if rng.Float64() < dests*each*over/100 {
-				next++
+			if rng.Float64() < dests*destinationRate*overload/100 {
+				lastID++
 				d := 1 + rng.IntN(dests)
 				m := message{rng.IntN(2), rng.IntN(2)}
-				if d == 1 { // a principal takes the class that may not be repeated, and no other does
+				if d == 1 { // only the first destination gets the non-idempotent class
 					m.class = 2
 				}
-				id := MessageID(fmt.Sprint("m", next))
+				id := MessageID(fmt.Sprint("m", lastID))
 				msgs[id] = m
-				classes[m.class]++
-				came[m.tenant][m.class]++
+				arrivedByClass[m.class]++
+				arrived[m.tenant][m.class]++
 				events = append(events, Arrival{ID: id, Class: m.class, Tenant: m.tenant, Dest: DestID(d), Budget: set.Classes[m.class].Deadline})
 			}
 			for i := 0; i < len(calls); {
 				if c := calls[i]; c.due <= now {
-					if c.o.Status == OK {
-						m := msgs[c.o.ID]
-						done[m.class]++
+					if c.outcome.Status == OK {
+						m := msgs[c.outcome.ID]
+						servedByClass[m.class]++
 						served[m.tenant][m.class]++
 					}
-					events, calls = append(events, c.o), append(calls[:i], calls[i+1:]...)
+					events, calls = append(events, c.outcome), append(calls[:i], calls[i+1:]...)
 				} else {
 					i++
 				}
 			}
-			if wake > 0 && wake <= now {
-				wake, events = 0, append(events, Wake{})
+			if wakeAt > 0 && wakeAt <= now {
+				wakeAt, events = 0, append(events, Wake{})
 			}
 			if len(events) > 0 {
 				step(events...)
 			}
 		}
-		even := 1 / over
+		evenShare := 1 / overload
 		for i, c := range set.Classes {
-			if share := done[i] / classes[i]; share < even/2 {
-				t.Errorf("%d forwarders: class %s served %.2f, an even service gives %.2f", n, c.Name, share, even)
+			if share := servedByClass[i] / arrivedByClass[i]; share < evenShare/2 {
+				t.Errorf("%d forwarders: class %s: %.2f served, an even distribution gives %.2f", n, c.Name, share, evenShare)
 			}
 		}
 		for i, x := range set.Tenants {
 			all, ok := 0.0, 0.0
 			for j := range set.Classes {
-				all, ok = all+came[i][j], ok+served[i][j]
+				all, ok = all+arrived[i][j], ok+served[i][j]
 			}
-			if ok/all < even/3 {
-				t.Errorf("%d forwarders: tenant %s served %.2f, an even service gives %.2f", n, x.Name, ok/all, even)
+			if ok/all < evenShare/3 {
+				t.Errorf("%d forwarders: tenant %s: %.2f served, an even distribution gives %.2f", n, x.Name, ok/all, evenShare)
 			}
 		}
-		t.Logf("%d forwarders: classes %.2f of %.0f", n, done, classes)
+		t.Logf("%d forwarders: served by class %.2f of %.0f", n, servedByClass, arrivedByClass)
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -144,7 +144,7 @@
 		MaxRetryAfter: us(l.MaxRetryAfter), ListOnRequest: in.Mode == "on_request", ListRequestTimeout: us(r.AskWithin),
 		DrainGracePeriod: us(r.DrainGrace), AnswerGracePeriod: us(r.Slack), StreamsPerConnection: l.Streams,
 		AllowProbes: l.Probes, AllowPeerMessages: l.Peers, AllowCancel: l.Cancel, AllowConcurrentAttempts: l.SecondCopies,
-		ClientsMarkRetries: in.Habits.MarksRetry, Position: in.Position, OverShareFactor: in.OverShare,
+		ClientsFlagRetries: in.Habits.MarksRetry, Position: in.Position, OverShareFactor: in.OverShare,
 		ValueDecay: losses[in.Specifics.Loses], ScoreWeights: raventrestle.ScoreWeights{
 			Overall: in.Mix.Whole, WorstWindow: in.Mix.Window,
 			WorstClass: in.Mix.Class, WorstTenant: in.Mix.Tenant,
@@ -155,7 +155,7 @@
 			Probe: in.Charges.Probe, PeerMessage: in.Charges.Peer,
 		},
 		OverloadFactor: r.TipMultiple, OverloadDuration: us(r.TipAfter), WarmupDuration: us(r.ColdFor),
-		ColdCapacityShare: r.StartCapacity,
+		InitialCapacityShare: r.StartCapacity,
 	}
 	for i, c := range in.Classes {
 		effect, known := effects[c.Effect]
--- a/internal/learned/golden_test.go
+++ b/internal/learned/golden_test.go
@@ -29,11 +29,11 @@
 		f, d := float64(n)+0.5, time.Duration(n)
 		return &raventrestle.LearnedRoute{
 			Limit: f, Rate: f + 1, Tokens: f + 2, Threshold: f + 3, SentRate: f + 4, SentRateAt: d + 5, LimitReported: n%2 == 0, AllSuspended: n%2 == 1,
-			RefilledAt: d + 6, RateCutAt: d + 7, WaitUntil: d + 8, OutageAt: d + 9, LastOK: d + 10, NextAt: d + 11, Mean: d + 12, Dev: d + 13, Fails: n + 14, N: n + 15,
+			RefilledAt: d + 6, RateReducedAt: d + 7, WaitUntil: d + 8, OutageAt: d + 9, LastOK: d + 10, NextAt: d + 11, Mean: d + 12, Dev: d + 13, Fails: n + 14, N: n + 15,
 		}
 	}
 	target := raventrestle.LearnedTarget{
-		Target: "target-1", Health: 2, Fails: 3, Mean: 4, UsualRate: 5.5, FailureCount: 6.5, CallCount: 7.5, CountsAt: 8, Since: 9, SlowStartAt: 10,
+		Target: "target-1", Health: 2, Fails: 3, Mean: 4, NormalRate: 5.5, FailureCount: 6.5, CallCount: 7.5, CountsAt: 8, Since: 9, SlowStartAt: 10,
 		LastOK: 11, LastSent: 12, SendInterval: 13, Route: route(100),
 	}
 	return Saved{At: 1_800_000_000 * time.Second, Learned: raventrestle.Learned{
--- a/internal/net/courier/handover.go
+++ b/internal/net/courier/handover.go
@@ -125,7 +125,7 @@
 
 func (c *Courier) heed(waits map[string]int64) {
 	for name, until := range waits {
-		c.policy.PauseTarget(raventrestle.TargetID(name), time.Duration(until))
+		c.policy.ApplyRetryAfter(raventrestle.TargetID(name), time.Duration(until))
 		c.hold(raventrestle.TargetID(name), time.Unix(0, until))
 		if r := c.peers[raventrestle.TargetID(name)]; r != nil {
 			r.Hold(time.Unix(0, until))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -46,7 +46,7 @@
 			CrossZone: 0.01, Handshake: 0.04, WastedWork: 0.05, LateFailure: 0.02, RejectedCall: 0.07,
 			Probe: 0.03, PeerMessage: 0.06,
 		}) || s.ValueDecay != raventrestle.DecayHalving || s.Classes[0].LateValueShare != 0.5 ||
-		!s.ClientsMarkRetries || s.StreamsPerConnection != 8 || !s.AllowProbes || !s.AllowPeerMessages || !s.AllowCancel || !s.AllowConcurrentAttempts ||
+		!s.ClientsFlagRetries || s.StreamsPerConnection != 8 || !s.AllowProbes || !s.AllowPeerMessages || !s.AllowCancel || !s.AllowConcurrentAttempts ||
 		s.DrainGracePeriod != 250*time.Millisecond || s.AnswerGracePeriod != 20*time.Millisecond {
 		t.Fatalf("settings: %+v", s)
 	}
--- a/learned.go
+++ b/learned.go
@@ -37,7 +37,7 @@
 	Health       uint8
 	Fails        int
 	Mean         time.Duration
-	UsualRate    float64       `json:"Usual"`
+	NormalRate   float64       `json:"Usual"`
 	FailureCount float64       `json:"Bad"`
 	CallCount    float64       `json:"All"`
 	CountsAt     time.Duration `json:"OddsAt"`
@@ -59,7 +59,7 @@
 	LimitReported  bool          `json:"Told"`
 	AllSuspended   bool          `json:"Shut"`
 	RefilledAt     time.Duration `json:"FilledAt"`
-	RateCutAt      time.Duration `json:"CutAt"`
+	RateReducedAt  time.Duration `json:"CutAt"`
 	WaitUntil      time.Duration `json:"Until"`
 	OutageAt       time.Duration `json:"DownAt"`
 	LastOK, NextAt time.Duration
@@ -69,9 +69,11 @@
 
 func (r *route) learned() *LearnedRoute {
 	return &LearnedRoute{
-		Limit: r.size, Threshold: r.threshold, Rate: r.rate, Tokens: r.tokens, SentRate: r.sentRate, LimitReported: r.told, AllSuspended: r.shut, RefilledAt: r.filledAt,
-		SentRateAt: r.sentRateAt, RateCutAt: r.cutAt, WaitUntil: r.until, OutageAt: r.downAt, LastOK: r.lastOK, NextAt: r.nextAt, Mean: r.times.mean, Dev: r.times.dev,
-		Fails: r.fails, N: r.times.n,
+		Limit: r.limit, Threshold: r.threshold, Rate: r.rate, Tokens: r.tokens, SentRate: r.sentRate,
+		LimitReported: r.limitReported, AllSuspended: r.allSuspended, RefilledAt: r.refilledAt,
+		SentRateAt: r.sentRateAt, RateReducedAt: r.rateReducedAt, WaitUntil: r.waitUntil, OutageAt: r.outageAt,
+		LastOK: r.lastAnsweredAt, NextAt: r.nextCallAt, Mean: r.latency.mean, Dev: r.latency.deviation,
+		Fails: r.failuresInRow, N: r.latency.count,
 	}
 }
 
@@ -79,28 +81,37 @@
 	if b == nil {
 		return
 	}
-	r.size, r.threshold, r.rate, r.tokens, r.sentRate, r.told, r.shut = b.Limit, b.Threshold, b.Rate, b.Tokens, b.SentRate, b.LimitReported, b.AllSuspended
-	r.filledAt, r.sentRateAt, r.cutAt, r.until = b.RefilledAt, b.SentRateAt, b.RateCutAt, max(r.until, b.WaitUntil)
-	r.downAt, r.lastOK, r.nextAt, r.fails = b.OutageAt, b.LastOK, b.NextAt, b.Fails
-	r.times = times{mean: b.Mean, dev: b.Dev, n: b.N}
+	r.limit, r.threshold, r.rate, r.tokens, r.sentRate, r.limitReported, r.allSuspended =
+		b.Limit, b.Threshold, b.Rate, b.Tokens, b.SentRate, b.LimitReported, b.AllSuspended
+	r.refilledAt, r.sentRateAt, r.rateReducedAt, r.waitUntil = b.RefilledAt, b.SentRateAt, b.RateReducedAt, max(r.waitUntil, b.WaitUntil)
+	r.outageAt, r.lastAnsweredAt, r.nextCallAt, r.failuresInRow = b.OutageAt, b.LastOK, b.NextAt, b.Fails
+	r.latency = latencyStats{mean: b.Mean, deviation: b.Dev, count: b.N}
 }
 
-// Learned returns what the policy has learned. It changes nothing.
+// Learned returns what the policy has learned. It does not change the state.
 func (p *Policy) Learned() Learned {
-	b := Learned{CallSec: p.flows.MeanSlotSeconds, Mean: p.times.mean, Dev: p.times.dev, N: p.times.n, MaxIdleTime: p.idleLife, LimitsReported: p.told}
-	for _, d := range p.dests {
-		x := LearnedDest{Dest: d.id, CallSec: d.MeanSlotSeconds, RejectionsInRow: d.shut, DepartedTargetRate: d.left, ConnLimited: p.connLimited[d.ki]}
+	b := Learned{
+		CallSec: p.flows.MeanSlotSeconds, Mean: p.latency.mean, Dev: p.latency.deviation, N: p.latency.count,
+		MaxIdleTime: p.maxIdleTime, LimitsReported: p.limitsReported,
+	}
+	for _, d := range p.destinations {
+		x := LearnedDest{
+			Dest: d.id, CallSec: d.MeanSlotSeconds, RejectionsInRow: d.rejectionsInRow,
+			DepartedTargetRate: d.departedTargetRate, ConnLimited: p.connectionsLimited[d.kindIndex],
+		}
 		if !d.kind.RoutePerTarget {
-			x.Route = d.shared.learned()
+			x.Route = d.sharedRoute.learned()
 		}
 		for _, t := range d.targets {
-			all := t.odds[len(p.set.Classes)]
+			all := t.counts[len(p.settings.Classes)]
 			y := LearnedTarget{
-				Target: t.id, Health: uint8(t.health), Fails: t.fails, Mean: t.mean, UsualRate: t.usual, FailureCount: all.bad, CallCount: all.all,
-				CountsAt: all.at, Since: t.since, SlowStartAt: t.rampAt, LastOK: t.lastOK, LastSent: t.lastSent, SendInterval: t.gap,
+				Target: t.id, Health: uint8(t.health), Fails: t.failuresInRow, Mean: t.meanLatency,
+				NormalRate: t.normalRate, FailureCount: all.failures, CallCount: all.calls,
+				CountsAt: all.updatedAt, Since: t.listedSince, SlowStartAt: t.slowStartAt,
+				LastOK: t.lastAnsweredAt, LastSent: t.lastSentAt, SendInterval: t.sendInterval,
 			}
 			if d.kind.RoutePerTarget {
-				y.Route = t.r.learned()
+				y.Route = t.route.learned()
 			}
 			x.Targets = append(x.Targets, y)
 		}
@@ -110,29 +121,34 @@
 	return b
 }
 
-// Inherit takes over what another process had learned, of the targets that this one's list names.
+// Inherit takes over what another process learned about the targets in this policy's list.
 func (p *Policy) Inherit(b Learned) {
-	p.flows.MeanSlotSeconds, p.times, p.told = b.CallSec, times{mean: b.Mean, dev: b.Dev, n: b.N}, b.LimitsReported
+	p.flows.MeanSlotSeconds, p.latency, p.limitsReported =
+		b.CallSec, latencyStats{mean: b.Mean, deviation: b.Dev, count: b.N}, b.LimitsReported
 	if b.MaxIdleTime > 0 {
-		p.idleLife = min(p.idleLife, b.MaxIdleTime)
+		p.maxIdleTime = min(p.maxIdleTime, b.MaxIdleTime)
 	}
 	for _, x := range b.Dests {
-		d := p.dests[x.Dest]
+		d := p.destinations[x.Dest]
 		if d == nil {
 			continue
 		}
-		d.MeanSlotSeconds, d.shut, d.left, p.connLimited[d.ki] = x.CallSec, x.RejectionsInRow, x.DepartedTargetRate, p.connLimited[d.ki] || x.ConnLimited
-		d.shared.inherit(x.Route)
+		d.MeanSlotSeconds, d.rejectionsInRow, d.departedTargetRate, p.connectionsLimited[d.kindIndex] =
+			x.CallSec, x.RejectionsInRow, x.DepartedTargetRate, p.connectionsLimited[d.kindIndex] || x.ConnLimited
+		d.sharedRoute.inherit(x.Route)
 		for _, y := range x.Targets {
 			t := p.targets[y.Target]
-			if t == nil || t.d != d || y.Health > uint8(ramp) {
+			if t == nil || t.dest != d || y.Health > uint8(slowStart) {
 				continue
 			}
-			t.health, t.fails, t.mean, t.usual = health(y.Health), y.Fails, y.Mean, y.UsualRate
-			t.odds[len(p.set.Classes)] = odds{bad: y.FailureCount, all: y.CallCount, at: y.CountsAt}
-			t.since, t.rampAt, t.lastOK, t.lastSent, t.gap = y.Since, y.SlowStartAt, y.LastOK, y.LastSent, y.SendInterval
+			t.health, t.failuresInRow, t.meanLatency, t.normalRate = health(y.Health), y.Fails, y.Mean, y.NormalRate
+			t.counts[len(p.settings.Classes)] = decayingCounts{
+				failures: y.FailureCount, calls: y.CallCount, updatedAt: y.CountsAt,
+			}
+			t.listedSince, t.slowStartAt, t.lastAnsweredAt, t.lastSentAt, t.sendInterval =
+				y.Since, y.SlowStartAt, y.LastOK, y.LastSent, y.SendInterval
 			if d.kind.RoutePerTarget {
-				t.r.inherit(y.Route)
+				t.route.inherit(y.Route)
 			}
 		}
 	}
--- a/learned_test.go
+++ b/learned_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// An earlier version wrote these words, and a process of that version may follow this one: the keys stay.
-func TestLearnedKeepsTheKeysOfEarlierVersions(t *testing.T) {
+// Earlier versions wrote these keys, and a process of such a version may take over from this one: the keys must not
+// change.
+func TestLearnedKeepsJSONKeys(t *testing.T) {
 	const text = `{"CallSec":1.5,"Mean":2,"Dev":3,"N":4,"IdleLife":5,"Told":true,"Dests":[{"Dest":6,"CallSec":7,"Shut":8,` +
 		`"Left":9,"Cramped":true,"Targets":[{"Target":"t","Health":1,"Fails":2,"Mean":3,"Usual":4,"Bad":5,"All":6,"OddsAt":7,` +
 		`"Since":8,"RampAt":9,"LastOK":10,"LastSent":11,"Every":12,"Route":{"Size":1,"Knee":2,"Rate":3,"Tokens":4,"Brisk":5,` +
--- a/policy.go
+++ b/policy.go
@@ -1,12 +1,14 @@
 package raventrestle
 
-// The policy files hold all decisions of a forwarder. Their interface (settings, events and actions) is in
-// raventrestle.go, their records are in state.go. Reading order: events here, then what is learned, pace,
-// guards, worth, sending, final answers.
+// The policy files contain all decisions of a forwarder. The interface (settings, events and actions) is in
+// raventrestle.go, the records are in state.go. Reading order: policy.go (events), policy_outcomes.go (what a
+// call's result changes), policy_rate.go (rates), policy_eligibility.go (which targets may get a call),
+// policy_value.go (urgency), policy_dispatch.go (sending), policy_answers.go (final answers).
 //
-// The ordinary path is ASFQ: each destination is a flow, the held head with the lowest start tag plus delta
-// leaves while slots are free, and a monitor of slot-seconds pushes back the flows that use more than
-// others. Guards only say which heads are eligible; they never touch the tags.
+// Messages are scheduled by adaptive start-time fair queuing (package asfq): each destination is a flow, the
+// eligible flow with the lowest start tag plus penalty sends while slots are free, and a monitor of
+// slot-seconds delays the flows that use more than others. The eligibility rules only decide which messages
+// and targets are eligible; they never change the tags.
 
 import (
 	"cmp"
@@ -16,185 +18,192 @@
 	"time"
 )
 
-// Step takes a batch of events, all of them at the time now, and returns the actions.
+// Step processes a batch of events that happened at the time now, and returns the resulting actions.
 func (p *Policy) Step(now time.Duration, events []Event) []Action {
 	p.now = max(now, p.now)
-	p.crowded = cmp.Or(p.crowded, p.now+p.memory)
-	p.out, p.wakeAt = nil, math.MaxInt64
-	p.stood = p.pending > 0 && p.now-p.pending > 2*p.set.MinBatchInterval // woken late: it stood still itself
-	if p.pending <= p.now {
-		p.pending = 0
+	p.connectionsScarceUntil = cmp.Or(p.connectionsScarceUntil, p.now+p.failureMemory)
+	p.actions, p.wakeAt = nil, math.MaxInt64
+	// This wake-up is late: the host was delayed.
+	p.wokeLate = p.pendingWakeAt > 0 && p.now-p.pendingWakeAt > 2*p.settings.MinBatchInterval
+	if p.pendingWakeAt <= p.now {
+		p.pendingWakeAt = 0
 	}
 	for _, e := range events {
 		e.apply(p)
 	}
-	p.askForList()
-	p.monitor()
-	p.expire()
+	p.requestList()
+	p.runMonitor()
+	p.expireMessages()
 	p.dispatch()
-	p.shed()
-	if p.wakeAt < math.MaxInt64 && (p.pending == 0 || p.wakeAt < p.pending) {
-		p.pending = p.wakeAt
-		p.out = append(p.out, WakeAt{p.pending})
+	p.evictMessages()
+	if p.wakeAt < math.MaxInt64 && (p.pendingWakeAt == 0 || p.wakeAt < p.pendingWakeAt) {
+		p.pendingWakeAt = p.wakeAt
+		p.actions = append(p.actions, WakeAt{p.pendingWakeAt})
 	}
-	return p.out
+	return p.actions
 }
 
-func (p *Policy) listing(l ListUpdate) {
+func (p *Policy) applyListUpdate(l ListUpdate) {
 	if l.Kind == ListFailed {
-		p.askGap = min(max(2*p.askGap, p.set.ListRequestTimeout/20, p.set.MinBatchInterval),
-			p.set.ListRequestTimeout/4)
-		p.askAt = p.now + p.askGap
+		p.listBackoff = min(max(2*p.listBackoff, p.settings.ListRequestTimeout/20,
+			p.settings.MinBatchInterval), p.settings.ListRequestTimeout/4)
+		p.listRequestAt = p.now + p.listBackoff
 		return
 	}
-	if p.askAt, p.askGap = -1, 0; l.Kind == ListCached && p.set.ListOnRequest {
-		p.askAt = p.now
+	if p.listRequestAt, p.listBackoff = -1, 0; l.Kind == ListCached && p.settings.ListOnRequest {
+		p.listRequestAt = p.now
 	}
 	seen := map[TargetID]bool{}
 	for _, e := range l.Entries {
 		seen[e.Target] = true
 		t := p.targets[e.Target]
 		if e.State == Removed {
-			p.drop(t)
+			p.removeTarget(t)
 			continue
 		}
 		if t == nil {
-			t = p.target(e)
-			if e.JoinedAt > 0 && p.now-e.JoinedAt < p.set.WarmupDuration { // cold, and finds what others left held
-				t.health, t.rampAt, t.usual = ramp, p.now, t.d.left
+			t = p.addTarget(e)
+			// The target is warming up, and the destination may have many messages queued from before it joined.
+			if e.JoinedAt > 0 && p.now-e.JoinedAt < p.settings.WarmupDuration {
+				t.health, t.slowStartAt, t.normalRate = slowStart, p.now, t.dest.departedTargetRate
 			}
 		}
 		t.ready = e.State == Ready
-		if p.set.ListedLimits != LimitsNone && e.RateLimit > 0 && !t.r.told {
-			p.limit(t.r, e.RateLimit)
+		if p.settings.ListedLimits != LimitsNone && e.RateLimit > 0 && !t.route.limitReported {
+			p.setLimit(t.route, e.RateLimit)
 		}
 	}
 	if l.Kind == ListSnapshot || l.Kind == ListCached {
 		for _, id := range slices.Sorted(maps.Keys(p.targets)) {
 			if !seen[id] {
-				p.drop(p.targets[id])
+				p.removeTarget(p.targets[id])
 			}
 		}
 	}
 }
 
-func (p *Policy) drop(t *target) {
+func (p *Policy) removeTarget(t *target) {
 	if t != nil {
-		t.ready, t.d.left, t.d.shared.until = false, t.pace(p), max(t.d.shared.until, t.r.until)
+		t.ready, t.dest.departedTargetRate, t.dest.sharedRoute.waitUntil =
+			false, t.sendRate(p), max(t.dest.sharedRoute.waitUntil, t.route.waitUntil)
 		delete(p.targets, t.id)
-		t.d.targets, t.r.targets = without(t.d.targets, t), without(t.r.targets, t)
+		t.dest.targets, t.route.targets = removeElement(t.dest.targets, t), removeElement(t.route.targets, t)
 	}
 }
 
-// askForList subscribes where the list must be asked for, again after a failure or silence.
-func (p *Policy) askForList() {
-	if p.askAt >= 0 && p.askAt <= p.now {
-		p.askAt = p.now + p.set.ListRequestTimeout/2
-		p.out = append(p.out, Subscribe{})
+// requestList subscribes where the list comes only on request, and again after a failure or no answer.
+func (p *Policy) requestList() {
+	if p.listRequestAt >= 0 && p.listRequestAt <= p.now {
+		p.listRequestAt = p.now + p.settings.ListRequestTimeout/2
+		p.actions = append(p.actions, Subscribe{})
 	}
-	p.wakeBy(p.askAt)
+	p.wakeBy(p.listRequestAt)
 }
 
-func (p *Policy) arrival(a Arrival) *msg {
-	if a.Class < 0 || a.Class >= len(p.set.Classes) { // of settings that have changed
-		p.out = append(p.out, Fail{a.ID})
+func (p *Policy) addMessage(a Arrival) *message {
+	// The settings may have changed since the host accepted the message.
+	if a.Class < 0 || a.Class >= len(p.settings.Classes) {
+		p.actions = append(p.actions, Fail{a.ID})
 	}
-	if p.msgs[a.ID] != nil || a.Class < 0 || a.Class >= len(p.set.Classes) {
+	if p.messages[a.ID] != nil || a.Class < 0 || a.Class >= len(p.settings.Classes) {
 		return nil
 	}
-	c := &p.set.Classes[a.Class]
-	end := p.now + a.Budget
-	aim := min(c.SoftDeadline+time.Duration(c.EstimateFactor*float64(a.Estimate)), c.Deadline)
-	m := &msg{
-		id: a.ID, class: c, ci: a.Class, d: p.dest(a.Dest), aim: end - c.Deadline + aim, end: end,
-		worth: c.Value * p.inShare(a.Tenant),
+	c := &p.settings.Classes[a.Class]
+	deadline := p.now + a.Budget
+	softDeadline := min(c.SoftDeadline+time.Duration(c.EstimateFactor*float64(a.Estimate)), c.Deadline)
+	m := &message{
+		id: a.ID, class: c, classIndex: a.Class, dest: p.ensureDestination(a.Dest),
+		softDeadline: deadline - c.Deadline + softDeadline, deadline: deadline,
+		value: c.Value * p.shareFactor(a.Tenant),
 	}
-	p.msgs[a.ID] = m
-	p.hold(m)
+	p.messages[a.ID] = m
+	p.enqueue(m)
 	return m
 }
 
-// restored: where an earlier attempt may have run stands for a target, which may be gone.
-func (p *Policy) restored(r Restored) {
-	m := p.arrival(r.Arrival)
+// restoreMessage adds a message from before a restart. Its run target may have left the list, so a target
+// record with only id and zone represents it.
+func (p *Policy) restoreMessage(r Restored) {
+	m := p.addMessage(r.Arrival)
 	if m == nil {
 		return
 	}
 	if !r.HandedOver {
-		m.d.came, m.d.heir = m.d.came+1, p.now+p.longest
+		m.dest.restoredMessages, m.dest.restoredUntil = m.dest.restoredMessages+1, p.now+p.maxDeadline
 	}
-	m.sends, m.mayRun, m.ranAt = r.Attempts, r.MayHaveRun, r.RunAt
-	m.ranOn = &target{id: r.RunTarget, zone: r.RunZone}
-	if r.Attempts > 0 && !r.HandedOver && p.set.OverloadDuration > 0 {
-		p.failedBefore(m, r)
+	m.attempts, m.mayHaveRun, m.runAt = r.Attempts, r.MayHaveRun, r.RunAt
+	m.runTarget = &target{id: r.RunTarget, zone: r.RunZone}
+	if r.Attempts > 0 && !r.HandedOver && p.settings.OverloadDuration > 0 {
+		p.slowStartAfterRestart(m, r)
 	}
-	if p.spent(m) {
-		p.unhold(m)
+	if p.attemptsExhausted(m) {
+		p.dequeue(m)
 		p.giveUp(m)
 	}
 }
 
-// failedBefore: a message that failed at a target in the last life, or was turned away by whichever. With
-// two such a target may be cold, and what is left goes in about TipAfter: lives that end early would else
-// each send all that they found at once.
-func (p *Policy) failedBefore(m *msg, r Restored) {
-	from := m.d.targets
+// slowStartAfterRestart handles a message that failed at a target before the restart, or that was rejected by
+// an unknown target. After the second such message the target gets a slow start, at a rate that
+// spreads the restored messages over about OverloadDuration. Without this, a host that restarts repeatedly
+// would send all restored messages at once after each restart.
+func (p *Policy) slowStartAfterRestart(m *message, r Restored) {
+	affected := m.dest.targets
 	if t := p.targets[r.RunTarget]; r.MayHaveRun {
-		if from = nil; t != nil && r.AttemptFailed && p.now-r.RunAt < p.memory {
-			t.fails++
-			from = []*target{t}
+		if affected = nil; t != nil && r.AttemptFailed && p.now-r.RunAt < p.failureMemory {
+			t.failuresInRow++
+			affected = []*target{t}
 		}
 	}
-	for _, t := range from {
-		if t.usual > 0 && t.health == open {
-			t.health, t.rampAt = ramp, p.now
+	for _, t := range affected {
+		if t.normalRate > 0 && t.health == healthy {
+			t.health, t.slowStartAt = slowStart, p.now
 		}
-		t.usual += 1 / p.set.OverloadDuration.Seconds() / float64(len(from))
+		t.normalRate += 1 / p.settings.OverloadDuration.Seconds() / float64(len(affected))
 	}
 }
 
-func (p *Policy) withdrawn(w Withdrawn) {
-	if m := p.msgs[w.ID]; m != nil && m.call != nil {
-		m.over = true
+func (p *Policy) withdrawMessage(w Withdrawn) {
+	if m := p.messages[w.ID]; m != nil && m.call != nil {
+		m.finished = true
 	} else if m != nil {
-		p.unhold(m)
-		p.forget(m)
+		p.dequeue(m)
+		p.removeMessage(m)
 	}
 }
 
-func (p *Policy) outcome(o Outcome) {
-	m := p.msgs[o.ID]
+func (p *Policy) handleOutcome(o Outcome) {
+	m := p.messages[o.ID]
 	if m == nil || m.call == nil {
 		return
 	}
 	c := m.call
 	m.call = nil
-	if o.RetryAfter > 0 { // each mate of a call may be told for itself
-		c.t.r.until = max(c.t.r.until, p.now+o.RetryAfter)
+	if o.RetryAfter > 0 { // the messages of one call may have different retry-after times
+		c.target.route.waitUntil = max(c.target.route.waitUntil, p.now+o.RetryAfter)
 	}
-	if !c.told {
-		c.told = true
-		p.learn(c, o, m.ci)
+	if !c.recorded {
+		c.recorded = true
+		p.recordOutcome(c, o, m.classIndex)
 	}
-	if c.n--; c.n == 0 {
-		p.hangUp(c)
+	if c.pending--; c.pending == 0 {
+		p.endCall(c)
 	}
 	lost := o.Status == TimedOut || o.Status == Reset || o.Status == Canceled // may still run
-	if (lost || o.Status == Error) && !m.mayRun {
-		m.mayRun, m.ranAt, m.ranOn = true, c.at, c.t
+	if (lost || o.Status == Error) && !m.mayHaveRun {
+		m.mayHaveRun, m.runAt, m.runTarget = true, c.startedAt, c.target
 	}
 	switch {
-	case o.Final || m.over || o.Status == OK:
-		p.forget(m)
-	case p.spent(m) || p.now >= p.lastCall(m):
+	case o.Final || m.finished || o.Status == OK:
+		p.removeMessage(m)
+	case p.attemptsExhausted(m) || p.now >= p.sendDeadline(m):
 		p.giveUp(m)
 	default:
-		p.hold(m)
+		p.enqueue(m)
 	}
 }
 
-// spent says that no further attempt is allowed.
-func (p *Policy) spent(m *msg) bool {
-	return p.set.MaxAttempts > 0 && m.sends >= p.set.MaxAttempts ||
-		m.mayRun && m.class.Idempotency == NonIdempotent
+// attemptsExhausted reports whether no further attempt is allowed.
+func (p *Policy) attemptsExhausted(m *message) bool {
+	return p.settings.MaxAttempts > 0 && m.attempts >= p.settings.MaxAttempts ||
+		m.mayHaveRun && m.class.Idempotency == NonIdempotent
 }
--- a/settings.go
+++ b/settings.go
@@ -10,55 +10,60 @@
 	"raventrestle/asfq"
 )
 
-// New returns the policy of one forwarder, or says what it can't work with.
-func New(set Settings, seed uint64) (*Policy, error) {
-	if min(set.CallSlots, set.MaxMessages, set.Forwarders, len(set.Classes)) < 1 {
-		return nil, errors.New("raventrestle: CallSlots, MostHeld, Forwarders and Classes must be at least one")
+// New returns the policy of one forwarder, or an error if the settings are invalid.
+func New(settings Settings, seed uint64) (*Policy, error) {
+	if min(settings.CallSlots, settings.MaxMessages, settings.Forwarders, len(settings.Classes)) < 1 {
+		return nil, errors.New("raventrestle: CallSlots, MaxMessages, Forwarders and Classes must be at least one")
 	}
 	p := &Policy{
-		set: set, rng: rand.New(rand.NewPCG(seed, 0)), dests: map[DestID]*dest{},
-		targets: map[TargetID]*target{}, msgs: map[MessageID]*msg{}, askAt: -1,
-		flows: asfq.Scheduler[*dest]{Slots: set.CallSlots, MonitorPeriod: time.Hour, Tolerance: 2},
+		settings: settings, rng: rand.New(rand.NewPCG(seed, 0)), destinations: map[DestID]*destination{},
+		targets: map[TargetID]*target{}, messages: map[MessageID]*message{}, listRequestAt: -1,
+		flows: asfq.Scheduler[*destination]{Slots: settings.CallSlots, MonitorPeriod: time.Hour, Tolerance: 2},
 	}
-	for _, c := range set.Classes {
+	for _, c := range settings.Classes {
 		if c.SoftDeadline <= 0 || c.Deadline < c.SoftDeadline {
-			return nil, fmt.Errorf("raventrestle: class %q needs 0 < Aim <= Deadline", c.Name)
+			return nil, fmt.Errorf("raventrestle: class %q needs 0 < SoftDeadline (aim_us) <= Deadline", c.Name)
 		}
-		p.flows.MonitorPeriod, p.longest = min(p.flows.MonitorPeriod, c.SoftDeadline), max(p.longest, c.Deadline)
+		p.flows.MonitorPeriod, p.maxDeadline = min(p.flows.MonitorPeriod, c.SoftDeadline), max(p.maxDeadline, c.Deadline)
 	}
-	p.idleLife, p.memory = set.IdleTimeout, max(set.WarmupDuration, p.flows.MonitorPeriod)
-	p.tenants, p.connLimited = make([]odds, len(set.Tenants)), make([]bool, len(set.Kinds)+1)
+	p.maxIdleTime, p.failureMemory = settings.IdleTimeout, max(settings.WarmupDuration, p.flows.MonitorPeriod)
+	p.tenantMessages, p.connectionsLimited =
+		make([]decayingCounts, len(settings.Tenants)), make([]bool, len(settings.Kinds)+1)
 	return p, nil
 }
 
-// Reconfigure gives the policy other settings while it holds messages, or says what it can't work with and keeps
-// those it has. Classes, kinds, zones and tenants keep their indices, further ones stand behind them. Messages
-// under way keep the class that they were taken with; an attempt beyond the new cap is not made.
-func (p *Policy) Reconfigure(set Settings) error {
-	next, err := New(set, 0)
+// Reconfigure replaces the settings while the policy has messages. If they are invalid, it returns an error and keeps
+// the previous settings. Classes, kinds, zones and tenants keep their indices; new ones are appended. Messages keep the
+// class with which they arrived. The new MaxAttempts also applies to them.
+func (p *Policy) Reconfigure(settings Settings) error {
+	updated, err := New(settings, 0)
 	if err != nil {
 		return err
 	}
-	was := p.set
-	p.set, p.longest, p.memory = set, next.longest, next.memory
-	p.flows.Slots, p.flows.MonitorPeriod = set.CallSlots, next.flows.MonitorPeriod
-	if p.idleLife == was.IdleTimeout {
-		p.idleLife = set.IdleTimeout
+	old := p.settings
+	p.settings, p.maxDeadline, p.failureMemory = settings, updated.maxDeadline, updated.failureMemory
+	p.flows.Slots, p.flows.MonitorPeriod = settings.CallSlots, updated.flows.MonitorPeriod
+	if p.maxIdleTime == old.IdleTimeout {
+		p.maxIdleTime = settings.IdleTimeout
 	}
-	p.idleLife = min(p.idleLife, set.IdleTimeout)
-	p.tenants = append(p.tenants, make([]odds, max(0, len(set.Tenants)-len(p.tenants)))...)
-	unknown := len(was.Kinds) // the last mark stands for kinds that are not known
-	p.connLimited = slices.Insert(p.connLimited, unknown, make([]bool, max(0, len(set.Kinds)-unknown))...)
-	for _, d := range p.dests {
-		if d.ki >= unknown {
-			d.ki = len(set.Kinds)
+	p.maxIdleTime = min(p.maxIdleTime, settings.IdleTimeout)
+	p.tenantMessages = append(p.tenantMessages,
+		make([]decayingCounts, max(0, len(settings.Tenants)-len(p.tenantMessages)))...)
+	oldKinds := len(old.Kinds) // the last entry of connectionsLimited is for unknown kinds
+	p.connectionsLimited = slices.Insert(p.connectionsLimited, oldKinds,
+		make([]bool, max(0, len(settings.Kinds)-oldKinds))...)
+	for _, d := range p.destinations {
+		if d.kindIndex >= oldKinds {
+			d.kindIndex = len(settings.Kinds)
 		} else {
-			d.kind.MaxBatch = set.Kinds[d.ki].MaxBatch // Apart says how its routes were made
+			// RoutePerTarget does not change, because the destination's routes already exist.
+			d.kind.MaxBatch = settings.Kinds[d.kindIndex].MaxBatch
 		}
 	}
-	more := max(0, len(set.Classes)-len(was.Classes))
+	addedClasses := max(0, len(settings.Classes)-len(old.Classes))
 	for _, t := range p.targets {
-		t.odds = slices.Insert(t.odds, len(was.Classes), make([]odds, more)...) // the last stands for all
+		// The last entry is for all classes.
+		t.counts = slices.Insert(t.counts, len(old.Classes), make([]decayingCounts, addedClasses)...)
 	}
 	return nil
 }
--- a/state.go
+++ b/state.go
@@ -1,6 +1,6 @@
 package raventrestle
 
-// The records that the policy files keep, and their arithmetic. Nothing is decided here.
+// The records that the policy files keep, and arithmetic on them. Decisions are made in the policy files.
 
 import (
 	"cmp"
@@ -13,222 +13,231 @@
 	"raventrestle/asfq"
 )
 
-// Policy decides for one forwarder. It is not safe for concurrent use.
+// Policy makes the decisions of one forwarder. It is not safe for concurrent use.
 type Policy struct {
-	set             Settings
-	rng             *rand.Rand
-	out             []Action
-	dests           map[DestID]*dest
-	flows           asfq.Scheduler[*dest]
-	targets         map[TargetID]*target
-	msgs            map[MessageID]*msg
-	tenants         []odds  // messages of each tenant, in odds.all, with weights that fade
-	stakes          float64 // the most that a held message has at stake, see stake
-	times           times   // of all answers
-	now             time.Duration
-	longest, memory time.Duration    // deadline of the classes; how long failures count
-	idleLife        time.Duration    // idle connections seem to live so long
-	borne           [2]time.Duration // longest idle before an answered call, this period and last
-	askAt, askGap   time.Duration    // when to ask for the list again, and the backoff
-	stood           bool             // this batch came late
-	told            bool             // answers bring reports
-	connLimited     []bool           // by kind, the last for unknown ones: no room for idle connections
-	closing         time.Duration    // when the host ends its life, 0 while it does not
-	crowded         time.Duration    // targets may have few connections left, until then
-	wakeAt, pending time.Duration    // when a decision may change, and the WakeAt still owed
-}
-
-// dest is one flow: a destination with its hold, and a turn for each message held.
-type dest struct {
+	settings                   Settings
+	rng                        *rand.Rand
+	actions                    []Action
+	destinations               map[DestID]*destination
+	flows                      asfq.Scheduler[*destination]
+	targets                    map[TargetID]*target
+	messages                   map[MessageID]*message
+	tenantMessages             []decayingCounts // arrivals by tenant, counted in decayingCounts.calls
+	maxUrgency                 float64          // highest urgency of a queued message, see updateUrgency
+	latency                    latencyStats     // of the answers of all destinations
+	now                        time.Duration
+	maxDeadline, failureMemory time.Duration    // longest deadline of the classes; decay time of failure counts
+	maxIdleTime                time.Duration    // observed time after which idle connections are dropped
+	answeredIdle               [2]time.Duration // longest idle time before an answered call, in this period and the last
+	listRequestAt, listBackoff time.Duration    // when to request the list again, and the backoff after failures
+	wokeLate                   bool             // this batch came late because the host was delayed
+	limitsReported             bool             // answers include limit reports
+	connectionsLimited         []bool           // by kind, the last for unknown kinds: targets limit connections
+	shutdownAt                 time.Duration    // when the host stops, 0 if no shutdown is announced
+	connectionsScarceUntil     time.Duration    // until then, targets may have few free connections
+	wakeAt, pendingWakeAt      time.Duration    // next decision without an event; the last WakeAt that is not due yet
+}
+
+// destination is a flow with its queued messages. Each queued message has a turn in the flow.
+type destination struct {
 	asfq.Flow
-	id      DestID
-	ki      int // index of its kind, the number of kinds if unknown
-	kind    DestinationKind
-	targets []*target // by id
-	shared  *route    // the route of all targets where they are not apart
-	held    []*msg    // in order of arrival
-	out     []*call
-	shut    int           // refusals in a row with no word of the limit; with most of it left they count twice
-	left    float64       // usual rate of the target that left last
-	came    float64       // messages left by the host's last life
-	heir    time.Duration // they tell its usual rate until then
-	next    *msg          // its head in this batch, and where that would go
-	on      *target
-}
-
-// route is what has a limit and waits of its own: a target where routes are apart,
-// else the whole destination.
+	id                 DestID
+	kindIndex          int // index of its kind; the number of kinds if unknown
+	kind               DestinationKind
+	targets            []*target  // sorted by id
+	sharedRoute        *route     // the route of all its targets unless kind.RoutePerTarget
+	queue              []*message // messages that wait, in order of arrival
+	calls              []*call
+	rejectionsInRow    int           // except for an exhausted limit; counted twice if most of the limit remains
+	departedTargetRate float64       // normal send rate of the target that was removed last
+	restoredMessages   float64       // messages restored after the host's restart
+	restoredUntil      time.Duration // until then, restoredMessages is used to estimate the rate
+	nextMessage        *message      // message that may be sent next in this batch, and its target
+	nextTarget         *target
+}
+
+// route has its own rate limit and retry-after time. It is a single target if the kind has RoutePerTarget, otherwise
+// the whole destination.
 type route struct {
-	targets      []*target
-	size         float64 // calls a second from all forwarders, 0 if unknown
-	told         bool    // by reports, which come before the list
-	threshold    float64 // just under the pace that was last refused
-	rate, tokens float64 // this forwarder's pace by AIMD, 0 while no limit is known
-	sentRate     float64 // calls a second lately sent
-	filledAt     time.Duration
-	sentRateAt   time.Duration
-	cutAt        time.Duration
-	until        time.Duration // told to wait
-	shut         bool          // its targets were held off together
-	downAt       time.Duration // first failure of the present outage, 0 if none
-	lastOK       time.Duration
-	nextAt       time.Duration // next call to a target in trial or slow start
-	fails        int           // failures in a row
-	times        times
-}
-
-// times are the mean and deviation of answers' times over n answers.
-type times struct {
-	mean, dev time.Duration
-	n         int
-}
-
+	targets        []*target
+	limit          float64 // calls per second from all forwarders together, 0 if unknown
+	limitReported  bool    // limit comes from a report, which takes precedence over the list
+	threshold      float64 // slightly below the rate at which calls were last rejected
+	rate, tokens   float64 // this forwarder's rate, set by AIMD, 0 while no limit is known; tokens of its bucket
+	sentRate       float64 // recent calls per second
+	refilledAt     time.Duration
+	sentRateAt     time.Duration
+	rateReducedAt  time.Duration
+	waitUntil      time.Duration // retry-after time demanded by the target
+	allSuspended   bool          // all its targets were suspended together
+	outageAt       time.Duration // first failure of the current outage, 0 if there is none
+	lastAnsweredAt time.Duration
+	nextCallAt     time.Duration // next call to a target that is half-open or in slow start
+	failuresInRow  int
+	latency        latencyStats
+}
+
+// latencyStats are the mean and mean deviation of the response times of count calls.
+type latencyStats struct {
+	mean, deviation time.Duration
+	count           int
+}
+
+// health says how much traffic a target gets.
 type health uint8
 
 const (
-	open     health = iota // usual sending
-	halfOpen               // one trial at a time
-	ramp                   // slow start after an outage
+	healthy   health = iota // normal traffic
+	halfOpen                // one trial call at a time
+	slowStart               // rate increases slowly after an outage
 )
 
+// target is one endpoint of a destination.
 type target struct {
-	id                    TargetID
-	d                     *dest
-	r                     *route
-	zone                  int
-	ready                 bool
-	health                health
-	fails, trials         int           // failures in a row, trials out
-	mean                  time.Duration // of the answers' times
-	taste                 float64       // this forwarder's bias, so that not all prefer the same target
-	odds                  []odds        // of failure, by class, the last for all of them
-	usual                 float64       // calls a second before its outage
-	since, rampAt, lastOK time.Duration
-	lastSent, okSent      time.Duration // okSent: of the calls that were answered
-	inFlight              int           // calls out
-	gap                   time.Duration // usual time between sends, 0 before the second
-	idleAt                time.Duration // when its connections were last used, 0 if none is idle
-	stale                 time.Duration // idle time before a call that was lost, until told apart
-}
-
-// odds count failures among calls, with weights that fade.
-type odds struct {
-	bad, all float64
-	at       time.Duration
-}
-
-type msg struct {
-	id       MessageID
-	class    *Class
-	ci       int // index of the class
-	d        *dest
-	call     *call
-	aim, end time.Duration
-	worth    float64 // of its class, less beyond its tenant's share
-	stake    float64 // see weigh
-	waste    float64 // what is lost if it is given up now, see weigh
-	sends    int
-	mayRun   bool // an earlier attempt may have run
-	ranAt    time.Duration
-	ranOn    *target
-	over     bool // answered or withdrawn, with an attempt still out
-}
-
-// call is one call to a target; mates that ride on it share its slot and fate.
+	id                                       TargetID
+	dest                                     *destination
+	route                                    *route
+	zone                                     int
+	ready                                    bool
+	health                                   health
+	failuresInRow, trialsInFlight            int
+	meanLatency                              time.Duration    // of its answers
+	costFactor                               float64          // random, so that the forwarders prefer different targets
+	counts                                   []decayingCounts // calls and failures by class, the last entry for all classes
+	normalRate                               float64          // calls per second before its outage
+	listedSince, slowStartAt, lastAnsweredAt time.Duration
+	lastSentAt, lastAnsweredSentAt           time.Duration // last send; send time of the last answered call
+	inFlight                                 int
+	sendInterval                             time.Duration // moving average of the time between sends, 0 before the second
+	idleSince                                time.Duration // when its connections were last used, 0 if none is idle
+	staleIdleTime                            time.Duration // idle time before a call that was lost, until the cause is known
+}
+
+// decayingCounts count calls and failures, weighted by an exponential decay over failureMemory.
+type decayingCounts struct {
+	failures, calls float64
+	updatedAt       time.Duration
+}
+
+// message is a message without a final answer. It is queued if call is nil.
+type message struct {
+	id                     MessageID
+	class                  *Class
+	classIndex             int
+	dest                   *destination
+	call                   *call
+	softDeadline, deadline time.Duration
+	value                  float64 // value of its class, reduced beyond its tenant's share
+	urgency                float64 // see updateUrgency
+	dropCost               float64 // value lost if the message is refused now, see updateUrgency
+	attempts               int
+	mayHaveRun             bool // an earlier attempt may have run
+	runAt                  time.Duration
+	runTarget              *target
+	finished               bool // answered or withdrawn while an attempt is in flight
+}
+
+// call is one call to a target. All messages in it share its slot and its result.
 type call struct {
-	t           *target
-	at          time.Duration
-	n           int // messages without an outcome
-	first       *msg
-	off         bool          // called off
-	trial, told bool          // whether it was a trial; its fate has been learned
-	idle        time.Duration // how long its connection may have been idle, 0 for a new one
-}
-
-func (p *Policy) dest(id DestID) *dest {
-	d := p.dests[id]
+	target          *target
+	startedAt       time.Duration
+	pending         int // messages without an outcome
+	first           *message
+	canceled        bool          // Cancel was sent
+	trial, recorded bool          // sent as a trial; its outcome has been recorded
+	idleTime        time.Duration // how long its connection may have been idle, 0 for a new one
+}
+
+// ensureDestination returns the record of a destination and creates it if there is none.
+func (p *Policy) ensureDestination(id DestID) *destination {
+	d := p.destinations[id]
 	if d == nil {
-		d = &dest{id: id, ki: len(p.set.Kinds), kind: DestinationKind{MaxBatch: 1}}
-		d.shared = &route{filledAt: p.now}
-		p.dests[id] = d
+		d = &destination{id: id, kindIndex: len(p.settings.Kinds), kind: DestinationKind{MaxBatch: 1}}
+		d.sharedRoute = &route{refilledAt: p.now}
+		p.destinations[id] = d
 	}
 	return d
 }
 
-// target makes the record of a target that joins the list.
-func (p *Policy) target(e Entry) *target {
-	d := p.dest(e.Dest)
-	if e.Kind >= 0 && e.Kind < len(p.set.Kinds) {
-		d.ki, d.kind = e.Kind, p.set.Kinds[e.Kind]
+// addTarget creates the record of a target that joins the list.
+func (p *Policy) addTarget(entry Entry) *target {
+	d := p.ensureDestination(entry.Dest)
+	if entry.Kind >= 0 && entry.Kind < len(p.settings.Kinds) {
+		d.kindIndex, d.kind = entry.Kind, p.settings.Kinds[entry.Kind]
 	}
 	t := &target{
-		id: e.Target, d: d, zone: e.Zone, r: d.shared, since: p.now, lastOK: -1 << 60,
-		lastSent: -1 << 60, taste: 1 + p.rng.Float64()/4, odds: make([]odds, len(p.set.Classes)+1),
+		id: entry.Target, dest: d, zone: entry.Zone, route: d.sharedRoute, listedSince: p.now, lastAnsweredAt: -1 << 60,
+		lastSentAt: -1 << 60, costFactor: 1 + p.rng.Float64()/4, counts: make([]decayingCounts, len(p.settings.Classes)+1),
 	}
 	if d.kind.RoutePerTarget {
-		t.r = &route{filledAt: p.now, until: d.shared.until}
+		t.route = &route{refilledAt: p.now, waitUntil: d.sharedRoute.waitUntil}
 	}
-	p.targets[e.Target] = t
-	t.r.targets = append(t.r.targets, t)
+	p.targets[entry.Target] = t
+	t.route.targets = append(t.route.targets, t)
 	d.targets = append(d.targets, t)
 	slices.SortFunc(d.targets, func(a, b *target) int { return cmp.Compare(a.id, b.id) })
 	return t
 }
 
-// forget ends a message.
-func (p *Policy) forget(m *msg) { delete(p.msgs, m.id) }
+// removeMessage deletes the record of a message that has ended.
+func (p *Policy) removeMessage(m *message) { delete(p.messages, m.id) }
 
-// without returns the list less its member x.
-func without[T comparable](list []T, x T) []T {
+// removeElement removes x, which must be in the list.
+func removeElement[T comparable](list []T, x T) []T {
 	i := slices.Index(list, x)
 	return slices.Delete(list, i, i+1)
 }
 
-func (t *times) add(took time.Duration) {
-	if t.n++; t.n == 1 {
-		t.mean, t.dev = took, took/2
+// add includes one response time, as TCP does for its round-trip time.
+func (t *latencyStats) add(took time.Duration) {
+	if t.count++; t.count == 1 {
+		t.mean, t.deviation = took, took/2
 	}
 	diff := took - t.mean
 	t.mean += diff / 8
-	t.dev += (max(diff, -diff) - t.dev) / 4
+	t.deviation += (max(diff, -diff) - t.deviation) / 4
 }
 
-func (x *odds) fade(p *Policy) {
-	f := math.Exp(-float64(p.now-x.at) / float64(p.memory))
-	x.bad, x.all, x.at = x.bad*f, x.all*f, p.now
+// decay reduces the counts by the time since their last update.
+func (x *decayingCounts) decay(p *Policy) {
+	f := math.Exp(-float64(p.now-x.updatedAt) / float64(p.failureMemory))
+	x.failures, x.calls, x.updatedAt = x.failures*f, x.calls*f, p.now
 }
 
-// share is that of the failures, with a prior share that counts for so many calls.
-func (x *odds) share(p *Policy, prior, weight float64) float64 {
-	x.fade(p)
-	return (x.bad + prior*weight) / (x.all + weight)
+// failureShare returns the share of failed calls. priorShare counts like the result of priorWeight calls.
+func (x *decayingCounts) failureShare(p *Policy, priorShare, priorWeight float64) float64 {
+	x.decay(p)
+	return (x.failures + priorShare*priorWeight) / (x.calls + priorWeight)
 }
 
-// risk is the share of failed calls to expect of a class at a target: what was seen of the
-// class there counts before the target's other classes.
-func (p *Policy) risk(t *target, class int) float64 {
-	return t.odds[class].share(p, t.odds[len(p.set.Classes)].share(p, 0, 1), 1)
+// failureProbability returns the expected share of failed calls of a class at a target. Observed calls of the class
+// take precedence over those of the target's other classes.
+func (p *Policy) failureProbability(t *target, class int) float64 {
+	return t.counts[class].failureShare(p, t.counts[len(p.settings.Classes)].failureShare(p, 0, 1), 1)
 }
 
-// pace is the calls a second lately sent to the target, as it was before an outage.
-func (t *target) pace(p *Policy) float64 {
-	if t.health != open {
-		return t.usual
+// sendRate returns the recent calls per second to the target, or those before its outage.
+func (t *target) sendRate(p *Policy) float64 {
+	if t.health != healthy {
+		return t.normalRate
 	}
-	x := &t.odds[len(p.set.Classes)]
-	x.fade(p)
-	age := max(float64(p.now-t.since)/float64(p.memory), 0.25)
-	few := min(float64(p.set.CallSlots)/float64(p.set.Forwarders), 1)
-	seen := max(x.all-max(1-age, 0)*(1-few), 0) // of many the one that just called has no rate yet
-	return seen / (p.memory.Seconds() * (1 - math.Exp(-age)))
+	x := &t.counts[len(p.settings.Classes)]
+	x.decay(p)
+	age := max(float64(p.now-t.listedSince)/float64(p.failureMemory), 0.25)
+	slotShare := min(float64(p.settings.CallSlots)/float64(p.settings.Forwarders), 1)
+	// With many forwarders, a single recent call says little about the rate.
+	calls := max(x.calls-max(1-age, 0)*(1-slotShare), 0)
+	return calls / (p.failureMemory.Seconds() * (1 - math.Exp(-age)))
 }
 
-func gap(rate float64) time.Duration { return time.Duration(float64(time.Second) / rate) }
+// interval returns the time between calls at the given rate per second.
+func interval(rate float64) time.Duration { return time.Duration(float64(time.Second) / rate) }
 
-func (p *Policy) log(format string, args ...any) {
-	p.out = append(p.out, Log{fmt.Sprintf(format, args...)})
+func (p *Policy) logf(format string, args ...any) {
+	p.actions = append(p.actions, Log{fmt.Sprintf(format, args...)})
 }
 
+// wakeBy requests a Wake at time t, unless an earlier one is requested in this batch.
 func (p *Policy) wakeBy(t time.Duration) {
 	if t > p.now {
 		p.wakeAt = min(p.wakeAt, t)
