--- a/asfq/asfq_test.go
+++ b/asfq/asfq_test.go
@@ -35,7 +35,7 @@
 	virtualTime float64 // largest value seen
 	maxFinish   float64 // largest finish tag of the calls started
 	periodEnd   time.Duration
-	periodStart time.Duration     // start of the monitor's period
+	periodStart time.Duration
 	slotSeconds map[*flow]float64 // slot-seconds of the calls that ended in this period
 	penalty     map[*flow]float64
 }
@@ -46,74 +46,74 @@
 }
 
 func newModel(t *rapid.T) *model {
-	w := &model{
+	m := &model{
 		scheduler: newScheduler(rapid.IntRange(1, 9).Draw(t, "slots")),
 		startTags: map[*flow][]float64{}, finishTags: map[*flow][]float64{}, lastFinish: map[*flow]float64{},
 		slotSeconds: map[*flow]float64{}, penalty: map[*flow]float64{},
 	}
 	for i := range rapid.IntRange(1, 6).Draw(t, "flows") {
 		weight := rapid.SampledFrom([]float64{0, 0.5, 1, 3}).Draw(t, "weight")
-		w.flows = append(w.flows, &flow{Flow: Flow{Weight: weight}, name: fmt.Sprint("f", i)})
+		m.flows = append(m.flows, &flow{Flow: Flow{Weight: weight}, name: fmt.Sprint("f", i)})
 	}
-	return w
+	return m
 }
 
-func (w *model) drawFlow(t *rapid.T) *flow { return rapid.SampledFrom(w.flows).Draw(t, "flow") }
+func (m *model) drawFlow(t *rapid.T) *flow { return rapid.SampledFrom(m.flows).Draw(t, "flow") }
 
-func (w *model) addTurn(t *rapid.T) {
-	f, cost := w.drawFlow(t), rapid.Float64Range(0.25, 8).Draw(t, "cost")
-	v := w.scheduler.virtualTime
-	if len(w.calls) == 0 {
-		v = max(v, w.maxFinish)
+func (m *model) addTurn(t *rapid.T) {
+	f, cost := m.drawFlow(t), rapid.Float64Range(0.25, 8).Draw(t, "cost")
+	v := m.scheduler.virtualTime
+	if len(m.calls) == 0 {
+		v = max(v, m.maxFinish)
 	}
-	if w.scheduler.AddTurn(f, cost, w.now); w.scheduler.virtualTime != v {
-		t.Fatalf("virtual time is %v, want %v", w.scheduler.virtualTime, v)
+	if m.scheduler.AddTurn(f, cost, m.now); m.scheduler.virtualTime != v {
+		t.Fatalf("virtual time is %v, want %v", m.scheduler.virtualTime, v)
 	}
-	start := max(v, w.lastFinish[f])
-	w.lastFinish[f] = start + cost/cmp.Or(f.Weight, 1)
-	w.startTags[f], w.finishTags[f] = append(w.startTags[f], start), append(w.finishTags[f], w.lastFinish[f])
+	start := max(v, m.lastFinish[f])
+	m.lastFinish[f] = start + cost/cmp.Or(f.Weight, 1)
+	m.startTags[f], m.finishTags[f] = append(m.startTags[f], start), append(m.finishTags[f], m.lastFinish[f])
 }
 
-func (w *model) removeLastTurn(t *rapid.T) {
-	f := w.drawFlow(t)
+func (m *model) removeLastTurn(t *rapid.T) {
+	f := m.drawFlow(t)
 	n := f.QueuedTurns() - 1
 	if n < 0 {
 		t.Skip("no turn queued")
 	}
-	w.scheduler.RemoveLastTurn(f)
-	w.lastFinish[f] = w.startTags[f][n]
-	w.startTags[f], w.finishTags[f] = w.startTags[f][:n], w.finishTags[f][:n]
+	m.scheduler.RemoveLastTurn(f)
+	m.lastFinish[f] = m.startTags[f][n]
+	m.startTags[f], m.finishTags[f] = m.startTags[f][:n], m.finishTags[f][:n]
 }
 
 // dispatch starts calls until no flow is next. Some flows are not eligible, others get extra turns.
-func (w *model) dispatch(t *rapid.T) {
+func (m *model) dispatch(t *rapid.T) {
 	ineligible, extraTurns := map[*flow]bool{}, map[*flow]float64{}
-	for _, f := range w.flows {
+	for _, f := range m.flows {
 		ineligible[f] = rapid.IntRange(0, 3).Draw(t, "ineligible") == 0
 		extraTurns[f] = rapid.SampledFrom([]float64{0, 0, 1, 2.5}).Draw(t, "extra turns")
 	}
 	for {
 		var want *flow
 		lowest := math.Inf(1)
-		for _, f := range w.scheduler.ActiveFlows {
-			limit := max(w.scheduler.Slots*3/4, 1)
+		for _, f := range m.scheduler.ActiveFlows {
+			limit := max(m.scheduler.Slots*3/4, 1)
 			if f.Degraded {
-				limit = max(w.scheduler.Slots/2, 1)
+				limit = max(m.scheduler.Slots/2, 1)
 			}
-			if len(w.startTags[f]) == 0 || ineligible[f] || w.inFlight(f) >= limit || len(w.calls) >= w.scheduler.Slots {
+			if len(m.startTags[f]) == 0 || ineligible[f] || m.inFlight(f) >= limit || len(m.calls) >= m.scheduler.Slots {
 				continue
 			}
-			if tag := w.startTags[f][0] + f.Penalty() + extraTurns[f]; tag < lowest {
+			if tag := m.startTags[f][0] + f.Penalty() + extraTurns[f]; tag < lowest {
 				want, lowest = f, tag
 			}
 		}
 		lowest = math.Inf(1)
-		got, found := w.scheduler.Next(func(f *flow) (float64, bool) {
-			if w.startTags[f][0]+f.Penalty() >= lowest {
+		got, found := m.scheduler.Next(func(f *flow) (float64, bool) {
+			if m.startTags[f][0]+f.Penalty() >= lowest {
 				t.Fatalf("%s was offered though it can't be next", f.name)
 			}
 			if !ineligible[f] {
-				lowest = min(lowest, w.startTags[f][0]+f.Penalty()+extraTurns[f])
+				lowest = min(lowest, m.startTags[f][0]+f.Penalty()+extraTurns[f])
 			}
 			return extraTurns[f], !ineligible[f]
 		})
@@ -123,29 +123,29 @@
 		if !found {
 			return
 		}
-		w.scheduler.StartCall(got, w.now)
-		w.calls = append(w.calls, call{got, w.now})
-		w.maxFinish = max(w.maxFinish, w.finishTags[got][0])
-		w.startTags[got], w.finishTags[got] = w.startTags[got][1:], w.finishTags[got][1:]
-		if w.scheduler.BusySlots > w.scheduler.Slots {
-			t.Fatalf("%d slots of %d in use", w.scheduler.BusySlots, w.scheduler.Slots)
+		m.scheduler.StartCall(got, m.now)
+		m.calls = append(m.calls, call{got, m.now})
+		m.maxFinish = max(m.maxFinish, m.finishTags[got][0])
+		m.startTags[got], m.finishTags[got] = m.startTags[got][1:], m.finishTags[got][1:]
+		if m.scheduler.BusySlots > m.scheduler.Slots {
+			t.Fatalf("%d slots of %d in use", m.scheduler.BusySlots, m.scheduler.Slots)
 		}
 	}
 }
 
-func (w *model) endCall(t *rapid.T) {
-	if len(w.calls) == 0 {
+func (m *model) endCall(t *rapid.T) {
+	if len(m.calls) == 0 {
 		t.Skip("no call in flight")
 	}
-	i := rapid.IntRange(0, len(w.calls)-1).Draw(t, "call")
-	c := w.calls[i]
-	w.calls = append(w.calls[:i], w.calls[i+1:]...)
-	seconds := (w.now - c.startedAt).Seconds()
-	wantOwn, wantAll := mean(c.flow.MeanSlotSeconds, seconds, 8), mean(w.scheduler.MeanSlotSeconds, seconds, 32)
-	if w.scheduler.EndCall(c.flow, seconds, w.now); c.flow.MeanSlotSeconds != wantOwn || w.scheduler.MeanSlotSeconds != wantAll {
-		t.Fatalf("means are %v and %v, want %v and %v", c.flow.MeanSlotSeconds, w.scheduler.MeanSlotSeconds, wantOwn, wantAll)
+	i := rapid.IntRange(0, len(m.calls)-1).Draw(t, "call")
+	c := m.calls[i]
+	m.calls = append(m.calls[:i], m.calls[i+1:]...)
+	seconds := (m.now - c.startedAt).Seconds()
+	wantOwn, wantAll := mean(c.flow.MeanSlotSeconds, seconds, 8), mean(m.scheduler.MeanSlotSeconds, seconds, 32)
+	if m.scheduler.EndCall(c.flow, seconds, m.now); c.flow.MeanSlotSeconds != wantOwn || m.scheduler.MeanSlotSeconds != wantAll {
+		t.Fatalf("means are %v and %v, want %v and %v", c.flow.MeanSlotSeconds, m.scheduler.MeanSlotSeconds, wantOwn, wantAll)
 	}
-	w.slotSeconds[c.flow] += (w.now - max(c.startedAt, w.periodStart)).Seconds()
+	m.slotSeconds[c.flow] += (m.now - max(c.startedAt, m.periodStart)).Seconds()
 }
 
 func mean(previous, x, n float64) float64 {
@@ -155,55 +155,55 @@
 	return previous + (x-previous)/n
 }
 
-func (w *model) advanceTime(t *rapid.T) {
-	w.now += time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond
-	if periodEnded := w.now >= w.periodEnd; w.scheduler.Tick(w.now) != periodEnded {
-		t.Fatalf("at %v: period ended: want %v", w.now, periodEnded)
+func (m *model) advanceTime(t *rapid.T) {
+	m.now += time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond
+	if periodEnded := m.now >= m.periodEnd; m.scheduler.Tick(m.now) != periodEnded {
+		t.Fatalf("at %v: period ended: want %v", m.now, periodEnded)
 	} else if !periodEnded {
 		return
 	}
-	w.periodEnd = w.now + w.scheduler.MonitorPeriod
-	for _, c := range w.calls {
-		w.slotSeconds[c.flow] += (w.now - max(c.startedAt, w.periodStart)).Seconds()
+	m.periodEnd = m.now + m.scheduler.MonitorPeriod
+	for _, c := range m.calls {
+		m.slotSeconds[c.flow] += (m.now - max(c.startedAt, m.periodStart)).Seconds()
 	}
 	minUse := math.Inf(1)
-	for _, f := range w.flows {
+	for _, f := range m.flows {
 		if f.QueuedTurns() > 0 {
-			minUse = min(minUse, w.slotSeconds[f]/cmp.Or(f.Weight, 1))
+			minUse = min(minUse, m.slotSeconds[f]/cmp.Or(f.Weight, 1))
 		}
 	}
-	for _, f := range w.flows {
-		w.checkPenalty(t, f, w.slotSeconds[f]/cmp.Or(f.Weight, 1)-minUse)
+	for _, f := range m.flows {
+		m.checkPenalty(t, f, m.slotSeconds[f]/cmp.Or(f.Weight, 1)-minUse)
 	}
-	w.periodStart, w.slotSeconds = w.now, map[*flow]float64{}
+	m.periodStart, m.slotSeconds = m.now, map[*flow]float64{}
 }
 
 // checkPenalty checks the penalty of a flow whose use per weight exceeds that of the least used flow by excess.
-func (w *model) checkPenalty(t *rapid.T, f *flow, excess float64) {
-	tolerance := w.scheduler.Tolerance * w.scheduler.MeanSlotSeconds
+func (m *model) checkPenalty(t *rapid.T, f *flow, excess float64) {
+	tolerance := m.scheduler.Tolerance * m.scheduler.MeanSlotSeconds
 	if math.Abs(excess-tolerance) < 1e-9 { // too close to the tolerance: rounding decides
-		w.penalty[f] = f.Penalty()
+		m.penalty[f] = f.Penalty()
 	} else if excess > tolerance && f.MeanSlotSeconds > 0 {
-		w.penalty[f] = excess * cmp.Or(f.Weight, 1) / f.MeanSlotSeconds
-	} else if w.penalty[f] /= 2; w.penalty[f] < 0.5 {
-		w.penalty[f] = 0
+		m.penalty[f] = excess * cmp.Or(f.Weight, 1) / f.MeanSlotSeconds
+	} else if m.penalty[f] /= 2; m.penalty[f] < 0.5 {
+		m.penalty[f] = 0
 	}
 	if f.QueuedTurns()+f.InFlight() == 0 {
-		w.penalty[f], w.lastFinish[f] = 0, 0
+		m.penalty[f], m.lastFinish[f] = 0, 0
 	}
-	if math.Abs(f.Penalty()-w.penalty[f]) > 1e-6*max(1, w.penalty[f]) {
-		t.Fatalf("%s has a penalty of %v calls, want %v", f.name, f.Penalty(), w.penalty[f])
+	if math.Abs(f.Penalty()-m.penalty[f]) > 1e-6*max(1, m.penalty[f]) {
+		t.Fatalf("%s has a penalty of %v calls, want %v", f.name, f.Penalty(), m.penalty[f])
 	}
 }
 
-func (w *model) toggleDegraded(t *rapid.T) {
-	f := w.drawFlow(t)
+func (m *model) toggleDegraded(t *rapid.T) {
+	f := m.drawFlow(t)
 	f.Degraded = !f.Degraded
 }
 
-func (w *model) inFlight(f *flow) int {
+func (m *model) inFlight(f *flow) int {
 	n := 0
-	for _, c := range w.calls {
+	for _, c := range m.calls {
 		if c.flow == f {
 			n++
 		}
@@ -211,28 +211,28 @@
 	return n
 }
 
-func (w *model) checkInvariants(t *rapid.T) {
-	if w.scheduler.virtualTime < w.virtualTime {
-		t.Fatalf("virtual time decreased from %v to %v", w.virtualTime, w.scheduler.virtualTime)
+func (m *model) checkInvariants(t *rapid.T) {
+	if m.scheduler.virtualTime < m.virtualTime {
+		t.Fatalf("virtual time decreased from %v to %v", m.virtualTime, m.scheduler.virtualTime)
 	}
-	w.virtualTime = w.scheduler.virtualTime
-	listed := map[*flow]int{}
-	for _, f := range w.scheduler.ActiveFlows {
-		listed[f]++
+	m.virtualTime = m.scheduler.virtualTime
+	activeCount := map[*flow]int{}
+	for _, f := range m.scheduler.ActiveFlows {
+		activeCount[f]++
 	}
-	for _, f := range w.flows {
-		if f.QueuedTurns() != len(w.startTags[f]) || f.InFlight() != w.inFlight(f) {
-			t.Fatalf("%s has %d turns and %d calls, want %d and %d", f.name, f.QueuedTurns(), f.InFlight(), len(w.startTags[f]), w.inFlight(f))
+	for _, f := range m.flows {
+		if f.QueuedTurns() != len(m.startTags[f]) || f.InFlight() != m.inFlight(f) {
+			t.Fatalf("%s has %d turns and %d calls, want %d and %d", f.name, f.QueuedTurns(), f.InFlight(), len(m.startTags[f]), m.inFlight(f))
 		}
 		for i, turn := range f.turns {
-			if turn.start != w.startTags[f][i] || turn.finish != w.finishTags[f][i] {
-				t.Fatalf("%s has turn %v, want tags %v and %v", f.name, turn, w.startTags[f][i], w.finishTags[f][i])
+			if turn.start != m.startTags[f][i] || turn.finish != m.finishTags[f][i] {
+				t.Fatalf("%s has turn %v, want tags %v and %v", f.name, turn, m.startTags[f][i], m.finishTags[f][i])
 			}
 		}
-		if f.QueuedTurns()+f.InFlight() > 0 && listed[f] == 0 || listed[f] > 1 {
-			t.Fatalf("%s is active %d times", f.name, listed[f])
+		if f.QueuedTurns()+f.InFlight() > 0 && activeCount[f] == 0 || activeCount[f] > 1 {
+			t.Fatalf("%s is active %d times", f.name, activeCount[f])
 		}
-		if listed[f] == 0 && (f.lastFinish != 0 || f.penalty != 0 || f.slotSeconds != 0) {
+		if activeCount[f] == 0 && (f.lastFinish != 0 || f.penalty != 0 || f.slotSeconds != 0) {
 			t.Fatalf("%s is idle but kept its state: %+v", f.name, f.Flow)
 		}
 	}
@@ -243,10 +243,10 @@
 // penalties have their defined values, that virtual time never decreases, and that idle flows lose their state.
 func TestSchedulerMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newModel(t)
+		m := newModel(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"": w.checkInvariants, "new turn": w.addTurn, "new turn again": w.addTurn, "undo last turn": w.removeLastTurn,
-			"dispatch": w.dispatch, "end call": w.endCall, "pass time": w.advanceTime, "toggle degraded": w.toggleDegraded,
+			"": m.checkInvariants, "new turn": m.addTurn, "new turn again": m.addTurn, "undo last turn": m.removeLastTurn,
+			"dispatch": m.dispatch, "end call": m.endCall, "pass time": m.advanceTime, "toggle degraded": m.toggleDegraded,
 		})
 	})
 }
@@ -266,33 +266,33 @@
 	return &backlog{scheduler: newScheduler(slots), callTimes: map[*flow]time.Duration{}, callCounts: map[*flow]float64{}, slotSeconds: map[*flow]float64{}}
 }
 
-func (d *backlog) addFlow(name string, weight float64, callTime time.Duration) *flow {
+func (b *backlog) addFlow(name string, weight float64, callTime time.Duration) *flow {
 	f := &flow{Flow: Flow{Weight: weight}, name: name}
-	d.callTimes[f] = callTime
+	b.callTimes[f] = callTime
 	return f
 }
 
 // run keeps these flows backlogged for the given time.
-func (d *backlog) run(length time.Duration, flows ...*flow) {
-	for end := d.now + length; d.now < end; d.now += 10 * time.Millisecond {
-		for i := 0; i < len(d.calls); i++ {
-			if c := d.calls[i]; d.now-c.startedAt >= d.callTimes[c.flow] {
-				d.calls = append(d.calls[:i], d.calls[i+1:]...)
-				d.scheduler.EndCall(c.flow, (d.now - c.startedAt).Seconds(), d.now)
-				d.slotSeconds[c.flow] += (d.now - c.startedAt).Seconds()
+func (b *backlog) run(length time.Duration, flows ...*flow) {
+	for end := b.now + length; b.now < end; b.now += 10 * time.Millisecond {
+		for i := 0; i < len(b.calls); i++ {
+			if c := b.calls[i]; b.now-c.startedAt >= b.callTimes[c.flow] {
+				b.calls = append(b.calls[:i], b.calls[i+1:]...)
+				b.scheduler.EndCall(c.flow, (b.now - c.startedAt).Seconds(), b.now)
+				b.slotSeconds[c.flow] += (b.now - c.startedAt).Seconds()
 				i--
 			}
 		}
-		d.scheduler.Tick(d.now)
+		b.scheduler.Tick(b.now)
 		for _, f := range flows {
-			for f.QueuedTurns() < d.scheduler.Slots { // enough for all slots that become free at once
-				d.scheduler.AddTurn(f, cmp.Or(d.cost, d.scheduler.Cost(f)), d.now)
+			for f.QueuedTurns() < b.scheduler.Slots { // enough for all slots that become free at once
+				b.scheduler.AddTurn(f, cmp.Or(b.cost, b.scheduler.Cost(f)), b.now)
 			}
 		}
-		for f, found := d.scheduler.Next(offerAll); found; f, found = d.scheduler.Next(offerAll) {
-			d.scheduler.StartCall(f, d.now)
-			d.callCounts[f]++
-			d.calls = append(d.calls, call{f, d.now})
+		for f, found := b.scheduler.Next(offerAll); found; f, found = b.scheduler.Next(offerAll) {
+			b.scheduler.StartCall(f, b.now)
+			b.callCounts[f]++
+			b.calls = append(b.calls, call{f, b.now})
 		}
 	}
 }
--- a/internal/net/peer/peer.go
+++ b/internal/net/peer/peer.go
@@ -143,7 +143,7 @@
 func (p *Peer) CloseIdle() bool { return p.post(closeMsg{}) }
 
 // Hold keeps calls from being written before that time, those included whose connection is still
-// coming up: that takes up to ConnectWithin, in which the route may be told to wait or the list may
+// coming up: that takes up to ConnectTimeout, in which the route may be told to wait or the list may
 // name the peer as draining. They end as NotSent. The zero time lets calls through again.
 func (p *Peer) Hold(until time.Time) {
 	if until.IsZero() {
--- a/observations.go
+++ b/observations.go
@@ -17,7 +17,7 @@
 // Zero fields mean that nothing was observed.
 type PeerObservation struct {
 	Target    TargetID
-	WaitUntil time.Duration // they were told to send nothing there until then, on the clock of Step
+	WaitUntil time.Duration // end of a retry-after time that one of them received, on the clock of Step
 	Limit     float64       // calls per second from all forwarders, as reported to one of them; 0 for none
 	LimitAt   time.Duration // when the limit was reported
 	OutageAt  time.Duration // when one of them detected an outage whose end none has detected; 0 for none
--- a/observations_test.go
+++ b/observations_test.go
@@ -39,46 +39,46 @@
 	if err != nil {
 		panic(err)
 	}
-	w := &simulatedHost{policy: p, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Hour, attempts: map[MessageID]int{}}
-	w.step(ListUpdate{Kind: ListSnapshot, Entries: []Entry{
+	h := &simulatedHost{policy: p, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Hour, attempts: map[MessageID]int{}}
+	h.step(ListUpdate{Kind: ListSnapshot, Entries: []Entry{
 		{Target: "a", Dest: 1, Zone: -1},
 		{Target: "b", Dest: 1, Zone: -1},
 		{Target: "c", Dest: 2, Kind: 1, Zone: -1},
-		{Target: "d", Dest: 2, Kind: 1, Zone: -1, JoinedAt: w.now - time.Second},
+		{Target: "d", Dest: 2, Kind: 1, Zone: -1, JoinedAt: h.now - time.Second},
 	}})
-	return w
+	return h
 }
 
-func (w *simulatedHost) step(events ...Event) {
-	for _, a := range w.policy.Step(w.now, events) {
+func (h *simulatedHost) step(events ...Event) {
+	for _, a := range h.policy.Step(h.now, events) {
 		if s, ok := a.(Send); ok {
-			w.inFlight = append(w.inFlight, s)
+			h.inFlight = append(h.inFlight, s)
 		}
-		w.trace = append(w.trace, a)
+		h.trace = append(h.trace, a)
 	}
 }
 
-func (w *simulatedHost) run(steps int) {
+func (h *simulatedHost) run(steps int) {
 	for range steps {
-		w.now += time.Duration(w.rng.IntN(150)) * time.Millisecond
+		h.now += time.Duration(h.rng.IntN(150)) * time.Millisecond
 		events := []Event{Wake{}}
-		for range w.rng.IntN(3) {
-			w.lastID++
+		for range h.rng.IntN(3) {
+			h.lastID++
 			events = append(events, Arrival{
-				ID: MessageID(strconv.Itoa(w.lastID)), Class: w.rng.IntN(2), Tenant: -1,
-				Dest: DestID(1 + w.rng.IntN(2)), Budget: 8 * time.Second,
+				ID: MessageID(strconv.Itoa(h.lastID)), Class: h.rng.IntN(2), Tenant: -1,
+				Dest: DestID(1 + h.rng.IntN(2)), Budget: 8 * time.Second,
 			})
 		}
-		for len(w.inFlight) > 0 && w.rng.IntN(3) > 0 {
-			s := w.inFlight[0]
-			w.inFlight = w.inFlight[1:]
-			o := Outcome{ID: s.ID, Target: s.Target, Attempt: w.attempts[s.ID], Duration: 50 * time.Millisecond}
-			w.attempts[s.ID]++
-			switch w.rng.IntN(9) {
+		for len(h.inFlight) > 0 && h.rng.IntN(3) > 0 {
+			s := h.inFlight[0]
+			h.inFlight = h.inFlight[1:]
+			o := Outcome{ID: s.ID, Target: s.Target, Attempt: h.attempts[s.ID], Duration: 50 * time.Millisecond}
+			h.attempts[s.ID]++
+			switch h.rng.IntN(9) {
 			case 0:
 				o.Status = Error
 			case 1:
-				o.Status, o.RetryAfter = Rejected, time.Duration(w.rng.IntN(2000))*time.Millisecond
+				o.Status, o.RetryAfter = Rejected, time.Duration(h.rng.IntN(2000))*time.Millisecond
 			case 2:
 				o.Status, o.Report = Rejected, LimitReport{Remaining: 0.1, Limit: 20}
 			case 3:
@@ -88,7 +88,7 @@
 			}
 			events = append(events, o)
 		}
-		w.step(events...)
+		h.step(events...)
 	}
 }
 
--- a/policy_test.go
+++ b/policy_test.go
@@ -16,8 +16,8 @@
 	sec = time.Second
 )
 
-// settings has a class of each idempotency: 0 is idempotent, 1 keyed within its zone, 2 non-idempotent. Kind 0 shares
-// its limit, kind 1 has a route per target, kind 2 batches messages.
+// settings has a class of each idempotency: 0 is idempotent, 1 keyed within its zone, 2 non-idempotent. The targets
+// of kinds 0 and 2 share a limit, kind 1 has a route per target, and kind 2 batches messages.
 func settings() Settings {
 	return Settings{
 		Forwarders: 2, Zone: 0, MinBatchInterval: 5 * ms,
@@ -432,7 +432,7 @@
 }
 
 // An outage of all targets of a destination ends for all of them with the first answer. Before, the other targets
-// stayed half-open, and the slow start took the first target for the whole destination.
+// stayed half-open, and the slow start counted only the capacity of the first target.
 func TestOutageOfAllTargetsEndsForAll(t *testing.T) {
 	h := newHost(t, settings(), entry("t1", 1, 0, 0), entry("t2", 1, 0, 0), entry("t3", 1, 0, 0))
 	h.warmUp(1, 40) // 5 per second
@@ -457,7 +457,7 @@
 	}
 }
 
-// Rejections of calls sent together mean once that the limit was exceeded, not that the destination has an outage.
+// Rejections of calls sent together count once: the limit was exceeded, but the destination has no outage.
 func TestRejectedBurstIsNoOutage(t *testing.T) {
 	h := newHost(t, settings(), entry("t1", 1, 0, 0))
 	h.warmUp(1, 20)
@@ -526,8 +526,8 @@
 			}
 		}
 	}
-	if held := 60 - refusals; held > 35 || held < 20 {
-		t.Fatalf("%d of 40 places used", held)
+	if used := 60 - refusals; used > 35 || used < 20 {
+		t.Fatalf("%d of 40 places used", used)
 	}
 	if got := sendsIn(h.arrive(0, 1, 1)); len(got) != 1 {
 		t.Fatalf("the other destination got %v", got)
@@ -544,18 +544,18 @@
 	if len(h.actions) != 1 || h.actions[0] != (Subscribe{}) {
 		t.Fatalf("at the start: %v, want a subscription", h.actions)
 	}
-	asked := 0
+	requests := 0
 	for range 4 {
 		h.step(ListUpdate{Kind: ListFailed})
 		for range 150 {
 			if got := h.advance(20 * ms); len(got) > 0 {
-				asked++
+				requests++
 				break
 			}
 		}
 	}
-	if asked != 4 {
-		t.Fatalf("requested %d times after 4 failures", asked)
+	if requests != 4 {
+		t.Fatalf("requested %d times after 4 failures", requests)
 	}
 	h.step(ListUpdate{Kind: ListChanges})
 	if got := h.advance(20 * sec); len(got) != 0 {
@@ -692,8 +692,8 @@
 	}
 }
 
-// A new destination is not degraded because its call has been in flight for a few milliseconds: the expected latency is
-// taken from the other destinations.
+// A new destination does not count as degraded when its first call has been in flight for a few milliseconds: the
+// expected latency is taken from the other destinations.
 func TestNewDestinationIsNotDegraded(t *testing.T) {
 	set := settings()
 	set.CallSlots = 3
@@ -827,7 +827,7 @@
 	}
 }
 
-// One class fails at one target: it is sent to the other target, and the other classes stay (class_fail).
+// If a class fails at one target, its messages go to the other target; other classes are not affected (class_fail).
 func TestFailingClassUsesOtherTarget(t *testing.T) {
 	h := newHost(t, settings(), entry("t1", 1, 0, 0), entry("t2", 1, 0, 0))
 	for range 20 {
@@ -904,8 +904,8 @@
 	return h.step(evs...)
 }
 
-// Many forwarders wait for the same retry-after time of a destination. They do not all send at its end, to any of its
-// targets (day big-2 of millyard broke failback), and yet all messages are sent in time.
+// Many forwarders wait for the same retry-after time of a destination. They do not all send when that time has
+// passed, whichever target they use, and yet the messages are sent in time (day big-2 of millyard broke failback).
 func TestSendsAfterRetryAfterAreSpread(t *testing.T) {
 	early, sent := 0, 0
 	for _, h := range newFleet(t, 100, settings(), entry("t1", 1, 0, 0), entry("t2", 1, 0, 0)) {
@@ -927,13 +927,13 @@
 // A forwarder that detects an outage late does not assume that it just began (h43fc48). A forwarder with frequent calls
 // keeps the mean interval of its share over many trials (h439ff3).
 func TestTrialsOfManyForwardersDoNotOverloadRecoveringDestination(t *testing.T) {
-	for _, warmUpCalls := range []int{0, 10} { // preceding calls, five per second: none or many
+	for _, warmUpRounds := range []int{0, 10} { // of 8 calls each, five per second
 		set := settings()
 		set.MaxAttempts = 0
 		n := 0
 		hosts := newFleet(t, 60, set, entry("t1", 1, 0, 0))
 		for _, h := range hosts {
-			h.warmUp(1, 8*warmUpCalls)
+			h.warmUp(1, 8*warmUpRounds)
 			h.arrive(0, 1, 2)
 			for range 500 {
 				h.now += 20 * ms
@@ -946,18 +946,18 @@
 			}
 		}
 		normalRate := 5.0 // calls per second of one forwarder
-		if warmUpCalls == 0 {
+		if warmUpRounds == 0 {
 			normalRate = 2 / set.WarmupDuration.Seconds() // two in the time that the outage may have lasted
 		}
 		if bound := 10 * 60 * normalRate * set.OverloadFactor * set.InitialCapacityShare; float64(n)-120 > bound {
-			t.Errorf("%d preceding calls: %d trials of 60 forwarders in 10 s, a recovering destination can serve %.0f", 8*warmUpCalls, n, bound)
+			t.Errorf("%d preceding calls: %d trials of 60 forwarders in 10 s, a recovering destination can serve %.0f", 8*warmUpRounds, n, bound)
 		}
 	}
 }
 
 // Two rejections with most of the limit remaining mean an outage (h1041dc); with the limit exhausted they do not.
 func TestRemainingLimitDistinguishesOutageFromRateLimit(t *testing.T) {
-	var ejected [2]int
+	var suspended [2]int
 	for i, remaining := range []float64{0.95, 0.05} {
 		for _, h := range newFleet(t, 40, settings(), entry("t1", 1, 0, 0)) {
 			h.arrive(0, 1, 1)
@@ -975,14 +975,14 @@
 					Report: LimitReport{Remaining: remaining, Limit: 40},
 				}}) {
 					if l, ok := a.(Log); ok && strings.Contains(l.Text, "suspended") {
-						ejected[i]++
+						suspended[i]++
 					}
 				}
 			}
 		}
 	}
-	if ejected != [2]int{40, 0} {
-		t.Fatalf("suspended by %d of 40 with most of the limit remaining, by %d with the limit exhausted", ejected[0], ejected[1])
+	if suspended != [2]int{40, 0} {
+		t.Fatalf("suspended by %d of 40 with most of the limit remaining, by %d with the limit exhausted", suspended[0], suspended[1])
 	}
 }
 
@@ -1299,7 +1299,7 @@
 		now += 300 * ms
 	}
 	if !sent[7] || !sent[8] || sent[11] {
-		t.Fatalf("sent %v, with a second to go at the ninth", sent)
+		t.Fatalf("sent %v, with the shutdown announced one second ahead at the ninth message", sent)
 	}
 }
 
--- a/recovery_test.go
+++ b/recovery_test.go
@@ -10,9 +10,9 @@
 	. "raventrestle"
 )
 
-// simulateRecovery simulates an outage of a destination and its recovery, while it warms up, with a fleet of n that
-// knows of the outage. It returns the calls of the busiest window as a share of the allowed calls, and the number of
-// messages from the recovery on that were delivered, and their total.
+// simulateRecovery simulates an outage of a destination and its warm-up after it, with a fleet of n forwarders that
+// have all detected the outage. It returns the calls of the busiest window as a share of the allowed calls, the number
+// of messages delivered after the outage, and the number of messages that arrived after it.
 func simulateRecovery(t *testing.T, n int, capacity float64, mode string) (maxShare float64, delivered, total int) {
 	const load, outage, seed = 0.7, 8 * sec, 1
 	rng := rand.New(rand.NewPCG(seed, 9))
--- a/restart_test.go
+++ b/restart_test.go
@@ -34,7 +34,7 @@
 	now, tokens := 100*sec, limit
 	var sentAt []time.Duration
 	sent, rejected := 0, 0
-	restartAt := 15 * sec // when they restart
+	restartAt := 15 * sec // relative to the start
 	start := func(i, generation int) *instance {
 		p, err := New(set, uint64(i+generation*1000))
 		if err != nil {
