--- a/internal/router/dispatch/structures_test.go
+++ b/internal/router/dispatch/structures_test.go
@@ -20,27 +20,27 @@
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Second
-			var links []uint64
+			var hashes []uint64
 			var parts []PromptPart
 			for i := range rapid.IntRange(1, 4).Draw(t, "length") {
 				key := uint64(i*10 + rapid.IntRange(0, 4).Draw(t, "key"))
-				links = append(links, key)
+				hashes = append(hashes, key)
 				parts = append(parts, PromptPart{Hash: key, Tokens: 10 * (i + 1)})
 			}
 			want := 0
-			for i, link := range links {
-				if !slices.ContainsFunc(plain, func(e entry) bool { return e.key == link }) {
+			for i, hash := range hashes {
+				if !slices.ContainsFunc(plain, func(e entry) bool { return e.key == hash }) {
 					break
 				}
 				want += parts[i].Tokens
 			}
-			if got := p.cachedTokens(links, parts, now); got != want {
-				t.Fatalf("%d tokens kept of %v, want %d", got, links, want)
+			if got := p.cachedTokens(hashes, parts, now); got != want {
+				t.Fatalf("%d cached tokens of %v, want %d", got, hashes, want)
 			}
-			p.add(links, parts, now, 100)
-			for i := len(links) - 1; i >= 0; i-- {
-				plain = slices.DeleteFunc(plain, func(e entry) bool { return e.key == links[i] })
-				plain = slices.Insert(plain, 0, entry{links[i], parts[i].Tokens})
+			p.add(hashes, parts, now, 100)
+			for i := len(hashes) - 1; i >= 0; i-- {
+				plain = slices.DeleteFunc(plain, func(e entry) bool { return e.key == hashes[i] })
+				plain = slices.Insert(plain, 0, entry{hashes[i], parts[i].Tokens})
 			}
 			sum := 0
 			for i, e := range plain {
@@ -64,7 +64,7 @@
 func TestTimersFireInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list timers
-		last := map[*request]time.Duration{}
+		dueAt := map[*request]time.Duration{}
 		var all []*request
 		for range rapid.IntRange(1, 40).Draw(t, "count") {
 			r := &request{}
@@ -75,24 +75,25 @@
 			}
 			at := time.Duration(rapid.IntRange(1, 100).Draw(t, "at"))
 			list.add(at, r)
-			last[r] = at
+			dueAt[r] = at
 		}
-		before := time.Duration(0)
+		previous := time.Duration(0)
 		for now := time.Duration(1); now <= 100; now++ {
 			for r, ok := list.popDue(now); ok; r, ok = list.popDue(now) {
-				if last[r] != now || now < before {
-					t.Fatalf("due at %d, want %d", now, last[r])
+				if dueAt[r] != now || now < previous {
+					t.Fatalf("due at %d, want %d", now, dueAt[r])
 				}
-				before = now
-				delete(last, r)
+				previous = now
+				delete(dueAt, r)
 			}
 		}
-		if len(last) > 0 || len(list) > 0 {
-			t.Fatalf("%d timers never fired and %d are left, want none", len(last), len(list))
+		if len(dueAt) > 0 || len(list) > 0 {
+			t.Fatalf("%d timers never fired and %d are left, want none", len(dueAt), len(list))
 		}
 	})
 }
 
+// Clients can't make the decider's tables grow without bound by the names that they choose.
 func TestNamesChosenByClientsAreBounded(t *testing.T) {
 	s := newScript(t, modelEndpoint("a", 1, "m"))
 	rejection := s.oneRejection(s.step(1, RequestArrived{s.request("nonsense")}))
