--- a/internal/net/courier/courier.go
+++ b/internal/net/courier/courier.go
@@ -75,7 +75,7 @@
 
 	Metrics *figures.Book // counters and gauges for monitoring
 	// KeepForSuccessor says that another process may take over while this one runs, so the journal also has to record
-	// what that process needs to know, such as Retry-After pauses.
+	// what that process needs to know, such as Retry-After waits.
 	KeepForSuccessor bool
 	// OnLifecycleEvent is called with events that affect the state of the instance. Set it before Run.
 	OnLifecycleEvent func(lifecycle.Event)
--- a/internal/net/courier/courier_test.go
+++ b/internal/net/courier/courier_test.go
@@ -154,7 +154,7 @@
 	}
 }
 
-// A Retry-After pause from one peer stops calls that are not written yet for all peers of the same route, and for no other
+// A Retry-After wait from one peer stops calls that are not written yet for all peers of the same route, and for no other
 // route. A draining peer stops its own calls until it serves again.
 func TestRouteWaitStopsUnwrittenCalls(t *testing.T) {
 	for name, perTarget := range map[string]bool{"route per destination": false, "route per target": true} {
--- a/internal/net/courier/deadletters_test.go
+++ b/internal/net/courier/deadletters_test.go
@@ -394,7 +394,7 @@
 	s.mu.Unlock()
 }
 
-// A resend that waits in the policy because of a Retry-After pause goes back to the store when a fresh message for the same
+// A resend that waits in the policy because of a Retry-After wait goes back to the store when a fresh message for the same
 // destination arrives, and is sent after it.
 func TestResendYieldsToFreshMessage(t *testing.T) {
 	order := make(chan string, 16)
@@ -447,7 +447,7 @@
 		}
 		c.Admit(m, false, false)
 	}
-	fresh("told", 50*time.Millisecond) // gets a Retry-After pause longer than its deadline, and becomes the dead letter
+	fresh("told", 50*time.Millisecond) // gets a Retry-After wait longer than its deadline, and becomes the dead letter
 	if got := nettest.Wait(t, "call", order); got != "told" {
 		t.Fatal(got)
 	}
--- a/internal/net/courier/fleet.go
+++ b/internal/net/courier/fleet.go
@@ -19,7 +19,7 @@
 	Forget(endpoint string)
 }
 
-// fleetState is the part of the actor that exchanges facts with the fleet. Pauses and limits from endpoints are shared as
+// fleetState is the part of the actor that exchanges facts with the fleet. Waits and limits from endpoints are shared as
 // they arrive. Outages are shared, and the facts of other couriers are read, once per exchangeInterval.
 type fleetState struct {
 	fleet             Fleet // nil if the courier belongs to no fleet
@@ -56,7 +56,7 @@
 	return time.Duration((0.5 + c.rng.Float64()) * float64(exchangeInterval))
 }
 
-// routeSubject returns what the limits and pauses of a target apply to: the target itself if its destination kind has a
+// routeSubject returns what the limits and waits of a target apply to: the target itself if its destination kind has a
 // route per target, else the destination.
 func (c *Courier) routeSubject(r *listedPeer) facts.Subject {
 	s := facts.Subject{Dest: int64(r.entry.Dest)}
@@ -66,7 +66,7 @@
 	return s
 }
 
-// shareOutcome shares the Retry-After pause and the limit that an outcome reported.
+// shareOutcome shares the Retry-After wait and the limit that an outcome reported.
 func (c *Courier) shareOutcome(o raventrestle.Outcome) {
 	if c.fleet == nil {
 		return
@@ -151,7 +151,7 @@
 	c.startEvidenceRead()
 	read := func(s facts.Subject, k facts.Kind) (facts.Evidence, bool) {
 		e, ok := c.fleet.Read(s, k)
-		if ok = ok && !e.Dead; ok {
+		if ok = ok && !e.Retired; ok {
 			c.recordEvidence(s, k, e)
 		}
 		return e, ok
@@ -160,8 +160,8 @@
 		r := c.peers[id]
 		s := c.routeSubject(r)
 		observation := raventrestle.PeerObservation{Target: id}
-		if e, ok := read(s, facts.Wait); ok && e.Origin != c.conf.Name && e.Left > 0 {
-			observation.WaitUntil = t + e.Left
+		if e, ok := read(s, facts.Wait); ok && e.Origin != c.conf.Name && e.Remaining > 0 {
+			observation.WaitUntil = t + e.Remaining
 			r.BlockUntil(time.Unix(0, int64(observation.WaitUntil)))
 		}
 		if e, ok := read(s, facts.Limit); ok && e.Origin != c.conf.Name && e.For > 0 {
--- a/internal/net/courier/fleet_test.go
+++ b/internal/net/courier/fleet_test.go
@@ -88,13 +88,13 @@
 	want("end of the outage", key("a", facts.OutageEnd))
 
 	remainingWait := func() time.Duration { return c.policy.View()[0].WaitRemaining }
-	for _, e := range []facts.Evidence{{Left: time.Minute, Origin: "other", Dead: true}, {Left: time.Minute, Origin: "me"}, {Left: -1, Origin: "other"}} {
+	for _, e := range []facts.Evidence{{Remaining: time.Minute, Origin: "other", Retired: true}, {Remaining: time.Minute, Origin: "me"}, {Remaining: -1, Origin: "other"}} {
 		f.facts[key("", facts.Wait)] = e
 		if c.exchangeFacts(); remainingWait() > 0 {
 			t.Errorf("%+v was applied", e)
 		}
 	}
-	f.facts[key("", facts.Wait)] = facts.Evidence{Left: time.Minute, Origin: "other"}
+	f.facts[key("", facts.Wait)] = facts.Evidence{Remaining: time.Minute, Origin: "other"}
 	if c.exchangeFacts(); remainingWait() < 50*time.Second {
 		t.Errorf("remaining wait is %v", remainingWait())
 	}
--- a/internal/net/courier/handover.go
+++ b/internal/net/courier/handover.go
@@ -22,7 +22,7 @@
 type (
 	handOverMsg     struct{}
 	inheritMsg      struct{ raventrestle.Learned }
-	pauseMsg        struct{ pausedUntil map[string]int64 }
+	retryAfterMsg   struct{ waitUntil map[string]int64 }
 	otherProcessMsg struct{ calls int }
 )
 
@@ -116,17 +116,17 @@
 	c.post(inheritMsg{learned})
 }
 
-// PauseTargets applies Retry-After pauses that the previous process received: by target name, the end of the pause in
+// ApplyRetryAfter applies Retry-After waits that the previous process received: by target name, the end of the wait in
 // Unix nanoseconds.
-func (c *Courier) PauseTargets(pausedUntil map[string]int64) {
-	if len(pausedUntil) > 0 {
-		c.post(pauseMsg{pausedUntil})
+func (c *Courier) ApplyRetryAfter(waitUntil map[string]int64) {
+	if len(waitUntil) > 0 {
+		c.post(retryAfterMsg{waitUntil})
 	}
 }
 
-func (c *Courier) pauseTargets(pausedUntil map[string]int64) {
-	for name, until := range pausedUntil {
-		c.policy.PauseTarget(raventrestle.TargetID(name), time.Duration(until))
+func (c *Courier) applyRetryAfter(waitUntil map[string]int64) {
+	for name, until := range waitUntil {
+		c.policy.ApplyRetryAfter(raventrestle.TargetID(name), time.Duration(until))
 		c.blockRoute(raventrestle.TargetID(name), time.Unix(0, until))
 		if r := c.peers[raventrestle.TargetID(name)]; r != nil {
 			r.BlockUntil(time.Unix(0, until))
--- a/internal/net/courier/history.go
+++ b/internal/net/courier/history.go
@@ -146,7 +146,7 @@
 }
 
 // recordDecision records which facts changed a decision, with the age that was read and the maximum age that is allowed.
-// A pause has no maximum age: it applies until its end, and reading the same pause again is no new decision.
+// A wait has no maximum age: it applies until its end, and reading the same wait again is no new decision.
 func (c *Courier) recordDecision(observations []raventrestle.PeerObservation) {
 	if c.history == nil {
 		return
--- a/internal/net/courier/learned.go
+++ b/internal/net/courier/learned.go
@@ -25,7 +25,7 @@
 	c.previousLearned, c.learnedStore = previous, store
 }
 
-// applyPreviousLearned applies what the previous process learned before any other event, so that its limits and pauses
+// applyPreviousLearned applies what the previous process learned before any other event, so that its limits and waits
 // already apply to restored messages. The first message in the mailbox is the cached endpoint list, which has the targets
 // that the learned state refers to.
 func (c *Courier) applyPreviousLearned(ctx context.Context) {
--- a/internal/net/courier/list.go
+++ b/internal/net/courier/list.go
@@ -92,14 +92,14 @@
 }
 
 // blockRoute blocks the peers that share the target's route until the given time. Otherwise calls that still wait for their
-// connection would be written during the pause.
+// connection would be written during the wait.
 func (c *Courier) blockRoute(target raventrestle.TargetID, until time.Time) {
-	paused := c.peers[target]
-	if paused == nil {
+	waiting := c.peers[target]
+	if waiting == nil {
 		return
 	}
 	for id, r := range c.peers {
-		if id == target || r.entry.Dest == paused.entry.Dest && !c.destinationKind(r).RoutePerTarget {
+		if id == target || r.entry.Dest == waiting.entry.Dest && !c.destinationKind(r).RoutePerTarget {
 			r.BlockUntil(until)
 			c.recordWait(id, until)
 		}
--- a/internal/net/courier/step.go
+++ b/internal/net/courier/step.go
@@ -56,8 +56,8 @@
 		case inheritMsg:
 			c.inherited = true
 			c.policy.Inherit(m.Learned)
-		case pauseMsg:
-			c.pauseTargets(m.pausedUntil)
+		case retryAfterMsg:
+			c.applyRetryAfter(m.waitUntil)
 		case otherProcessMsg:
 			c.policy.AdjustBusySlots(m.calls - c.otherProcessSlots)
 			c.otherProcessSlots = m.calls
--- a/internal/net/peer/peer.go
+++ b/internal/net/peer/peer.go
@@ -110,7 +110,7 @@
 
 var (
 	errCancelled = errors.New("call canceled")
-	errWithheld  = errors.New("call withheld: route paused, peer draining, retry past its send deadline, or another attempt expired")
+	errWithheld  = errors.New("call withheld: route waits after a Retry-After, peer draining, retry past its send deadline, or another attempt expired")
 )
 
 // New starts a peer. It stops when the context ends; calls in flight still finish.
@@ -143,8 +143,8 @@
 func (p *Peer) CloseIdle() bool { return p.post(closeIdleMsg{}) }
 
 // BlockUntil prevents calls from being written before the given time, including calls that are waiting for a connection.
-// Connecting takes up to ConnectTimeout, and meanwhile the route may be paused or the list may name the endpoint as
-// draining. Blocked calls end as NotSent. The zero time lifts the block.
+// Connecting takes up to ConnectTimeout, and meanwhile the route may receive a Retry-After wait or the list may name the
+// endpoint as draining. Blocked calls end as NotSent. The zero time lifts the block.
 func (p *Peer) BlockUntil(until time.Time) {
 	if until.IsZero() {
 		p.blockedUntil.Store(0)
--- a/internal/net/peer/peer_test.go
+++ b/internal/net/peer/peer_test.go
@@ -46,7 +46,7 @@
 			raventrestle.Outcome{Status: raventrestle.OK, Final: true, Report: raventrestle.LimitReport{Remaining: 0.4, Limit: 25}},
 		},
 		"error": {nettest.Answer(nettest.Plain(500, "", "")), long, raventrestle.Outcome{Status: raventrestle.Error}},
-		"Retry-After pause": {
+		"Retry-After wait": {
 			nettest.Answer(nettest.Plain(429, "X-Come-Back-Ms: 340\r\n", "")), long,
 			raventrestle.Outcome{Status: raventrestle.Rejected, RetryAfter: 340 * time.Millisecond},
 		},
@@ -360,9 +360,9 @@
 	}
 }
 
-// A call is not written if its connection is established during a pause of its route, or after the list named the endpoint
-// as draining. Writing it broke a Retry-After pause in the test day with a mass zone failure. The connection is kept for
-// the call after the pause.
+// A call is not written if its connection is established during a wait of its route, or after the list named the endpoint
+// as draining. Writing it broke a Retry-After wait in the test day with a mass zone failure. The connection is kept for
+// the call after the wait.
 func TestBlockedCallIsNotWritten(t *testing.T) {
 	endpoint := nettest.NewPeer(t, nettest.Answer(nettest.Plain(200, "", "")))
 	p, outcomes := newTestPeer(t, endpoint.Addr())
--- a/internal/net/upgrade/golden_test.go
+++ b/internal/net/upgrade/golden_test.go
@@ -32,7 +32,7 @@
 	return len(kept), nil
 }
 func (f *follower) RecordAllAdopted()                       { f.Complete = true }
-func (f *follower) PauseTargets(waits map[string]int64)     { f.Waits = waits }
+func (f *follower) ApplyRetryAfter(waits map[string]int64)  { f.Waits = waits }
 func (f *follower) Inherit(left []byte)                     { f.Left = string(left) }
 func (f *follower) SetOtherProcess(ids []string, calls int) { f.Busy, f.Calls = ids, calls }
 
--- a/internal/net/upgrade/processdir.go
+++ b/internal/net/upgrade/processdir.go
@@ -27,7 +27,7 @@
 type Courier interface {
 	Adopt([]journal.Kept) (n int, err error) // journals the messages and takes over the first n
 	RecordAllAdopted()                       // no journal of a predecessor is left
-	PauseTargets(pausedUntil map[string]int64)
+	ApplyRetryAfter(waitUntil map[string]int64)
 	Inherit(learnedJSON []byte)
 	SetOtherProcess(ids []string, calls int)
 }
@@ -213,7 +213,7 @@
 			d.log.Info("upgrade: taking over", "from", p.path, "gone", ended, "adopted", len(plan.Adopt), "out there", plan.Calls)
 		}
 		if plan.Begin {
-			c.PauseTargets(legacy.Waits)
+			c.ApplyRetryAfter(legacy.Waits)
 		}
 		if len(plan.Adopt) > 0 {
 			n, err := c.Adopt(plan.Adopt)
--- a/internal/net/upgrade/processdir_test.go
+++ b/internal/net/upgrade/processdir_test.go
@@ -36,7 +36,7 @@
 	h.complete = true
 	h.Append([]journal.Record{journal.Settled()}, nil)
 }
-func (h *adopter) PauseTargets(map[string]int64)     {}
+func (h *adopter) ApplyRetryAfter(map[string]int64)  {}
 func (h *adopter) Inherit([]byte)                    {}
 func (h *adopter) SetOtherProcess(_ []string, _ int) {}
 
