--- a/coordination/chain/apply.go
+++ b/coordination/chain/apply.go
@@ -1,7 +1,7 @@
 package chain
 
-// Invariant: entries are handed out once, in the order of the log, and only when they are committed. A member that
-// restarts begins after its snapshot.
+// Invariant: each entry is returned for application once, in the order of the log, and only after it is committed. A
+// member that restarts begins after its snapshot.
 
 // Applied is an entry to apply.
 type Applied struct {
@@ -9,8 +9,8 @@
 	Duplicate bool // the command was applied before under the same ID: it must not be applied again
 }
 
-// Applied returns the point up to which the node has handed out entries, and the commands to put into a snapshot
-// there.
+// Applied returns the position of the last applied entry, and the recent commands that a snapshot taken at that
+// position must include.
 func (n *Node) Applied() (SnapshotPoint, []CommandID) {
 	epoch, _ := n.log.epochAt(n.appliedIndex)
 	return SnapshotPoint{Index: n.appliedIndex, Epoch: epoch}, n.recent.order
--- a/coordination/chain/catchup.go
+++ b/coordination/chain/catchup.go
@@ -4,18 +4,18 @@
 	"time"
 )
 
-// Catch-up: how a member fetches what it lacks, and how its upstream member answers.
+// Catch-up: how a member fetches the entries that it lacks, and how its upstream member answers.
 //
 // Invariants:
 //
-//   - A log is truncated only by the first answer after the node has entered the epoch, started or lost a write: that
-//     answer states the newest entry that both logs have. What the upstream member does not have then was never
-//     committed: its own log is complete in the epoch, or it is the head.
+//   - A log is truncated only by the first answer after the node has entered the epoch, has started or had a failed
+//     write. That answer states the newest entry that both logs have. Entries that the upstream member lacks at that
+//     time were never committed, because its log is complete in the epoch.
 //   - A member answers fetches only when its log is complete in the epoch.
-//   - What may still be on its way over a slow link is not sent again, for a bounded time: a second answer would only
-//     delay the first.
+//   - Entries that may still be in transit over a slow link are not sent again for a bounded time, because a second
+//     answer would only delay the first.
 
-// An answer of more than smallAnswerBytes is not sent again while it may be on its way over a link of
+// An answer of more than smallAnswerBytes is not sent again while it may be in transit over a link of
 // slowLinkBytesPerSecond.
 const (
 	smallAnswerBytes       = 64 << 10
@@ -24,22 +24,22 @@
 
 // catchUp is the state of the node's own fetches.
 type catchUp struct {
-	lastRequestID uint64        // of the newest Fetch; rises over epochs and starts at random in each incarnation
-	answeredUpTo  uint64        // fetches up to it have their answer, or are of an earlier epoch
+	lastRequestID uint64        // of the newest Fetch; increases across epochs, starts at random in each incarnation
+	answeredUpTo  uint64        // fetches up to it were answered or belong to an earlier epoch
 	requestedAt   time.Duration // when the open fetch was sent; 0: none is open
 	attempts      int           // since the newest answer
-	backoffUntil  time.Duration // nothing is fetched before, because the newest answer had nothing
-	laggingSince  time.Duration // since when the head is known to have more; 0: it is not
+	backoffUntil  time.Duration // no fetch is sent earlier, because the newest answer was empty
+	laggingSince  time.Duration // when the head was first known to be ahead; 0: it is not
 }
 
-// inFlightAnswer is the newest fetch of a peer, and how long its answer may be on its way over a slow link.
+// inFlightAnswer describes the newest fetch of a peer and how long the answer may be in transit over a slow link.
 type inFlightAnswer struct {
 	afterIndex uint64        // the entries after it were fetched
 	requestID  uint64        // of the fetch; 0: there was none in this epoch
 	until      time.Duration // the answer has arrived or is lost by then
 }
 
-// runCatchUp fetches from the upstream member when entries are lacking.
+// runCatchUp fetches from the upstream member when entries are missing.
 func (n *Node) runCatchUp(now time.Duration) {
 	if n.view.Epoch == 0 || n.isHead() || n.sealed() || !n.mayAcceptEntries() {
 		return
@@ -58,18 +58,18 @@
 	n.sendFetch(now)
 }
 
-// fetchTimeout returns how long an answer is awaited. It grows with the attempts, because an answer may be large and
-// a second one only delays it.
+// fetchTimeout returns how long to wait for an answer. It grows with the number of attempts, because an answer may be
+// large and a second one would only delay it.
 func (n *Node) fetchTimeout() time.Duration {
 	const doublings = 3
 	return n.timing.RetryInterval << min(max(n.catchUp.attempts-1, 0), doublings)
 }
 
-// mayAcceptEntries reports whether the node can take entries: a member of the chain only with a disk that takes
-// writes.
+// mayAcceptEntries reports whether the node can accept entries. A member of the chain can do so only if its disk
+// accepts writes.
 func (n *Node) mayAcceptEntries() bool { return !n.diskFailing || !n.inChain() }
 
-// lacksEntries reports whether entries are missing that should have come by now.
+// lacksEntries reports whether entries are missing that should have arrived by now.
 func (n *Node) lacksEntries(now time.Duration) bool {
 	if !n.logMatched || (n.inChain() && !n.complete()) {
 		return true
@@ -100,7 +100,7 @@
 	}})
 }
 
-// handleFetch answers a member downstream, now or once the own log is complete.
+// handleFetch answers a downstream member, now or once the node's own log is complete.
 func (n *Node) handleFetch(now time.Duration, address, from string, f Fetch) {
 	p := n.findPeer(from)
 	if p == nil || n.sealed() || !n.isUpstreamOf(from) {
@@ -114,8 +114,8 @@
 	n.answerFetch(p, f)
 }
 
-// answerFetch sends what follows the newest entry that both logs have, or the snapshot and what follows that. What
-// may still be on its way is not sent again.
+// answerFetch sends the entries that follow the newest entry that both logs have, or the snapshot if this log no
+// longer has those entries. What may still be in transit is not sent again.
 func (n *Node) answerFetch(p *peer, f Fetch) {
 	common := n.log.commonIndex(f.CommitIndex, f.EpochEnds)
 	if n.answerInFlight(p, common, f.RequestID) {
@@ -130,7 +130,7 @@
 	p.inFlight.afterIndex, p.inFlight.until = fetched, n.lastStep+transmissionTime(bytes)
 }
 
-// answerDeferredFetches answers those who asked before the own log was complete.
+// answerDeferredFetches answers the fetches that arrived before the node's own log was complete.
 func (n *Node) answerDeferredFetches() {
 	for _, p := range n.peers {
 		if p.deferredFetch != nil && n.isUpstreamOf(p.member.Identity) {
@@ -141,19 +141,21 @@
 	}
 }
 
-// answerInFlight reports whether what a peer fetches was sent to the incarnation of it that asks, and may still be on
-// its way. It is so for a bounded time after the peer has first asked for it, whatever else is sent meanwhile.
+// answerInFlight reports whether the entries that a peer fetches were already sent to the same incarnation of the peer
+// and may still be in transit. It does so for a bounded time after the peer first requested them, whatever else is
+// sent meanwhile. It also reports true for a late or duplicate request.
 func (n *Node) answerInFlight(p *peer, common, requestID uint64) bool {
-	// An incarnation sends about as many requests in an epoch at most; another incarnation begins at random.
+	// An incarnation sends about this many requests in an epoch at most; another incarnation starts at a random
+	// number.
 	const maxRequests = 1 << 16
-	before := p.inFlight
-	if requestID <= before.requestID && before.requestID-requestID <= maxRequests {
+	previous := p.inFlight
+	if requestID <= previous.requestID && previous.requestID-requestID <= maxRequests {
 		return true // a late or duplicate request: a newer one was answered
 	}
-	sameIncarnation := before.requestID > 0 && requestID > before.requestID && requestID-before.requestID <= maxRequests
+	sameIncarnation := previous.requestID > 0 && requestID > previous.requestID && requestID-previous.requestID <= maxRequests
 	p.inFlight.requestID = requestID
-	if sameIncarnation && common == before.afterIndex {
-		return n.lastStep < before.until
+	if sameIncarnation && common == previous.afterIndex {
+		return n.lastStep < previous.until
 	}
 	p.inFlight.afterIndex, p.inFlight.until = common, 0
 	bytes := 0
@@ -172,8 +174,8 @@
 	return time.Duration(bytes) * time.Second / slowLinkBytesPerSecond
 }
 
-// matchLog makes the log a prefix of the upstream member's, once in an epoch: what that one does not have was never
-// committed. From then on the log only grows. It reports whether the log matches.
+// matchLog truncates the log to a prefix of the upstream member's log, once in an epoch. Entries that the upstream
+// member lacks were never committed. From then on the log only grows. It reports whether the log matches.
 func (n *Node) matchLog(a Append) bool {
 	if len(a.Snapshot) > 0 && !n.installSnapshot(a) {
 		return false
@@ -194,8 +196,8 @@
 	return true
 }
 
-// installSnapshot replaces log and applied state by a snapshot that reaches further than the log. It reports whether
-// the answer that carries it can be used.
+// installSnapshot replaces the log and the applied state with a snapshot that extends beyond what this member has. It
+// reports whether the answer that carries the snapshot can be used.
 func (n *Node) installSnapshot(a Append) bool {
 	snapshot, err := DecodeSnapshot(a.Snapshot)
 	if err != nil || snapshot.Point.Index != a.PreviousIndex || n.diskFailing {
@@ -209,14 +211,15 @@
 	n.snapshot = snapshot.Point
 	n.commitIndex = snapshot.Point.Index
 	n.appliedIndex = snapshot.Point.Index
-	n.recent = newRecent(snapshot.RecentCommands)
+	n.recent = newRecentCommands(snapshot.RecentCommands)
 	n.out.InstallSnapshot = &SnapshotInstall{Snapshot: a.Snapshot}
 	n.pending.recordUnknownOutcomes(n.incarnation, n.recent)
 	return true
 }
 
-// scheduleNextFetch determines when to fetch next. If an answer had nothing, the upstream member lacks the entries
-// itself. If entries came unsolicited, an open fetch is out of date: what was small has overtaken the answer to it.
+// scheduleNextFetch determines when to fetch next. An empty answer means that the upstream member lacks the entries
+// itself, so the next fetch waits for the retry interval. Unsolicited entries make an open fetch obsolete: a small
+// message with them has overtaken the answer.
 func (n *Node) scheduleNextFetch(now time.Duration, answersFetch, grown bool) {
 	switch {
 	case grown && !answersFetch:
--- a/coordination/chain/catchup_test.go
+++ b/coordination/chain/catchup_test.go
@@ -43,7 +43,7 @@
 	return u
 }
 
-// fetch sends a fetch of the successor for everything, and returns how many answers it gets.
+// fetch delivers the successor's fetch of the complete log to the head, and returns the number of answers.
 func (u upstream) fetch(at time.Duration, requestID uint64) int {
 	u.t.Helper()
 	out := u.head.Receive(at, u.successor.Address,
@@ -52,9 +52,9 @@
 	return answersIn(out)
 }
 
-// A duplicate of a fetch, also after newer ones, is not answered a second time: with large entries the second answer
-// would delay everything newer on a slow link.
-func TestADuplicateFetchIsNotAnswered(t *testing.T) {
+// A duplicate of a fetch is not answered a second time, even if it arrives after newer fetches. With large entries the
+// second answer would delay all newer messages on a slow link.
+func TestDuplicateFetchIsNotAnswered(t *testing.T) {
 	const first = 1000
 	u := newUpstream(t)
 	at := 2 * time.Second
@@ -76,9 +76,9 @@
 	}
 }
 
-// A duplicate that comes after many newer fetches is detected too. It is not taken for a fetch of another incarnation,
-// which would be answered at once, and so would the next one of the incarnation at hand.
-func TestAnOldDuplicateFetchIsNotTakenForAnotherIncarnation(t *testing.T) {
+// A duplicate that arrives after many newer fetches is detected too. If it were taken for a fetch of another
+// incarnation, it would be answered at once, and so would the next fetch of the current incarnation.
+func TestOldDuplicateFetchIsNotTakenForAnotherIncarnation(t *testing.T) {
 	const first, newest = 1000, 1400
 	u := newUpstream(t)
 	at := 2 * time.Second
@@ -101,7 +101,7 @@
 	}
 }
 
-// laggingMember is a member of the chain whose head has entries that it lacks.
+// laggingMember is a member of the chain that lacks entries that the head has.
 type laggingMember struct {
 	t    *testing.T
 	node *Node
@@ -109,7 +109,7 @@
 	at   time.Duration
 }
 
-// receive delivers a message of the head, and returns the fetches that the member sends then.
+// receive delivers a message of the head, and returns the fetches that the member sends in response.
 func (f *laggingMember) receive(m Message) []Fetch {
 	m.From, m.Epoch = f.head.Identity, 1
 	out := f.node.Receive(f.at, f.head.Address, m)
@@ -117,13 +117,14 @@
 	return fetchesIn(out)
 }
 
-// heartbeat reports entries that the member lacks, some time later.
+// heartbeat advances the time by 50 ms and delivers a heartbeat that reports entries that the member lacks.
 func (f *laggingMember) heartbeat() []Fetch {
 	f.at += 50 * time.Millisecond
 	return f.receive(Message{Heartbeat: &Heartbeat{Incarnation: 1, SentAt: f.at, LastIndex: 5}})
 }
 
-// answerEmpty lets the member fetch, and answers without entries. It returns the fetches that follow at once.
+// answerEmpty waits until the member fetches, and answers without entries. It returns the fetches that the member
+// sends in response.
 func (f *laggingMember) answerEmpty() []Fetch {
 	f.t.Helper()
 	for until := f.at + time.Second; f.at < until; {
@@ -135,21 +136,21 @@
 	return nil
 }
 
-// A member whose upstream member has nothing more itself does not fetch again at once, but after the retry interval.
-func TestAnEmptyAnswerIsFollowedByABackoff(t *testing.T) {
+// A member whose upstream member has no further entries does not fetch again at once, but after the retry interval.
+func TestEmptyAnswerIsFollowedByBackoff(t *testing.T) {
 	n := newFounder(t, 1)
 	f := &laggingMember{t: t, node: n, head: n.View().Head(), at: time.Second}
-	f.answerEmpty() // from now on it is complete, and fetches because it lags
-	if again := f.answerEmpty(); len(again) > 0 {
-		t.Errorf("got fetches %+v right after an empty answer, want none", again)
+	f.answerEmpty() // from now on its log is complete, and it fetches because it lags
+	if fetches := f.answerEmpty(); len(fetches) > 0 {
+		t.Errorf("got fetches %+v right after an empty answer, want none", fetches)
 	}
 	answered := f.at
 	if n.NextTick() > answered+n.timing.RetryInterval {
 		t.Errorf("got next tick at %v, want %v at the latest", n.NextTick(), answered+n.timing.RetryInterval)
 	}
 	for f.at < answered+n.timing.RetryInterval-50*time.Millisecond {
-		if again := f.heartbeat(); len(again) > 0 {
-			t.Errorf("got fetches %+v after %v, want none before %v", again, f.at-answered, n.timing.RetryInterval)
+		if fetches := f.heartbeat(); len(fetches) > 0 {
+			t.Errorf("got fetches %+v after %v, want none before %v", fetches, f.at-answered, n.timing.RetryInterval)
 		}
 	}
 	if got := f.heartbeat(); len(got) != 1 {
--- a/coordination/chain/commands.go
+++ b/coordination/chain/commands.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// Commands of this member's clients, and their way to the head.
+// Commands of this member's clients, and how they are forwarded to the head.
 //
 // Invariants:
 //
 //   - A command stays pending until it is applied here, its outcome is found to be unknown, or the client cancels it.
 //     Until then it is forwarded again, under the same CommandID, so that it is applied once.
-//   - The head accepts a command only while it is complete and not sealed; uncommitted commands are bounded.
+//   - The head accepts a command only while its log is complete and it is not sealed. The number and size of
+//     uncommitted commands are bounded.
 
-// forwardRetryInterval is the time after which a command is sent to the same head again. A large one, which may still
-// be on its way there or down the chain, gets more.
+// forwardRetryInterval is the time after which a command is sent to the same head again. A large command gets more
+// time, because it may still be in transit to the head or down the chain.
 const forwardRetryInterval = 300 * time.Millisecond
 
-// forwardTimeout returns the time after which a command of that size is sent again.
+// forwardTimeout returns the time after which a command of the given size is sent again.
 func forwardTimeout(bytes int) time.Duration {
 	if bytes <= smallAnswerBytes {
 		return forwardRetryInterval
@@ -47,7 +48,8 @@
 	outcomeUnknown bool
 }
 
-// Propose submits a command: it is brought to the head until it is applied here. It returns the command's number.
+// Propose submits a command, which is forwarded to the head again and again until it is applied here. It returns the
+// command's number.
 func (n *Node) Propose(now time.Duration, body []byte) (uint64, Output) {
 	n.enterStep(now)
 	n.pending.lastID++
@@ -55,8 +57,8 @@
 	return n.pending.lastID, n.finish(now)
 }
 
-// CancelProposal gives up a command. It reports whether the command may have left this member, so that it may still
-// be applied.
+// CancelProposal stops forwarding a command. It reports whether the command may have left this member, so that it may
+// still be applied.
 func (n *Node) CancelProposal(number uint64) (sent bool) {
 	n.pending.commands = slices.DeleteFunc(n.pending.commands, func(c *command) bool {
 		if c.id == number {
@@ -80,11 +82,11 @@
 // runPendingRequests sends the requests that are due.
 func (n *Node) runPendingRequests(now time.Duration) {
 	for _, c := range n.pending.commands {
-		again := forwardTimeout(len(c.body))
-		due := c.sentAt + again
+		timeout := forwardTimeout(len(c.body))
+		due := c.sentAt + timeout
 		if c.sentAt == 0 || now >= due {
 			n.forwardCommand(now, c)
-			due = now + again
+			due = now + timeout
 		}
 		n.wakeBy(due)
 	}
@@ -101,7 +103,7 @@
 	}
 }
 
-// forwardCommand brings a command to the head, which may be this node.
+// forwardCommand passes a command to the head, which may be this node.
 func (n *Node) forwardCommand(now time.Duration, c *command) {
 	if n.view.Epoch == 0 {
 		return
@@ -117,8 +119,8 @@
 	n.send(n.resolve(n.view.Head()), Message{Forward: &Forward{ID: id, Command: c.body}})
 }
 
-// handleForward appends a command to the log, and reports whether the node is a head that can take it. A duplicate,
-// or a command beyond the bounds, is dropped; the proposing member sends it again until it is applied.
+// handleForward appends a command to the log, and reports whether the node is a head that can accept commands. A
+// duplicate, or a command beyond the bounds, is dropped; the proposing member sends it again until it is applied.
 func (n *Node) handleForward(f Forward) bool {
 	if !n.isHead() || !n.complete() || n.sealed() || n.diskFailing {
 		return false
@@ -134,7 +136,7 @@
 	return true
 }
 
-// admitsCommand reports whether the command is new and the uncommitted part of the log short enough.
+// admitsCommand reports whether the command is new and the uncommitted part of the log is within its bounds.
 func (n *Node) admitsCommand(f Forward) bool {
 	count, bytes := 0, 0
 	for _, entry := range n.log.after(n.appliedIndex) {
--- a/coordination/chain/deduplication.go
+++ b/coordination/chain/deduplication.go
@@ -1,7 +1,7 @@
 package chain
 
-// Invariant: a command that was applied is applied again neither by a retried Forward nor after a snapshot, as long
-// as it is among the newest maxRecentCommands. All members decide so alike, because the list is part of the
+// Invariant: a command that is among the newest maxRecentCommands applied ones is not applied again, neither when a
+// Forward is retried nor after a snapshot. All members make the same decision, because the list is part of the
 // replicated state.
 
 // maxRecentCommands is how many applied commands are remembered.
@@ -13,7 +13,7 @@
 	ids   map[CommandID]struct{}
 }
 
-func newRecent(order []CommandID) recentCommands {
+func newRecentCommands(order []CommandID) recentCommands {
 	r := recentCommands{order: append([]CommandID(nil), order...), ids: make(map[CommandID]struct{}, len(order))}
 	for _, id := range order {
 		r.ids[id] = struct{}{}
--- a/coordination/chain/discovery.go
+++ b/coordination/chain/discovery.go
@@ -12,7 +12,7 @@
 // helloInterval is the time between two searches for the head.
 const helloInterval = 250 * time.Millisecond
 
-// runDiscovery introduces this member to every known address when it is due.
+// runDiscovery sends a Hello to every known address when it is due.
 func (n *Node) runDiscovery(now time.Duration) {
 	due := max(n.detector.helloSentAt, n.detector.epochEnteredAt) + helloInterval
 	if n.detector.helloSentAt > 0 && now < due {
@@ -37,13 +37,14 @@
 	}
 }
 
-// introduceToHead sends the head this member's description if the head's list of members has another one. A founder is
-// listed by its address alone until the head hears its Hello, and sends none any more once it hears the head.
+// introduceToHead sends this member's description to the head if the head's list of members has a different one. The
+// head lists a founder by its address alone until it receives the founder's Hello, and runDiscovery sends no Hello
+// while the head is heard.
 func (n *Node) introduceToHead(now time.Duration, address string) {
-	listed := func(member view.Member) bool { return member.Identity == n.self.Identity }
-	at := slices.IndexFunc(n.membership.members, listed)
-	if at < 0 || n.membership.members[at] == n.self || n.self.Zone+n.self.Tag == "" {
-		return // nothing to tell: a description without zone and tag replaces none, see learnMember
+	isSelf := func(member view.Member) bool { return member.Identity == n.self.Identity }
+	position := slices.IndexFunc(n.membership.members, isSelf)
+	if position < 0 || n.membership.members[position] == n.self || n.self.Zone+n.self.Tag == "" {
+		return // a description without zone and tag would not replace the listed one, see learnMember
 	}
 	if n.detector.helloSentAt > 0 && now < n.detector.helloSentAt+helloInterval {
 		return
@@ -52,7 +53,8 @@
 	n.sendTo(address, Message{Hello: &Hello{Member: n.self}})
 }
 
-// handleHello takes in a member and shows it the way to the head.
+// handleHello adds a member to the peers and helps it to find the head: the later view is sent, or a heartbeat if this
+// node is the head.
 func (n *Node) handleHello(now time.Duration, address string, m Message) {
 	p := n.learnMember(now, m.Hello.Member)
 	if p == nil || m.From != m.Hello.Member.Identity {
@@ -70,8 +72,9 @@
 	}
 }
 
-// handleMisdirected handles a message for the identity that was at this address before and has lost its disk. Whoever
-// still sends to that one knows the group, also where none of the seeds is left.
+// handleMisdirected handles a message for the identity that previously used this address and has lost its disk. The
+// sender knows the group, so a member that has no view yet sends it a Hello. This finds the group even if none of the
+// seeds is left.
 func (n *Node) handleMisdirected(now time.Duration, address string) {
 	if n.view.Epoch > 0 || n.detector.misdirectedAnsweredAt > 0 && now-n.detector.misdirectedAnsweredAt < helloInterval {
 		return
@@ -80,8 +83,8 @@
 	n.sendTo(address, Message{Hello: &Hello{Member: n.self}})
 }
 
-// suspectFormerIdentity takes a member for failed at whose address another identity answers now: it has lost its
-// disk. If it is alive after all, its next message revokes this.
+// suspectFormerIdentity considers a member failed if another identity answers at its address now, because it has lost
+// its disk. If it is alive after all, its next reply or heartbeat revokes this.
 func (n *Node) suspectFormerIdentity(now time.Duration, member view.Member) {
 	for _, former := range n.peers {
 		if former.member.Address != member.Address || former.member.Identity == member.Identity {
--- a/coordination/chain/dispatch.go
+++ b/coordination/chain/dispatch.go
@@ -4,13 +4,13 @@
 	"time"
 )
 
-// Invariant: a message that belongs to an epoch is handled in that epoch only. A member of a later epoch rejects it:
-// to answer it would let the earlier epoch's chain go on with a log that the later epoch's head need not have. A
-// member that has merely promised the later epoch is sealed and does not help to commit either. A later epoch is
-// decided only once a majority of the voters has promised, and each chain that may commit has a member among those;
-// so from then on nothing commits, is confirmed or is read in the earlier epoch.
+// Invariant: a message that belongs to an epoch is handled in that epoch only. A member of a later epoch rejects it,
+// because an answer could let the earlier epoch's chain commit entries that the later epoch's head lacks. A member
+// that has only promised a proposal for the later epoch is sealed and takes no part in commits either. A later epoch
+// is decided only once a majority of the voters has promised, and each chain that may commit has a member in that
+// majority. From then on nothing is committed, confirmed or read in the earlier epoch.
 //
-// Messages that find members and views, and the first phase of a proposal, are handled in any epoch.
+// Messages for the discovery of members and views, and the first phase of a proposal, are handled in any epoch.
 
 // receive handles a message of any epoch, or passes it on to receiveInEpoch.
 func (n *Node) receive(now time.Duration, address string, m Message) {
@@ -39,8 +39,8 @@
 	}
 }
 
-// checkEpoch reports whether the message belongs to the node's epoch. It ensures that whoever is behind learns the
-// later view.
+// checkEpoch reports whether the message belongs to the node's epoch. If the epochs differ, it makes sure that the
+// member with the earlier one receives the later view.
 func (n *Node) checkEpoch(now time.Duration, address string, m Message) bool {
 	switch {
 	case m.Epoch < n.view.Epoch && n.config.Mutation.NoEpochCheck && m.Epoch > 0:
--- a/coordination/chain/epoch.go
+++ b/coordination/chain/epoch.go
@@ -10,13 +10,13 @@
 //
 // Invariants:
 //
-//   - The epoch of the node's view only rises. A view is entered because it was decided, or because another voter's
-//     proposal for the epoch after it shows that it was.
-//   - What was promised and accepted towards the entered epoch has no more effect, and all that is volatile in an
-//     epoch starts again: whether the logs match, who has answered, which requests are open.
-//   - The head is complete in its epoch from the beginning, because view.Plan takes it from the members that have
-//     everything that was committed. All others become complete once their log has reached the head's at the
-//     beginning of the epoch.
+//   - The epoch of the node's view only increases. A view is entered because it was decided, or because another
+//     voter's proposal for the epoch after it shows that it was decided.
+//   - Promises and acceptances for the entered epoch have no further effect, and the volatile state of the epoch is
+//     reset: whether the logs match, which members have answered, which requests are open.
+//   - The head's log is complete in its epoch from the start, because view.Plan chooses the head among the members
+//     that have everything that was committed. The log of any other member becomes complete once it has every entry
+//     that the head had at the start of the epoch.
 
 // viewSendInterval limits how often a view is sent to or requested from one member.
 const viewSendInterval = 50 * time.Millisecond
@@ -37,7 +37,8 @@
 	}
 }
 
-// mayExchangeView reports whether a view may be sent to or requested from the member again, and notes that it is.
+// mayExchangeView reports whether a view may be sent to or requested from the member again, and if so records the
+// time.
 func (n *Node) mayExchangeView(now time.Duration, identity string) bool {
 	p := n.findPeer(identity)
 	if p == nil {
--- a/coordination/chain/failure_detector.go
+++ b/coordination/chain/failure_detector.go
@@ -9,14 +9,15 @@
 //
 // Invariants:
 //
-//   - Suspicion has no bearing on safety: it only starts proposals. Timeouts are measured on the own clock alone.
-//   - A head counts as failed also when it does not hear this member: its heartbeats echo the newest reply.
-//   - After a stall of the process nobody is suspected for what was not received meanwhile.
+//   - Suspicion does not affect safety: it only starts proposals. Timeouts are measured on the node's own clock alone.
+//   - A head also counts as failed if it does not hear this member. Its heartbeats show this, because they echo the
+//     newest reply.
+//   - After a stall of the process no member is suspected because of messages that were not received during the stall.
 
 // unresponsiveHeartbeatInterval is the time between heartbeats to a member outside the view that does not answer.
 const unresponsiveHeartbeatInterval = 600 * time.Millisecond
 
-// failureDetector is what the node knows of the head, or as head of the members' failures.
+// failureDetector is what the node knows about the head, or what it knows about the members if it is the head.
 type failureDetector struct {
 	epochEnteredAt        time.Duration
 	headHeardAt           time.Duration // newest heartbeat, or the end of a grace window
@@ -29,12 +30,13 @@
 	helloSentAt           time.Duration
 	misdirectedAnsweredAt time.Duration // when a message to the former member at this address was last answered
 	previousLeaseExpiry   time.Duration // until then a leader of an earlier epoch may still act
-	leaderSince           time.Duration // start of the own leadership; 0: none
+	leaderSince           time.Duration // start of the node's own leadership; 0: none
 	liveIdentities        []string      // as the head last counted them
 	durableReplicas       int           // Heartbeat.DurableReplicas of the newest heartbeat
 }
 
-// runFailureDetector sends what is due: heartbeats by the head, searches for the head by the others.
+// runFailureDetector sends what is due: the head sends heartbeats, and a member that does not hear the head searches
+// for it. So does a head that does not hear a majority.
 func (n *Node) runFailureDetector(now time.Duration) {
 	if n.view.Epoch > 0 && n.isHead() {
 		n.updateLiveness(now)
@@ -50,7 +52,7 @@
 	n.runDiscovery(now)
 }
 
-// resetFailureDetector gives the head of the epoch time to be heard.
+// resetFailureDetector resets what is known about the head, and gives the head of the epoch time to be heard.
 func (n *Node) resetFailureDetector(now time.Duration) {
 	grace := now
 	if now-n.startedAt < n.timing.GraceWindow {
@@ -71,16 +73,16 @@
 	}
 }
 
-// resetLastHeard lets all peers count as heard now, for a head that has not watched them so far.
+// resetLastHeard marks all peers as heard now, for a head that has not monitored them so far.
 func (n *Node) resetLastHeard(now time.Duration) {
 	for _, p := range n.peers {
 		p.heardAt = now
 	}
 }
 
-// recoverFromStall gives everybody time to be heard after the process was stopped. A lease that has expired meanwhile
-// is dropped and must be confirmed again; one that is still valid is as good as before, because it counts on the clock
-// alone.
+// recoverFromStall gives all members time to be heard after the process was stopped. A lease that has expired
+// meanwhile is dropped and must be confirmed again; one that is still valid remains so, because its validity depends
+// on the clock alone.
 func (n *Node) recoverFromStall(now time.Duration) {
 	leaseValid := n.leaseExpiry(now) > now
 	n.detector.headHeardAt, n.detector.echoChangedAt = now, now
@@ -96,7 +98,7 @@
 	}
 }
 
-// headSuspected reports whether the head is taken for failed, or does not hear this node.
+// headSuspected reports whether the head is considered failed, or does not hear this node.
 func (n *Node) headSuspected(now time.Duration) bool {
 	return n.headUnresponsive(now, n.timing.SuspectTimeout)
 }
@@ -112,7 +114,7 @@
 	return now-p.heardAt <= n.timing.SuspectTimeout
 }
 
-// updateLiveness notes a change among the live members, so that the others learn of it.
+// updateLiveness records a change of the set of live members, so that the other members learn of it.
 func (n *Node) updateLiveness(now time.Duration) {
 	live := make([]string, 0, len(n.peers))
 	for _, p := range n.peers {
@@ -154,9 +156,9 @@
 	return count
 }
 
-// noteHeadHeard notes that the head is heard, and whether it hears this node. After an interruption in either
-// direction an open fetch is taken for lost.
-func (n *Node) noteHeadHeard(now, echo time.Duration) {
+// recordHeadHeard records that the head was heard, and whether the head hears this node. After an interruption in either
+// direction an open fetch is considered lost.
+func (n *Node) recordHeadHeard(now, echo time.Duration) {
 	interrupted := now-n.detector.headHeardAt > n.timing.SuspectTimeout
 	if echo != n.detector.echoedSentAt {
 		interrupted = interrupted || now-n.detector.echoChangedAt > n.timing.SuspectTimeout
--- a/coordination/chain/freshness.go
+++ b/coordination/chain/freshness.go
@@ -5,38 +5,40 @@
 	"time"
 )
 
-// Proofs of freshness: how a member proves how old its applied state is at most.
+// Proofs of freshness: how a member proves the maximum age of its applied state.
 //
-// A proof is a moment on the own steady clock and an index: a majority of the voters was in this epoch at the moment,
-// and everything that was acknowledged anywhere before it is at or below the index. It is valid once the index is
-// applied here.
+// A proof consists of a time on the member's own steady clock and an index. It states that a majority of the voters
+// was in this epoch at that time, and that everything that was acknowledged anywhere before that time is at or below
+// the index. It is valid once the index is applied here.
 //
-// The head notes, whenever it sends heartbeats, the time S and the last index L of its log. Once a majority of the
-// voters (the head among them as long as it has promised nothing) has answered heartbeats that were sent at S or
-// later, no later epoch was decided at S: each of them had promised none when it answered. So until S commands
-// entered only the log of this epoch's head, which is complete and has each before anybody else. What was
-// acknowledged before S is at or below L.
+// Whenever the head sends heartbeats it records the time S and the last index L of its log. Once a majority of the
+// voters has answered heartbeats that were sent at S or later, it is certain that no later epoch had been decided by
+// S, because each of these voters had promised no later epoch when it answered. (The head counts itself among them as
+// long as it has promised nothing.) So until S only the head of this epoch appended commands, and its log is complete
+// and has every entry before any other log. Therefore everything that was acknowledged before S is at or below L.
 //
-// A follower learns S and L from a heartbeat. The heartbeat also names the newest reply that the head had from it: to
-// which heartbeat (Echo), and at which time H on the head's clock it came (EchoReceivedAt). The follower noted its
-// own time R when that heartbeat came, before it replied; so R is before H, and S is at R-(H-S) or later on its own
-// clock. Only the difference of two readings of one clock is used, and a share of it is subtracted because two steady
-// clocks may run at slightly different speeds. Neither the delay of heartbeats nor a stall of a process matters. An
-// echo from long before S is not used: a member that the head does not hear comes to prove nothing.
+// A follower learns S and L from a heartbeat. The heartbeat also identifies the newest reply that the head has
+// received from the follower: which heartbeat it answered (Echo), and at which time H on the head's clock it arrived
+// (EchoReceivedAt). The follower recorded its own time R when that heartbeat arrived, before it replied. So R is
+// before H, and S is at R-(H-S) or later on the follower's clock. Only the difference of two readings of one clock is
+// used, and a fraction of it is subtracted because two steady clocks may run at slightly different speeds. Neither the
+// delay of heartbeats nor a stall of a process matters. An echo from long before S is not used, so a member that the
+// head does not hear soon has no new proofs.
 //
-// R must belong to the first receipt of the heartbeat: a duplicate would move it past H. So receipts are kept under a
-// generation that changes with each incarnation of the follower, each epoch, each failure of its disk and each
-// incarnation of the head. A reply carries the generation, an echo counts only for the generation at hand, and in one
-// generation only a heartbeat that is newer than all before is noted. Loss, delay and reordering make a proof only
-// older.
+// R must be the time of the first receipt of the heartbeat: that of a duplicate could be after H. So receipts belong
+// to a generation, and a new one begins with each incarnation of the follower, each epoch, each failure of its disk
+// and each incarnation of the head. A reply carries the generation, and an echo counts only in the generation of its
+// reply. Within a generation a receipt is recorded only for a heartbeat that is newer than all before. Loss, delay and
+// reordering can only make a proof older.
 
-// maxFreshnessEntries bounds the receipts and the candidates.
+// maxFreshnessEntries bounds the number of receipts and the number of candidates.
 const maxFreshnessEntries = 64
 
-// clockDriftDivisor is the reciprocal of the share by which two steady clocks may differ over a time.
+// clockDriftDivisor is the reciprocal of the maximum relative drift between two steady clocks: 1/1000 of the elapsed
+// time.
 const clockDriftDivisor = 1000
 
-// freshness is the state of the node's proofs and what it needs to date them.
+// freshness holds the node's proofs and the receipts by which it dates them.
 type freshness struct {
 	generation      uint64 // of the receipts
 	headIncarnation uint64 // to which the receipts belong
@@ -45,19 +47,20 @@
 	current         proof   // the newest valid one
 }
 
-// proof states that everything that was acknowledged before the moment is at or below the index.
+// proof states that everything that was acknowledged before the time at is at or below the index.
 type proof struct {
 	at    time.Duration
 	index uint64
 }
 
-// receipt is when a heartbeat first came.
+// receipt records when a heartbeat was first received.
 type receipt struct {
 	sentAt     time.Duration // on the head's clock
-	receivedAt time.Duration // on the own clock
+	receivedAt time.Duration // on the node's own clock
 }
 
-// resetFreshness drops all proofs: in a new epoch or incarnation, or after the node has returned to its disk's state.
+// resetFreshness drops all proofs: in a new epoch or incarnation, or after the node has returned to the state on its
+// disk.
 func (n *Node) resetFreshness() {
 	if n.config.Mutation.ProofOutlivesEpoch {
 		n.freshness = freshness{candidates: n.freshness.candidates, current: n.freshness.current}
@@ -74,20 +77,21 @@
 	n.freshness.receipts = nil
 }
 
-// updateFreshness determines which proof is valid by now.
+// updateFreshness determines the newest proof that is valid now.
 func (n *Node) updateFreshness(now time.Duration) {
-	if n.mayProve() && n.view.Majority() == 1 { // no other voter has to reply
+	if n.canIssueProof() && n.view.Majority() == 1 { // no other voter has to reply
 		n.recordProofCandidate(now)
 		n.wakeBy(now + n.timing.HeartbeatInterval)
 	}
-	before := n.freshness.current
+	previous := n.freshness.current
 	n.freshness.setCurrent(n.currentProof(now))
-	if n.isHead() && before.at == 0 && n.freshness.current.at > 0 {
+	if n.isHead() && previous.at == 0 && n.freshness.current.at > 0 {
 		n.heartbeatLivePeersNow(now)
 	}
 }
 
-// heartbeatLivePeersNow makes heartbeats to all live members due, so that they learn of the first proof of an epoch.
+// heartbeatLivePeersNow makes the heartbeats to all live members due now, so that they learn of the first proof of an
+// epoch.
 func (n *Node) heartbeatLivePeersNow(now time.Duration) {
 	for _, p := range n.peers {
 		if n.isLive(now, p) {
@@ -96,17 +100,20 @@
 	}
 }
 
-// mayProve reports whether the node, as head, may count itself among the voters in its epoch and its log as complete.
-func (n *Node) mayProve() bool { return n.isHead() && n.complete() && !n.sealed() && !n.diskFailing }
+// canIssueProof reports whether the node is a head that may issue proofs: its log is complete, it has promised no later
+// epoch, and its disk accepts writes.
+func (n *Node) canIssueProof() bool {
+	return n.isHead() && n.complete() && !n.sealed() && !n.diskFailing
+}
 
-// recordProofCandidate notes the last index at the sending of a heartbeat.
+// recordProofCandidate records the last index when a heartbeat is sent.
 func (n *Node) recordProofCandidate(now time.Duration) {
-	if n.mayProve() {
+	if n.canIssueProof() {
 		n.freshness.addCandidate(proof{at: now, index: n.log.lastIndex()})
 	}
 }
 
-// ConfirmedAt returns the moment of the newest valid proof; see Status.
+// ConfirmedAt returns the time of the newest valid proof, or 0; see Status.
 func (n *Node) ConfirmedAt(now time.Duration) time.Duration { return n.currentProof(now).at }
 
 // currentProof returns the newest proof that is valid now.
@@ -121,14 +128,14 @@
 	return n.freshness.newestValid(until, applied)
 }
 
-// handleProof takes in the head's proof from a heartbeat, and notes the heartbeat's receipt.
+// handleProof adds the head's proof in a heartbeat to the candidates, and records the heartbeat's receipt.
 func (n *Node) handleProof(now time.Duration, heartbeat Heartbeat) {
 	f := &n.freshness
 	if heartbeat.Incarnation != f.headIncarnation {
 		f.headIncarnation = heartbeat.Incarnation
 		n.startReceiptGeneration()
 	}
-	at, known := f.proofMoment(heartbeat, n.timing.SuspectTimeout)
+	at, known := f.localProofTime(heartbeat, n.timing.SuspectTimeout)
 	if n.config.Mutation.ProofAtReceipt {
 		at, known = now-(heartbeat.SentAt-heartbeat.ProofAt), heartbeat.ProofAt > 0
 	}
@@ -138,9 +145,10 @@
 	f.addReceipt(receipt{sentAt: heartbeat.SentAt, receivedAt: now})
 }
 
-// proofMoment returns a time on the own clock that is not after the moment of the head's proof. It returns false when
-// the heartbeat's echo can't date the proof; an echo does not date a proof that is younger by more than maxEchoAge.
-func (f *freshness) proofMoment(heartbeat Heartbeat, maxEchoAge time.Duration) (time.Duration, bool) {
+// localProofTime returns a time on the node's own clock that is not after the time of the head's proof. It returns false
+// if the heartbeat's echo can't date the proof, for example because the echo is older than the proof by more than
+// maxEchoAge.
+func (f *freshness) localProofTime(heartbeat Heartbeat, maxEchoAge time.Duration) (time.Duration, bool) {
 	if heartbeat.ProofAt == 0 || heartbeat.EchoGeneration != f.generation {
 		return 0, false
 	}
@@ -149,15 +157,15 @@
 	}
 	for _, r := range f.receipts {
 		if r.sentAt == heartbeat.Echo {
-			since := heartbeat.EchoReceivedAt - heartbeat.ProofAt
-			at := r.receivedAt - since - max(since, -since)/clockDriftDivisor
+			sinceProof := heartbeat.EchoReceivedAt - heartbeat.ProofAt
+			at := r.receivedAt - sinceProof - max(sinceProof, -sinceProof)/clockDriftDivisor
 			return at, at > 0
 		}
 	}
 	return 0, false
 }
 
-// addReceipt notes a heartbeat that is newer than all before.
+// addReceipt records the receipt of a heartbeat that is newer than all before.
 func (f *freshness) addReceipt(r receipt) {
 	if len(f.receipts) > 0 && r.sentAt <= f.receipts[len(f.receipts)-1].sentAt {
 		return
@@ -168,8 +176,8 @@
 	f.receipts = append(f.receipts, r)
 }
 
-// addCandidate adds a proof that is newer than all before. When there is no space it replaces the newest, so that the
-// oldest can still become valid.
+// addCandidate adds a proof that is newer than all before. If the list is full, it replaces the newest candidate, so
+// that the oldest can still become valid.
 func (f *freshness) addCandidate(p proof) {
 	newest := f.current.at
 	if len(f.candidates) > 0 {
@@ -184,7 +192,7 @@
 	f.candidates = append(f.candidates, p)
 }
 
-// newestValid returns the newest proof at or before the moment whose index is applied.
+// newestValid returns the newest proof that is dated at or before until and whose index is applied.
 func (f *freshness) newestValid(until time.Duration, applied uint64) proof {
 	newest := f.current
 	for _, p := range f.candidates {
@@ -198,9 +206,9 @@
 // setCurrent makes the proof the current one and drops the older candidates.
 func (f *freshness) setCurrent(p proof) {
 	f.current = p
-	next := 0
-	for next < len(f.candidates) && f.candidates[next].at <= p.at {
-		next++
+	firstNewer := 0
+	for firstNewer < len(f.candidates) && f.candidates[firstNewer].at <= p.at {
+		firstNewer++
 	}
-	f.candidates = append(f.candidates[:0], f.candidates[next:]...)
+	f.candidates = append(f.candidates[:0], f.candidates[firstNewer:]...)
 }
--- a/coordination/chain/freshness_test.go
+++ b/coordination/chain/freshness_test.go
@@ -10,10 +10,10 @@
 const (
 	testIncarnation = 7                    // of the head
 	testLatency     = 3 * time.Millisecond // of a message
-	testClockOffset = 40 * time.Minute     // of the follower's clock to the head's
+	testClockOffset = 40 * time.Minute     // offset of the follower's clock from the head's
 )
 
-// follower is a founder behind the head; the test sends it the head's heartbeats.
+// follower is a founder that follows the head in the chain. The test sends it the head's heartbeats.
 type follower struct {
 	*Node
 	head view.Member
@@ -27,7 +27,7 @@
 	return &follower{Node: n, head: n.View().Head()}
 }
 
-// receive delivers a heartbeat at a time of the head's clock and returns the reply.
+// receive delivers a heartbeat at a time on the head's clock and returns the reply.
 func (f *follower) receive(at time.Duration, heartbeat Heartbeat) HeartbeatReply {
 	heartbeat.Incarnation = testIncarnation
 	message := Message{From: f.head.Identity, Epoch: f.view.Epoch, Heartbeat: &heartbeat}
@@ -42,7 +42,7 @@
 	return HeartbeatReply{}
 }
 
-// confirmedAt returns the moment of the follower's proof on the head's clock, or 0.
+// confirmedAt returns the time of the follower's proof on the head's clock, or 0.
 func (f *follower) confirmedAt(at time.Duration) time.Duration {
 	if confirmed := f.Status(at + testClockOffset).ConfirmedAt; confirmed > 0 {
 		return confirmed - testClockOffset
@@ -50,9 +50,9 @@
 	return 0
 }
 
-// A follower dates the head's proof by the echo of its own reply: the delay of the heartbeat that carries it does not
-// matter.
-func TestAFollowerDatesTheProofByTheEcho(t *testing.T) {
+// A follower dates the head's proof by the echo of its own reply. The delay of the heartbeat that carries the proof
+// does not matter.
+func TestFollowerDatesProofByEcho(t *testing.T) {
 	for _, delay := range []time.Duration{0, time.Second, 20 * time.Second} {
 		f := newFollower(t)
 		sent := time.Minute
@@ -60,11 +60,11 @@
 		if got := f.confirmedAt(sent + testLatency); got != 0 {
 			t.Errorf("delay %v: got proof of %v before the first one, want none", delay, got)
 		}
-		carrier := Heartbeat{
+		proofHeartbeat := Heartbeat{
 			SentAt: sent + time.Second, Echo: sent, EchoReceivedAt: sent + 2*testLatency,
 			EchoGeneration: reply.ReceiptGeneration, ProofAt: sent,
 		}
-		f.receive(sent+time.Second+testLatency+delay, carrier)
+		f.receive(sent+time.Second+testLatency+delay, proofHeartbeat)
 		got := f.confirmedAt(sent + time.Second + testLatency + delay)
 		if got > sent || got < sent-2*testLatency {
 			t.Errorf("delay %v: got proof of %v, want between %v and %v", delay, got, sent-2*testLatency, sent)
@@ -72,18 +72,19 @@
 	}
 }
 
-// A duplicate heartbeat, after a restart, after many others or after a head of another incarnation, dates no proof: its
-// second receipt is later than the reply to the first.
-func TestADuplicateHeartbeatDatesNoProof(t *testing.T) {
+// The receipt of a duplicate heartbeat dates no proof, because it is later than the reply to the first one. The
+// duplicate may come after a restart, a failed disk, many newer heartbeats or a heartbeat of another incarnation of
+// the head.
+func TestDuplicateHeartbeatDatesNoProof(t *testing.T) {
 	sent := time.Minute
 	first := Heartbeat{SentAt: sent}
-	carrier := Heartbeat{
+	proofHeartbeat := Heartbeat{
 		SentAt:         sent + 150*time.Millisecond,
 		Echo:           sent,
 		EchoReceivedAt: sent + 2*testLatency,
 		ProofAt:        sent,
 	}
-	for name, disturb := range map[string]func(f *follower) *follower{
+	for name, event := range map[string]func(f *follower) *follower{
 		"nothing": func(f *follower) *follower { return f },
 		"restart": func(*follower) *follower {
 			next := newFollower(t)
@@ -110,10 +111,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFollower(t)
-			carrier.EchoGeneration = f.receive(sent+testLatency, first).ReceiptGeneration
-			f = disturb(f)
+			proofHeartbeat.EchoGeneration = f.receive(sent+testLatency, first).ReceiptGeneration
+			f = event(f)
 			f.receive(sent+10*time.Second, first)
-			f.receive(sent+20*time.Second, carrier)
+			f.receive(sent+20*time.Second, proofHeartbeat)
 			if got := f.confirmedAt(sent + 20*time.Second); got > sent {
 				t.Errorf("got proof of %v, want %v at the latest", got, sent)
 			}
@@ -121,45 +122,45 @@
 	}
 }
 
-// Clocks that run at slightly different speeds do not make an old proof younger than it is.
-func TestAnOldProofAllowsForClockDrift(t *testing.T) {
+// The drift between two clocks is subtracted, so that it never makes an old proof appear younger than it is.
+func TestOldProofAllowsForClockDrift(t *testing.T) {
 	const age = 100 * time.Second
 	f := newFollower(t)
 	sent := time.Hour
-	number := f.receive(sent, Heartbeat{SentAt: sent}).ReceiptGeneration
-	carrier := Heartbeat{
+	generation := f.receive(sent, Heartbeat{SentAt: sent}).ReceiptGeneration
+	proofHeartbeat := Heartbeat{
 		SentAt:         sent + time.Second,
 		Echo:           sent,
 		EchoReceivedAt: sent,
-		EchoGeneration: number,
+		EchoGeneration: generation,
 		ProofAt:        sent - age,
 	}
-	f.receive(sent+time.Second, carrier)
+	f.receive(sent+time.Second, proofHeartbeat)
 	if got, drift := f.confirmedAt(sent+time.Second), age/clockDriftDivisor; got == 0 || got > sent-age-drift {
 		t.Errorf("got proof of %v, want one of %v at the latest", got, sent-age-drift)
 	}
 }
 
 // An echo from long before the proof does not date it: the head no longer hears this member.
-func TestAProofLongAfterTheEchoIsNotDated(t *testing.T) {
+func TestProofLongAfterEchoIsRejected(t *testing.T) {
 	f := newFollower(t)
 	sent := time.Minute
-	number := f.receive(sent+testLatency, Heartbeat{SentAt: sent}).ReceiptGeneration
-	carrier := Heartbeat{
+	generation := f.receive(sent+testLatency, Heartbeat{SentAt: sent}).ReceiptGeneration
+	proofHeartbeat := Heartbeat{
 		SentAt:         sent + 3*time.Second,
 		Echo:           sent,
 		EchoReceivedAt: sent + 2*testLatency,
-		EchoGeneration: number,
+		EchoGeneration: generation,
 		ProofAt:        sent + 2*time.Second,
 	}
-	f.receive(sent+3*time.Second, carrier)
+	f.receive(sent+3*time.Second, proofHeartbeat)
 	if got := f.confirmedAt(sent + 3*time.Second); got != 0 {
 		t.Errorf("got proof of %v by an echo of %v, want none", got, sent)
 	}
 }
 
-// After an interruption a member fetches again at once what it lacks, however many fetches were lost before.
-func TestAMemberFetchesAtOnceWhenItIsHeardAgain(t *testing.T) {
+// After an interruption a member fetches the entries that it lacks at once, however many fetches were lost before.
+func TestMemberFetchesAtOnceAfterInterruption(t *testing.T) {
 	f := newFollower(t)
 	f.logMatched = false
 	now := time.Minute
@@ -175,12 +176,12 @@
 }
 
 // A proof is valid only once its index is applied.
-func TestAProofWaitsForItsIndex(t *testing.T) {
+func TestProofIsValidOnlyOnceItsIndexIsApplied(t *testing.T) {
 	f := newFollower(t)
 	sent := time.Minute
-	number := f.receive(sent+testLatency, Heartbeat{SentAt: sent}).ReceiptGeneration
+	generation := f.receive(sent+testLatency, Heartbeat{SentAt: sent}).ReceiptGeneration
 	f.receive(sent+time.Second, Heartbeat{
-		SentAt: sent + time.Second, Echo: sent, EchoReceivedAt: sent + 2*testLatency, EchoGeneration: number,
+		SentAt: sent + time.Second, Echo: sent, EchoReceivedAt: sent + 2*testLatency, EchoGeneration: generation,
 		ProofAt: sent, ProofIndex: 1,
 	})
 	if got := f.confirmedAt(sent + time.Second); got != 0 {
@@ -196,7 +197,7 @@
 	}
 }
 
-// headNode is a founder at the head; the test sends it the replies of its successor.
+// headNode is the founder at the head of the chain. The test sends it the replies of its successor.
 type headNode struct{ *Node }
 
 func newHeadNode(t *testing.T) headNode {
@@ -219,8 +220,8 @@
 	h.TakeCommitted()
 }
 
-// The head proves the moment of the heartbeat that a majority has answered, not that of the replies.
-func TestTheHeadProvesTheMomentOfAnAnsweredHeartbeat(t *testing.T) {
+// The head's proof is dated by the heartbeat that a majority has answered, not by the replies.
+func TestHeadProofHasSendingTimeOfAnsweredHeartbeat(t *testing.T) {
 	h := newHeadNode(t)
 	if got := h.Status(2 * time.Second).ConfirmedAt; got != 0 {
 		t.Errorf("got proof of %v without a reply, want none", got)
@@ -231,8 +232,8 @@
 	}
 }
 
-// A reply of a voter that has promised a proposal for the next epoch proves nothing.
-func TestAVoterThatHasPromisedProvesNothing(t *testing.T) {
+// A reply of a voter that has promised a proposal for the next epoch confirms no proof.
+func TestReplyOfVoterThatHasPromisedConfirmsNoProof(t *testing.T) {
 	h := newHeadNode(t)
 	h.reply(1500*time.Millisecond, time.Second, 2)
 	if got := h.Status(2 * time.Second).ConfirmedAt; got != 0 {
@@ -241,7 +242,7 @@
 }
 
 // The head's own proof waits until the entries that it had appended by then are applied.
-func TestTheHeadProvesOnlyWhatItHasApplied(t *testing.T) {
+func TestHeadProofWaitsUntilEntriesAreApplied(t *testing.T) {
 	h := newHeadNode(t)
 	h.reply(1100*time.Millisecond, time.Second, 0)
 	h.Propose(1200*time.Millisecond, []byte("x"))
--- a/coordination/chain/golden_test.go
+++ b/coordination/chain/golden_test.go
@@ -15,9 +15,9 @@
 	"raventrestle/coordination/view"
 )
 
-// The files in testdata/golden hold bytes written by build 73ca247, which is in use: messages between processes of
-// different builds, and logs and snapshots on disks. Each line is a name and the bytes in hex. A name is the number of
-// a cbor key, or the place in a sequence. The files never change; a field that is added gets files of its own.
+// The files in testdata/golden contain bytes written by build 73ca247, which is in use: messages between processes of
+// different builds, and logs and snapshots on disk. Each line consists of a name and the bytes in hex. The name is the
+// number of a cbor key or the position in a sequence. The files never change; a new field gets files of its own.
 
 // goldenLine is one named value of a golden file.
 type goldenLine struct {
@@ -54,13 +54,13 @@
 	return bodies
 }
 
-// goldenValue is content that must be read from the golden bytes of its name and written as the same bytes.
+// goldenValue is a value that must decode from the golden bytes of its name and encode to the same bytes.
 type goldenValue struct {
 	name    string
 	content any // a pointer to the value
 }
 
-// checkGolden compares a golden file with the content it must hold, reading and writing.
+// checkGolden checks that the lines of a golden file decode to the values, and that the values encode to the lines.
 func checkGolden(t *testing.T, file string, values []goldenValue) {
 	t.Helper()
 	lines := readGolden(t, file)
@@ -89,7 +89,8 @@
 	}
 }
 
-// checkAllSet reports the fields of a struct that are not set, at any depth: golden data must show each of them.
+// checkAllSet reports the fields of a struct that are not set, at any depth, because golden data must cover each of
+// them.
 func checkAllSet(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
 	switch v.Kind() {
@@ -120,7 +121,7 @@
 	}
 }
 
-// cborKey returns the number by which a field stands in the encoding.
+// cborKey returns the number that identifies a field in the encoding.
 func cborKey(field reflect.StructField) string {
 	key, _, _ := strings.Cut(field.Tag.Get("cbor"), ",")
 	return key
@@ -196,7 +197,7 @@
 	}
 }
 
-// goldenEmptyMessages holds one message of each kind with no field set: it shows which fields are left out then.
+// goldenEmptyMessages holds one message of each kind with no field set: it shows which fields are then omitted.
 func goldenEmptyMessages() []goldenValue {
 	return []goldenValue{
 		{"0", &Message{}},
@@ -221,13 +222,13 @@
 	}
 }
 
-// Members of build 73ca247 and of this one understand each other: messages are read and written as they were.
+// Members of build 73ca247 and of this build are compatible: messages are decoded and encoded as before.
 func TestGoldenMessages(t *testing.T) {
 	checkGolden(t, "messages.hex", goldenMessages())
 	checkGolden(t, "messages_empty.hex", goldenEmptyMessages())
 }
 
-// Each kind of message is among the golden data, once, with all its fields.
+// The golden data contains each kind of message once, with all its fields set.
 func TestGoldenMessagesAreComplete(t *testing.T) {
 	var keys []string
 	for i := range reflect.TypeFor[Message]().NumField() {
@@ -294,7 +295,7 @@
 	}
 }
 
-// A disk of build 73ca247 is read, and a disk of this build is read by that one.
+// This build reads a disk of build 73ca247 and the reverse: records are decoded and encoded as before.
 func TestGoldenRecords(t *testing.T) {
 	checkGolden(t, "records.hex", goldenRecords())
 	checkGolden(t, "records_empty.hex", goldenEmptyRecords())
@@ -314,7 +315,7 @@
 	}
 }
 
-// Snapshots are read and written as build 73ca247 did, on disk and on their way to other members.
+// Snapshots are decoded and encoded as in build 73ca247, on disk and in messages.
 func TestGoldenSnapshot(t *testing.T) {
 	full, empty := goldenSnapshot(), Snapshot{}
 	checkAllSet(t, "snapshot", reflect.ValueOf(full))
@@ -368,7 +369,7 @@
 	}
 }
 
-// goldenState is the state that the golden log leaves.
+// goldenState is the state after replaying the golden log.
 func goldenState() State {
 	return State{
 		Self: goldenMember("a"), View: goldenView(6),
@@ -386,7 +387,7 @@
 	}
 }
 
-// A member starts from the log of build 73ca247 with the same state, and its checkpoint is the same.
+// Restoring the log of build 73ca247 gives the same state and the same checkpoint as in that build.
 func TestGoldenState(t *testing.T) {
 	checkGolden(t, "log.hex", goldenLog())
 	got, err := Restore(goldenBodies(t, "log.hex"))
@@ -406,7 +407,8 @@
 	}
 }
 
-// A member that goes on from the golden log writes what build 73ca247 would: a command as head, a promise as voter.
+// A member that continues from the golden log writes the same records as build 73ca247: a command as head, a promise
+// as voter.
 func TestGoldenLogIsContinued(t *testing.T) {
 	state, err := Restore(goldenBodies(t, "log.hex"))
 	if err != nil {
--- a/coordination/chain/heartbeat.go
+++ b/coordination/chain/heartbeat.go
@@ -7,11 +7,12 @@
 
 // Exchange of heartbeats between the head and the other members.
 //
-// Invariant: a reply counts only for the incarnation of the head that asked, and its time is the sending time of the
-// heartbeat on the head's own clock. What a reply confirms therefore held after that time, whatever the delays.
+// Invariant: a reply counts only for the incarnation of the head that sent the heartbeat, and it is dated by the
+// sending time of the heartbeat on the head's own clock. What a reply confirms was therefore true after that time,
+// whatever the delays.
 
-// runHeartbeats sends the heartbeats that are due, and with them those that are due soon: replies that come together
-// confirm a later moment, and the node wakes once.
+// runHeartbeats sends the heartbeats that are due, and together with them those that are due soon. Heartbeats that are
+// sent together let a majority confirm a later time, and the node wakes up only once.
 func (n *Node) runHeartbeats(now time.Duration) {
 	until := now
 	if slices.ContainsFunc(n.peers, func(p *peer) bool { return n.heartbeatDueAt(now, p) <= now }) {
@@ -26,8 +27,8 @@
 	}
 }
 
-// heartbeatDueAt returns when the peer is to be sent the next heartbeat. Members outside the view get them as often
-// as the others while they answer, so that their proofs are as recent.
+// heartbeatDueAt returns when the next heartbeat to the peer is due. A member outside the view that answers gets
+// heartbeats as often as the members of the view, so that its proofs of freshness are as recent.
 func (n *Node) heartbeatDueAt(now time.Duration, p *peer) time.Duration {
 	switch {
 	case p.heartbeatSentAt == 0:
@@ -51,7 +52,7 @@
 		LastIndex:         n.log.lastIndex(),
 		StepDown:          n.diskFailing,
 		MembershipVersion: n.membershipVersion,
-		DurableReplicas:   n.durableReplicasBeside(now, p),
+		DurableReplicas:   n.durableReplicasExcluding(now, p),
 		EchoReceivedAt:    p.echoReceivedAt,
 		EchoGeneration:    p.echoGeneration,
 		ProofAt:           proof.at,
@@ -67,13 +68,13 @@
 	n.send(p.member, Message{Heartbeat: &heartbeat})
 }
 
-// handleHeartbeat takes in what the head reports, and replies.
+// handleHeartbeat processes what the head reports, and replies.
 func (n *Node) handleHeartbeat(now time.Duration, address string, m Message) {
 	heartbeat := *m.Heartbeat
 	if m.From != n.view.Head().Identity && !n.config.Mutation.NoEpochCheck {
 		return
 	}
-	n.noteHeadHeard(now, heartbeat.Echo)
+	n.recordHeadHeard(now, heartbeat.Echo)
 	n.detector.headStepsDown = heartbeat.StepDown
 	n.detector.headCommitIndex, n.detector.headLastIndex = heartbeat.CommitIndex, heartbeat.LastIndex
 	n.detector.durableReplicas = heartbeat.DurableReplicas
@@ -104,7 +105,7 @@
 	}
 }
 
-// handleHeartbeatReply takes in what a member reports. It extends the lease unless the member has promised a proposal
+// handleHeartbeatReply processes what a member reports. It extends the lease unless the member has promised a proposal
 // for a later epoch.
 func (n *Node) handleHeartbeatReply(now time.Duration, from string, reply HeartbeatReply) {
 	p := n.findPeer(from)
@@ -128,7 +129,8 @@
 	}
 }
 
-// recordEcho notes the newest reply for the echo. The first one of a receipt generation is echoed at once.
+// recordEcho records the newest reply, which later heartbeats echo. The first reply of a receipt generation is echoed
+// at once.
 func (n *Node) recordEcho(now time.Duration, p *peer, reply HeartbeatReply) {
 	if reply.HeartbeatSentAt <= p.echoedSentAt {
 		return
--- a/coordination/chain/lease.go
+++ b/coordination/chain/lease.go
@@ -7,28 +7,28 @@
 
 // The leader's lease.
 //
-// Invariant: at no time do two members regard a lease of their own as valid. A head's lease ends LeaseTTL after the
-// sending of heartbeats that a majority of the voters has answered without a promise for a later epoch. Whoever
-// becomes head of a later epoch needs promises of a majority, so at least one voter promised after its answer, and
-// waits for LeaseTTL and leaseMargin after it entered the epoch, unless the former head itself has promised and so
-// given its lease up.
+// Invariant: at any time at most one member regards its own lease as valid. A head's lease ends LeaseTTL after it sent
+// the heartbeats that a majority of the voters has answered without a promise for a later epoch. A later epoch needs
+// promises from a majority, so at least one voter has promised after it answered such a heartbeat. The head of the
+// later epoch does not act as leader until LeaseTTL and leaseMargin have passed since it entered the epoch, unless the
+// former head itself has promised and thereby given up its lease.
 
-// leaseMargin covers the difference in speed of two steady clocks over a lease.
+// leaseMargin covers the drift between two steady clocks over the duration of a lease.
 const leaseMargin = 50 * time.Millisecond
 
 // leaseExpiry returns the end of the lease that a majority of the voters has confirmed, or 0.
 func (n *Node) leaseExpiry(now time.Duration) time.Duration {
-	since := n.majorityConfirmedAt(now)
-	if since == 0 {
+	confirmedAt := n.majorityConfirmedAt(now)
+	if confirmedAt == 0 {
 		return 0
 	}
-	return since + n.timing.LeaseTTL
+	return confirmedAt + n.timing.LeaseTTL
 }
 
-// majorityConfirmedAt returns the newest time so that a majority of the voters has replied in this epoch to
-// heartbeats sent at or after it, or 0 when there is none.
+// majorityConfirmedAt returns the latest time such that a majority of the voters has answered, in this epoch,
+// heartbeats that were sent at that time or later. It returns 0 if there is none.
 func (n *Node) majorityConfirmedAt(now time.Duration) time.Duration {
-	if !n.mayProve() {
+	if !n.canIssueProof() {
 		return 0
 	}
 	var confirmed []time.Duration
@@ -48,17 +48,17 @@
 	return confirmed[len(confirmed)-n.view.Majority()]
 }
 
-// updateLease notes the beginning and the end of the node's own leadership.
+// updateLease records the beginning and the end of the node's own leadership.
 func (n *Node) updateLease(now time.Duration) {
-	until := n.leaseExpiry(now)
-	if until <= now || now < n.detector.previousLeaseExpiry {
+	expiry := n.leaseExpiry(now)
+	if expiry <= now || now < n.detector.previousLeaseExpiry {
 		n.detector.leaderSince = 0
 		if n.detector.previousLeaseExpiry > now {
 			n.wakeBy(n.detector.previousLeaseExpiry)
 		}
 		return
 	}
-	n.wakeBy(until)
+	n.wakeBy(expiry)
 	if n.detector.leaderSince == 0 {
 		n.detector.leaderSince = now
 	}
--- a/coordination/chain/leave.go
+++ b/coordination/chain/leave.go
@@ -7,10 +7,10 @@
 
 // Graceful shutdown of a member whose disk may be lost afterwards.
 //
-// Invariant: a member is safe to leave only when nothing more is acknowledged with its help, and more other members
-// than may lose their disks have on disk everything that was acknowledged before.
+// Invariant: a member is safe to leave only when it no longer takes part in acknowledging entries, and more than
+// FaultTolerance other members have on disk everything that was acknowledged before.
 
-// Leave makes the node give up the head and leave the chain, as soon as others can take its place.
+// Leave makes the node hand over the role of the head and leave the chain, as soon as others can take its place.
 func (n *Node) Leave(now time.Duration) Output {
 	n.enterStep(now)
 	n.leaving = true
@@ -21,10 +21,10 @@
 // others.
 func (n *Node) SafeToLeave() bool { return n.LeaveBlocker() == "" }
 
-// LeaveBlocker returns why the member can't leave yet, or an empty string once it can. It can leave when it is
-// outside the chain, so that nothing more is acknowledged with its help, and the head of that view has reported that
-// more members than may lose their disks have everything that was acknowledged before. These members know the view
-// then, even if nothing more leaves this member.
+// LeaveBlocker returns why the member can't leave yet, or an empty string once it can. It can leave when it is outside
+// the chain, so that it no longer takes part in acknowledging entries, and the head of that view has reported that
+// more than FaultTolerance other members have everything that was acknowledged before. These members know the view by
+// then, even if this member sends no further message.
 func (n *Node) LeaveBlocker() string {
 	needed := n.config.FaultTolerance + 1
 	switch {
@@ -44,9 +44,10 @@
 	return ""
 }
 
-// durableReplicasBeside counts the members, without the one that leaves, that stay and have on disk everything that
-// was acknowledged before this epoch. What is acknowledged in this epoch is on the disks of all members of its chain.
-func (n *Node) durableReplicasBeside(now time.Duration, leaving *peer) int {
+// durableReplicasExcluding counts the members that stay and have on disk everything that was acknowledged before this
+// epoch, without the given leaving member. What is acknowledged in this epoch is on the disks of all members of its
+// chain.
+func (n *Node) durableReplicasExcluding(now time.Duration, leaving *peer) int {
 	if !n.complete() || n.diskFailing {
 		return 0
 	}
@@ -62,8 +63,8 @@
 	return replicas
 }
 
-// hasStateBeforeEpoch reports whether a member that stays has on disk everything that the head had when the epoch
-// began.
+// hasStateBeforeEpoch reports whether a member is not leaving and has on disk everything that the head had when the
+// epoch began.
 func (n *Node) hasStateBeforeEpoch(p *peer) bool {
 	if n.config.Mutation.CountLearners {
 		return true
--- a/coordination/chain/leave_test.go
+++ b/coordination/chain/leave_test.go
@@ -8,7 +8,8 @@
 	"raventrestle/coordination/view"
 )
 
-// headOfTwo returns the head of a chain of two, which a third voter has left, with three entries when the epoch began.
+// headOfTwo returns the head of a chain of two members. A third voter has left the chain, and the log had three
+// entries when the epoch began.
 func headOfTwo(mutants mutation.Set) *Node {
 	member := func(name string) view.Member { return view.Member{Identity: name, Address: name} }
 	state := State{Self: member("a"), CompleteEpoch: 2}
--- a/coordination/chain/log.go
+++ b/coordination/chain/log.go
@@ -2,12 +2,12 @@
 
 // Invariants of the log:
 //
-//   - Indexes are consecutive, and epochs never fall from one entry to the next.
-//   - An entry is determined by its index and epoch, and so is everything before it: in one epoch only that epoch's
-//     head assigns indexes, and it begins from one log.
-//   - Entries up to the commit index are never truncated; commonIndex never returns less than it.
+//   - Indexes are consecutive, and epochs never decrease from one entry to the next.
+//   - The index and epoch of an entry determine the entry and all entries before it: in each epoch only that epoch's
+//     head assigns indexes, and it continues a single log.
+//   - Entries up to the commit index are never truncated; commonIndex never returns a lower index.
 
-// CommandID identifies a command, so that one that is forwarded twice is applied once.
+// CommandID identifies a command, so that a command that is forwarded twice is applied once.
 type CommandID struct {
 	Proposer uint64 `cbor:"1,keyasint"` // incarnation of the proposing member, drawn at random at each start
 	Number   uint64 `cbor:"2,keyasint"` // unique within the incarnation
@@ -85,8 +85,8 @@
 	return ends
 }
 
-// commonIndex returns the newest index up to which this log is certain to equal the log of a member that has
-// committed up to the commit index and has the given epoch ends after it.
+// commonIndex returns the highest index up to which this log is known to equal the log of another member. That member
+// has committed its entries up to commitIndex; ends are the epoch ends of its later entries.
 func (l *memoryLog) commonIndex(commitIndex uint64, ends []EpochEnd) uint64 {
 	for i := len(ends) - 1; i >= 0; i-- {
 		first := commitIndex + 1
--- a/coordination/chain/log_test.go
+++ b/coordination/chain/log_test.go
@@ -10,7 +10,7 @@
 	"raventrestle/coordination/view"
 )
 
-// drawLog draws a log that begins with a given prefix and goes on with entries of rising epochs.
+// drawLog draws a log that begins with a given prefix and continues with entries whose epochs do not decrease.
 func drawLog(t *rapid.T, prefix []Entry, epochs *rapid.Generator[uint64]) memoryLog {
 	log := memoryLog{entries: slices.Clone(prefix)}
 	epoch := log.lastEpoch()
@@ -21,18 +21,18 @@
 	return log
 }
 
-// The newest common entry is found from the epoch ends alone, as far as the log still has it.
+// The newest common entry is found from the epoch ends alone, if the log has not been compacted past it.
 func TestCommonIndexIsFoundFromEpochEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shared := drawLog(t, nil, rapid.Uint64Range(1, 3))
-		// An entry of one index and epoch is the same everywhere, so the two go on with different epochs.
-		mine := drawLog(t, shared.entries, rapid.SampledFrom([]uint64{4, 6, 8}))
-		other := drawLog(t, shared.entries, rapid.SampledFrom([]uint64{5, 7, 9}))
+		// Index and epoch determine an entry, so the two logs continue with different epochs.
+		local := drawLog(t, shared.entries, rapid.SampledFrom([]uint64{4, 6, 8}))
+		remote := drawLog(t, shared.entries, rapid.SampledFrom([]uint64{5, 7, 9}))
 		committed := rapid.Uint64Range(0, shared.lastIndex()).Draw(t, "committed")
-		mine.compact(rapid.Uint64Range(0, shared.lastIndex()).Draw(t, "base"))
-		got := mine.commonIndex(committed, other.epochEnds(committed))
+		local.compact(rapid.Uint64Range(0, shared.lastIndex()).Draw(t, "base"))
+		got := local.commonIndex(committed, remote.epochEnds(committed))
 		want := shared.lastIndex()
-		if want < mine.baseIndex {
+		if want < local.baseIndex {
 			want = committed
 		}
 		if got != want {
@@ -77,7 +77,7 @@
 	})
 }
 
-// Later entries replace earlier ones from their index on. A gap, or bytes that are no record, are an error.
+// A later entry replaces all earlier ones from its index on. A gap, or bytes that can't be decoded, are an error.
 func TestLaterRecordsReplaceEarlierOnes(t *testing.T) {
 	entry := func(index, epoch uint64) []byte {
 		return encodeRecord(record{Entry: &Entry{Index: index, Epoch: epoch}})
@@ -91,9 +91,9 @@
 	if err != nil || len(state.Entries) != 1 {
 		t.Errorf("got entries %+v and error %v, want entry 1 alone", state.Entries, err)
 	}
-	for _, bad := range [][][]byte{{entry(2, 1)}, {{0xff}}} {
-		if _, err := Restore(bad); err == nil {
-			t.Errorf("records %x: got no error, want one", bad)
+	for _, invalid := range [][][]byte{{entry(2, 1)}, {{0xff}}} {
+		if _, err := Restore(invalid); err == nil {
+			t.Errorf("records %x: got no error, want one", invalid)
 		}
 	}
 }
--- a/coordination/chain/members.go
+++ b/coordination/chain/members.go
@@ -15,20 +15,20 @@
 	heartbeatSentAt   time.Duration
 	heardAt           time.Duration // newest reply, or the start of a grace window
 	replied           bool          // in this epoch, and since it was last suspected
-	steadySince       time.Duration // start of its unbroken replies
+	steadySince       time.Duration // start of its uninterrupted replies
 	confirmedSentAt   time.Duration // sending time of the newest heartbeat that it has confirmed in this epoch
 	echoedSentAt      time.Duration // sending time of the newest heartbeat of this incarnation that it has answered
-	echoReceivedAt    time.Duration // when that reply came
+	echoReceivedAt    time.Duration // when that reply arrived
 	echoGeneration    uint64        // ReceiptGeneration of that reply
 	lastReply         HeartbeatReply
 	membershipVersion uint64        // of the list of members that it has
-	progressAt        time.Duration // when its log last grew or had nothing to wait for
-	flaps             int           // how often it failed while in the chain
-	flappedAt         time.Duration // the last time
+	progressAt        time.Duration // when its log last grew or was up to date
+	flaps             int           // number of its failures while in the chain
+	flappedAt         time.Duration // when it last failed
 	helloReceivedAt   time.Duration
 
 	// As its upstream member sees it.
-	nextIndex            uint64 // of the entry that it is sent next; 0 until it has fetched
+	nextIndex            uint64 // index of the next entry to send; 0: not known yet
 	fetchesMore          bool   // it will fetch the rest
 	deferredFetch        *Fetch // not yet answered, because this node's own log is not complete
 	deferredFetchAddress string
@@ -54,7 +54,8 @@
 	return nil
 }
 
-// learnMember takes in a member. A description with zone or tag replaces the one known before.
+// learnMember adds a member to the peers. If the member is known, a description with a zone or tag replaces the former
+// one.
 func (n *Node) learnMember(now time.Duration, member view.Member) *peer {
 	if member.Identity == n.self.Identity || member.Identity == "" {
 		return nil
@@ -73,7 +74,7 @@
 	return p
 }
 
-// learnViewMembers takes in the members of a view.
+// learnViewMembers adds the members of a view to the peers.
 func (n *Node) learnViewMembers(now time.Duration, v view.View) {
 	for _, member := range v.Chain {
 		n.learnMember(now, member)
@@ -111,7 +112,7 @@
 	return v.ChainIndex(identity) >= 0 || v.IsVoter(identity)
 }
 
-// expirePeers drops members outside the view that were not heard for long.
+// expirePeers removes members outside the view that were not heard for peerTTL.
 func (n *Node) expirePeers(now time.Duration) {
 	const peerTTL = 10 * time.Second
 	before := len(n.peers)
@@ -132,7 +133,7 @@
 	return members
 }
 
-// adoptMembership takes in the head's list of members.
+// adoptMembership stores the head's list of members and adds them to the peers.
 func (n *Node) adoptMembership(now time.Duration, heartbeat Heartbeat) {
 	n.membership = membershipTable{version: heartbeat.MembershipVersion, members: heartbeat.Members, live: heartbeat.Live}
 	before := len(n.peers)
--- a/coordination/chain/message.go
+++ b/coordination/chain/message.go
@@ -8,8 +8,8 @@
 
 // The cbor numbers below are the protocol between processes of different builds. A number never changes its meaning.
 
-// Message is one message between members. Exactly one of the bodies is set. A node handles the bodies that belong to
-// an epoch only if Epoch is its own: see checkEpoch.
+// Message is one message between members. Exactly one of the bodies is set. A body that belongs to an epoch is handled
+// only if Epoch is the receiver's own epoch: see checkEpoch.
 type Message struct {
 	From  string `cbor:"1,keyasint"`           // identity of the sender
 	To    string `cbor:"2,keyasint,omitempty"` // identity of the receiver, where it is known
@@ -39,7 +39,7 @@
 	Member view.Member `cbor:"1,keyasint"`
 }
 
-// ViewRequest asks for the receiver's view, after a message of the receiver has shown a later epoch.
+// ViewRequest asks for the receiver's view, after a message from the receiver carried a later epoch.
 type ViewRequest struct{}
 
 // ViewDecision announces a view that was decided.
@@ -53,22 +53,22 @@
 type Heartbeat struct {
 	Incarnation       uint64        `cbor:"1,keyasint"` // of the head's process
 	SentAt            time.Duration `cbor:"2,keyasint"` // on the head's clock
-	Echo              time.Duration `cbor:"3,keyasint"` // newest SentAt to which the head has the receiver's reply
+	Echo              time.Duration `cbor:"3,keyasint"` // newest SentAt to which the receiver's reply has arrived
 	CommitIndex       uint64        `cbor:"4,keyasint"`
 	LastIndex         uint64        `cbor:"5,keyasint"`
 	StepDown          bool          `cbor:"6,keyasint,omitempty"` // the head can't write: another should take over
 	MembershipVersion uint64        `cbor:"7,keyasint"`           // of the head's list of members
-	Members           []view.Member `cbor:"8,keyasint,omitempty"` // that list, when the receiver lacks the version
-	Live              []bool        `cbor:"9,keyasint,omitempty"` // for each of Members: it answers the head
-	// DurableReplicas is how many members other than the receiver have on disk everything that was acknowledged before
-	// this epoch, and stay.
+	Members           []view.Member `cbor:"8,keyasint,omitempty"` // the list, set if the receiver has another version
+	Live              []bool        `cbor:"9,keyasint,omitempty"` // for each of Members: whether it answers the head
+	// DurableReplicas is the number of members that have on disk everything that was acknowledged before this epoch.
+	// The receiver and members that are leaving are not counted.
 	DurableReplicas int `cbor:"20,keyasint,omitempty"`
 
 	// For the receiver's proof of freshness. All times are on the head's clock.
-	EchoReceivedAt time.Duration `cbor:"10,keyasint,omitempty"` // when the reply to Echo came
+	EchoReceivedAt time.Duration `cbor:"10,keyasint,omitempty"` // when the reply to Echo arrived
 	EchoGeneration uint64        `cbor:"11,keyasint,omitempty"` // ReceiptGeneration of that reply
-	ProofAt        time.Duration `cbor:"12,keyasint,omitempty"` // moment of the head's newest proof; 0: it has none
-	ProofIndex     uint64        `cbor:"13,keyasint,omitempty"` // all acknowledged before ProofAt is at or below it
+	ProofAt        time.Duration `cbor:"12,keyasint,omitempty"` // time of the head's newest proof; 0: it has none
+	ProofIndex     uint64        `cbor:"13,keyasint,omitempty"` // index that covers everything acknowledged before ProofAt
 }
 
 // HeartbeatReply answers a Heartbeat.
@@ -83,7 +83,7 @@
 	DiskFailing       bool          `cbor:"8,keyasint,omitempty"` // its disk rejects writes
 	Leaving           bool          `cbor:"9,keyasint,omitempty"`
 	MembershipVersion uint64        `cbor:"10,keyasint"`           // of the list of members that it has
-	ReceiptGeneration uint64        `cbor:"11,keyasint,omitempty"` // of the receipts that the heartbeat is noted among
+	ReceiptGeneration uint64        `cbor:"11,keyasint,omitempty"` // of the receipts that include the heartbeat
 }
 
 // EpochEnd is the last index of an epoch in a log.
@@ -107,7 +107,7 @@
 	CommitIndex     uint64  `cbor:"4,keyasint"`
 	EpochStartIndex uint64  `cbor:"5,keyasint"`           // a log that matches up to it is complete in this epoch
 	More            bool    `cbor:"6,keyasint,omitempty"` // fetch again for the rest
-	Snapshot        []byte  `cbor:"7,keyasint,omitempty"` // stands for everything up to PreviousIndex
+	Snapshot        []byte  `cbor:"7,keyasint,omitempty"` // replaces all entries up to PreviousIndex
 }
 
 // Commit announces how far the tail has committed.
--- a/coordination/chain/node.go
+++ b/coordination/chain/node.go
@@ -12,10 +12,10 @@
 //
 // Invariants:
 //
-//   - Nothing leaves the member before what it rests on is on disk: messages of an Output are sent only after its
-//     records are synced.
-//   - A member answers and accepts the messages of its own epoch only (checkEpoch), and none that could commit, once
-//     it has promised a proposal for a later one (sealed).
+//   - No message leaves the member before the state that it depends on is on disk: the messages of an Output are sent
+//     only after its records are synced.
+//   - A member answers and accepts only messages of its own epoch (checkEpoch). Once it has promised a proposal for a
+//     later epoch, it accepts none that could lead to a commit (sealed).
 
 // Node is the state machine of one member: its part in the chain, in the decisions on views, and in failure
 // detection.
@@ -29,22 +29,23 @@
 	random      *rand.Rand
 	incarnation uint64 // drawn at each start; also CommandID.Proposer of its own commands
 
-	durableState    // as the steps so far have made it
+	durableState    // after the steps so far
 	persisted       durableState
 	diskFailing     bool // the disk rejects writes: accept nothing that must be synced
 	unsavedProgress bool // commitIndex or knownMembers differ from the disk's; saved with the next record
 	appliedIndex    uint64
 	recent          recentCommands
 	snapshotBytes   int           // size of the newest snapshot on disk
-	beforeInstall   *appliedState // while a snapshot from another member is not on disk yet
+	beforeInstall   *appliedState // set while a snapshot from another member is not on disk yet
 	leaving         bool
-	// priorLeasesExpired: no leader of an epoch before the view's can still regard its lease as valid.
+	// priorLeasesExpired is set when no leader of an earlier epoch than the view's can still regard its lease as
+	// valid.
 	priorLeasesExpired bool
 	lastStep           time.Duration
 	nextTick           time.Duration
 	startedAt          time.Duration
 
-	logMatched      bool   // the log is a prefix of the upstream member's, as compared in this epoch
+	logMatched      bool   // the log was compared in this epoch and is a prefix of the upstream member's
 	epochStartIndex uint64 // a log that matches up to it is complete in this epoch
 
 	peers              []*peer // in the order in which they became known
@@ -52,7 +53,7 @@
 	membership         membershipTable
 	detector           failureDetector
 	freshness          freshness
-	receiptGenerations uint64 // started in this incarnation
+	receiptGenerations uint64 // number of receipt generations started in this incarnation
 	viewChange         viewChange
 	catchUp            catchUp
 	pending            pendingRequests
@@ -61,8 +62,8 @@
 }
 
 const (
-	idleTickInterval = time.Second          // longest time between two steps
-	minTickInterval  = 2 * time.Millisecond // shortest time that a timer asks for
+	idleTickInterval = time.Second          // maximum time between two steps
+	minTickInterval  = 2 * time.Millisecond // minimum time until the next step
 )
 
 // New returns a node that continues from the state on disk. A zero Config.Timing is replaced by DefaultTiming.
@@ -84,7 +85,7 @@
 	}
 	n.persisted = n.durableState
 	n.appliedIndex = state.Snapshot.Index
-	n.recent = newRecent(state.RecentCommands)
+	n.recent = newRecentCommands(state.RecentCommands)
 	n.startedAt, n.lastStep = now, now
 	n.membershipVersion = random.Uint64() >> 1
 	if state.View.Epoch > 1 {
@@ -113,8 +114,8 @@
 // NextTick returns when Tick is due, on the owner's clock.
 func (n *Node) NextTick() time.Duration { return n.nextTick }
 
-// enterStep detects that the process was stopped for a time. Nothing that it knows of the others is up to date then,
-// and it must not act on a lease.
+// enterStep begins a step. If the process was stopped for a while, what it knows about the other members is out of
+// date, and it must not act on a lease that has expired meanwhile.
 func (n *Node) enterStep(now time.Duration) {
 	late := now - max(n.lastStep, n.nextTick)
 	if n.lastStep > 0 && late > n.timing.StallTimeout {
@@ -123,7 +124,7 @@
 	n.lastStep = now
 }
 
-// finish runs what follows from any change and returns the output of the step.
+// finish runs everything that may be due after a change or by time, and returns the output of the step.
 func (n *Node) finish(now time.Duration) Output {
 	n.nextTick = now + idleTickInterval
 	n.updateFreshness(now)
--- a/coordination/chain/node_test.go
+++ b/coordination/chain/node_test.go
@@ -73,7 +73,7 @@
 }
 
 // A voter that has promised a proposal for the next epoch takes no further part in its own.
-func TestAPromiseSealsTheEpoch(t *testing.T) {
+func TestPromiseSealsTheEpoch(t *testing.T) {
 	n := newFounder(t, 1)
 	head, proposer := n.View().Chain[0], n.View().Chain[2]
 	number := view.ProposalNumber{Round: 1, Proposer: proposer.Identity}
@@ -103,7 +103,7 @@
 }
 
 // A failed write returns the node to the state on disk, and no command is accepted while the disk rejects writes.
-func TestAFailedWriteIsRolledBack(t *testing.T) {
+func TestFailedWriteIsRolledBack(t *testing.T) {
 	n := newFounder(t, 0)
 	n.Persisted()
 	before := n.durableState
@@ -122,7 +122,7 @@
 }
 
 // A command that is forwarded several times is in the log once.
-func TestARepeatedForwardIsAppendedOnce(t *testing.T) {
+func TestRepeatedForwardIsAppendedOnce(t *testing.T) {
 	n := newFounder(t, 0)
 	from := n.View().Chain[1]
 	for range 3 {
@@ -137,9 +137,10 @@
 	}
 }
 
-// A founder that its head lists by the address alone describes itself until the head knows zone and tag: the head may have
-// started after the founder's Hello, and who hears a head sends none any more.
-func TestMemberDescribesItselfToAHeadThatDoesNotKnowIt(t *testing.T) {
+// A founder that the head lists by its address alone sends its description until the head knows its zone and tag. The
+// head may have started after the founder's first Hello, and a founder that hears the head does not search for it
+// again.
+func TestMemberSendsDescriptionToHeadThatLacksIt(t *testing.T) {
 	n := newFounder(t, 1)
 	head, self := n.View().Chain[0], n.self
 	addressOnly := view.Member{Identity: self.Identity, Address: self.Address}
@@ -171,8 +172,8 @@
 	}
 }
 
-// A member without zone and tag has nothing to tell: the head would go on listing it as before.
-func TestMemberWithoutDescriptionStaysSilent(t *testing.T) {
+// A member without zone and tag sends no description, because the head would not replace the listed one by it.
+func TestMemberWithoutZoneAndTagSendsNoDescription(t *testing.T) {
 	state, founds := Bootstrap(view.Member{Address: testSeeds[1]}, testSeeds)
 	if !founds {
 		t.Fatal("got no founder for the second seed, want one")
--- a/coordination/chain/output.go
+++ b/coordination/chain/output.go
@@ -8,7 +8,7 @@
 	Messages        []Envelope
 }
 
-// SnapshotInstall is a snapshot that came from another member.
+// SnapshotInstall is a snapshot received from another member.
 type SnapshotInstall struct {
 	Snapshot []byte   // to write to disk unchanged
 	Records  [][]byte // the complete state to store beside it
--- a/coordination/chain/persistence.go
+++ b/coordination/chain/persistence.go
@@ -9,7 +9,7 @@
 // Invariants between node and disk:
 //
 //   - persisted is the state on disk. It follows durableState only when the owner confirms the sync (Persisted).
-//   - After a failed write the node returns to persisted, drops what was to follow, and accepts nothing that must be
+//   - After a failed write the node returns to persisted, discards all later changes, and accepts nothing that must be
 //     synced until the owner has written the complete state again (DiskRecovered).
 //   - A checkpoint keeps every entry after the applied index.
 
@@ -25,7 +25,7 @@
 	knownMembers  []view.Member
 }
 
-// appliedState is the applied state that a snapshot from another member replaces, kept until that is on disk.
+// appliedState is the applied state that a snapshot from another member replaces, kept until the snapshot is on disk.
 type appliedState struct {
 	appliedIndex uint64
 	recent       recentCommands
@@ -44,8 +44,8 @@
 // Persisted confirms that everything that the outputs so far asked for is on disk.
 func (n *Node) Persisted() { n.persisted, n.beforeInstall = n.durableState, nil }
 
-// PersistFailed says that the disk did not take the records of the last outputs. The node returns to the state on
-// disk and accepts nothing that must be synced until DiskRecovered is called.
+// PersistFailed reports that the records of the outputs since the last Persisted could not be written. The node
+// returns to the state on disk and accepts nothing that must be synced until DiskRecovered is called.
 func (n *Node) PersistFailed(now time.Duration) {
 	n.durableState = n.persisted
 	if n.beforeInstall != nil {
@@ -58,7 +58,7 @@
 // DiskFailing reports whether the disk rejects writes.
 func (n *Node) DiskFailing() bool { return n.diskFailing }
 
-// DiskRecovered says that the disk takes writes again and that Checkpointed was called for the complete state.
+// DiskRecovered reports that the disk accepts writes again and that Checkpointed was called for the complete state.
 func (n *Node) DiskRecovered(now time.Duration) {
 	n.diskFailing = false
 	n.resetLastHeard(now)
@@ -66,7 +66,7 @@
 }
 
 // Checkpoint returns the state to write beside a snapshot of the applied state. It keeps the newest entries, up to
-// keepBytes bytes of commands, for members that lack little.
+// keepBytes bytes of commands, for members that lack only a few.
 func (n *Node) Checkpoint(keepBytes int) State {
 	base, bytes := n.appliedIndex, 0
 	for base > n.log.baseIndex {
--- a/coordination/chain/read.go
+++ b/coordination/chain/read.go
@@ -7,10 +7,10 @@
 
 // Linearizable reads by barriers.
 //
-// Invariant: the index of a barrier covers everything that was acknowledged anywhere before the barrier was
-// requested. The barrier passes every member of the chain, each of which answers only in its own epoch, complete and
-// not sealed. So no later view had been decided when it was requested, and what was acknowledged by then is in the
-// tail's log. A barrier needs no disk and no clock.
+// Invariant: the index of a barrier covers everything that was acknowledged anywhere before the barrier was requested.
+// The barrier passes through every member of the chain. Each of them handles it only in its own epoch, and only if its
+// log is complete and it is not sealed. So no later view had been decided when it was requested, and what was
+// acknowledged by then is in the tail's log. A barrier needs no disk and no clock.
 
 // barrier is a requested barrier without a result.
 type barrier struct {
@@ -34,7 +34,7 @@
 	return n.pending.lastID, n.finish(now)
 }
 
-// CancelBarrier gives up a barrier.
+// CancelBarrier removes a barrier from the pending requests.
 func (n *Node) CancelBarrier(requestID uint64) {
 	n.pending.barriers = slices.DeleteFunc(n.pending.barriers, func(b *barrier) bool { return b.id == requestID })
 }
@@ -61,7 +61,7 @@
 	}
 }
 
-// sendBarrier brings a barrier to the head, which may be this node.
+// sendBarrier sends a barrier to the head, which may be this node.
 func (n *Node) sendBarrier(now time.Duration, b *barrier) {
 	if n.view.Epoch == 0 {
 		return
@@ -75,8 +75,8 @@
 	n.send(n.resolve(n.view.Head()), Message{Barrier: &message})
 }
 
-// handleBarrier passes a barrier on, and answers it at the tail. The answer is the tail's last index: how far the log
-// is committed a tail that has just restarted need not know yet.
+// handleBarrier forwards a barrier down the chain, and answers it at the tail. The answer is the tail's last index,
+// because a tail that has just restarted may not know yet how far its log is committed.
 func (n *Node) handleBarrier(b Barrier) {
 	if !n.complete() || n.sealed() || !n.chainMayCommit() {
 		return
--- a/coordination/chain/reconfiguration.go
+++ b/coordination/chain/reconfiguration.go
@@ -7,26 +7,26 @@
 	"raventrestle/coordination/view"
 )
 
-// Which membership the head asks for next. These rules decide when a view change is worth its interruption; that the
-// resulting view is safe is ensured by view.Plan alone, from what the voters report.
+// Choice of the membership that the head requests next. These rules decide when a view change is worth the
+// interruption. Safety does not depend on them: view.Plan ensures it from the reports of the voters alone.
 //
 // Invariants:
 //
-//   - The head asks for a view without a member only while the chain can be filled up to the length at which it may
-//     commit.
-//   - A learner is admitted only when it answers steadily and has nearly everything that is committed; each recent
-//     failure doubles the time for which it must do so.
-//   - Votes change only while enough members have everything that was committed.
+//   - The head starts a view change to remove a member only if the remaining chain, filled up with voters that can be
+//     admitted, is long enough to commit.
+//   - A learner is admitted only after it has answered without interruption for some time and has nearly all committed
+//     entries. Each recent failure after the first doubles that time.
+//   - The voters change only while enough members have everything that was committed.
 
 // maxAdmissionLag is how many committed entries a member may lack when it is admitted.
 const maxAdmissionLag = 16
 
 const (
-	flapWindow = 30 * time.Second // for which a member's failures count against its admission
-	maxFlaps   = 5                // failures that count at most
+	flapWindow = 30 * time.Second // how long a member's failures delay its admission
+	maxFlaps   = 5                // maximum number of failures that are counted
 )
 
-// reconfigurationNeeded reports whether the head needs another view than its own.
+// reconfigurationNeeded reports whether the head should start a view change.
 func (n *Node) reconfigurationNeeded(now time.Duration) bool {
 	remaining := 0
 	removing := false
@@ -67,7 +67,7 @@
 	return true
 }
 
-// recordFlap counts a failure to answer once, until the member answers again.
+// recordFlap counts a failure to answer. Until the member answers again, it is counted only once.
 func (n *Node) recordFlap(now time.Duration, p *peer) {
 	if p.flappedAt >= p.heardAt && p.flappedAt > 0 {
 		return
@@ -79,7 +79,7 @@
 	p.flaps = min(p.flaps+1, maxFlaps)
 }
 
-// recordProgressFlap counts a failure to make progress. The first one in the window counts as two, so that already
+// recordProgressFlap counts a failure to make progress. The first failure in the window counts as two, so that even
 // the member's next admission takes longer.
 func (n *Node) recordProgressFlap(now time.Duration, p *peer) {
 	if now-p.flappedAt > flapWindow {
@@ -90,22 +90,22 @@
 }
 
 // makesNoProgress reports whether a member of the chain has made no progress for too long although its predecessor is
-// ahead. Entries on their way over a slow link extend the time.
+// ahead. Entries in transit over a slow link extend the timeout.
 func (n *Node) makesNoProgress(now time.Duration, p *peer) bool {
 	position := n.view.ChainIndex(p.member.Identity)
 	if position <= 0 {
 		return false
 	}
-	aheadIndex, aheadEpoch := n.log.lastIndex(), n.completeEpoch
+	predecessorIndex, predecessorEpoch := n.log.lastIndex(), n.completeEpoch
 	if position > 1 {
 		predecessor := n.findPeer(n.view.Chain[position-1].Identity)
 		if predecessor == nil || !predecessor.replied {
 			return false
 		}
-		aheadIndex, aheadEpoch = predecessor.lastReply.LastIndex, predecessor.lastReply.CompleteEpoch
+		predecessorIndex, predecessorEpoch = predecessor.lastReply.LastIndex, predecessor.lastReply.CompleteEpoch
 	}
 	reply := p.lastReply
-	behind := reply.LastIndex < aheadIndex || (reply.CompleteEpoch < n.view.Epoch && aheadEpoch == n.view.Epoch)
+	behind := reply.LastIndex < predecessorIndex || (reply.CompleteEpoch < n.view.Epoch && predecessorEpoch == n.view.Epoch)
 	if !behind {
 		p.progressAt = now
 		return false
@@ -138,7 +138,8 @@
 	})
 }
 
-// admissible reports whether a member outside the chain has answered steadily and has nearly all that is committed.
+// admissible reports whether a member outside the chain has answered without interruption for long enough and has
+// nearly all committed entries.
 func (n *Node) admissible(now time.Duration, p *peer) bool {
 	if !p.replied || !n.isLive(now, p) || p.lastReply.DiskFailing || p.lastReply.Leaving || !p.lastReply.Matched {
 		return false
@@ -180,17 +181,18 @@
 	}
 	voters := len(n.view.Voters)
 	if voters < n.minChainLength() {
-		return true // so few voters have never committed anything
+		return true // too few voters to have ever committed anything
 	}
 	if len(n.votersToReplace(now)) > 0 && n.liveCompleteMembers(now) >= n.minChainLength() {
 		return true
 	}
-	grown := view.MinChainLength(voters+1, n.config.FaultTolerance)
-	return voters < n.targetVoterCount(now) && n.liveCompleteMembers(now) >= grown
+	minLengthWithNewVoter := view.MinChainLength(voters+1, n.config.FaultTolerance)
+	return voters < n.targetVoterCount(now) && n.liveCompleteMembers(now) >= minLengthWithNewVoter
 }
 
-// targetVoterCount returns how many voters the live members should have. While a voter does not answer there are no
-// more than now: a learner may have to take over its vote, and an unused vote would raise the majority for good.
+// targetVoterCount returns how many voters the next view should have. The number does not grow while a voter is not
+// answering: a learner may have to take over its vote, and a vote that nobody uses would raise the majority
+// permanently.
 func (n *Node) targetVoterCount(now time.Duration) int {
 	answering := n.countVoters(func(p *peer) bool { return p.replied && n.isLive(now, p) })
 	if answering < len(n.view.Voters) && len(n.view.Voters) >= n.minChainLength() {
@@ -217,7 +219,7 @@
 	return count
 }
 
-// admissibleLearners returns the admissible members without a vote, those of zones without a live voter first.
+// admissibleLearners returns the admissible members without a vote. Those in zones without a live voter come first.
 func (n *Node) admissibleLearners(now time.Duration) []view.Member {
 	var zones []string
 	for _, voter := range n.view.Voters {
@@ -239,10 +241,10 @@
 	return append(newZones, otherZones...)
 }
 
-// votersToReplace returns the voters that have not answered for long, or at whose address another identity answers
-// now.
+// votersToReplace returns the voters that have not answered for VoterReplaceTimeout, and those that do not answer
+// while another identity answers at their address.
 func (n *Node) votersToReplace(now time.Duration) []string {
-	var replace []string
+	var identities []string
 	for _, voter := range n.view.Voters {
 		p := n.findPeer(voter.Identity)
 		if p == nil || n.isLive(now, p) {
@@ -252,16 +254,16 @@
 			return other != p && other.member.Address == p.member.Address && other.replied && n.isLive(now, other)
 		})
 		if replaced || now-p.heardAt > n.timing.VoterReplaceTimeout {
-			replace = append(replace, voter.Identity)
+			identities = append(identities, voter.Identity)
 			continue
 		}
 		n.wakeBy(p.heardAt + n.timing.VoterReplaceTimeout + time.Millisecond)
 	}
-	return replace
+	return identities
 }
 
-// reconfiguration returns what the next view should be, as far as this node knows. A voter that is not the head knows
-// only who promises.
+// reconfiguration returns the changes to request for the next view. A voter that is not the head requests none,
+// because it knows only which voters promise.
 func (n *Node) reconfiguration(now time.Duration) view.Reconfiguration {
 	change := view.Reconfiguration{
 		FaultTolerance: n.config.FaultTolerance,
--- a/coordination/chain/replication.go
+++ b/coordination/chain/replication.go
@@ -8,21 +8,21 @@
 //
 // Invariants:
 //
-//   - Only the head of an epoch appends commands to the log, and only while it is not sealed. All others append what
-//     their upstream member sends in the same epoch, without gaps, after the logs were compared once in it
-//     (logMatched).
-//   - A member passes an entry on only after it has it on disk, because the messages of a step are sent after its
-//     records are synced. A member whose disk rejects writes passes nothing down the chain.
+//   - Only the head of an epoch appends commands to the log, and only while it is not sealed. All others append the
+//     entries that their upstream member sends in the same epoch, without gaps, and only after the two logs were
+//     compared in that epoch (logMatched).
+//   - A member forwards an entry only after the entry is on its disk, because the messages of a step are sent after
+//     its records are synced. A member whose disk rejects writes forwards nothing down the chain.
 //   - An entry commits when it is on the disk of every member of the chain: when the tail, complete in the epoch, has
 //     synced it, and the chain has at least minChainLength members.
-//   - The commit index that a member learns is true of its own log only as far as that has been compared, so a member
-//     whose log is not matched learns none.
+//   - A commit index that a member receives applies to its own log only as far as that log was compared. So a member
+//     whose log has not been matched ignores it.
 
 // maxAppendBytes bounds the commands in one Append, unless a single entry is larger.
 const maxAppendBytes = 256 << 10
 
-// replicate sends new entries to every member downstream that keeps up. One that has not fetched since this node's
-// start is taken to lack only the newest entries; it fetches if it lacks more.
+// replicate sends new entries to every downstream member that keeps up. A member whose next index is not known yet is
+// assumed to lack only the newest entry; it fetches if it lacks more.
 func (n *Node) replicate() {
 	if !n.complete() || n.sealed() {
 		return
@@ -40,7 +40,7 @@
 	}
 }
 
-// sendLimit returns the newest entry that the peer is sent: a learner gets only what is committed.
+// sendLimit returns the index of the newest entry that the peer may be sent: a learner gets only committed entries.
 func (n *Node) sendLimit(p *peer) uint64 {
 	if n.view.ChainIndex(p.member.Identity) >= 0 {
 		return n.log.lastIndex()
@@ -77,8 +77,8 @@
 	return bytes
 }
 
-// isUpstreamOf reports whether the node sends entries to the identity. A member whose disk rejects writes passes
-// nothing down the chain: it may not have on disk what it has read.
+// isUpstreamOf reports whether the node sends entries to the identity. A member whose disk rejects writes forwards
+// nothing down the chain: what it has received may not be on its disk.
 func (n *Node) isUpstreamOf(identity string) bool {
 	if n.view.ChainIndex(identity) >= 0 {
 		return !n.diskFailing && n.successor().Identity == identity
@@ -86,15 +86,15 @@
 	return n.isHead()
 }
 
-// handleAppend takes in entries, in order. The log changes only after the upstream member has stated how far the two
-// logs agree.
+// handleAppend appends the received entries in order. The log changes only after the upstream member has stated how
+// far the two logs agree.
 func (n *Node) handleAppend(now time.Duration, from string, a Append) {
 	if n.isHead() || n.sealed() || !n.mayAcceptEntries() || from != n.upstream().Identity {
 		if !n.config.Mutation.NoEpochCheck || n.isHead() || !n.mayAcceptEntries() {
 			return
 		}
 	}
-	// The answer to any fetch of this epoch will do: until one is answered the log does not change.
+	// The answer to any fetch of this epoch is usable, because the log does not change until one is answered.
 	answersFetch := a.InReplyTo > n.catchUp.answeredUpTo && a.InReplyTo <= n.catchUp.lastRequestID
 	if n.config.Mutation.NewestFetchOnly {
 		answersFetch = a.InReplyTo != 0 && a.InReplyTo == n.catchUp.lastRequestID
@@ -139,7 +139,7 @@
 	return grown
 }
 
-// becomeComplete notes that the log has reached the beginning of the epoch.
+// becomeComplete marks the log as complete once it has every entry that the head had at the start of the epoch.
 func (n *Node) becomeComplete(a Append) {
 	n.epochStartIndex = max(n.epochStartIndex, a.EpochStartIndex)
 	if !n.inChain() || n.complete() || !n.logMatched || n.log.lastIndex() < a.EpochStartIndex {
@@ -150,12 +150,12 @@
 	n.answerDeferredFetches()
 }
 
-// handleCommit takes in how far the tail has committed.
+// handleCommit processes the commit index that the tail announces.
 func (n *Node) handleCommit(index uint64) {
 	n.advanceCommitIndex(index)
 }
 
-// advanceCommitIndex raises the commit index as far as the own log has been compared.
+// advanceCommitIndex raises the commit index, at most to the end of the log. It does nothing until the log is matched.
 func (n *Node) advanceCommitIndex(index uint64) {
 	if !n.logMatched {
 		return
@@ -168,7 +168,8 @@
 	n.commitAtTail()
 }
 
-// commitAtTail commits at the tail: every member before it has synced what the tail syncs in this step.
+// commitAtTail commits the complete log if the node is the tail: every member before it has already synced what the
+// tail syncs in this step.
 func (n *Node) commitAtTail() {
 	commits := n.isTail() || n.config.Mutation.CommitShortChain && n.successor() == n.view.Tail()
 	if !commits || !n.complete() || n.sealed() || !n.chainMayCommit() || n.diskFailing {
@@ -184,7 +185,7 @@
 	n.replicateCommitted()
 }
 
-// replicateCommitted passes newly committed entries from the head to the learners.
+// replicateCommitted sends newly committed entries from the head to the learners.
 func (n *Node) replicateCommitted() {
 	if n.isHead() {
 		n.replicate()
--- a/coordination/chain/roles.go
+++ b/coordination/chain/roles.go
@@ -22,8 +22,8 @@
 // vote.
 func (n *Node) inChain() bool { return n.view.ChainIndex(n.self.Identity) >= 0 }
 
-// upstream returns the member from which this one takes entries: its predecessor in the chain, or for a learner the
-// head.
+// upstream returns the member from which this one takes entries: its predecessor in the chain, or the head if this
+// member is a learner.
 func (n *Node) upstream() view.Member {
 	if position := n.view.ChainIndex(n.self.Identity); position > 0 {
 		return n.view.Chain[position-1]
@@ -40,8 +40,8 @@
 	return n.view.Chain[position+1]
 }
 
-// sealed reports whether the node has promised a proposal for a later epoch. It takes no further part in the
-// replication of its own epoch then, so that its report of its log stays true.
+// sealed reports whether the node has promised a proposal for a later epoch. A sealed node takes no further part in
+// replication in its own epoch, so that the report on its log in the promise stays true.
 func (n *Node) sealed() bool {
 	return n.acceptor.Epoch > n.view.Epoch && !n.acceptor.Promised.IsZero() && !n.config.Mutation.NoEpochCheck
 }
--- a/coordination/chain/state.go
+++ b/coordination/chain/state.go
@@ -15,13 +15,13 @@
 	BaseEpoch     uint64 // epoch of the entry before Entries
 	Entries       []Entry
 	Snapshot      SnapshotPoint
-	// RecentCommands are the newest commands applied at or before the snapshot, oldest first. The snapshot holds them;
-	// the records do not.
+	// RecentCommands are the newest commands applied at or before the snapshot, oldest first. They are stored in the
+	// snapshot, not in the records.
 	RecentCommands []CommandID
 	KnownMembers   []view.Member
 }
 
-// SnapshotPoint is the entry up to which, inclusive, the newest snapshot on disk reaches.
+// SnapshotPoint identifies the last entry that the newest snapshot on disk includes.
 type SnapshotPoint struct {
 	Index uint64 `cbor:"1,keyasint"`
 	Epoch uint64 `cbor:"2,keyasint"`
--- a/coordination/chain/status.go
+++ b/coordination/chain/status.go
@@ -18,8 +18,9 @@
 	LeaseExpiry         time.Duration // set for the leader only
 	LeaderSince         time.Duration // set for the leader only
 	PreviousLeaseExpiry time.Duration // until then a leader of an earlier epoch may still act
-	// ConfirmedAt is the newest moment at which a majority of the voters was in View's epoch and before which
-	// everything that was acknowledged anywhere is applied here. 0: there was none in this epoch and incarnation.
+	// ConfirmedAt is the time of the newest valid proof of freshness: a majority of the voters was in View's epoch at
+	// that time, and everything that was acknowledged anywhere before it is applied here. It is 0 if there has been no
+	// proof in this epoch and incarnation.
 	ConfirmedAt time.Duration
 }
 
--- a/coordination/chain/takeover.go
+++ b/coordination/chain/takeover.go
@@ -8,9 +8,9 @@
 // Takeover when the head is suspected.
 //
 // A voter that suspects the head first asks the others for a pre-vote, and starts a proposal only when a majority
-// grants it: when the others miss the head as well. A voter that is partitioned from the head alone would otherwise end
-// the epoch with its proposal, because a promise seals whoever gives it. Pre-votes have no bearing on safety; they
-// promise nothing (compare the pre-vote of Raft: D. Ongaro, dissertation, 2014, section 9.6).
+// grants it: that is, when the others do not hear the head either. Otherwise a voter that is partitioned only from the
+// head would end the epoch with its proposal, because a promise seals the voter that gives it. Pre-votes do not affect
+// safety, because they promise nothing (compare the pre-vote of Raft: D. Ongaro, dissertation, 2014, section 9.6).
 
 // runReconfiguration starts a proposal when the head needs another membership and enough voters answer it to decide
 // one.
@@ -50,7 +50,8 @@
 	n.startPreVote(now)
 }
 
-// takeoverDelay returns the voter's delay by its rank: the chain after its head first, the head last.
+// takeoverDelay returns the voter's delay, which increases with its rank: first the chain after the head, in order,
+// then the head, then the voters outside the chain.
 func (n *Node) takeoverDelay() time.Duration {
 	rank := 0
 	for i, member := range n.view.Chain {
@@ -78,7 +79,8 @@
 	n.countPreVotes(now)
 }
 
-// handlePreVote grants a pre-vote when this voter misses the head too, or a proposal was left unfinished.
+// handlePreVote grants a pre-vote if the head itself asks, if this voter does not hear the head either, or if a
+// proposal was left unfinished. The head grants one if it does not hear a majority.
 func (n *Node) handlePreVote(now time.Duration, address, from string, request PreVote) {
 	if !n.view.IsVoter(n.self.Identity) || n.diskFailing {
 		return
--- a/coordination/chain/view_change.go
+++ b/coordination/chain/view_change.go
@@ -11,13 +11,13 @@
 //
 // Invariants, which make the view of each epoch unique (see package view for the argument):
 //
-//   - A promise or an acceptance is on disk before it is sent, also the proposer's own.
-//   - A proposer never uses a number twice in an epoch: numbers rise, and after a restart they begin above the
-//     promise on disk, which covers every number that it has ever sent.
-//   - A promise states the log as it stands. The voter is sealed from then on: it takes no more entries in this
-//     epoch.
-//   - The proposer sends an accepted value that a promise reports, if any, and chooses a view itself only if there is
-//     none.
+//   - A promise or an acceptance is on disk before it is sent, and so are the proposer's own.
+//   - A proposer never uses a number twice in an epoch: numbers increase, and after a restart they begin above the
+//     promise on disk, which is at least as high as every number that the proposer has ever sent.
+//   - A promise reports the current state of the log. The voter is sealed from then on: it accepts no more entries in
+//     this epoch.
+//   - If promises report accepted values, the proposer proposes the one with the highest number. It chooses a view
+//     itself only if they report none.
 
 // livePromiseWindow is how long the head waits for the promises of voters that answer it.
 const livePromiseWindow = 250 * time.Millisecond
@@ -72,8 +72,8 @@
 	}
 }
 
-// promisesGathered reports whether waiting for further promises is of no use. The more voters promise, the more of them
-// stay in the chain.
+// promisesGathered reports whether to stop waiting for further promises. It waits for some time because only voters
+// that have promised stay in the chain.
 func (n *Node) promisesGathered(now time.Duration) bool {
 	c := &n.viewChange
 	if c.proposer.PromiseCount() == len(n.view.Voters) {
@@ -94,7 +94,7 @@
 	return now-c.preparedAt >= window
 }
 
-// startProposal opens a proposal above all that this voter has seen, beginning with its own promise.
+// startProposal starts a proposal with a number above all that this voter has seen, beginning with its own promise.
 func (n *Node) startProposal(now time.Duration) {
 	c := &n.viewChange
 	next := n.view.Epoch + 1
@@ -115,7 +115,8 @@
 	n.runProposal(now)
 }
 
-// makePromise lets the own acceptor answer a proposal for the next epoch, and reports whether it was promised.
+// makePromise passes a proposal for the next epoch to the node's own acceptor, and reports whether the acceptor
+// promised it.
 func (n *Node) makePromise(number view.ProposalNumber) (view.Promise, bool) {
 	next := n.view.Epoch + 1
 	before := n.acceptor
@@ -139,7 +140,7 @@
 	}, true
 }
 
-// handlePrepare promises to take no further part in this epoch, nor in lower proposals for the next one.
+// handlePrepare promises to take no further part in this epoch or in lower proposals for the next one.
 func (n *Node) handlePrepare(now time.Duration, address, from string, m Prepare) {
 	if m.View.Epoch < n.view.Epoch {
 		n.sendView(now, from, address)
@@ -179,7 +180,8 @@
 	}
 }
 
-// proposeView begins the second phase: with a value that may already be decided, else with a planned view.
+// proposeView begins the second phase. It proposes the value that may already be decided, or a planned view if there
+// is none.
 func (n *Node) proposeView(now time.Duration) {
 	c := &n.viewChange
 	value, required := c.proposer.RequiredValue()
@@ -199,7 +201,7 @@
 	}
 }
 
-// acceptView lets the own acceptor accept a value and reports whether it did.
+// acceptView passes a value to the node's own acceptor and reports whether the acceptor accepted it.
 func (n *Node) acceptView(number view.ProposalNumber, value view.View) bool {
 	if value.Epoch != n.view.Epoch+1 || !n.acceptor.Accept(number, value, n.config.Mutation) {
 		return false
@@ -228,7 +230,7 @@
 	}
 	decided := ViewDecision{View: proposer.Value, PriorLeasesExpired: n.previousLeasesExpired(now)}
 	n.enterView(now, decided.View, decided.PriorLeasesExpired)
-	for _, voter := range proposer.Current.Voters { // a voter that has not promised counts as failed until it is heard
+	for _, voter := range proposer.Current.Voters { // a voter that has not promised counts as failed until it answers
 		if p := n.findPeer(voter.Identity); p != nil && !proposer.HasPromiseFrom(voter.Identity) {
 			p.heardAt = min(p.heardAt, now-n.timing.SuspectTimeout-time.Millisecond)
 		}
