--- a/coordination/view/acceptor.go
+++ b/coordination/view/acceptor.go
@@ -22,17 +22,17 @@
 
 // Acceptor is the durable state of one voter in the decision of one epoch: the acceptor of Paxos.
 //
-// Invariants: Promised never falls within an epoch, and Accepted is never above it. They hold across restarts only if
-// the owner has the changed state on disk before any answer leaves.
+// Invariants: Promised never decreases within an epoch, and Accepted is never higher than Promised. They hold across
+// restarts only if the owner writes the changed state to disk before it sends an answer.
 type Acceptor struct {
 	Epoch    uint64         `cbor:"1,keyasint"` // the epoch that is being decided
-	Promised ProposalNumber `cbor:"2,keyasint"` // nothing below it is accepted any more
+	Promised ProposalNumber `cbor:"2,keyasint"` // no lower proposal is accepted any more
 	Accepted ProposalNumber `cbor:"3,keyasint"` // newest accepted proposal, zero when there is none
 	Value    View           `cbor:"4,keyasint"` // value of the accepted proposal
 }
 
-// Prepare handles the first phase of a proposal and reports whether it is promised. If so, the acceptor has changed
-// and must be persisted before the promise is sent.
+// Prepare handles the first phase of a proposal and reports whether the acceptor promises it. If so, the acceptor has
+// changed and must be persisted before the promise is sent.
 func (a *Acceptor) Prepare(epoch uint64, number ProposalNumber) bool {
 	if a.Epoch != epoch {
 		*a = Acceptor{Epoch: epoch}
@@ -44,8 +44,8 @@
 	return true
 }
 
-// Accept handles the second phase of a proposal and reports whether the value is accepted. If so, the acceptor has
-// changed and must be persisted before the acceptance is sent.
+// Accept handles the second phase of a proposal and reports whether the acceptor accepts the value. If so, the
+// acceptor has changed and must be persisted before the acceptance is sent.
 func (a *Acceptor) Accept(number ProposalNumber, value View, mutants mutation.Set) bool {
 	if a.Epoch != value.Epoch {
 		*a = Acceptor{Epoch: value.Epoch}
--- a/coordination/view/golden_test.go
+++ b/coordination/view/golden_test.go
@@ -26,7 +26,8 @@
 	}
 }
 
-// goldenValues holds the stored and sent values, each with all fields set and with none, by their lines in the file.
+// goldenValues returns the values that are stored and sent, each with all fields set and then with none, in the order
+// of the lines in the file.
 func goldenValues() []any {
 	member, v := goldenMember("m"), goldenView(101)
 	number := ProposalNumber{Round: 102, Proposer: "proposer"}
@@ -47,7 +48,7 @@
 	}
 }
 
-// readGolden returns the lines of a golden file, which are bytes in hex. Build 73ca247 wrote them; they never change.
+// readGolden returns the decoded lines of a golden file. Build 73ca247 wrote them, in hex; they never change.
 func readGolden(t *testing.T, file string) [][]byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", file))
@@ -65,7 +66,7 @@
 	return lines
 }
 
-// Views, proposal numbers and acceptors are read and written as build 73ca247 did, on disk and between processes.
+// Views, proposal numbers and acceptors are decoded and encoded as in build 73ca247, on disk and between processes.
 func TestGoldenValues(t *testing.T) {
 	lines, values := readGolden(t, "values.hex"), goldenValues()
 	if len(lines) != len(values) {
@@ -89,7 +90,7 @@
 // Each field of the golden values is set, at any depth.
 func TestGoldenValuesAreComplete(t *testing.T) {
 	for i, value := range goldenValues() {
-		if i%2 == 0 { // the others have no field set
+		if i%2 == 0 { // the values at odd positions have no field set
 			checkAllSet(t, reflect.TypeOf(value).Elem().Name(), reflect.ValueOf(value).Elem())
 		}
 	}
@@ -116,7 +117,7 @@
 	}
 }
 
-// An acceptor that continues from its golden state keeps its promise, and its next states are written as before.
+// An acceptor that continues from its golden state keeps its promise, and its next states are encoded as before.
 func TestGoldenAcceptorIsContinued(t *testing.T) {
 	var acceptor Acceptor
 	if err := cbor.Unmarshal(readGolden(t, "values.hex")[6], &acceptor); err != nil {
--- a/coordination/view/plan.go
+++ b/coordination/view/plan.go
@@ -6,25 +6,26 @@
 	"raventrestle/coordination/internal/mutation"
 )
 
-// Invariants of a planned view, whatever the reconfiguration asks for:
+// Invariants of a planned view, whatever reconfiguration is requested:
 //
-//   - its head is one of the reports with the newest CompleteEpoch, so its log has everything that was committed;
+//   - its head comes from one of the reports with the newest CompleteEpoch, so the head's log has everything that was
+//     committed;
 //   - each member of the chain is a voter and is in the chain once;
 //   - if the voters change, at least MinChainLength of the new voters have everything that was committed, so that any
-//     majority of them includes one, also after the tolerated number of lost disks. A group with too few voters to
-//     have ever committed is exempt, but may only grow.
+//     majority of the new voters includes one of them, even after the tolerated number of lost disks. A group with too
+//     few voters to have ever committed anything is exempt, but may only add voters.
 
-// Reconfiguration is what a proposer asks of the next view. Plan grants what is safe.
+// Reconfiguration holds the changes that a proposer requests for the next view. Plan makes those that are safe.
 type Reconfiguration struct {
 	FaultTolerance  int      // number of disks that may be lost at once
-	TargetVoters    int      // number of voters to work towards; the present ones stay in any case
+	TargetVoters    int      // desired number of voters; a lower one removes none
 	RemoveFromChain []string // identities that should leave the chain
 	ReplaceVoters   []string // identities of voters whose votes should go to learners
-	Learners        []Member // live members without a vote whose logs are close to the head's, most preferred first
+	Learners        []Member // live members without a vote that nearly have the head's log, most preferred first
 	Mutation        mutation.Set
 }
 
-// Plan computes the next view from the reports of a majority of the voters. See the package comment for why the
+// Plan computes the next view from the reports of a majority of the voters. The package comment explains why the
 // chosen head has everything that was ever committed.
 func Plan(current View, reports []Report, change Reconfiguration) View {
 	complete := completeReports(reports)
@@ -35,7 +36,7 @@
 	return next
 }
 
-// completeReports returns the reports of the newest CompleteEpoch: their members have everything that was committed.
+// completeReports returns the reports with the newest CompleteEpoch. Their members have everything that was committed.
 func completeReports(reports []Report) []Report {
 	newest := uint64(0)
 	for _, report := range reports {
@@ -50,8 +51,8 @@
 	return complete
 }
 
-// planHead prefers members that stay, then the longest log, so that entries in flight are kept, then the order of the
-// chain.
+// planHead chooses the head. It prefers members that stay, then the longest log, so that entries in flight are kept,
+// and then the order of the chain.
 func planHead(current View, complete []Report, change Reconfiguration) Report {
 	best := complete[0]
 	for _, report := range complete[1:] {
@@ -81,7 +82,8 @@
 	return report.Leaving || slices.Contains(change.RemoveFromChain, identity)
 }
 
-// rank orders the voters: those of the chain by their position, then the others.
+// rank returns the position of a voter in the order of preference: members of the chain in the order of the chain,
+// then the other voters.
 func rank(v View, identity string) int {
 	if index := v.ChainIndex(identity); index >= 0 {
 		return index
@@ -89,8 +91,9 @@
 	return len(v.Chain) + indexOf(v.Voters, identity)
 }
 
-// planVoters gives the votes of the voters to replace, and then further votes, to learners, one at a time and as long
-// as enough of the resulting voters have everything that was committed. A voter that has promised keeps its vote.
+// planVoters gives learners the votes of the voters to replace, and then additional votes up to the target. It makes
+// one change at a time, and only if enough of the resulting voters have everything that was committed. A voter that
+// has promised keeps its vote.
 func planVoters(current View, reports, complete []Report, change Reconfiguration) []Member {
 	voters := current.Voters
 	learners := slices.Clone(change.Learners)
@@ -116,8 +119,8 @@
 	return voters
 }
 
-// safeVoters reports whether every majority of the changed voters will include a member that has everything that was
-// committed, also after that many lost disks.
+// safeVoters reports whether every majority of the changed voters includes a member that has everything that was
+// committed, even after the given number of disks is lost.
 func safeVoters(current View, changed []Member, complete []Report, faults int) bool {
 	retained := 0
 	for _, report := range complete {
@@ -140,9 +143,9 @@
 	return true
 }
 
-// planChain puts the head first, then the members that stay in the order of the current chain, then learners that
-// have become voters, up to the target length. Members that should leave stay as long as the chain would be too short
-// to commit without them.
+// planChain returns the next chain, up to the target length: first the head, then the members that stay, in the order
+// of the current chain, then learners that have become voters. Members that should leave are kept only if the chain
+// would otherwise be too short to commit.
 func planChain(current View, voters []Member, reports []Report, head Report, change Reconfiguration) []Member {
 	chain := []Member{head.Member}
 	target := TargetChainLength(len(voters), change.FaultTolerance)
@@ -164,7 +167,7 @@
 		add(learner)
 	}
 	minLength := MinChainLength(len(voters), change.FaultTolerance)
-	for _, leaving := range []bool{false, true} { // members that leave of their own accord are retained last
+	for _, leaving := range []bool{false, true} { // members that have asked to leave are the last to be kept
 		for _, report := range byRank {
 			if len(chain) < minLength && report.Leaving == leaving {
 				add(report.Member)
--- a/coordination/view/proposer.go
+++ b/coordination/view/proposer.go
@@ -1,7 +1,7 @@
 package view
 
 // Report is what a voter states about its log in a promise. A voter that has promised a proposal for a later epoch
-// takes no more entries in the earlier one, so the report stays true until the later epoch has begun.
+// accepts no more entries in the earlier one, so the report stays true until the later epoch has begun.
 type Report struct {
 	Member        Member `cbor:"1,keyasint"`
 	CompleteEpoch uint64 `cbor:"2,keyasint"` // newest epoch in whose chain its log was complete
@@ -13,19 +13,19 @@
 // Promise is a voter's answer to the first phase of a proposal.
 type Promise struct {
 	Number   ProposalNumber `cbor:"1,keyasint"`           // of the proposal that it answers
-	Granted  bool           `cbor:"2,keyasint"`           // the voter accepts nothing below Number any more
+	Granted  bool           `cbor:"2,keyasint"`           // the voter accepts no proposal below Number any more
 	Promised ProposalNumber `cbor:"3,keyasint,omitempty"` // the higher number that prevented the promise
 	Accepted ProposalNumber `cbor:"4,keyasint,omitempty"` // newest proposal that the voter has accepted
 	Value    View           `cbor:"5,keyasint,omitempty"` // value of the accepted proposal
 	Report   Report         `cbor:"6,keyasint"`
 }
 
-// Proposer drives one proposal: the proposer of Paxos. It is volatile: when it is lost, a higher proposal replaces
-// it.
+// Proposer drives one proposal: the proposer of Paxos. It is volatile: if it is lost, a proposal with a higher number
+// replaces it.
 //
-// Invariants: only voters of Current count, each of them once, and the owner sets Value only once a majority has
-// promised. If one of these promises reports an accepted proposal, Value is RequiredValue, because that value may
-// already be decided.
+// Invariants: only voters of Current are counted, each of them once. The owner sets Value only after a majority has
+// promised. If one of these promises reports an accepted proposal, the owner sets Value to RequiredValue, because that
+// value may already be decided.
 type Proposer struct {
 	Current View           // the view whose voters decide
 	Number  ProposalNumber // of this proposal
@@ -35,7 +35,8 @@
 	acceptors []string // identities of the voters that have accepted Value
 }
 
-// AddPromise records a promise of this proposal; any other one is ignored.
+// AddPromise records a promise for this proposal. Promises for other proposals, repeated ones and those of members
+// that are no voters are ignored.
 func (p *Proposer) AddPromise(promise Promise) {
 	voter := promise.Report.Member.Identity
 	if !promise.Granted || promise.Number != p.Number || !p.Current.IsVoter(voter) || p.HasPromiseFrom(voter) {
@@ -50,7 +51,7 @@
 // Prepared reports whether a majority of the voters has promised, so that the second phase may begin.
 func (p *Proposer) Prepared() bool { return len(p.promises) >= p.Current.Majority() }
 
-// Reports returns the reports of the voters that have promised, in the order in which their promises came.
+// Reports returns the reports of the voters that have promised, in the order in which the promises arrived.
 func (p *Proposer) Reports() []Report {
 	reports := make([]Report, 0, len(p.promises))
 	for _, promise := range p.promises {
--- a/coordination/view/quorum.go
+++ b/coordination/view/quorum.go
@@ -1,6 +1,6 @@
 package view
 
-// Invariants that the sizes below keep, for any number of voters and any tolerated number f of lost disks:
+// Invariants that the sizes below ensure, for any number of voters and any tolerated number f of lost disks:
 //
 //   - two majorities of the voters have a voter in common;
 //   - a chain that may commit has a member in every majority, so that the reports of any majority show what was
@@ -16,23 +16,24 @@
 // MinChainLength returns the length of the shortest chain that may commit in the view.
 func (v View) MinChainLength(faults int) int { return MinChainLength(len(v.Voters), faults) }
 
-// MinChainLength returns the length of the shortest chain that may commit among that many voters, when that many
-// disks may be lost.
+// MinChainLength returns the length of the shortest chain that may commit, for the given numbers of voters and of
+// disks that may be lost.
 func MinChainLength(voters, faults int) int {
 	majority := voters/2 + 1
-	meetsEveryMajority := voters - majority + 1
-	return max(faults+1, meetsEveryMajority)
+	minForMajorityOverlap := voters - majority + 1
+	return max(faults+1, minForMajorityOverlap)
 }
 
-// TargetVoterCount returns how many voters a group of that many live members should have: an odd number, enough to
-// tolerate the lost disks, and so many of the members that more than half of those hold a majority of the votes.
+// TargetVoterCount returns how many voters a group should have, for the given numbers of disks that may be lost and of
+// live members. It is the largest odd number of members up to maxVoters, so that any majority of a group of at most
+// maxVoters members includes a majority of its voters. It is at least 3 and at least 2*faults+1.
 func TargetVoterCount(faults, members int) int {
-	odd := members - 1 + members%2
-	return max(2*faults+1, 3, min(odd, maxVoters))
+	largestOdd := members - 1 + members%2
+	return max(2*faults+1, 3, min(largestOdd, maxVoters))
 }
 
-// TargetChainLength returns how long the chain should be among that many voters: one member can fail before another
-// one must be admitted.
+// TargetChainLength returns how long the chain should be, for the given numbers of voters and of disks that may be
+// lost. It is more than the minimum, so that one member can fail before another one must be admitted.
 func TargetChainLength(voters, faults int) int {
 	return max(2*faults+1, MinChainLength(voters, faults)+1)
 }
--- a/coordination/view/view.go
+++ b/coordination/view/view.go
@@ -1,6 +1,6 @@
 package view
 
-// Member is one participant. Its identity is made at the first start on an empty disk and is lost with the disk.
+// Member is one participant. Its identity is created at the first start on an empty disk and is lost with the disk.
 type Member struct {
 	Identity string `cbor:"1,keyasint"`
 	Address  string `cbor:"2,keyasint"` // host:port of its transport
--- a/coordination/view/view_test.go
+++ b/coordination/view/view_test.go
@@ -23,8 +23,8 @@
 	return list
 }
 
-// duel lets proposers compete for the acceptors of one epoch, with messages lost, duplicated and in any order.
-type duel struct {
+// paxosSimulation simulates proposers that compete for the acceptors of one epoch. Messages are lost, duplicated and reordered.
+type paxosSimulation struct {
 	random    *rand.Rand
 	mutants   mutation.Set
 	current   View
@@ -33,94 +33,95 @@
 	decided   []View
 }
 
-// send delivers a message some time later: once, twice or not at all.
-func (d *duel) send(deliver func()) {
-	if d.random.IntN(10) > 0 {
-		d.inFlight = append(d.inFlight, deliver)
+// send queues a message for later delivery: once, twice or not at all.
+func (s *paxosSimulation) send(deliver func()) {
+	if s.random.IntN(10) > 0 {
+		s.inFlight = append(s.inFlight, deliver)
 	}
-	if d.random.IntN(10) == 0 {
-		d.inFlight = append(d.inFlight, deliver)
+	if s.random.IntN(10) == 0 {
+		s.inFlight = append(s.inFlight, deliver)
 	}
 }
 
-// prepare opens a proposal.
-func (d *duel) prepare(number ProposalNumber) {
-	p := &Proposer{Current: d.current, Number: number}
-	for i := range d.acceptors {
-		d.send(func() {
-			granted := d.acceptors[i].Prepare(2, number)
+// prepare starts the first phase of a proposal.
+func (s *paxosSimulation) prepare(number ProposalNumber) {
+	p := &Proposer{Current: s.current, Number: number}
+	for i := range s.acceptors {
+		s.send(func() {
+			granted := s.acceptors[i].Prepare(2, number)
 			promise := Promise{Number: number, Granted: granted, Report: Report{Member: member(i)}}
 			if granted {
-				promise.Accepted, promise.Value = d.acceptors[i].Accepted, d.acceptors[i].Value
+				promise.Accepted, promise.Value = s.acceptors[i].Accepted, s.acceptors[i].Value
 			}
-			d.send(func() {
+			s.send(func() {
 				p.AddPromise(promise)
 				if p.Prepared() && p.Value.Epoch == 0 {
-					d.propose(p)
+					s.propose(p)
 				}
 			})
 		})
 	}
 }
 
-// propose sends the proposal's value: one of its own, unless another may be decided already.
-func (d *duel) propose(p *Proposer) {
+// propose starts the second phase, with a value of the proposer's own unless another one may already be decided.
+func (s *paxosSimulation) propose(p *Proposer) {
 	value, required := p.RequiredValue()
 	if !required {
 		value = View{Epoch: 2, Chain: []Member{{Identity: fmt.Sprint(p.Number)}}}
 	}
 	p.Value = value
-	for i := range d.acceptors {
-		d.send(func() {
-			if !d.acceptors[i].Accept(p.Number, value, d.mutants) {
+	for i := range s.acceptors {
+		s.send(func() {
+			if !s.acceptors[i].Accept(p.Number, value, s.mutants) {
 				return
 			}
-			d.send(func() {
+			s.send(func() {
 				if p.AddAcceptance(member(i).Identity) {
-					d.decided = append(d.decided, value)
+					s.decided = append(s.decided, value)
 				}
 			})
 		})
 	}
 }
 
-// run returns the values that two proposers of four proposals each have decided.
-func (d *duel) run() []View {
+// run lets two proposers make four proposals each, and returns the values that were decided.
+func (s *paxosSimulation) run() []View {
 	for round := range uint64(4) {
-		d.prepare(ProposalNumber{Round: round + 1, Proposer: "x"})
-		d.prepare(ProposalNumber{Round: round + 1, Proposer: "y"})
+		s.prepare(ProposalNumber{Round: round + 1, Proposer: "x"})
+		s.prepare(ProposalNumber{Round: round + 1, Proposer: "y"})
 	}
-	for len(d.inFlight) > 0 {
-		at := d.random.IntN(len(d.inFlight))
-		deliver := d.inFlight[at]
-		d.inFlight = slices.Delete(d.inFlight, at, at+1)
+	for len(s.inFlight) > 0 {
+		next := s.random.IntN(len(s.inFlight))
+		deliver := s.inFlight[next]
+		s.inFlight = slices.Delete(s.inFlight, next, next+1)
 		deliver()
 	}
-	return d.decided
+	return s.decided
 }
 
-func runDuel(seed uint64, voters int, mutants mutation.Set) []View {
-	d := &duel{
+func simulatePaxos(seed uint64, voters int, mutants mutation.Set) []View {
+	s := &paxosSimulation{
 		random:    rand.New(rand.NewPCG(seed, 0)),
 		mutants:   mutants,
 		current:   View{Epoch: 1, Chain: members(voters), Voters: members(voters)},
 		acceptors: make([]Acceptor, voters),
 	}
-	return d.run()
+	return s.run()
 }
 
-// An epoch decides one view whatever the order of the messages. An acceptor that forgets its promise breaks that.
+// Each epoch decides only one view, whatever the order of the messages. With an acceptor that ignores its promise,
+// some seed must decide two.
 func TestEachEpochDecidesOneViewOnly(t *testing.T) {
 	detected := false
 	for seed := uint64(0); seed < 3000; seed++ {
 		voters := 3 + 2*int(seed%2)
-		same := func(decided []View) bool {
+		allEqual := func(decided []View) bool {
 			return !slices.ContainsFunc(decided, func(v View) bool { return !slices.Equal(v.Chain, decided[0].Chain) })
 		}
-		if decided := runDuel(seed, voters, mutation.Set{}); !same(decided) {
+		if decided := simulatePaxos(seed, voters, mutation.Set{}); !allEqual(decided) {
 			t.Fatalf("seed %d: got decided views %v, want all equal", seed, decided)
 		}
-		detected = detected || !same(runDuel(seed, voters, mutation.Set{AcceptAnyProposal: true}))
+		detected = detected || !allEqual(simulatePaxos(seed, voters, mutation.Set{AcceptAnyProposal: true}))
 	}
 	if !detected {
 		t.Error("got one decided view for each seed with an acceptor that accepts below its promise, want two for some seed")
@@ -156,7 +157,7 @@
 	return current, reports, change
 }
 
-// A planned view keeps what the safety argument needs, whatever the reconfiguration asks for.
+// A planned view keeps the invariants that the safety argument needs, whatever reconfiguration is requested.
 func TestPlannedViewIsSafe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		current, reports, change := drawReconfiguration(t)
@@ -193,7 +194,7 @@
 	})
 }
 
-// A learner gets no vote while too few of the voters are known to have everything.
+// A learner gets no vote while too few voters are known to have everything that was committed.
 func TestVotersDoNotChangeWithoutEnoughCompleteMembers(t *testing.T) {
 	voters := members(3)
 	current := View{Epoch: 5, Voters: voters, Chain: voters[:2]}
@@ -211,7 +212,8 @@
 	}
 }
 
-// Every chain that may commit has a member in every majority of its voters and outlives the tolerated lost disks.
+// Every chain that may commit has a member in every majority of the voters, and more members than disks that may be
+// lost.
 func TestMinChainLengthMeetsEveryMajority(t *testing.T) {
 	for faults := range 4 {
 		for voters := 1; voters <= maxVoters; voters++ {
