--- a/coordination/engine/calls.go
+++ b/coordination/engine/calls.go
@@ -2,10 +2,10 @@
 
 import "raventrestle/coordination/chain"
 
-// calls are the open calls of this member's clients. The chain state machine names them by a number of its own.
+// calls holds the open calls of this member's clients. The chain state machine identifies them by numbers of its own.
 type calls struct {
 	byNumber map[uint64]call
-	numbers  map[uint64]uint64 // by call ID
+	numbers  map[uint64]uint64 // number by call ID
 }
 
 type call struct {
@@ -19,7 +19,7 @@
 	c.byNumber[number], c.numbers[opened.id] = opened, number
 }
 
-// remove returns the call of that number and forgets it. It reports false when there is none, or no more.
+// remove removes and returns the call with the number. It returns false if no such call is open.
 func (c *calls) remove(number uint64) (call, bool) {
 	removed, open := c.byNumber[number]
 	if open {
@@ -29,7 +29,7 @@
 	return removed, open
 }
 
-// cancel gives up an open call. One that has completed already is ignored.
+// cancel cancels an open call. A call that has already completed is ignored.
 func (e *Engine) cancel(id uint64) {
 	number, open := e.calls.numbers[id]
 	if !open {
@@ -45,7 +45,7 @@
 	e.output.Cancellations = append(e.output.Cancellations, Cancellation{CallID: id, MaybeSent: maybeSent})
 }
 
-// applyCommitted applies what is committed and durable, and completes the calls that wait for it.
+// applyCommitted applies the entries that are committed and durable, and completes the calls that wait for them.
 func (e *Engine) applyCommitted() {
 	for _, entry := range e.node.TakeCommitted() {
 		e.applyEntry(entry)
@@ -69,7 +69,7 @@
 	}
 }
 
-// complete ends the call of that number with the result. One that was cancelled is ignored.
+// complete completes the call with the number. A call that was cancelled is ignored.
 func (e *Engine) complete(number uint64, result Result) {
 	completed, open := e.calls.remove(number)
 	if !open {
--- a/coordination/engine/disk.go
+++ b/coordination/engine/disk.go
@@ -7,8 +7,8 @@
 	"raventrestle/coordination/chain"
 )
 
-// collect adds the output of the chain state machine to what is synced next. A snapshot from a peer is installed at
-// once, because the records that follow build on it.
+// collect adds the output of the chain state machine to the records and messages of the step. A snapshot from a peer
+// is installed at once, because later records depend on it.
 func (e *Engine) collect(now time.Duration, out chain.Output) {
 	if out.InstallSnapshot != nil {
 		e.installSnapshot(now, out)
@@ -18,8 +18,8 @@
 	e.messages = append(e.messages, out.Messages...)
 }
 
-// installSnapshot makes durable what was collected before, then a snapshot from a peer with the state beside it, and
-// restores the replicated state machine from it.
+// installSnapshot syncs the records that were collected before, then writes a snapshot from a peer together with the
+// state that belongs to it, and restores the replicated state machine from the snapshot.
 func (e *Engine) installSnapshot(now time.Duration, out chain.Output) {
 	err := e.log.Append(e.records)
 	if err == nil {
@@ -29,12 +29,12 @@
 		e.diskFailed(now, err)
 		return
 	}
-	e.noteCheckpoint(out.InstallSnapshot.Snapshot)
+	e.recordCheckpoint(out.InstallSnapshot.Snapshot)
 	snapshot, err := chain.DecodeSnapshot(out.InstallSnapshot.Snapshot)
 	if err == nil {
 		err = e.config.StateMachine.Restore(snapshot.Machine)
 	}
-	if err != nil { // the applied state no longer agrees with the disk: going on could lose what was acknowledged
+	if err != nil { // the applied state differs from the disk: continuing could lose acknowledged commands
 		panic(fmt.Sprintf("engine: a snapshot of the group can't be restored: %v", err))
 	}
 	e.records = nil
@@ -42,7 +42,7 @@
 	e.release()
 }
 
-// flush syncs what was collected and then releases what waited for it.
+// flush syncs the collected records and then releases the messages that wait for the sync.
 func (e *Engine) flush(now time.Duration) {
 	records := e.records
 	e.records = nil
@@ -53,7 +53,7 @@
 	e.release()
 }
 
-// release hands out the messages that waited for the sync, and applies what it has committed.
+// release adds the messages that waited for the sync to the output, and applies the entries that are committed now.
 func (e *Engine) release() {
 	messages := e.messages
 	e.messages = nil
@@ -64,19 +64,20 @@
 	e.applyCommitted()
 }
 
-// send adds a message to the output of the step, with the newest snapshot where it asks for that.
+// send adds a message to the output of the step, with the newest snapshot if it requests that.
 func (e *Engine) send(envelope chain.Envelope) {
 	if envelope.AttachSnapshot {
 		snapshot, err := e.log.Snapshot()
 		if err != nil || snapshot == nil {
-			return // the peer asks again
+			return // the peer will fetch again
 		}
 		envelope.Message.Append.Snapshot = snapshot
 	}
 	e.output.Messages = append(e.output.Messages, envelope)
 }
 
-// diskFailed falls back to what is on the disk and drops what depended on the rest.
+// diskFailed returns the member to the state on the disk, and drops the records that were not synced and the messages
+// that depended on them.
 func (e *Engine) diskFailed(now time.Duration, err error) {
 	e.records, e.messages = nil, nil
 	e.node.PersistFailed(now)
@@ -84,7 +85,7 @@
 	e.output.DiskError = err
 }
 
-// retryDisk rewrites the complete state if the disk takes writes again.
+// retryDisk rewrites the complete state if the disk accepts writes again.
 func (e *Engine) retryDisk(now time.Duration) {
 	e.diskRetryAt = now + diskRetryBackoff
 	err := e.log.CheckWritable()
@@ -98,8 +99,8 @@
 	e.node.DiskRecovered(now)
 }
 
-// Maintain makes a snapshot if the log since the last one has grown enough, and then returns the error of the disk, if
-// any. The host calls it after it has carried out the output of a step, so that nothing waits for it.
+// Maintain makes a snapshot if the log has grown enough since the last one, and returns the error of the disk if that
+// fails. The host calls it after it has processed the output of a step, so that no message or call is delayed by it.
 func (e *Engine) Maintain(now time.Duration) error {
 	if e.node.DiskFailing() || e.log.BytesSinceCheckpoint()-e.compactedBytes < max(e.config.CompactBytes, e.snapshotBytes) {
 		return nil
@@ -111,7 +112,7 @@
 	return err
 }
 
-// checkpoint replaces the log by a snapshot of the applied state and the newest entries.
+// checkpoint replaces the log with a snapshot of the applied state and the newest entries.
 func (e *Engine) checkpoint() error {
 	state := e.node.Checkpoint(e.config.KeepBytes)
 	_, applied := e.node.Applied()
@@ -121,16 +122,17 @@
 	if err := e.log.Checkpoint(snapshot, state.Records()); err != nil {
 		return err
 	}
-	e.noteCheckpoint(snapshot)
+	e.recordCheckpoint(snapshot)
 	e.node.Checkpointed(state)
 	return nil
 }
 
-// noteCheckpoint notes the sizes right after a checkpoint, from which the growth of the log is counted.
-func (e *Engine) noteCheckpoint(snapshot []byte) {
+// recordCheckpoint records the sizes of the log and the snapshot right after a checkpoint. The growth of the log is
+// measured from there.
+func (e *Engine) recordCheckpoint(snapshot []byte) {
 	e.compactedBytes, e.snapshotBytes = e.log.BytesSinceCheckpoint(), int64(len(snapshot))
 	e.node.SetSnapshotSize(len(snapshot))
 }
 
-// Close closes the log. Everything that was acknowledged is on the disk already: an error loses nothing.
+// Close closes the log. An error loses nothing, because everything that was acknowledged is already on the disk.
 func (e *Engine) Close() error { return e.log.Close() }
--- a/coordination/engine/engine.go
+++ b/coordination/engine/engine.go
@@ -18,14 +18,14 @@
 	compactedBytes int64         // size of the log right after its newest checkpoint
 	snapshotBytes  int64         // size of the newest snapshot
 
-	// Of the step that is running:
-	records  [][]byte         // collected, not synced yet
-	messages []chain.Envelope // wait for the sync
+	// State of the current step:
+	records  [][]byte         // not synced yet
+	messages []chain.Envelope // to be sent after the sync
 	output   Output
 }
 
-// Step takes in the inputs in order, syncs once for all of them, and returns what they have led to. Without inputs it
-// lets timers run out. The host calls it at NextStep at the latest.
+// Step processes the inputs in order, syncs once for all of them, and returns the output. It also runs the timers that
+// are due. The host calls it at NextStep at the latest, even without inputs.
 func (e *Engine) Step(now time.Duration, inputs []Input) Output {
 	e.output = Output{}
 	if e.node.DiskFailing() && now >= e.diskRetryAt {
@@ -73,10 +73,10 @@
 // IsLeader reports whether the member is the leader and its lease has not expired.
 func (e *Engine) IsLeader(now time.Duration) bool { return e.node.IsLeader(now) }
 
-// SafeToLeave reports whether the member may end after Input.Leave, even with the loss of its disk.
+// SafeToLeave reports whether the process of the member may end after Input.Leave, even if its disk is lost.
 func (e *Engine) SafeToLeave() bool { return e.node.SafeToLeave() }
 
-// LeaveBlocker says why the member can't leave yet; it is empty once it can.
+// LeaveBlocker returns why the member can't leave yet, or an empty string once it can.
 func (e *Engine) LeaveBlocker() string { return e.node.LeaveBlocker() }
 
 // Node returns the chain state machine, for tests that check its internals.
--- a/coordination/engine/golden_test.go
+++ b/coordination/engine/golden_test.go
@@ -17,16 +17,16 @@
 	"raventrestle/coordination/wal/modeldisk"
 )
 
-// The files in testdata/golden are what the four members of a group had on their disks at the end of a fixed script,
-// played by an earlier release. They are never regenerated to make a test pass: what today's code can't read there, it
-// can't read on the disks in service, and what it writes otherwise, an earlier release may not read.
+// The files in testdata/golden are the disk contents of the four members of a group after an earlier release ran a
+// fixed script. They are never regenerated to make a test pass. If the current code can't read them, it can't read the
+// disks that are in use. If it writes other bytes, an earlier release may not be able to read them.
 
 const (
 	goldenMembers = 4
 	goldenTick    = 10 * time.Millisecond
 )
 
-// goldenCommands is a replicated machine that keeps the commands.
+// goldenCommands is a replicated state machine that keeps a list of the commands.
 type goldenCommands struct{ list []string }
 
 func (c *goldenCommands) Apply(_ uint64, command []byte) []byte {
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// goldenGroup is a group without a network: what a step sends arrives with the next one.
+// goldenGroup is a group without a network: the messages of a step are delivered in the next step.
 type goldenGroup struct {
 	t       *testing.T
 	now     time.Duration
@@ -58,7 +58,8 @@
 
 func goldenAddress(number int) string { return fmt.Sprintf("10.0.%d.1:7500", number) }
 
-// start opens a member. The random number decides the identity of one that starts on an empty disk.
+// start opens a member. If it starts on an empty disk and is not a founder, its identity is derived from the random
+// number.
 func (g *goldenGroup) start(number int, random uint64, bootstrap bool) {
 	g.t.Helper()
 	m := g.members[number]
@@ -83,7 +84,8 @@
 	m.inbox = append(m.inbox, engine.Input{CallID: g.calls, Command: []byte(command)})
 }
 
-// run plays until the time has passed; at each interval a member proposes a command.
+// run steps the group for the given length of time. In each interval one member proposes a command; an interval of 0
+// means no commands.
 func (g *goldenGroup) run(length, interval time.Duration, prefix string) {
 	end := g.now + length
 	for number := 0; g.now < end; {
@@ -130,7 +132,7 @@
 	}
 }
 
-// kill ends a member as the end of its process would.
+// kill ends a member as if its process were killed.
 func (g *goldenGroup) kill(number int) {
 	m := g.members[number]
 	m.engine, m.inbox = nil, nil
@@ -139,8 +141,9 @@
 	}
 }
 
-// playGolden plays the fixed script: a group starts, loses its head and goes on, gets it back, restarts completely.
-func playGolden(t *testing.T) *goldenGroup {
+// runGoldenScript runs the fixed script: a group starts, loses its head and continues, the head returns, and all members
+// restart.
+func runGoldenScript(t *testing.T) *goldenGroup {
 	t.Helper()
 	g := &goldenGroup{t: t, now: time.Second}
 	for number := range goldenMembers {
@@ -178,8 +181,8 @@
 	return string(text)
 }
 
-// readAll returns the files of a directory.
-func readAll(t *testing.T, fs wal.FS) (names []string, bodies map[string][]byte) {
+// readAllFiles returns the files of a directory.
+func readAllFiles(t *testing.T, fs wal.FS) (names []string, bodies map[string][]byte) {
 	t.Helper()
 	names, err := fs.List()
 	if err != nil {
@@ -195,16 +198,16 @@
 	return names, bodies
 }
 
-// Today's code leaves the files and bytes that the earlier release left after the same script.
-func TestGoldenDisksAreWrittenAgain(t *testing.T) {
-	g := playGolden(t)
+// After the same script the current code has written the same files and bytes as the earlier release.
+func TestGoldenDisksAreReproduced(t *testing.T) {
+	g := runGoldenScript(t)
 	for number, m := range g.members {
 		wantFS, err := wal.OpenDirectory(goldenPath(fmt.Sprint(number)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		names, bodies := readAll(t, m.fs)
-		wantNames, want := readAll(t, wantFS)
+		names, bodies := readAllFiles(t, m.fs)
+		wantNames, want := readAllFiles(t, wantFS)
 		if !slices.Equal(names, wantNames) {
 			t.Errorf("member %d has files %q, want %q", number, names, wantNames)
 		}
@@ -216,7 +219,7 @@
 	}
 }
 
-// goldenState describes the content of a disk.
+// goldenState returns a textual description of the state on a disk.
 func goldenState(t *testing.T, fs wal.FS) string {
 	t.Helper()
 	log, recovered, err := wal.Open(fs, wal.Config{SegmentBytes: 1200})
@@ -277,7 +280,7 @@
 	return fmt.Sprintf("%d %s", v.Epoch, strings.Join(members, " "))
 }
 
-// copyGolden returns the disks of the earlier release, copied to real directories.
+// copyGolden copies the disks of the earlier release to temporary directories and returns them.
 func copyGolden(t *testing.T) [goldenMembers]wal.FS {
 	t.Helper()
 	var disks [goldenMembers]wal.FS
@@ -304,8 +307,8 @@
 	}
 }
 
-// A group of today's code carries on with the disks of the earlier release, and again after a restart.
-func TestGoldenDisksAreCarriedOn(t *testing.T) {
+// A group that runs the current code continues from the disks of the earlier release, and again after a restart.
+func TestGroupContinuesFromGoldenDisks(t *testing.T) {
 	g := &goldenGroup{t: t, now: time.Second}
 	for number, fs := range copyGolden(t) {
 		g.members[number] = &goldenMember{fs: fs}
@@ -334,7 +337,7 @@
 	}
 }
 
-// goldenIdentity is the identity in the described state of a member.
+// goldenIdentity returns the identity in the description of a member's state.
 func goldenIdentity(t *testing.T, number int) string {
 	t.Helper()
 	identity, _, _ := strings.Cut(strings.TrimPrefix(goldenText(t, fmt.Sprintf("state-%d.txt", number)), "self "), "|")
--- a/coordination/engine/input.go
+++ b/coordination/engine/input.go
@@ -2,24 +2,24 @@
 
 import "raventrestle/coordination/chain"
 
-// Input is one event for the engine. Exactly one of the fields beside CallID and Address is set.
+// Input is one event for the engine. Exactly one field is set, besides CallID and Address.
 type Input struct {
-	CallID  uint64         // names a call; unique among the open calls of the engine
+	CallID  uint64         // identifies a call; unique among the open calls of the engine
 	Message *chain.Message // from a peer
 	Address string         // where the message came from
 	Command []byte         // to propose; must not be nil
-	Barrier bool           // asks for an index that covers everything acknowledged so far
-	Cancel  bool           // cancels the call named by CallID
-	Leave   bool           // has the member prepare to leave the group
+	Barrier bool           // requests an index that covers everything acknowledged so far
+	Cancel  bool           // cancels the call with CallID
+	Leave   bool           // makes the member prepare to leave the group
 }
 
-// Output is what a step asks of the host, in this order: send the messages, then complete the calls.
+// Output is what the host must do after a step: first send the messages, then complete the calls.
 type Output struct {
 	Messages      []chain.Envelope
 	Results       []Result
 	Cancellations []Cancellation
-	// DiskError is the error with which the disk failed in this step. The engine goes on without the disk and
-	// retries after a backoff.
+	// DiskError is the error of the disk in this step, or nil. The engine continues without the disk and retries it
+	// after a backoff.
 	DiskError error
 }
 
--- a/coordination/engine/recover.go
+++ b/coordination/engine/recover.go
@@ -8,8 +8,8 @@
 	"raventrestle/coordination/wal"
 )
 
-// Open recovers the member from its disk, or begins a new one on an empty disk. Errors wrap those of package wal, or say
-// which part of the state can't be read; a disk that can be read but not written is no error.
+// Open recovers the member from its disk, or creates a new member on an empty disk. Errors wrap those of package wal,
+// or state which part of the state can't be read. A disk that can be read but not written is not an error.
 func Open(now time.Duration, config Config) (*Engine, error) {
 	config = config.withDefaults()
 	log, recovered, err := wal.Open(config.FS, wal.Config{SegmentBytes: config.SegmentBytes})
@@ -38,7 +38,7 @@
 	return e, nil
 }
 
-// recoverState returns the state in the records and the snapshot, and restores the replicated state machine from
+// recoverState rebuilds the state from the records and the snapshot, and restores the replicated state machine from
 // the snapshot. On an empty disk it returns a new state.
 func (e *Engine) recoverState(recovered wal.Recovered) (chain.State, error) {
 	if recovered.Empty {
