--- a/coordination/chain/bootstrap.go
+++ b/coordination/chain/bootstrap.go
@@ -6,8 +6,8 @@
 	"raventrestle/coordination/view"
 )
 
-// Invariant: an identity is used by one disk only. A member that has lost its disk comes back under another identity,
-// so that its former vote and its former entries never count for it. The founders' identities are derived from their
+// Invariant: an identity is used by one disk only. A member that has lost its disk returns under another identity, so
+// that the former identity's vote and entries never count for it. The founders' identities are derived from their
 // addresses, which is safe because a group is founded once, on empty disks.
 
 // founderPrefix begins the identity of each founder. All founders compute the same first view from their seeds.
@@ -35,7 +35,8 @@
 	return state, true
 }
 
-// JoinAsLearner returns the state of a member that searches for a group to be admitted to. The identity must be new.
+// JoinAsLearner returns the state of a learner that searches for an existing group to join. The identity must never
+// have been used before.
 func JoinAsLearner(self view.Member, identity string) State {
 	self.Identity = identity
 	return State{Self: self}
--- a/coordination/chain/catchup.go
+++ b/coordination/chain/catchup.go
@@ -145,17 +145,16 @@
 // and may still be in transit. It does so for a bounded time after the peer first requested them, whatever else is
 // sent meanwhile. It also reports true for a late or duplicate request.
 func (n *Node) answerInFlight(p *peer, common, requestID uint64) bool {
-	// An incarnation sends about this many requests in an epoch at most; another incarnation starts at a random
-	// number.
+	// An incarnation sends at most about this many requests in an epoch; another one starts at a random number.
 	const maxRequests = 1 << 16
-	previous := p.inFlight
-	if requestID <= previous.requestID && previous.requestID-requestID <= maxRequests {
+	last := p.inFlight
+	if requestID <= last.requestID && last.requestID-requestID <= maxRequests {
 		return true // a late or duplicate request: a newer one was answered
 	}
-	sameIncarnation := previous.requestID > 0 && requestID > previous.requestID && requestID-previous.requestID <= maxRequests
+	sameIncarnation := last.requestID > 0 && requestID > last.requestID && requestID-last.requestID <= maxRequests
 	p.inFlight.requestID = requestID
-	if sameIncarnation && common == previous.afterIndex {
-		return n.lastStep < previous.until
+	if sameIncarnation && common == last.afterIndex {
+		return n.lastStep < last.until
 	}
 	p.inFlight.afterIndex, p.inFlight.until = common, 0
 	bytes := 0
--- a/coordination/chain/failure_detector.go
+++ b/coordination/chain/failure_detector.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Failure detection by heartbeats: the head watches all members, and every other member watches the head.
+// Failure detection by heartbeats: the head monitors all members, and every other member monitors the head.
 //
 // Invariants:
 //
@@ -156,8 +156,8 @@
 	return count
 }
 
-// recordHeadHeard records that the head was heard, and whether the head hears this node. After an interruption in either
-// direction an open fetch is considered lost.
+// recordHeadHeard records that the head was heard, and whether the head hears this node. After an interruption in
+// either direction an open fetch is considered lost.
 func (n *Node) recordHeadHeard(now, echo time.Duration) {
 	interrupted := now-n.detector.headHeardAt > n.timing.SuspectTimeout
 	if echo != n.detector.echoedSentAt {
--- a/coordination/chain/freshness.go
+++ b/coordination/chain/freshness.go
@@ -12,10 +12,10 @@
 // the index. It is valid once the index is applied here.
 //
 // Whenever the head sends heartbeats it records the time S and the last index L of its log. Once a majority of the
-// voters has answered heartbeats that were sent at S or later, it is certain that no later epoch had been decided by
-// S, because each of these voters had promised no later epoch when it answered. (The head counts itself among them as
-// long as it has promised nothing.) So until S only the head of this epoch appended commands, and its log is complete
-// and has every entry before any other log. Therefore everything that was acknowledged before S is at or below L.
+// voters has answered heartbeats that were sent at S or later, no later epoch can have been decided by S, because none
+// of these voters had promised a later epoch when it answered. (The head counts itself among them as long as it has
+// promised nothing.) So until S only the head of this epoch appended commands, and its log is complete and has every
+// entry before any other log. Therefore everything that was acknowledged before S is at or below L.
 //
 // A follower learns S and L from a heartbeat. The heartbeat also identifies the newest reply that the head has
 // received from the follower: which heartbeat it answered (Echo), and at which time H on the head's clock it arrived
@@ -23,7 +23,7 @@
 // before H, and S is at R-(H-S) or later on the follower's clock. Only the difference of two readings of one clock is
 // used, and a fraction of it is subtracted because two steady clocks may run at slightly different speeds. Neither the
 // delay of heartbeats nor a stall of a process matters. An echo from long before S is not used, so a member that the
-// head does not hear soon has no new proofs.
+// head no longer hears stops getting new proofs.
 //
 // R must be the time of the first receipt of the heartbeat: that of a duplicate could be after H. So receipts belong
 // to a generation, and a new one begins with each incarnation of the follower, each epoch, each failure of its disk
@@ -100,8 +100,8 @@
 	}
 }
 
-// canIssueProof reports whether the node is a head that may issue proofs: its log is complete, it has promised no later
-// epoch, and its disk accepts writes.
+// canIssueProof reports whether the node is a head that may issue proofs: its log is complete, it has promised no
+// later epoch, and its disk accepts writes.
 func (n *Node) canIssueProof() bool {
 	return n.isHead() && n.complete() && !n.sealed() && !n.diskFailing
 }
@@ -145,9 +145,9 @@
 	f.addReceipt(receipt{sentAt: heartbeat.SentAt, receivedAt: now})
 }
 
-// localProofTime returns a time on the node's own clock that is not after the time of the head's proof. It returns false
-// if the heartbeat's echo can't date the proof, for example because the echo is older than the proof by more than
-// maxEchoAge.
+// localProofTime returns a time on the node's own clock that is not after the time of the head's proof. It returns
+// false if the heartbeat's echo can't date the proof, for example because the echo is older than the proof by more
+// than maxEchoAge.
 func (f *freshness) localProofTime(heartbeat Heartbeat, maxEchoAge time.Duration) (time.Duration, bool) {
 	if heartbeat.ProofAt == 0 || heartbeat.EchoGeneration != f.generation {
 		return 0, false
--- a/coordination/chain/output.go
+++ b/coordination/chain/output.go
@@ -11,7 +11,7 @@
 // SnapshotInstall is a snapshot received from another member.
 type SnapshotInstall struct {
 	Snapshot []byte   // to write to disk unchanged
-	Records  [][]byte // the complete state to store beside it
+	Records  [][]byte // the complete state to store with it
 }
 
 // Envelope is an outgoing message with its destination.
--- a/coordination/chain/persistence.go
+++ b/coordination/chain/persistence.go
@@ -65,8 +65,8 @@
 	n.resetVolatile(now)
 }
 
-// Checkpoint returns the state to write beside a snapshot of the applied state. It keeps the newest entries, up to
-// keepBytes bytes of commands, for members that lack only a few.
+// Checkpoint returns the state to write together with a snapshot of the applied state. It keeps the newest entries, up
+// to keepBytes bytes of commands, for members that lack only a few.
 func (n *Node) Checkpoint(keepBytes int) State {
 	base, bytes := n.appliedIndex, 0
 	for base > n.log.baseIndex {
@@ -84,7 +84,7 @@
 	return state
 }
 
-// Checkpointed confirms that the state that Checkpoint returned is on disk, with the snapshot beside it.
+// Checkpointed confirms that the state that Checkpoint returned is on disk, together with the snapshot.
 func (n *Node) Checkpointed(state State) {
 	n.log = memoryLog{baseIndex: state.BaseIndex, baseEpoch: state.BaseEpoch, entries: state.Entries}
 	n.snapshot = state.Snapshot
--- a/coordination/chain/reconfiguration.go
+++ b/coordination/chain/reconfiguration.go
@@ -105,7 +105,8 @@
 		predecessorIndex, predecessorEpoch = predecessor.lastReply.LastIndex, predecessor.lastReply.CompleteEpoch
 	}
 	reply := p.lastReply
-	behind := reply.LastIndex < predecessorIndex || (reply.CompleteEpoch < n.view.Epoch && predecessorEpoch == n.view.Epoch)
+	behind := reply.LastIndex < predecessorIndex ||
+		(reply.CompleteEpoch < n.view.Epoch && predecessorEpoch == n.view.Epoch)
 	if !behind {
 		p.progressAt = now
 		return false
--- a/coordination/engine/golden_test.go
+++ b/coordination/engine/golden_test.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// runGoldenScript runs the fixed script: a group starts, loses its head and continues, the head returns, and all members
-// restart.
+// runGoldenScript runs the fixed script: a group starts, loses its head and continues, the head returns, and all
+// members restart.
 func runGoldenScript(t *testing.T) *goldenGroup {
 	t.Helper()
 	g := &goldenGroup{t: t, now: time.Second}
--- a/coordination/view/view_test.go
+++ b/coordination/view/view_test.go
@@ -23,7 +23,8 @@
 	return list
 }
 
-// paxosSimulation simulates proposers that compete for the acceptors of one epoch. Messages are lost, duplicated and reordered.
+// paxosSimulation runs proposers that compete for the acceptors of one epoch. Messages are lost, duplicated and
+// reordered.
 type paxosSimulation struct {
 	random    *rand.Rand
 	mutants   mutation.Set
