--- a/coordination/chain/members.go
+++ b/coordination/chain/members.go
@@ -11,7 +11,7 @@
 type peer struct {
 	member view.Member
 
-	// As the head sees it.
+	// Used by the head.
 	heartbeatSentAt   time.Duration
 	heardAt           time.Duration // newest reply, or the start of a grace window
 	replied           bool          // in this epoch, and since it was last suspected
@@ -27,7 +27,7 @@
 	flappedAt         time.Duration // when it last failed
 	helloReceivedAt   time.Duration
 
-	// As its upstream member sees it.
+	// Used by the member's upstream member.
 	nextIndex            uint64 // index of the next entry to send; 0: not known yet
 	fetchesMore          bool   // it will fetch the rest
 	deferredFetch        *Fetch // not yet answered, because this node's own log is not complete
--- a/coordination/chain/view_change.go
+++ b/coordination/chain/view_change.go
@@ -11,7 +11,7 @@
 //
 // Invariants, which make the view of each epoch unique (see package view for the argument):
 //
-//   - A promise or an acceptance is on disk before it is sent, and so are the proposer's own.
+//   - A promise or an acceptance is on disk before it is sent. This includes the proposer's own.
 //   - A proposer never uses a number twice in an epoch: numbers increase, and after a restart they begin above the
 //     promise on disk, which is at least as high as every number that the proposer has ever sent.
 //   - A promise reports the current state of the log. The voter is sealed from then on: it accepts no more entries in
@@ -29,7 +29,7 @@
 	preparedAt     time.Duration  // when a majority had promised; 0 before
 	retryAt        time.Duration  // no proposal or pre-vote is started before
 	highestRound   uint64         // seen in this epoch
-	suspectedSince time.Duration  // since when the head is suspected, or this voter is sealed; 0: neither
+	suspectedSince time.Duration  // when the head was first suspected or this voter sealed; 0: neither
 	preVoteID      uint64         // RequestID of the pre-vote under way; 0: none
 	supporters     []string       // identities of the voters that have granted it
 }
@@ -51,7 +51,7 @@
 	n.runTakeover(now)
 }
 
-// runProposal begins the second phase when enough voters have promised, or gives the proposal up at its timeout.
+// runProposal begins the second phase when enough voters have promised, or abandons the proposal at its timeout.
 func (n *Node) runProposal(now time.Duration) {
 	c := &n.viewChange
 	if now-c.startedAt > n.timing.ProposalTimeout {
@@ -240,8 +240,8 @@
 	}
 }
 
-// previousLeasesExpired reports whether no leader of an earlier epoch can still regard its lease as valid: the head
-// of the epoch that ends has promised, and so has given up its own.
+// previousLeasesExpired reports whether no leader of an earlier epoch can still regard its lease as valid: the head of
+// the epoch that ends has promised and thereby given up its own lease, and the leases of earlier epochs have expired.
 func (n *Node) previousLeasesExpired(now time.Duration) bool {
 	return n.viewChange.proposer.HasPromiseFrom(n.view.Head().Identity) && now >= n.detector.previousLeaseExpiry
 }
