--- a/cmd/raventrestle/undeliverable.go
+++ b/cmd/raventrestle/undeliverable.go
@@ -85,10 +85,10 @@
 func limits(u settings.Undeliverable, couriers int, cold time.Duration) rule.Limits {
 	r, n := u.Resend, float64(max(couriers, 1))
 	return rule.Limits{
-		Automatic: r.Automatic, MaxResends: r.MaxResends, LastDate: r.LastDate.Duration(),
-		FirstRate: r.FirstRate / n, MaxRate: r.MaxRate / n, Cold: cold, Growth: r.Growth, Backoff: r.Backoff.Duration(),
+		Automatic: r.Automatic, MaxResends: r.MaxResends, MaxAge: r.LastDate.Duration(),
+		InitialRate: r.FirstRate / n, MaxRate: r.MaxRate / n, WarmUp: cold, Growth: r.Growth, Backoff: r.Backoff.Duration(),
 		MaxBackoff: r.MaxBackoff.Duration(), Jitter: r.Jitter, SlotsShare: r.SlotsShare, HeldShare: r.HeldShare,
-		Lag: resendLag,
+		DelayMargin: resendLag,
 	}
 }
 
@@ -334,7 +334,7 @@
 		row("class "+s, n)
 	}
 	for s, n := range st.Reasons {
-		row("reason "+string(s), fmt.Sprintf("%d (%s)", n, s.Sentence()))
+		row("reason "+string(s), fmt.Sprintf("%d (%s)", n, s.Explanation()))
 	}
 	return t.Flush()
 }
--- a/internal/deadletter/desk.go
+++ b/internal/deadletter/desk.go
@@ -81,7 +81,7 @@
 type judge func(l *Letter, now time.Time) rule.Reason
 
 func item(l *Letter, r rule.Reason) Item {
-	return Item{Letter: l, StateWord: l.State.String(), Reason: r, Sentence: r.Sentence(), Never: r.Never(), Content: l.Body}
+	return Item{Letter: l, StateWord: l.State.String(), Reason: r, Sentence: r.Explanation(), Never: r.Permanent(), Content: l.Body}
 }
 
 func (s *Store) list(ctx context.Context, f Filter, j judge) (items []Item, err error) {
@@ -106,7 +106,7 @@
 		st.States[l.State.String()]++
 		st.Classes[l.Class]++
 		st.Reasons[j(l, now)]++
-		if !l.State.Settled() {
+		if !l.State.Final() {
 			st.Worth += float64(l.Worth)
 		}
 		if at := time.Unix(0, l.Failed); st.Oldest.IsZero() || at.Before(st.Oldest) {
@@ -126,24 +126,24 @@
 	a.ID = id
 	err = s.change(id, dry, func(l *Letter) bool {
 		switch l.State {
-		case rule.Out:
+		case rule.Resending:
 			a.Reason = rule.BeingSent
 			return false
 		case rule.Held:
 		default:
-			a.Reason = rule.HasEnd
+			a.Reason = rule.AlreadyFinal
 			return false
 		}
 		asked := *l
 		asked.Asked, asked.NotBefore = true, 0
-		if a.Reason = j(&asked, now); a.Reason.Never() || a.Reason == rule.ClassGone {
+		if a.Reason = j(&asked, now); a.Reason.Permanent() || a.Reason == rule.UnknownClass {
 			return false
 		}
 		a.Done, a.Reason = true, rule.Allowed
 		l.Asked, l.NotBefore = true, 0
 		return true
 	})
-	a.Sentence = a.Reason.Sentence()
+	a.Sentence = a.Reason.Explanation()
 	return a, err
 }
 
@@ -152,18 +152,18 @@
 	a.ID = id
 	err = s.change(id, dry, func(l *Letter) bool {
 		switch {
-		case l.State == rule.Out:
+		case l.State == rule.Resending:
 			a.Reason = rule.BeingSent
 			return false
-		case l.State.Settled():
-			a.Reason = rule.HasEnd
+		case l.State.Final():
+			a.Reason = rule.AlreadyFinal
 			return false
 		}
-		a.Done, a.Reason = true, rule.HasEnd
+		a.Done, a.Reason = true, rule.AlreadyFinal
 		l.settle(rule.Discarded, now)
 		return true
 	})
-	if a.Sentence = a.Reason.Sentence(); a.Done {
+	if a.Sentence = a.Reason.Explanation(); a.Done {
 		a.Sentence = "discarded"
 	}
 	return a, err
--- a/internal/deadletter/golden_test.go
+++ b/internal/deadletter/golden_test.go
@@ -44,12 +44,12 @@
 		NotBefore: 33, Asked: true, Settled: 34, Body: []byte("body 35"),
 	}
 	letters := []*Letter{full}
-	for i, state := range []rule.State{rule.Held, rule.Out, rule.Delivered, rule.Void, rule.Discarded} {
+	for i, state := range []rule.State{rule.Held, rule.Resending, rule.Delivered, rule.Void, rule.Discarded} {
 		l := &Letter{
 			ID: fmt.Sprint("state-", state), Class: "c", Dest: int64(40 + i), Failed: int64(50 + i), Effect: raventrestle.Keyed,
 			Group: raventrestle.DedupTarget, State: state, Body: []byte{byte(60 + i)},
 		}
-		if state == rule.Out {
+		if state == rule.Resending {
 			l.Resends = []Resend{{Began: 70}}
 		}
 		letters = append(letters, l)
@@ -173,7 +173,7 @@
 
 func TestNumbersOfStoredStatesStay(t *testing.T) {
 	var got []string
-	for _, s := range []rule.State{rule.Held, rule.Out, rule.Delivered, rule.Void, rule.Discarded} {
+	for _, s := range []rule.State{rule.Held, rule.Resending, rule.Delivered, rule.Void, rule.Discarded} {
 		got = append(got, fmt.Sprint(uint8(s), " ", s))
 	}
 	if diff := cmp.Diff(goldenLines(t, goldenStates), got); diff != "" {
--- a/internal/deadletter/keeper.go
+++ b/internal/deadletter/keeper.go
@@ -20,8 +20,8 @@
 // View is what the courier tells of itself; it is replaced, never changed.
 type View struct {
 	rule.Load
-	Waiting map[int64]int          // fresh messages held that are not out, by destination
-	Places  map[int64][]rule.Place // endpoints that take new work, by destination
+	Waiting map[int64]int             // fresh messages held that are not out, by destination
+	Places  map[int64][]rule.Endpoint // endpoints that take new work, by destination
 }
 
 // Again is a dead letter that is to be sent again now; the journal has it.
@@ -69,7 +69,7 @@
 	mail  chan any
 	done  chan struct{}
 	view  atomic.Pointer[View]
-	paces map[int64]*rule.Pace
+	paces map[int64]*rule.Pacer
 	swept time.Time
 }
 
@@ -129,7 +129,7 @@
 	}
 	k = &Keeper{
 		Config: c, store: store, rnd: rand.New(rand.NewPCG(c.Seed, 7)), mail: make(chan any, mailbox),
-		done: make(chan struct{}), paces: map[int64]*rule.Pace{}, swept: now,
+		done: make(chan struct{}), paces: map[int64]*rule.Pacer{}, swept: now,
 	}
 	k.view.Store(&View{})
 	for dest := range store.shelves {
@@ -264,7 +264,7 @@
 	case seenMsg:
 		for _, s := range m.all {
 			if p := k.pace(s.Dest, false); p != nil {
-				p.Saw(now, s.Delivered, false, k.rnd.Float64())
+				p.RecordCall(now, s.Delivered, false, k.rnd.Float64())
 			}
 		}
 	case lookMsg:
@@ -276,7 +276,7 @@
 			k.store.MaxBytes, k.store.MaxLetters = m.c.Options.MaxBytes, m.c.Options.MaxLetters
 		}
 		for _, p := range k.paces {
-			p.Set(m.c.Limits, now)
+			p.SetLimits(m.c.Limits, now)
 		}
 		if k.store != nil { // what was parked under the old limits may be due under the new ones
 			for _, sh := range k.store.shelves {
--- a/internal/deadletter/keeperdesk.go
+++ b/internal/deadletter/keeperdesk.go
@@ -19,7 +19,7 @@
 	if err := k.look(ctx, func() {
 		s, limits = k.store, k.Limits
 		for dest, p := range k.paces {
-			paces[dest] = p.May(now, false)
+			paces[dest] = p.Check(now, false)
 		}
 	}); err != nil {
 		return nil, nil, err
--- a/internal/deadletter/letter.go
+++ b/internal/deadletter/letter.go
@@ -77,14 +77,14 @@
 // Facts are the dead letter as the rule sees it.
 func (l *Letter) Facts() rule.Facts {
 	f := rule.Facts{
-		State: l.State, Effect: l.Effect, Group: l.Group, Window: time.Duration(l.Window),
-		Failed: time.Unix(0, l.Failed), Resends: len(l.Resends), NotBefore: time.Unix(0, l.NotBefore), Asked: l.Asked,
+		State: l.State, Idempotency: l.Effect, DedupScope: l.Group, DedupWindow: time.Duration(l.Window),
+		FailedAt: time.Unix(0, l.Failed), Resends: len(l.Resends), NotBefore: time.Unix(0, l.NotBefore), Requested: l.Asked,
 	}
-	if l.State == rule.Out {
+	if l.State == rule.Resending {
 		f.Resends--
 	}
 	if l.Ran != nil {
-		f.MayRun, f.RanPeer, f.RanFloor, f.RanAt = true, l.Ran.Peer, l.Ran.Floor, time.Unix(0, l.Ran.At)
+		f.MayHaveRun, f.FirstRunPeer, f.FirstRunZone, f.FirstRunAt = true, l.Ran.Peer, l.Ran.Floor, time.Unix(0, l.Ran.At)
 	}
 	return f
 }
@@ -93,16 +93,16 @@
 // stricter binds old dead letters too, one that became laxer does not.
 func (l *Letter) Stricter(c raventrestle.Class) rule.Facts {
 	f := l.Facts()
-	if c.Idempotency > f.Effect {
-		f.Effect, f.Group, f.Window = c.Idempotency, c.DedupScope, c.DedupWindow
-	} else if c.Idempotency == f.Effect {
-		f.Group, f.Window = max(f.Group, c.DedupScope), min(f.Window, c.DedupWindow)
+	if c.Idempotency > f.Idempotency {
+		f.Idempotency, f.DedupScope, f.DedupWindow = c.Idempotency, c.DedupScope, c.DedupWindow
+	} else if c.Idempotency == f.Idempotency {
+		f.DedupScope, f.DedupWindow = max(f.DedupScope, c.DedupScope), min(f.DedupWindow, c.DedupWindow)
 	}
 	return f
 }
 
-func (l *Letter) weight() rule.Weight {
-	return rule.Weight{Settled: l.State.Settled(), Worth: l.Worth, Failed: l.Failed}
+func (l *Letter) weight() rule.EvictionRank {
+	return rule.EvictionRank{Final: l.State.Final(), Value: l.Worth, FailedAt: l.Failed}
 }
 
 // ran notes the tries that may have run, if none is noted yet.
--- a/internal/deadletter/offline.go
+++ b/internal/deadletter/offline.go
@@ -20,11 +20,11 @@
 }
 
 func (o *Offline) judge(l *Letter, now time.Time) rule.Reason {
-	place := rule.Place{}
+	place := rule.Endpoint{}
 	if l.Ran != nil {
-		place = rule.Place{Peer: l.Ran.Peer, Floor: l.Ran.Floor}
+		place = rule.Endpoint{Peer: l.Ran.Peer, Zone: l.Ran.Floor}
 	}
-	return o.Limits.May(l.Facts(), now, []rule.Place{place})
+	return o.Limits.Check(l.Facts(), now, []rule.Endpoint{place})
 }
 
 // List implements Desk.
--- a/internal/deadletter/reconcile.go
+++ b/internal/deadletter/reconcile.go
@@ -27,7 +27,7 @@
 		}
 		l, err := s.Get(k.ID)
 		switch {
-		case err == nil && l.State == rule.Out && int64(len(l.Resends)) == k.Resend:
+		case err == nil && l.State == rule.Resending && int64(len(l.Resends)) == k.Resend:
 			resent[k.ID] = true
 			live = append(live, k)
 		case err == nil || errors.Is(err, ErrMissing):
@@ -38,7 +38,7 @@
 	}
 	var lost []string
 	err = s.Each(func(l *Letter) bool {
-		if l.State == rule.Out && !resent[l.ID] {
+		if l.State == rule.Resending && !resent[l.ID] {
 			lost = append(lost, l.ID)
 		}
 		return true
--- a/internal/deadletter/reconcile_test.go
+++ b/internal/deadletter/reconcile_test.go
@@ -26,7 +26,7 @@
 	deferred := journal.Kept{Message: &journal.Message{ID: "m"}, Progress: journal.Progress{Owed: &journal.End{Deferred: true}}}
 	resend := func(n int64) journal.Kept { return journal.Kept{Message: &journal.Message{ID: "m", Resend: n}} }
 	held := func(l *Letter) {}
-	out := func(l *Letter) { l.State, l.Resends = rule.Out, []Resend{{Began: 7}} }
+	out := func(l *Letter) { l.State, l.Resends = rule.Resending, []Resend{{Began: 7}} }
 	for name, c := range map[string]struct {
 		letter   func(*Letter) // nil for none
 		kept     []journal.Kept
@@ -87,7 +87,7 @@
 	k, _, _, err := Start(Config{
 		Folder: t.TempDir(), Options: large, Log: quiet, MaxAge: time.Hour, Settled: time.Hour, Append: appends,
 		Limits: rule.Limits{
-			Automatic: true, MaxResends: 9, LastDate: time.Hour, FirstRate: 100, MaxRate: 100, Backoff: time.Millisecond,
+			Automatic: true, MaxResends: 9, MaxAge: time.Hour, InitialRate: 100, MaxRate: 100, Backoff: time.Millisecond,
 			MaxBackoff: time.Millisecond, SlotsShare: 0.5, HeldShare: 0.5,
 		},
 		Class: func(string) (raventrestle.Class, bool) { return class, true },
@@ -105,20 +105,20 @@
 	if err := <-heard; err != nil {
 		t.Fatal(err)
 	}
-	tell := func(places ...rule.Place) {
-		k.Tell(&View{Load: rule.Load{Slots: 100, MostHeld: 100}, Places: map[int64][]rule.Place{1: places}})
+	tell := func(places ...rule.Endpoint) {
+		k.Tell(&View{Load: rule.Load{Slots: 100, MaxHeld: 100}, Places: map[int64][]rule.Endpoint{1: places}})
 		k.Saw([]Seen{{Dest: 1, Delivered: true}})
 	}
-	tell(rule.Place{Peer: "p2", Floor: "b"})
+	tell(rule.Endpoint{Peer: "p2", Zone: "b"})
 	if _, err := k.Resend(t.Context(), Filter{}, false); err != nil { // an operator can't change it either
 		t.Fatal(err)
 	}
 	time.Sleep(3 * beat) // room for what must not come
 	it, err := k.Show(t.Context(), "m")
-	if err != nil || it.Reason != rule.PlaceGone || it.Never || len(begun) > 0 {
+	if err != nil || it.Reason != rule.NoDedupEndpoint || it.Never || len(begun) > 0 {
 		t.Fatalf("%+v %v, %d begun", it, err, len(begun))
 	}
-	tell(rule.Place{Peer: "p2", Floor: "b"}, rule.Place{Peer: "p9", Floor: "a"})
+	tell(rule.Endpoint{Peer: "p2", Zone: "b"}, rule.Endpoint{Peer: "p9", Zone: "a"})
 	select {
 	case a := <-begun:
 		if !a.MayRun || a.Ran.Zone != "a" {
--- a/internal/deadletter/resending.go
+++ b/internal/deadletter/resending.go
@@ -21,7 +21,7 @@
 		k.broke(err)
 		k.Counts.Expired.Add(int64(len(gone)))
 		for _, l := range gone {
-			if !l.State.Settled() {
+			if !l.State.Final() {
 				k.Log.Warn("undeliverable: expired", "id", l.ID, "class", l.Class)
 			}
 		}
@@ -35,7 +35,7 @@
 		}
 	}
 	v := k.view.Load()
-	room := k.Limits.Room(v.Load)
+	room := k.Limits.ResendCapacity(v.Load)
 	for dest, p := range k.paces { // in no order: each destination has its own pace
 		if room <= 0 {
 			return
@@ -53,22 +53,22 @@
 }
 
 // pace is the destination's, made on demand; nil where it has no dead letters and none is wanted.
-func (k *Keeper) pace(dest int64, wanted bool) *rule.Pace {
+func (k *Keeper) pace(dest int64, wanted bool) *rule.Pacer {
 	p := k.paces[dest]
 	if p == nil && (wanted || k.store != nil && k.store.shelves[dest] != nil) {
-		p = rule.NewPace(k.Limits)
+		p = rule.NewPacer(k.Limits)
 		k.paces[dest] = p
 	}
 	return p
 }
 
 // begin sends the first dead letter of the destination that may be sent.
-func (k *Keeper) begin(dest int64, p *rule.Pace, v *View, now time.Time) bool {
-	if p.May(now, true) != rule.Allowed {
+func (k *Keeper) begin(dest int64, p *rule.Pacer, v *View, now time.Time) bool {
+	if p.Check(now, true) != rule.Allowed {
 		return false
 	}
 	for _, e := range k.store.next(dest, now, lookAt) {
-		if p.May(now, e.asked) != rule.Allowed {
+		if p.Check(now, e.asked) != rule.Allowed {
 			return false
 		}
 		l, err := k.store.bySeq(e.seq)
@@ -82,10 +82,10 @@
 		facts, reason := k.judge(k.Limits, l, now, v.Places[dest])
 		switch {
 		case reason == rule.Allowed:
-			p.Begin(now)
+			p.Acquire(now)
 			k.send(l, facts, now)
 			return true
-		case reason.Never(), reason == rule.ResendsUsed, reason == rule.TooOld, reason == rule.Manual, reason == rule.ClassGone:
+		case reason.Permanent(), reason == rule.ResendsUsed, reason == rule.TooOld, reason == rule.ManualOnly, reason == rule.UnknownClass:
 			e.never = true // until an operator asks, which shelves it anew
 		default:
 			e.due = now.Add(backAfter).UnixNano()
@@ -95,20 +95,20 @@
 }
 
 // judge asks the rule about a dead letter, under its class as it is now.
-func (k *Keeper) judge(limits rule.Limits, l *Letter, now time.Time, places []rule.Place) (rule.Facts, rule.Reason) {
+func (k *Keeper) judge(limits rule.Limits, l *Letter, now time.Time, places []rule.Endpoint) (rule.Facts, rule.Reason) {
 	class, known := k.Class(l.Class)
 	if !known {
-		return l.Facts(), rule.ClassGone
+		return l.Facts(), rule.UnknownClass
 	}
 	f := l.Stricter(class)
-	return f, limits.May(f, now, places)
+	return f, limits.Check(f, now, places)
 }
 
 // send marks the dead letter out, writes it into the journal and hands it to the courier, in that order.
 func (k *Keeper) send(l *Letter, f rule.Facts, now time.Time) {
 	began := now.UnixNano()
 	err := k.store.Change([]string{l.ID}, func(x *Letter) error {
-		x.State, x.Resends = rule.Out, append(x.Resends, Resend{Began: began})
+		x.State, x.Resends = rule.Resending, append(x.Resends, Resend{Began: began})
 		body := l.Body
 		*l = *x
 		l.Body = body
@@ -121,7 +121,7 @@
 		return
 	}
 	class, _ := k.Class(l.Class)
-	m := l.Message(now.Add(k.Limits.Budget(f, max(class.Deadline, time.Millisecond), now)))
+	m := l.Message(now.Add(k.Limits.ResendTimeout(f, max(class.Deadline, time.Millisecond), now)))
 	again := Again{Message: m, Dest: l.Dest}
 	records := []journal.Record{journal.Taken(m)}
 	if l.Ran != nil {
@@ -148,7 +148,7 @@
 
 func (k *Keeper) back(dest int64) {
 	if p := k.pace(dest, false); p != nil {
-		p.Back()
+		p.Release()
 	}
 }
 
@@ -158,7 +158,7 @@
 	}
 	tried := len(r.List) > 0
 	err := k.store.Change([]string{r.ID}, func(l *Letter) error {
-		if l.State != rule.Out {
+		if l.State != rule.Resending {
 			return fmt.Errorf("deadletter: %s is %s, not out", l.ID, l.State)
 		}
 		last := &l.Resends[len(l.Resends)-1]
@@ -174,7 +174,7 @@
 			l.NotBefore = now.Add(backAfter).UnixNano()
 		default:
 			l.State, l.Asked = rule.Held, false
-			l.NotBefore = now.Add(k.Limits.Rest(len(l.Resends), k.rnd.Float64())).UnixNano()
+			l.NotBefore = now.Add(k.Limits.BackoffAfter(len(l.Resends), k.rnd.Float64())).UnixNano()
 		}
 		return nil
 	})
@@ -187,16 +187,16 @@
 	switch {
 	case !tried:
 		k.Counts.Yielded.Add(1)
-		p.Back()
+		p.Release()
 	case r.What == "delivered":
 		k.Counts.Delivered.Add(1)
-		p.Saw(now, true, true, k.rnd.Float64())
+		p.RecordCall(now, true, true, k.rnd.Float64())
 	case r.What == "void":
 		k.Counts.Voids.Add(1)
-		p.Saw(now, true, true, k.rnd.Float64()) // the endpoint did answer
+		p.RecordCall(now, true, true, k.rnd.Float64()) // the endpoint did answer
 	default:
 		k.Counts.Failed.Add(1)
-		p.Saw(now, false, true, k.rnd.Float64())
+		p.RecordCall(now, false, true, k.rnd.Float64())
 	}
 	k.Log.Info("undeliverable: resent", "id", r.ID, "result", r.What, "tries", len(r.List))
 	return nil
--- a/internal/deadletter/room.go
+++ b/internal/deadletter/room.go
@@ -27,7 +27,7 @@
 		over = min(over+s.MaxLetters/64, s.Letters)
 	}
 	type spot struct {
-		rule.Weight
+		rule.EvictionRank
 		dest int64
 		seq  uint64
 		size uint32
@@ -35,12 +35,12 @@
 	var all []spot
 	for dest, sh := range s.shelves {
 		for _, e := range sh.entries {
-			if e.state != rule.Out { // the journal answers for it, and will come back to it
-				all = append(all, spot{rule.Weight{Settled: e.state.Settled(), Worth: e.worth, Failed: e.failed}, dest, e.seq, e.size})
+			if e.state != rule.Resending { // the journal answers for it, and will come back to it
+				all = append(all, spot{rule.EvictionRank{Final: e.state.Final(), Value: e.worth, FailedAt: e.failed}, dest, e.seq, e.size})
 			}
 		}
 	}
-	slices.SortFunc(all, func(a, b spot) int { return a.Before(b.Weight) })
+	slices.SortFunc(all, func(a, b spot) int { return a.Compare(b.EvictionRank) })
 	var seqs []uint64
 	for _, x := range all {
 		if overBytes <= 0 && over <= 0 {
@@ -87,14 +87,14 @@
 	for _, sh := range s.shelves {
 		for _, e := range sh.entries {
 			limit := age
-			if e.state.Settled() {
+			if e.state.Final() {
 				limit = min(age, settled) // due is when it was settled, see Letter.settle
 			}
 			from := e.failed
-			if e.state.Settled() {
+			if e.state.Final() {
 				from = e.due
 			}
-			if e.state != rule.Out && now.Sub(time.Unix(0, from)) > limit && len(seqs) < most {
+			if e.state != rule.Resending && now.Sub(time.Unix(0, from)) > limit && len(seqs) < most {
 				seqs = append(seqs, e.seq)
 			}
 		}
--- a/internal/deadletter/rule/rule.go
+++ b/internal/deadletter/rule/rule.go
@@ -1,10 +1,11 @@
 // Package rule decides which undeliverable messages ("dead letters") may be sent again, when, how many at
-// once, and which give way when the store is full. It is pure: no clock, file, goroutine or log; time
-// and chance come in as arguments.
+// once, and which are evicted when the store is full. It uses no clock, file, goroutine or log; the time
+// and random numbers are arguments.
 //
-// The invariant: no dead letter may take effect more often than its class allows. A single_shot that may
-// have run is never sent again, by anybody; a guarded one that may have run goes only to where its
-// repeat is dropped, and only while it is. TestAllowance and TestNeverBeyondAllowance hold it.
+// Invariant: no dead letter takes effect more often than its class allows. A single_shot message that may
+// have run is never sent again, not even at an operator's request. A guarded message that may have run is
+// sent again only to endpoints that drop its repeat, and only within the deduplication window.
+// TestCheck and TestCheckNeverExceedsClass verify it.
 package rule
 
 import (
@@ -14,226 +15,230 @@
 	"raventrestle"
 )
 
-// State is what has become of a dead letter.
+// State is the state of a dead letter.
 type State uint8
 
 const (
-	Held      State = iota // kept, may be sent again if the rule says so
-	Out                    // being sent again; the journal answers for it
+	Held      State = iota // stored; may be sent again if Limits.Check allows it
+	Resending              // being sent again; the journal is authoritative for it. Operators see "out"
 	Delivered              // a resend was delivered
-	Void                   // an endpoint said that the message is over
-	Discarded              // by an operator
+	Void                   // an endpoint answered that the message is no longer valid
+	Discarded              // discarded by an operator
 )
 
-// String is the word that operators see.
+// String returns the name of the state that operators see.
 func (s State) String() string {
 	return [...]string{"held", "out", "delivered", "void", "discarded"}[min(s, Discarded)]
 }
 
-// Settled says that nothing more will happen to the dead letter.
-func (s State) Settled() bool { return s >= Delivered }
+// Final reports whether the state cannot change any more.
+func (s State) Final() bool { return s >= Delivered }
 
-// Facts are what the rule needs to know of a dead letter.
+// Facts are the properties of a dead letter that decide about a resend.
 type Facts struct {
-	State     State
-	Effect    raventrestle.Idempotency
-	Group     raventrestle.DedupScope
-	Window    time.Duration // how long repeats of a guarded dead letter are dropped
-	MayRun    bool          // a try may have run
-	RanPeer   string        // and the first such went there
-	RanFloor  string
-	RanAt     time.Time
-	Failed    time.Time // when the courier gave the message up
-	Resends   int       // resends that made at least one try
-	NotBefore time.Time // it rests until then
-	Asked     bool      // an operator has asked for it
+	State        State
+	Idempotency  raventrestle.Idempotency
+	DedupScope   raventrestle.DedupScope
+	DedupWindow  time.Duration // how long endpoints drop repeats of a guarded message
+	MayHaveRun   bool          // an attempt may have run
+	FirstRunPeer string        // peer of the first attempt that may have run
+	FirstRunZone string
+	FirstRunAt   time.Time
+	FailedAt     time.Time // when the courier gave up the message
+	Resends      int       // resends that made at least one attempt
+	NotBefore    time.Time // end of the backoff
+	Requested    bool      // an operator has requested a resend
 }
 
-// Place is where the list has endpoints of a destination that take new work.
-type Place struct{ Peer, Floor string }
+// Endpoint is a listed endpoint of a destination that accepts new work.
+type Endpoint struct{ Peer, Zone string }
 
-// Reason says why a dead letter may or may not be sent again.
+// Reason tells why a dead letter may or may not be sent again. Its text is part of the operators' interface.
 type Reason string
 
 const (
-	Allowed     Reason = "allowed"
-	MayHaveRun  Reason = "may_have_run"
-	WindowOver  Reason = "window_over"
-	PlaceGone   Reason = "place_gone"
-	ResendsUsed Reason = "resends_used"
-	TooOld      Reason = "too_old"
-	Resting     Reason = "resting"
-	BeingSent   Reason = "being_sent"
-	HasEnd      Reason = "has_end"
-	Unlisted    Reason = "unlisted"
-	NotSeen     Reason = "not_seen_to_deliver"
-	Paced       Reason = "paced"
-	ClassGone   Reason = "class_gone"
-	Manual      Reason = "manual_only"
+	Allowed         Reason = "allowed"
+	MayHaveRun      Reason = "may_have_run"
+	DedupWindowOver Reason = "window_over"
+	NoDedupEndpoint Reason = "place_gone"
+	ResendsUsed     Reason = "resends_used"
+	TooOld          Reason = "too_old"
+	BackingOff      Reason = "resting"
+	BeingSent       Reason = "being_sent"
+	AlreadyFinal    Reason = "has_end"
+	NoEndpoint      Reason = "unlisted"
+	NoDeliverySeen  Reason = "not_seen_to_deliver"
+	RateLimited     Reason = "paced"
+	UnknownClass    Reason = "class_gone"
+	ManualOnly      Reason = "manual_only"
 )
 
-var sentences = map[Reason]string{
-	Allowed:     "may be sent again",
-	MayHaveRun:  "must never be sent again: a try may have taken effect, and the class must not take effect twice",
-	WindowOver:  "must never be sent again: a try may have taken effect, and the time in which a repeat is dropped is over",
-	PlaceGone:   "a try may have taken effect, and no endpoint is listed where its repeat would be dropped",
-	ResendsUsed: "has had all its resends; an operator may ask for another",
-	TooOld:      "is past its last date; an operator may ask for it",
-	Resting:     "rests after its last failure",
-	BeingSent:   "is being sent again now",
-	HasEnd:      "has its end already",
-	Unlisted:    "waits: the list names no endpoint of its destination",
-	NotSeen:     "waits until its destination has been seen to deliver; an operator may ask for it",
-	Paced:       "waits for its turn at the destination's pace",
-	ClassGone:   "its class is no longer in the configuration",
-	Manual:      "automatic resending is off; an operator may ask for it",
+var explanations = map[Reason]string{
+	Allowed:         "may be sent again",
+	MayHaveRun:      "must never be sent again: a try may have taken effect, and the class must not take effect twice",
+	DedupWindowOver: "must never be sent again: a try may have taken effect, and the time in which a repeat is dropped is over",
+	NoDedupEndpoint: "a try may have taken effect, and no endpoint is listed where its repeat would be dropped",
+	ResendsUsed:     "has had all its resends; an operator may ask for another",
+	TooOld:          "is past its last date; an operator may ask for it",
+	BackingOff:      "rests after its last failure",
+	BeingSent:       "is being sent again now",
+	AlreadyFinal:    "has its end already",
+	NoEndpoint:      "waits: the list names no endpoint of its destination",
+	NoDeliverySeen:  "waits until its destination has been seen to deliver; an operator may ask for it",
+	RateLimited:     "waits for its turn at the destination's pace",
+	UnknownClass:    "its class is no longer in the configuration",
+	ManualOnly:      "automatic resending is off; an operator may ask for it",
 }
 
-// Sentence explains the reason to an operator.
-func (r Reason) Sentence() string { return cmp.Or(sentences[r], string(r)) }
+// Explanation returns the sentence that explains the reason to an operator.
+func (r Reason) Explanation() string { return cmp.Or(explanations[r], string(r)) }
 
-// Reasons are all of them, for manuals and checks.
-func Reasons() map[Reason]string { return sentences }
+// Reasons returns the explanation of every reason, for manuals and for checks of operators' input.
+func Reasons() map[Reason]string { return explanations }
 
-// Never says that no operator and no time can change the answer.
-func (r Reason) Never() bool { return r == MayHaveRun || r == WindowOver || r == HasEnd }
+// Permanent reports whether neither an operator nor the passing of time can change the decision.
+func (r Reason) Permanent() bool { return r == MayHaveRun || r == DedupWindowOver || r == AlreadyFinal }
 
-// Limits are the operators' settings, in the rule's terms.
+// Limits are the operators' settings for resends.
 type Limits struct {
 	Automatic             bool
 	MaxResends            int
-	LastDate              time.Duration // after its failure a dead letter is not sent again later than this
-	FirstRate, MaxRate    float64       // calls a second to one destination, from this courier
-	Cold                  time.Duration // a returning destination may be cold for so long
-	Growth                float64
+	MaxAge                time.Duration // since the failure; an older dead letter is not sent again automatically
+	InitialRate, MaxRate  float64       // calls per second from this courier to one destination
+	WarmUp                time.Duration // time for which a destination that has come back may be cold
+	Growth                float64       // added to the rate per delivered resend, as a fraction of it
 	Backoff, MaxBackoff   time.Duration
 	Jitter                float64
-	SlotsShare, HeldShare float64
-	Lag                   time.Duration // a repeat may take so much longer on its way than the first try did
+	SlotsShare, HeldShare float64       // shares of the slots and of the held messages that resends may take
+	DelayMargin           time.Duration // by how much longer a repeat may take to arrive than the first attempt took
 }
 
-// Allowance says whether the class lets the dead letter be sent again at all, whoever asks.
-func (l Limits) Allowance(f Facts, now time.Time) Reason {
+// CheckClass reports whether the class allows a resend at all, whether automatic or requested.
+func (l Limits) CheckClass(f Facts, now time.Time) Reason {
 	switch {
-	case f.State.Settled():
-		return HasEnd
-	case !f.MayRun || f.Effect == raventrestle.Idempotent:
+	case f.State.Final():
+		return AlreadyFinal
+	case !f.MayHaveRun || f.Idempotency == raventrestle.Idempotent:
 		return Allowed
-	case f.Effect != raventrestle.Keyed:
+	case f.Idempotency != raventrestle.Keyed:
 		return MayHaveRun
-	case !now.Before(f.RanAt.Add(f.Window - l.Lag)):
-		return WindowOver
+	case !now.Before(f.FirstRunAt.Add(f.DedupWindow - l.DelayMargin)):
+		return DedupWindowOver
 	}
 	return Allowed
 }
 
-// Reaches says whether a repeat of the dead letter may go to the place.
-func (f Facts) Reaches(p Place) bool {
+// AllowedAt reports whether the dead letter may be sent again to the endpoint: either a repeat does no harm,
+// or the endpoint drops it.
+func (f Facts) AllowedAt(p Endpoint) bool {
 	switch {
-	case !f.MayRun || f.Effect == raventrestle.Idempotent:
+	case !f.MayHaveRun || f.Idempotency == raventrestle.Idempotent:
 		return true
-	case f.Effect != raventrestle.Keyed:
+	case f.Idempotency != raventrestle.Keyed:
 		return false
-	case f.Group == raventrestle.DedupZone:
-		return p.Floor != "" && p.Floor == f.RanFloor
-	case f.Group == raventrestle.DedupTarget:
-		return p.Peer == f.RanPeer
+	case f.DedupScope == raventrestle.DedupZone:
+		return p.Zone != "" && p.Zone == f.FirstRunZone
+	case f.DedupScope == raventrestle.DedupTarget:
+		return p.Peer == f.FirstRunPeer
 	}
 	return true
 }
 
-// May says whether the dead letter may be sent again now, as far as it alone decides: what its class
-// allows goes before all else, then what an operator asked for, then the limits.
-func (l Limits) May(f Facts, now time.Time, places []Place) Reason {
-	if r := l.Allowance(f, now); r != Allowed {
+// Check reports whether the dead letter may be sent again now. It does not look at the load or at the
+// destination's pacer. The class comes first, then the operator's request, then the limits.
+func (l Limits) Check(f Facts, now time.Time, endpoints []Endpoint) Reason {
+	if r := l.CheckClass(f, now); r != Allowed {
 		return r
 	}
-	reaches := false
-	for _, p := range places {
-		reaches = reaches || f.Reaches(p)
+	reachable := false
+	for _, p := range endpoints {
+		reachable = reachable || f.AllowedAt(p)
 	}
 	switch {
-	case f.State == Out:
+	case f.State == Resending:
 		return BeingSent
-	case len(places) == 0:
-		return Unlisted
-	case !reaches:
-		return PlaceGone
+	case len(endpoints) == 0:
+		return NoEndpoint
+	case !reachable:
+		return NoDedupEndpoint
 	case now.Before(f.NotBefore):
-		return Resting
-	case f.Asked:
+		return BackingOff
+	case f.Requested:
 		return Allowed
 	case !l.Automatic:
-		return Manual
+		return ManualOnly
 	case f.Resends >= l.MaxResends:
 		return ResendsUsed
-	case now.After(f.Failed.Add(l.LastDate)):
+	case now.After(f.FailedAt.Add(l.MaxAge)):
 		return TooOld
 	}
 	return Allowed
 }
 
-// Budget is how long a resend that begins now may take: the class's time, but no longer than a repeat
-// is dropped.
-func (l Limits) Budget(f Facts, deadline time.Duration, now time.Time) time.Duration {
-	if f.MayRun && f.Effect == raventrestle.Keyed {
-		return min(deadline, f.RanAt.Add(f.Window-l.Lag).Sub(now))
+// ResendTimeout returns how long a resend that begins now may take: the class's deadline, but never beyond the
+// time in which endpoints drop a repeat.
+func (l Limits) ResendTimeout(f Facts, deadline time.Duration, now time.Time) time.Duration {
+	if f.MayHaveRun && f.Idempotency == raventrestle.Keyed {
+		return min(deadline, f.FirstRunAt.Add(f.DedupWindow-l.DelayMargin).Sub(now))
 	}
 	return deadline
 }
 
-// Rest is how long a dead letter or a destination rests after so many failures in a row, at least one.
-// chance is drawn evenly from [0, 1).
-func (l Limits) Rest(failures int, chance float64) time.Duration {
+// BackoffAfter returns the backoff of a dead letter or a destination after the given number of consecutive
+// failures, at least 1. random is uniform in [0, 1) and sets the jitter.
+func (l Limits) BackoffAfter(failures int, random float64) time.Duration {
 	d := float64(l.Backoff)
 	for range min(failures, 64) - 1 {
 		d = min(2*d, float64(l.MaxBackoff))
 	}
-	return time.Duration(d * (1 + l.Jitter*(2*chance-1)))
+	return time.Duration(d * (1 + l.Jitter*(2*random-1)))
 }
 
-// lastChance is the least time in which a client can hand a message in once more and have it delivered.
-const lastChance = 100 * time.Millisecond
+// minResubmitTime is the least time in which a client can submit a message again and have it delivered.
+const minResubmitTime = 100 * time.Millisecond
 
-// Lost says that a message which the module refuses is lost like one that failed: its client has no
-// time left to submit it again. It becomes a dead letter, and the platform is told undeliverable in place
-// of deferred, since a client that came again all the same would meet the dead letter's resend.
-func Lost(left time.Duration) bool { return left < lastChance }
+// TooLateToResubmit reports whether the client of a message that the module refuses has too little time left
+// to submit it again. The message is then lost like one that failed: it becomes a dead letter, and the
+// notice to the platform says undeliverable instead of deferred, because a client that submitted it again
+// would compete with the dead letter's resend.
+func TooLateToResubmit(remaining time.Duration) bool { return remaining < minResubmitTime }
 
-// Load is what the courier has to do.
+// Load is the current load of the courier.
 type Load struct {
-	Slots, Out     int // calls out at once: at most, and now
-	MostHeld, Held int // messages: at most, and now, resends among them
-	Resends        int // resends that the module has
+	Slots, InFlight int // concurrent calls: limit and current number
+	MaxHeld, Held   int // messages in the module, resends included: limit and current number
+	Resends         int // resends in the module
 }
 
-// Room says how many resends may begin. They take a share of what the courier has, and only of what
-// fresh messages leave: an eighth of the slots and a quarter of the room for messages stay free.
-func (l Limits) Room(x Load) int {
-	most := min(max(int(l.SlotsShare*float64(x.Slots)), 1), max(int(l.HeldShare*float64(x.MostHeld)), 1))
-	free := min(x.Slots-x.Out-max(x.Slots/8, 1), x.MostHeld*3/4-x.Held)
-	return max(min(most-x.Resends, free), 0)
+// ResendCapacity returns how many more resends may begin. Resends take at most their share of the courier's
+// capacity and only what fresh messages leave: an eighth of the slots and a quarter of the messages stay free.
+func (l Limits) ResendCapacity(load Load) int {
+	maxResends := min(max(int(l.SlotsShare*float64(load.Slots)), 1), max(int(l.HeldShare*float64(load.MaxHeld)), 1))
+	free := min(load.Slots-load.InFlight-max(load.Slots/8, 1), load.MaxHeld*3/4-load.Held)
+	return max(min(maxResends-load.Resends, free), 0)
 }
 
-// Crowded says how many resends that wait in the module have to leave it, so that no fresh message is
-// turned away or given up for one.
-func (l Limits) Crowded(x Load) int { return min(max(x.Held-x.MostHeld*3/4, 0), x.Resends) }
+// ResendsToYield returns how many of the resends that wait in the module must leave it, so that no fresh message
+// is rejected or given up because of a resend.
+func (l Limits) ResendsToYield(load Load) int {
+	return min(max(load.Held-load.MaxHeld*3/4, 0), load.Resends)
+}
 
-// Weight is what a dead letter counts for when the store is full.
-type Weight struct {
-	Settled bool
-	Worth   float32
-	Failed  int64 // Unix time in nanoseconds
+// EvictionRank decides the order in which dead letters are evicted when the store is full.
+type EvictionRank struct {
+	Final    bool
+	Value    float32
+	FailedAt int64 // Unix time in nanoseconds
 }
 
-// Before orders dead letters by which gives way first: those that have their end, then those of less
-// worth, then the older.
-func (w Weight) Before(o Weight) int {
-	if w.Settled != o.Settled {
-		if w.Settled {
+// Compare sorts the dead letters to evict first to the front: those in a final state, then those of lower value,
+// then the older ones.
+func (w EvictionRank) Compare(o EvictionRank) int {
+	if w.Final != o.Final {
+		if w.Final {
 			return -1
 		}
 		return 1
 	}
-	return cmp.Or(cmp.Compare(w.Worth, o.Worth), cmp.Compare(w.Failed, o.Failed))
+	return cmp.Or(cmp.Compare(w.Value, o.Value), cmp.Compare(w.FailedAt, o.FailedAt))
 }
--- a/internal/deadletter/store_test.go
+++ b/internal/deadletter/store_test.go
@@ -82,19 +82,19 @@
 					if model[g.ID] == nil {
 						t.Fatalf("%s gave way and was not there", g.ID)
 					}
-					if model[g.ID].State == rule.Out {
+					if model[g.ID].State == rule.Resending {
 						t.Fatalf("%s gave way while out", g.ID)
 					}
 					delete(model, g.ID)
 				}
 				worst := letter("", 0, 99, 99).weight()
 				for _, l := range model {
-					if l.State != rule.Out && l.weight().Before(worst) < 0 {
+					if l.State != rule.Resending && l.weight().Compare(worst) < 0 {
 						worst = l.weight()
 					}
 				}
 				for _, g := range gave {
-					if g.weight().Before(worst) > 0 {
+					if g.weight().Compare(worst) > 0 {
 						t.Fatalf("%+v gave way before %+v", g.weight(), worst)
 					}
 				}
@@ -122,7 +122,7 @@
 					t.Fatal(err)
 				}
 				for _, g := range gone {
-					if g.State == rule.Out {
+					if g.State == rule.Resending {
 						t.Fatal("expired while out")
 					}
 					delete(model, g.ID)
@@ -351,7 +351,7 @@
 func TestDiscardAgainstResend(t *testing.T) {
 	begun := make(chan Again, 64)
 	limits := rule.Limits{
-		MaxResends: 9, LastDate: 1 << 62, FirstRate: 1000, MaxRate: 1000, Backoff: time.Millisecond,
+		MaxResends: 9, MaxAge: 1 << 62, InitialRate: 1000, MaxRate: 1000, Backoff: time.Millisecond,
 		MaxBackoff: time.Millisecond, SlotsShare: 0.5, HeldShare: 0.5,
 	}
 	k, _, _, err := Start(Config{
@@ -363,7 +363,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k.Tell(&View{Load: rule.Load{Slots: 100, MostHeld: 100}, Places: map[int64][]rule.Place{1: {{Peer: "p"}}}})
+	k.Tell(&View{Load: rule.Load{Slots: 100, MaxHeld: 100}, Places: map[int64][]rule.Endpoint{1: {{Peer: "p"}}}})
 	run(t, k)
 	sent, discarded := 0, 0
 	for i := range 30 {
@@ -394,7 +394,7 @@
 			if a.ID != id {
 				t.Fatalf("%s was sent, not %s", a.ID, id)
 			}
-		} else if it.State == rule.Out {
+		} else if it.State == rule.Resending {
 			if a := <-begun; a.ID != id {
 				t.Fatalf("%s was sent, not %s", a.ID, id)
 			}
--- a/internal/lab/undeliverable.go
+++ b/internal/lab/undeliverable.go
@@ -161,7 +161,7 @@
 			return false
 		}
 		for r, n := range st.Reasons {
-			if n > 0 && !r.Never() && r != rule.ResendsUsed && r != rule.Manual {
+			if n > 0 && !r.Permanent() && r != rule.ResendsUsed && r != rule.ManualOnly {
 				return false
 			}
 		}
@@ -228,8 +228,8 @@
 		return err
 	}
 	items, err := (&deadletter.Offline{Store: store, Limits: rule.Limits{
-		Automatic: true, MaxResends: 20, LastDate: 24 * time.Hour,
-		Lag: 250 * time.Millisecond,
+		Automatic: true, MaxResends: 20, MaxAge: 24 * time.Hour,
+		DelayMargin: 250 * time.Millisecond,
 	}}).List(ctx, deadletter.Filter{})
 	for _, it := range items {
 		into[it.ID] = &it
@@ -271,7 +271,7 @@
 		row.Late++
 		row.Worth += m.Worth
 	}
-	if !l.State.Settled() {
+	if !l.State.Final() {
 		row.HeldBack[string(l.Reason)]++
 	}
 	if l.State == rule.Delivered && m.Effects == 0 {
--- a/internal/net/courier/act.go
+++ b/internal/net/courier/act.go
@@ -139,7 +139,7 @@
 		return
 	case c.passing && m == nil: // it was handed over in this step: the next process ends it
 		return
-	case m != nil && c.deadLetters != nil && rule.Lost(time.Duration(m.Until)-e.at):
+	case m != nil && c.deadLetters != nil && rule.TooLateToResubmit(time.Duration(m.Until)-e.at):
 		c.undeliverable(m, e.at, end)
 		return
 	}
--- a/internal/net/courier/deadletters.go
+++ b/internal/net/courier/deadletters.go
@@ -137,7 +137,7 @@
 	c.msgs[raventrestle.MessageID(m.ID)] = m
 	c.again++
 	load := c.load()
-	if c.closing || c.deadLetters == nil || load.Held > load.MostHeld*3/4 || c.waiting()[m.Dest] > 0 {
+	if c.closing || c.deadLetters == nil || load.Held > load.MaxHeld*3/4 || c.waiting()[m.Dest] > 0 {
 		c.resent(m, "yielded")
 		return nil
 	}
@@ -191,7 +191,7 @@
 			load.Held++
 		}
 	}
-	crowded := rule.Limits{}.Crowded(load)
+	crowded := rule.Limits{}.ResendsToYield(load)
 	for id, m := range c.msgs {
 		if m.Resend == 0 || m.out || !fresh[m.Dest] && crowded <= 0 {
 			continue
@@ -205,7 +205,7 @@
 
 func (c *Courier) load() rule.Load {
 	return rule.Load{
-		Slots: c.conf.Settings.CallSlots, Out: c.out, MostHeld: c.conf.Settings.MaxMessages,
+		Slots: c.conf.Settings.CallSlots, InFlight: c.out, MaxHeld: c.conf.Settings.MaxMessages,
 		Held: len(c.msgs), Resends: c.again,
 	}
 }
@@ -235,9 +235,9 @@
 		return
 	}
 	c.shown = time.Now()
-	v := &deadletter.View{Load: c.load(), Waiting: c.waiting(), Places: map[int64][]rule.Place{}}
+	v := &deadletter.View{Load: c.load(), Waiting: c.waiting(), Places: map[int64][]rule.Endpoint{}}
 	if c.closing { // nothing begins any more
-		v.Slots, v.MostHeld = 0, 0
+		v.Slots, v.MaxHeld = 0, 0
 	}
 	for _, r := range c.peers {
 		if r.entry.State != raventrestle.Ready {
@@ -247,7 +247,7 @@
 		if z := r.entry.Zone; z >= 0 {
 			floor = c.conf.Settings.Zones[z].Name
 		}
-		v.Places[int64(r.entry.Dest)] = append(v.Places[int64(r.entry.Dest)], rule.Place{Peer: string(r.entry.Target), Floor: floor})
+		v.Places[int64(r.entry.Dest)] = append(v.Places[int64(r.entry.Dest)], rule.Endpoint{Peer: string(r.entry.Target), Zone: floor})
 	}
 	c.deadLetters.Tell(v)
 }
--- a/internal/net/courier/deadletters_test.go
+++ b/internal/net/courier/deadletters_test.go
@@ -67,8 +67,8 @@
 }
 
 var resendLimits = rule.Limits{
-	Automatic: true, MaxResends: 8, LastDate: time.Hour, FirstRate: 1000, MaxRate: 1000, Growth: 1,
-	Backoff: 5 * time.Millisecond, MaxBackoff: 20 * time.Millisecond, SlotsShare: 0.5, HeldShare: 0.5, Lag: lag,
+	Automatic: true, MaxResends: 8, MaxAge: time.Hour, InitialRate: 1000, MaxRate: 1000, Growth: 1,
+	Backoff: 5 * time.Millisecond, MaxBackoff: 20 * time.Millisecond, SlotsShare: 0.5, HeldShare: 0.5, DelayMargin: lag,
 }
 
 var siteClasses = []raventrestle.Class{
