--- a/cmd/raventrestle/commands_test.go
+++ b/cmd/raventrestle/commands_test.go
@@ -190,7 +190,7 @@
 		}
 	}
 	list("--class", "single")
-	if len(items) != 1 || items[0].ID != "pay" || items[0].Reason != "may_have_run" || len(items[0].Tries) != 1 || items[0].Tries[0].Outcome != "reset" {
+	if len(items) != 1 || items[0].ID != "pay" || items[0].Reason != "may_have_run" || len(items[0].Attempts) != 1 || items[0].Attempts[0].Outcome != "reset" {
 		t.Fatalf("%+v", items)
 	}
 	if info, err := os.Stat(socket); err != nil || info.Mode().Perm() != 0o600 {
@@ -358,7 +358,7 @@
 	want := map[string]string{"reset": "reset", "timeout": "timed_out", "killed": ""}
 	for _, it := range items {
 		outcome, known := want[it.ID]
-		if !known || it.Reason != "may_have_run" || !it.Never || len(it.Tries) != 1 || it.Tries[0].Outcome != outcome || len(it.Resends) > 0 {
+		if !known || it.Reason != "may_have_run" || !it.Permanent || len(it.Attempts) != 1 || it.Attempts[0].Outcome != outcome || len(it.Resends) > 0 {
 			t.Errorf("%+v", it)
 		}
 		delete(want, it.ID)
--- a/cmd/raventrestle/serve.go
+++ b/cmd/raventrestle/serve.go
@@ -54,7 +54,7 @@
 	file        string         // operators' settings, "" for none
 	life        *instance.Instance
 	store       *journal.Store
-	deadLetters *deadletter.Keeper // nil where none are kept
+	deadLetters *deadletter.Manager // nil where none are kept
 	courier     *courier.Courier
 	front       *front.Front
 	figures     *figures.Book
@@ -183,7 +183,7 @@
 		if err != nil { // the courier serves on without
 			d.log.Error("admin: no listener", "err", err)
 		} else {
-			var desk deadletter.Desk
+			var desk deadletter.Admin
 			if d.deadLetters != nil {
 				desk = d.deadLetters
 			}
@@ -395,7 +395,7 @@
 	if d.deadLetters, live, stale, err = deadletter.Start(c, kept, d.store.Sound()); err != nil {
 		d.deadLetters = nil
 		d.tell(lifecycle.Began{Trouble: lifecycle.DeadLettersFail})
-		d.log.Error("undeliverable: no store, serving on without", "folder", c.Folder, "err", err)
+		d.log.Error("undeliverable: no store, serving on without", "folder", c.Dir, "err", err)
 		return fresh
 	}
 	var over []journal.Record
@@ -413,11 +413,11 @@
 	u := set.Undeliverable
 	names, classes := d.conf.Names, d.conf.Settings.Classes
 	return deadletter.Config{
-		Folder: deadLetterFolder(set, d.conf.State), Limits: limits(u, d.conf.Settings.Forwarders, d.conf.Settings.WarmupDuration), MaxAge: u.MaxAge.Duration(),
-		Settled: u.SettledAge.Duration(), Log: d.log, Seed: d.conf.Seed, Append: d.store.Append,
-		Options: deadletter.Options{MaxBytes: u.MaxBytes, MaxLetters: u.MaxLetters, Sync: u.Sync},
-		Begin:   func(a deadletter.Again) bool { return d.courier.Again(a) },
-		Class: func(name string) (raventrestle.Class, bool) {
+		Dir: deadLetterFolder(set, d.conf.State), Limits: limits(u, d.conf.Settings.Forwarders, d.conf.Settings.WarmupDuration), MaxAge: u.MaxAge.Duration(),
+		MaxFinalAge: u.SettledAge.Duration(), Log: d.log, Seed: d.conf.Seed, AppendJournal: d.store.Append,
+		Options:      deadletter.Options{MaxBytes: u.MaxBytes, MaxMessages: u.MaxLetters, Sync: u.Sync},
+		SubmitResend: func(a deadletter.ResendRequest) bool { return d.courier.Again(a) },
+		LookupClass: func(name string) (raventrestle.Class, bool) {
 			i, ok := names.Classes[name]
 			if !ok {
 				return raventrestle.Class{}, false
@@ -449,7 +449,7 @@
 		}
 		d.level.Set(set.Log.Level)
 		if d.deadLetters != nil {
-			d.deadLetters.Set(d.keeping(set))
+			d.deadLetters.SetConfig(d.keeping(set))
 		}
 		d.log.Info("settings: read anew", "file", d.file)
 	}()
@@ -499,7 +499,7 @@
 		return
 	}
 	l := &d.deadLetters.Counts
-	d.log.Info("counters: undeliverable", "kept", l.Kept.Load(), "lost", l.Lost.Load(), "gave_way", l.GaveWay.Load(),
-		"expired", l.Expired.Load(), "begun", l.Begun.Load(), "delivered", l.Delivered.Load(), "failed", l.Failed.Load(),
-		"yielded", l.Yielded.Load(), "void", l.Voids.Load())
+	d.log.Info("counters: undeliverable", "kept", l.Added.Load(), "lost", l.Lost.Load(), "gave_way", l.Evicted.Load(),
+		"expired", l.Expired.Load(), "begun", l.ResendsBegun.Load(), "delivered", l.ResendsDelivered.Load(), "failed", l.ResendsFailed.Load(),
+		"yielded", l.ResendsYielded.Load(), "void", l.ResendsVoid.Load())
 }
--- a/cmd/raventrestle/undeliverable.go
+++ b/cmd/raventrestle/undeliverable.go
@@ -33,7 +33,7 @@
 
 // desk is the running courier's, by its socket, or else its folder's, which only --offline may change.
 // The store's own lock keeps a courier and a command from writing at once.
-func (w *where) desk(ctx context.Context, writes bool) (deadletter.Desk, func() error, error) {
+func (w *where) desk(ctx context.Context, writes bool) (deadletter.Admin, func() error, error) {
 	none := func() error { return nil }
 	set := &settings.Settings{Undeliverable: defaults}
 	if *w.file != "" {
@@ -61,13 +61,13 @@
 	}
 	u := set.Undeliverable
 	store, err := deadletter.Open(folder, deadletter.Options{
-		MaxBytes: u.MaxBytes, MaxLetters: u.MaxLetters, Sync: true,
+		MaxBytes: u.MaxBytes, MaxMessages: u.MaxLetters, Sync: true,
 		ReadOnly: !w.offline,
 	}, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	if err != nil {
 		return nil, none, err
 	}
-	return &deadletter.Offline{Store: store, Limits: limits(u, 1, 0)}, store.Close, nil
+	return &deadletter.OfflineAdmin{Store: store, Limits: limits(u, 1, 0)}, store.Close, nil
 }
 
 // deadLetterFolder is where a courier with these settings has its dead letters.
@@ -118,7 +118,7 @@
 	filters := func(c *cobra.Command) *cobra.Command {
 		fl := c.Flags()
 		fl.StringVar(&f.Class, "class", "", "only of this class")
-		fl.StringVar(&f.Hotel, "hotel", "", "only of this hotel")
+		fl.StringVar(&f.Tenant, "hotel", "", "only of this hotel")
 		fl.StringVar(&channel, "channel", "", "only for this channel (a number)")
 		fl.StringVar(&f.State, "state", "", "only held, out, delivered, void or discarded")
 		fl.StringVar(&reason, "reason", "", "only with this reason, such as may_have_run")
@@ -127,14 +127,14 @@
 		return c
 	}
 	// with runs a command at the desk, the filter filled in.
-	with := func(writes bool, do func(*cobra.Command, deadletter.Desk, []string) error) func(*cobra.Command, []string) error {
+	with := func(writes bool, do func(*cobra.Command, deadletter.Admin, []string) error) func(*cobra.Command, []string) error {
 		return func(c *cobra.Command, args []string) error {
 			if channel != "" {
 				n, err := strconv.ParseInt(channel, 10, 64)
 				if err != nil {
 					return fmt.Errorf("--channel: %q is no number", channel)
 				}
-				f.Channel = &n
+				f.Dest = &n
 			}
 			if f.State != "" && !known(f.State) {
 				return fmt.Errorf("--state: %q is no state", f.State)
@@ -144,7 +144,7 @@
 				return fmt.Errorf("--reason: %q is no reason", reason)
 			}
 			f.IDs = args
-			if writes && len(args) == 0 && !all && f.Class+f.Hotel+channel+f.State+reason == "" && f.OlderThan+f.NewerThan == 0 {
+			if writes && len(args) == 0 && !all && f.Class+f.Tenant+channel+f.State+reason == "" && f.OlderThan+f.NewerThan == 0 {
 				return errors.New("name dead letters, give a filter, or --all")
 			}
 			return works(func(c *cobra.Command, args []string) error {
@@ -158,7 +158,7 @@
 	}
 	list := filters(&cobra.Command{
 		Use: "list [ID...]", Short: "List dead letters, with why each may or may not be sent again",
-		RunE: with(false, func(c *cobra.Command, d deadletter.Desk, _ []string) error {
+		RunE: with(false, func(c *cobra.Command, d deadletter.Admin, _ []string) error {
 			items, err := d.List(c.Context(), f)
 			if err != nil {
 				return err
@@ -172,7 +172,7 @@
 	list.Flags().IntVar(&f.Limit, "limit", 0, "at most so many")
 	show := &cobra.Command{
 		Use: "show ID", Short: "Print all that is known of a dead letter", Args: cobra.ExactArgs(1),
-		RunE: with(false, func(c *cobra.Command, d deadletter.Desk, args []string) error {
+		RunE: with(false, func(c *cobra.Command, d deadletter.Admin, args []string) error {
 			it, err := d.Show(c.Context(), args[0])
 			if err != nil {
 				return err
@@ -183,10 +183,10 @@
 			return story(c.OutOrStdout(), it)
 		}),
 	}
-	change := func(use, short string, do func(deadletter.Desk, context.Context) ([]deadletter.Answer, error)) *cobra.Command {
+	change := func(use, short string, do func(deadletter.Admin, context.Context) ([]deadletter.ActionResult, error)) *cobra.Command {
 		c := filters(&cobra.Command{
 			Use: use, Short: short,
-			RunE: with(true, func(c *cobra.Command, d deadletter.Desk, _ []string) error {
+			RunE: with(true, func(c *cobra.Command, d deadletter.Admin, _ []string) error {
 				answers, err := do(d, c.Context())
 				if w.asJSON && err == nil {
 					return print(c, answers)
@@ -196,7 +196,7 @@
 					if a.Done {
 						done++
 					}
-					fmt.Fprintf(c.OutOrStdout(), "%s\t%s\t%s\n", a.ID, map[bool]string{true: "yes", false: "no"}[a.Done], a.Sentence)
+					fmt.Fprintf(c.OutOrStdout(), "%s\t%s\t%s\n", a.ID, map[bool]string{true: "yes", false: "no"}[a.Done], a.Explanation)
 				}
 				if err == nil {
 					fmt.Fprintf(c.OutOrStdout(), "%d of %d dead letters%s\n", done, len(answers), map[bool]string{true: " (dry run: nothing changed)"}[dry])
@@ -209,16 +209,16 @@
 		return c
 	}
 	resend := change("resend [ID...]", "Have dead letters sent again, as far as their class allows it",
-		func(d deadletter.Desk, ctx context.Context) ([]deadletter.Answer, error) {
+		func(d deadletter.Admin, ctx context.Context) ([]deadletter.ActionResult, error) {
 			return d.Resend(ctx, f, dry)
 		})
 	discard := change("discard [ID...]", "End dead letters: they are not sent again and are forgotten in time",
-		func(d deadletter.Desk, ctx context.Context) ([]deadletter.Answer, error) {
+		func(d deadletter.Admin, ctx context.Context) ([]deadletter.ActionResult, error) {
 			return d.Discard(ctx, f, dry)
 		})
 	stats := &cobra.Command{
 		Use: "stats", Short: "Count the dead letters by state, class and reason", Args: cobra.NoArgs,
-		RunE: with(false, func(c *cobra.Command, d deadletter.Desk, _ []string) error {
+		RunE: with(false, func(c *cobra.Command, d deadletter.Admin, _ []string) error {
 			st, err := d.Stats(c.Context())
 			if err != nil {
 				return err
@@ -236,7 +236,7 @@
 			if err != nil {
 				return err
 			}
-			o, ok := d.(*deadletter.Offline)
+			o, ok := d.(*deadletter.OfflineAdmin)
 			if !ok {
 				return errors.New("the courier runs: stop it, or check a copy of its folder with --folder")
 			}
@@ -274,8 +274,8 @@
 	t := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "ID\tCLASS\tHOTEL\tCHANNEL\tFAILED (UTC)\tTRIES\tRESENDS\tSTATE\tREASON")
 	for _, it := range items {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%d\t%d\t%s\t%s\n", it.ID, it.Class, cmp.Or(it.Tenant, "-"), it.Dest, when(it.Failed),
-			len(it.Tries), len(it.Resends), it.StateWord, it.Reason)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%d\t%d\t%s\t%s\n", it.ID, it.Class, cmp.Or(it.Tenant, "-"), it.Dest, when(it.FailedAt),
+			len(it.Attempts), len(it.Resends), it.StateName, it.Reason)
 	}
 	return t.Flush()
 }
@@ -288,24 +288,24 @@
 	row("class", it.Class)
 	row("hotel", cmp.Or(it.Tenant, "-"))
 	row("channel", it.Dest)
-	row("taken on", when(it.Taken))
-	row("time up", when(it.Until))
-	row("failed", when(it.Failed)+" ("+it.Why+")")
-	row("state", it.StateWord)
-	row("resend", string(it.Reason)+": it "+it.Sentence)
+	row("taken on", when(it.AcceptedAt))
+	row("time up", when(it.ExpiresAt))
+	row("failed", when(it.FailedAt)+" ("+it.FailureReason+")")
+	row("state", it.StateName)
+	row("resend", string(it.Reason)+": it "+it.Explanation)
 	row("body", fmt.Sprintf("%d bytes: %q", it.BodySize, clip(it.Content)))
-	tries := func(list []deadletter.Try) {
+	tries := func(list []deadletter.Attempt) {
 		for i, y := range list {
 			row(fmt.Sprintf("  try %d", i+1), strings.Join([]string{
-				when(y.At), cmp.Or(y.Peer, "?"), "floor " + cmp.Or(y.Floor, "?"),
+				when(y.At), cmp.Or(y.Peer, "?"), "floor " + cmp.Or(y.Zone, "?"),
 				cmp.Or(y.Outcome, "no word: the courier ended"), map[bool]string{true: "may have run", false: "never ran"}[y.MayHaveRun()],
 			}, ", "))
 		}
 	}
-	tries(it.Tries)
+	tries(it.Attempts)
 	for i, r := range it.Resends {
-		row(fmt.Sprintf("resend %d", i+1), when(r.Began)+" to "+when(r.Ended)+": "+cmp.Or(r.Result, "out"))
-		tries(r.Tries)
+		row(fmt.Sprintf("resend %d", i+1), when(r.StartedAt)+" to "+when(r.EndedAt)+": "+cmp.Or(r.Result, "out"))
+		tries(r.Attempts)
 	}
 	return t.Flush()
 }
@@ -315,25 +315,25 @@
 func deadLetterFigures(out io.Writer, st *deadletter.Stats) error {
 	t := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	row := func(name string, v any) { fmt.Fprintf(t, "%s\t%v\n", name, v) }
-	row("dead letters", st.Letters)
+	row("dead letters", st.Count)
 	row("bytes of bodies", st.Bytes)
-	row("worth held", st.Worth)
-	row("unreadable", st.Unread)
+	row("worth held", st.HeldValue)
+	row("unreadable", st.Unreadable)
 	for name, n := range map[string]int64{
-		"kept": st.Kept, "lost": st.Lost, "gave way": st.GaveWay, "expired": st.Expired,
-		"resends begun": st.Begun, "resends delivered": st.Delivered, "resends failed": st.Failed, "resends yielded": st.Yielded,
+		"kept": st.Added, "lost": st.Lost, "gave way": st.Evicted, "expired": st.Expired,
+		"resends begun": st.ResendsBegun, "resends delivered": st.ResendsDelivered, "resends failed": st.ResendsFailed, "resends yielded": st.ResendsYielded,
 	} {
 		if n > 0 {
 			row(name+" since the start", n)
 		}
 	}
-	for s, n := range st.States {
+	for s, n := range st.ByState {
 		row("state "+s, n)
 	}
-	for s, n := range st.Classes {
+	for s, n := range st.ByClass {
 		row("class "+s, n)
 	}
-	for s, n := range st.Reasons {
+	for s, n := range st.ByReason {
 		row("reason "+string(s), fmt.Sprintf("%d (%s)", n, s.Explanation()))
 	}
 	return t.Flush()
--- a/internal/deadletter/fulldisk_test.go
+++ b/internal/deadletter/fulldisk_test.go
@@ -11,80 +11,81 @@
 	"testing"
 )
 
-// fullVar makes the test's own program the child of TestKernelRefusesWrites, in the folder that it names.
-const fullVar = "RAVENTRESTLE_TEST_FULL_DISK"
+// writeDirVar is the environment variable that makes the test binary run as the child process of
+// TestKernelRefusesWrites, in the directory that it names.
+const writeDirVar = "RAVENTRESTLE_TEST_FULL_DISK"
 
-// The kernel itself refuses to let the file grow (a limit on the process, which a write meets as it meets
-// a full disk): the store says so, what it had taken is there, and once there is room again it goes on.
+// A file size limit of the process makes the kernel reject writes, as a full disk does. Put must then return an
+// error, the dead letters stored before must remain readable, and Put must work again once the limit is lifted.
 func TestKernelRefusesWrites(t *testing.T) {
-	if dir := os.Getenv(fullVar); dir != "" {
-		child(t, dir)
+	if dir := os.Getenv(writeDirVar); dir != "" {
+		writeUntilFull(t, dir)
 		return
 	}
 	dir := t.TempDir()
 	cmd := exec.Command(os.Args[0], "-test.run=^TestKernelRefusesWrites$", "-test.v")
-	cmd.Env = append(os.Environ(), fullVar+"="+dir)
+	cmd.Env = append(os.Environ(), writeDirVar+"="+dir)
 	out, err := cmd.CombinedOutput()
 	if err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	var kept []string
+	var stored []string
 	for line := range strings.Lines(string(out)) {
 		if id, found := strings.CutPrefix(strings.TrimSpace(line), "kept "); found {
-			kept = append(kept, id)
+			stored = append(stored, id)
 		}
 	}
-	if len(kept) < 20 || !strings.Contains(string(out), "refused") {
-		t.Fatalf("%d kept\n%s", len(kept), out)
+	if len(stored) < 20 || !strings.Contains(string(out), "refused") {
+		t.Fatalf("%d stored\n%s", len(stored), out)
 	}
-	s := open(t, dir, Options{MaxBytes: 1 << 30, MaxLetters: 1 << 20})
-	for _, id := range kept {
-		if l, err := s.Get(id); err != nil || !bytes.Equal(l.Body, make([]byte, 2000)) {
+	s := openStore(t, dir, Options{MaxBytes: 1 << 30, MaxMessages: 1 << 20})
+	for _, id := range stored {
+		if msg, err := s.Get(id); err != nil || !bytes.Equal(msg.Body, make([]byte, 2000)) {
 			t.Errorf("%s: %v", id, err)
 		}
 	}
-	if faults, err := s.Check(); err != nil || len(faults) > 0 {
-		t.Errorf("%v %v", faults, err)
+	if problems, err := s.Check(); err != nil || len(problems) > 0 {
+		t.Errorf("%v %v", problems, err)
 	}
 }
 
-func child(t *testing.T, dir string) {
+func writeUntilFull(t *testing.T, dir string) {
 	signal.Ignore(syscall.SIGXFSZ) // the write fails instead
-	var usual syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_FSIZE, &usual); err != nil {
+	var original syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_FSIZE, &original); err != nil {
 		t.Fatal(err)
 	}
-	set := func(most uint64) {
-		if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: most, Max: usual.Max}); err != nil {
+	set := func(maxBytes uint64) {
+		if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: maxBytes, Max: original.Max}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	s := open(t, dir, Options{MaxBytes: 1 << 30, MaxLetters: 1 << 20})
+	s := openStore(t, dir, Options{MaxBytes: 1 << 30, MaxMessages: 1 << 20})
 	set(256 << 10)
 	put := func(n int) error {
-		l := letter(fmt.Sprintf("l%05d", n), 1, 1, n)
-		l.Body = make([]byte, 2000)
-		_, err := s.Put(l)
+		msg := newTestMessage(fmt.Sprintf("l%05d", n), 1, 1, n)
+		msg.Body = make([]byte, 2000)
+		_, err := s.Put(msg)
 		if err == nil {
-			fmt.Println("kept", l.ID)
+			fmt.Println("kept", msg.ID)
 		}
 		return err
 	}
-	n, refused := 0, 0
-	for ; n < 1000 && refused < 3; n++ {
+	n, failures := 0, 0
+	for ; n < 1000 && failures < 3; n++ {
 		if err := put(n); err != nil {
 			fmt.Println("refused", err)
-			refused++
+			failures++
 		}
 	}
-	if refused < 3 {
-		t.Fatalf("%d letters of 2000 bytes went into 256 KB", n)
+	if failures < 3 {
+		t.Fatalf("%d dead letters of 2000 bytes were stored in 256 KB", n)
 	}
-	if l, err := s.Get("l00000"); err != nil || len(l.Body) != 2000 {
-		t.Fatalf("what was kept can't be read: %v", err)
+	if msg, err := s.Get("l00000"); err != nil || len(msg.Body) != 2000 {
+		t.Fatalf("a stored dead letter cannot be read: %v", err)
 	}
-	set(usual.Cur)
+	set(original.Cur)
 	if err := put(n + 1); err != nil {
-		t.Fatalf("there is room again: %v", err)
+		t.Fatalf("put after the limit was lifted: %v", err)
 	}
 }
--- a/internal/deadletter/fuzz_test.go
+++ b/internal/deadletter/fuzz_test.go
@@ -6,32 +6,33 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// What is no dead letter is an error and never a fault; what is one comes back the same.
-func FuzzLetter(f *testing.F) {
-	whole, err := letter("m", 1, 2, 3).head()
+// Decoding arbitrary bytes returns an error and never panics. What can be decoded is the same after it was encoded
+// and decoded again.
+func FuzzDecode(f *testing.F) {
+	encoded, err := newTestMessage("m", 1, 2, 3).encode()
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(whole)
-	f.Add(whole[:len(whole)-1])
-	f.Add(seal(nil))
-	f.Add(seal([]byte{0xa1, 1, 0x9f}))
+	f.Add(encoded)
+	f.Add(encoded[:len(encoded)-1])
+	f.Add(addChecksum(nil))
+	f.Add(addChecksum([]byte{0xa1, 1, 0x9f}))
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		for _, text := range [][]byte{b, seal(b)} { // the second passes the checksum
-			l, err := parse(text)
+		for _, input := range [][]byte{b, addChecksum(b)} { // the second one has a valid checksum
+			msg, err := decode(input)
 			if err != nil {
 				continue
 			}
-			again, err := l.head()
+			encodedAgain, err := msg.encode()
 			if err != nil {
 				t.Fatal(err)
 			}
-			l2, err := parse(again)
+			msg2, err := decode(encodedAgain)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if diff := cmp.Diff(l, l2); diff != "" {
+			if diff := cmp.Diff(msg, msg2); diff != "" {
 				t.Fatal(diff)
 			}
 		}
--- a/internal/deadletter/golden_test.go
+++ b/internal/deadletter/golden_test.go
@@ -1,7 +1,7 @@
 package deadletter
 
-// The stored form of dead letters, as the build 73ca247 wrote it. The files in testdata/golden are never written anew:
-// a courier that is upgraded or put back to an earlier build finds the store of the other.
+// The stored form of dead letters, as the build 73ca247 wrote it. The files in testdata/golden are never regenerated,
+// because a courier that is upgraded or rolled back opens the store of the other build.
 
 import (
 	"encoding/hex"
@@ -25,32 +25,32 @@
 
 const (
 	goldenFile       = "testdata/golden/letters.db"
-	goldenText       = "testdata/golden/letters.txt"  // what stands in goldenFile: bucket, key and value, the last two in hex
-	goldenDeadLetter = "testdata/golden/letter.json"  // goldenLetters' first, as operators' commands show it
-	goldenStates     = "testdata/golden/states.txt"   // numbers and words of the states
-	goldenNumber     = "testdata/golden/effects.json" // numbers of effects and groups
+	goldenText       = "testdata/golden/letters.txt"  // contents of goldenFile: bucket, key and value, the last two in hex
+	goldenDeadLetter = "testdata/golden/letter.json"  // the first of goldenDeadLetters, as operators' commands show it
+	goldenStates     = "testdata/golden/states.txt"   // numbers and names of the states
+	goldenNumber     = "testdata/golden/effects.json" // numbers of the idempotency levels and deduplication scopes
 )
 
-// goldenDeadLetters are the dead letters of goldenFile: in the first each field is set, and each to another value.
-func goldenDeadLetters() []*Letter {
-	full := &Letter{
-		ID: "id-1", Key: "key-2", Class: "class-3", Tenant: "tenant-4", Dest: 5, Taken: 6_000_000_000, Until: 7_000_000_000,
-		Failed: 8_000_000_000, Why: "why-9", Effect: raventrestle.NonIdempotent, Group: raventrestle.DedupZone, Window: 12, Deadline: 13,
-		Worth:     14.5,
-		Tries:     []Try{{Peer: "peer-15", Floor: "floor-16", At: 17, Outcome: "outcome-18"}, {Peer: "peer-19", Floor: "floor-20", At: 21}},
-		Ran:       &Try{Peer: "peer-22", Floor: "floor-23", At: 24, Outcome: "outcome-25"},
+// goldenDeadLetters returns the dead letters of goldenFile. In the first one every field has a different value.
+func goldenDeadLetters() []*Message {
+	full := &Message{
+		ID: "id-1", Key: "key-2", Class: "class-3", Tenant: "tenant-4", Dest: 5, AcceptedAt: 6_000_000_000, ExpiresAt: 7_000_000_000,
+		FailedAt: 8_000_000_000, FailureReason: "why-9", Idempotency: raventrestle.NonIdempotent, DedupScope: raventrestle.DedupZone, DedupWindow: 12, Deadline: 13,
+		Value:     14.5,
+		Attempts:  []Attempt{{Peer: "peer-15", Zone: "floor-16", At: 17, Outcome: "outcome-18"}, {Peer: "peer-19", Zone: "floor-20", At: 21}},
+		FirstRun:  &Attempt{Peer: "peer-22", Zone: "floor-23", At: 24, Outcome: "outcome-25"},
 		State:     rule.Void,
-		Resends:   []Resend{{Began: 26, Ended: 27, Result: "result-28", Tries: []Try{{Peer: "peer-29", Floor: "floor-30", At: 31, Outcome: "outcome-32"}}}},
-		NotBefore: 33, Asked: true, Settled: 34, Body: []byte("body 35"),
+		Resends:   []Resend{{StartedAt: 26, EndedAt: 27, Result: "result-28", Attempts: []Attempt{{Peer: "peer-29", Zone: "floor-30", At: 31, Outcome: "outcome-32"}}}},
+		NotBefore: 33, Requested: true, FinalAt: 34, Body: []byte("body 35"),
 	}
-	letters := []*Letter{full}
+	letters := []*Message{full}
 	for i, state := range []rule.State{rule.Held, rule.Resending, rule.Delivered, rule.Void, rule.Discarded} {
-		l := &Letter{
-			ID: fmt.Sprint("state-", state), Class: "c", Dest: int64(40 + i), Failed: int64(50 + i), Effect: raventrestle.Keyed,
-			Group: raventrestle.DedupTarget, State: state, Body: []byte{byte(60 + i)},
+		l := &Message{
+			ID: fmt.Sprint("state-", state), Class: "c", Dest: int64(40 + i), FailedAt: int64(50 + i), Idempotency: raventrestle.Keyed,
+			DedupScope: raventrestle.DedupTarget, State: state, Body: []byte{byte(60 + i)},
 		}
 		if state == rule.Resending {
-			l.Resends = []Resend{{Began: 70}}
+			l.Resends = []Resend{{StartedAt: 70}}
 		}
 		letters = append(letters, l)
 	}
@@ -60,7 +60,7 @@
 	return letters
 }
 
-// contents lists what stands in the store's file, in the order of its buckets and keys.
+// contents lists the contents of the store file, in the order of its buckets and keys.
 func contents(t *testing.T, path string) []string {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: time.Second})
@@ -97,7 +97,7 @@
 	return strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 }
 
-// goldenDirectory returns a folder that holds a copy of the stored file.
+// goldenDirectory returns a directory with a copy of the stored file.
 func goldenDirectory(t *testing.T) string {
 	t.Helper()
 	return goldentest.CopyFile(t, goldenFile, "letters.db")
@@ -105,9 +105,9 @@
 
 func TestStoredDeadLettersAreReadAndContinued(t *testing.T) {
 	dir := goldenDirectory(t)
-	s := open(t, dir, large)
-	if s.Spoilt != 0 || s.Letters != len(goldenDeadLetters()) {
-		t.Errorf("got %d letters and %d spoilt, want %d and 0", s.Letters, s.Spoilt, len(goldenDeadLetters()))
+	s := openStore(t, dir, largeOptions)
+	if s.Unreadable != 0 || s.Count != len(goldenDeadLetters()) {
+		t.Errorf("got %d letters and %d spoilt, want %d and 0", s.Count, s.Unreadable, len(goldenDeadLetters()))
 	}
 	for _, want := range goldenDeadLetters() {
 		got, err := s.Get(want.ID)
@@ -118,22 +118,22 @@
 			t.Errorf("%s (-want +got):\n%s", want.ID, diff)
 		}
 	}
-	if err := s.Change([]string{"id-1"}, func(l *Letter) error { l.Why = "changed"; return nil }); err != nil {
+	if err := s.Change([]string{"id-1"}, func(l *Message) error { l.FailureReason = "changed"; return nil }); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Delete("state-discarded"); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.Put(letter("another", 80, 81, 82)); err != nil {
+	if _, err := s.Put(newTestMessage("another", 80, 81, 82)); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
 
-	s = open(t, dir, large)
+	s = openStore(t, dir, largeOptions)
 	var got []string
-	if err := s.Each(func(l *Letter) bool { got = append(got, l.ID+" "+l.Why); return true }); err != nil {
+	if err := s.Each(func(l *Message) bool { got = append(got, l.ID+" "+l.FailureReason); return true }); err != nil {
 		t.Fatal(err)
 	}
 	want := []string{"id-1 changed", "state-held ", "state-out ", "state-delivered ", "state-void ", "another "}
@@ -148,7 +148,7 @@
 		t.Fatalf("%s and %s differ (-text +file):\n%s", goldenText, goldenFile, diff)
 	}
 	dir := t.TempDir()
-	s := open(t, dir, large)
+	s := openStore(t, dir, largeOptions)
 	if _, err := s.Put(goldenDeadLetters()...); err != nil {
 		t.Fatal(err)
 	}
@@ -162,7 +162,7 @@
 
 func TestOperatorsSeeADeadLetterAsBefore(t *testing.T) {
 	l := goldenDeadLetters()[0]
-	got, err := json.MarshalIndent(Item{Letter: l, StateWord: "status-36", Reason: "reason-37", Sentence: "explanation-38", Never: true, Content: l.Body}, "", "\t")
+	got, err := json.MarshalIndent(Item{Message: l, StateName: "status-36", Reason: "reason-37", Explanation: "explanation-38", Permanent: true, Content: l.Body}, "", "\t")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/deadletter/offline.go
+++ b/internal/deadletter/offline.go
@@ -1,6 +1,6 @@
 package deadletter
 
-// The desk at a stopped courier's folder.
+// The Admin interface and the integrity check for the store of a stopped courier.
 
 import (
 	"context"
@@ -12,73 +12,75 @@
 	"raventrestle/internal/deadletter/rule"
 )
 
-// Offline is the desk at the folder of a courier that is not running. Where its destinations stand
-// is not known, so a dead letter's reason tells only of its class and its own history.
-type Offline struct {
+// OfflineAdmin implements Admin for the store of a courier that is not running. It does not know the state of
+// the destinations, so the reason for a dead letter depends only on its class and its history.
+type OfflineAdmin struct {
 	Store  *Store
 	Limits rule.Limits
 }
 
-func (o *Offline) judge(l *Letter, now time.Time) rule.Reason {
-	place := rule.Endpoint{}
-	if l.Ran != nil {
-		place = rule.Endpoint{Peer: l.Ran.Peer, Zone: l.Ran.Floor}
+func (o *OfflineAdmin) check(msg *Message, now time.Time) rule.Reason {
+	endpoint := rule.Endpoint{}
+	if msg.FirstRun != nil {
+		endpoint = rule.Endpoint{Peer: msg.FirstRun.Peer, Zone: msg.FirstRun.Zone}
 	}
-	return o.Limits.Check(l.Facts(), now, []rule.Endpoint{place})
+	return o.Limits.Check(msg.Facts(), now, []rule.Endpoint{endpoint})
 }
 
-// List implements Desk.
-func (o *Offline) List(ctx context.Context, f Filter) ([]Item, error) {
-	return o.Store.list(ctx, f, o.judge)
+// List implements Admin.
+func (o *OfflineAdmin) List(ctx context.Context, f Filter) ([]Item, error) {
+	return o.Store.list(ctx, f, o.check)
 }
 
-// Show implements Desk.
-func (o *Offline) Show(_ context.Context, id string) (*Item, error) { return o.Store.show(id, o.judge) }
+// Show implements Admin.
+func (o *OfflineAdmin) Show(_ context.Context, id string) (*Item, error) {
+	return o.Store.show(id, o.check)
+}
 
-// Stats implements Desk.
-func (o *Offline) Stats(ctx context.Context) (*Stats, error) { return o.Store.stats(ctx, o.judge) }
+// Stats implements Admin.
+func (o *OfflineAdmin) Stats(ctx context.Context) (*Stats, error) { return o.Store.stats(ctx, o.check) }
 
-// Resend implements Desk: the dead letters go when the courier runs again.
-func (o *Offline) Resend(ctx context.Context, f Filter, dry bool) ([]Answer, error) {
-	return o.each(ctx, f, func(id string) (Answer, error) { return o.Store.ask(id, time.Now(), dry, o.judge) })
+// Resend implements Admin. The dead letters are sent when the courier runs again.
+func (o *OfflineAdmin) Resend(ctx context.Context, f Filter, dry bool) ([]ActionResult, error) {
+	return o.forEach(ctx, f, func(id string) (ActionResult, error) { return o.Store.requestResend(id, time.Now(), dry, o.check) })
 }
 
-// Discard implements Desk.
-func (o *Offline) Discard(ctx context.Context, f Filter, dry bool) ([]Answer, error) {
-	return o.each(ctx, f, func(id string) (Answer, error) { return o.Store.discard(id, time.Now(), dry) })
+// Discard implements Admin.
+func (o *OfflineAdmin) Discard(ctx context.Context, f Filter, dry bool) ([]ActionResult, error) {
+	return o.forEach(ctx, f, func(id string) (ActionResult, error) { return o.Store.discard(id, time.Now(), dry) })
 }
 
-func (o *Offline) each(ctx context.Context, f Filter, do func(id string) (Answer, error)) ([]Answer, error) {
+func (o *OfflineAdmin) forEach(ctx context.Context, f Filter, do func(id string) (ActionResult, error)) ([]ActionResult, error) {
 	items, err := o.List(ctx, f)
-	answers := []Answer{}
+	results := []ActionResult{}
 	for _, it := range items {
 		a, err := do(it.ID)
 		if err != nil {
-			return answers, err
+			return results, err
 		}
-		answers = append(answers, a)
+		results = append(results, a)
 	}
-	return answers, err
+	return results, err
 }
 
-// Check reads the whole store and says what is wrong with it. bbolt's own check runs in a goroutine of
-// its own, where a spoilt page would end the process; this one walks the same pages.
-func (s *Store) Check() (faults []string, err error) {
-	defer s.guard(&err, nil)
+// Check reads the whole store and returns the inconsistencies that it finds. bbolt's own check runs in a separate
+// goroutine, where a panic over a corrupt page would end the process; this one reads the same pages.
+func (s *Store) Check() (problems []string, err error) {
+	defer s.recoverCorruption(&err, nil)
 	err = s.read(func(tx *bbolt.Tx) error {
-		known := map[string]string{} // sequence numbers to ids
+		idBySeq := map[string]string{} // sequence number to message ID
 		for c, k, v := cursor(tx); k != nil; k, v = c.Next() {
-			l, err := parse(v)
+			msg, err := decode(v)
 			if err != nil {
-				faults = append(faults, fmt.Sprintf("dead letter %x: %v", k, err))
+				problems = append(problems, fmt.Sprintf("dead letter %x: %v", k, err))
 				continue
 			}
-			known[string(k)] = l.ID
-			if at := tx.Bucket(ids).Get([]byte(l.ID)); string(at) != string(k) {
-				faults = append(faults, fmt.Sprintf("dead letter %s is not found by its id", l.ID))
+			idBySeq[string(k)] = msg.ID
+			if stored := tx.Bucket(ids).Get([]byte(msg.ID)); string(stored) != string(k) {
+				problems = append(problems, fmt.Sprintf("dead letter %s is missing from the ID index", msg.ID))
 			}
-			if _, err := unseal(tx.Bucket(bodies).Get(k)); err != nil {
-				faults = append(faults, fmt.Sprintf("body of %s: %v", l.ID, err))
+			if _, err := verifyChecksum(tx.Bucket(bodies).Get(k)); err != nil {
+				problems = append(problems, fmt.Sprintf("body of %s: %v", msg.ID, err))
 			}
 		}
 		for _, b := range [][]byte{bodies, ids} {
@@ -87,8 +89,8 @@
 				if string(b) == string(ids) {
 					seq = v
 				}
-				if _, ok := known[string(seq)]; !ok {
-					faults = append(faults, fmt.Sprintf("%s has %x, and there is no such dead letter", b, k))
+				if _, ok := idBySeq[string(seq)]; !ok {
+					problems = append(problems, fmt.Sprintf("bucket %s: %x refers to no dead letter", b, k))
 				}
 				return nil
 			}); err != nil {
@@ -97,5 +99,5 @@
 		}
 		return nil
 	})
-	return faults, err
+	return problems, err
 }
--- a/internal/deadletter/reconcile.go
+++ b/internal/deadletter/reconcile.go
@@ -8,27 +8,29 @@
 	"raventrestle/internal/journal"
 )
 
-// reconcile puts right what a crash left between the store and the journal:
-//   - a dead letter of a message that the journal still holds: the crash came before the message's end was
-//     written, so the journal answers and the dead letter goes;
-//   - a dead letter of a message whose client was told to come again, as the disk was slow: it goes too;
-//   - a resend in the journal whose dead letter is not out: its end is written, so the journal may forget it;
-//   - a dead letter that is out but not in the journal: it was never sent, since the journal comes first.
-//     Where the journal was lost or torn that is not known, and the dead letter counts as one that ran.
-func reconcile(s *Store, kept []journal.Kept, sound bool, now time.Time) (live []journal.Kept, stale []string, err error) {
-	resent := map[string]bool{}
-	var drop []string
+// reconcile makes the store and the journal consistent after a crash:
+//   - If the journal still has a message as unfinished, the crash came before its end was written. The journal is
+//     authoritative and the dead letter is deleted.
+//   - If the client was told to submit the message again because the disk was slow, the dead letter is deleted too.
+//   - If the journal has a resend whose dead letter is not being resent, the result was already written. The
+//     resend is stale and the journal can delete it.
+//   - If a dead letter is being resent but is not in the journal, it was never sent, because the journal is
+//     written first. If the journal was lost or truncated, this is not certain and the dead letter counts as
+//     one that may have run.
+func reconcile(s *Store, kept []journal.Kept, journalIntact bool, now time.Time) (live []journal.Kept, stale []string, err error) {
+	inJournal := map[string]bool{}
+	var superseded []string
 	for _, k := range kept {
 		if k.Resend == 0 {
 			if k.Owed == nil || k.Owed.Deferred {
-				drop = append(drop, k.ID)
+				superseded = append(superseded, k.ID)
 			}
 			continue
 		}
-		l, err := s.Get(k.ID)
+		msg, err := s.Get(k.ID)
 		switch {
-		case err == nil && l.State == rule.Resending && int64(len(l.Resends)) == k.Resend:
-			resent[k.ID] = true
+		case err == nil && msg.State == rule.Resending && int64(len(msg.Resends)) == k.Resend:
+			inJournal[k.ID] = true
 			live = append(live, k)
 		case err == nil || errors.Is(err, ErrMissing):
 			stale = append(stale, k.ID)
@@ -36,34 +38,34 @@
 			return nil, nil, err
 		}
 	}
-	var lost []string
-	err = s.Each(func(l *Letter) bool {
-		if l.State == rule.Resending && !resent[l.ID] {
-			lost = append(lost, l.ID)
+	var orphaned []string
+	err = s.Each(func(msg *Message) bool {
+		if msg.State == rule.Resending && !inJournal[msg.ID] {
+			orphaned = append(orphaned, msg.ID)
 		}
 		return true
 	})
 	if err != nil {
 		return nil, nil, err
 	}
-	if len(drop) > 0 {
-		if err := s.Delete(drop...); err != nil {
+	if len(superseded) > 0 {
+		if err := s.Delete(superseded...); err != nil {
 			return nil, nil, err
 		}
 	}
-	if len(lost) == 0 {
+	if len(orphaned) == 0 {
 		return live, stale, nil
 	}
-	return live, stale, s.Change(lost, func(l *Letter) error {
-		l.State = rule.Held
-		last := len(l.Resends) - 1
-		if sound {
-			l.Resends = l.Resends[:last]
+	return live, stale, s.Change(orphaned, func(msg *Message) error {
+		msg.State = rule.Held
+		last := len(msg.Resends) - 1
+		if journalIntact {
+			msg.Resends = msg.Resends[:last]
 			return nil
 		}
-		l.Resends[last].Ended, l.Resends[last].Result = now.UnixNano(), "unknown: the journal was lost"
-		if l.Ran == nil {
-			l.Ran = &Try{At: l.Resends[last].Began}
+		msg.Resends[last].EndedAt, msg.Resends[last].Result = now.UnixNano(), "unknown: the journal was lost"
+		if msg.FirstRun == nil {
+			msg.FirstRun = &Attempt{At: msg.Resends[last].StartedAt}
 		}
 		return nil
 	})
--- a/internal/deadletter/rule/rule.go
+++ b/internal/deadletter/rule/rule.go
@@ -130,16 +130,16 @@
 
 // AllowedAt reports whether the dead letter may be sent again to the endpoint: either a repeat does no harm,
 // or the endpoint drops it.
-func (f Facts) AllowedAt(p Endpoint) bool {
+func (f Facts) AllowedAt(endpoint Endpoint) bool {
 	switch {
 	case !f.MayHaveRun || f.Idempotency == raventrestle.Idempotent:
 		return true
 	case f.Idempotency != raventrestle.Keyed:
 		return false
 	case f.DedupScope == raventrestle.DedupZone:
-		return p.Zone != "" && p.Zone == f.FirstRunZone
+		return endpoint.Zone != "" && endpoint.Zone == f.FirstRunZone
 	case f.DedupScope == raventrestle.DedupTarget:
-		return p.Peer == f.FirstRunPeer
+		return endpoint.Peer == f.FirstRunPeer
 	}
 	return true
 }
--- a/internal/deadletter/rule/rule_test.go
+++ b/internal/deadletter/rule/rule_test.go
@@ -75,9 +75,9 @@
 			State:       State(rapid.IntRange(0, 4).Draw(t, "state")),
 			Idempotency: raventrestle.Idempotency(rapid.IntRange(0, 2).Draw(t, "effect")),
 			DedupScope:  raventrestle.DedupScope(rapid.IntRange(0, 2).Draw(t, "group")), DedupWindow: second("window", 10),
-			MayHaveRun: rapid.Bool().Draw(t, "may run"), FirstRunPeer: "p1", FirstRunZone: "a", FirstRunAt: epoch.Add(second("ran", 10)),
+			MayHaveRun: rapid.Bool().Draw(t, "may have run"), FirstRunPeer: "p1", FirstRunZone: "a", FirstRunAt: epoch.Add(second("ran", 10)),
 			FailedAt: epoch.Add(second("failed", 20)), Resends: rapid.IntRange(0, 5).Draw(t, "resends"),
-			NotBefore: epoch.Add(second("not before", 20)), Requested: rapid.Bool().Draw(t, "asked"),
+			NotBefore: epoch.Add(second("not before", 20)), Requested: rapid.Bool().Draw(t, "requested"),
 		}
 		now := epoch.Add(second("now", 30))
 		endpoint := rapid.SampledFrom([]Endpoint{{"p1", "a"}, {"p2", "a"}, {"p3", "b"}, {"p4", ""}})
@@ -204,8 +204,8 @@
 // Resends stay within their share and leave the reserved capacity to fresh messages.
 func TestResendCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		load := Load{Slots: rapid.IntRange(1, 64).Draw(t, "slots"), MaxHeld: rapid.IntRange(1, 500).Draw(t, "most")}
-		load.InFlight = rapid.IntRange(0, load.Slots).Draw(t, "out")
+		load := Load{Slots: rapid.IntRange(1, 64).Draw(t, "slots"), MaxHeld: rapid.IntRange(1, 500).Draw(t, "max held")}
+		load.InFlight = rapid.IntRange(0, load.Slots).Draw(t, "in flight")
 		load.Held = rapid.IntRange(0, load.MaxHeld).Draw(t, "held")
 		load.Resends = rapid.IntRange(0, load.Held).Draw(t, "resends")
 		n := limits.ResendCapacity(load)
--- a/internal/deadletter/store.go
+++ b/internal/deadletter/store.go
@@ -15,52 +15,52 @@
 	"raventrestle/internal/deadletter/rule"
 )
 
-// Errors of a store.
+// Errors of the store.
 var (
-	ErrLocked  = errors.New("another process has the store open")
-	ErrMissing = errors.New("no such dead letter")
-	ErrNoRoom  = errors.New("the dead letter is larger than the store may be")
+	ErrLocked   = errors.New("another process has the store open")
+	ErrMissing  = errors.New("no such dead letter")
+	ErrTooLarge = errors.New("the dead letters exceed the size limit of the store")
 )
 
-// Options say how a store is kept.
+// Options configure a Store.
 type Options struct {
-	MaxBytes   int64 // sum of the dead letters' sizes
-	MaxLetters int
-	Sync       bool // each write waits for the disk
-	ReadOnly   bool
-	// Before is asked before each write; an error stands for the write's own. It is nil in service:
-	// tests use it to end a life at a chosen boundary.
-	Before func() error
+	MaxBytes    int64 // sum of the dead letters' sizes
+	MaxMessages int
+	Sync        bool // sync the file after each write
+	ReadOnly    bool
+	// BeforeWrite, if not nil, is called before each write; an error that it returns is taken for the error of
+	// the write. Only tests set it, to simulate a crash before a chosen write.
+	BeforeWrite func() error
 }
 
-// Store is the lasting store of dead letters: one bbolt file. In memory it has an entry of 40 bytes for
-// each dead letter. Only one goroutine may use it at a time.
+// Store is the persistent store of dead letters, in one bbolt file. Its index in memory takes 40 bytes for each
+// dead letter. Only one goroutine may use it at a time, except that Get and Each may run concurrently with it.
 type Store struct {
 	Options
-	path    string
-	log     *slog.Logger
-	db      *bbolt.DB
-	shelves map[int64]*shelf
-	Bytes   int64 // of all dead letters
-	Letters int
-	Spoilt  int // records that could not be read at the start
+	path       string
+	log        *slog.Logger
+	db         *bbolt.DB
+	indexes    map[int64]*destIndex
+	Bytes      int64 // of all dead letters, as far as they count against MaxBytes
+	Count      int
+	Unreadable int // records that could not be read when the store was opened
 }
 
 const (
-	fileName = "letters.db"
-	overhead = 96 // bytes of the file for each dead letter, beside its head and body
+	fileName      = "letters.db"
+	entryOverhead = 96 // bytes of the file for each dead letter, in addition to its header and body
 )
 
 var (
-	heads  = []byte("heads")  // sequence number to the dead letter without its body
-	bodies = []byte("bodies") // sequence number to the body
-	ids    = []byte("ids")    // the message's id to the sequence number
+	headers = []byte("heads")  // sequence number to the encoded Message, without its body
+	bodies  = []byte("bodies") // sequence number to the body, with its checksum
+	ids     = []byte("ids")    // message ID to the sequence number
 )
 
-// Open opens the store in the folder, and makes both if need be. ErrLocked and errors of the disk
-// say that there is no store now; ErrSpoilt says that the file is no store, see SetAside.
+// Open opens the store in the directory and creates both if necessary. It returns ErrLocked if another process has
+// the store open, and ErrCorrupt if the file is not a readable store, see Quarantine.
 func Open(dir string, o Options, log *slog.Logger) (s *Store, err error) {
-	s = &Store{Options: o, path: filepath.Join(dir, fileName), log: log, shelves: map[int64]*shelf{}}
+	s = &Store{Options: o, path: filepath.Join(dir, fileName), log: log, indexes: map[int64]*destIndex{}}
 	if !o.ReadOnly {
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			return nil, fmt.Errorf("deadletter: %w", err)
@@ -68,148 +68,149 @@
 	} else if _, err := os.Stat(s.path); err != nil {
 		return nil, fmt.Errorf("deadletter: %w", err)
 	}
-	made := s
-	defer s.guard(&err, func() { made.Close(); s = nil })
+	opened := s
+	defer s.recoverCorruption(&err, func() { opened.Close(); s = nil })
 	if err := s.open(); err != nil {
 		return nil, errors.Join(err, s.Close())
 	}
-	if err := s.scan(); err != nil {
+	if err := s.buildIndex(); err != nil {
 		return nil, errors.Join(err, s.Close())
 	}
 	if !o.ReadOnly {
 		if err := s.compact(); err != nil {
-			log.Warn("undeliverable: the store stays as large as it is", "err", err)
+			log.Warn("undeliverable: could not compact the store", "err", err)
 		}
 	}
 	return s, nil
 }
 
-// Close closes the file.
+// Close closes the store file and releases its lock.
 func (s *Store) Close() (err error) {
-	defer s.guard(&err, nil)
+	defer s.recoverCorruption(&err, nil)
 	if s.db == nil {
 		return nil
 	}
 	return s.db.Close()
 }
 
-func number(seq uint64) []byte { return binary.BigEndian.AppendUint64(nil, seq) }
+func seqKey(seq uint64) []byte { return binary.BigEndian.AppendUint64(nil, seq) }
 
-// Put writes dead letters in one transaction, in place of those with their ids. What gave way to them is
-// returned.
-func (s *Store) Put(letters ...*Letter) (gave []Letter, err error) {
-	defer s.guard(&err, nil)
+// Put writes dead letters in one transaction and replaces those with the same IDs. It returns the dead letters
+// that it evicted to make room, also when the write itself failed.
+func (s *Store) Put(messages ...*Message) (evicted []Message, err error) {
+	defer s.recoverCorruption(&err, nil)
 	var bytes int64
-	for _, l := range letters {
-		l.BodySize = len(l.Body)
-		bytes += int64(l.BodySize + 512 + overhead + 64*len(l.Tries))
+	for _, msg := range messages {
+		msg.BodySize = len(msg.Body)
+		bytes += int64(msg.BodySize + 512 + entryOverhead + 64*len(msg.Attempts))
 	}
-	if bytes > s.MaxBytes || len(letters) > s.MaxLetters {
-		return nil, fmt.Errorf("deadletter: %w", ErrNoRoom)
+	if bytes > s.MaxBytes || len(messages) > s.MaxMessages {
+		return nil, fmt.Errorf("deadletter: %w", ErrTooLarge)
 	}
-	if gave, err = s.makeRoom(bytes, len(letters)); err != nil {
+	if evicted, err = s.evict(bytes, len(messages)); err != nil {
 		return nil, err
 	}
-	var shelve []func()
+	var updates []func()
 	err = s.write(func(tx *bbolt.Tx) error {
-		for _, l := range letters {
-			head, err := l.head()
+		for _, msg := range messages {
+			header, err := msg.encode()
 			if err != nil {
 				return err
 			}
 			seq := uint64(0)
-			if old := tx.Bucket(ids).Get([]byte(l.ID)); len(old) == 8 {
-				seq = binary.BigEndian.Uint64(old)
-			} else if seq, err = tx.Bucket(heads).NextSequence(); err != nil {
+			if key := tx.Bucket(ids).Get([]byte(msg.ID)); len(key) == 8 {
+				seq = binary.BigEndian.Uint64(key)
+			} else if seq, err = tx.Bucket(headers).NextSequence(); err != nil {
 				return err
 			}
-			err = errors.Join(tx.Bucket(heads).Put(number(seq), head), tx.Bucket(ids).Put([]byte(l.ID), number(seq)),
-				tx.Bucket(bodies).Put(number(seq), seal(l.Body)))
+			err = errors.Join(tx.Bucket(headers).Put(seqKey(seq), header), tx.Bucket(ids).Put([]byte(msg.ID), seqKey(seq)),
+				tx.Bucket(bodies).Put(seqKey(seq), addChecksum(msg.Body)))
 			if err != nil {
 				return err
 			}
-			shelve = append(shelve, func() { s.shelve(seq, l, len(head)) })
+			updates = append(updates, func() { s.addToIndex(seq, msg, len(header)) })
 		}
 		return nil
 	})
 	if err != nil {
-		return gave, err
+		return evicted, err
 	}
-	for _, f := range shelve {
+	for _, f := range updates {
 		f()
 	}
-	return gave, nil
+	return evicted, nil
 }
 
-func (s *Store) load(tx *bbolt.Tx, id string, body bool) (l *Letter, seq uint64, err error) {
-	at := tx.Bucket(ids).Get([]byte(id))
-	if len(at) != 8 {
+// load reads a dead letter by ID, and its body if asked to.
+func (s *Store) load(tx *bbolt.Tx, id string, body bool) (msg *Message, seq uint64, err error) {
+	key := tx.Bucket(ids).Get([]byte(id))
+	if len(key) != 8 {
 		return nil, 0, fmt.Errorf("deadletter: %s: %w", id, ErrMissing)
 	}
-	if l, err = parse(tx.Bucket(heads).Get(at)); err != nil {
+	if msg, err = decode(tx.Bucket(headers).Get(key)); err != nil {
 		return nil, 0, err
 	}
 	if body {
-		text, err := unseal(tx.Bucket(bodies).Get(at))
+		content, err := verifyChecksum(tx.Bucket(bodies).Get(key))
 		if err != nil {
 			return nil, 0, err
 		}
-		l.Body = slices.Clone(text)
+		msg.Body = slices.Clone(content)
 	}
-	return l, binary.BigEndian.Uint64(at), nil
+	return msg, binary.BigEndian.Uint64(key), nil
 }
 
-// Get reads one dead letter, its body included.
-func (s *Store) Get(id string) (l *Letter, err error) {
-	defer s.guard(&err, nil)
+// Get reads one dead letter including its body.
+func (s *Store) Get(id string) (msg *Message, err error) {
+	defer s.recoverCorruption(&err, nil)
 	err = s.read(func(tx *bbolt.Tx) error {
-		l, _, err = s.load(tx, id, true)
+		msg, _, err = s.load(tx, id, true)
 		return err
 	})
-	return l, err
+	return msg, err
 }
 
-// Change rewrites the heads of dead letters in one transaction, all or none. An error of change leaves
-// all as they were and is returned.
-func (s *Store) Change(which []string, change func(*Letter) error) (err error) {
-	defer s.guard(&err, nil)
-	var shelve []func()
+// Change passes each dead letter, without its body, to change and writes it back, all in one transaction. If
+// change returns an error, Change returns it and modifies none of them.
+func (s *Store) Change(messageIDs []string, change func(*Message) error) (err error) {
+	defer s.recoverCorruption(&err, nil)
+	var updates []func()
 	err = s.write(func(tx *bbolt.Tx) error {
-		for _, id := range which {
-			l, seq, err := s.load(tx, id, false)
+		for _, id := range messageIDs {
+			msg, seq, err := s.load(tx, id, false)
 			if err != nil {
 				return err
 			}
-			if err := change(l); err != nil {
+			if err := change(msg); err != nil {
 				return err
 			}
-			head, err := l.head()
+			header, err := msg.encode()
 			if err != nil {
 				return err
 			}
-			if err := tx.Bucket(heads).Put(number(seq), head); err != nil {
+			if err := tx.Bucket(headers).Put(seqKey(seq), header); err != nil {
 				return err
 			}
-			shelve = append(shelve, func() { s.shelve(seq, l, len(head)) })
+			updates = append(updates, func() { s.addToIndex(seq, msg, len(header)) })
 		}
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	for _, f := range shelve {
+	for _, f := range updates {
 		f()
 	}
 	return nil
 }
 
-// Each hands out every dead letter that can be read, without its body, in the order they were put there,
-// until f says no.
-func (s *Store) Each(f func(*Letter) bool) (err error) {
-	defer s.guard(&err, nil)
+// Each calls f for every readable dead letter, without its body, in the order in which they were first put,
+// until f returns false.
+func (s *Store) Each(f func(*Message) bool) (err error) {
+	defer s.recoverCorruption(&err, nil)
 	return s.read(func(tx *bbolt.Tx) error {
 		for c, k, v := cursor(tx); k != nil; k, v = c.Next() {
-			if l, err := parse(v); err == nil && !f(l) {
+			if msg, err := decode(v); err == nil && !f(msg) {
 				return nil
 			}
 		}
@@ -217,26 +218,29 @@
 	})
 }
 
+// cursor returns a cursor over the headers, with the first key and value.
 func cursor(tx *bbolt.Tx) (*bbolt.Cursor, []byte, []byte) {
-	c := tx.Bucket(heads).Cursor()
+	c := tx.Bucket(headers).Cursor()
 	k, v := c.First()
 	return c, k, v
 }
 
-func (s *Store) bySeq(seq uint64) (l *Letter, err error) {
-	defer s.guard(&err, nil)
+// bySeq reads a dead letter by sequence number, including its body.
+func (s *Store) bySeq(seq uint64) (msg *Message, err error) {
+	defer s.recoverCorruption(&err, nil)
 	err = s.read(func(tx *bbolt.Tx) error {
-		if l, err = parse(tx.Bucket(heads).Get(number(seq))); err != nil {
+		if msg, err = decode(tx.Bucket(headers).Get(seqKey(seq))); err != nil {
 			return err
 		}
-		text, err := unseal(tx.Bucket(bodies).Get(number(seq)))
-		l.Body = slices.Clone(text)
+		content, err := verifyChecksum(tx.Bucket(bodies).Get(seqKey(seq)))
+		msg.Body = slices.Clone(content)
 		return err
 	})
-	return l, err
+	return msg, err
 }
 
-// settle writes the dead letter's end into it.
-func (l *Letter) settle(state rule.State, now time.Time) {
-	l.State, l.Settled, l.NotBefore, l.Asked = state, now.UnixNano(), now.UnixNano(), false
+// setFinal moves the dead letter to a final state. NotBefore, which the index takes as checkAfter, then is the
+// time at which the state was reached.
+func (msg *Message) setFinal(state rule.State, now time.Time) {
+	msg.State, msg.FinalAt, msg.NotBefore, msg.Requested = state, now.UnixNano(), now.UnixNano(), false
 }
--- a/internal/deadletter/storefile.go
+++ b/internal/deadletter/storefile.go
@@ -1,6 +1,6 @@
 package deadletter
 
-// The store's file.
+// Opening, locking, compacting and quarantining the store file.
 
 import (
 	"encoding/binary"
@@ -16,8 +16,8 @@
 )
 
 func (s *Store) open() error {
-	// The list of free pages is written with each change: without it bbolt reads the whole file at the
-	// start, in a goroutine of its own, where a spoilt page would end the process.
+	// The free list is synced with each transaction. Without it bbolt reads the whole file when it opens it, in a
+	// separate goroutine, where a panic over a corrupt page would end the process.
 	db, err := bbolt.Open(s.path, 0o600, &bbolt.Options{
 		Timeout: 200 * time.Millisecond, NoSync: !s.Sync,
 		FreelistType: bbolt.FreelistMapType, ReadOnly: s.ReadOnly,
@@ -26,20 +26,20 @@
 	case errors.Is(err, berrors.ErrTimeout):
 		return fmt.Errorf("deadletter: %s: %w", s.path, ErrLocked)
 	case errors.Is(err, berrors.ErrInvalid), errors.Is(err, berrors.ErrChecksum), errors.Is(err, berrors.ErrVersionMismatch):
-		return fmt.Errorf("deadletter: %s: %w: %w", s.path, ErrSpoilt, err)
+		return fmt.Errorf("deadletter: %s: %w: %w", s.path, ErrCorrupt, err)
 	case err != nil:
 		var path *os.PathError
 		if errors.As(err, &path) {
 			return fmt.Errorf("deadletter: %w", err)
 		}
-		return fmt.Errorf("deadletter: %s: %w: %w", s.path, ErrSpoilt, err)
+		return fmt.Errorf("deadletter: %s: %w: %w", s.path, ErrCorrupt, err)
 	}
 	s.db = db
 	if s.ReadOnly {
 		return nil
 	}
 	return s.write(func(tx *bbolt.Tx) error {
-		for _, name := range [][]byte{heads, bodies, ids} {
+		for _, name := range [][]byte{headers, bodies, ids} {
 			if _, err := tx.CreateBucketIfNotExists(name); err != nil {
 				return err
 			}
@@ -48,20 +48,20 @@
 	})
 }
 
-// guard turns what bbolt panics over, reads beyond a file that was cut off among it, into ErrSpoilt.
-// It is deferred by every method that touches the file.
-func (s *Store) guard(err *error, then func()) {
+// recoverCorruption turns a panic of bbolt, such as for a read beyond the end of a truncated file, into
+// ErrCorrupt and calls cleanup. Every method that accesses the file defers it.
+func (s *Store) recoverCorruption(err *error, cleanup func()) {
 	if e := recover(); e != nil {
-		*err = fmt.Errorf("deadletter: %s: %w: %v", s.path, ErrSpoilt, e)
-		if then != nil {
-			then()
+		*err = fmt.Errorf("deadletter: %s: %w: %v", s.path, ErrCorrupt, e)
+		if cleanup != nil {
+			cleanup()
 		}
 	}
 }
 
 func (s *Store) write(f func(*bbolt.Tx) error) error {
-	if s.Before != nil {
-		if err := s.Before(); err != nil {
+	if s.BeforeWrite != nil {
+		if err := s.BeforeWrite(); err != nil {
 			return fmt.Errorf("deadletter: %w", err)
 		}
 	}
@@ -74,25 +74,25 @@
 	return s.db.View(f)
 }
 
-// scan reads every dead letter's head once. One that can't be read is counted and passed over.
-func (s *Store) scan() error {
+// buildIndex reads the header of every dead letter into the index. It counts unreadable ones and skips them.
+func (s *Store) buildIndex() error {
 	return s.read(func(tx *bbolt.Tx) error {
-		if tx.Bucket(heads) == nil || tx.Bucket(ids) == nil || tx.Bucket(bodies) == nil {
-			return fmt.Errorf("deadletter: %s: no dead letters in it: %w", s.path, ErrSpoilt)
+		if tx.Bucket(headers) == nil || tx.Bucket(ids) == nil || tx.Bucket(bodies) == nil {
+			return fmt.Errorf("deadletter: %s: buckets are missing: %w", s.path, ErrCorrupt)
 		}
-		return tx.Bucket(heads).ForEach(func(k, v []byte) error {
-			l, err := parse(v)
+		return tx.Bucket(headers).ForEach(func(k, v []byte) error {
+			msg, err := decode(v)
 			if err != nil || len(k) != 8 {
-				s.Spoilt++
+				s.Unreadable++
 				return nil
 			}
-			s.shelve(binary.BigEndian.Uint64(k), l, len(v))
+			s.addToIndex(binary.BigEndian.Uint64(k), msg, len(v))
 			return nil
 		})
 	})
 }
 
-// compact makes the file anew where more than half of it is free.
+// compact rewrites the file if it is at least 1 MB and three times as large as its dead letters.
 func (s *Store) compact() error {
 	info, err := os.Stat(s.path)
 	if err != nil {
@@ -112,7 +112,7 @@
 	if err := errors.Join(bbolt.Compact(db, s.db, 1<<20), db.Close()); err != nil {
 		return errors.Join(err, os.Remove(next))
 	}
-	// The old file's lock is held until the new one is in its place, and then taken anew.
+	// The lock of the old file is held until the new file has replaced it, and is then taken on the new file.
 	if err := os.Rename(next, s.path); err != nil {
 		return errors.Join(err, os.Remove(next))
 	}
@@ -122,8 +122,8 @@
 	return s.open()
 }
 
-// SetAside renames the folder's file, which is no store or can't be read, and returns its new name.
-func SetAside(dir string, now time.Time) (string, error) {
+// Quarantine renames a store file that cannot be read and returns the new name. The file is left for operators.
+func Quarantine(dir string, now time.Time) (string, error) {
 	old := filepath.Join(dir, fileName)
 	name := fmt.Sprintf("%s.bad-%d", old, now.UnixNano())
 	return name, os.Rename(old, name)
--- a/internal/lab/coldreturn.go
+++ b/internal/lab/coldreturn.go
@@ -128,12 +128,12 @@
 // preload puts dead letters of an earlier outage into the courier's store and the ledger.
 func preload(w *emulator.World, n int, class emulator.ClassSpec) error {
 	store, err := deadletter.Open(filepath.Join(w.Couriers[0].Folder, "state", "undeliverable"),
-		deadletter.Options{MaxBytes: 1 << 30, MaxLetters: 1 << 20}, slog.New(slog.DiscardHandler))
+		deadletter.Options{MaxBytes: 1 << 30, MaxMessages: 1 << 20}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		return err
 	}
 	failed := time.Now().Add(-time.Minute)
-	var letters []*deadletter.Letter
+	var letters []*deadletter.Message
 	for i := range n {
 		m := &emulator.Message{
 			Key: fmt.Sprintf("p%06d", i), Class: class.Name, Allowed: class.Allowed, Worth: class.Worth, Hotel: w.Hotels[0],
@@ -141,9 +141,9 @@
 		}
 		id := fmt.Sprintf("p%08d", i)
 		w.Past(m, id, 0)
-		letters = append(letters, &deadletter.Letter{
-			ID: id, Key: m.Key, Class: m.Class, Tenant: m.Hotel, Dest: 1, Taken: m.Born.UnixNano(),
-			Until: failed.UnixNano(), Failed: failed.UnixNano(), Why: "out of time", Deadline: int64(class.Deadline), Worth: float32(class.Worth),
+		letters = append(letters, &deadletter.Message{
+			ID: id, Key: m.Key, Class: m.Class, Tenant: m.Hotel, Dest: 1, AcceptedAt: m.Born.UnixNano(),
+			ExpiresAt: failed.UnixNano(), FailedAt: failed.UnixNano(), FailureReason: "out of time", Deadline: int64(class.Deadline), Value: float32(class.Worth),
 			Body: []byte("message " + m.Key),
 		})
 	}
--- a/internal/lab/cost.go
+++ b/internal/lab/cost.go
@@ -215,18 +215,18 @@
 	defer func() { err = errors.Join(err, done()) }()
 	c := w.Couriers[0]
 	folder := filepath.Join(c.Folder, "state", "undeliverable")
-	store, err := deadletter.Open(folder, deadletter.Options{MaxBytes: 1 << 40, MaxLetters: 1 << 30}, slog.New(slog.DiscardHandler))
+	store, err := deadletter.Open(folder, deadletter.Options{MaxBytes: 1 << 40, MaxMessages: 1 << 30}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		return row, err
 	}
 	now := time.Now()
-	var batch []*deadletter.Letter
+	var batch []*deadletter.Message
 	for i := range n {
-		batch = append(batch, &deadletter.Letter{
+		batch = append(batch, &deadletter.Message{
 			ID: fmt.Sprintf("%016x", i), Key: fmt.Sprintf("%032x", i), Class: "deposit-charge", Tenant: "h",
-			Dest: int64(i%10 + 1), Taken: now.UnixNano(), Until: now.UnixNano(), Failed: now.UnixNano(), Why: "may have run", Worth: 5,
-			Effect: raventrestle.NonIdempotent, Tries: []deadletter.Try{{Peer: "s-1-0", Floor: "a", At: now.UnixNano(), Outcome: "reset"}},
-			Ran: &deadletter.Try{Peer: "s-1-0", Floor: "a", At: now.UnixNano(), Outcome: "reset"}, Body: make([]byte, body),
+			Dest: int64(i%10 + 1), AcceptedAt: now.UnixNano(), ExpiresAt: now.UnixNano(), FailedAt: now.UnixNano(), FailureReason: "may have run", Value: 5,
+			Idempotency: raventrestle.NonIdempotent, Attempts: []deadletter.Attempt{{Peer: "s-1-0", Zone: "a", At: now.UnixNano(), Outcome: "reset"}},
+			FirstRun: &deadletter.Attempt{Peer: "s-1-0", Zone: "a", At: now.UnixNano(), Outcome: "reset"}, Body: make([]byte, body),
 		})
 		if len(batch) == 1000 || i == n-1 {
 			if _, err := store.Put(batch...); err != nil {
--- a/internal/lab/undeliverable.go
+++ b/internal/lab/undeliverable.go
@@ -160,7 +160,7 @@
 		if err != nil {
 			return false
 		}
-		for r, n := range st.Reasons {
+		for r, n := range st.ByReason {
 			if n > 0 && !r.Permanent() && r != rule.ResendsUsed && r != rule.ManualOnly {
 				return false
 			}
@@ -227,7 +227,7 @@
 	if err != nil {
 		return err
 	}
-	items, err := (&deadletter.Offline{Store: store, Limits: rule.Limits{
+	items, err := (&deadletter.OfflineAdmin{Store: store, Limits: rule.Limits{
 		Automatic: true, MaxResends: 20, MaxAge: 24 * time.Hour,
 		DelayMargin: 250 * time.Millisecond,
 	}}).List(ctx, deadletter.Filter{})
--- a/internal/net/admin/admin.go
+++ b/internal/net/admin/admin.go
@@ -131,7 +131,7 @@
 
 // Serve answers commands until the listener closes. Desk is nil where no dead letters are kept, the daemon
 // where only dead letters are served.
-func Serve(l net.Listener, desk deadletter.Desk, d Daemon, log *slog.Logger) *http.Server {
+func Serve(l net.Listener, desk deadletter.Admin, d Daemon, log *slog.Logger) *http.Server {
 	mux := http.NewServeMux()
 	if d != nil {
 		life(mux, d, log)
@@ -281,31 +281,31 @@
 	return json.NewDecoder(res.Body).Decode(out)
 }
 
-// List implements deadletter.Desk.
+// List implements deadletter.Admin.
 func (c *Client) List(ctx context.Context, f deadletter.Filter) (out []deadletter.Item, err error) {
 	err = c.call(ctx, "list", Request{Filter: f}, &out)
 	return out, err
 }
 
-// Show implements deadletter.Desk.
+// Show implements deadletter.Admin.
 func (c *Client) Show(ctx context.Context, id string) (out *deadletter.Item, err error) {
 	err = c.call(ctx, "show", Request{ID: id}, &out)
 	return out, err
 }
 
-// Resend implements deadletter.Desk.
-func (c *Client) Resend(ctx context.Context, f deadletter.Filter, dry bool) (out []deadletter.Answer, err error) {
+// Resend implements deadletter.Admin.
+func (c *Client) Resend(ctx context.Context, f deadletter.Filter, dry bool) (out []deadletter.ActionResult, err error) {
 	err = c.call(ctx, "resend", Request{Filter: f, DryRun: dry}, &out)
 	return out, err
 }
 
-// Discard implements deadletter.Desk.
-func (c *Client) Discard(ctx context.Context, f deadletter.Filter, dry bool) (out []deadletter.Answer, err error) {
+// Discard implements deadletter.Admin.
+func (c *Client) Discard(ctx context.Context, f deadletter.Filter, dry bool) (out []deadletter.ActionResult, err error) {
 	err = c.call(ctx, "discard", Request{Filter: f, DryRun: dry}, &out)
 	return out, err
 }
 
-// Stats implements deadletter.Desk.
+// Stats implements deadletter.Admin.
 func (c *Client) Stats(ctx context.Context) (out *deadletter.Stats, err error) {
 	err = c.call(ctx, "stats", Request{}, &out)
 	return out, err
--- a/internal/net/courier/courier.go
+++ b/internal/net/courier/courier.go
@@ -43,8 +43,8 @@
 	group       *upstream.Group
 	notices     *notice.Sender
 	mail        chan any
-	quiet       chan struct{}      // closed once it is closing and owes nothing
-	deadLetters *deadletter.Keeper // nil where none are kept
+	quiet       chan struct{}       // closed once it is closing and owes nothing
+	deadLetters *deadletter.Manager // nil where none are kept
 
 	mu        sync.Mutex
 	known     map[string]bool     // ids written down whose end is not told yet; true once let in
@@ -65,11 +65,11 @@
 	recall
 	sharing
 	diary
-	seen   []deadletter.Seen // of this step
-	again  int               // resends that the module has
-	shown  time.Time         // when the dead letters' keeper last heard of the load
-	listed time.Time         // when discovery last answered
-	index  int64             // of its list
+	seen   []deadletter.CallEnd // of this step
+	again  int                  // resends that the module has
+	shown  time.Time            // when the dead letters' keeper last heard of the load
+	listed time.Time            // when discovery last answered
+	index  int64                // of its list
 
 	Figures *figures.Book // counts the ends
 	// Successors says that another process may take over while this one runs: what it has to know is journalled.
--- a/internal/net/courier/deadletters.go
+++ b/internal/net/courier/deadletters.go
@@ -11,11 +11,11 @@
 )
 
 // Keep makes the courier keep what it gives up. Call it before Run.
-func (c *Courier) Keep(k *deadletter.Keeper) { c.deadLetters = k }
+func (c *Courier) Keep(k *deadletter.Manager) { c.deadLetters = k }
 
 // Again takes a dead letter that is to be sent again; the journal has it already. It does not block, and
 // says whether there was room.
-func (c *Courier) Again(a deadletter.Again) bool {
+func (c *Courier) Again(a deadletter.ResendRequest) bool {
 	c.mu.Lock()
 	c.resends[a.ID] = true
 	c.mu.Unlock()
@@ -36,7 +36,7 @@
 
 func (c *Courier) note(m *message, o raventrestle.Outcome, word string) {
 	if o.Status != raventrestle.NotSent && o.Status != raventrestle.Canceled {
-		c.seen = append(c.seen, deadletter.Seen{Dest: destOf(m, c.peers[o.Target]), Delivered: o.Status == raventrestle.OK})
+		c.seen = append(c.seen, deadletter.CallEnd{Dest: destOf(m, c.peers[o.Target]), Delivered: o.Status == raventrestle.OK})
 	}
 	if m != nil {
 		c.past(m, word)
@@ -62,7 +62,7 @@
 	if m.Out == nil {
 		return
 	}
-	t := deadletter.Try{Outcome: word}
+	t := deadletter.Attempt{Outcome: word}
 	if m.Ran == nil && t.MayHaveRun() {
 		m.Ran = m.Out
 	}
@@ -80,9 +80,9 @@
 	if i, known := c.conf.Names.Classes[m.Class]; known {
 		class = c.conf.Settings.Classes[i]
 	}
-	l := deadletter.Of(journal.Kept{Message: m.Message, Progress: m.Progress}, class, c.why(m, class, t), time.Unix(0, int64(t)))
+	l := deadletter.NewMessage(journal.Kept{Message: m.Message, Progress: m.Progress}, class, c.why(m, class, t), time.Unix(0, int64(t)))
 	it := notice.Item{ID: m.ID}
-	c.deadLetters.Keep(l, end.Deferred, func(err error) { // the keeper has counted and logged what it could not write
+	c.deadLetters.Add(l, end.Deferred, func(err error) { // the keeper has counted and logged what it could not write
 		if err != nil {
 			it.End = end
 		}
@@ -129,10 +129,10 @@
 
 // resend hands a dead letter to the module as a message of its own life, unless a fresh one would have to
 // wait for it; then it goes back unsent.
-func (c *Courier) resend(a deadletter.Again, t time.Duration) raventrestle.Event {
+func (c *Courier) resend(a deadletter.ResendRequest, t time.Duration) raventrestle.Event {
 	m := &message{Message: a.Message}
-	if a.MayRun {
-		m.Prior, m.Ran = &a.Ran, &a.Ran
+	if a.MayHaveRun {
+		m.Prior, m.Ran = &a.FirstRun, &a.FirstRun
 	}
 	c.msgs[raventrestle.MessageID(m.ID)] = m
 	c.again++
@@ -142,12 +142,12 @@
 		return nil
 	}
 	e := c.arrived(arrival{Message: a.Message}, t)
-	if !a.MayRun {
+	if !a.MayHaveRun {
 		return e
 	}
 	return raventrestle.Restored{
-		Arrival: e, MayHaveRun: true, RunTarget: raventrestle.TargetID(a.Ran.Peer),
-		RunZone: c.zone(a.Ran.Zone), RunAt: time.Duration(a.Ran.At),
+		Arrival: e, MayHaveRun: true, RunTarget: raventrestle.TargetID(a.FirstRun.Peer),
+		RunZone: c.zone(a.FirstRun.Zone), RunAt: time.Duration(a.FirstRun.At),
 	}
 }
 
@@ -167,7 +167,7 @@
 		return
 	}
 	id := m.ID
-	c.deadLetters.Finish(deadletter.Result{ID: id, Dest: m.Dest, What: what, List: deadletter.Tries(m.Progress)}, func(err error) {
+	c.deadLetters.Finish(deadletter.ResendResult{ID: id, Dest: m.Dest, Result: what, Attempts: deadletter.AttemptsFrom(m.Progress)}, func(err error) {
 		if err != nil {
 			return
 		}
@@ -229,13 +229,13 @@
 	if c.deadLetters == nil {
 		return
 	}
-	c.deadLetters.Saw(c.seen)
+	c.deadLetters.RecordCalls(c.seen)
 	c.seen = nil
 	if time.Since(c.shown) < showEvery {
 		return
 	}
 	c.shown = time.Now()
-	v := &deadletter.View{Load: c.load(), Waiting: c.waiting(), Places: map[int64][]rule.Endpoint{}}
+	v := &deadletter.CourierState{Load: c.load(), Waiting: c.waiting(), Endpoints: map[int64][]rule.Endpoint{}}
 	if c.closing { // nothing begins any more
 		v.Slots, v.MaxHeld = 0, 0
 	}
@@ -247,7 +247,7 @@
 		if z := r.entry.Zone; z >= 0 {
 			floor = c.conf.Settings.Zones[z].Name
 		}
-		v.Places[int64(r.entry.Dest)] = append(v.Places[int64(r.entry.Dest)], rule.Endpoint{Peer: string(r.entry.Target), Zone: floor})
+		v.Endpoints[int64(r.entry.Dest)] = append(v.Endpoints[int64(r.entry.Dest)], rule.Endpoint{Peer: string(r.entry.Target), Zone: floor})
 	}
-	c.deadLetters.Tell(v)
+	c.deadLetters.SetCourierState(v)
 }
--- a/internal/net/courier/deadletters_test.go
+++ b/internal/net/courier/deadletters_test.go
@@ -89,24 +89,24 @@
 		}))
 	}
 	s.notices = nettest.NewPeer(t, nettest.Answer("HTTP/1.1 204 No Content\r\n\r\n"))
-	store, err := deadletter.Open(filepath.Join(s.dir, "letters"), deadletter.Options{MaxBytes: 1 << 20, MaxLetters: 100}, nettest.Log)
+	store, err := deadletter.Open(filepath.Join(s.dir, "letters"), deadletter.Options{MaxBytes: 1 << 20, MaxMessages: 100}, nettest.Log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Now()
 	for _, id := range []string{"f-ok", "f-500", "f-reset", "f-ran", "g-ok", "g-reset", "g-ran", "g-old", "s-ok", "s-reset", "s-busy", "s-ran"} {
 		class := siteClasses[strings.IndexByte("fgs", id[0])]
-		l := &deadletter.Letter{
-			ID: id, Key: "k-" + id, Class: class.Name, Dest: 7, Failed: now.UnixNano(), Effect: class.Idempotency,
-			Group: class.DedupScope, Window: int64(class.DedupWindow), Deadline: int64(class.Deadline), Body: []byte(id),
+		l := &deadletter.Message{
+			ID: id, Key: "k-" + id, Class: class.Name, Dest: 7, FailedAt: now.UnixNano(), Idempotency: class.Idempotency,
+			DedupScope: class.DedupScope, DedupWindow: int64(class.DedupWindow), Deadline: int64(class.Deadline), Body: []byte(id),
 		}
 		if strings.HasSuffix(id, "ran") || strings.HasSuffix(id, "old") {
-			l.Ran = &deadletter.Try{Peer: "s-0", Floor: "a", At: now.Add(-time.Second).UnixNano(), Outcome: "reset"}
-			l.Tries = []deadletter.Try{*l.Ran}
+			l.FirstRun = &deadletter.Attempt{Peer: "s-0", Zone: "a", At: now.Add(-time.Second).UnixNano(), Outcome: "reset"}
+			l.Attempts = []deadletter.Attempt{*l.FirstRun}
 			s.effects[id], s.zones["a"+id] = 1, true
 		}
 		if strings.HasSuffix(id, "old") {
-			l.Ran.At = now.Add(-time.Minute).UnixNano()
+			l.FirstRun.At = now.Add(-time.Minute).UnixNano()
 		}
 		if _, err := store.Put(l); err != nil {
 			t.Fatal(err)
@@ -170,10 +170,10 @@
 	}
 	var c *Courier
 	k, live, stale, err := deadletter.Start(deadletter.Config{
-		Folder: filepath.Join(s.dir, "letters"), Limits: resendLimits,
-		Options: deadletter.Options{MaxBytes: 1 << 20, MaxLetters: 100, Before: w.before}, MaxAge: time.Hour, Settled: time.Hour,
-		Log: nettest.Log, Seed: 1, Append: store.Append, Begin: func(a deadletter.Again) bool { return c.Again(a) },
-		Class: func(name string) (raventrestle.Class, bool) { return siteClasses[conf.Names.Classes[name]], true },
+		Dir: filepath.Join(s.dir, "letters"), Limits: resendLimits,
+		Options: deadletter.Options{MaxBytes: 1 << 20, MaxMessages: 100, BeforeWrite: w.before}, MaxAge: time.Hour, MaxFinalAge: time.Hour,
+		Log: nettest.Log, Seed: 1, AppendJournal: store.Append, SubmitResend: func(a deadletter.ResendRequest) bool { return c.Again(a) },
+		LookupClass: func(name string) (raventrestle.Class, bool) { return siteClasses[conf.Names.Classes[name]], true },
 	},
 		kept, store.Sound())
 	if err != nil {
@@ -199,7 +199,7 @@
 		select {
 		case <-w.hit:
 		case <-tick.C:
-			k.Saw([]deadletter.Seen{{Dest: 7, Delivered: true}}) // by fresh messages
+			k.RecordCalls([]deadletter.CallEnd{{Dest: 7, Delivered: true}}) // by fresh messages
 			if done = s.settled(ctx, k); !done && time.Now().Before(deadline) {
 				continue
 			}
@@ -224,21 +224,21 @@
 	return done
 }
 
-func (s *site) left(ctx context.Context, k *deadletter.Keeper) (left []string) {
+func (s *site) left(ctx context.Context, k *deadletter.Manager) (left []string) {
 	items, err := k.List(ctx, deadletter.Filter{})
 	if err != nil {
 		return []string{err.Error()}
 	}
 	for _, it := range items {
-		if !it.Never {
-			left = append(left, it.ID+" "+it.StateWord+" "+string(it.Reason))
+		if !it.Permanent {
+			left = append(left, it.ID+" "+it.StateName+" "+string(it.Reason))
 		}
 	}
 	return left
 }
 
 // settled asks without waiting for a keeper that is stopped at a write.
-func (s *site) settled(ctx context.Context, k *deadletter.Keeper) bool {
+func (s *site) settled(ctx context.Context, k *deadletter.Manager) bool {
 	ctx, stop := context.WithTimeout(ctx, 50*time.Millisecond)
 	defer stop()
 	return len(s.left(ctx, k)) == 0
@@ -272,7 +272,7 @@
 			t.Errorf("%s counts as delivered and had no effect", id)
 		case id[0] != 's' && id != "g-old" && l.State != rule.Delivered:
 			t.Errorf("%s is not delivered: %+v", id, l)
-		case id[0] == 's' && l.State == rule.Held && l.Ran == nil:
+		case id[0] == 's' && l.State == rule.Held && l.FirstRun == nil:
 			t.Errorf("%s is held, and nothing says that it may have run", id)
 		}
 	}
@@ -341,12 +341,12 @@
 	var c *Courier
 	order := make(chan string, 8)
 	k, _, _, err := deadletter.Start(deadletter.Config{
-		Folder: t.TempDir(), Options: deadletter.Options{
-			MaxBytes: 1 << 20, MaxLetters: 9,
-			Before: func() error { order <- "letter"; return nil },
-		}, MaxAge: time.Hour, Settled: time.Hour, Log: nettest.Log, Limits: resendLimits,
-		Append: store.Append, Begin: func(a deadletter.Again) bool { return c.Again(a) },
-		Class: func(string) (raventrestle.Class, bool) { return siteClasses[2], true },
+		Dir: t.TempDir(), Options: deadletter.Options{
+			MaxBytes: 1 << 20, MaxMessages: 9,
+			BeforeWrite: func() error { order <- "letter"; return nil },
+		}, MaxAge: time.Hour, MaxFinalAge: time.Hour, Log: nettest.Log, Limits: resendLimits,
+		AppendJournal: store.Append, SubmitResend: func(a deadletter.ResendRequest) bool { return c.Again(a) },
+		LookupClass: func(string) (raventrestle.Class, bool) { return siteClasses[2], true },
 	}, nil, true)
 	if err != nil {
 		t.Fatal(err)
@@ -378,15 +378,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if it.Reason != rule.MayHaveRun || !it.Never || string(it.Content) != "pay" || len(it.Tries) != 1 || it.Why != "may have run" ||
-		it.Tries[0].Peer != "s-0" || it.Tries[0].Floor != "a" || it.Tries[0].Outcome != "reset" || it.Ran == nil {
-		t.Fatalf("%+v %+v", it, it.Letter)
+	if it.Reason != rule.MayHaveRun || !it.Permanent || string(it.Content) != "pay" || len(it.Attempts) != 1 || it.FailureReason != "may have run" ||
+		it.Attempts[0].Peer != "s-0" || it.Attempts[0].Zone != "a" || it.Attempts[0].Outcome != "reset" || it.FirstRun == nil {
+		t.Fatalf("%+v %+v", it, it.Message)
 	}
 	answers, err := k.Resend(t.Context(), deadletter.Filter{}, false)
 	if err != nil || len(answers) != 1 || answers[0].Done || answers[0].Reason != rule.MayHaveRun {
 		t.Fatalf("%+v %v", answers, err)
 	}
-	k.Saw([]deadletter.Seen{{Dest: 7, Delivered: true}})
+	k.RecordCalls([]deadletter.CallEnd{{Dest: 7, Delivered: true}})
 	time.Sleep(150 * time.Millisecond) // room for what must not come
 	if s.mu.Lock(); s.seen["s-reset"] != 1 {
 		t.Errorf("sent %d times", s.seen["s-reset"])
@@ -424,10 +424,10 @@
 	}
 	var c *Courier
 	k, _, _, err := deadletter.Start(deadletter.Config{
-		Folder: t.TempDir(), Options: deadletter.Options{MaxBytes: 1 << 20, MaxLetters: 9},
-		MaxAge: time.Hour, Settled: time.Hour, Log: nettest.Log, Limits: resendLimits, Append: store.Append,
-		Begin: func(a deadletter.Again) bool { return c.Again(a) },
-		Class: func(string) (raventrestle.Class, bool) { return siteClasses[0], true },
+		Dir: t.TempDir(), Options: deadletter.Options{MaxBytes: 1 << 20, MaxMessages: 9},
+		MaxAge: time.Hour, MaxFinalAge: time.Hour, Log: nettest.Log, Limits: resendLimits, AppendJournal: store.Append,
+		SubmitResend: func(a deadletter.ResendRequest) bool { return c.Again(a) },
+		LookupClass:  func(string) (raventrestle.Class, bool) { return siteClasses[0], true },
 	}, nil, true)
 	if err != nil {
 		t.Fatal(err)
@@ -459,9 +459,9 @@
 			}
 		}
 	}
-	until("letter", func() bool { return k.Counts.Kept.Load() == 1 })
+	until("letter", func() bool { return k.Counts.Added.Load() == 1 })
 	until("resend", func() bool {
-		if k.Counts.Begun.Load() > 0 {
+		if k.Counts.ResendsBegun.Load() > 0 {
 			return true
 		}
 		if a, err := k.Resend(t.Context(), deadletter.Filter{}, false); err != nil || len(a) != 1 {
@@ -470,14 +470,14 @@
 		return false
 	})
 	fresh("fresh", 4*time.Second)
-	until("way made", func() bool { return k.Counts.Yielded.Load() > 0 })
+	until("way made", func() bool { return k.Counts.ResendsYielded.Load() > 0 })
 	if got := nettest.Wait(t, "call", order); got != "fresh" {
 		t.Fatalf("%s went first", got)
 	}
 	if got := nettest.Wait(t, "call", order); got != "told" {
 		t.Fatal(got)
 	}
-	until("end", func() bool { return k.Counts.Delivered.Load() == 1 })
+	until("end", func() bool { return k.Counts.ResendsDelivered.Load() == 1 })
 	it, err := k.Show(t.Context(), "told")
 	if err != nil || it.State != rule.Delivered || len(it.Resends) != 1 {
 		t.Fatalf("%+v %v: what made way does not count as a resend", it, err)
--- a/internal/net/courier/step.go
+++ b/internal/net/courier/step.go
@@ -47,7 +47,7 @@
 				continue
 			}
 			rest = append(rest, c.restored(m, t))
-		case deadletter.Again:
+		case deadletter.ResendRequest:
 			if e := c.resend(m, t); e != nil {
 				rest = append(rest, e)
 			}
