--- a/cmd/raventrestle/serve.go
+++ b/cmd/raventrestle/serve.go
@@ -147,8 +147,8 @@
 		shared = fleet.Room(disk)
 		disk -= shared
 	}
-	var kept []journal.Kept
-	d.store, kept, err = journal.Open(life.Folder, journal.Options{Limit: disk, Shared: listener != nil, Tries: set.Undeliverable.Keep}, d.log)
+	var kept []journal.MessageState
+	d.store, kept, err = journal.Open(life.Folder, journal.Options{MaxBytes: disk, Shared: listener != nil, RecordAttempts: set.Undeliverable.Keep}, d.log)
 	if err != nil {
 		return err
 	}
@@ -373,10 +373,10 @@
 // openDeadLetters opens the store of dead letters, if the settings want one, and returns what of the journal
 // the courier takes up. A store that can't be opened stops nothing: the courier serves on without,
 // and resends that the journal holds stay there untouched until a life that has the store.
-func (d *daemon) openDeadLetters(set *settings.Settings, kept []journal.Kept) []journal.Kept {
-	var fresh, resends []journal.Kept
+func (d *daemon) openDeadLetters(set *settings.Settings, kept []journal.MessageState) []journal.MessageState {
+	var fresh, resends []journal.MessageState
 	for _, k := range kept {
-		if k.Resend > 0 {
+		if k.ResendNumber > 0 {
 			resends = append(resends, k)
 		} else {
 			fresh = append(fresh, k)
@@ -389,10 +389,10 @@
 		return fresh
 	}
 	c := d.keeping(set)
-	var live []journal.Kept
+	var live []journal.MessageState
 	var stale []string
 	var err error
-	if d.deadLetters, live, stale, err = deadletter.Start(c, kept, d.store.Sound()); err != nil {
+	if d.deadLetters, live, stale, err = deadletter.Start(c, kept, d.store.Intact()); err != nil {
 		d.deadLetters = nil
 		d.tell(lifecycle.Began{Trouble: lifecycle.DeadLettersFail})
 		d.log.Error("undeliverable: no store, serving on without", "folder", c.Dir, "err", err)
@@ -400,7 +400,7 @@
 	}
 	var over []journal.Record
 	for _, id := range stale {
-		over = append(over, journal.Over(id))
+		over = append(over, journal.Done(id))
 	}
 	if err := d.store.Append(over, nil); err != nil {
 		d.log.Error("undeliverable: journal", "err", err)
--- a/internal/deadletter/manager.go
+++ b/internal/deadletter/manager.go
@@ -29,7 +29,7 @@
 type ResendRequest struct {
 	*journal.Message
 	MayHaveRun bool
-	FirstRun   journal.Try // the first attempt that may have run, if MayHaveRun
+	FirstRun   journal.Attempt // the first attempt that may have run, if MayHaveRun
 	Dest       int64
 }
 
@@ -108,10 +108,10 @@
 	recheckDelay   = time.Second            // after which a dead letter that could not be sent is checked again
 )
 
-// Start opens the store and reconciles it with the journal, whose messages are kept. live are the resends in
+// Start opens the store and reconciles it with the unfinished messages in the journal. live are the resends in
 // progress, which the courier recovers like any other message of an earlier process. stale are the IDs of
 // resends that the journal can delete. A corrupt store is quarantined and replaced by an empty one.
-func Start(c Config, kept []journal.Kept, journalIntact bool) (mgr *Manager, live []journal.Kept, stale []string, err error) {
+func Start(c Config, journaled []journal.MessageState, journalIntact bool) (mgr *Manager, live []journal.MessageState, stale []string, err error) {
 	now := time.Now()
 	store, err := Open(c.Dir, c.Options, c.Log)
 	if errors.Is(err, ErrCorrupt) {
@@ -125,7 +125,7 @@
 	if store.Unreadable > 0 {
 		c.Log.Error("undeliverable: some dead letters cannot be read", "n", store.Unreadable)
 	}
-	if live, stale, err = reconcile(store, kept, journalIntact, now); err != nil {
+	if live, stale, err = reconcile(store, journaled, journalIntact, now); err != nil {
 		return nil, nil, nil, errors.Join(err, store.Close())
 	}
 	mgr = &Manager{
--- a/internal/deadletter/message.go
+++ b/internal/deadletter/message.go
@@ -120,23 +120,23 @@
 // again.
 func (msg *Message) JournalMessage(until time.Time) *journal.Message {
 	return &journal.Message{
-		ID: msg.ID, Key: msg.Key, Class: msg.Class, Tenant: msg.Tenant, Dest: msg.Dest, Until: until.UnixNano(),
-		Body: msg.Body, Since: msg.AcceptedAt, Resend: int64(len(msg.Resends)),
+		ID: msg.ID, Key: msg.Key, Class: msg.Class, Tenant: msg.Tenant, Dest: msg.Dest, ExpiresAt: until.UnixNano(),
+		Body: msg.Body, AcceptedAt: msg.AcceptedAt, ResendNumber: int64(len(msg.Resends)),
 	}
 }
 
 // NewMessage returns the dead letter of a message that the courier gave up.
-func NewMessage(k journal.Kept, c raventrestle.Class, reason string, now time.Time) *Message {
+func NewMessage(m journal.MessageState, class raventrestle.Class, reason string, now time.Time) *Message {
 	msg := &Message{
-		ID: k.ID, Key: k.Key, Class: k.Class, Tenant: k.Tenant, Dest: k.Dest, AcceptedAt: k.Since, ExpiresAt: k.Until,
-		FailedAt: now.UnixNano(), FailureReason: reason, Idempotency: c.Idempotency, DedupScope: c.DedupScope, DedupWindow: int64(c.DedupWindow),
-		Deadline: int64(c.Deadline), Value: float32(c.Value), Body: k.Body, BodySize: len(k.Body),
+		ID: m.ID, Key: m.Key, Class: m.Class, Tenant: m.Tenant, Dest: m.Dest, AcceptedAt: m.AcceptedAt, ExpiresAt: m.ExpiresAt,
+		FailedAt: now.UnixNano(), FailureReason: reason, Idempotency: class.Idempotency, DedupScope: class.DedupScope, DedupWindow: int64(class.DedupWindow),
+		Deadline: int64(class.Deadline), Value: float32(class.Value), Body: m.Body, BodySize: len(m.Body),
 	}
-	msg.Attempts = AttemptsFrom(k.Progress)
-	if k.Ran != nil { // needed also if the list of attempts was truncated
-		msg.FirstRun = &Attempt{Peer: k.Ran.Peer, Zone: k.Ran.Zone, At: k.Ran.At}
+	msg.Attempts = AttemptsFrom(m.Progress)
+	if m.FirstRun != nil { // needed also if the list of attempts was truncated
+		msg.FirstRun = &Attempt{Peer: m.FirstRun.Peer, Zone: m.FirstRun.Zone, At: m.FirstRun.At}
 		for _, t := range msg.Attempts {
-			if t.At == k.Ran.At && t.Peer == k.Ran.Peer {
+			if t.At == m.FirstRun.At && t.Peer == m.FirstRun.Peer {
 				msg.FirstRun.Outcome = t.Outcome
 			}
 		}
@@ -148,11 +148,11 @@
 // AttemptsFrom returns the attempts that the journal recorded, including one whose end is unknown.
 func AttemptsFrom(p journal.Progress) []Attempt {
 	var attempts []Attempt
-	for _, t := range p.Past {
+	for _, t := range p.Completed {
 		attempts = append(attempts, Attempt{Peer: t.Peer, Zone: t.Zone, At: t.At, Outcome: t.Outcome})
 	}
-	if p.Out != nil {
-		attempts = append(attempts, Attempt{Peer: p.Out.Peer, Zone: p.Out.Zone, At: p.Out.At})
+	if p.InFlight != nil {
+		attempts = append(attempts, Attempt{Peer: p.InFlight.Peer, Zone: p.InFlight.Zone, At: p.InFlight.At})
 	}
 	return attempts
 }
--- a/internal/deadletter/reconcile.go
+++ b/internal/deadletter/reconcile.go
@@ -17,23 +17,23 @@
 //   - If a dead letter is being resent but is not in the journal, it was never sent, because the journal is
 //     written first. If the journal was lost or truncated, this is not certain and the dead letter counts as
 //     one that may have run.
-func reconcile(s *Store, kept []journal.Kept, journalIntact bool, now time.Time) (live []journal.Kept, stale []string, err error) {
+func reconcile(s *Store, journaled []journal.MessageState, journalIntact bool, now time.Time) (live []journal.MessageState, stale []string, err error) {
 	inJournal := map[string]bool{}
 	var superseded []string
-	for _, k := range kept {
-		if k.Resend == 0 {
-			if k.Owed == nil || k.Owed.Deferred {
-				superseded = append(superseded, k.ID)
+	for _, m := range journaled {
+		if m.ResendNumber == 0 {
+			if m.PendingNotice == nil || m.PendingNotice.Deferred {
+				superseded = append(superseded, m.ID)
 			}
 			continue
 		}
-		msg, err := s.Get(k.ID)
+		msg, err := s.Get(m.ID)
 		switch {
-		case err == nil && msg.State == rule.Resending && int64(len(msg.Resends)) == k.Resend:
-			inJournal[k.ID] = true
-			live = append(live, k)
+		case err == nil && msg.State == rule.Resending && int64(len(msg.Resends)) == m.ResendNumber:
+			inJournal[m.ID] = true
+			live = append(live, m)
 		case err == nil || errors.Is(err, ErrMissing):
-			stale = append(stale, k.ID)
+			stale = append(stale, m.ID)
 		default:
 			return nil, nil, err
 		}
--- a/internal/deadletter/reconcile_test.go
+++ b/internal/deadletter/reconcile_test.go
@@ -22,15 +22,17 @@
 // After every state that a crash can leave between the writes to the store and to the journal, exactly one of
 // them is authoritative for the message.
 func TestReconcileAfterCrash(t *testing.T) {
-	fresh := journal.Kept{Message: &journal.Message{ID: "m"}}
-	owed := journal.Kept{Message: &journal.Message{ID: "m"}, Progress: journal.Progress{Owed: &journal.End{}}}
-	deferred := journal.Kept{Message: &journal.Message{ID: "m"}, Progress: journal.Progress{Owed: &journal.End{Deferred: true}}}
-	resend := func(n int64) journal.Kept { return journal.Kept{Message: &journal.Message{ID: "m", Resend: n}} }
+	fresh := journal.MessageState{Message: &journal.Message{ID: "m"}}
+	noticePending := journal.MessageState{Message: &journal.Message{ID: "m"}, Progress: journal.Progress{PendingNotice: &journal.End{}}}
+	deferred := journal.MessageState{Message: &journal.Message{ID: "m"}, Progress: journal.Progress{PendingNotice: &journal.End{Deferred: true}}}
+	resend := func(n int64) journal.MessageState {
+		return journal.MessageState{Message: &journal.Message{ID: "m", ResendNumber: n}}
+	}
 	held := func(msg *Message) {}
 	out := func(msg *Message) { msg.State, msg.Resends = rule.Resending, []Resend{{StartedAt: 7}} }
 	for name, c := range map[string]struct {
 		change        func(*Message) // nil for none
-		kept          []journal.Kept
+		journaled     []journal.MessageState
 		journalIntact bool
 		live          int
 		stale         []string
@@ -38,17 +40,17 @@
 		mayHaveRun    bool
 		resends       int
 	}{
-		"dead letter written, end not in the journal":            {held, []journal.Kept{fresh}, true, 0, nil, "", false, 0},
-		"end written, notice not sent":                           {held, []journal.Kept{owed}, true, 0, nil, "held", false, 0},
-		"deferred, dead letter written late":                     {held, []journal.Kept{deferred}, true, 0, nil, "", false, 0},
+		"dead letter written, end not in the journal":            {held, []journal.MessageState{fresh}, true, 0, nil, "", false, 0},
+		"end written, notice not sent":                           {held, []journal.MessageState{noticePending}, true, 0, nil, "held", false, 0},
+		"deferred, dead letter written late":                     {held, []journal.MessageState{deferred}, true, 0, nil, "", false, 0},
 		"notice sent":                                            {held, nil, true, 0, nil, "held", false, 0},
 		"marked as being resent, journal not written":            {out, nil, true, 0, nil, "held", false, 0},
 		"marked as being resent, journal truncated":              {out, nil, false, 0, nil, "held", true, 1},
-		"being resent in both":                                   {out, []journal.Kept{resend(1)}, true, 1, nil, "out", false, 1},
-		"being resent in both, journal truncated":                {out, []journal.Kept{resend(1)}, false, 1, nil, "out", false, 1},
-		"result in the dead letter, resend still in the journal": {held, []journal.Kept{resend(1)}, true, 0, []string{"m"}, "held", false, 0},
-		"the journal has another resend":                         {out, []journal.Kept{resend(9)}, true, 0, []string{"m"}, "held", false, 0},
-		"dead letter missing":                                    {nil, []journal.Kept{resend(1)}, true, 0, []string{"m"}, "", false, 0},
+		"being resent in both":                                   {out, []journal.MessageState{resend(1)}, true, 1, nil, "out", false, 1},
+		"being resent in both, journal truncated":                {out, []journal.MessageState{resend(1)}, false, 1, nil, "out", false, 1},
+		"result in the dead letter, resend still in the journal": {held, []journal.MessageState{resend(1)}, true, 0, []string{"m"}, "held", false, 0},
+		"the journal has another resend":                         {out, []journal.MessageState{resend(9)}, true, 0, []string{"m"}, "held", false, 0},
+		"dead letter missing":                                    {nil, []journal.MessageState{resend(1)}, true, 0, []string{"m"}, "", false, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := openStore(t, t.TempDir(), largeOptions)
@@ -59,7 +61,7 @@
 					t.Fatal(err)
 				}
 			}
-			live, stale, err := reconcile(s, c.kept, c.journalIntact, time.Unix(9, 0))
+			live, stale, err := reconcile(s, c.journaled, c.journalIntact, time.Unix(9, 0))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/deadletter/resends.go
+++ b/internal/deadletter/resends.go
@@ -126,10 +126,10 @@
 	class, _ := mgr.LookupClass(msg.Class)
 	journalMessage := msg.JournalMessage(now.Add(mgr.Limits.ResendTimeout(f, max(class.Deadline, time.Millisecond), now)))
 	request := ResendRequest{Message: journalMessage, Dest: msg.Dest}
-	records := []journal.Record{journal.Taken(journalMessage)}
+	records := []journal.Record{journal.Accepted(journalMessage)}
 	if msg.FirstRun != nil {
-		request.MayHaveRun, request.FirstRun = true, journal.Try{Peer: msg.FirstRun.Peer, Zone: msg.FirstRun.Zone, At: msg.FirstRun.At}
-		records = append(records, journal.Prior(journalMessage.ID, request.FirstRun))
+		request.MayHaveRun, request.FirstRun = true, journal.Attempt{Peer: msg.FirstRun.Peer, Zone: msg.FirstRun.Zone, At: msg.FirstRun.At}
+		records = append(records, journal.PriorRun(journalMessage.ID, request.FirstRun))
 	}
 	yielded := ResendResult{ID: msg.ID, Dest: msg.Dest, Result: "yielded"}
 	written := func(err error) {
@@ -140,7 +140,7 @@
 		// The dead letter was not sent. Store the result first, then delete the message from the journal.
 		mgr.Finish(yielded, func(finishErr error) {
 			if err == nil && finishErr == nil {
-				mgr.AppendJournal([]journal.Record{journal.Over(journalMessage.ID)}, nil)
+				mgr.AppendJournal([]journal.Record{journal.Done(journalMessage.ID)}, nil)
 			}
 		})
 	}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -13,10 +13,10 @@
 
 // Plan is what follows from a look at the earlier life.
 type Plan struct {
-	Begin bool           // this life may take clients and begin calls
-	Adopt []journal.Kept // messages that are its own from now on, each told once
-	Busy  []string       // messages that the earlier life still has out
-	Calls int            // that these are on: slots of the courier that are not this life's
+	Begin bool                   // this life may take clients and begin calls
+	Adopt []journal.MessageState // messages that are its own from now on, each told once
+	Busy  []string               // messages that the earlier life still has out
+	Calls int                    // that these are on: slots of the courier that are not this life's
 }
 
 // Heir follows one earlier life. The zero value is not ready for use, see New.
@@ -32,18 +32,18 @@
 }
 
 // Look takes what the journal tells, and whether its writer has gone.
-func (h *Heir) Look(l journal.Legacy, gone bool) Plan {
+func (h *Heir) Look(l journal.Snapshot, gone bool) Plan {
 	p := Plan{Begin: l.Closing || gone}
-	calls := map[journal.Try]bool{}
-	for _, k := range l.Kept {
+	calls := map[journal.Attempt]bool{}
+	for _, k := range l.Messages {
 		switch {
 		case h.taken[k.ID]:
-		case gone || k.Handed:
+		case gone || k.HandedOver:
 			p.Adopt = append(p.Adopt, k)
-		case k.Owed == nil:
+		case k.PendingNotice == nil:
 			p.Busy = append(p.Busy, k.ID)
-			if k.Out != nil { // mates of a call were sent at one time to one peer
-				calls[*k.Out] = true
+			if k.InFlight != nil { // mates of a call were sent at one time to one peer
+				calls[*k.InFlight] = true
 			}
 		}
 	}
@@ -52,7 +52,7 @@
 }
 
 // Adopted says that the messages stand in this life's journal.
-func (h *Heir) Adopted(kept []journal.Kept) {
+func (h *Heir) Adopted(kept []journal.MessageState) {
 	for _, k := range kept {
 		h.taken[k.ID] = true
 	}
--- a/internal/journal/follow.go
+++ b/internal/journal/follow.go
@@ -9,30 +9,31 @@
 	"slices"
 )
 
-// Follower reads the journal of another life, which may go on writing it.
+// Follower reads the journal of another process, which may still write to it.
 type Follower struct {
-	path string
-	file *os.File
-	rest []byte // a record at the end that has not come whole
-	bad  int
-	content
+	path         string
+	file         *os.File
+	partial      []byte // incomplete record at the end
+	invalidBytes int
+	state
 }
 
-// Legacy is what a followed journal tells.
-type Legacy struct {
-	Kept    []Kept           // in the order taken
-	Waits   map[string]int64 // of peers, until when
-	Adopted map[string]bool  // ids that it took up from earlier lives, over or not
-	Closing bool             // it begins nothing any more
-	Left    []byte           // beside its messages
+// Snapshot is the state of a followed journal.
+type Snapshot struct {
+	Messages     []MessageState   // unfinished, in the order accepted
+	PeerWaits    map[string]int64 // by peer: Unix time in nanoseconds until which it asked the courier to wait
+	Adopted      map[string]bool  // IDs of messages adopted from earlier processes, finished or not
+	Closing      bool             // the process begins no further calls
+	HandoverData []byte           // other data for the next process
 }
 
-// Follow returns a follower of the journal in the folder, which need not be there yet.
+// Follow returns a Follower of the journal in the directory. The journal need not exist yet.
 func Follow(dir string) *Follower { return &Follower{path: filepath.Join(dir, fileName)} }
 
-// Poll reads what has come since; it says whether anything has.
-func (f *Follower) Poll() (fresh bool, err error) {
-	now, err := os.Stat(f.path)
+// Poll reads the records written since the last call and reports whether the state may have changed. If the file
+// was rewritten, it reads the new file from the start.
+func (f *Follower) Poll() (changed bool, err error) {
+	current, err := os.Stat(f.path)
 	if errors.Is(err, os.ErrNotExist) {
 		return false, nil
 	}
@@ -40,7 +41,7 @@
 		return false, err
 	}
 	if f.file != nil {
-		if own, err := f.file.Stat(); err != nil || !os.SameFile(own, now) { // it was made anew, and tells all again
+		if opened, err := f.file.Stat(); err != nil || !os.SameFile(opened, current) { // the file was rewritten
 			f.Close()
 		}
 	}
@@ -48,38 +49,38 @@
 		if f.file, err = os.Open(f.path); err != nil {
 			return false, err
 		}
-		f.rest, f.content, fresh = nil, newContent(false), true
+		f.partial, f.state, changed = nil, newState(false), true
 	}
 	buf := make([]byte, 64<<10)
 	for {
 		n, err := f.file.Read(buf)
 		if n > 0 {
-			var bad int
-			f.rest, bad = decodeHead(append(f.rest, buf[:n]...), f.apply)
-			f.rest, f.bad, fresh = slices.Clone(f.rest), f.bad+bad, true
+			var invalid int
+			f.partial, invalid = decodePrefix(append(f.partial, buf[:n]...), f.apply)
+			f.partial, f.invalidBytes, changed = slices.Clone(f.partial), f.invalidBytes+invalid, true
 		}
 		if errors.Is(err, io.EOF) {
-			return fresh, nil
+			return changed, nil
 		}
 		if err != nil {
-			return fresh, err
+			return changed, err
 		}
 	}
 }
 
-// Legacy is what has been read.
-func (f *Follower) Legacy() Legacy {
-	// Copies: whoever is told goes on reading while the next Poll writes.
-	l := Legacy{Waits: maps.Clone(f.waits), Adopted: maps.Clone(f.adopted), Closing: f.closing, Left: f.left}
-	for _, k := range f.order {
-		if !f.isOver(k) {
-			l.Kept = append(l.Kept, *k)
+// Snapshot returns the state after the records read so far.
+func (f *Follower) Snapshot() Snapshot {
+	// Copies, because the caller may still read them while the next Poll updates the maps.
+	snapshot := Snapshot{PeerWaits: maps.Clone(f.peerWaits), Adopted: maps.Clone(f.adopted), Closing: f.closing, HandoverData: f.handoverData}
+	for _, m := range f.order {
+		if !f.isDropped(m) {
+			snapshot.Messages = append(snapshot.Messages, *m)
 		}
 	}
-	return l
+	return snapshot
 }
 
-// Close ends the following.
+// Close closes the followed file. A later Poll reads it again from the start.
 func (f *Follower) Close() error {
 	if f.file == nil {
 		return nil
--- a/internal/journal/follow_test.go
+++ b/internal/journal/follow_test.go
@@ -8,69 +8,69 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A journal that is written while it is followed tells the same as to the next life, at every byte that has
-// come, also once it was made anew; what was told stays as it was told while more comes.
-func TestFollow(t *testing.T) {
+// A Follower of a journal that is being written reads the same state as a process that opens it, also after the
+// journal was rewritten and when the file grows byte by byte. A snapshot does not change with later polls.
+func TestFollowerReadsGrowingJournal(t *testing.T) {
 	dir := t.TempDir()
-	s, _ := open(t, dir, 1<<20)
-	f := Follow(dir)
-	look := func() Legacy {
+	s, _ := openJournal(t, dir, 1<<20)
+	follower := Follow(dir)
+	poll := func() Snapshot {
 		t.Helper()
-		if _, err := f.Poll(); err != nil {
+		if _, err := follower.Poll(); err != nil {
 			t.Fatal(err)
 		}
-		return f.Legacy()
+		return follower.Snapshot()
 	}
 	write := func(records ...Record) {
 		t.Helper()
-		heard := make(chan error, 1)
-		if err := s.Append(records, func(err error) { heard <- err }); err != nil {
+		written := make(chan error, 1)
+		if err := s.Append(records, func(err error) { written <- err }); err != nil {
 			t.Fatal(err)
 		}
-		if err := <-heard; err != nil {
+		if err := <-written; err != nil {
 			t.Fatal(err)
 		}
 	}
-	write(Taken(message("a", 40)), Taken(message("b", 40)), Wait("p", 1<<62))
-	first := look()
-	write(Handed("a"), Over("b"), Wait("q", 1<<62), Closing([]byte("left")))
-	look()
-	if diff := cmp.Diff(map[string]int64{"p": 1 << 62}, first.Waits); diff != "" {
-		t.Fatalf("changed while it was read: %s", diff)
+	write(Accepted(newTestMessage("a", 40)), Accepted(newTestMessage("b", 40)), PeerWait("p", 1<<62))
+	first := poll()
+	write(HandedOver("a"), Done("b"), PeerWait("q", 1<<62), Closing([]byte("left")))
+	poll()
+	if diff := cmp.Diff(map[string]int64{"p": 1 << 62}, first.PeerWaits); diff != "" {
+		t.Fatalf("the earlier snapshot has changed: %s", diff)
 	}
-	want := Legacy{
-		Kept: []Kept{{Message: message("a", 40), Progress: Progress{Handed: true}}}, Waits: map[string]int64{"p": 1 << 62, "q": 1 << 62},
-		Adopted: map[string]bool{}, Closing: true, Left: []byte("left"),
+	want := Snapshot{
+		Messages: []MessageState{{Message: newTestMessage("a", 40), Progress: Progress{HandedOver: true}}}, PeerWaits: map[string]int64{"p": 1 << 62, "q": 1 << 62},
+		Adopted: map[string]bool{}, Closing: true, HandoverData: []byte("left"),
 	}
-	if diff := cmp.Diff(want, look()); diff != "" {
+	if diff := cmp.Diff(want, poll()); diff != "" {
 		t.Fatal(diff)
 	}
-	if err := s.renew(); err != nil { // the writer rests
+	if err := s.rewrite(); err != nil { // the writer goroutine is idle
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(want, look()); diff != "" {
-		t.Fatalf("made anew: %s", diff)
+	if diff := cmp.Diff(want, poll()); diff != "" {
+		t.Fatalf("after the rewrite: %s", diff)
 	}
-	whole, err := os.ReadFile(filepath.Join(dir, fileName))
+	contents, err := os.ReadFile(filepath.Join(dir, fileName))
 	if err != nil {
 		t.Fatal(err)
 	}
-	slow := filepath.Join(t.TempDir(), fileName)
-	piecemeal := Follow(filepath.Dir(slow))
-	out, err := os.Create(slow)
+	copyPath := filepath.Join(t.TempDir(), fileName)
+	copyFollower := Follow(filepath.Dir(copyPath))
+	copyFile, err := os.Create(copyPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer out.Close()
-	for i := range whole {
-		if _, err := out.Write(whole[i : i+1]); err != nil {
+	defer copyFile.Close()
+	for i := range contents {
+		if _, err := copyFile.Write(contents[i : i+1]); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := piecemeal.Poll(); err != nil || piecemeal.bad > 0 {
-			t.Fatalf("byte %d: %v, %d bytes passed over", i, err, piecemeal.bad)
+		if _, err := copyFollower.Poll(); err != nil || copyFollower.invalidBytes > 0 {
+			t.Fatalf("byte %d: %v, %d bytes skipped", i, err, copyFollower.invalidBytes)
 		}
 	}
-	if diff := cmp.Diff(want, piecemeal.Legacy()); diff != "" {
-		t.Fatalf("piecemeal: %s", diff)
+	if diff := cmp.Diff(want, copyFollower.Snapshot()); diff != "" {
+		t.Fatalf("read byte by byte: %s", diff)
 	}
 }
--- a/internal/journal/fuzz_test.go
+++ b/internal/journal/fuzz_test.go
@@ -2,21 +2,20 @@
 
 import "testing"
 
-// Noise in the journal's file is passed over: it never ends the process, and the whole record after
-// it is found.
+// Random bytes before a valid record are skipped without a panic, and the record after them is decoded.
 func FuzzDecode(f *testing.F) {
-	m := message("a", 64)
-	f.Add(Taken(m).append(nil))
-	f.Add(Prior("a", Try{"p", "z", 1}).append(NeverRan("a", "full").append(nil)))
-	f.Add([]byte(mark))
+	msg := newTestMessage("a", 64)
+	f.Add(Accepted(msg).append(nil))
+	f.Add(PriorRun("a", Attempt{"p", "z", 1}).append(NeverRan("a", "full").append(nil)))
+	f.Add([]byte(recordMarker))
 	f.Add([]byte{})
-	f.Fuzz(func(t *testing.T, noise []byte) {
+	f.Fuzz(func(t *testing.T, input []byte) {
 		last := Record{}
-		if bad := decode(Over("the last").append(noise), func(r Record) { last = r }); bad > len(noise) {
-			t.Fatalf("%d bytes of %d are no record", bad, len(noise))
+		if bad := decode(Done("the last").append(input), func(r Record) { last = r }); bad > len(input) {
+			t.Fatalf("%d bytes of %d are not part of a valid record", bad, len(input))
 		}
-		if last.kind != over || last.id != "the last" {
-			t.Fatalf("the record after the noise is lost: %+v", last)
+		if last.kind != kindDone || last.id != "the last" {
+			t.Fatalf("the record after the random bytes was not decoded: %+v", last)
 		}
 	})
 }
--- a/internal/journal/golden_test.go
+++ b/internal/journal/golden_test.go
@@ -1,8 +1,8 @@
 package journal
 
-// The stored form of the journal, as the build 73ca247 wrote it. The files in testdata/golden are never written
-// anew: a courier that is upgraded finds the journal of the build before, and a courier that is put back to an
-// earlier build finds this one's.
+// The stored form of the journal, as the build 73ca247 wrote it. The files in testdata/golden are never regenerated,
+// because a courier that is upgraded reads the journal of the previous build, and a courier that is rolled back
+// reads the journal of this one.
 
 import (
 	"encoding/hex"
@@ -17,39 +17,39 @@
 )
 
 const (
-	goldenFile = "testdata/golden/journal"      // as a life left it
-	goldenNext = "testdata/golden/journal.next" // as the next life writes it anew at its start
-	goldenText = "testdata/golden/records.txt"  // name and bytes in hex of each kind of record, one a line
+	goldenFile = "testdata/golden/journal"      // as a process left it
+	goldenNext = "testdata/golden/journal.next" // as the next process rewrites it at its start
+	goldenText = "testdata/golden/records.txt"  // name and bytes in hex of each kind of record, one per line
 )
 
 func goldenMessage(id string) *Message {
 	return &Message{
-		ID: id, Key: "key-2", Class: "class-3", Tenant: "tenant-4", Dest: -5, Until: 1<<62 + 6, Body: []byte("body\xa7R\n7"),
-		Since: 8_000_000_000, Resend: 9, Terms: "10 terms",
+		ID: id, Key: "key-2", Class: "class-3", Tenant: "tenant-4", Dest: -5, ExpiresAt: 1<<62 + 6, Body: []byte("body\xa7R\n7"),
+		AcceptedAt: 8_000_000_000, ResendNumber: 9, ClassTerms: "10 terms",
 	}
 }
 
-// goldenRecords has each kind of record with every field set, by the name of its line in goldenText.
+// goldenRecords returns each kind of record with every field set, by the name of its line in goldenText.
 func goldenRecords() map[string][]Record {
-	out := Try{Peer: "peer-11", Zone: "zone-12", At: 13}
-	kept := Kept{goldenMessage("id-14"), Progress{
-		Tries: 5, Out: &Try{"peer-15", "zone-16", 17}, Ran: &Try{"peer-18", "zone-19", 20},
-		Owed: &End{Deferred: true, AgainMS: 21}, Handed: true, Past: []Tried{{Try{"peer-18", "zone-19", 20}, "outcome-22"}},
+	out := Attempt{Peer: "peer-11", Zone: "zone-12", At: 13}
+	kept := MessageState{goldenMessage("id-14"), Progress{
+		AttemptCount: 5, InFlight: &Attempt{"peer-15", "zone-16", 17}, FirstRun: &Attempt{"peer-18", "zone-19", 20},
+		PendingNotice: &End{Deferred: true, RetryAfterMS: 21}, HandedOver: true, Completed: []CompletedAttempt{{Attempt{"peer-18", "zone-19", 20}, "outcome-22"}},
 	}}
 	return map[string][]Record{
-		"taken":         {Taken(goldenMessage("id-1"))},
-		"begun":         {Begun("id-1", out)},
+		"taken":         {Accepted(goldenMessage("id-1"))},
+		"begun":         {AttemptBegun("id-1", out)},
 		"never ran":     {NeverRan("id-1", "outcome-23")},
 		"may have run":  {MayHaveRun("id-1", "outcome-24")},
-		"prior":         {Prior("id-1", out)},
-		"ended":         {Ended("id-1", End{Deferred: false, AgainMS: 25})},
-		"deferred":      {Ended("id-1", End{Deferred: true, AgainMS: 26})},
-		"over":          {Over("id-1")},
-		"handed":        {Handed("id-1")},
-		"adopted":       {Adopted(Kept{Message: goldenMessage("id-1")})[0]},
-		"counted":       {{kind: counted, id: "id-1", n: 27}},
-		"settled":       {Settled()},
-		"wait":          {Wait("peer-28", 29)},
+		"prior":         {PriorRun("id-1", out)},
+		"ended":         {Ended("id-1", End{Deferred: false, RetryAfterMS: 25})},
+		"deferred":      {Ended("id-1", End{Deferred: true, RetryAfterMS: 26})},
+		"over":          {Done("id-1")},
+		"handed":        {HandedOver("id-1")},
+		"adopted":       {Adopted(MessageState{Message: goldenMessage("id-1")})[0]},
+		"counted":       {{kind: kindAttemptCount, id: "id-1", number: 27}},
+		"settled":       {PredecessorsRemoved()},
+		"wait":          {PeerWait("peer-28", 29)},
 		"closing":       {Closing([]byte("left-30"))},
 		"adopted whole": Adopted(kept),
 	}
@@ -99,16 +99,17 @@
 	}
 }
 
-// Builds before Message had Since, Resend and Terms, and before tries had outcomes, left shorter records.
+// Builds before Message had AcceptedAt, ResendNumber and ClassTerms, and before attempts had outcomes, wrote shorter
+// records.
 func TestRecordsOfOlderBuildsAreRead(t *testing.T) {
 	lines := goldenLines(t)
 	older := goldenMessage("id-1")
-	older.Since, older.Resend, older.Terms = 0, 0, ""
+	older.AcceptedAt, older.ResendNumber, older.ClassTerms = 0, 0, ""
 	old := goldenMessage("id-1")
-	old.Terms = ""
+	old.ClassTerms = ""
 	for name, want := range map[string]Record{
-		"taken, without since":          Taken(older),
-		"taken, without terms":          Taken(old),
+		"taken, without since":          Accepted(older),
+		"taken, without terms":          Accepted(old),
 		"never ran, without outcome":    NeverRan("id-1", ""),
 		"may have run, without outcome": MayHaveRun("id-1", ""),
 	} {
@@ -124,39 +125,39 @@
 	}
 }
 
-func goldenKept() []Kept {
-	first, second, third := Try{"peer-1", "zone-1", 101}, Try{"peer-2", "zone-2", 102}, Try{"peer-3", "zone-3", 103}
-	return []Kept{
+func goldenKept() []MessageState {
+	first, second, third := Attempt{"peer-1", "zone-1", 101}, Attempt{"peer-2", "zone-2", 102}, Attempt{"peer-3", "zone-3", 103}
+	return []MessageState{
 		{goldenMessage("fresh"), Progress{}},
-		{goldenMessage("out"), Progress{Tries: 2, Out: &second, Past: []Tried{{first, "full"}}}},
+		{goldenMessage("out"), Progress{AttemptCount: 2, InFlight: &second, Completed: []CompletedAttempt{{first, "full"}}}},
 		{goldenMessage("ran"), Progress{
-			Tries: 3, Ran: &second,
-			Past: []Tried{{first, "connect_failed"}, {second, "timeout"}, {third, "full"}},
+			AttemptCount: 3, FirstRun: &second,
+			Completed: []CompletedAttempt{{first, "connect_failed"}, {second, "timeout"}, {third, "full"}},
 		}},
-		{goldenMessage("resent"), Progress{Tries: 1, Out: &third, Ran: &first, Prior: &first}},
-		{goldenMessage("owed"), Progress{Owed: &End{Deferred: true, AgainMS: 1500}}},
-		{goldenMessage("handed"), Progress{Handed: true}},
+		{goldenMessage("resent"), Progress{AttemptCount: 1, InFlight: &third, FirstRun: &first, PriorRun: &first}},
+		{goldenMessage("owed"), Progress{PendingNotice: &End{Deferred: true, RetryAfterMS: 1500}}},
+		{goldenMessage("handed"), Progress{HandedOver: true}},
 	}
 }
 
-// goldenHistory is what the life that left goldenFile appended.
+// goldenHistory returns the records that the process that left goldenFile appended.
 func goldenHistory() []Record {
-	first, second, third := Try{"peer-1", "zone-1", 101}, Try{"peer-2", "zone-2", 102}, Try{"peer-3", "zone-3", 103}
+	first, second, third := Attempt{"peer-1", "zone-1", 101}, Attempt{"peer-2", "zone-2", 102}, Attempt{"peer-3", "zone-3", 103}
 	return []Record{
-		Taken(goldenMessage("fresh")), Taken(goldenMessage("out")), Taken(goldenMessage("ran")), Taken(goldenMessage("over")),
-		Begun("over", first), MayHaveRun("over", "delivered"), Over("over"),
-		Begun("out", first), NeverRan("out", "full"), Begun("out", second),
-		Begun("ran", first), NeverRan("ran", "connect_failed"), Begun("ran", second), MayHaveRun("ran", "timeout"), Begun("ran", third), NeverRan("ran", "full"),
-		Taken(goldenMessage("resent")), Prior("resent", first), Begun("resent", third),
-		Taken(goldenMessage("owed")), Ended("owed", End{Deferred: true, AgainMS: 1500}),
-		Wait("peer-over", 31), Wait("peer-1", 1<<62+32),
-		{kind: adopted, id: "handed"},
-		Taken(goldenMessage("handed")), Handed("handed"),
+		Accepted(goldenMessage("fresh")), Accepted(goldenMessage("out")), Accepted(goldenMessage("ran")), Accepted(goldenMessage("over")),
+		AttemptBegun("over", first), MayHaveRun("over", "delivered"), Done("over"),
+		AttemptBegun("out", first), NeverRan("out", "full"), AttemptBegun("out", second),
+		AttemptBegun("ran", first), NeverRan("ran", "connect_failed"), AttemptBegun("ran", second), MayHaveRun("ran", "timeout"), AttemptBegun("ran", third), NeverRan("ran", "full"),
+		Accepted(goldenMessage("resent")), PriorRun("resent", first), AttemptBegun("resent", third),
+		Accepted(goldenMessage("owed")), Ended("owed", End{Deferred: true, RetryAfterMS: 1500}),
+		PeerWait("peer-over", 31), PeerWait("peer-1", 1<<62+32),
+		{kind: kindAdopted, id: "handed"},
+		Accepted(goldenMessage("handed")), HandedOver("handed"),
 		Closing([]byte(`{"left":33}`)),
 	}
 }
 
-// goldenDirectory returns a folder that holds a copy of the stored journal.
+// goldenDirectory returns a directory with a copy of the stored journal.
 func goldenDirectory(t *testing.T) string {
 	t.Helper()
 	return goldentest.CopyFile(t, goldenFile, "journal")
@@ -164,15 +165,15 @@
 
 func TestStoredJournalIsReadAndContinued(t *testing.T) {
 	dir := goldenDirectory(t)
-	o := Options{Limit: 1 << 20, Tries: true}
-	s, kept, err := Open(dir, o, quiet)
+	o := Options{MaxBytes: 1 << 20, RecordAttempts: true}
+	s, kept, err := Open(dir, o, discardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(goldenKept(), kept); diff != "" {
 		t.Errorf("kept (-want +got):\n%s", diff)
 	}
-	if !s.Sound() {
+	if !s.Intact() {
 		t.Error("sound: got false, want true")
 	}
 	want, err := os.ReadFile(goldenNext)
@@ -187,13 +188,13 @@
 		t.Errorf("file written anew (-stored +written):\n%s", diff)
 	}
 
-	if err := s.Append([]Record{Over("owed"), NeverRan("out", "timeout")}, nil); err != nil {
+	if err := s.Append([]Record{Done("owed"), NeverRan("out", "timeout")}, nil); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	s, kept, err = Open(dir, o, quiet)
+	s, kept, err = Open(dir, o, discardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -202,7 +203,7 @@
 	}
 	continued := goldenKept()
 	out := &continued[1]
-	out.Past, out.Out = append(out.Past, Tried{*out.Out, "timeout"}), nil
+	out.Completed, out.InFlight = append(out.Completed, CompletedAttempt{*out.InFlight, "timeout"}), nil
 	continued = append(continued[:4], continued[5])
 	if diff := cmp.Diff(continued, kept); diff != "" {
 		t.Errorf("kept by the life after (-want +got):\n%s", diff)
@@ -215,7 +216,7 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	s, _, err := Open(dir, Options{Limit: 1 << 20, Tries: true}, quiet)
+	s, _, err := Open(dir, Options{MaxBytes: 1 << 20, RecordAttempts: true}, discardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -245,14 +246,14 @@
 		t.Fatalf("poll: got %v, %v, want true and no error", fresh, err)
 	}
 	kept := goldenKept()
-	for i := range kept { // a follower does not remember tries
-		kept[i].Past = nil
+	for i := range kept { // a Follower does not record attempts
+		kept[i].Completed = nil
 	}
-	want := Legacy{
-		Kept: kept, Waits: map[string]int64{"peer-over": 31, "peer-1": 1<<62 + 32}, Adopted: map[string]bool{"handed": true},
-		Closing: true, Left: []byte(`{"left":33}`),
+	want := Snapshot{
+		Messages: kept, PeerWaits: map[string]int64{"peer-over": 31, "peer-1": 1<<62 + 32}, Adopted: map[string]bool{"handed": true},
+		Closing: true, HandoverData: []byte(`{"left":33}`),
 	}
-	if diff := cmp.Diff(want, f.Legacy()); diff != "" {
+	if diff := cmp.Diff(want, f.Snapshot()); diff != "" {
 		t.Errorf("legacy (-want +got):\n%s", diff)
 	}
 }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,9 +1,9 @@
-// Package journal is the lasting store: it remembers the messages that the courier has
-// taken on, their tries and the endings still owed, so that they outlast the process.
+// Package journal is the courier's write-ahead log. It records the accepted messages, their attempts and the
+// notices that have yet to be sent, so that they survive the end of the process.
 //
-// Records are appended to one file by a single goroutine, before what they tell of is
-// done. Plain writes suffice: they survive the process. When the file has grown it is
-// written anew with what is still owed, and renamed over the old one.
+// A single goroutine appends records to one file before the recorded action takes place. Writes are not synced,
+// because a plain write survives the end of the process, though not of the machine. When the file has grown too
+// large, it is rewritten with the unfinished messages only, and the new file is renamed over the old one.
 package journal
 
 import (
@@ -18,209 +18,210 @@
 	"time"
 )
 
-// ErrFull says that the disk's limit leaves no room for another message.
+// ErrFull is returned for a message that does not fit within the size limit.
 var ErrFull = errors.New("journal: full")
 
-// ErrClosed says that the journal takes nothing more.
+// ErrClosed is returned for records that are appended after Close.
 var ErrClosed = errors.New("journal: closed")
 
-// Message is what a client submitted. It does not change.
+// Message is a message as a client submitted it. It is immutable.
 type Message struct {
 	ID, Key       string
 	Class, Tenant string
 	Dest          int64
-	Until         int64 // when its time is up, Unix time in nanoseconds
+	ExpiresAt     int64 // its deadline, Unix time in nanoseconds
 	Body          []byte
-	Since         int64  // when it was taken on, Unix time in nanoseconds; 0 in a journal of an older build
-	Terms         string // what its class was when it was taken on; opaque here, "" in a journal of an older build
-	Resend        int64  // of an undeliverable message: which resend this is, from 1; 0 for a client's submission
+	AcceptedAt    int64  // when the courier accepted it, Unix time in nanoseconds; 0 in a journal of an older build
+	ClassTerms    string // definition of its class when it was accepted; opaque here, "" in a journal of an older build
+	ResendNumber  int64  // number of the resend of a dead letter, from 1; 0 for a client's submission
 }
 
-// Try is one attempt at a message.
-type Try struct {
+// Attempt is one attempt to deliver a message.
+type Attempt struct {
 	Peer, Zone string
 	At         int64 // Unix time in nanoseconds
 }
 
-// Tried is an attempt that has ended.
-type Tried struct {
-	Try
-	Outcome string // in the module's words, see internal/net/courier
+// CompletedAttempt is an attempt that has ended.
+type CompletedAttempt struct {
+	Attempt
+	Outcome string // as the module names it, see internal/net/courier
 }
 
-// Progress is how far a message has come.
+// Progress is the state of the delivery of a message.
 type Progress struct {
-	Tries  int
-	Out    *Try    // begun, with no word of its end
-	Ran    *Try    // the first that may have run
-	Owed   *End    // ended by the courier, and the platform has not heard of it yet
-	Prior  *Try    // of a resend: what may have run before it
-	Handed bool    // the life that follows owns it
-	Past   []Tried // the tries that have ended, the first mostPast of them; only with Options.Tries
+	AttemptCount  int
+	InFlight      *Attempt           // begun and not known to have ended
+	FirstRun      *Attempt           // first attempt that may have run
+	PendingNotice *End               // set if the courier has ended the message and the platform has not confirmed the notice yet
+	PriorRun      *Attempt           // of a resend: the earlier attempt that may have run
+	HandedOver    bool               // the next process owns the message
+	Completed     []CompletedAttempt // the first maxCompleted attempts that have ended; only with Options.RecordAttempts
 }
 
-// mostPast bounds what is remembered of one message's tries.
-const mostPast = 16
+// maxCompleted limits the recorded attempts of one message.
+const maxCompleted = 16
 
-// End is an ending that the platform is told of.
+// End tells the platform how the courier ended a message.
 type End struct {
-	Deferred bool // safe to submit again
-	AgainMS  int64
+	Deferred     bool // the client can safely submit the message again
+	RetryAfterMS int64
 }
 
-// Kept is a message that the journal holds.
-type Kept struct {
+// MessageState is an unfinished message and its progress.
+type MessageState struct {
 	*Message
 	Progress
 }
 
-// entry asks the writer for some records; then hears of it, in the writer's goroutine.
-type entry struct {
+// writeRequest asks the writer to append records. The writer calls done, if not nil, with the result in its own
+// goroutine.
+type writeRequest struct {
 	records []Record
-	then    func(error)
+	done    func(error)
 }
 
-// Options say how a journal is kept.
+// Options configure a Store.
 type Options struct {
-	Limit int64 // bytes of the disk that its files take together
-	// Shared says that another life's journal may stand beside this one, within the limit: see shares.
-	Shared bool
-	Tries  bool // remember how each try ended, for whoever keeps undeliverable messages
-	// Before is asked before each write; an error stands for the write's own. It is nil in service:
-	// tests use it to end a life at a chosen boundary.
-	Before func() error
+	MaxBytes int64 // limit for all journal files in the directory together
+	// Shared tells that the journal of another process may take part of the same limit, see sizeLimits.
+	Shared         bool
+	RecordAttempts bool // record how each attempt ended, for the dead letters
+	// BeforeWrite, if not nil, is called before each write; an error that it returns is taken for the error of
+	// the write. Only tests set it, to simulate a crash before a chosen write.
+	BeforeWrite func() error
 }
 
 // Store is an open journal. Its methods may be called from any goroutine.
 type Store struct {
 	Options
-	dir    string
-	log    *slog.Logger
-	sound  bool
-	shown  atomic.Int64 // size, for those that ask
-	mail   chan entry
-	quit   chan struct{}
-	done   chan struct{}
-	file   *os.File
-	size   int64 // of the file
-	frozen error // a write that failed halfway, until the file is made anew
-	content
+	dir          string
+	log          *slog.Logger
+	intact       bool
+	reportedSize atomic.Int64 // copy of size for callers of Size
+	requests     chan writeRequest
+	quit         chan struct{}
+	done         chan struct{}
+	file         *os.File
+	size         int64 // of the file
+	writeErr     error // of a write that may have been partial; nil again after a rewrite
+	state
 }
 
-// content is what a journal tells.
-type content struct {
-	tries   bool  // remember how each ended
-	live    int64 // bytes that a new file would have at least
-	held    map[string]*Kept
-	order   []*Kept          // as taken, those that are over among them: an id may come again after its end
-	waits   map[string]int64 // of peers, until when
-	adopted map[string]bool  // ids of messages taken up from earlier lives, whose journals may be there still
-	closing bool             // it begins nothing any more
-	left    []byte           // beside its messages
+// state is the state that results from the records of a journal.
+type state struct {
+	recordAttempts bool  // see Options.RecordAttempts
+	liveBytes      int64 // estimated lower bound for the size of a rewritten file
+	messages       map[string]*MessageState
+	order          []*MessageState  // in the order accepted; contains finished ones too, because an ID may be accepted again after its end
+	peerWaits      map[string]int64 // by peer: Unix time in nanoseconds until which it asked the courier to wait
+	adopted        map[string]bool  // IDs of messages adopted from earlier processes, whose journals may still exist
+	closing        bool             // the process begins no further calls
+	handoverData   []byte           // other data for the next process
 }
 
-func newContent(tries bool) content {
-	return content{tries: tries, held: map[string]*Kept{}, waits: map[string]int64{}, adopted: map[string]bool{}}
+func newState(recordAttempts bool) state {
+	return state{recordAttempts: recordAttempts, messages: map[string]*MessageState{}, peerWaits: map[string]int64{}, adopted: map[string]bool{}}
 }
 
 const (
 	fileName, nextName = "journal", "journal.next"
-	asideName          = ".aside" // added to the name of a journal that could not be read
+	quarantineSuffix   = ".aside" // appended to the name of an unreadable journal
 )
 
-// Open reads the journal in the folder and returns it with what it holds, in the order
-// taken.
-func Open(dir string, opts Options, log *slog.Logger) (*Store, []Kept, error) {
+// Open opens the journal in the directory and returns it with its unfinished messages, in the order accepted.
+// An unreadable journal is quarantined and replaced by an empty one.
+func Open(dir string, opts Options, log *slog.Logger) (*Store, []MessageState, error) {
 	s := &Store{
-		Options: opts, dir: dir, log: log, content: newContent(opts.Tries),
-		mail: make(chan entry, 256), quit: make(chan struct{}), done: make(chan struct{}),
+		Options: opts, dir: dir, log: log, state: newState(opts.RecordAttempts),
+		requests: make(chan writeRequest, 256), quit: make(chan struct{}), done: make(chan struct{}),
 	}
 	if err := os.RemoveAll(filepath.Join(dir, nextName)); err != nil {
 		return nil, nil, fmt.Errorf("journal: %w", err)
 	}
 	path := filepath.Join(dir, fileName)
-	old, err := os.ReadFile(path)
+	stored, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
-		log.Error("journal: can't be read: begun anew, the old one set aside", "as", path+asideName, "err", err)
-		if err := errors.Join(os.RemoveAll(path+asideName), os.Rename(path, path+asideName)); err != nil {
+		log.Error("journal: cannot be read; quarantined and replaced by an empty one", "as", path+quarantineSuffix, "err", err)
+		if err := errors.Join(os.RemoveAll(path+quarantineSuffix), os.Rename(path, path+quarantineSuffix)); err != nil {
 			return nil, nil, fmt.Errorf("journal: %w", err)
 		}
 	}
-	// What is set aside counts for the folder's limit: it goes once it would take half of the journal's room.
-	if i, err := os.Stat(path + asideName); err == nil && i.Mode().IsRegular() {
-		if i.Size() <= s.Limit/2 {
-			s.Limit -= i.Size()
-		} else if err := os.Remove(path + asideName); err != nil {
+	// A quarantined journal counts against the size limit. It is deleted if it is larger than half of the limit.
+	if info, err := os.Stat(path + quarantineSuffix); err == nil && info.Mode().IsRegular() {
+		if info.Size() <= s.MaxBytes/2 {
+			s.MaxBytes -= info.Size()
+		} else if err := os.Remove(path + quarantineSuffix); err != nil {
 			return nil, nil, fmt.Errorf("journal: %w", err)
 		}
 	}
-	bad := decode(old, s.apply)
-	s.sound = err == nil && bad == 0
-	if bad > 0 {
-		log.Warn("journal: bytes that are no record were passed over", "bytes", bad)
+	invalid := decode(stored, s.apply)
+	s.intact = err == nil && invalid == 0
+	if invalid > 0 {
+		log.Warn("journal: skipped bytes that are not part of a valid record", "bytes", invalid)
 	}
-	if err := s.renew(); err != nil {
+	if err := s.rewrite(); err != nil {
 		return nil, nil, err
 	}
-	var kept []Kept
-	for _, k := range s.order {
-		kept = append(kept, *k)
+	var messages []MessageState
+	for _, m := range s.order {
+		messages = append(messages, *m)
 	}
-	go s.write()
-	return s, kept, nil
+	go s.runWriter()
+	return s, messages, nil
 }
 
-// Sound says that the journal was there at the start and whole: what it did not tell of then, the
-// earlier life did not do.
-func (s *Store) Sound() bool { return s.sound }
+// Intact reports whether the journal existed and was fully valid when it was opened. If so, the previous process
+// took no action that is not recorded.
+func (s *Store) Intact() bool { return s.intact }
 
-// Size is the file's, in bytes.
-func (s *Store) Size() int64 { return s.shown.Load() }
+// Size returns the size of the file in bytes.
+func (s *Store) Size() int64 { return s.reportedSize.Load() }
 
-// Take writes a message down, or says why it could not.
-func (s *Store) Take(m *Message) error {
-	heard := make(chan error, 1)
-	if err := s.Append([]Record{Taken(m)}, func(err error) { heard <- err }); err != nil {
+// AddMessage records an accepted message and waits until it is written.
+func (s *Store) AddMessage(m *Message) error {
+	result := make(chan error, 1)
+	if err := s.Append([]Record{Accepted(m)}, func(err error) { result <- err }); err != nil {
 		return err
 	}
-	return <-heard
+	return <-result
 }
 
-// Append hands records to the writer, which calls then, if not nil, once they are written.
-// It must not block.
-func (s *Store) Append(records []Record, then func(error)) error {
+// Append hands records to the writer, which calls done, if not nil, with the result of the write. done must not
+// block.
+func (s *Store) Append(records []Record, done func(error)) error {
 	select {
 	case <-s.quit:
 		return ErrClosed
 	default:
 	}
 	select {
-	case s.mail <- entry{records, then}:
+	case s.requests <- writeRequest{records, done}:
 		return nil
 	case <-s.done:
 		return ErrClosed
 	}
 }
 
-// Close writes what has been appended and closes the file.
+// Close writes the records that have been appended and closes the file.
 func (s *Store) Close() error {
 	close(s.quit)
 	<-s.done
 	return s.file.Close()
 }
 
-// write is the only goroutine that touches the file once the journal is open.
-func (s *Store) write() {
+// runWriter writes the appended records. Its goroutine is the only one that accesses the file after Open.
+func (s *Store) runWriter() {
 	defer close(s.done)
 	for {
 		select {
-		case e := <-s.mail:
-			s.batch(e)
+		case req := <-s.requests:
+			s.writeBatch(req)
 		case <-s.quit:
 			for {
 				select {
-				case e := <-s.mail:
-					s.batch(e)
+				case req := <-s.requests:
+					s.writeBatch(req)
 				default:
 					return
 				}
@@ -229,110 +230,112 @@
 	}
 }
 
-// batch writes all that waits with one call.
-func (s *Store) batch(e entry) {
-	batch := []entry{e}
-	for len(s.mail) > 0 && len(batch) < cap(s.mail) {
-		batch = append(batch, <-s.mail)
+// writeBatch writes all waiting requests with one call.
+func (s *Store) writeBatch(req writeRequest) {
+	batch := []writeRequest{req}
+	for len(s.requests) > 0 && len(batch) < cap(s.requests) {
+		batch = append(batch, <-s.requests)
 	}
-	var text []byte
+	var encoded []byte
 	results := make([]error, len(batch))
-	for i, e := range batch {
-		if results[i] = s.room(e.records, int64(len(text))); results[i] != nil {
+	for i, req := range batch {
+		if results[i] = s.checkSpace(req.records, int64(len(encoded))); results[i] != nil {
 			continue
 		}
-		for _, r := range e.records {
-			text = r.append(text)
+		for _, r := range req.records {
+			encoded = r.append(encoded)
 			s.apply(r)
 		}
 	}
-	err := s.put(text)
-	for i, e := range batch {
+	err := s.appendEncoded(encoded)
+	for i, req := range batch {
 		if results[i] == nil && err != nil {
 			results[i] = err
-			for _, r := range e.records {
-				if r.kind == taken {
+			for _, r := range req.records {
+				if r.kind == kindAccepted {
 					s.drop(r.id)
 				}
 			}
 		}
-		if e.then != nil {
-			e.then(results[i])
+		if req.done != nil {
+			req.done(results[i])
 		}
 	}
 }
 
-// room says whether a further message still leaves the old file and the new one, counted
-// together, under the limit; see renew.
-func (s *Store) room(records []Record, more int64) error {
+// checkSpace returns ErrFull if a new message among the records would exceed the limit for a rewritten file,
+// see sizeLimits.
+func (s *Store) checkSpace(records []Record, batchSize int64) error {
 	for _, r := range records {
-		if _, live := s.shares(); r.kind == taken && s.live+more+s.cost(r) > live {
+		if _, maxLive := s.sizeLimits(); r.kind == kindAccepted && s.liveBytes+batchSize+s.maxLiveSize(r) > maxLive {
 			return ErrFull
 		}
 	}
 	return nil
 }
 
-// shares are what the file may come to before it is made anew, and what a new one may hold. The two stand
-// side by side for an instant, and beside them, where the disk is shared, that of a life which is closing: that
-// one is not made anew any more, so that twice the first and once the second fit, with a rest for its last words.
-func (s *Store) shares() (renew, live int64) {
+// sizeLimits returns the size at which the file is rewritten and the maximum size of a rewritten file. During a
+// rewrite the old and the new file exist at the same time. With Options.Shared the file of a closing process may
+// exist too. A closing process does not rewrite its file, so twice rewriteAt plus once maxLive must fit; the
+// remaining 3 % is for the last records of the closing process.
+func (s *Store) sizeLimits() (rewriteAt, maxLive int64) {
 	if s.Shared {
-		return s.Limit * 36 / 100, s.Limit * 25 / 100
+		return s.MaxBytes * 36 / 100, s.MaxBytes * 25 / 100
 	}
-	return s.Limit / 2, s.Limit * 7 / 20
+	return s.MaxBytes / 2, s.MaxBytes * 7 / 20
 }
 
-// cost is the most that a message takes in a new file, its tries and end included.
-func (s *content) cost(r Record) int64 {
-	if s.tries {
-		return r.size() + 1024
+// maxLiveSize returns the maximum size of a message in a rewritten file, including its attempts and its end.
+func (s *state) maxLiveSize(r Record) int64 {
+	if s.recordAttempts {
+		return r.sizeWithProgress() + 1024
 	}
-	return r.size()
+	return r.sizeWithProgress()
 }
 
-// put appends the text. The file is made anew once it has come to its share of the limit.
-func (s *Store) put(text []byte) error {
-	defer func() { s.shown.Store(s.size) }()
-	if len(text) == 0 {
+// appendEncoded appends encoded records to the file. It rewrites the file instead if it would exceed rewriteAt or
+// if an earlier write failed.
+func (s *Store) appendEncoded(encoded []byte) error {
+	defer func() { s.reportedSize.Store(s.size) }()
+	if len(encoded) == 0 {
 		return nil
 	}
-	if s.frozen != nil && s.closing && s.Shared {
-		return s.frozen
+	if s.writeErr != nil && s.closing && s.Shared {
+		return s.writeErr
 	}
-	if renew, _ := s.shares(); s.frozen != nil || s.size+int64(len(text)) > renew && !(s.closing && s.Shared) {
-		if s.frozen = s.renew(); s.frozen == nil {
-			return nil // the new file tells of the batch as well
+	if rewriteAt, _ := s.sizeLimits(); s.writeErr != nil || s.size+int64(len(encoded)) > rewriteAt && !(s.closing && s.Shared) {
+		if s.writeErr = s.rewrite(); s.writeErr == nil {
+			return nil // the new file includes the batch
 		}
-		return s.frozen
+		return s.writeErr
 	}
-	if err := s.before(); err != nil {
-		s.frozen = err
+	if err := s.beforeWrite(); err != nil {
+		s.writeErr = err
 		return err
 	}
-	n, err := s.file.Write(text)
+	n, err := s.file.Write(encoded)
 	s.size += int64(n)
 	if err != nil {
-		s.frozen = err
-		s.log.Error("journal: write", "err", err)
+		s.writeErr = err
+		s.log.Error("journal: write failed", "err", err)
 	}
 	return err
 }
 
-func (s *Store) before() error {
-	if s.Before == nil {
+func (s *Store) beforeWrite() error {
+	if s.BeforeWrite == nil {
 		return nil
 	}
-	return s.Before()
+	return s.BeforeWrite()
 }
 
-// renew writes a file of what is still owed and puts it in the old one's place.
-func (s *Store) renew() error {
-	var text []byte
+// rewrite writes the unfinished messages to a new file and renames it over the old one.
+func (s *Store) rewrite() error {
+	var encoded []byte
 	for _, r := range s.records(time.Now().UnixNano()) {
-		text = r.append(text)
+		encoded = r.append(encoded)
 	}
-	if err := s.before(); err != nil {
+	if err := s.beforeWrite(); err != nil {
 		return fmt.Errorf("journal: %w", err)
 	}
 	next := filepath.Join(s.dir, nextName)
@@ -340,7 +343,7 @@
 	if err != nil {
 		return fmt.Errorf("journal: %w", err)
 	}
-	if _, err = f.Write(text); err == nil {
+	if _, err = f.Write(encoded); err == nil {
 		err = os.Rename(next, filepath.Join(s.dir, fileName))
 	}
 	if err != nil {
@@ -348,108 +351,110 @@
 	}
 	if s.file != nil {
 		if err := s.file.Close(); err != nil {
-			s.log.Warn("journal: close", "err", err)
+			s.log.Warn("journal: could not close the old file", "err", err)
 		}
 	}
-	s.file, s.size, s.live = f, int64(len(text)), int64(len(text))
+	s.file, s.size, s.liveBytes = f, int64(len(encoded)), int64(len(encoded))
 	return nil
 }
 
-// apply brings what is held up to date.
-func (s *content) apply(r Record) {
+// apply updates the state with a record.
+func (s *state) apply(r Record) {
 	switch r.kind {
-	case adopted:
+	case kindAdopted:
 		s.adopted[r.id] = true
 		return
-	case settled:
+	case kindPredecessorsRemoved:
 		clear(s.adopted)
 		return
-	case wait:
-		s.waits[r.id] = max(s.waits[r.id], r.n)
+	case kindPeerWait:
+		s.peerWaits[r.id] = max(s.peerWaits[r.id], r.number)
 		return
-	case closing:
-		s.closing, s.left = true, r.left
+	case kindClosing:
+		s.closing, s.handoverData = true, r.handoverData
 		return
 	}
-	if r.kind == taken {
-		if s.held[r.id] == nil {
-			k := &Kept{Message: r.msg}
-			s.held[r.id] = k
-			s.order = append(s.order, k)
-			s.live += s.cost(r)
+	if r.kind == kindAccepted {
+		if s.messages[r.id] == nil {
+			m := &MessageState{Message: r.msg}
+			s.messages[r.id] = m
+			s.order = append(s.order, m)
+			s.liveBytes += s.maxLiveSize(r)
 		}
 		return
 	}
-	k := s.held[r.id]
-	if k == nil {
+	m := s.messages[r.id]
+	if m == nil {
 		return
 	}
 	switch r.kind {
-	case begun:
-		if k.Ran == nil {
-			k.Ran = k.Out
+	case kindAttemptBegun:
+		if m.FirstRun == nil {
+			m.FirstRun = m.InFlight
 		}
-		s.past(k, "") // with no word of its end
-		try := r.try
-		k.Tries, k.Out = k.Tries+1, &try
-	case neverRan:
-		s.past(k, r.outcome)
-		k.Out = nil
-	case mayHaveRun:
-		if k.Ran == nil {
-			k.Ran = k.Out
+		s.completeAttempt(m, "") // its end is unknown
+		attempt := r.attempt
+		m.AttemptCount, m.InFlight = m.AttemptCount+1, &attempt
+	case kindNeverRan:
+		s.completeAttempt(m, r.outcome)
+		m.InFlight = nil
+	case kindMayHaveRun:
+		if m.FirstRun == nil {
+			m.FirstRun = m.InFlight
 		}
-		s.past(k, r.outcome)
-		k.Out = nil
-	case prior:
-		try := r.try
-		k.Prior, k.Ran = &try, &try
-	case ended:
+		s.completeAttempt(m, r.outcome)
+		m.InFlight = nil
+	case kindPriorRun:
+		attempt := r.attempt
+		m.PriorRun, m.FirstRun = &attempt, &attempt
+	case kindEnded:
 		end := r.end
-		k.Owed = &end
-	case counted:
-		k.Tries = int(r.n)
-	case handed:
-		k.Handed = true
-	case over:
+		m.PendingNotice = &end
+	case kindAttemptCount:
+		m.AttemptCount = int(r.number)
+	case kindHandedOver:
+		m.HandedOver = true
+	case kindDone:
 		s.drop(r.id)
 	}
 }
 
-// records tell all that is still owed or needed at that time.
-func (s *content) records(now int64) (rs []Record) {
-	s.order = slices.DeleteFunc(s.order, s.isOver)
-	maps.DeleteFunc(s.waits, func(_ string, until int64) bool { return until <= now })
+// records returns the records that reproduce the state, without peer waits that are over at now (Unix time in
+// nanoseconds).
+func (s *state) records(now int64) (records []Record) {
+	s.order = slices.DeleteFunc(s.order, s.isDropped)
+	maps.DeleteFunc(s.peerWaits, func(_ string, until int64) bool { return until <= now })
 	for id := range s.adopted {
-		rs = append(rs, Record{kind: adopted, id: id})
+		records = append(records, Record{kind: kindAdopted, id: id})
 	}
-	for peer, until := range s.waits {
-		rs = append(rs, Wait(peer, until))
+	for peer, until := range s.peerWaits {
+		records = append(records, PeerWait(peer, until))
 	}
-	for _, k := range s.order {
-		rs = append(rs, k.records()...)
+	for _, m := range s.order {
+		records = append(records, m.records()...)
 	}
 	if s.closing {
-		rs = append(rs, Closing(s.left))
+		records = append(records, Closing(s.handoverData))
 	}
-	return rs
+	return records
 }
 
-// past remembers the try that was out.
-func (s *content) past(k *Kept, outcome string) {
-	if s.tries && k.Out != nil && len(k.Past) < mostPast {
-		k.Past = append(k.Past, Tried{*k.Out, outcome})
+// completeAttempt moves the attempt in flight, if any, to the recorded attempts.
+func (s *state) completeAttempt(m *MessageState, outcome string) {
+	if s.recordAttempts && m.InFlight != nil && len(m.Completed) < maxCompleted {
+		m.Completed = append(m.Completed, CompletedAttempt{*m.InFlight, outcome})
 	}
 }
 
-func (s *content) isOver(k *Kept) bool { return s.held[k.ID] != k }
+func (s *state) isDropped(m *MessageState) bool { return s.messages[m.ID] != m }
 
-func (s *content) drop(id string) {
-	if k := s.held[id]; k != nil {
-		s.live -= s.cost(Taken(k.Message))
-		delete(s.held, id)
-		if len(s.order) > 2*len(s.held)+1024 {
-			s.order = slices.DeleteFunc(s.order, s.isOver)
+// drop removes a finished message.
+func (s *state) drop(id string) {
+	if m := s.messages[id]; m != nil {
+		s.liveBytes -= s.maxLiveSize(Accepted(m.Message))
+		delete(s.messages, id)
+		if len(s.order) > 2*len(s.messages)+1024 {
+			s.order = slices.DeleteFunc(s.order, s.isDropped)
 		}
 	}
 }
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -11,255 +11,265 @@
 type kind byte
 
 const (
-	taken      kind = 'T' // taken on
-	begun      kind = 'B' // a try is about to be sent
-	neverRan   kind = 'N' // the try has ended and never ran
-	mayHaveRun kind = 'M' // the try has ended and may have run
-	ended      kind = 'E' // ended by the courier; a notice is owed
-	over       kind = 'O' // nothing more is owed
-	counted    kind = 'C' // so many tries before, written when the file is made anew
-	prior      kind = 'P' // of a resend: a try of an earlier life of the message that may have run
-	handed     kind = 'H' // handed over: the life that follows owns the message from now on
-	adopted    kind = 'A' // taken up from the journal of an earlier life, which may still be there
-	settled    kind = 'S' // the journals of earlier lives are gone
-	wait       kind = 'W' // the peer, named as the id, told to wait until then
-	closing    kind = 'Q' // this life begins nothing any more; with what it leaves to the one that follows
+	kindAccepted            kind = 'T' // the message is accepted
+	kindAttemptBegun        kind = 'B' // an attempt is about to be sent
+	kindNeverRan            kind = 'N' // the attempt has ended and did not run
+	kindMayHaveRun          kind = 'M' // the attempt has ended and may have run
+	kindEnded               kind = 'E' // the courier has ended the message; the notice is pending
+	kindDone                kind = 'O' // the message is finished and no notice is pending
+	kindAttemptCount        kind = 'C' // number of attempts so far; written when the file is rewritten
+	kindPriorRun            kind = 'P' // of a resend: an earlier attempt that may have run
+	kindHandedOver          kind = 'H' // the next process owns the message from now on
+	kindAdopted             kind = 'A' // adopted from the journal of an earlier process, which may still exist
+	kindPredecessorsRemoved kind = 'S' // the journals of earlier processes have been deleted
+	kindPeerWait            kind = 'W' // the peer, whose name is the ID, asked the courier to wait until then
+	kindClosing             kind = 'Q' // the process begins no further calls; with its data for the next process
 )
 
-// Record is one line of the journal.
+// Record is one entry of the journal.
 type Record struct {
-	kind kind
-	id   string
-	msg  *Message
-	try  Try
-	end  End
-	n    int64
-	left []byte
+	kind         kind
+	id           string
+	msg          *Message
+	attempt      Attempt
+	end          End
+	number       int64
+	handoverData []byte
 
-	outcome string // of the try, if it is to be remembered
+	outcome string // of the attempt, if it is to be recorded
 }
 
-// Taken says that the message is taken on.
-func Taken(m *Message) Record { return Record{kind: taken, id: m.ID, msg: m} }
+// Accepted records that the courier has accepted the message.
+func Accepted(m *Message) Record { return Record{kind: kindAccepted, id: m.ID, msg: m} }
 
-// Begun says that a try is about to be sent.
-func Begun(id string, t Try) Record { return Record{kind: begun, id: id, try: t} }
+// AttemptBegun records that an attempt is about to be sent.
+func AttemptBegun(id string, t Attempt) Record {
+	return Record{kind: kindAttemptBegun, id: id, attempt: t}
+}
 
-// NeverRan says that the try that was out has ended so and never ran.
-func NeverRan(id, outcome string) Record { return Record{kind: neverRan, id: id, outcome: outcome} }
+// NeverRan records that the attempt in flight has ended with this outcome and did not run.
+func NeverRan(id, outcome string) Record { return Record{kind: kindNeverRan, id: id, outcome: outcome} }
 
-// MayHaveRun says that the try that was out has ended so and may have run.
-func MayHaveRun(id, outcome string) Record { return Record{kind: mayHaveRun, id: id, outcome: outcome} }
+// MayHaveRun records that the attempt in flight has ended with this outcome and may have run.
+func MayHaveRun(id, outcome string) Record {
+	return Record{kind: kindMayHaveRun, id: id, outcome: outcome}
+}
 
-// Prior says of a resend that this try, before it, may have run.
-func Prior(id string, t Try) Record { return Record{kind: prior, id: id, try: t} }
+// PriorRun records, for a resend, an earlier attempt that may have run.
+func PriorRun(id string, t Attempt) Record { return Record{kind: kindPriorRun, id: id, attempt: t} }
 
-// Ended says that the courier has ended the message, and owes a notice of it.
-func Ended(id string, e End) Record { return Record{kind: ended, id: id, end: e} }
+// Ended records that the courier has ended the message and has yet to notify the platform.
+func Ended(id string, e End) Record { return Record{kind: kindEnded, id: id, end: e} }
 
-// Over says that nothing more is owed.
-func Over(id string) Record { return Record{kind: over, id: id} }
+// Done records that the message is finished and no notice is pending.
+func Done(id string) Record { return Record{kind: kindDone, id: id} }
 
-// Handed says that the life that follows owns the message from now on.
-func Handed(id string) Record { return Record{kind: handed, id: id} }
+// HandedOver records that the next process owns the message from now on.
+func HandedOver(id string) Record { return Record{kind: kindHandedOver, id: id} }
 
-// Adopted tells what is known of a message that an earlier life left, as part of this life's journal.
-func Adopted(k Kept) []Record {
-	k.Handed = false
-	return append([]Record{{kind: adopted, id: k.ID}}, k.records()...)
+// Adopted returns the records that copy an unfinished message of an earlier process into this journal.
+func Adopted(m MessageState) []Record {
+	m.HandedOver = false
+	return append([]Record{{kind: kindAdopted, id: m.ID}}, m.records()...)
 }
 
-// Settled says that no journal of an earlier life is there any more.
-func Settled() Record { return Record{kind: settled} }
+// PredecessorsRemoved records that the journals of all earlier processes have been deleted.
+func PredecessorsRemoved() Record { return Record{kind: kindPredecessorsRemoved} }
 
-// Wait says that the peer was told to wait until then, in Unix time in nanoseconds.
-func Wait(peer string, until int64) Record { return Record{kind: wait, id: peer, n: until} }
+// PeerWait records that the peer asked the courier to wait until the given Unix time in nanoseconds.
+func PeerWait(peer string, until int64) Record {
+	return Record{kind: kindPeerWait, id: peer, number: until}
+}
 
-// Closing says that this life begins nothing any more, and what it leaves beside its messages.
-func Closing(left []byte) Record { return Record{kind: closing, left: left} }
+// Closing records that the process begins no further calls, and its data for the next process.
+func Closing(handoverData []byte) Record {
+	return Record{kind: kindClosing, handoverData: handoverData}
+}
 
-// A record is a mark, the length and checksum of its text, and the text: kind, id, and
-// what the kind holds, numbers as varints and strings with their length before them.
+// An encoded record consists of recordMarker, the length and the checksum of the payload (4 bytes each), and the
+// payload: the kind, the ID and the fields of the kind. Numbers are varints; strings are preceded by their length.
 const (
-	mark      = "\xa7\x52\n"
-	headBytes = len(mark) + 8
-	mostBytes = 1 << 20 // of one record's text
+	recordMarker    = "\xa7\x52\n"
+	headerSize      = len(recordMarker) + 8
+	maxPayloadBytes = 1 << 20 // of one record
 )
 
-func (r Record) size() int64 { return int64(len(r.append(nil))) + 256 } // with its tries and end
+// sizeWithProgress returns the encoded size of the record plus 256 bytes for the attempts and the end of its message.
+func (r Record) sizeWithProgress() int64 { return int64(len(r.append(nil))) + 256 }
 
+// append appends the encoded record to b.
 func (r Record) append(b []byte) []byte {
-	b = append(b, mark...)
+	b = append(b, recordMarker...)
 	start := len(b) + 8
 	b = append(b, make([]byte, 8)...)
 	b = append(b, byte(r.kind))
-	b = text(b, r.id)
+	b = appendString(b, r.id)
 	switch r.kind {
-	case taken:
+	case kindAccepted:
 		m := r.msg
 		for _, s := range []string{m.Key, m.Class, m.Tenant} {
-			b = text(b, s)
+			b = appendString(b, s)
 		}
-		b = binary.AppendVarint(binary.AppendVarint(b, m.Dest), m.Until)
+		b = binary.AppendVarint(binary.AppendVarint(b, m.Dest), m.ExpiresAt)
 		b = append(binary.AppendUvarint(b, uint64(len(m.Body))), m.Body...)
-		b = text(binary.AppendVarint(binary.AppendVarint(b, m.Since), m.Resend), m.Terms)
-	case neverRan, mayHaveRun:
-		b = text(b, r.outcome)
-	case begun, prior:
-		b = text(text(b, r.try.Peer), r.try.Zone)
-		b = binary.AppendVarint(b, r.try.At)
-	case ended:
+		b = appendString(binary.AppendVarint(binary.AppendVarint(b, m.AcceptedAt), m.ResendNumber), m.ClassTerms)
+	case kindNeverRan, kindMayHaveRun:
+		b = appendString(b, r.outcome)
+	case kindAttemptBegun, kindPriorRun:
+		b = appendString(appendString(b, r.attempt.Peer), r.attempt.Zone)
+		b = binary.AppendVarint(b, r.attempt.At)
+	case kindEnded:
 		b = binary.AppendVarint(b, map[bool]int64{true: 1}[r.end.Deferred])
-		b = binary.AppendVarint(b, r.end.AgainMS)
-	case counted, wait:
-		b = binary.AppendVarint(b, r.n)
-	case closing:
-		b = text(b, string(r.left))
+		b = binary.AppendVarint(b, r.end.RetryAfterMS)
+	case kindAttemptCount, kindPeerWait:
+		b = binary.AppendVarint(b, r.number)
+	case kindClosing:
+		b = appendString(b, string(r.handoverData))
 	}
 	binary.BigEndian.PutUint32(b[start-8:], uint32(len(b)-start))
 	binary.BigEndian.PutUint32(b[start-4:], crc32.ChecksumIEEE(b[start:]))
 	return b
 }
 
-func text(b []byte, s string) []byte {
+func appendString(b []byte, s string) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-// records tell all that is known of the message.
-func (k *Kept) records() []Record {
-	rs := []Record{Taken(k.Message)}
-	known, ran := 0, k.Ran == nil
-	if k.Prior != nil {
-		rs, ran = append(rs, Prior(k.ID, *k.Prior)), true
+// records returns the records that reproduce the message and its progress.
+func (m *MessageState) records() []Record {
+	records := []Record{Accepted(m.Message)}
+	recorded, firstRunRecorded := 0, m.FirstRun == nil
+	if m.PriorRun != nil {
+		records, firstRunRecorded = append(records, PriorRun(m.ID, *m.PriorRun)), true
 	}
-	for _, t := range k.Past {
-		rs = append(rs, Begun(k.ID, t.Try))
-		known++
-		if !ran && t.Try == *k.Ran {
-			rs, ran = append(rs, MayHaveRun(k.ID, t.Outcome)), true
-		} else { // Ran is the first alone: what came after it need not say so again
-			rs = append(rs, NeverRan(k.ID, t.Outcome))
+	for _, t := range m.Completed {
+		records = append(records, AttemptBegun(m.ID, t.Attempt))
+		recorded++
+		if !firstRunRecorded && t.Attempt == *m.FirstRun {
+			records, firstRunRecorded = append(records, MayHaveRun(m.ID, t.Outcome)), true
+		} else { // only the first attempt that may have run matters; later ones are recorded as not run
+			records = append(records, NeverRan(m.ID, t.Outcome))
 		}
 	}
-	if !ran && (k.Out == nil || *k.Out != *k.Ran) {
-		rs = append(rs, Begun(k.ID, *k.Ran), MayHaveRun(k.ID, ""))
-		known++
+	if !firstRunRecorded && (m.InFlight == nil || *m.InFlight != *m.FirstRun) {
+		records = append(records, AttemptBegun(m.ID, *m.FirstRun), MayHaveRun(m.ID, ""))
+		recorded++
 	}
-	if k.Out != nil {
-		rs = append(rs, Begun(k.ID, *k.Out))
-		known++
+	if m.InFlight != nil {
+		records = append(records, AttemptBegun(m.ID, *m.InFlight))
+		recorded++
 	}
-	if k.Tries > known {
-		rs = append(rs, Record{kind: counted, id: k.ID, n: int64(k.Tries)})
+	if m.AttemptCount > recorded {
+		records = append(records, Record{kind: kindAttemptCount, id: m.ID, number: int64(m.AttemptCount)})
 	}
-	if k.Owed != nil {
-		rs = append(rs, Ended(k.ID, *k.Owed))
+	if m.PendingNotice != nil {
+		records = append(records, Ended(m.ID, *m.PendingNotice))
 	}
-	if k.Handed {
-		rs = append(rs, Handed(k.ID))
+	if m.HandedOver {
+		records = append(records, HandedOver(m.ID))
 	}
-	return rs
+	return records
 }
 
-// decode calls each for every whole record and returns how many bytes were no part of one.
-// What was torn or spoilt is passed over up to the next whole record.
-func decode(b []byte, each func(Record)) (bad int) {
-	rest, bad := decodeHead(b, each)
-	return bad + len(rest)
+// decode calls each for every valid record and returns the number of bytes that are not part of one. It skips
+// truncated and corrupt records up to the next valid one.
+func decode(b []byte, each func(Record)) (invalid int) {
+	partial, invalid := decodePrefix(b, each)
+	return invalid + len(partial)
 }
 
-// decodeHead does so for a file that is still being written: a record at its end that has not come whole is
-// returned.
-func decodeHead(b []byte, each func(Record)) (rest []byte, bad int) {
+// decodePrefix is decode for a file that is still being written: it returns an incomplete record at the end as
+// partial.
+func decodePrefix(b []byte, each func(Record)) (partial []byte, invalid int) {
 	for len(b) > 0 {
-		r, n, err := first(b)
-		if err == errPart {
-			if i := bytes.Index(b[1:], []byte(mark)); i < 0 {
-				return b, bad
+		r, n, err := decodeFirst(b)
+		if err == errIncomplete {
+			if i := bytes.Index(b[1:], []byte(recordMarker)); i < 0 {
+				return b, invalid
 			}
 		}
 		if err != nil {
 			n = 1
-			if i := bytes.Index(b[1:], []byte(mark)); i >= 0 {
+			if i := bytes.Index(b[1:], []byte(recordMarker)); i >= 0 {
 				n = 1 + i
 			} else {
 				n = len(b)
 			}
-			bad += n
+			invalid += n
 		} else {
 			each(r)
 		}
 		b = b[n:]
 	}
-	return nil, bad
+	return nil, invalid
 }
 
 var (
-	errSpoilt = errors.New("no whole record")
-	errPart   = errors.New("a record that has not come whole")
+	errInvalid    = errors.New("not a valid record")
+	errIncomplete = errors.New("incomplete record")
 )
 
-// first reads the record at the head of b, and says how long it is.
-func first(b []byte) (Record, int, error) {
-	if len(b) < headBytes && strings.HasPrefix(mark, string(b[:min(len(b), len(mark))])) {
-		return Record{}, 0, errPart
+// decodeFirst decodes the record at the start of b and returns its encoded length.
+func decodeFirst(b []byte) (Record, int, error) {
+	if len(b) < headerSize && strings.HasPrefix(recordMarker, string(b[:min(len(b), len(recordMarker))])) {
+		return Record{}, 0, errIncomplete
 	}
-	if len(b) < headBytes || string(b[:len(mark)]) != mark {
-		return Record{}, 0, errSpoilt
+	if len(b) < headerSize || string(b[:len(recordMarker)]) != recordMarker {
+		return Record{}, 0, errInvalid
 	}
-	n := int(binary.BigEndian.Uint32(b[len(mark):]))
-	sum := binary.BigEndian.Uint32(b[len(mark)+4:])
-	if n <= mostBytes && len(b) < headBytes+n {
-		return Record{}, 0, errPart
+	n := int(binary.BigEndian.Uint32(b[len(recordMarker):]))
+	checksum := binary.BigEndian.Uint32(b[len(recordMarker)+4:])
+	if n <= maxPayloadBytes && len(b) < headerSize+n {
+		return Record{}, 0, errIncomplete
 	}
-	if n > mostBytes || crc32.ChecksumIEEE(b[headBytes:headBytes+n]) != sum {
-		return Record{}, 0, errSpoilt
+	if n > maxPayloadBytes || crc32.ChecksumIEEE(b[headerSize:headerSize+n]) != checksum {
+		return Record{}, 0, errInvalid
 	}
-	d := &reader{b: b[headBytes : headBytes+n]}
-	r := Record{kind: kind(d.byte())}
-	r.id = d.text()
+	d := &reader{b: b[headerSize : headerSize+n]}
+	r := Record{kind: kind(d.readByte())}
+	r.id = d.readString()
 	switch r.kind {
-	case taken:
-		m := &Message{ID: r.id, Key: d.text(), Class: d.text(), Tenant: d.text(), Dest: d.int(), Until: d.int()}
-		m.Body = bytes.Clone(d.bytes())
-		if len(d.b) > 0 { // an older build wrote no more
-			m.Since, m.Resend = d.int(), d.int()
+	case kindAccepted:
+		m := &Message{ID: r.id, Key: d.readString(), Class: d.readString(), Tenant: d.readString(), Dest: d.readInt(), ExpiresAt: d.readInt()}
+		m.Body = bytes.Clone(d.readBytes())
+		if len(d.b) > 0 { // older builds did not write the following fields
+			m.AcceptedAt, m.ResendNumber = d.readInt(), d.readInt()
 		}
 		if len(d.b) > 0 {
-			m.Terms = d.text()
+			m.ClassTerms = d.readString()
 		}
 		r.msg = m
-	case begun, prior:
-		r.try = Try{Peer: d.text(), Zone: d.text(), At: d.int()}
-	case ended:
-		r.end = End{Deferred: d.int() == 1, AgainMS: d.int()}
-	case counted, wait:
-		r.n = d.int()
-	case closing:
-		r.left = bytes.Clone(d.bytes())
-	case neverRan, mayHaveRun:
+	case kindAttemptBegun, kindPriorRun:
+		r.attempt = Attempt{Peer: d.readString(), Zone: d.readString(), At: d.readInt()}
+	case kindEnded:
+		r.end = End{Deferred: d.readInt() == 1, RetryAfterMS: d.readInt()}
+	case kindAttemptCount, kindPeerWait:
+		r.number = d.readInt()
+	case kindClosing:
+		r.handoverData = bytes.Clone(d.readBytes())
+	case kindNeverRan, kindMayHaveRun:
 		if len(d.b) > 0 {
-			r.outcome = d.text()
+			r.outcome = d.readString()
 		}
-	case over, handed, adopted, settled:
+	case kindDone, kindHandedOver, kindAdopted, kindPredecessorsRemoved:
 	default:
-		return Record{}, 0, errSpoilt
+		return Record{}, 0, errInvalid
 	}
-	if d.bad {
-		return Record{}, 0, errSpoilt
+	if d.failed {
+		return Record{}, 0, errInvalid
 	}
-	return r, headBytes + n, nil
+	return r, headerSize + n, nil
 }
 
-// reader takes values off a record's text; bad says that one was missing.
+// reader decodes the fields of a payload in order. failed is set if one is missing or invalid.
 type reader struct {
-	b   []byte
-	bad bool
+	b      []byte
+	failed bool
 }
 
-func (d *reader) byte() byte {
+func (d *reader) readByte() byte {
 	if len(d.b) == 0 {
-		d.bad = true
+		d.failed = true
 		return 0
 	}
 	c := d.b[0]
@@ -267,25 +277,25 @@
 	return c
 }
 
-func (d *reader) int() int64 {
+func (d *reader) readInt() int64 {
 	v, n := binary.Varint(d.b)
 	if n <= 0 {
-		d.bad = true
+		d.failed = true
 		return 0
 	}
 	d.b = d.b[n:]
 	return v
 }
 
-func (d *reader) bytes() []byte {
+func (d *reader) readBytes() []byte {
 	v, n := binary.Uvarint(d.b)
 	if n <= 0 || v > uint64(len(d.b)-n) {
-		d.bad = true
+		d.failed = true
 		return nil
 	}
-	out := d.b[n : n+int(v)]
+	value := d.b[n : n+int(v)]
 	d.b = d.b[n+int(v):]
-	return out
+	return value
 }
 
-func (d *reader) text() string { return string(d.bytes()) }
+func (d *reader) readString() string { return string(d.readBytes()) }
--- a/internal/net/courier/act.go
+++ b/internal/net/courier/act.go
@@ -92,11 +92,11 @@
 		return
 	}
 	r := c.peers[a.Target]
-	try := peer.Try{ID: m.ID, Key: m.Key, N: m.Tries, Body: m.Body, Wait: a.Timeout, Until: time.Unix(0, m.Until)}
+	try := peer.Try{ID: m.ID, Key: m.Key, N: m.AttemptCount, Body: m.Body, Wait: a.Timeout, Until: time.Unix(0, m.ExpiresAt)}
 	if a.MaxSendDelay > 0 {
 		try.Before = time.Unix(0, int64(e.at+a.MaxSendDelay))
 	}
-	m.Tries++
+	m.AttemptCount++
 	m.out = true
 	c.out++
 	if r == nil || r.entry.Dest != raventrestle.DestID(m.Dest) {
@@ -107,11 +107,11 @@
 	if z := r.entry.Zone; z >= 0 {
 		zone = c.conf.Settings.Zones[z].Name
 	}
-	begun := journal.Try{Peer: string(a.Target), Zone: zone, At: int64(e.at)}
+	begun := journal.Attempt{Peer: string(a.Target), Zone: zone, At: int64(e.at)}
 	if c.deadLetters != nil {
 		c.begin(m, begun)
 	}
-	e.records = append(e.records, journal.Begun(m.ID, begun))
+	e.records = append(e.records, journal.AttemptBegun(m.ID, begun))
 	c.tries(m.ID, a.Target)
 	e.add(r, a.Target, try, c.kind(r).MaxBatch)
 }
@@ -132,14 +132,14 @@
 // refuse ends a message that surely did not run, or leaves it to the dead letters or to the next process.
 func (c *Courier) refuse(e *effects, a raventrestle.Refuse) {
 	m := c.msgs[a.ID]
-	end := journal.End{Deferred: true, AgainMS: a.RetryAfter.Milliseconds()}
+	end := journal.End{Deferred: true, RetryAfterMS: a.RetryAfter.Milliseconds()}
 	switch {
-	case m != nil && m.Resend > 0:
+	case m != nil && m.ResendNumber > 0:
 		c.resent(m, "refused")
 		return
 	case c.passing && m == nil: // it was handed over in this step: the next process ends it
 		return
-	case m != nil && c.deadLetters != nil && rule.TooLateToResubmit(time.Duration(m.Until)-e.at):
+	case m != nil && c.deadLetters != nil && rule.TooLateToResubmit(time.Duration(m.ExpiresAt)-e.at):
 		c.undeliverable(m, e.at, end)
 		return
 	}
@@ -154,7 +154,7 @@
 func (c *Courier) fail(e *effects, a raventrestle.Fail) {
 	m := c.msgs[a.ID]
 	switch {
-	case m != nil && m.Resend > 0:
+	case m != nil && m.ResendNumber > 0:
 		c.resent(m, "failed")
 		return
 	case m != nil && c.deadLetters != nil:
--- a/internal/net/courier/courier.go
+++ b/internal/net/courier/courier.go
@@ -108,7 +108,7 @@
 const lag = 250 * time.Millisecond
 
 // New puts a courier together. Kept is what the journal held at the start.
-func New(conf *config.Config, store *journal.Store, kept []journal.Kept, book *figures.Book, log *slog.Logger) (*Courier, error) {
+func New(conf *config.Config, store *journal.Store, kept []journal.MessageState, book *figures.Book, log *slog.Logger) (*Courier, error) {
 	conf.Settings.MaxSendJitter = lag
 	policy, err := raventrestle.New(conf.Settings, conf.Seed)
 	if err != nil {
@@ -125,14 +125,14 @@
 	c.notices = notice.New(conf.Discovery, room, log, c.heard)
 	c.group = upstream.New(conf.Discovery, conf.Known, &conf.Settings, conf.Names, log, func(u upstream.Update) { c.mail <- u })
 	for _, k := range kept {
-		if k.Resend > 0 {
+		if k.ResendNumber > 0 {
 			c.resends[k.ID] = true
 			c.mail <- k
 			continue
 		}
 		c.known[k.ID] = true
-		if k.Owed != nil {
-			c.notices.Add(notice.Item{ID: k.ID, End: *k.Owed})
+		if k.PendingNotice != nil {
+			c.notices.Add(notice.Item{ID: k.ID, End: *k.PendingNotice})
 			continue
 		}
 		c.Counts.Restored.Add(1)
@@ -226,7 +226,7 @@
 	if !c.journalFails.Load() {
 		return
 	}
-	if err := c.journal.Append([]journal.Record{journal.Over("")}, c.writes); err != nil {
+	if err := c.journal.Append([]journal.Record{journal.Done("")}, c.writes); err != nil {
 		c.writes(err)
 	}
 }
--- a/internal/net/courier/courier_test.go
+++ b/internal/net/courier/courier_test.go
@@ -26,7 +26,7 @@
 // openOn has a disk of which before is asked at each write.
 func openOn(t *testing.T, known string, before func() error) *Courier {
 	t.Helper()
-	store, _, err := journal.Open(t.TempDir(), journal.Options{Limit: 3e6, Before: before}, nettest.Log)
+	store, _, err := journal.Open(t.TempDir(), journal.Options{MaxBytes: 3e6, BeforeWrite: before}, nettest.Log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 	var sends []raventrestle.Action
 	for i, size := range []int{40 << 10, 30 << 10, 64 << 10, 9, 9, 9, 9} {
 		id := fmt.Sprint("m", i)
-		c.msgs[raventrestle.MessageID(id)] = &message{Message: &journal.Message{ID: id, Dest: 7, Until: 1 << 62, Body: make([]byte, size)}}
+		c.msgs[raventrestle.MessageID(id)] = &message{Message: &journal.Message{ID: id, Dest: 7, ExpiresAt: 1 << 62, Body: make([]byte, size)}}
 		sends = append(sends, raventrestle.Send{ID: raventrestle.MessageID(id), Target: "p", Timeout: nettest.Patience})
 	}
 	c.act(sends, nil)
@@ -137,7 +137,7 @@
 	defer stop()
 	go c.Run(ctx)
 	full.Store(true)
-	m := &journal.Message{ID: "a", Class: "c", Dest: 7, Until: time.Now().Add(time.Hour).UnixNano()}
+	m := &journal.Message{ID: "a", Class: "c", Dest: 7, ExpiresAt: time.Now().Add(time.Hour).UnixNano()}
 	if err := c.Take(m); err == nil {
 		t.Fatal("taken on without a journal")
 	}
--- a/internal/net/courier/deadletters.go
+++ b/internal/net/courier/deadletters.go
@@ -29,9 +29,9 @@
 }
 
 // begin and note keep the message's tries for its dead letter.
-func (c *Courier) begin(m *message, t journal.Try) {
+func (c *Courier) begin(m *message, t journal.Attempt) {
 	c.past(m, "")
-	m.Out = &t
+	m.InFlight = &t
 }
 
 func (c *Courier) note(m *message, o raventrestle.Outcome, word string) {
@@ -59,17 +59,17 @@
 // past moves the try that was out to those that have ended. The first that may have run is
 // remembered whatever becomes of the list.
 func (c *Courier) past(m *message, word string) {
-	if m.Out == nil {
+	if m.InFlight == nil {
 		return
 	}
 	t := deadletter.Attempt{Outcome: word}
-	if m.Ran == nil && t.MayHaveRun() {
-		m.Ran = m.Out
+	if m.FirstRun == nil && t.MayHaveRun() {
+		m.FirstRun = m.InFlight
 	}
-	if len(m.Past) < mostPast {
-		m.Past = append(m.Past, journal.Tried{Try: *m.Out, Outcome: word})
+	if len(m.Completed) < mostPast {
+		m.Completed = append(m.Completed, journal.CompletedAttempt{Attempt: *m.InFlight, Outcome: word})
 	}
-	m.Out = nil
+	m.InFlight = nil
 }
 
 // undeliverable writes the dead letter of a message that was given up, then its end, and then tells the
@@ -80,7 +80,7 @@
 	if i, known := c.conf.Names.Classes[m.Class]; known {
 		class = c.conf.Settings.Classes[i]
 	}
-	l := deadletter.NewMessage(journal.Kept{Message: m.Message, Progress: m.Progress}, class, c.why(m, class, t), time.Unix(0, int64(t)))
+	l := deadletter.NewMessage(journal.MessageState{Message: m.Message, Progress: m.Progress}, class, c.why(m, class, t), time.Unix(0, int64(t)))
 	it := notice.Item{ID: m.ID}
 	c.deadLetters.Add(l, end.Deferred, func(err error) { // the keeper has counted and logged what it could not write
 		if err != nil {
@@ -106,13 +106,13 @@
 func (c *Courier) why(m *message, class raventrestle.Class, t time.Duration) string {
 	most := c.conf.Settings.MaxAttempts
 	switch {
-	case m.Ran != nil && class.Idempotency == raventrestle.NonIdempotent:
+	case m.FirstRun != nil && class.Idempotency == raventrestle.NonIdempotent:
 		return "may have run"
-	case most > 0 && m.Tries >= most:
+	case most > 0 && m.AttemptCount >= most:
 		return "all tries used"
-	case m.Tries == 0 && c.peersOf(m.Dest) == 0:
+	case m.AttemptCount == 0 && c.peersOf(m.Dest) == 0:
 		return "no endpoint listed"
-	case int64(t) >= m.Until-int64(time.Second):
+	case int64(t) >= m.ExpiresAt-int64(time.Second):
 		return "out of time"
 	}
 	return "given up"
@@ -132,7 +132,7 @@
 func (c *Courier) resend(a deadletter.ResendRequest, t time.Duration) raventrestle.Event {
 	m := &message{Message: a.Message}
 	if a.MayHaveRun {
-		m.Prior, m.Ran = &a.FirstRun, &a.FirstRun
+		m.PriorRun, m.FirstRun = &a.FirstRun, &a.FirstRun
 	}
 	c.msgs[raventrestle.MessageID(m.ID)] = m
 	c.again++
@@ -193,7 +193,7 @@
 	}
 	crowded := rule.Limits{}.ResendsToYield(load)
 	for id, m := range c.msgs {
-		if m.Resend == 0 || m.out || !fresh[m.Dest] && crowded <= 0 {
+		if m.ResendNumber == 0 || m.out || !fresh[m.Dest] && crowded <= 0 {
 			continue
 		}
 		crowded--
@@ -214,7 +214,7 @@
 func (c *Courier) waiting() map[int64]int {
 	n := map[int64]int{}
 	for _, m := range c.msgs {
-		if m.Resend == 0 && !m.out {
+		if m.ResendNumber == 0 && !m.out {
 			n[m.Dest]++
 		}
 	}
--- a/internal/net/courier/deadletters_test.go
+++ b/internal/net/courier/deadletters_test.go
@@ -164,7 +164,7 @@
 	if err := os.MkdirAll(state, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	store, kept, err := journal.Open(state, journal.Options{Limit: 1 << 20, Tries: true, Before: w.before}, nettest.Log)
+	store, kept, err := journal.Open(state, journal.Options{MaxBytes: 1 << 20, RecordAttempts: true, BeforeWrite: w.before}, nettest.Log)
 	if err != nil {
 		return false // it ended at its start
 	}
@@ -175,14 +175,14 @@
 		Log: nettest.Log, Seed: 1, AppendJournal: store.Append, SubmitResend: func(a deadletter.ResendRequest) bool { return c.Again(a) },
 		LookupClass: func(name string) (raventrestle.Class, bool) { return siteClasses[conf.Names.Classes[name]], true },
 	},
-		kept, store.Sound())
+		kept, store.Intact())
 	if err != nil {
 		store.Close()
 		return false
 	}
 	w.served.Store(true)
 	for _, id := range stale {
-		if err := store.Append([]journal.Record{journal.Over(id)}, nil); err != nil {
+		if err := store.Append([]journal.Record{journal.Done(id)}, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -324,7 +324,7 @@
 		}
 		return true
 	})
-	store, _, err := journal.Open(t.TempDir(), journal.Options{Limit: 1 << 20, Tries: true}, nettest.Log)
+	store, _, err := journal.Open(t.TempDir(), journal.Options{MaxBytes: 1 << 20, RecordAttempts: true}, nettest.Log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -361,7 +361,7 @@
 	go k.Run(ctx)
 	go c.Run(ctx)
 	m := &journal.Message{
-		ID: "s-reset", Key: "k", Class: "single", Dest: 7, Since: 1, Until: time.Now().Add(4 * time.Second).UnixNano(),
+		ID: "s-reset", Key: "k", Class: "single", Dest: 7, AcceptedAt: 1, ExpiresAt: time.Now().Add(4 * time.Second).UnixNano(),
 		Body: []byte("pay"),
 	}
 	if err := c.Take(m); err != nil {
@@ -408,7 +408,7 @@
 		return nettest.Answer(nettest.Plain(200, "", ""))(c, call)
 	})
 	discovery := nettest.NewPeer(t, nettest.Answer("HTTP/1.1 204 No Content\r\n\r\n"))
-	store, _, err := journal.Open(t.TempDir(), journal.Options{Limit: 1 << 20, Tries: true}, nettest.Log)
+	store, _, err := journal.Open(t.TempDir(), journal.Options{MaxBytes: 1 << 20, RecordAttempts: true}, nettest.Log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -441,7 +441,7 @@
 	go k.Run(ctx)
 	go c.Run(ctx)
 	fresh := func(id string, left time.Duration) {
-		m := &journal.Message{ID: id, Class: "free", Dest: 7, Since: 1, Until: time.Now().Add(left).UnixNano()}
+		m := &journal.Message{ID: id, Class: "free", Dest: 7, AcceptedAt: 1, ExpiresAt: time.Now().Add(left).UnixNano()}
 		if err := c.Take(m); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/net/courier/figures_test.go
+++ b/internal/net/courier/figures_test.go
@@ -64,7 +64,7 @@
 				}
 			}
 			for i := range 150 {
-				m := &journal.Message{ID: fmt.Sprint("m", i), Class: "c", Dest: 7, Until: time.Now().Add(time.Duration(100+draw(900)) * time.Millisecond).UnixNano()}
+				m := &journal.Message{ID: fmt.Sprint("m", i), Class: "c", Dest: 7, ExpiresAt: time.Now().Add(time.Duration(100+draw(900)) * time.Millisecond).UnixNano()}
 				if err := c.Take(m); err != nil {
 					continue
 				}
--- a/internal/net/courier/handover.go
+++ b/internal/net/courier/handover.go
@@ -41,7 +41,7 @@
 		c.log.Error("courier: what is known of channels stays here", "err", err)
 	}
 	for id, m := range c.msgs {
-		if m.Resend > 0 { // its dead letter tells the next life
+		if m.ResendNumber > 0 { // its dead letter tells the next life
 			continue
 		}
 		events = append(events, raventrestle.Withdrawn{ID: id})
@@ -59,12 +59,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.handed++ // the id stays known
-	return journal.Handed(m.ID)
+	return journal.HandedOver(m.ID)
 }
 
 // Adopt writes messages of an earlier life into this one's journal and takes them up. It says how many, the
 // first ones: what a full journal has no room for stays the earlier one's.
-func (c *Courier) Adopt(kept []journal.Kept) (n int, err error) {
+func (c *Courier) Adopt(kept []journal.MessageState) (n int, err error) {
 	for _, k := range kept {
 		c.mu.Lock()
 		_, known := c.known[k.ID]
@@ -85,8 +85,8 @@
 			return n, err
 		}
 		n++
-		if k.Owed != nil {
-			c.notices.Add(notice.Item{ID: k.ID, End: *k.Owed})
+		if k.PendingNotice != nil {
+			c.notices.Add(notice.Item{ID: k.ID, End: *k.PendingNotice})
 			continue
 		}
 		c.Counts.Restored.Add(1)
@@ -98,7 +98,7 @@
 
 // Settled says that no journal of an earlier life is there any more.
 func (c *Courier) Settled() {
-	if err := c.journal.Append([]journal.Record{journal.Settled()}, nil); err != nil {
+	if err := c.journal.Append([]journal.Record{journal.PredecessorsRemoved()}, nil); err != nil {
 		c.log.Warn("courier: journal", "err", err)
 	}
 }
--- a/internal/net/courier/intake.go
+++ b/internal/net/courier/intake.go
@@ -30,7 +30,7 @@
 		c.Counts.Full.Add(1)
 		return ErrFull
 	}
-	err := c.journal.Take(m)
+	err := c.journal.AddMessage(m)
 	c.writes(err)
 	if err != nil {
 		c.Counts.Full.Add(1)
@@ -60,7 +60,7 @@
 func (c *Courier) over(ids ...string) {
 	var records []journal.Record
 	for _, id := range ids {
-		records = append(records, journal.Over(id))
+		records = append(records, journal.Done(id))
 	}
 	if err := c.journal.Append(records, nil); err != nil {
 		c.log.Warn("courier: journal", "err", err)
--- a/internal/net/courier/outcome.go
+++ b/internal/net/courier/outcome.go
@@ -25,7 +25,7 @@
 	if o.RetryAfter > 0 {
 		until := time.Now().Add(o.RetryAfter)
 		if c.hold(o.Target, until); c.Successors {
-			records = append(records, journal.Wait(string(o.Target), until.UnixNano()))
+			records = append(records, journal.PeerWait(string(o.Target), until.UnixNano()))
 		}
 	}
 	id, m := string(o.ID), c.msgs[o.ID]
@@ -39,7 +39,7 @@
 	}
 	never := o.Status == raventrestle.Rejected || o.Status == raventrestle.ConnectFailed || o.Status == raventrestle.NotSent
 	switch {
-	case o.Final && m != nil && m.Resend > 0:
+	case o.Final && m != nil && m.ResendNumber > 0:
 		what := "delivered"
 		if o.Status != raventrestle.OK {
 			what = "void"
@@ -58,13 +58,13 @@
 		}
 		delete(c.msgs, o.ID)
 		c.forget(id)
-		return append(records, journal.Over(id))
+		return append(records, journal.Done(id))
 	case never:
 		records = append(records, journal.NeverRan(id, word))
 	default:
 		records = append(records, journal.MayHaveRun(id, word))
 	}
-	if c.passing && m != nil && m.Resend == 0 {
+	if c.passing && m != nil && m.ResendNumber == 0 {
 		records = append(records, c.handOver(m))
 	}
 	return records
--- a/internal/net/courier/step.go
+++ b/internal/net/courier/step.go
@@ -38,9 +38,9 @@
 				continue
 			}
 			rest = append(rest, c.arrived(m, t))
-		case journal.Kept:
+		case journal.MessageState:
 			c.msgs[raventrestle.MessageID(m.ID)] = &message{Message: m.Message, Progress: m.Progress}
-			if m.Resend > 0 {
+			if m.ResendNumber > 0 {
 				c.again++
 			} else if c.passing { // two upgrades in a row: what is taken over meanwhile goes on to the next one
 				records = append(records, c.handOver(c.msgs[raventrestle.MessageID(m.ID)]))
@@ -123,17 +123,17 @@
 	return raventrestle.Arrival{
 		ID: raventrestle.MessageID(a.ID), Class: c.class(a.Message),
 		Tenant: config.Index(c.conf.Names.Tenants, a.Tenant), Dest: raventrestle.DestID(a.Dest),
-		Budget: time.Duration(a.Until) - t, Resubmitted: a.again, Orphaned: a.orphan,
+		Budget: time.Duration(a.ExpiresAt) - t, Resubmitted: a.again, Orphaned: a.orphan,
 	}
 }
 
 // class is the index of the class that the message was taken with, -1 if it is not known any more.
 func (c *Courier) class(m *journal.Message) int {
 	i := config.Index(c.conf.Names.Classes, m.Class)
-	if m.Terms == "" || i >= 0 && c.conf.Names.Terms[m.Class] == m.Terms {
+	if m.ClassTerms == "" || i >= 0 && c.conf.Names.Terms[m.Class] == m.ClassTerms {
 		return i
 	}
-	class, err := config.OfTerms(m.Class, m.Terms)
+	class, err := config.OfTerms(m.Class, m.ClassTerms)
 	if err != nil {
 		c.log.Error("courier: a class can't be read", "id", m.ID, "err", err)
 	}
@@ -152,11 +152,11 @@
 }
 
 // restored: a try that was out when the last process ended may have run.
-func (c *Courier) restored(k journal.Kept, t time.Duration) raventrestle.Restored {
-	r := raventrestle.Restored{Arrival: c.arrived(arrival{Message: k.Message}, t), Attempts: k.Tries, HandedOver: k.Handed || c.inherited}
-	ran := k.Ran
+func (c *Courier) restored(k journal.MessageState, t time.Duration) raventrestle.Restored {
+	r := raventrestle.Restored{Arrival: c.arrived(arrival{Message: k.Message}, t), Attempts: k.AttemptCount, HandedOver: k.HandedOver || c.inherited}
+	ran := k.FirstRun
 	if ran == nil {
-		ran = k.Out
+		ran = k.InFlight
 	} else {
 		r.AttemptFailed = true
 	}
--- a/internal/net/front/front.go
+++ b/internal/net/front/front.go
@@ -164,7 +164,7 @@
 	if in.conn != nil {
 		in.conn.Whole()
 	}
-	if f.draining.Load() || m.Until <= time.Now().UnixNano() {
+	if f.draining.Load() || m.ExpiresAt <= time.Now().UnixNano() {
 		return f.refuse(r, m), nil
 	}
 	switch err := f.courier.Take(m); {
@@ -244,7 +244,7 @@
 	class, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	m := &journal.Message{
 		ID: r.Header.Get("X-Txn"), Key: r.Header.Get("Idempotency-Key"), Class: class,
-		Tenant: r.Header.Get("X-Org"), Since: in.began.UnixNano(),
+		Tenant: r.Header.Get("X-Org"), AcceptedAt: in.began.UnixNano(),
 	}
 	names := f.names.Load()
 	if _, ok := names.Classes[class]; !ok {
@@ -256,7 +256,7 @@
 	if m.Key != "" && !word(m.Key) {
 		return bad("Idempotency-Key is malformed")
 	}
-	m.Terms = names.Terms[class]
+	m.ClassTerms = names.Terms[class]
 	if m.Key == "" && names.Keyed[class] {
 		return bad("Idempotency-Key is missing")
 	}
@@ -267,7 +267,7 @@
 	if err != nil || math.IsNaN(left) || math.Abs(left) > 1e6 {
 		return bad("X-Remaining is missing or malformed")
 	}
-	m.Until = in.began.Add(time.Duration(left * float64(time.Second))).UnixNano()
+	m.ExpiresAt = in.began.Add(time.Duration(left * float64(time.Second))).UnixNano()
 	dest, ok := field(r.Header.Get("X-Consignee"), "dest")
 	if m.Dest, err = strconv.ParseInt(dest, 10, 64); !ok || err != nil {
 		return bad("X-Consignee names no dest")
--- a/internal/net/front/front_test.go
+++ b/internal/net/front/front_test.go
@@ -130,10 +130,10 @@
 			}
 			m := nettest.Wait(t, "message", s.admitted)
 			_, body, _ := strings.Cut(c.request, "\r\n\r\n")
-			if left := time.Until(time.Unix(0, m.Until)); left <= 0 || left > 20480*time.Millisecond {
+			if left := time.Until(time.Unix(0, m.ExpiresAt)); left <= 0 || left > 20480*time.Millisecond {
 				t.Errorf("%v left", left)
 			}
-			m.Until, m.Since = 0, 0
+			m.ExpiresAt, m.AcceptedAt = 0, 0
 			if diff := cmp.Diff(&journal.Message{
 				ID: "9b1f", Key: "5c0f", Class: "notice", Tenant: "acme", Dest: 7,
 				Body: []byte(body),
@@ -192,7 +192,7 @@
 	time.Sleep(patience / 2)
 	server.Start()
 	m := nettest.Wait(t, "message", s.admitted)
-	if late := time.Unix(0, m.Until).Sub(sent) - 20480*time.Millisecond; late > patience/4 {
+	if late := time.Unix(0, m.ExpiresAt).Sub(sent) - 20480*time.Millisecond; late > patience/4 {
 		t.Fatalf("the message may end %v late", late)
 	}
 }
--- a/internal/net/notice/notice.go
+++ b/internal/net/notice/notice.go
@@ -173,8 +173,8 @@
 		switch {
 		case !it.Deferred:
 			b.WriteString("\"undeliverable\"}\n")
-		case it.AgainMS > 0:
-			fmt.Fprintf(&b, "\"deferred\",\"again_ms\":%d}\n", it.AgainMS)
+		case it.RetryAfterMS > 0:
+			fmt.Fprintf(&b, "\"deferred\",\"again_ms\":%d}\n", it.RetryAfterMS)
 		default:
 			b.WriteString("\"deferred\"}\n")
 		}
--- a/internal/net/notice/notice_test.go
+++ b/internal/net/notice/notice_test.go
@@ -31,7 +31,7 @@
 			heard <- id
 		}
 	})
-	s.Add(Item{ID: "a", End: journal.End{Deferred: true, AgainMS: 500}})
+	s.Add(Item{ID: "a", End: journal.End{Deferred: true, RetryAfterMS: 500}})
 	s.Add(Item{ID: "bad"})
 	s.Add(Item{ID: "b", End: journal.End{Deferred: true}})
 	go s.Run(t.Context())
--- a/internal/net/upgrade/golden_test.go
+++ b/internal/net/upgrade/golden_test.go
@@ -19,7 +19,7 @@
 
 // follower is a courier that notes what it is told of the life before.
 type follower struct {
-	Kept     []journal.Kept
+	Kept     []journal.MessageState
 	Waits    map[string]int64
 	Left     string
 	Busy     []string
@@ -27,7 +27,7 @@
 	Complete bool
 }
 
-func (f *follower) Adopt(kept []journal.Kept) (int, error) {
+func (f *follower) Adopt(kept []journal.MessageState) (int, error) {
 	f.Kept = append(f.Kept, kept...)
 	return len(kept), nil
 }
@@ -38,8 +38,8 @@
 
 func goldenMessage(id string) *journal.Message {
 	return &journal.Message{
-		ID: id, Key: "key-1", Class: "class-2", Tenant: "tenant-3", Dest: 4, Until: 1<<62 + 5, Body: []byte("body of " + id),
-		Since: 6, Terms: "terms-7",
+		ID: id, Key: "key-1", Class: "class-2", Tenant: "tenant-3", Dest: 4, ExpiresAt: 1<<62 + 5, Body: []byte("body of " + id),
+		AcceptedAt: 6, ClassTerms: "terms-7",
 	}
 }
 
@@ -69,14 +69,14 @@
 	if _, err := os.Stat(filepath.Join(l.Folder, "owner")); err != nil {
 		t.Errorf("lock of the next life: %v", err)
 	}
-	out := journal.Try{Peer: "peer-8", Zone: "zone-9", At: 10}
-	handed := journal.Kept{Message: goldenMessage("handed"), Progress: journal.Progress{Tries: 1, Handed: true}}
-	busy := journal.Kept{Message: goldenMessage("busy"), Progress: journal.Progress{Tries: 1, Out: &out}}
+	out := journal.Attempt{Peer: "peer-8", Zone: "zone-9", At: 10}
+	handed := journal.MessageState{Message: goldenMessage("handed"), Progress: journal.Progress{AttemptCount: 1, HandedOver: true}}
+	busy := journal.MessageState{Message: goldenMessage("busy"), Progress: journal.Progress{AttemptCount: 1, InFlight: &out}}
 	var f follower
 	if begin, err := l.look(&f); !begin || err != nil {
 		t.Fatalf("look: got %v, %v, want true and no error", begin, err)
 	}
-	want := follower{Kept: []journal.Kept{handed, busy}, Waits: map[string]int64{"peer-11": 1<<62 + 12}, Left: `{"CallSec":13}`, Complete: true}
+	want := follower{Kept: []journal.MessageState{handed, busy}, Waits: map[string]int64{"peer-11": 1<<62 + 12}, Left: `{"CallSec":13}`, Complete: true}
 	if diff := cmp.Diff(want, f); diff != "" {
 		t.Errorf("told of the life before (-want +got):\n%s", diff)
 	}
@@ -110,7 +110,7 @@
 		t.Fatalf("look: got %v, %v, want true and no error", begin, err)
 	}
 	want := follower{
-		Kept:  []journal.Kept{{Message: goldenMessage("handed"), Progress: journal.Progress{Tries: 1, Handed: true}}},
+		Kept:  []journal.MessageState{{Message: goldenMessage("handed"), Progress: journal.Progress{AttemptCount: 1, HandedOver: true}}},
 		Waits: map[string]int64{"peer-11": 1<<62 + 12}, Left: `{"CallSec":13}`, Busy: []string{"busy"}, Calls: 1,
 	}
 	if diff := cmp.Diff(want, f); diff != "" {
@@ -138,14 +138,14 @@
 // writeHandOver writes what stands in the stored journal.
 func writeHandOver(t *testing.T, folder string) {
 	t.Helper()
-	s, _, err := journal.Open(folder, journal.Options{Limit: 1 << 20, Shared: true}, nettest.Log)
+	s, _, err := journal.Open(folder, journal.Options{MaxBytes: 1 << 20, Shared: true}, nettest.Log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := journal.Try{Peer: "peer-8", Zone: "zone-9", At: 10}
+	out := journal.Attempt{Peer: "peer-8", Zone: "zone-9", At: 10}
 	records := []journal.Record{
-		journal.Taken(goldenMessage("handed")), journal.Taken(goldenMessage("busy")), journal.Begun("handed", out),
-		journal.NeverRan("handed", "full"), journal.Begun("busy", out), journal.Wait("peer-11", 1<<62+12), journal.Handed("handed"),
+		journal.Accepted(goldenMessage("handed")), journal.Accepted(goldenMessage("busy")), journal.AttemptBegun("handed", out),
+		journal.NeverRan("handed", "full"), journal.AttemptBegun("busy", out), journal.PeerWait("peer-11", 1<<62+12), journal.HandedOver("handed"),
 		journal.Closing([]byte(`{"CallSec":13}`)),
 	}
 	if err := s.Append(records, nil); err != nil {
--- a/internal/net/upgrade/life.go
+++ b/internal/net/upgrade/life.go
@@ -25,8 +25,8 @@
 
 // Courier is what the following of an earlier life is carried out on.
 type Courier interface {
-	Adopt([]journal.Kept) (n int, err error) // writes them down, then takes them up: the first n of them
-	Settled()                                // no earlier journal is there any more
+	Adopt([]journal.MessageState) (n int, err error) // writes them down, then takes them up: the first n of them
+	Settled()                                        // no earlier journal is there any more
 	Heed(waits map[string]int64)
 	Inherit(left []byte)
 	Elsewhere(ids []string, calls int)
@@ -202,18 +202,18 @@
 			return e.closing, nil
 		}
 		e.seen = false
-		legacy := e.journal.Legacy()
+		legacy := e.journal.Snapshot()
 		if e.heir == nil {
 			e.heir = handover.New(skip)
 		}
 		plan := e.heir.Look(legacy, gone)
 		if plan.Begin && !e.closing {
 			e.closing = true
-			c.Inherit(legacy.Left)
+			c.Inherit(legacy.HandoverData)
 			l.log.Info("upgrade: taking over", "from", e.folder, "gone", gone, "adopted", len(plan.Adopt), "out there", plan.Calls)
 		}
 		if plan.Begin {
-			c.Heed(legacy.Waits)
+			c.Heed(legacy.PeerWaits)
 		}
 		if len(plan.Adopt) > 0 {
 			n, err := c.Adopt(plan.Adopt)
@@ -231,7 +231,7 @@
 		for id := range legacy.Adopted {
 			skip[id] = true
 		}
-		for _, k := range legacy.Kept {
+		for _, k := range legacy.Messages {
 			skip[k.ID] = true
 		}
 	}
--- a/internal/net/upgrade/life_test.go
+++ b/internal/net/upgrade/life_test.go
@@ -18,7 +18,7 @@
 	settled bool
 }
 
-func (h *heir) Adopt(kept []journal.Kept) (int, error) {
+func (h *heir) Adopt(kept []journal.MessageState) (int, error) {
 	for i, k := range kept {
 		heard := make(chan error, 1)
 		if err := h.Append(journal.Adopted(k), func(err error) { heard <- err }); err != nil {
@@ -32,7 +32,10 @@
 	return len(kept), nil
 }
 
-func (h *heir) Settled()                    { h.settled = true; h.Append([]journal.Record{journal.Settled()}, nil) }
+func (h *heir) Settled() {
+	h.settled = true
+	h.Append([]journal.Record{journal.PredecessorsRemoved()}, nil)
+}
 func (h *heir) Heed(map[string]int64)       {}
 func (h *heir) Inherit([]byte)              {}
 func (h *heir) Elsewhere(_ []string, _ int) {}
@@ -47,7 +50,7 @@
 		t.Fatal(err)
 	}
 	writes := 0
-	store, kept, err := journal.Open(l.Folder, journal.Options{Limit: 1 << 20, Before: func() error {
+	store, kept, err := journal.Open(l.Folder, journal.Options{MaxBytes: 1 << 20, BeforeWrite: func() error {
 		if writes++; deadAt > 0 && writes > deadAt {
 			return errDead
 		}
@@ -62,7 +65,7 @@
 }
 
 func message(id string) *journal.Message {
-	return &journal.Message{ID: id, Class: "c", Dest: 7, Until: 1 << 62, Body: []byte("body of " + id)}
+	return &journal.Message{ID: id, Class: "c", Dest: 7, ExpiresAt: 1 << 62, Body: []byte("body of " + id)}
 }
 
 // The old process dies at any byte of its hand-over, and the next one after any of its writes: the life after
@@ -75,22 +78,22 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, _, err := journal.Open(l.Folder, journal.Options{Limit: 1 << 20}, nettest.Log)
+		s, _, err := journal.Open(l.Folder, journal.Options{MaxBytes: 1 << 20}, nettest.Log)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i := range n {
-			if err := s.Take(message(fmt.Sprint("m", i))); err != nil {
+			if err := s.AddMessage(message(fmt.Sprint("m", i))); err != nil {
 				t.Fatal(err)
 			}
 		}
-		s.Append([]journal.Record{journal.Begun("m0", journal.Try{Peer: "p", At: 5})}, nil)
+		s.Append([]journal.Record{journal.AttemptBegun("m0", journal.Attempt{Peer: "p", At: 5})}, nil)
 		var records []journal.Record
 		for i := range n - 1 {
-			records = append(records, journal.Handed(fmt.Sprint("m", i+1)))
+			records = append(records, journal.HandedOver(fmt.Sprint("m", i+1)))
 		}
 		s.Append(append(records, journal.Closing([]byte("{}"))), nil)
-		s.Append([]journal.Record{journal.MayHaveRun("m0", ""), journal.Handed("m0")}, nil)
+		s.Append([]journal.Record{journal.MayHaveRun("m0", ""), journal.HandedOver("m0")}, nil)
 		if err := errors.Join(s.Close(), l.Release()); err != nil {
 			t.Fatal(err)
 		}
@@ -114,7 +117,7 @@
 			}
 			ended := ""
 			if h.has["m2"] > 0 { // it is over in the second life, where that lives on for so long
-				if err := h.Append([]journal.Record{journal.Over("m2")}, func(err error) {
+				if err := h.Append([]journal.Record{journal.Done("m2")}, func(err error) {
 					if err == nil {
 						ended = "m2"
 					}
@@ -158,16 +161,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, _, err := journal.Open(first.Folder, journal.Options{Limit: 1 << 20}, nettest.Log)
+	s, _, err := journal.Open(first.Folder, journal.Options{MaxBytes: 1 << 20}, nettest.Log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, id := range []string{"ended", "held", "out"} {
-		if err := s.Take(message(id)); err != nil {
+		if err := s.AddMessage(message(id)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	s.Append([]journal.Record{journal.Begun("out", journal.Try{Peer: "p", At: 5}), journal.Handed("ended"), journal.Handed("held"), journal.Closing(nil)}, nil)
+	s.Append([]journal.Record{journal.AttemptBegun("out", journal.Attempt{Peer: "p", At: 5}), journal.HandedOver("ended"), journal.HandedOver("held"), journal.Closing(nil)}, nil)
 	if err := s.Close(); err != nil { // all is written; its lock is held on
 		t.Fatal(err)
 	}
@@ -175,7 +178,7 @@
 	if err != nil || h.has["ended"] != 1 || h.has["held"] != 1 || h.has["out"] != 0 {
 		t.Fatal(err, h.has)
 	}
-	h.Append([]journal.Record{journal.Over("ended")}, nil)
+	h.Append([]journal.Record{journal.Done("ended")}, nil)
 	h.Close()
 	first.Release()
 	second.Release()
