--- a/internal/deadletter/eviction.go
+++ b/internal/deadletter/eviction.go
@@ -13,11 +13,11 @@
 	"raventrestle/internal/deadletter/rule"
 )
 
-// evict removes dead letters in the order of rule.EvictionRank until the given number of bytes and messages fit
+// evict removes dead letters in the order of rule.EvictionRank until count more messages of the given total size fit
 // within the limits. It frees 1/64 of the limit more than needed, so that a full store is not sorted again for
 // each new dead letter.
-func (s *Store) evict(bytes int64, messages int) ([]Message, error) {
-	overBytes, overCount := s.Bytes+bytes-s.MaxBytes, s.Count+messages-s.MaxMessages
+func (s *Store) evict(bytes int64, count int) ([]Message, error) {
+	overBytes, overCount := s.Bytes+bytes-s.MaxBytes, s.Count+count-s.MaxMessages
 	if overBytes <= 0 && overCount <= 0 {
 		return nil, nil
 	}
--- a/internal/deadletter/manager.go
+++ b/internal/deadletter/manager.go
@@ -78,7 +78,7 @@
 type (
 	addMsg struct {
 		msg          *Message
-		deferOnError bool
+		deferOnError bool         // the client is asked to submit the message again after an error
 		answered     *atomic.Bool // done has been called; the courier no longer waits
 		done         func(error)
 	}
@@ -244,9 +244,10 @@
 	}
 }
 
-func (mgr *Manager) handle(first any) {
+// handle processes one message from the inbox, and with an addMsg up to 255 more that wait behind it.
+func (mgr *Manager) handle(received any) {
 	now := time.Now()
-	switch m := first.(type) {
+	switch m := received.(type) {
 	case addMsg:
 		batch := []addMsg{m}
 		var other any
@@ -265,9 +266,9 @@
 	case finishMsg:
 		m.done(mgr.finish(m.ResendResult, now))
 	case callsMsg:
-		for _, s := range m.calls {
-			if p := mgr.pacer(s.Dest, false); p != nil {
-				p.RecordCall(now, s.Delivered, false, mgr.rng.Float64())
+		for _, call := range m.calls {
+			if p := mgr.pacer(call.Dest, false); p != nil {
+				p.RecordCall(now, call.Delivered, false, mgr.rng.Float64())
 			}
 		}
 	case execMsg:
--- a/internal/deadletter/message.go
+++ b/internal/deadletter/message.go
@@ -22,12 +22,12 @@
 	"raventrestle/internal/journal"
 )
 
-// Attempt is one attempt at a message. Times are Unix time in nanoseconds.
+// Attempt is one attempt to deliver a message. At is its begin, as Unix time in nanoseconds.
 type Attempt struct {
 	Peer    string `cbor:"1,keyasint,omitempty" json:"peer"`
 	Zone    string `cbor:"2,keyasint,omitempty" json:"floor"`
 	At      int64  `cbor:"3,keyasint,omitempty" json:"at"`
-	Outcome string `cbor:"4,keyasint,omitempty" json:"outcome"` // "" if the process ended before the attempt
+	Outcome string `cbor:"4,keyasint,omitempty" json:"outcome"` // "" if the process ended during the attempt
 }
 
 // MayHaveRun reports whether the attempt may have taken effect. Only an outcome that rules it out makes this false.
@@ -118,9 +118,9 @@
 
 // JournalMessage returns the message that the journal and the courier process while the dead letter is sent
 // again.
-func (msg *Message) JournalMessage(until time.Time) *journal.Message {
+func (msg *Message) JournalMessage(expiresAt time.Time) *journal.Message {
 	return &journal.Message{
-		ID: msg.ID, Key: msg.Key, Class: msg.Class, Tenant: msg.Tenant, Dest: msg.Dest, ExpiresAt: until.UnixNano(),
+		ID: msg.ID, Key: msg.Key, Class: msg.Class, Tenant: msg.Tenant, Dest: msg.Dest, ExpiresAt: expiresAt.UnixNano(),
 		Body: msg.Body, AcceptedAt: msg.AcceptedAt, ResendNumber: int64(len(msg.Resends)),
 	}
 }
@@ -165,6 +165,7 @@
 	return append(binary.BigEndian.AppendUint64(make([]byte, 0, 8+len(text)), xxhash.Sum64(text)), text...)
 }
 
+// verifyChecksum returns b without its checksum, or ErrCorrupt if it does not match.
 func verifyChecksum(b []byte) ([]byte, error) {
 	if len(b) < 8 || binary.BigEndian.Uint64(b) != xxhash.Sum64(b[8:]) {
 		return nil, fmt.Errorf("deadletter: checksum mismatch in a record: %w", ErrCorrupt)
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -226,30 +226,30 @@
 		return Record{}, 0, errInvalid
 	}
 	d := &reader{b: b[headerSize : headerSize+n]}
-	r := Record{kind: kind(d.readByte())}
-	r.id = d.readString()
+	r := Record{kind: kind(d.byte())}
+	r.id = d.str()
 	switch r.kind {
 	case kindAccepted:
-		m := &Message{ID: r.id, Key: d.readString(), Class: d.readString(), Tenant: d.readString(), Dest: d.readInt(), ExpiresAt: d.readInt()}
-		m.Body = bytes.Clone(d.readBytes())
+		m := &Message{ID: r.id, Key: d.str(), Class: d.str(), Tenant: d.str(), Dest: d.int(), ExpiresAt: d.int()}
+		m.Body = bytes.Clone(d.bytes())
 		if len(d.b) > 0 { // older builds did not write the following fields
-			m.AcceptedAt, m.ResendNumber = d.readInt(), d.readInt()
+			m.AcceptedAt, m.ResendNumber = d.int(), d.int()
 		}
 		if len(d.b) > 0 {
-			m.ClassTerms = d.readString()
+			m.ClassTerms = d.str()
 		}
 		r.msg = m
 	case kindAttemptBegun, kindPriorRun:
-		r.attempt = Attempt{Peer: d.readString(), Zone: d.readString(), At: d.readInt()}
+		r.attempt = Attempt{Peer: d.str(), Zone: d.str(), At: d.int()}
 	case kindEnded:
-		r.end = End{Deferred: d.readInt() == 1, RetryAfterMS: d.readInt()}
+		r.end = End{Deferred: d.int() == 1, RetryAfterMS: d.int()}
 	case kindAttemptCount, kindPeerWait:
-		r.number = d.readInt()
+		r.number = d.int()
 	case kindClosing:
-		r.handoverData = bytes.Clone(d.readBytes())
+		r.handoverData = bytes.Clone(d.bytes())
 	case kindNeverRan, kindMayHaveRun:
 		if len(d.b) > 0 {
-			r.outcome = d.readString()
+			r.outcome = d.str()
 		}
 	case kindDone, kindHandedOver, kindAdopted, kindPredecessorsRemoved:
 	default:
@@ -267,7 +267,7 @@
 	failed bool
 }
 
-func (d *reader) readByte() byte {
+func (d *reader) byte() byte {
 	if len(d.b) == 0 {
 		d.failed = true
 		return 0
@@ -277,7 +277,7 @@
 	return c
 }
 
-func (d *reader) readInt() int64 {
+func (d *reader) int() int64 {
 	v, n := binary.Varint(d.b)
 	if n <= 0 {
 		d.failed = true
@@ -287,7 +287,7 @@
 	return v
 }
 
-func (d *reader) readBytes() []byte {
+func (d *reader) bytes() []byte {
 	v, n := binary.Uvarint(d.b)
 	if n <= 0 || v > uint64(len(d.b)-n) {
 		d.failed = true
@@ -298,4 +298,4 @@
 	return value
 }
 
-func (d *reader) readString() string { return string(d.readBytes()) }
+func (d *reader) str() string { return string(d.bytes()) }
