--- a/internal/deadletter/manager.go
+++ b/internal/deadletter/manager.go
@@ -15,8 +15,8 @@
 )
 
 // ErrUnavailable is returned while no dead letters can be stored: the store was quarantined, or the manager is
-// overloaded or closed.
-var ErrUnavailable = errors.New("the dead-letter store is unavailable")
+// overloaded or closed. Its text reaches clients of the admin socket.
+var ErrUnavailable = errors.New("no dead letters are kept")
 
 // CourierState is a snapshot of the courier. It is immutable: the courier replaces it as a whole.
 type CourierState struct {
--- a/internal/deadletter/message.go
+++ b/internal/deadletter/message.go
@@ -157,8 +157,8 @@
 	return attempts
 }
 
-// ErrCorrupt is returned for stored data that cannot be read.
-var ErrCorrupt = errors.New("corrupt data")
+// ErrCorrupt is returned for stored data that cannot be read. Its text reaches clients of the admin socket.
+var ErrCorrupt = errors.New("spoilt")
 
 // addChecksum puts a checksum before the text. bbolt itself only has a checksum for its root page.
 func addChecksum(text []byte) []byte {
@@ -168,7 +168,7 @@
 // verifyChecksum returns b without its checksum, or ErrCorrupt if it does not match.
 func verifyChecksum(b []byte) ([]byte, error) {
 	if len(b) < 8 || binary.BigEndian.Uint64(b) != xxhash.Sum64(b[8:]) {
-		return nil, fmt.Errorf("deadletter: checksum mismatch in a record: %w", ErrCorrupt)
+		return nil, fmt.Errorf("deadletter: a record is %w", ErrCorrupt)
 	}
 	return b[8:], nil
 }
