--- a/internal/net/courier/deadletters_test.go
+++ b/internal/net/courier/deadletters_test.go
@@ -67,8 +67,8 @@
 }
 
 var resendLimits = rule.Limits{
-	Automatic: true, MaxResends: 8, LastDate: time.Hour, FirstRate: 1000, MaxRate: 1000, Growth: 1,
-	Backoff: 5 * time.Millisecond, MaxBackoff: 20 * time.Millisecond, SlotsShare: 0.5, HeldShare: 0.5, Lag: maxSendJitter,
+	Automatic: true, MaxResends: 8, MaxAge: time.Hour, InitialRate: 1000, MaxRate: 1000, Growth: 1,
+	Backoff: 5 * time.Millisecond, MaxBackoff: 20 * time.Millisecond, SlotsShare: 0.5, HeldShare: 0.5, DelayMargin: maxSendJitter,
 }
 
 var siteClasses = []raventrestle.Class{
@@ -89,24 +89,24 @@
 		}))
 	}
 	s.platform = nettest.NewPeer(t, nettest.Answer("HTTP/1.1 204 No Content\r\n\r\n"))
-	store, err := deadletter.Open(filepath.Join(s.dir, "letters"), deadletter.Options{MaxBytes: 1 << 20, MaxLetters: 100}, nettest.Log)
+	store, err := deadletter.Open(filepath.Join(s.dir, "letters"), deadletter.Options{MaxBytes: 1 << 20, MaxMessages: 100}, nettest.Log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Now()
 	for _, id := range []string{"f-ok", "f-500", "f-reset", "f-ran", "g-ok", "g-reset", "g-ran", "g-old", "s-ok", "s-reset", "s-busy", "s-ran"} {
 		class := siteClasses[strings.IndexByte("fgs", id[0])]
-		l := &deadletter.Letter{
-			ID: id, Key: "k-" + id, Class: class.Name, Dest: 7, Failed: now.UnixNano(), Effect: class.Idempotency,
-			Group: class.DedupScope, Window: int64(class.DedupWindow), Deadline: int64(class.Deadline), Body: []byte(id),
+		l := &deadletter.Message{
+			ID: id, Key: "k-" + id, Class: class.Name, Dest: 7, FailedAt: now.UnixNano(), Idempotency: class.Idempotency,
+			DedupScope: class.DedupScope, DedupWindow: int64(class.DedupWindow), Deadline: int64(class.Deadline), Body: []byte(id),
 		}
 		if strings.HasSuffix(id, "ran") || strings.HasSuffix(id, "old") {
-			l.Ran = &deadletter.Try{Peer: "s-0", Floor: "a", At: now.Add(-time.Second).UnixNano(), Outcome: "reset"}
-			l.Tries = []deadletter.Try{*l.Ran}
+			l.FirstRun = &deadletter.Attempt{Peer: "s-0", Zone: "a", At: now.Add(-time.Second).UnixNano(), Outcome: "reset"}
+			l.Attempts = []deadletter.Attempt{*l.FirstRun}
 			s.effects[id], s.ranInZone["a"+id] = 1, true
 		}
 		if strings.HasSuffix(id, "old") {
-			l.Ran.At = now.Add(-time.Minute).UnixNano()
+			l.FirstRun.At = now.Add(-time.Minute).UnixNano()
 		}
 		if _, err := store.Put(l); err != nil {
 			t.Fatal(err)
@@ -164,25 +164,25 @@
 	if err := os.MkdirAll(state, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	store, kept, err := journal.Open(state, journal.Options{Limit: 1 << 20, Tries: true, Before: stopper.beforeWrite}, nettest.Log)
+	store, kept, err := journal.Open(state, journal.Options{MaxBytes: 1 << 20, RecordAttempts: true, BeforeWrite: stopper.beforeWrite}, nettest.Log)
 	if err != nil {
 		return false // stopped while it started
 	}
 	var c *Courier
 	k, live, stale, err := deadletter.Start(deadletter.Config{
-		Folder: filepath.Join(s.dir, "letters"), Limits: resendLimits,
-		Options: deadletter.Options{MaxBytes: 1 << 20, MaxLetters: 100, Before: stopper.beforeWrite}, MaxAge: time.Hour, Settled: time.Hour,
-		Log: nettest.Log, Seed: 1, Append: store.Append, Begin: func(a deadletter.Again) bool { return c.Resend(a) },
-		Class: func(name string) (raventrestle.Class, bool) { return siteClasses[conf.Names.Classes[name]], true },
+		Dir: filepath.Join(s.dir, "letters"), Limits: resendLimits,
+		Options: deadletter.Options{MaxBytes: 1 << 20, MaxMessages: 100, BeforeWrite: stopper.beforeWrite}, MaxAge: time.Hour, MaxFinalAge: time.Hour,
+		Log: nettest.Log, Seed: 1, AppendJournal: store.Append, SubmitResend: func(a deadletter.ResendRequest) bool { return c.Resend(a) },
+		LookupClass: func(name string) (raventrestle.Class, bool) { return siteClasses[conf.Names.Classes[name]], true },
 	},
-		kept, store.Sound())
+		kept, store.Intact())
 	if err != nil {
 		store.Close()
 		return false
 	}
 	stopper.started.Store(true)
 	for _, id := range stale {
-		if err := store.Append([]journal.Record{journal.Over(id)}, nil); err != nil {
+		if err := store.Append([]journal.Record{journal.Done(id)}, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -199,7 +199,7 @@
 		select {
 		case <-stopper.hit:
 		case <-tick.C:
-			k.Saw([]deadletter.Seen{{Dest: 7, Delivered: true}}) // as if fresh messages were delivered
+			k.RecordCalls([]deadletter.CallEnd{{Dest: 7, Delivered: true}}) // as if fresh messages were delivered
 			if done = s.noneUnsettled(ctx, k); !done && time.Now().Before(deadline) {
 				continue
 			}
@@ -224,21 +224,21 @@
 	return done
 }
 
-func (s *resendSite) unsettled(ctx context.Context, k *deadletter.Keeper) (left []string) {
+func (s *resendSite) unsettled(ctx context.Context, k *deadletter.Manager) (left []string) {
 	items, err := k.List(ctx, deadletter.Filter{})
 	if err != nil {
 		return []string{err.Error()}
 	}
 	for _, it := range items {
-		if !it.Never {
-			left = append(left, it.ID+" "+it.StateWord+" "+string(it.Reason))
+		if !it.Permanent {
+			left = append(left, it.ID+" "+it.StateName+" "+string(it.Reason))
 		}
 	}
 	return left
 }
 
 // noneUnsettled uses a short timeout, since the keeper may be blocked at a write.
-func (s *resendSite) noneUnsettled(ctx context.Context, k *deadletter.Keeper) bool {
+func (s *resendSite) noneUnsettled(ctx context.Context, k *deadletter.Manager) bool {
 	ctx, stop := context.WithTimeout(ctx, 50*time.Millisecond)
 	defer stop()
 	return len(s.unsettled(ctx, k)) == 0
@@ -272,7 +272,7 @@
 			t.Errorf("%s is delivered but had no effect", id)
 		case id[0] != 's' && id != "g-old" && l.State != rule.Delivered:
 			t.Errorf("%s is not delivered: %+v", id, l)
-		case id[0] == 's' && l.State == rule.Held && l.Ran == nil:
+		case id[0] == 's' && l.State == rule.Held && l.FirstRun == nil:
 			t.Errorf("%s is held, but not marked as one that may have run", id)
 		}
 	}
@@ -324,7 +324,7 @@
 		}
 		return true
 	})
-	store, _, err := journal.Open(t.TempDir(), journal.Options{Limit: 1 << 20, Tries: true}, nettest.Log)
+	store, _, err := journal.Open(t.TempDir(), journal.Options{MaxBytes: 1 << 20, RecordAttempts: true}, nettest.Log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -341,12 +341,12 @@
 	var c *Courier
 	order := make(chan string, 8)
 	k, _, _, err := deadletter.Start(deadletter.Config{
-		Folder: t.TempDir(), Options: deadletter.Options{
-			MaxBytes: 1 << 20, MaxLetters: 9,
-			Before: func() error { order <- "letter"; return nil },
-		}, MaxAge: time.Hour, Settled: time.Hour, Log: nettest.Log, Limits: resendLimits,
-		Append: store.Append, Begin: func(a deadletter.Again) bool { return c.Resend(a) },
-		Class: func(string) (raventrestle.Class, bool) { return siteClasses[2], true },
+		Dir: t.TempDir(), Options: deadletter.Options{
+			MaxBytes: 1 << 20, MaxMessages: 9,
+			BeforeWrite: func() error { order <- "letter"; return nil },
+		}, MaxAge: time.Hour, MaxFinalAge: time.Hour, Log: nettest.Log, Limits: resendLimits,
+		AppendJournal: store.Append, SubmitResend: func(a deadletter.ResendRequest) bool { return c.Resend(a) },
+		LookupClass: func(string) (raventrestle.Class, bool) { return siteClasses[2], true },
 	}, nil, true)
 	if err != nil {
 		t.Fatal(err)
@@ -361,7 +361,7 @@
 	go k.Run(ctx)
 	go c.Run(ctx)
 	m := &journal.Message{
-		ID: "s-reset", Key: "k", Class: "single", Dest: 7, Since: 1, Until: time.Now().Add(4 * time.Second).UnixNano(),
+		ID: "s-reset", Key: "k", Class: "single", Dest: 7, AcceptedAt: 1, ExpiresAt: time.Now().Add(4 * time.Second).UnixNano(),
 		Body: []byte("pay"),
 	}
 	if err := c.Take(m); err != nil {
@@ -378,15 +378,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if it.Reason != rule.MayHaveRun || !it.Never || string(it.Content) != "pay" || len(it.Tries) != 1 || it.Why != "may have run" ||
-		it.Tries[0].Peer != "s-0" || it.Tries[0].Floor != "a" || it.Tries[0].Outcome != "reset" || it.Ran == nil {
-		t.Fatalf("%+v %+v", it, it.Letter)
+	if it.Reason != rule.MayHaveRun || !it.Permanent || string(it.Content) != "pay" || len(it.Attempts) != 1 || it.FailureReason != "may have run" ||
+		it.Attempts[0].Peer != "s-0" || it.Attempts[0].Zone != "a" || it.Attempts[0].Outcome != "reset" || it.FirstRun == nil {
+		t.Fatalf("%+v %+v", it, it.Message)
 	}
 	answers, err := k.Resend(t.Context(), deadletter.Filter{}, false)
 	if err != nil || len(answers) != 1 || answers[0].Done || answers[0].Reason != rule.MayHaveRun {
 		t.Fatalf("%+v %v", answers, err)
 	}
-	k.Saw([]deadletter.Seen{{Dest: 7, Delivered: true}})
+	k.RecordCalls([]deadletter.CallEnd{{Dest: 7, Delivered: true}})
 	time.Sleep(150 * time.Millisecond) // time in which a wrong resend would arrive
 	if s.mu.Lock(); s.calls["s-reset"] != 1 {
 		t.Errorf("sent %d times", s.calls["s-reset"])
@@ -408,7 +408,7 @@
 		return nettest.Answer(nettest.Plain(200, "", ""))(c, call)
 	})
 	discovery := nettest.NewPeer(t, nettest.Answer("HTTP/1.1 204 No Content\r\n\r\n"))
-	store, _, err := journal.Open(t.TempDir(), journal.Options{Limit: 1 << 20, Tries: true}, nettest.Log)
+	store, _, err := journal.Open(t.TempDir(), journal.Options{MaxBytes: 1 << 20, RecordAttempts: true}, nettest.Log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -424,10 +424,10 @@
 	}
 	var c *Courier
 	k, _, _, err := deadletter.Start(deadletter.Config{
-		Folder: t.TempDir(), Options: deadletter.Options{MaxBytes: 1 << 20, MaxLetters: 9},
-		MaxAge: time.Hour, Settled: time.Hour, Log: nettest.Log, Limits: resendLimits, Append: store.Append,
-		Begin: func(a deadletter.Again) bool { return c.Resend(a) },
-		Class: func(string) (raventrestle.Class, bool) { return siteClasses[0], true },
+		Dir: t.TempDir(), Options: deadletter.Options{MaxBytes: 1 << 20, MaxMessages: 9},
+		MaxAge: time.Hour, MaxFinalAge: time.Hour, Log: nettest.Log, Limits: resendLimits, AppendJournal: store.Append,
+		SubmitResend: func(a deadletter.ResendRequest) bool { return c.Resend(a) },
+		LookupClass:  func(string) (raventrestle.Class, bool) { return siteClasses[0], true },
 	}, nil, true)
 	if err != nil {
 		t.Fatal(err)
@@ -441,7 +441,7 @@
 	go k.Run(ctx)
 	go c.Run(ctx)
 	fresh := func(id string, timeLeft time.Duration) {
-		m := &journal.Message{ID: id, Class: "free", Dest: 7, Since: 1, Until: time.Now().Add(timeLeft).UnixNano()}
+		m := &journal.Message{ID: id, Class: "free", Dest: 7, AcceptedAt: 1, ExpiresAt: time.Now().Add(timeLeft).UnixNano()}
 		if err := c.Take(m); err != nil {
 			t.Fatal(err)
 		}
@@ -459,9 +459,9 @@
 			}
 		}
 	}
-	waitFor("letter", func() bool { return k.Counts.Kept.Load() == 1 })
+	waitFor("letter", func() bool { return k.Counts.Added.Load() == 1 })
 	waitFor("resend", func() bool {
-		if k.Counts.Begun.Load() > 0 {
+		if k.Counts.ResendsBegun.Load() > 0 {
 			return true
 		}
 		if a, err := k.Resend(t.Context(), deadletter.Filter{}, false); err != nil || len(a) != 1 {
@@ -470,14 +470,14 @@
 		return false
 	})
 	fresh("fresh", 4*time.Second)
-	waitFor("yielded resend", func() bool { return k.Counts.Yielded.Load() > 0 })
+	waitFor("yielded resend", func() bool { return k.Counts.ResendsYielded.Load() > 0 })
 	if got := nettest.Wait(t, "call", order); got != "fresh" {
 		t.Fatalf("%s was sent first", got)
 	}
 	if got := nettest.Wait(t, "call", order); got != "told" {
 		t.Fatal(got)
 	}
-	waitFor("end", func() bool { return k.Counts.Delivered.Load() == 1 })
+	waitFor("end", func() bool { return k.Counts.ResendsDelivered.Load() == 1 })
 	it, err := k.Show(t.Context(), "told")
 	if err != nil || it.State != rule.Delivered || len(it.Resends) != 1 {
 		t.Fatalf("%+v %v: a yielded resend must not count as a resend", it, err)
--- a/internal/net/courier/handover.go
+++ b/internal/net/courier/handover.go
@@ -41,7 +41,7 @@
 		c.log.Error("courier: the learned state is not handed over", "err", err)
 	}
 	for id, m := range c.msgs {
-		if m.Resend > 0 { // the next process finds it among the dead letters
+		if m.ResendNumber > 0 { // the next process finds it among the dead letters
 			continue
 		}
 		events = append(events, raventrestle.Withdrawn{ID: id})
@@ -59,12 +59,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.handedOver++ // the id stays in pendingIDs
-	return journal.Handed(m.ID)
+	return journal.HandedOver(m.ID)
 }
 
 // Adopt writes messages of an earlier process into this one's journal and takes them over. It returns how many of them it
 // took, from the first on; what a full journal has no room for stays with the earlier process's journal.
-func (c *Courier) Adopt(kept []journal.Kept) (n int, err error) {
+func (c *Courier) Adopt(kept []journal.MessageState) (n int, err error) {
 	for _, k := range kept {
 		c.mu.Lock()
 		_, known := c.pendingIDs[k.ID]
@@ -85,8 +85,8 @@
 			return n, err
 		}
 		n++
-		if k.Owed != nil {
-			c.notifier.Add(notify.Notification{ID: k.ID, End: *k.Owed})
+		if k.PendingNotice != nil {
+			c.notifier.Add(notify.Notification{ID: k.ID, End: *k.PendingNotice})
 			continue
 		}
 		c.Counts.Restored.Add(1)
@@ -98,7 +98,7 @@
 
 // RecordAllAdopted records in the journal that no journal of an earlier process is left.
 func (c *Courier) RecordAllAdopted() {
-	if err := c.journal.Append([]journal.Record{journal.Settled()}, nil); err != nil {
+	if err := c.journal.Append([]journal.Record{journal.PredecessorsRemoved()}, nil); err != nil {
 		c.log.Warn("courier: journal", "err", err)
 	}
 }
--- a/internal/net/notify/notify_test.go
+++ b/internal/net/notify/notify_test.go
@@ -31,7 +31,7 @@
 			acknowledged <- id
 		}
 	})
-	s.Add(Notification{ID: "a", End: journal.End{Deferred: true, AgainMS: 500}})
+	s.Add(Notification{ID: "a", End: journal.End{Deferred: true, RetryAfterMS: 500}})
 	s.Add(Notification{ID: "bad"})
 	s.Add(Notification{ID: "b", End: journal.End{Deferred: true}})
 	go s.Run(t.Context())
--- a/internal/net/upgrade/processdir_test.go
+++ b/internal/net/upgrade/processdir_test.go
@@ -18,7 +18,7 @@
 	complete  bool
 }
 
-func (h *adopter) Adopt(kept []journal.Kept) (int, error) {
+func (h *adopter) Adopt(kept []journal.MessageState) (int, error) {
 	for i, k := range kept {
 		written := make(chan error, 1)
 		if err := h.Append(journal.Adopted(k), func(err error) { written <- err }); err != nil {
@@ -34,7 +34,7 @@
 
 func (h *adopter) RecordAllAdopted() {
 	h.complete = true
-	h.Append([]journal.Record{journal.Settled()}, nil)
+	h.Append([]journal.Record{journal.PredecessorsRemoved()}, nil)
 }
 func (h *adopter) ApplyRetryAfter(map[string]int64)  {}
 func (h *adopter) Inherit([]byte)                    {}
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	writes := 0
-	store, kept, err := journal.Open(dir.Path, journal.Options{Limit: 1 << 20, Before: func() error {
+	store, kept, err := journal.Open(dir.Path, journal.Options{MaxBytes: 1 << 20, BeforeWrite: func() error {
 		if writes++; failingWrite > 0 && writes > failingWrite {
 			return errProcessDead
 		}
@@ -65,7 +65,7 @@
 }
 
 func newMessage(id string) *journal.Message {
-	return &journal.Message{ID: id, Class: "c", Dest: 7, Until: 1 << 62, Body: []byte("body of " + id)}
+	return &journal.Message{ID: id, Class: "c", Dest: 7, ExpiresAt: 1 << 62, Body: []byte("body of " + id)}
 }
 
 // The old process dies at any byte of its handover, and the next one after any of its writes. The process after both finds
@@ -78,22 +78,22 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, _, err := journal.Open(dir.Path, journal.Options{Limit: 1 << 20}, nettest.Log)
+		s, _, err := journal.Open(dir.Path, journal.Options{MaxBytes: 1 << 20}, nettest.Log)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i := range n {
-			if err := s.Take(newMessage(fmt.Sprint("m", i))); err != nil {
+			if err := s.AddMessage(newMessage(fmt.Sprint("m", i))); err != nil {
 				t.Fatal(err)
 			}
 		}
-		s.Append([]journal.Record{journal.Begun("m0", journal.Try{Peer: "p", At: 5})}, nil)
+		s.Append([]journal.Record{journal.AttemptBegun("m0", journal.Attempt{Peer: "p", At: 5})}, nil)
 		var records []journal.Record
 		for i := range n - 1 {
-			records = append(records, journal.Handed(fmt.Sprint("m", i+1)))
+			records = append(records, journal.HandedOver(fmt.Sprint("m", i+1)))
 		}
 		s.Append(append(records, journal.Closing([]byte("{}"))), nil)
-		s.Append([]journal.Record{journal.MayHaveRun("m0", ""), journal.Handed("m0")}, nil)
+		s.Append([]journal.Record{journal.MayHaveRun("m0", ""), journal.HandedOver("m0")}, nil)
 		if err := errors.Join(s.Close(), dir.Release()); err != nil {
 			t.Fatal(err)
 		}
@@ -117,7 +117,7 @@
 			}
 			ended := ""
 			if h.adoptions["m2"] > 0 { // it ends in the second process, if that can still write
-				if err := h.Append([]journal.Record{journal.Over("m2")}, func(err error) {
+				if err := h.Append([]journal.Record{journal.Done("m2")}, func(err error) {
 					if err == nil {
 						ended = "m2"
 					}
@@ -161,16 +161,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, _, err := journal.Open(first.Path, journal.Options{Limit: 1 << 20}, nettest.Log)
+	s, _, err := journal.Open(first.Path, journal.Options{MaxBytes: 1 << 20}, nettest.Log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, id := range []string{"ended", "held", "out"} {
-		if err := s.Take(newMessage(id)); err != nil {
+		if err := s.AddMessage(newMessage(id)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	s.Append([]journal.Record{journal.Begun("out", journal.Try{Peer: "p", At: 5}), journal.Handed("ended"), journal.Handed("held"), journal.Closing(nil)}, nil)
+	s.Append([]journal.Record{journal.AttemptBegun("out", journal.Attempt{Peer: "p", At: 5}), journal.HandedOver("ended"), journal.HandedOver("held"), journal.Closing(nil)}, nil)
 	if err := s.Close(); err != nil { // everything is written; its lock is still held
 		t.Fatal(err)
 	}
@@ -178,7 +178,7 @@
 	if err != nil || h.adoptions["ended"] != 1 || h.adoptions["held"] != 1 || h.adoptions["out"] != 0 {
 		t.Fatal(err, h.adoptions)
 	}
-	h.Append([]journal.Record{journal.Over("ended")}, nil)
+	h.Append([]journal.Record{journal.Done("ended")}, nil)
 	h.Close()
 	first.Release()
 	second.Release()
