--- a/internal/net/courier/act.go
+++ b/internal/net/courier/act.go
@@ -92,11 +92,11 @@
 		return
 	}
 	r := c.peers[a.Target]
-	attempt := peer.Attempt{ID: m.ID, Key: m.Key, Index: m.Tries, Body: m.Body, Timeout: a.Timeout, Deadline: time.Unix(0, m.Until)}
+	attempt := peer.Attempt{ID: m.ID, Key: m.Key, Index: m.AttemptCount, Body: m.Body, Timeout: a.Timeout, Deadline: time.Unix(0, m.ExpiresAt)}
 	if a.MaxSendDelay > 0 {
 		attempt.SendBy = time.Unix(0, int64(e.at+a.MaxSendDelay))
 	}
-	m.Tries++
+	m.AttemptCount++
 	m.inFlight = true
 	c.inFlight++
 	if r == nil || r.entry.Dest != raventrestle.DestID(m.Dest) {
@@ -107,11 +107,11 @@
 	if z := r.entry.Zone; z >= 0 {
 		zone = c.conf.Settings.Zones[z].Name
 	}
-	started := journal.Try{Peer: string(a.Target), Zone: zone, At: int64(e.at)}
+	started := journal.Attempt{Peer: string(a.Target), Zone: zone, At: int64(e.at)}
 	if c.deadLetters != nil {
 		c.attemptStarted(m, started)
 	}
-	e.records = append(e.records, journal.Begun(m.ID, started))
+	e.records = append(e.records, journal.AttemptBegun(m.ID, started))
 	c.recordAttempt(m.ID, a.Target)
 	e.add(r, a.Target, attempt, c.destinationKind(r).MaxBatch)
 }
@@ -133,14 +133,14 @@
 // resends and messages for the dead letters to finishResend and giveUp.
 func (c *Courier) refuse(e *stepEffects, a raventrestle.Refuse) {
 	m := c.msgs[a.ID]
-	end := journal.End{Deferred: true, AgainMS: a.RetryAfter.Milliseconds()}
+	end := journal.End{Deferred: true, RetryAfterMS: a.RetryAfter.Milliseconds()}
 	switch {
-	case m != nil && m.Resend > 0:
+	case m != nil && m.ResendNumber > 0:
 		c.finishResend(m, "refused")
 		return
 	case c.handingOver && m == nil: // handed over in this step: the next process ends it
 		return
-	case m != nil && c.deadLetters != nil && rule.Lost(time.Duration(m.Until)-e.at):
+	case m != nil && c.deadLetters != nil && rule.TooLateToResubmit(time.Duration(m.ExpiresAt)-e.at):
 		c.giveUp(m, e.at, end)
 		return
 	}
@@ -156,7 +156,7 @@
 func (c *Courier) fail(e *stepEffects, a raventrestle.Fail) {
 	m := c.msgs[a.ID]
 	switch {
-	case m != nil && m.Resend > 0:
+	case m != nil && m.ResendNumber > 0:
 		c.finishResend(m, "failed")
 		return
 	case m != nil && c.deadLetters != nil:
--- a/internal/net/courier/courier.go
+++ b/internal/net/courier/courier.go
@@ -45,8 +45,8 @@
 	watcher     *discovery.Watcher
 	notifier    *notify.Sender
 	mailbox     chan any
-	drained     chan struct{}      // closed when a courier that is shutting down or handing over has no pending messages
-	deadLetters *deadletter.Keeper // nil if undeliverable messages are not kept
+	drained     chan struct{}       // closed when a courier that is shutting down or handing over has no pending messages
+	deadLetters *deadletter.Manager // nil if undeliverable messages are not kept
 
 	mu              sync.Mutex
 	pendingIDs      map[string]bool     // ids in the journal whose end the platform has not acknowledged; true once admitted
@@ -67,11 +67,11 @@
 	learnedState
 	fleetState
 	historyState
-	endedCalls    []deadletter.Seen // calls that ended in this step
-	activeResends int               // resends that the policy has at present
-	viewSentAt    time.Time         // when the dead-letter keeper was last sent a view of the load
-	listedAt      time.Time         // when discovery last answered
-	listIndex     int64             // index of discovery's last answer
+	endedCalls    []deadletter.CallEnd // calls that ended in this step
+	activeResends int                  // resends that the policy has at present
+	viewSentAt    time.Time            // when the dead-letter keeper was last sent a view of the load
+	listedAt      time.Time            // when discovery last answered
+	listIndex     int64                // index of discovery's last answer
 
 	Metrics *figures.Book // counters and gauges for monitoring
 	// KeepForSuccessor says that another process may take over while this one runs, so the journal also has to record
@@ -112,7 +112,7 @@
 const maxSendJitter = 250 * time.Millisecond
 
 // New returns a courier that is not running yet. Kept is the content of the journal at the start.
-func New(conf *config.Config, store *journal.Store, kept []journal.Kept, metrics *figures.Book, log *slog.Logger) (*Courier, error) {
+func New(conf *config.Config, store *journal.Store, kept []journal.MessageState, metrics *figures.Book, log *slog.Logger) (*Courier, error) {
 	conf.Settings.MaxSendJitter = maxSendJitter
 	policy, err := raventrestle.New(conf.Settings, conf.Seed)
 	if err != nil {
@@ -129,14 +129,14 @@
 	c.notifier = notify.New(conf.Discovery, mailboxSize, log, c.notificationsDelivered)
 	c.watcher = discovery.New(conf.Discovery, conf.Known, &conf.Settings, conf.Names, log, func(u discovery.Update) { c.mailbox <- u })
 	for _, k := range kept {
-		if k.Resend > 0 {
+		if k.ResendNumber > 0 {
 			c.resendIDs[k.ID] = true
 			c.mailbox <- k
 			continue
 		}
 		c.pendingIDs[k.ID] = true
-		if k.Owed != nil {
-			c.notifier.Add(notify.Notification{ID: k.ID, End: *k.Owed})
+		if k.PendingNotice != nil {
+			c.notifier.Add(notify.Notification{ID: k.ID, End: *k.PendingNotice})
 			continue
 		}
 		c.Counts.Restored.Add(1)
@@ -230,7 +230,7 @@
 	if !c.journalFailing.Load() {
 		return
 	}
-	if err := c.journal.Append([]journal.Record{journal.Over("")}, c.noteWriteResult); err != nil {
+	if err := c.journal.Append([]journal.Record{journal.Done("")}, c.noteWriteResult); err != nil {
 		c.noteWriteResult(err)
 	}
 }
--- a/internal/net/submission/submission_test.go
+++ b/internal/net/submission/submission_test.go
@@ -130,10 +130,10 @@
 			}
 			m := nettest.Wait(t, "message", s.admitted)
 			_, body, _ := strings.Cut(c.request, "\r\n\r\n")
-			if remaining := time.Until(time.Unix(0, m.Until)); remaining <= 0 || remaining > 20480*time.Millisecond {
+			if remaining := time.Until(time.Unix(0, m.ExpiresAt)); remaining <= 0 || remaining > 20480*time.Millisecond {
 				t.Errorf("remaining time is %v", remaining)
 			}
-			m.Until, m.Since = 0, 0
+			m.ExpiresAt, m.AcceptedAt = 0, 0
 			if diff := cmp.Diff(&journal.Message{
 				ID: "9b1f", Key: "5c0f", Class: "notice", Tenant: "acme", Dest: 7,
 				Body: []byte(body),
@@ -191,7 +191,7 @@
 	time.Sleep(answerTimeout / 2)
 	server.Start()
 	m := nettest.Wait(t, "message", s.admitted)
-	if late := time.Unix(0, m.Until).Sub(sent) - 20480*time.Millisecond; late > answerTimeout/4 {
+	if late := time.Unix(0, m.ExpiresAt).Sub(sent) - 20480*time.Millisecond; late > answerTimeout/4 {
 		t.Fatalf("the message's deadline is %v late", late)
 	}
 }
