--- a/internal/emulator/channel.go
+++ b/internal/emulator/channel.go
@@ -367,6 +367,7 @@
 	return true
 }
 
+// response returns the response to a call that was served without a failure.
 func (e *Endpoint) response(messages []message, codes []int, headers string, bulk bool) []byte {
 	if !bulk {
 		code := 200
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -30,7 +30,7 @@
 	changes       []change          // in order
 	lastSent      []json.RawMessage // full list that each courier was last sent
 	status        map[string]string // by endpoint name; SERVING if absent
-	out           bool
+	inOutage      bool
 	outageStarted chan struct{} // closed during an outage, to end the watches
 }
 
@@ -102,13 +102,13 @@
 
 // SetOutage begins or ends an outage, in which discovery accepts notices but rejects all other requests. Its begin
 // ends the watches.
-func (d *Discovery) SetOutage(out bool) {
+func (d *Discovery) SetOutage(outage bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if out == d.out {
+	if outage == d.inOutage {
 		return
 	}
-	if d.out = out; out {
+	if d.inOutage = outage; outage {
 		close(d.outageStarted)
 	} else {
 		d.outageStarted = make(chan struct{})
@@ -126,6 +126,7 @@
 	d.changed = make(chan struct{})
 }
 
+// entry returns the list entry of an endpoint, with the address at which the courier reaches it.
 func (d *Discovery) entry(e *Endpoint, courier int) listEntry {
 	status := d.status[e.Name]
 	if status == "" {
@@ -148,8 +149,8 @@
 	l := listing{Index: d.index, Snapshot: true, Endpoints: []listEntry{}}
 	for _, c := range d.channels {
 		for _, e := range c.Endpoints {
-			if x := d.entry(e, courier); x.Status != "DELETED" {
-				l.Endpoints = append(l.Endpoints, x)
+			if entry := d.entry(e, courier); entry.Status != "DELETED" {
+				l.Endpoints = append(l.Endpoints, entry)
 			}
 		}
 	}
@@ -160,11 +161,13 @@
 	return text
 }
 
+// list handles a courier's request for the full list, or with an index for the changes since then. If there are none,
+// it waits for one, up to the requested time.
 func (d *Discovery) list(w http.ResponseWriter, r *http.Request, courier int) {
 	d.recorder.CountListRequest()
 	index, err := strconv.ParseInt(r.URL.Query().Get("index"), 10, 64)
 	d.mu.Lock()
-	if d.out {
+	if d.inOutage {
 		d.mu.Unlock()
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -193,7 +196,7 @@
 		}
 	}
 	d.mu.Lock()
-	if d.out {
+	if d.inOutage {
 		d.mu.Unlock()
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -232,6 +235,7 @@
 	}
 }
 
+// outcomes handles the notices of a courier. It rejects all of them if one is invalid.
 func (d *Discovery) outcomes(w http.ResponseWriter, r *http.Request, courier int) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<20))
 	if err != nil {
@@ -243,9 +247,9 @@
 		AgainMS int64  `json:"again_ms"`
 	}
 	var notices []notice
-	for text := range strings.Lines(string(body)) {
+	for line := range strings.Lines(string(body)) {
 		var n notice
-		if err := json.Unmarshal([]byte(text), &n); err != nil || n.Status != "undeliverable" && n.Status != "deferred" {
+		if err := json.Unmarshal([]byte(line), &n); err != nil || n.Status != "undeliverable" && n.Status != "deferred" {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
--- a/internal/emulator/disruptions.go
+++ b/internal/emulator/disruptions.go
@@ -11,6 +11,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
+// channelByDest returns the channel with the destination, or nil.
 func (em *Emulation) channelByDest(dest int64) *Channel {
 	for _, c := range em.Channels {
 		if c.Dest == dest {
--- a/internal/emulator/emulation.go
+++ b/internal/emulator/emulation.go
@@ -133,6 +133,7 @@
 	return em, nil
 }
 
+// classOfID returns the class of the submission with the id.
 func (em *Emulation) classOfID(id string) (string, EffectLimit) {
 	if c, ok := em.classes.Load(id); ok {
 		return c.(*ClassSpec).Name, c.(*ClassSpec).EffectLimit
@@ -198,7 +199,7 @@
 	em.resubmissions.Wait()
 	background.Wait()
 	var errs []error
-	for _, c := range em.Couriers { // restarts in progress have completed, so that each courier could send its remaining notices
+	for _, c := range em.Couriers { // restarts in progress have completed, so that restarted couriers could send their remaining notices
 		if err := c.Stop(); err != nil {
 			errs = append(errs, err)
 		}
@@ -235,8 +236,8 @@
 // Start returns when the traffic started.
 func (em *Emulation) Start() time.Time { return em.start }
 
-// waitForCompletion waits until Done returns true or CompletionTimeout has passed. It does not ask Done before the deadline of
-// every message has passed.
+// waitForCompletion waits until Done returns true or CompletionTimeout has passed. It does not call Done before the
+// deadline of every message has passed.
 func (em *Emulation) waitForCompletion(ctx context.Context) {
 	earliest, latest := time.Now(), time.Now().Add(em.CompletionTimeout)
 	for _, c := range em.Classes {
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -22,112 +22,112 @@
 	newMessage := func() *Message {
 		return &Message{Key: "k", Class: "deposit-charge", Dest: 7, EffectLimit: OnceOverall, CreatedAt: atSecond(0), Deadline: atSecond(10)}
 	}
-	accept := func(l *Recorder, m *Message) {
-		l.CourierReady(0, atSecond(-1))
-		l.Submit(m, "t1", 0, atSecond(0))
-		l.ClientAnswered("t1", 202, atSecond(0.1))
+	accept := func(r *Recorder, m *Message) {
+		r.CourierReady(0, atSecond(-1))
+		r.Submit(m, "t1", 0, atSecond(0))
+		r.ClientAnswered("t1", 202, atSecond(0.1))
 	}
-	completeCall := func(l *Recorder, code int, s float64) {
-		call, _, _ := l.BeginCall("t1", 7, "s-7", "a", 0, atSecond(s))
-		l.EndCall("t1", call, code, atSecond(s+0.1))
+	completeCall := func(r *Recorder, code int, s float64) {
+		call, _, _ := r.BeginCall("t1", 7, "s-7", "a", 0, atSecond(s))
+		r.EndCall("t1", call, code, atSecond(s+0.1))
 	}
 	for name, c := range map[string]struct {
 		record func(*Recorder, *Message)
 		want   string
 	}{
-		"no violation": {func(l *Recorder, m *Message) {
-			accept(l, m)
-			completeCall(l, 503, 0.2)
-			l.RecordEffect("t1", "s-7", "a", false, atSecond(1))
-			completeCall(l, 200, 1)
+		"no violation": {func(r *Recorder, m *Message) {
+			accept(r, m)
+			completeCall(r, 503, 0.2)
+			r.RecordEffect("t1", "s-7", "a", false, atSecond(1))
+			completeCall(r, 200, 1)
 		}, ""},
-		"undeliverable, kept and delivered later": {func(l *Recorder, m *Message) {
-			accept(l, m)
-			l.RecordNotice("t1", "undeliverable", 0, atSecond(9))
-			l.RecordEffect("t1", "s-7", "a", false, atSecond(30))
-			completeCall(l, 200, 30)
+		"undeliverable, kept and delivered later": {func(r *Recorder, m *Message) {
+			accept(r, m)
+			r.RecordNotice("t1", "undeliverable", 0, atSecond(9))
+			r.RecordEffect("t1", "s-7", "a", false, atSecond(30))
+			completeCall(r, 200, 30)
 		}, ""},
-		"no final result":       {func(l *Recorder, m *Message) { accept(l, m) }, "one final answer"},
-		"final result too late": {func(l *Recorder, m *Message) { accept(l, m); l.RecordNotice("t1", "deferred", 0, atSecond(10.5)) }, "on time"},
-		"late, but the courier was down": {func(l *Recorder, m *Message) {
-			accept(l, m)
-			l.CourierEnded(0, atSecond(9))
-			l.CourierReady(0, atSecond(11))
-			l.RecordNotice("t1", "undeliverable", 0, atSecond(12))
+		"no final result":       {func(r *Recorder, m *Message) { accept(r, m) }, "one final answer"},
+		"final result too late": {func(r *Recorder, m *Message) { accept(r, m); r.RecordNotice("t1", "deferred", 0, atSecond(10.5)) }, "on time"},
+		"late, but the courier was down": {func(r *Recorder, m *Message) {
+			accept(r, m)
+			r.CourierEnded(0, atSecond(9))
+			r.CourierReady(0, atSecond(11))
+			r.RecordNotice("t1", "undeliverable", 0, atSecond(12))
 		}, ""},
-		"late, and the courier was down long before": {func(l *Recorder, m *Message) {
-			accept(l, m)
-			l.CourierEnded(0, atSecond(3))
-			l.CourierReady(0, atSecond(4))
-			l.RecordNotice("t1", "undeliverable", 0, atSecond(12))
+		"late, and the courier was down long before": {func(r *Recorder, m *Message) {
+			accept(r, m)
+			r.CourierEnded(0, atSecond(3))
+			r.CourierReady(0, atSecond(4))
+			r.RecordNotice("t1", "undeliverable", 0, atSecond(12))
 		}, "on time"},
-		"two different notices": {func(l *Recorder, m *Message) {
-			accept(l, m)
-			l.RecordNotice("t1", "deferred", 0, atSecond(1))
-			l.RecordNotice("t1", "undeliverable", 0, atSecond(2))
+		"two different notices": {func(r *Recorder, m *Message) {
+			accept(r, m)
+			r.RecordNotice("t1", "deferred", 0, atSecond(1))
+			r.RecordNotice("t1", "undeliverable", 0, atSecond(2))
 		}, "one final answer"},
-		"notice after an unread response": {func(l *Recorder, m *Message) {
-			accept(l, m)
-			completeCall(l, 200, 1)
-			l.RecordNotice("t1", "undeliverable", 0, atSecond(2))
+		"notice after an unread response": {func(r *Recorder, m *Message) {
+			accept(r, m)
+			completeCall(r, 200, 1)
+			r.RecordNotice("t1", "undeliverable", 0, atSecond(2))
 		}, ""},
-		"notice sent twice without a restart": {func(l *Recorder, m *Message) {
-			accept(l, m)
-			l.RecordNotice("t1", "undeliverable", 0, atSecond(2))
-			l.RecordNotice("t1", "undeliverable", 0, atSecond(3))
+		"notice sent twice without a restart": {func(r *Recorder, m *Message) {
+			accept(r, m)
+			r.RecordNotice("t1", "undeliverable", 0, atSecond(2))
+			r.RecordNotice("t1", "undeliverable", 0, atSecond(3))
 		}, "one final answer"},
-		"notice sent again after a restart": {func(l *Recorder, m *Message) {
-			accept(l, m)
-			l.RecordNotice("t1", "undeliverable", 0, atSecond(2))
-			l.CourierEnded(0, atSecond(2.1))
-			l.CourierReady(0, atSecond(2.5))
-			l.RecordNotice("t1", "undeliverable", 0, atSecond(3))
+		"notice sent again after a restart": {func(r *Recorder, m *Message) {
+			accept(r, m)
+			r.RecordNotice("t1", "undeliverable", 0, atSecond(2))
+			r.CourierEnded(0, atSecond(2.1))
+			r.CourierReady(0, atSecond(2.5))
+			r.RecordNotice("t1", "undeliverable", 0, atSecond(3))
 		}, ""},
-		"two effects": {func(l *Recorder, m *Message) {
-			accept(l, m)
-			l.RecordEffect("t1", "s-7", "a", false, atSecond(1))
-			l.RecordEffect("t1", "s-8", "b", false, atSecond(2))
-			completeCall(l, 200, 3)
+		"two effects": {func(r *Recorder, m *Message) {
+			accept(r, m)
+			r.RecordEffect("t1", "s-7", "a", false, atSecond(1))
+			r.RecordEffect("t1", "s-8", "b", false, atSecond(2))
+			completeCall(r, 200, 3)
 		}, "allowance"},
-		"a dropped duplicate": {func(l *Recorder, m *Message) {
-			accept(l, m)
-			l.RecordEffect("t1", "s-7", "a", false, atSecond(1))
-			l.RecordEffect("t1", "s-7", "a", true, atSecond(2))
-			completeCall(l, 200, 3)
+		"a dropped duplicate": {func(r *Recorder, m *Message) {
+			accept(r, m)
+			r.RecordEffect("t1", "s-7", "a", false, atSecond(1))
+			r.RecordEffect("t1", "s-7", "a", true, atSecond(2))
+			completeCall(r, 200, 3)
 		}, ""},
-		"never submitted": {func(l *Recorder, m *Message) {
-			accept(l, m)
-			completeCall(l, 200, 1)
-			l.BeginCall("t9", 7, "s-7", "a", 0, atSecond(2))
+		"never submitted": {func(r *Recorder, m *Message) {
+			accept(r, m)
+			completeCall(r, 200, 1)
+			r.BeginCall("t9", 7, "s-7", "a", 0, atSecond(2))
 		}, "unknown message"},
-		"sent to another channel": {func(l *Recorder, m *Message) {
-			accept(l, m)
-			call, _, _ := l.BeginCall("t1", 8, "s-8", "a", 0, atSecond(1))
-			l.EndCall("t1", call, 503, atSecond(1.1))
-			completeCall(l, 200, 2)
+		"sent to another channel": {func(r *Recorder, m *Message) {
+			accept(r, m)
+			call, _, _ := r.BeginCall("t1", 8, "s-8", "a", 0, atSecond(1))
+			r.EndCall("t1", call, 503, atSecond(1.1))
+			completeCall(r, 200, 2)
 		}, "own channel"},
-		"sent by another courier": {func(l *Recorder, m *Message) {
-			accept(l, m)
-			call, _, _ := l.BeginCall("t1", 7, "s-7", "a", 1, atSecond(1))
-			l.EndCall("t1", call, 200, atSecond(1.1))
+		"sent by another courier": {func(r *Recorder, m *Message) {
+			accept(r, m)
+			call, _, _ := r.BeginCall("t1", 7, "s-7", "a", 1, atSecond(1))
+			r.EndCall("t1", call, 200, atSecond(1.1))
 		}, "own messages"},
-		"two calls in flight": {func(l *Recorder, m *Message) {
-			accept(l, m)
+		"two calls in flight": {func(r *Recorder, m *Message) {
+			accept(r, m)
 			var due []func() // checks that the recorder makes after callEndTolerance
-			l.AfterFunc = func(_ time.Duration, check func()) { due = append(due, check) }
-			first, _, _ := l.BeginCall("t1", 7, "s-7", "a", 0, atSecond(1))
-			second, _, _ := l.BeginCall("t1", 7, "s-8", "a", 0, atSecond(2))
+			r.AfterFunc = func(_ time.Duration, check func()) { due = append(due, check) }
+			first, _, _ := r.BeginCall("t1", 7, "s-7", "a", 0, atSecond(1))
+			second, _, _ := r.BeginCall("t1", 7, "s-8", "a", 0, atSecond(2))
 			for _, check := range due {
 				check()
 			}
-			l.EndCall("t1", first, 0, atSecond(3))
-			l.EndCall("t1", second, 200, atSecond(3))
+			r.EndCall("t1", first, 0, atSecond(3))
+			r.EndCall("t1", second, 200, atSecond(3))
 		}, "no second copy"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := NewRecorder(startTime)
-			c.record(l, newMessage())
-			got := l.Check(atSecond(60))
+			r := NewRecorder(startTime)
+			c.record(r, newMessage())
+			got := r.Check(atSecond(60))
 			var rules []string
 			for _, v := range got {
 				rules = append(rules, v.Rule)
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -92,14 +92,14 @@
 		return nil, err
 	}
 	for i := range nodes {
-		switch p := &nodes[i]; p.Role {
+		switch node := &nodes[i]; node.Role {
 		case link.Courier:
 			if addrs[i].peerAddr, err = freePort(addrs[i].ip); err != nil {
 				return nil, err
 			}
-			p.Addr = addrs[i].peerAddr
+			node.Addr = addrs[i].peerAddr
 		default: // these have a separate address for each courier, which is set below
-			p.Addr = em.Discovery.Addr(0)
+			node.Addr = em.Discovery.Addr(0)
 		}
 	}
 	if em.Mesh, err = link.NewMesh(nodes, em.Seed, em.Log); err != nil {
@@ -148,7 +148,7 @@
 // fleetSettings returns the courier's fleet settings in CUE, with two other couriers as seeds. The intervals are short
 // because a run lasts only seconds.
 func (em *Emulation) fleetSettings(n int, addrs []courierAddr) (string, error) {
-	own, err := em.Mesh.FrontendAddr(courierName(n))
+	ownAddr, err := em.Mesh.FrontendAddr(courierName(n))
 	if err != nil {
 		return "", err
 	}
@@ -161,7 +161,7 @@
 		seeds = append(seeds, seed)
 	}
 	text, err := json.Marshal(map[string]any{
-		"bind": addrs[n].peerAddr, "advertise": own, "seeds": seeds, "site": em.HomeFloor(n),
+		"bind": addrs[n].peerAddr, "advertise": ownAddr, "seeds": seeds, "site": em.HomeFloor(n),
 		"gossip_interval_s": 0.1, "probe_interval_s": 0.5, "seeds_interval_s": 1,
 	})
 	return "\nfleet: " + string(text) + "\n", err
@@ -235,6 +235,7 @@
 func (p courierProcesses) StateDir(name string) string {
 	return filepath.Join(p.courier(name).Dir, "state")
 }
+
 func (p courierProcesses) SnapshotDir(name string) string {
 	return filepath.Join(p.courier(name).Dir, "snapshot")
 }
@@ -251,15 +252,15 @@
 		}
 	}
 	for _, e := range plan.Links {
-		x := span{start.Add(e.At), start.Add(e.At + e.For + partitionTolerance)}
+		extended := span{start.Add(e.At), start.Add(e.At + e.For + partitionTolerance)}
 		for _, p := range e.Pairs {
 			switch string(link.Discovery) {
 			case p.To:
-				noticesDelayed[p.From] = append(noticesDelayed[p.From], x)
+				noticesDelayed[p.From] = append(noticesDelayed[p.From], extended)
 			case p.From:
-				noticesDelayed[p.To] = append(noticesDelayed[p.To], x)
+				noticesDelayed[p.To] = append(noticesDelayed[p.To], extended)
 			default:
-				callEndsDelayed[p] = append(callEndsDelayed[p], x)
+				callEndsDelayed[p] = append(callEndsDelayed[p], extended)
 			}
 		}
 	}
--- a/internal/emulator/faults_test.go
+++ b/internal/emulator/faults_test.go
@@ -11,7 +11,7 @@
 func TestAllowancesFollowFromPlan(t *testing.T) {
 	partition := link.Fault{Cut: true}
 	plan := link.Plan{
-		Links: []link.LinkEvent{
+		Links: []link.FaultEvent{
 			{At: 10 * time.Second, For: 2 * time.Second, Fault: partition, Pairs: []link.Pair{{From: "n0", To: "discovery"}}},
 			{At: 15 * time.Second, For: time.Second, Fault: partition, Pairs: []link.Pair{{From: "discovery", To: "n0"}}},
 			{At: 10 * time.Second, For: 2 * time.Second, Fault: partition, Pairs: []link.Pair{{From: "endpoint a", To: "n1"}}},
@@ -47,35 +47,35 @@
 
 // A message whose courier lost its state directory needs no final result, but one accepted afterwards does.
 func TestLostStateNeedsNoFinalAnswer(t *testing.T) {
-	l := NewRecorder(startTime)
-	l.CourierReady(0, atSecond(-1))
+	r := NewRecorder(startTime)
+	r.CourierReady(0, atSecond(-1))
 	for i, id := range []string{"before", "after"} {
 		m := &Message{Key: id, Dest: 7, CreatedAt: atSecond(float64(i)), Deadline: atSecond(10)}
-		l.Submit(m, id, 0, atSecond(float64(i)))
-		l.ClientAnswered(id, 202, atSecond(float64(i)))
+		r.Submit(m, id, 0, atSecond(float64(i)))
+		r.ClientAnswered(id, 202, atSecond(float64(i)))
 		if i == 0 {
-			l.StateLost(0, atSecond(0.5))
+			r.StateLost(0, atSecond(0.5))
 		}
 	}
-	all := l.Check(atSecond(60))
-	if len(all) != 1 || all[0].Rule != "one final answer" || all[0].Text[:len(" after")] != " after" {
-		t.Fatalf("%v", all)
+	violations := r.Check(atSecond(60))
+	if len(violations) != 1 || violations[0].Rule != "one final answer" || violations[0].Text[:len(" after")] != " after" {
+		t.Fatalf("%v", violations)
 	}
 }
 
 // After a swap of state directories each courier may send the other's messages, and no longer its own.
 func TestSwappedStateMovesMessages(t *testing.T) {
-	l := NewRecorder(startTime)
+	r := NewRecorder(startTime)
 	for n, id := range []string{"x", "y"} {
-		l.CourierReady(n, atSecond(-1))
-		l.Submit(&Message{Key: id, Dest: 7, CreatedAt: atSecond(0), Deadline: atSecond(10)}, id, n, atSecond(0))
-		l.ClientAnswered(id, 202, atSecond(0))
+		r.CourierReady(n, atSecond(-1))
+		r.Submit(&Message{Key: id, Dest: 7, CreatedAt: atSecond(0), Deadline: atSecond(10)}, id, n, atSecond(0))
+		r.ClientAnswered(id, 202, atSecond(0))
 	}
-	l.StateSwapped(0, 1, atSecond(1))
+	r.StateSwapped(0, 1, atSecond(1))
 	for n, id := range []string{"x", "y"} {
-		call, _, _ := l.BeginCall(id, 7, "s", "a", 1, atSecond(2)) // n1 now has x, and no longer y
-		l.EndCall(id, call, 200, atSecond(3))
-		if got := len(l.Check(atSecond(3))); got != n {
+		call, _, _ := r.BeginCall(id, 7, "s", "a", 1, atSecond(2)) // n1 now has x, and no longer y
+		r.EndCall(id, call, 200, atSecond(3))
+		if got := len(r.Check(atSecond(3))); got != n {
 			t.Fatalf("%s sent by n1: %d violations, want %d", id, got, n)
 		}
 	}
--- a/internal/emulator/link/fault.go
+++ b/internal/emulator/link/fault.go
@@ -5,7 +5,7 @@
 //
 // Invariants:
 //   - A cut direction forwards no bytes, except those of a write that the kernel is accepting at the moment of
-//     the cut. Over TCP no bytes are lost (TestCutDelaysBytesUntilItEnds).
+//     the cut. Over TCP no bytes are lost (TestPartitionDelaysBytesUntilItEnds).
 //   - What a direction does to its n-th packet depends only on its seed, n and the current fault. Neither a
 //     change of the fault nor the traffic of another link changes it (TestDecisionsDependOnSeedAndPosition).
 //   - A closed relay leaves no goroutine and no descriptor behind (TestMain, TestMeshOf32Couriers).
@@ -133,6 +133,7 @@
 	Refused, Swallowed, Ran int64 // TCP: connections refused by a cut, FINs and RSTs discarded, connections reset
 }
 
+// add returns the sums of the counters.
 func (c Counts) add(d Counts) Counts {
 	return Counts{
 		c.Passed + d.Passed, c.Bytes + d.Bytes, c.Dropped + d.Dropped, c.Doubled + d.Doubled, c.Reordered + d.Reordered,
--- a/internal/emulator/link/link_test.go
+++ b/internal/emulator/link/link_test.go
@@ -417,7 +417,7 @@
 	os.WriteFile(filepath.Join(h.StateDir("n1"), "journal"), []byte("x"), 0o600)
 	s := time.Second
 	p := Plan{
-		Links: []LinkEvent{
+		Links: []FaultEvent{
 			{At: s, For: 4 * s, Pairs: []Pair{{"n0", "n1"}}, Fault: Fault{Cut: true}},
 			{At: 2 * s, For: s, Pairs: []Pair{{"n0", "n1"}}, Fault: Fault{Rate: 10, Cut: true}},
 		},
@@ -456,7 +456,7 @@
 	h := recordedProcesses{t.TempDir(), make(chan string, 20)}
 	errRunEnded := errors.New("the run has ended")
 	p := Plan{
-		Links:     []LinkEvent{{For: time.Hour, Pairs: []Pair{{"n0", "n1"}}, Fault: Fault{Cut: true}}},
+		Links:     []FaultEvent{{For: time.Hour, Pairs: []Pair{{"n0", "n1"}}, Fault: Fault{Cut: true}}},
 		Processes: []ProcessEvent{{For: time.Hour, How: SuspendProcess, Courier: "n0"}, {At: time.Minute, For: time.Hour, How: SuspendProcess, Courier: "n1"}},
 	}
 	err := m.RunPlan(t.Context(), p, func(_ context.Context, at time.Duration) error {
--- a/internal/emulator/link/mesh.go
+++ b/internal/emulator/link/mesh.go
@@ -45,7 +45,7 @@
 type directedLink struct {
 	flows        [2]*flow // 0: UDP, nil if the link has none; 1: TCP
 	manualFault  Fault
-	activeEvents []*LinkEvent
+	activeEvents []*FaultEvent
 	reset        resetGroup // connections opened in this direction
 }
 
@@ -74,20 +74,20 @@
 		log: log, seed: seed, nodes: map[string]Node{}, courierByAddr: map[netip.AddrPort]string{}, courierByIP: map[netip.Addr]string{},
 		frontends: map[string]*frontend{}, links: map[Pair]*directedLink{}, relays: map[relayKey]*pairRelay{},
 	}
-	for _, p := range nodes {
-		a, err := parseLoopback(p.Addr)
+	for _, node := range nodes {
+		a, err := parseLoopback(node.Addr)
 		if err != nil {
-			return nil, fmt.Errorf("node %s: %w", p.Name, err)
+			return nil, fmt.Errorf("node %s: %w", node.Name, err)
 		}
-		if _, twice := m.nodes[p.Name]; twice {
-			return nil, fmt.Errorf("link: node %q is listed twice; names must be unique", p.Name)
+		if _, duplicate := m.nodes[node.Name]; duplicate {
+			return nil, fmt.Errorf("link: node %q is listed twice; names must be unique", node.Name)
 		}
-		m.nodes[p.Name] = p
-		if p.Role == Courier {
-			if other, twice := m.courierByIP[a.Addr()]; twice {
-				return nil, fmt.Errorf("link: node %s: address %s is also used by %s; each courier needs its own loopback address", p.Name, a.Addr(), other)
+		m.nodes[node.Name] = node
+		if node.Role == Courier {
+			if other, duplicate := m.courierByIP[a.Addr()]; duplicate {
+				return nil, fmt.Errorf("link: node %s: address %s is also used by %s; each courier needs its own loopback address", node.Name, a.Addr(), other)
 			}
-			m.courierByIP[a.Addr()], m.courierByAddr[a] = p.Name, p.Name
+			m.courierByIP[a.Addr()], m.courierByAddr[a] = node.Name, node.Name
 		}
 	}
 	stream := uint64(0)
@@ -111,8 +111,8 @@
 		}
 	}()
 	sockets := map[string]*net.UDPConn{}
-	for _, p := range nodes {
-		if p.Role != Courier {
+	for _, node := range nodes {
+		if node.Role != Courier {
 			continue
 		}
 		at, tcp, udp, err := listen("127.0.0.1:0", []Proto{TCP, UDP})
@@ -120,21 +120,21 @@
 			return m, err
 		}
 		f := &frontend{addr: at}
-		m.frontends[p.Name], sockets[p.Name] = f, udp
-		real, _ := netip.ParseAddrPort(p.Addr)
+		m.frontends[node.Name], sockets[node.Name] = f, udp
+		courierAddr, _ := netip.ParseAddrPort(node.Addr)
 		f.udp = newUDPProxy(udp, func(from netip.AddrPort) (udpRoute, bool) {
 			name, ok := m.courierByAddr[from]
-			if !ok || name == p.Name {
+			if !ok || name == node.Name {
 				return udpRoute{}, false
 			}
-			return udpRoute{m.links[Pair{name, p.Name}].flows[0], sockets[name], real}, true
+			return udpRoute{m.links[Pair{name, node.Name}].flows[0], sockets[name], courierAddr}, true
 		}, m.countUnknown)
 		f.tcp = newTCPProxy(tcp, func(from net.Addr) (tcpRoute, bool) {
 			name, ok := m.courierByIP[from.(*net.TCPAddr).AddrPort().Addr().Unmap()]
-			if !ok || name == p.Name {
+			if !ok || name == node.Name {
 				return tcpRoute{}, false
 			}
-			return m.tcpRouteFor(Pair{name, p.Name}), true
+			return m.tcpRouteFor(Pair{name, node.Name}), true
 		}, m.countUnknown)
 	}
 	for _, f := range m.frontends { // started now that every socket they send from is open
@@ -143,9 +143,10 @@
 	return m, nil
 }
 
+// tcpRouteFor returns the route of connections that p.From opens to p.To.
 func (m *Mesh) tcpRouteFor(p Pair) tcpRoute {
-	there, back := m.links[p], m.links[Pair{p.To, p.From}]
-	return tcpRoute{there.flows[1], back.flows[1], m.nodes[p.To].Addr, &there.reset}
+	forward, reverse := m.links[p], m.links[Pair{p.To, p.From}]
+	return tcpRoute{forward.flows[1], reverse.flows[1], m.nodes[p.To].Addr, &forward.reset}
 }
 
 func (m *Mesh) countUnknown() {
@@ -194,6 +195,7 @@
 	return m.relay(pair, target)
 }
 
+// relay returns the address of the relay for the pair and target, which it opens if there is none. The caller holds mu.
 func (m *Mesh) relay(pair Pair, target string) (string, error) {
 	key := relayKey{pair, target}
 	if r := m.relays[key]; r != nil {
@@ -203,9 +205,9 @@
 	if err != nil {
 		return "", err
 	}
-	w := m.tcpRouteFor(pair)
-	w.target = target
-	m.relays[key] = &pairRelay{at.String(), newTCPProxy(tcp, func(net.Addr) (tcpRoute, bool) { return w, true }, func() {})}
+	route := m.tcpRouteFor(pair)
+	route.target = target
+	m.relays[key] = &pairRelay{at.String(), newTCPProxy(tcp, func(net.Addr) (tcpRoute, bool) { return route, true }, func() {})}
 	return at.String(), nil
 }
 
@@ -288,15 +290,15 @@
 	relays := m.relays
 	m.relays = nil
 	m.mu.Unlock()
-	var all errgroup.Group
+	var proxies errgroup.Group
 	for _, r := range relays {
-		all.Go(r.proxy.close)
+		proxies.Go(r.proxy.close)
 	}
 	for _, f := range m.frontends {
-		all.Go(f.tcp.close)
-		all.Go(f.udp.close)
+		proxies.Go(f.tcp.close)
+		proxies.Go(f.udp.close)
 	}
-	return all.Wait()
+	return proxies.Wait()
 }
 
 // Processes controls the processes of couriers. Since faults may overlap, Kill does nothing for a process that is
@@ -353,11 +355,12 @@
 	return nil
 }
 
+// steps returns the begin and the end of every fault in the plan, ordered by time.
 func (m *Mesh) steps(p Plan, procs Processes) ([]step, error) {
 	var steps []step
-	add := func(at, length time.Duration, text string, undo bool, begin, end func(context.Context, *errgroup.Group) error) {
-		event := len(steps)
-		steps = append(steps, step{at, text, event, false, undo, begin}, step{at + length, "end of " + text, event, true, undo, end})
+	add := func(at, duration time.Duration, description string, undo bool, begin, end func(context.Context, *errgroup.Group) error) {
+		eventID := len(steps)
+		steps = append(steps, step{at, description, eventID, false, undo, begin}, step{at + duration, "end of " + description, eventID, true, undo, end})
 	}
 	for i := range p.Links {
 		e := &p.Links[i]
@@ -391,7 +394,7 @@
 }
 
 // setEventActive adds the event to the links that it affects, or removes it from them.
-func (m *Mesh) setEventActive(e *LinkEvent, begin bool) {
+func (m *Mesh) setEventActive(e *FaultEvent, begin bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, pair := range e.Pairs {
@@ -399,7 +402,7 @@
 		if begin {
 			d.activeEvents = append(d.activeEvents, e)
 		} else {
-			d.activeEvents = slices.DeleteFunc(d.activeEvents, func(x *LinkEvent) bool { return x == e })
+			d.activeEvents = slices.DeleteFunc(d.activeEvents, func(x *FaultEvent) bool { return x == e })
 		}
 		d.apply()
 	}
--- a/internal/emulator/link/plan.go
+++ b/internal/emulator/link/plan.go
@@ -95,8 +95,8 @@
 // Pair is one direction between two nodes, given by their names.
 type Pair struct{ From, To string }
 
-// LinkEvent is a fault that is active on some links from At for the duration For.
-type LinkEvent struct {
+// FaultEvent is a fault that is active on some links from At for the duration For.
+type FaultEvent struct {
 	At, For time.Duration
 	Pairs   []Pair // both directions of a bidirectional fault
 	Fault   Fault
@@ -112,7 +112,7 @@
 
 // Plan lists the fault events that were drawn from a FaultSpec and a seed, ordered by time.
 type Plan struct {
-	Links     []LinkEvent
+	Links     []FaultEvent
 	Processes []ProcessEvent
 }
 
@@ -159,12 +159,12 @@
 		}
 		p.Processes = append(p.Processes, events...)
 	}
-	slices.SortStableFunc(p.Links, func(a, b LinkEvent) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(p.Links, func(a, b FaultEvent) int { return cmp.Compare(a.At, b.At) })
 	slices.SortStableFunc(p.Processes, func(a, b ProcessEvent) int { return cmp.Compare(a.At, b.At) })
 	return p, nil
 }
 
-func (f LinkFault) draw(nodes []Node, rnd *rand.Rand) ([]LinkEvent, error) {
+func (f LinkFault) draw(nodes []Node, rnd *rand.Rand) ([]FaultEvent, error) {
 	fromText, toText, twoWay := strings.Cut(f.Between, "<->")
 	if !twoWay {
 		var ok bool
@@ -221,10 +221,10 @@
 	if fault == (Fault{}) && !f.Reset {
 		return nil, fmt.Errorf("between: %q has no fault; set cut, delay_ms, bytes_s or another", f.Between)
 	}
-	var events []LinkEvent
+	var events []FaultEvent
 	at := f.At.seconds(rnd)
 	for range max(f.Times, 1) {
-		e := LinkEvent{At: at, For: f.For.seconds(rnd), Pairs: pairs, Fault: fault, Reset: f.Reset}
+		e := FaultEvent{At: at, For: f.For.seconds(rnd), Pairs: pairs, Fault: fault, Reset: f.Reset}
 		events = append(events, e)
 		at += e.For + f.Up.seconds(rnd)
 	}
--- a/internal/emulator/link/relay.go
+++ b/internal/emulator/link/relay.go
@@ -57,7 +57,7 @@
 	}
 	if udp != nil {
 		target, _ := netip.ParseAddrPort(o.Target)
-		back, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.AddrPortFrom(r.addr.Addr(), 0)))
+		reverseSocket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.AddrPortFrom(r.addr.Addr(), 0)))
 		if err != nil {
 			return nil, errors.Join(err, udp.Close(), closeListener(tcp))
 		}
@@ -66,8 +66,8 @@
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			r.client = from
-			return udpRoute{flows[Forward], back, target}, true
-		}, func() {}), newUDPProxy(back, func(from netip.AddrPort) (udpRoute, bool) {
+			return udpRoute{flows[Forward], reverseSocket, target}, true
+		}, func() {}), newUDPProxy(reverseSocket, func(from netip.AddrPort) (udpRoute, bool) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			return udpRoute{flows[Reverse], udp, r.client}, from == target && r.client.IsValid()
--- a/internal/emulator/link/tcp.go
+++ b/internal/emulator/link/tcp.go
@@ -113,6 +113,7 @@
 	}
 }
 
+// abort closes the connection with an RST.
 func abort(c *net.TCPConn) {
 	c.SetLinger(0)
 	c.Close()
@@ -124,6 +125,7 @@
 	stop context.CancelCauseFunc
 }
 
+// serve forwards one connection until both directions have ended or it is reset.
 func (s *tcpProxy) serve(clientConn *net.TCPConn, route tcpRoute) {
 	c := &conn{}
 	c.ctx, c.stop = context.WithCancelCause(s.ctx)
@@ -139,12 +141,12 @@
 		abort(clientConn)
 		return
 	}
-	var copies sync.WaitGroup
-	copies.Go(func() { forwardStream(c, route.forward, route.reverse, clientConn, targetConn) })
-	copies.Go(func() { forwardStream(c, route.reverse, route.forward, targetConn, clientConn) })
+	var directions sync.WaitGroup
+	directions.Go(func() { forwardStream(c, route.forward, route.reverse, clientConn, targetConn) })
+	directions.Go(func() { forwardStream(c, route.reverse, route.forward, targetConn, clientConn) })
 	ended := make(chan struct{})
 	go func() {
-		copies.Wait()
+		directions.Wait()
 		close(ended)
 	}()
 	select {
@@ -254,6 +256,7 @@
 	}
 }
 
+// readChunks reads from the connection until it ends, and assigns each chunk its due time.
 func readChunks(ctx context.Context, fl *flow, from *net.TCPConn, chunks chan<- chunk) {
 	defer close(chunks)
 	for {
--- a/internal/emulator/link/udp.go
+++ b/internal/emulator/link/udp.go
@@ -9,10 +9,11 @@
 	"time"
 )
 
+// Limits of a UDP relay.
 const (
 	maxPacketBytes   = 64 << 10
-	maxQueuedPackets = 256 // in one direction of a link
-	maxReorderDelay  = 50 * time.Millisecond
+	maxQueuedPackets = 256                   // in one direction of a link
+	maxReorderDelay  = 50 * time.Millisecond // of a reordered packet that no other packet follows
 )
 
 // udpRoute is the flow that a packet belongs to, the socket that sends it and the destination.
@@ -22,6 +23,7 @@
 	to     netip.AddrPort
 }
 
+// packet is a packet that waits to be forwarded.
 type packet struct {
 	udpRoute
 	data  []byte
@@ -30,6 +32,7 @@
 	index int    // in the queue; -1 if the packet is not queued
 }
 
+// queue is a heap of packets ordered by due time.
 type queue []*packet
 
 func (q queue) Len() int { return len(q) }
@@ -99,6 +102,7 @@
 	}
 }
 
+// enqueue applies the flow's fault to the packet and queues the resulting copies, if any.
 func (s *udpProxy) enqueue(route udpRoute, data []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,6 +158,7 @@
 	}
 }
 
+// send forwards the queued packets when they are due.
 func (s *udpProxy) send() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
--- a/internal/emulator/model/channel.go
+++ b/internal/emulator/model/channel.go
@@ -286,6 +286,7 @@
 	return end
 }
 
+// drawServiceTime draws the service time of a call of the class.
 func (e *Endpoint) drawServiceTime(class string) time.Duration {
 	r, ok := e.channel.Service[class]
 	if !ok {
@@ -350,6 +351,7 @@
 	return e.mode, 0, 0, violations
 }
 
+// noteFailure records when the courier first saw the endpoint fail in this outage.
 func (e *Endpoint) noteFailure(courier int, at time.Time) {
 	if first, ok := e.firstFailureSeen[courier]; !ok || at.Before(first) {
 		e.firstFailureSeen[courier] = at
--- a/internal/emulator/plan.go
+++ b/internal/emulator/plan.go
@@ -178,24 +178,24 @@
 }
 
 // NewBalancer returns a balancer for the number of couriers.
-func NewBalancer(couriers int, notice [2]time.Duration, seed uint64) *Balancer {
-	return &Balancer{detectionDelay: notice, rnd: rand.New(rand.NewPCG(seed, 0xf207)), knownDownFrom: make([]time.Time, couriers)}
+func NewBalancer(couriers int, detectionDelay [2]time.Duration, seed uint64) *Balancer {
+	return &Balancer{detectionDelay: detectionDelay, rnd: rand.New(rand.NewPCG(seed, 0xf207)), knownDownFrom: make([]time.Time, couriers)}
 }
 
 // Down records that the courier has stopped or closed its listener.
-func (f *Balancer) Down(courier int, at time.Time) {
-	f.knownDownFrom[courier] = at.Add(f.detectionDelay[0] + time.Duration(f.rnd.Float64()*float64(f.detectionDelay[1]-f.detectionDelay[0])))
+func (b *Balancer) Down(courier int, at time.Time) {
+	b.knownDownFrom[courier] = at.Add(b.detectionDelay[0] + time.Duration(b.rnd.Float64()*float64(b.detectionDelay[1]-b.detectionDelay[0])))
 }
 
 // Up records that the courier is ready.
-func (f *Balancer) Up(courier int) { f.knownDownFrom[courier] = time.Time{} }
+func (b *Balancer) Up(courier int) { b.knownDownFrom[courier] = time.Time{} }
 
 // Pick returns the courier that a connection intended for first is made to: the first one from there on that is not
 // known to be down, or first itself if all are.
-func (f *Balancer) Pick(first int, at time.Time) int {
-	for i := range f.knownDownFrom {
-		n := (first + i) % len(f.knownDownFrom)
-		if f.knownDownFrom[n].IsZero() || at.Before(f.knownDownFrom[n]) {
+func (b *Balancer) Pick(first int, at time.Time) int {
+	for i := range b.knownDownFrom {
+		n := (first + i) % len(b.knownDownFrom)
+		if b.knownDownFrom[n].IsZero() || at.Before(b.knownDownFrom[n]) {
 			return n
 		}
 	}
--- a/internal/emulator/plan_test.go
+++ b/internal/emulator/plan_test.go
@@ -73,21 +73,21 @@
 
 // The balancer connects to a stopped courier until it detects that, then to the next one that is up.
 func TestBalancerAvoidsFailedCouriers(t *testing.T) {
-	f := NewBalancer(3, [2]time.Duration{time.Second, 3 * time.Second}, 1)
-	if f.Down(1, atSecond(10)); f.Pick(1, atSecond(10.9)) != 1 {
+	b := NewBalancer(3, [2]time.Duration{time.Second, 3 * time.Second}, 1)
+	if b.Down(1, atSecond(10)); b.Pick(1, atSecond(10.9)) != 1 {
 		t.Error("failure detected before the minimum delay")
 	}
-	if n := f.Pick(1, atSecond(13)); n != 2 {
+	if n := b.Pick(1, atSecond(13)); n != 2 {
 		t.Errorf("connected to %d after the maximum delay, want 2", n)
 	}
-	f.Down(2, atSecond(10))
-	if n := f.Pick(1, atSecond(13)); n != 0 {
+	b.Down(2, atSecond(10))
+	if n := b.Pick(1, atSecond(13)); n != 0 {
 		t.Errorf("connected to %d, want 0, the only one that is up", n)
 	}
-	if f.Down(0, atSecond(10)); f.Pick(1, atSecond(13)) != 1 {
+	if b.Down(0, atSecond(10)); b.Pick(1, atSecond(13)) != 1 {
 		t.Error("with all couriers down, the connection does not go to the first choice")
 	}
-	if f.Up(1); f.Pick(1, atSecond(13)) != 1 {
+	if b.Up(1); b.Pick(1, atSecond(13)) != 1 {
 		t.Error("not connected to a courier that is up again")
 	}
 }
--- a/internal/emulator/recorder.go
+++ b/internal/emulator/recorder.go
@@ -221,7 +221,7 @@
 		r.AfterFunc(callEndTolerance, func() {
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			if _, out := sub.openCalls[earlier]; out {
+			if _, open := sub.openCalls[earlier]; open {
 				r.addViolation("no second copy", m, "sent while a call with it is out")
 			}
 		})
@@ -297,7 +297,7 @@
 	defer r.mu.Unlock()
 	sub := r.submissions[id]
 	if sub == nil {
-		r.addViolation("unknown message", nil, "n%d told %s of %s, which nobody submitted", courier, status, id)
+		r.addViolation("unknown message", nil, "n%d told %s of %s, which no client submitted", courier, status, id)
 		return false
 	}
 	m := sub.msg
@@ -362,10 +362,10 @@
 }
 
 // SetAllowances sets the allowances that the checks apply from now on.
-func (r *Recorder) SetAllowances(e Allowances) {
+func (r *Recorder) SetAllowances(allowances Allowances) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.allowances = e
+	r.allowances = allowances
 }
 
 // StateLost records that the courier's state directory was lost, and with it the messages that it had accepted.
@@ -393,7 +393,7 @@
 		default:
 			sub.courier = a
 		}
-		r.addHistory(sub.msg, at, "%s is in n%d's hands now", sub.id, sub.courier)
+		r.addHistory(sub.msg, at, "%s now belongs to n%d", sub.id, sub.courier)
 	}
 }
 
@@ -446,7 +446,7 @@
 			case sub.endedAt.IsZero() && now.After(due):
 				r.addViolation("one final answer", m, "%s has none, and it was due at %.3f", sub.id, due.Sub(r.start).Seconds())
 			case sub.endedAt.After(due):
-				r.addViolation("on time", m, "%s had its end %.3f s after it was due", sub.id, sub.endedAt.Sub(due).Seconds())
+				r.addViolation("on time", m, "%s had its final result %.3f s after it was due", sub.id, sub.endedAt.Sub(due).Seconds())
 			}
 		}
 	}
