--- a/cmd/raventrestle/serve.go
+++ b/cmd/raventrestle/serve.go
@@ -27,11 +27,11 @@
 	"raventrestle/internal/learned"
 	"raventrestle/internal/lifecycle"
 	"raventrestle/internal/net/admin"
+	"raventrestle/internal/net/connlimit"
 	"raventrestle/internal/net/courier"
-	"raventrestle/internal/net/front"
-	"raventrestle/internal/net/gate"
 	"raventrestle/internal/net/instance"
 	"raventrestle/internal/net/monitor"
+	"raventrestle/internal/net/submission"
 	"raventrestle/internal/net/upgrade"
 	"raventrestle/internal/settings"
 )
@@ -56,10 +56,10 @@
 	store       *journal.Store
 	deadLetters *deadletter.Keeper // nil where none are kept
 	courier     *courier.Courier
-	front       *front.Front
+	front       *submission.Handler
 	figures     *figures.Book
 	handing     atomic.Bool // to the process that follows
-	clients     *gate.Gate
+	clients     *connlimit.Limiter
 	fleet       *fellows // nil where nothing is shared
 }
 
@@ -108,18 +108,18 @@
 			d.log.Error("monitor: no second address", "admin", d.conf.Admin, "err", err)
 		} else {
 			defer m.Close()
-			descriptors -= monitor.MostCallers + 1
+			descriptors -= monitor.MaxCallers + 1
 		}
 	}
 
 	// Where the platform holds the clients' socket, a next process may start beside this one, and each life
 	// has a folder of its own: of disk and memory it takes its part alone.
-	listener, err := upgrade.Inherited(os.Getenv)
+	listener, err := upgrade.InheritedListener(os.Getenv)
 	if err != nil {
 		return err
 	}
 	disk := min(int64(d.conf.Limits.DiskMB*1e6), memory/4)
-	var life *upgrade.Life
+	var life *upgrade.ProcessDir
 	if listener != nil {
 		if life, err = upgrade.Claim(d.conf.State, d.log); err != nil {
 			return err
@@ -132,7 +132,7 @@
 			return err
 		}
 		defer owner()
-		if life, err = upgrade.Alone(d.conf.State, d.log); errors.Is(err, upgrade.ErrRuns) {
+		if life, err = upgrade.ClaimExclusive(d.conf.State, d.log); errors.Is(err, upgrade.ErrRunning) {
 			return fmt.Errorf("%w: %w", errOwned, err)
 		} else if err != nil {
 			return err
@@ -144,11 +144,11 @@
 	}
 	shared := int64(0) // of the folder, for what the couriers of a fleet share
 	if remembers && set.Fleet != nil {
-		shared = fleet.Room(disk)
+		shared = fleet.SnapshotSpace(disk)
 		disk -= shared
 	}
 	var kept []journal.Kept
-	d.store, kept, err = journal.Open(life.Folder, journal.Options{Limit: disk, Shared: listener != nil, Tries: set.Undeliverable.Keep}, d.log)
+	d.store, kept, err = journal.Open(life.Path, journal.Options{Limit: disk, Shared: listener != nil, Tries: set.Undeliverable.Keep}, d.log)
 	if err != nil {
 		return err
 	}
@@ -161,20 +161,20 @@
 	if d.courier, err = courier.New(d.conf, d.store, kept, d.figures, d.log); err != nil {
 		return err
 	}
-	d.courier.Tell, d.courier.Successors = d.tell, listener != nil
+	d.courier.OnLifecycleEvent, d.courier.KeepForSuccessor = d.tell, listener != nil
 	if remembers {
-		keeper := learned.Keep(life.Folder, d.log)
+		keeper := learned.Keep(life.Path, d.log)
 		defer keeper.Close()
-		d.courier.Recall(d.before(life.Folder), keeper)
+		d.courier.UseLearned(d.before(life.Path), keeper)
 	}
-	d.front = front.New(d.courier, d.conf.Names, d.figures, d.log)
+	d.front = submission.New(d.courier, d.conf.Names, d.figures, d.log)
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	if d.deadLetters != nil {
-		d.courier.Keep(d.deadLetters)
+		d.courier.UseDeadLetters(d.deadLetters)
 		go d.deadLetters.Run(ctx)
 	}
-	d.fleet = d.meet(ctx, set, life.Folder, shared)
+	d.fleet = d.meet(ctx, set, life.Path, shared)
 	defer d.record(set, listener != nil)()
 	go d.courier.Run(ctx)
 	d.tell(lifecycle.Done{Step: lifecycle.Notices})
@@ -197,12 +197,12 @@
 			return err
 		}
 	}
-	clients := gate.New(listener, descriptors, front.Room)
+	clients := connlimit.New(listener, descriptors, submission.ConnTimeouts)
 	d.clients = clients
 	server := &http.Server{
 		Handler: d.front, ReadHeaderTimeout: 2 * time.Second, ReadTimeout: 2500 * time.Millisecond,
 		WriteTimeout: 15 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10,
-		ConnContext: gate.ConnContext, ConnState: clients.SetState,
+		ConnContext: connlimit.ConnContext, ConnState: clients.SetState,
 		ErrorLog: slog.NewLogLogger(d.log.Handler(), slog.LevelWarn),
 	}
 	failed := make(chan error, 1)
@@ -227,7 +227,7 @@
 			}
 			began := time.Now()
 			d.fleet.part()
-			if inherited && life.Followed() {
+			if inherited && life.HasSuccessor() {
 				d.handOver(began, clients)
 			} else {
 				d.tell(lifecycle.End{})
@@ -235,7 +235,7 @@
 			}
 			closing, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
 			defer cancel()
-			if err := clients.End(closing); err != nil && !errors.Is(err, net.ErrClosed) { // closed where another follows
+			if err := clients.Shutdown(closing); err != nil && !errors.Is(err, net.ErrClosed) { // closed where another follows
 				d.log.Warn("raventrestle: client connections", "err", err)
 			}
 			stop()
@@ -260,11 +260,11 @@
 // end waits until nothing is owed and no client's connection is left, or its time is up. From now on each answer
 // closes its connection. Those between requests go at once, but none with a request to be read; new ones, which still
 // come for a while, are given the time in which a client sends.
-func (d *daemon) end(began time.Time, clients *gate.Gate) {
+func (d *daemon) end(began time.Time, clients *connlimit.Limiter) {
 	quiet := d.courier.Close(began.Add(lastWord))
 	look := time.NewTicker(lookAtClients)
 	defer look.Stop()
-	for left := clients.Dismiss(front.Room.Busy); ; left = clients.Dismiss(front.Room.Busy) {
+	for left := clients.CloseIdle(submission.ConnTimeouts.Request); ; left = clients.CloseIdle(submission.ConnTimeouts.Request) {
 		at := time.Since(began)
 		if at > lastWord || left == 0 && quiet == nil && at > lastGuest {
 			return
@@ -279,13 +279,13 @@
 
 // handOver leaves the clients' socket and all that is held to the process that follows. Connections that are
 // still open are closed behind their next answer; those that stay silent for long, between requests.
-func (d *daemon) handOver(began time.Time, clients *gate.Gate) {
+func (d *daemon) handOver(began time.Time, clients *connlimit.Limiter) {
 	d.handing.Store(true)
 	if err := clients.Close(); err != nil {
 		d.log.Warn("raventrestle: client connections", "err", err)
 	}
-	d.front.Leave()
-	quiet := d.courier.Pass()
+	d.front.CloseConnections()
+	quiet := d.courier.HandOver()
 	d.tell(lifecycle.End{})
 	look := time.NewTicker(20 * time.Millisecond)
 	defer look.Stop()
@@ -298,14 +298,14 @@
 				d.log.Warn("raventrestle: not all is handed over", "client connections", left, "owed", quiet != nil)
 				return
 			} else if at > lastPatience {
-				left = clients.Dismiss(0)
+				left = clients.CloseIdle(0)
 			}
 		}
 	}
 }
 
 // tell tells the life of an event; what the machine refuses is logged there.
-func (d *daemon) tell(e lifecycle.Event) { d.life.On(e) }
+func (d *daemon) tell(e lifecycle.Event) { d.life.Handle(e) }
 
 // Report is the instance's life in words.
 func (d *daemon) Report() instance.Report { return d.life.Report() }
@@ -313,9 +313,9 @@
 // Drain makes the courier take nothing new, or take it on again.
 func (d *daemon) Drain(on bool) error {
 	if on {
-		return d.life.On(lifecycle.Drain{})
+		return d.life.Handle(lifecycle.Drain{})
 	}
-	return d.life.On(lifecycle.Undrain{})
+	return d.life.Handle(lifecycle.Undrain{})
 }
 
 // Status is all that operators see of a running courier.
@@ -416,7 +416,7 @@
 		Folder: deadLetterFolder(set, d.conf.State), Limits: limits(u, d.conf.Settings.Forwarders, d.conf.Settings.WarmupDuration), MaxAge: u.MaxAge.Duration(),
 		Settled: u.SettledAge.Duration(), Log: d.log, Seed: d.conf.Seed, Append: d.store.Append,
 		Options: deadletter.Options{MaxBytes: u.MaxBytes, MaxLetters: u.MaxLetters, Sync: u.Sync},
-		Begin:   func(a deadletter.Again) bool { return d.courier.Again(a) },
+		Begin:   func(a deadletter.Again) bool { return d.courier.Resend(a) },
 		Class: func(name string) (raventrestle.Class, bool) {
 			i, ok := names.Classes[name]
 			if !ok {
@@ -462,15 +462,15 @@
 	if err != nil {
 		return err
 	}
-	if err := d.courier.Retune(ctx, next); err != nil {
+	if err := d.courier.Reconfigure(ctx, next); err != nil {
 		return err
 	}
 	for name := range next.Names.Classes {
 		d.figures.Class(name)
 	}
-	d.front.Serve(next.Names)
+	d.front.SetNames(next.Names)
 	if next.Discovery != d.held.Discovery {
-		d.courier.Move(next.Discovery)
+		d.courier.SetDiscovery(next.Discovery)
 	}
 	d.held = next
 	return nil
@@ -479,21 +479,21 @@
 // count prints what was taken in, sent and answered.
 func (d *daemon) count() {
 	in, out, net := &d.front.Counts, &d.courier.Counts, &d.courier.Counts.Peers
-	d.log.Info("counters: client connections", "requests", in.Requests.Load(), "taken", in.Taken.Load(),
-		"refused", in.Refused.Load(), "bad_form", in.BadForm.Load(), "too_large", in.TooLarge.Load(),
-		"left", in.Left.Load(), "closed_unanswered", d.clients.Unanswered.Load())
-	d.log.Info("counters: messages", "taken", out.Taken.Load(), "restored", out.Restored.Load(), "full", out.Full.Load(),
+	d.log.Info("counters: client connections", "requests", in.Requests.Load(), "taken", in.Accepted.Load(),
+		"refused", in.Rejected.Load(), "bad_form", in.Malformed.Load(), "too_large", in.TooLarge.Load(),
+		"left", in.ClientLeft.Load(), "closed_unanswered", d.clients.Unanswered.Load())
+	d.log.Info("counters: messages", "taken", out.Accepted.Load(), "restored", out.Restored.Load(), "full", out.Full.Load(),
 		"withdrawn", out.Withdrawn.Load(), "delivered", out.Delivered.Load(), "void", out.Void.Load(),
 		"deferred", out.Deferred.Load(), "undeliverable", out.Undeliverable.Load())
 	names := []string{"ok", "error", "full", "timed_out", "connect_failed", "reset", "cancelled", "moot"}
-	tries := []any{"dials", net.Dials.Load(), "calls", net.Calls.Load(), "bulk", net.Bulks.Load(), "tries", net.Tries.Load()}
+	tries := []any{"dials", net.Dials.Load(), "calls", net.Calls.Load(), "bulk", net.BatchCalls.Load(), "tries", net.Attempts.Load()}
 	for i, name := range names {
 		tries = append(tries, name, out.ByStatus[i].Load())
 	}
 	d.log.Info("counters: tries", tries...)
 	d.log.Info("counters: decisions", "steps", out.Steps.Load(), "late", out.LateSteps.Load(), "panics", out.Panics.Load())
 	if d.fleet != nil {
-		d.fleet.Count(d.log)
+		d.fleet.LogCounters(d.log)
 	}
 	if d.deadLetters == nil {
 		return
