--- a/internal/emulator/faults_test.go
+++ b/internal/emulator/faults_test.go
@@ -45,7 +45,8 @@
 	}
 }
 
-// A message whose courier lost its state directory needs no final result, but one accepted afterwards does.
+// A message whose courier lost its state directory needs no final result, but one accepted afterwards does. A final
+// result that arrives nevertheless still counts only once.
 func TestLostStateNeedsNoFinalAnswer(t *testing.T) {
 	r := NewRecorder(startTime)
 	r.CourierReady(0, atSecond(-1))
--- a/internal/emulator/link/tcp.go
+++ b/internal/emulator/link/tcp.go
@@ -46,6 +46,7 @@
 	delete(r.conns, c)
 }
 
+// resetAll resets all connections of the link.
 func (r *resetGroup) resetAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,6 +55,7 @@
 	}
 }
 
+// errReset is the cause with which a fault ends a connection.
 var errReset = errors.New("link: reset")
 
 // tcpProxy forwards the connections of one TCP listener. The remote address of a connection determines its link.
