--- a/internal/lab/reduction/reduction.go
+++ b/internal/lab/reduction/reduction.go
@@ -25,10 +25,12 @@
 	r := &reducer{spec: spec, breaksRule: breaksRule, remainingRuns: maxRuns}
 	for reduced := true; reduced && r.err == nil && r.remainingRuns > 0; {
 		stepsBefore := len(r.steps)
-		r.removeEach("trouble", len(r.spec.Troubles), func(s *emulator.Spec, i int) { s.Troubles = slices.Delete(slices.Clone(s.Troubles), i, i+1) })
+		r.removeEach("trouble", len(r.spec.ChannelFaults), func(s *emulator.Spec, i int) { s.ChannelFaults = slices.Delete(slices.Clone(s.ChannelFaults), i, i+1) })
 		r.removeEach("restart", len(r.spec.Restarts), func(s *emulator.Spec, i int) { s.Restarts = slices.Delete(slices.Clone(s.Restarts), i, i+1) })
 		r.removeEach("hot channel", len(r.spec.Hot), func(s *emulator.Spec, i int) { s.Hot = slices.Delete(slices.Clone(s.Hot), i, i+1) })
-		r.removeEach("outage of discovery", len(r.spec.ListOut), func(s *emulator.Spec, i int) { s.ListOut = slices.Delete(slices.Clone(s.ListOut), i, i+1) })
+		r.removeEach("outage of discovery", len(r.spec.DiscoveryOutages), func(s *emulator.Spec, i int) {
+			s.DiscoveryOutages = slices.Delete(slices.Clone(s.DiscoveryOutages), i, i+1)
+		})
 		r.shortenTraffic()
 		r.removeMessages()
 		reduced = len(r.steps) > stepsBefore
@@ -96,9 +98,9 @@
 	for size := (len(keys) + 1) / 2; size >= 1; size /= 2 {
 		for start := 0; start < len(keys); {
 			spec := r.spec
-			spec.Only = slices.Delete(slices.Clone(keys), start, min(start+size, len(keys)))
-			if len(spec.Only) > 0 && r.keepIfBreaking("fewer messages", spec) {
-				keys = spec.Only
+			spec.OnlyKeys = slices.Delete(slices.Clone(keys), start, min(start+size, len(keys)))
+			if len(spec.OnlyKeys) > 0 && r.keepIfBreaking("fewer messages", spec) {
+				keys = spec.OnlyKeys
 			} else {
 				start += size
 			}
--- a/internal/lab/reduction/reduction_test.go
+++ b/internal/lab/reduction/reduction_test.go
@@ -12,11 +12,11 @@
 // testSpec returns a run with channel faults, restarts, a surge and discovery outages.
 func testSpec() emulator.Spec {
 	return emulator.Spec{
-		Seed: 1, Couriers: 2, Rate: 20, Traffic: 32 * time.Second, Hotels: []string{"h"},
-		Classes:  []emulator.ClassSpec{{Name: "c", Share: 1}},
-		Channels: []emulator.ChannelSpec{{Dest: 1, Floors: []string{"a"}}},
-		Troubles: make([]emulator.Trouble, 4), Restarts: []emulator.Restart{{Courier: 0}, {Courier: 1}},
-		Hot: []emulator.Hot{{Dest: 1, For: 32 * time.Second, Times: 2}}, ListOut: make([]emulator.Span, 2),
+		Seed: 1, Couriers: 2, Rate: 20, Traffic: 32 * time.Second, Tenants: []string{"h"},
+		Classes:       []emulator.ClassSpec{{Name: "c", Share: 1}},
+		Channels:      []emulator.ChannelSpec{{Dest: 1, Floors: []string{"a"}}},
+		ChannelFaults: make([]emulator.ChannelFault, 4), Restarts: []emulator.Restart{{Courier: 0}, {Courier: 1}},
+		Hot: []emulator.HotSpot{{Dest: 1, For: 32 * time.Second, Factor: 2}}, DiscoveryOutages: make([]emulator.Interval, 2),
 	}
 }
 
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if arrivals := minimized.Plan(); len(arrivals) != 2 || len(minimized.Troubles)+len(minimized.Hot)+len(minimized.ListOut) > 0 || len(minimized.Restarts) != 1 ||
+	if arrivals := minimized.Plan(); len(arrivals) != 2 || len(minimized.ChannelFaults)+len(minimized.Hot)+len(minimized.DiscoveryOutages) > 0 || len(minimized.Restarts) != 1 ||
 		minimized.Traffic > 8*time.Second || len(steps) == 0 || runs > 200 {
 		t.Fatalf("%d messages, %+v, after %d runs", len(arrivals), minimized, runs)
 	}
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -126,7 +126,7 @@
 	TrafficSurges         []TrafficSurge          `json:"hot"`
 	ChannelFaults         []ChannelFault          `json:"troubles"`
 	Restarts              []Restart               `json:"restarts"`
-	LinkAndProcessFaults  link.Record             `json:"faults"`
+	LinkAndProcessFaults  link.FaultSpec          `json:"faults"`
 	Fleet                 bool                    `json:"fleet"`
 	SlotHeadroom          Range                   `json:"slots_room"`
 	HeldMessages          Range                   `json:"held_s"`
@@ -238,31 +238,31 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-var deliverySemantics = map[string]emulator.Allowed{"any": emulator.AnyNumber, "floor": emulator.OnceByFloor, "once": emulator.OnceEver}
+var deliverySemantics = map[string]emulator.EffectLimit{"any": emulator.Unlimited, "floor": emulator.OncePerFloor, "once": emulator.OnceOverall}
 
 // Generate returns the run of a seed.
 func (s *Scenario) Generate(seed uint64) (emulator.Spec, error) {
 	rng := rand.New(rand.NewPCG(seed, 0x5ce))
 	load := s.Load.draw(rng)
 	spec := emulator.Spec{
-		Seed: seed, Couriers: s.Couriers, Rate: s.FullRate * load, Traffic: secondsToDuration(s.TrafficDuration), Settle: secondsToDuration(s.CompletionTimeout),
-		MemoryMB: s.MemoryMB, DiskMB: s.DiskMB, Faults: s.LinkAndProcessFaults, Fleet: s.Fleet, Clumps: s.BurstShare.draw(rng), ClumpLen: secondsToDuration(s.BurstLength.draw(rng)), Settings: string(s.Settings),
+		Seed: seed, Couriers: s.Couriers, Rate: s.FullRate * load, Traffic: secondsToDuration(s.TrafficDuration), CompletionTimeout: secondsToDuration(s.CompletionTimeout),
+		MemoryMB: s.MemoryMB, DiskMB: s.DiskMB, Faults: s.LinkAndProcessFaults, Fleet: s.Fleet, BurstShare: s.BurstShare.draw(rng), BurstLength: secondsToDuration(s.BurstLength.draw(rng)), Settings: string(s.Settings),
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Tenants)) {
-		spec.Hotels, spec.HotelShares = append(spec.Hotels, name), append(spec.HotelShares, s.Tenants[name])
+		spec.Tenants, spec.TenantShares = append(spec.Tenants, name), append(spec.TenantShares, s.Tenants[name])
 	}
 	classNames := slices.Sorted(maps.Keys(s.Classes))
 	for _, name := range classNames {
 		class := s.Classes[name]
 		spec.Classes = append(spec.Classes, emulator.ClassSpec{
-			Name: name, Allowed: deliverySemantics[class.DeliverySemantics], Window: secondsToDuration(class.DeduplicationWindow), Aim: secondsToDuration(class.LatencyTarget),
-			Deadline: secondsToDuration(class.Deadline), Worth: class.Value, Late: class.MinLateShare, Share: class.Share, Kind: class.ChannelKind,
+			Name: name, EffectLimit: deliverySemantics[class.DeliverySemantics], Window: secondsToDuration(class.DeduplicationWindow), TargetLatency: secondsToDuration(class.LatencyTarget),
+			Deadline: secondsToDuration(class.Deadline), Value: class.Value, LateValueShare: class.MinLateShare, Share: class.Share, Kind: class.ChannelKind,
 		})
 	}
 	busySlots := s.addChannels(&spec, classNames, rng)
 	slots := busySlots / float64(s.Couriers) * s.SlotHeadroom.draw(rng)
-	spec.Slots = max(int(math.Ceil(slots)), 3)
-	spec.MostHeld = max(int(s.HeldMessages.draw(rng)*s.FullRate/float64(s.Couriers)), 16)
+	spec.CallSlots = max(int(math.Ceil(slots)), 3)
+	spec.MaxMessages = max(int(s.HeldMessages.draw(rng)*s.FullRate/float64(s.Couriers)), 16)
 	for _, fault := range s.ChannelFaults {
 		var candidates []int
 		for i, channel := range spec.Channels {
@@ -277,11 +277,11 @@
 		}
 		start, duration := secondsToDuration(fault.Start.draw(rng)), secondsToDuration(fault.Duration.draw(rng))
 		for _, i := range candidates[:fault.Channels] {
-			channelFault := emulator.Trouble{Dest: spec.Channels[i].Dest, Mode: fault.Mode, At: start, For: duration}
+			channelFault := emulator.ChannelFault{Dest: spec.Channels[i].Dest, Mode: fault.Mode, At: start, For: duration}
 			if fault.Mode == "drain" {
-				channelFault.Mode, channelFault.Drain = emulator.Well, true
+				channelFault.Mode, channelFault.Drain = emulator.ModeHealthy, true
 			}
-			spec.Troubles = append(spec.Troubles, channelFault)
+			spec.ChannelFaults = append(spec.ChannelFaults, channelFault)
 		}
 	}
 	for _, restart := range s.Restarts {
@@ -300,9 +300,9 @@
 	durations := func(r Range) [2]time.Duration {
 		return [2]time.Duration{secondsToDuration(r[0]), secondsToDuration(r[1])}
 	}
-	spec.FloorDelay, spec.FrontNotices, spec.ListLate = secondsToDuration(s.FloorDelay.draw(rng)/1000), durations(s.FailureDetectionDelay), durations(s.DiscoveryDelay)
+	spec.FloorDelay, spec.FailureDetectionDelay, spec.ListDelay = secondsToDuration(s.FloorDelay.draw(rng)/1000), durations(s.FailureDetectionDelay), durations(s.DiscoveryDelay)
 	for _, outage := range s.DiscoveryOutages {
-		spec.ListOut = append(spec.ListOut, emulator.Span{At: secondsToDuration(outage.Start.draw(rng)), For: secondsToDuration(outage.Duration.draw(rng))})
+		spec.DiscoveryOutages = append(spec.DiscoveryOutages, emulator.Interval{At: secondsToDuration(outage.Start.draw(rng)), For: secondsToDuration(outage.Duration.draw(rng))})
 	}
 	for _, surge := range s.TrafficSurges {
 		var candidates []int
@@ -313,7 +313,7 @@
 		}
 		rng.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
 		for _, i := range candidates[:surge.Channels] {
-			spec.Hot = append(spec.Hot, emulator.Hot{Dest: spec.Channels[i].Dest, Times: surge.Factor.draw(rng), At: secondsToDuration(surge.Start.draw(rng)), For: secondsToDuration(surge.Duration.draw(rng))})
+			spec.Hot = append(spec.Hot, emulator.HotSpot{Dest: spec.Channels[i].Dest, Factor: surge.Factor.draw(rng), At: secondsToDuration(surge.Start.draw(rng)), For: secondsToDuration(surge.Duration.draw(rng))})
 		}
 	}
 	if len(spec.Channels) == 0 {
@@ -363,8 +363,8 @@
 	}
 	for i, channel := range channels {
 		channelSpec := emulator.ChannelSpec{
-			Dest: int64(i + 1), Kind: channel.kind, Queue: channel.QueueLength, Apart: channel.IndependentRoutes, Bulk: channel.BatchSize, Connections: channel.Connections, Reports: channel.ReportsLimit,
-			TellsWait: channel.RetryAfterShare, Wait: time.Duration(channel.RetryAfter.draw(rng)) * time.Millisecond, ColdFor: secondsToDuration(channel.WarmUp),
+			Dest: int64(i + 1), Kind: channel.kind, Queue: channel.QueueLength, RoutePerEndpoint: channel.IndependentRoutes, Bulk: channel.BatchSize, Connections: channel.Connections, Reports: channel.ReportsLimit,
+			RetryAfterShare: channel.RetryAfterShare, RetryAfter: time.Duration(channel.RetryAfter.draw(rng)) * time.Millisecond, RecoveryTime: secondsToDuration(channel.WarmUp),
 			StartShare: channel.InitialCapacity.draw(rng), Weight: weights[i], Service: map[string][2]time.Duration{},
 		}
 		for _, name := range classNames {
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -104,7 +104,7 @@
 		if load := spec.Rate / s.FullRate; load < 0.5 || load > 0.7 {
 			t.Fatalf("load %v", load)
 		}
-		if len(spec.Channels) != 13 || len(spec.Troubles) != 3 || len(spec.Restarts) != 3 || spec.Slots < 3 || spec.MostHeld < 16 {
+		if len(spec.Channels) != 13 || len(spec.ChannelFaults) != 3 || len(spec.Restarts) != 3 || spec.CallSlots < 3 || spec.MaxMessages < 16 {
 			t.Fatalf("%+v", spec)
 		}
 		maxWeight, kindByDest := 0.0, map[int64]string{}
@@ -115,12 +115,12 @@
 				t.Fatalf("%+v", channel)
 			}
 		}
-		for _, fault := range spec.Troubles[:2] {
+		for _, fault := range spec.ChannelFaults[:2] {
 			if kindByDest[fault.Dest] != "agent" || fault.At < 5*time.Second || fault.At > 9*time.Second || fault.For < 3*time.Second || fault.For > 4*time.Second {
 				t.Fatalf("%+v", fault)
 			}
 		}
-		if spec.Channels[spec.Troubles[2].Dest-1].Weight != maxWeight {
+		if spec.Channels[spec.ChannelFaults[2].Dest-1].Weight != maxWeight {
 			t.Fatal("the fault does not affect the busiest channel")
 		}
 		for i := 1; i < 3; i++ {
--- a/internal/lab/simulation/call.go
+++ b/internal/lab/simulation/call.go
@@ -11,7 +11,7 @@
 
 // networkDelay returns the delay from the courier to the endpoint, in one direction.
 func (c *courier) networkDelay(e *endpoint) time.Duration {
-	if c.world.Home(c.index) == e.Floor {
+	if c.world.HomeFloor(c.index) == e.Floor {
 		return c.world.delays.NetworkDelay
 	}
 	return c.world.delays.NetworkDelay + c.world.FloorDelay
@@ -59,8 +59,8 @@
 		}
 	})
 	for _, send := range call.sends { // in a batch, a send times out at its message's deadline while the call continues
-		if record := c.journal[string(send.ID)]; record != nil && len(call.sends) > 1 && record.msg.Until.Before(w.now.Add(timeout)) {
-			w.schedule(record.msg.Until, func() {
+		if record := c.journal[string(send.ID)]; record != nil && len(call.sends) > 1 && record.msg.Deadline.Before(w.now.Add(timeout)) {
+			w.schedule(record.msg.Deadline, func() {
 				if c.incarnation == incarnation && call.pending[send.ID] {
 					c.recordOutcome(call, send, raventrestle.Outcome{Status: raventrestle.TimedOut})
 				}
@@ -80,7 +80,7 @@
 func (c *courier) receiveCall(call *call, incarnation int) {
 	w, target := c.world, call.endpoint
 	transit := c.networkDelay(target)
-	if target.Mode() == model.Torn {
+	if target.Mode() == model.ModeResetDuringCall {
 		c.finishCall(call, 0)
 		w.scheduleAfter(transit, func() {
 			if c.incarnation == incarnation {
@@ -90,19 +90,19 @@
 		return
 	}
 	codes := make([]int, len(call.sends))
-	parts := make([]model.Part, len(call.sends))
+	parts := make([]model.Message, len(call.sends))
 	for i, send := range call.sends {
 		id := string(send.ID)
-		number, code, resend := w.ledger.Begin(id, target.dest, target.Name, target.Floor, c.index, w.now)
+		number, code, resend := w.ledger.BeginCall(id, target.dest, target.Name, target.Floor, c.index, w.now)
 		codes[i], call.ledgerNumbers[send.ID] = code, number
-		parts[i] = model.Part{Void: code != 0, Resend: resend, Key: id}
-		if m, _ := w.ledger.Of(id); m != nil {
-			parts[i].Class, parts[i].Allowed, parts[i].Key = m.Class, m.Allowed, m.Key
+		parts[i] = model.Message{Rejected: code != 0, Resend: resend, Key: id}
+		if m, _ := w.ledger.MessageOf(id); m != nil {
+			parts[i].Class, parts[i].EffectLimit, parts[i].Key = m.Class, m.EffectLimit, m.Key
 		}
 	}
 	result, violations := target.Call(c.index, parts, w.now, w.now)
-	w.ledger.Broken(violations, string(call.sends[0].ID))
-	report := raventrestle.LimitReport{Remaining: result.Report.Left, Limit: result.Report.Limit}
+	w.ledger.AddViolations(violations, string(call.sends[0].ID))
+	report := raventrestle.LimitReport{Remaining: result.Report.UnusedShare, Limit: result.Report.Limit}
 	returnToCourier := func(action func()) {
 		w.scheduleAfter(transit, func() {
 			if c.incarnation == incarnation {
@@ -110,34 +110,34 @@
 			}
 		})
 	}
-	if result.Code != 0 {
-		c.finishCall(call, result.Code)
+	if result.RejectCode != 0 {
+		c.finishCall(call, result.RejectCode)
 		returnToCourier(func() {
-			c.respond(call, raventrestle.Outcome{Status: raventrestle.Rejected, RetryAfter: result.After, Report: report})
+			c.respond(call, raventrestle.Outcome{Status: raventrestle.Rejected, RetryAfter: result.RetryAfter, Report: report})
 		})
 		return
 	}
-	w.schedule(result.At, func() {
-		if result.Runs {
+	w.schedule(result.EndsAt, func() {
+		if result.TakesEffect {
 			for i, send := range call.sends {
 				if codes[i] == 0 {
-					w.ledger.Effect(string(send.ID), target.Name, target.Floor, result.Repeat[i], w.now)
+					w.ledger.RecordEffect(string(send.ID), target.Name, target.Floor, result.Duplicate[i], w.now)
 				}
 			}
 		}
-		if call.finished || result.Answer == model.Silence {
+		if call.finished || result.Outcome == model.OutcomeNoResponse {
 			return
 		}
-		switch result.Answer {
-		case model.Reset, model.Spoilt:
+		switch result.Outcome {
+		case model.OutcomeReset, model.OutcomeMalformed:
 			c.finishCall(call, 0)
 			returnToCourier(func() { c.failCall(call, raventrestle.Reset) })
-		case model.Failed:
+		case model.OutcomeError:
 			c.finishCall(call, 500)
 			returnToCourier(func() { c.respond(call, raventrestle.Outcome{Status: raventrestle.Error, Report: report}) })
 		default:
 			for i, send := range call.sends {
-				w.ledger.End(string(send.ID), call.ledgerNumbers[send.ID], cmp.Or(codes[i], 200), w.now)
+				w.ledger.EndCall(string(send.ID), call.ledgerNumbers[send.ID], cmp.Or(codes[i], 200), w.now)
 			}
 			call.finished = true
 			returnToCourier(func() {
@@ -165,7 +165,7 @@
 	call.finished = true
 	for _, send := range call.sends {
 		if number, arrived := call.ledgerNumbers[send.ID]; arrived {
-			c.world.ledger.End(string(send.ID), number, code, c.world.now)
+			c.world.ledger.EndCall(string(send.ID), number, code, c.world.now)
 		}
 	}
 }
--- a/internal/lab/simulation/courier.go
+++ b/internal/lab/simulation/courier.go
@@ -92,10 +92,10 @@
 		c.module, c.up, c.draining, c.mailbox, c.wakeAt, c.lastStep, c.nextStep = module, true, false, nil, time.Time{}, time.Time{}, time.Time{}
 		for _, channel := range w.channelOrder {
 			for _, e := range channel.Endpoints {
-				e.Restarted(c.index)
+				e.ClearWaits(c.index)
 			}
 		}
-		w.ledger.Ready(c.index, w.now)
+		w.ledger.CourierReady(c.index, w.now)
 		w.front.Up(c.index)
 		c.post(c.listUpdate(raventrestle.ListCached))
 		for _, id := range slices.Clone(c.journalOrder) {
@@ -127,7 +127,7 @@
 	}
 	c.up, c.module = false, nil
 	c.incarnation++
-	c.world.ledger.Ended(c.index, c.world.now)
+	c.world.ledger.CourierEnded(c.index, c.world.now)
 	c.world.front.Down(c.index, c.world.now)
 	c.abortCalls()
 }
@@ -155,7 +155,7 @@
 		return
 	}
 	c.draining = true
-	w.ledger.Ended(c.index, w.now)
+	w.ledger.CourierEnded(c.index, w.now)
 	w.front.Down(c.index, w.now)
 	deadline := w.now.Add(w.delays.ShutdownTimeout)
 	c.post(raventrestle.Shutdown{At: time.Duration(deadline.UnixNano())})
@@ -189,7 +189,7 @@
 			}
 			update.Entries = append(update.Entries, c.listEntry(channel, endpoint, state))
 			if state != raventrestle.Ready {
-				endpoint.Drain(c.index, c.world.now)
+				endpoint.NoteDraining(c.index, c.world.now)
 			}
 		}
 	}
@@ -211,9 +211,9 @@
 				continue
 			}
 			if state == raventrestle.Ready {
-				candidate.Serving(c.index)
+				candidate.NoteServing(c.index)
 			} else {
-				candidate.Drain(c.index, c.world.now)
+				candidate.NoteDraining(c.index, c.world.now)
 			}
 			c.post(raventrestle.ListUpdate{Kind: raventrestle.ListChanges, Entries: []raventrestle.Entry{c.listEntry(channel, candidate, state)}})
 		}
@@ -249,8 +249,8 @@
 
 func (c *courier) arrival(record *journalRecord, resubmitted bool) raventrestle.Arrival {
 	return raventrestle.Arrival{
-		ID: raventrestle.MessageID(record.id), Class: record.classIndex, Tenant: config.Index(c.names.Tenants, record.msg.Hotel),
-		Dest: raventrestle.DestID(record.msg.Dest), Budget: record.msg.Until.Sub(c.world.now), Resubmitted: resubmitted,
+		ID: raventrestle.MessageID(record.id), Class: record.classIndex, Tenant: config.Index(c.names.Tenants, record.msg.Tenant),
+		Dest: raventrestle.DestID(record.msg.Dest), Budget: record.msg.Deadline.Sub(c.world.now), Resubmitted: resubmitted,
 	}
 }
 
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -51,7 +51,7 @@
 
 // Result is the result of a run.
 type Result struct {
-	Ledger          *emulator.Ledger
+	Ledger          *emulator.Recorder
 	Start           time.Time
 	End             time.Time
 	Submitted       int
@@ -67,12 +67,12 @@
 	now                time.Time
 	queue              events
 	sequence           int
-	ledger             *emulator.Ledger
+	ledger             *emulator.Recorder
 	channels           map[int64]*model.Channel
 	channelOrder       []*model.Channel
 	endpoints          map[raventrestle.TargetID]*endpoint
 	couriers           []*courier
-	front              *emulator.Front
+	front              *emulator.Balancer
 	classes            map[string]*emulator.ClassSpec // by submission id
 	lastID             int
 	listedStates       []listedState // endpoints that are not listed as ready
@@ -137,11 +137,11 @@
 		newModule = NewModule
 	}
 	w := &world{
-		Spec: spec, delays: delays, make: newModule, now: trafficStart.Add(-time.Second), ledger: emulator.NewLedger(trafficStart),
+		Spec: spec, delays: delays, make: newModule, now: trafficStart.Add(-time.Second), ledger: emulator.NewRecorder(trafficStart),
 		channels: map[int64]*model.Channel{}, endpoints: map[raventrestle.TargetID]*endpoint{}, classes: map[string]*emulator.ClassSpec{},
-		front: emulator.NewFront(spec.Couriers, spec.FrontNotices, spec.Seed), listRNG: rand.New(rand.NewPCG(spec.Seed, 0x115)),
+		front: emulator.NewBalancer(spec.Couriers, spec.FailureDetectionDelay, spec.Seed), listRNG: rand.New(rand.NewPCG(spec.Seed, 0x115)),
 	}
-	w.ledger.Later = func(d time.Duration, f func()) { w.scheduleAfter(d, f) }
+	w.ledger.AfterFunc = func(d time.Duration, f func()) { w.scheduleAfter(d, f) }
 	w.result = &Result{Ledger: w.ledger, Start: trafficStart}
 	for _, channelSpec := range spec.Channels {
 		channel := model.New(channelSpec, spec.Seed)
@@ -199,14 +199,14 @@
 	for _, arrival := range plan {
 		w.schedule(trafficStart.Add(arrival.At), func() { w.submit(arrival.Message(trafficStart), arrival.Class, arrival.Courier, 0) })
 	}
-	for _, fault := range w.Troubles {
+	for _, fault := range w.ChannelFaults {
 		channel := w.channels[fault.Dest]
 		if channel == nil {
 			continue
 		}
 		setMode := func(mode model.Mode) {
 			for _, e := range channel.Endpoints {
-				e.Set(mode, w.now)
+				e.SetMode(mode, w.now)
 			}
 		}
 		start, end := trafficStart.Add(fault.At), trafficStart.Add(fault.At+fault.For)
@@ -218,14 +218,14 @@
 		w.schedule(start, func() {
 			setMode(fault.Mode)
 			for _, e := range channel.Endpoints {
-				if e.Floor == fault.Gone {
+				if e.Floor == fault.DeletedFloor {
 					w.setListedState(e.Name, raventrestle.Removed)
 				}
 			}
 		})
-		w.schedule(end, func() { setMode(model.Well) })
+		w.schedule(end, func() { setMode(model.ModeHealthy) })
 	}
-	for _, outage := range w.ListOut {
+	for _, outage := range w.DiscoveryOutages {
 		w.schedule(trafficStart.Add(outage.At), func() {
 			w.discoveryOutageEnd = w.now.Add(outage.For)
 			for _, c := range w.couriers { // the watch of each courier ends
@@ -253,7 +253,7 @@
 		w.listedStates = append(w.listedStates, listedState{endpoint, state})
 	}
 	for _, c := range w.couriers {
-		delay := w.ListLate[0] + time.Duration(w.listRNG.Float64()*float64(w.ListLate[1]-w.ListLate[0]))
+		delay := w.ListDelay[0] + time.Duration(w.listRNG.Float64()*float64(w.ListDelay[1]-w.ListDelay[0]))
 		at := latest(w.now, w.discoveryOutageEnd).Add(delay + w.delays.NetworkDelay)
 		incarnation := c.incarnation
 		w.schedule(at, func() {
@@ -276,7 +276,7 @@
 // submit submits a message to a courier. After a rejection it submits the message again to the next courier, until its
 // deadline or the last retry.
 func (w *world) submit(m *emulator.Message, class *emulator.ClassSpec, courier, retry int) {
-	if w.now.After(m.Until) {
+	if w.now.After(m.Deadline) {
 		return
 	}
 	receiver := w.front.Pick((courier+retry)%w.Couriers, w.now)
@@ -285,11 +285,11 @@
 	w.classes[id] = class
 	w.ledger.Submit(m, id, receiver, w.now)
 	respond := func(code int) {
-		w.ledger.Answered(id, code, w.now)
+		w.ledger.ClientAnswered(id, code, w.now)
 		if code == 202 {
 			return
 		}
-		if backoff, retried := emulator.Comeback(retry); retried {
+		if backoff, retried := emulator.RetryDelay(retry); retried {
 			w.scheduleAfter(backoff, func() { w.submit(m, class, courier, retry+1) })
 		}
 	}
@@ -299,11 +299,11 @@
 
 // receiveNotice handles a courier's notice that a message has ended. A deferred message is submitted again later.
 func (w *world) receiveNotice(id, status string, retryAfter time.Duration, courier int) {
-	if !w.ledger.Notice(id, status, courier, w.now) || status != "deferred" {
+	if !w.ledger.RecordNotice(id, status, courier, w.now) || status != "deferred" {
 		return
 	}
-	m, previousCourier := w.ledger.Of(id)
-	resubmitAt, resubmitted := emulator.Recall(retryAfter, previousCourier, w.now, m.Until)
+	m, previousCourier := w.ledger.MessageOf(id)
+	resubmitAt, resubmitted := emulator.ResubmitAt(retryAfter, previousCourier, w.now, m.Deadline)
 	if resubmitted {
 		w.schedule(resubmitAt, func() { w.submit(m, w.classes[id], previousCourier, 0) })
 	}
@@ -311,7 +311,7 @@
 
 // settings returns the platform's settings for a courier, parsed as the courier parses them.
 func (w *world) settings(n int) (raventrestle.Settings, *config.Names, error) {
-	text, err := json.Marshal(w.Platform(n))
+	text, err := json.Marshal(w.PlatformSettings(n))
 	if err != nil {
 		return raventrestle.Settings{}, nil, err
 	}
