--- a/coordination/replica/calls.go
+++ b/coordination/replica/calls.go
@@ -7,21 +7,22 @@
 	"time"
 )
 
-// cancelTimeout is how long a cancelled call waits for the loop to say whether the command had been forwarded. The loop
-// may be blocked by its disk for longer; then the outcome is unknown.
+// cancelTimeout is how long a cancelled call waits for the loop to report whether the command was forwarded. If the loop
+// is blocked by its disk for longer, the call returns ErrOutcomeUnknown.
 const cancelTimeout = 20 * time.Millisecond
 
-// The states of a call. The caller and the loop race for the first change; the loser accepts the winner's.
+// The states of a call. The caller and the loop may both try to leave callQueued; a compare-and-swap lets only the first
+// one succeed.
 const (
 	callQueued    int32 = iota
-	callStarted         // the loop has passed it to the engine
-	callCancelled       // the caller has given it up before that
+	callStarted         // the loop passes it to the engine
+	callCancelled       // the caller cancelled it before the loop started it
 )
 
-// pendingCall is a call that waits for its outcome. The loop completes it at most once.
+// pendingCall is a call whose caller waits for the outcome. The loop completes it at most once.
 type pendingCall struct {
 	state   atomic.Int32
-	outcome chan outcome // of capacity 1, so that the loop never waits for the caller
+	outcome chan outcome // has capacity 1, so that the loop never waits for the caller
 }
 
 // outcome is what a call returns: the result of a command, or the index of a barrier.
@@ -33,11 +34,12 @@
 
 func newPendingCall() *pendingCall { return &pendingCall{outcome: make(chan outcome, 1)} }
 
-// start reports whether the loop may start the call. It reports false when the call was cancelled.
-func (c *pendingCall) start() bool { return c.state.CompareAndSwap(callQueued, callStarted) }
+// setStarted changes the state to callStarted. It reports false when the call was cancelled before.
+func (c *pendingCall) setStarted() bool { return c.state.CompareAndSwap(callQueued, callStarted) }
 
-// cancel reports whether the call will never be started. It reports false when it was started already.
-func (c *pendingCall) cancel() bool { return c.state.CompareAndSwap(callQueued, callCancelled) }
+// setCancelled changes the state to callCancelled, so that the loop never starts the call. It reports false when the call
+// was already started.
+func (c *pendingCall) setCancelled() bool { return c.state.CompareAndSwap(callQueued, callCancelled) }
 
 func (c *pendingCall) complete(o outcome) {
 	select {
@@ -67,7 +69,7 @@
 	return o.index, nil
 }
 
-// call passes a command, or a barrier where the command is nil, to the loop and waits for its outcome.
+// call passes a command, or a barrier if the command is nil, to the loop and waits for the outcome.
 func (r *Replica) call(ctx context.Context, command []byte) outcome {
 	call, id := newPendingCall(), r.nextCallID.Add(1)
 	r.inbox.put(inboxItem{callID: id, command: command, call: call})
@@ -75,15 +77,15 @@
 	case o := <-call.outcome:
 		return o
 	case <-r.done:
-		return r.outcomeAfterEnd(call)
+		return r.outcomeAfterStop(call)
 	case <-ctx.Done():
 		return r.cancelCall(ctx, call, id)
 	}
 }
 
-// cancelCall gives up a call whose context has ended, and returns what is known of its outcome.
+// cancelCall cancels a call whose context has ended, and returns what is known of its outcome.
 func (r *Replica) cancelCall(ctx context.Context, call *pendingCall, id uint64) outcome {
-	if call.cancel() {
+	if call.setCancelled() {
 		return outcome{err: fmt.Errorf("%w: %w", ErrUnavailable, ctx.Err())}
 	}
 	r.inbox.put(inboxItem{callID: id})
@@ -96,15 +98,15 @@
 		}
 		return o
 	case <-r.done:
-		return r.outcomeAfterEnd(call)
+		return r.outcomeAfterStop(call)
 	case <-timer.C:
 		return outcome{err: fmt.Errorf("%w: %w", ErrOutcomeUnknown, ctx.Err())}
 	}
 }
 
-// outcomeAfterEnd returns the outcome of a call whose replica has ended.
-func (r *Replica) outcomeAfterEnd(call *pendingCall) outcome {
-	if call.cancel() {
+// outcomeAfterStop returns the outcome of a call after the loop has ended.
+func (r *Replica) outcomeAfterStop(call *pendingCall) outcome {
+	if call.setCancelled() {
 		return outcome{err: fmt.Errorf("%w: %w", ErrUnavailable, ErrStopped)}
 	}
 	select {
--- a/coordination/replica/config.go
+++ b/coordination/replica/config.go
@@ -11,38 +11,39 @@
 	"raventrestle/coordination/wal"
 )
 
-// Config sets up a replica.
+// Config configures a replica.
 type Config struct {
-	// Self is the member. Its Identity is ignored, because the disk has it.
+	// Self describes this member. Its Identity is ignored, because the identity is read from the disk.
 	Self Member
-	// Seeds are transport addresses by which the group is founded or found.
+	// Seeds are transport addresses: with Bootstrap, those of the founding members; without it, those of members that a
+	// new or restarted member contacts to find the group.
 	Seeds []string
-	// Bootstrap is true only at the first start of the group: then the seeds are the first view.
+	// Bootstrap is true only at the first start of the group; the seeds then form the first view.
 	Bootstrap bool
-	// FaultTolerance is how many disks may be lost at once.
+	// FaultTolerance is how many disks may be lost at once without losing an acknowledged command.
 	FaultTolerance int
-	// Directory is where the log is kept; it is created if it is missing. FS replaces it when it is set.
+	// Directory is the path of the log's directory, which is created if it is missing. It is ignored when FS is set.
 	Directory string
-	// FS is the directory of the log, for tests that simulate disks.
+	// FS is used in place of Directory by tests that simulate disks.
 	FS wal.FS
-	// Transport carries the messages.
+	// Transport sends messages to other replicas.
 	Transport Transport
-	// StateMachine is the replicated state, empty at the start.
+	// StateMachine is the replicated state machine, which must be in its initial, empty state.
 	StateMachine StateMachine
 	// Clock returns the time; only its monotonic reading is used. Nil means time.Now.
 	Clock func() time.Time
-	// RandomSeed seeds all random choices and must differ at each start; 0 means a seed from the system.
+	// RandomSeed seeds all random choices and must differ at each start; 0 means a seed from crypto/rand.
 	RandomSeed uint64
 	// Timing sets the protocol's timeouts and intervals; the zero value means chain.DefaultTiming.
 	Timing chain.Timing
-	// CompactBytes is how many bytes of log are written before a snapshot replaces them; 0 means 4 MiB.
+	// CompactBytes is how many bytes are written to the log before it is compacted into a snapshot; 0 means 4 MiB.
 	CompactBytes int64
-	// RecordEvent takes log events for people: a fixed name, then keys and values. It is called by the loop and must not
-	// block. Nil means none.
+	// RecordEvent logs an event: a fixed name, followed by alternating keys and values. It is called by the loop and must
+	// not block. Nil means that events are not logged.
 	RecordEvent func(event string, pairs ...any)
 }
 
-// withDefaults checks the configuration, fills in what is zero, and opens the directory.
+// withDefaults validates the configuration, sets defaults for zero fields, and opens the directory.
 func (c Config) withDefaults() (Config, error) {
 	switch {
 	case c.Transport == nil:
--- a/coordination/replica/doc.go
+++ b/coordination/replica/doc.go
@@ -1,15 +1,15 @@
-// Package replica keeps one replicated state machine on a few machines, so that what was acknowledged survives machines
-// that are killed, frozen, partitioned, wiped and replaced. It is chain replication under agreed views (van Renesse and
-// Schneider, OSDI 2004): commands enter at the head, every member of the chain syncs them to its disk before it passes
-// them on, and the tail commits. Which members form the chain is decided by a majority of the voters of the view before,
-// with single-decree Paxos for each epoch.
+// Package replica replicates a state machine to a small group of machines. Acknowledged commands survive machines being
+// killed, frozen, partitioned, wiped and replaced. The protocol is chain replication (van Renesse and Schneider, OSDI
+// 2004) with agreed views: the head accepts commands, every member of the chain syncs them to its disk before it forwards
+// them to the next one, and the tail commits. A majority of the voters of the previous view decides which members form
+// the next chain, with one instance of single-decree Paxos per epoch.
 //
 // # Use
 //
-// Give Open a directory for the log, a Transport that carries bytes to other replicas by address, and a StateMachine.
-// Hand each message that comes in to Deliver. The members of the first view are the Seeds, all of them started with
-// Bootstrap on an empty disk; every other member is started with the same or other seeds that are members, joins as a
-// learner, and is admitted by the head.
+// Pass Open a directory for the log, a Transport that sends bytes to other replicas by address, and a StateMachine. Pass
+// each received message to Deliver. The Seeds form the first view; all of them are started with Bootstrap on an empty
+// disk. Every other member is started without Bootstrap, with the addresses of current members as seeds. It joins as a
+// learner until the head admits it to the chain.
 //
 //	r, err := replica.Open(replica.Config{
 //		Self:         replica.Member{Address: "10.0.0.1:7500", Zone: "a"},
@@ -24,25 +24,28 @@
 //
 // # Guarantees
 //
-//   - A command whose Propose returned nil was synced by at least FaultTolerance+1 members. It is never lost while no more
-//     than FaultTolerance disks are, even when all other members lose power in the same moment.
-//   - Commands are applied in one order on every member. One that is forwarded twice because an answer was lost is
-//     applied once, as far as the last 1,024 commands reach; a StateMachine that needs more recognises its commands by
-//     their content.
-//   - When Propose returns ErrOutcomeUnknown, the command may or may not be applied, now or later. ErrUnavailable says
-//     that it was never forwarded.
-//   - Barrier returns after everything that was acknowledged anywhere before its call is applied on this member.
-//   - Status.IsLeader is true on at most one member at any moment, as far as monotonic clocks run equally fast.
-//   - A member whose disk fails leaves the chain when others can go on, and continues to serve reads.
+//   - A command whose Propose returned a nil error was synced by at least FaultTolerance+1 members. It is never lost as
+//     long as at most FaultTolerance disks are lost, even if all other members lose power at the same moment.
+//   - All members apply the commands in the same order. A command that is forwarded twice because a reply was lost is
+//     applied once. Only the last 1,024 commands are remembered for this; a StateMachine that needs a longer window must
+//     detect duplicates by the content of its commands.
+//   - When Propose returns ErrOutcomeUnknown, the command may or may not be applied, now or later. ErrUnavailable means
+//     that it was never forwarded and will never be applied.
+//   - Barrier returns once this member has applied everything that was acknowledged by any member before the call.
+//   - Status.IsLeader is true on at most one member at any moment, provided that the members' monotonic clocks run at the
+//     same rate.
+//   - A member whose disk fails leaves the chain if the other members can continue without it, and still serves reads.
 //
 // # Goroutines
 //
-// Open starts one goroutine, the loop. It owns the engine and everything that is not atomic or behind the inbox's lock,
-// and works through the inbox; from the return of Open on only the loop calls the StateMachine, Transport.Send and
-// RecordEvent. Stop and Kill end it and wait for its end. All methods may be called from any goroutine.
+// Open starts one goroutine, the loop, which processes the inbox. The loop owns the engine and all state that is neither
+// atomic nor protected by the inbox's lock. After Open has returned, only the loop calls the StateMachine, Transport.Send
+// and RecordEvent. Stop and Kill end the loop and wait until it has ended. All methods of Replica may be called from any
+// goroutine.
 //
 // # Packages
 //
-// The parts are packages of their own: view (decisions about membership), chain (the pure state machine), wal (the log
-// on disk), engine (these joined, without goroutines), and simnet (a simulated world that checks them).
+// The implementation is divided into these packages: view (membership and its agreement protocol), chain (the replication
+// protocol as a pure state machine), wal (the log on disk), engine (combines these three, without goroutines), and simnet
+// (a simulation that tests them under faults).
 package replica
--- a/coordination/replica/example_test.go
+++ b/coordination/replica/example_test.go
@@ -13,7 +13,7 @@
 	"raventrestle/coordination/replica"
 )
 
-// commandList is a replicated list of commands.
+// commandList is a state machine that keeps a list of the applied commands.
 type commandList struct {
 	lock sync.Mutex
 	list []string
@@ -43,13 +43,13 @@
 
 // network carries messages within the process.
 type network struct {
-	lock     sync.Mutex // of members
+	lock     sync.Mutex // protects members
 	members  map[string]*replica.Replica
 	messages atomic.Int64
 	bytes    atomic.Int64
 }
 
-// transport is one member's access to the network.
+// transport is one member's connection to the network.
 type transport struct {
 	network *network
 	address string
@@ -66,7 +66,7 @@
 	}
 }
 
-// Three members in one process: a command enters at any of them, and after a barrier every other one has it.
+// Three members run in one process. Commands are proposed at two of them, and after a barrier the third has applied both.
 func Example() {
 	directory, err := os.MkdirTemp("", "replica")
 	if err != nil {
--- a/coordination/replica/frame.go
+++ b/coordination/replica/frame.go
@@ -5,10 +5,14 @@
 	"errors"
 )
 
-// The types of frames, which are the first byte of what the transport carries. A message travels in one frame after
-// frameComplete, or in fragments: frameFragment, the message's number (8 bytes), the fragment's index and the count of
-// fragments (2 bytes each), and the bytes. Each fragment is acknowledged by frameAck, number and index. Integers are
-// big-endian. Processes of neighbouring releases exchange these frames, so they must not change.
+// The frame types. The transport carries frames, and the first byte of a frame is its type:
+//
+//   - frameComplete is followed by one complete message.
+//   - frameFragment is followed by the message's number (8 bytes), the index of the fragment and the count of fragments
+//     (2 bytes each), and the fragment's part of the message.
+//   - frameAck acknowledges one fragment and is followed by the message's number and the fragment's index.
+//
+// Integers are big-endian. Processes of adjacent releases exchange these frames, so the format must not change.
 const (
 	frameComplete = 0
 	frameFragment = 1
@@ -16,15 +20,15 @@
 )
 
 const (
-	maxFragmentBytes     = 64 << 10 // of the message in one fragment; a message up to that size is sent complete
+	maxFragmentBytes     = 64 << 10 // of the message per fragment; a message up to this size is sent in one complete frame
 	fragmentHeaderLength = 1 + 8 + 2 + 2
 	ackLength            = 1 + 8 + 2
 )
 
 var errMalformedFrame = errors.New("malformed frame")
 
-// fragment divides a message, given as a complete frame, into the frames that the transport carries. One that is small
-// enough stays complete.
+// fragment splits a message, given as a complete frame, into fragments. A message of at most maxFragmentBytes is returned
+// unchanged as a single complete frame.
 func fragment(number uint64, frame []byte) [][]byte {
 	message := frame[1:]
 	if len(message) <= maxFragmentBytes {
@@ -44,12 +48,12 @@
 	return fragments
 }
 
-// encodeAck returns the acknowledgement of a fragment.
+// encodeAck returns the frame that acknowledges a fragment.
 func encodeAck(fragment []byte) []byte {
 	return append([]byte{frameAck}, fragment[1:ackLength]...)
 }
 
-// decodeAck returns the number of the message and the index of the fragment that an acknowledgement names.
+// decodeAck returns the message number and the fragment index from an acknowledgement.
 func decodeAck(frame []byte) (number uint64, index int, ok bool) {
 	if len(frame) != ackLength {
 		return 0, 0, false
--- a/coordination/replica/golden_frames_test.go
+++ b/coordination/replica/golden_frames_test.go
@@ -19,18 +19,18 @@
 	"raventrestle/coordination/view"
 )
 
-// The frames in testdata/golden/frames.txt.gz were sent by an earlier release: one a line, a name and the bytes in hex.
-// Processes of both releases run beside each other, so today's code sends and reads the same. The file is never
-// regenerated to make a test pass.
+// The frames in testdata/golden/frames.txt.gz were sent by an earlier release; each line has a name and the bytes in hex.
+// Processes of both releases run at the same time, so the current code must send and accept the same frames. Never
+// regenerate the file to make a test pass.
 
-// goldenSent is what the transport of a golden replica was given.
+// goldenSent is a transport that records the frames it is given.
 type goldenSent struct{ frames [][]byte }
 
 func (s *goldenSent) Send(address string, frame []byte) {
 	s.frames = append(s.frames, bytes.Clone(frame))
 }
 
-// goldenMessages are a small message and one that travels in three fragments.
+// goldenMessages returns a small message and one that is sent in three fragments.
 func goldenMessages() (small, large chain.Message) {
 	small = chain.Message{
 		From: "identity-1", To: "identity-2", Epoch: 3,
@@ -47,17 +47,17 @@
 	return small, large
 }
 
-// goldenReplica returns a replica that only sends and takes in messages.
+// goldenReplica returns a replica without an engine, which can only send and receive messages.
 func goldenReplica(sent *goldenSent) *Replica {
 	r := &Replica{
-		config:      Config{Transport: sent, Clock: time.Now, RecordEvent: func(string, ...any) {}},
-		lastMessage: 0x0102030405060706,
+		config:            Config{Transport: sent, Clock: time.Now, RecordEvent: func(string, ...any) {}},
+		lastMessageNumber: 0x0102030405060706,
 	}
 	r.outbox = newOutbox(sent.Send)
 	return r
 }
 
-// goldenFrames sends both messages, has the fragments acknowledged by a peer, and returns all frames in both directions.
+// goldenFrames sends both messages to a peer that acknowledges the fragments, and returns the frames of both directions.
 func goldenFrames(t *testing.T) (names []string, frames [][]byte) {
 	t.Helper()
 	var there, back goldenSent
@@ -107,7 +107,7 @@
 	}
 }
 
-// readGoldenFrames returns the frames of the earlier release in the order in which they were sent.
+// readGoldenFrames returns the frames of the earlier release in the order of sending.
 func readGoldenFrames(t *testing.T) (names []string, frames [][]byte) {
 	t.Helper()
 	file, err := os.Open(filepath.Join("testdata", "golden", "frames.txt.gz"))
@@ -147,13 +147,12 @@
 	}
 }
 
-// shortHex shows the beginning of a frame, where its header is.
+// shortHex formats the length and the first 40 bytes of a frame, which include its header.
 func shortHex(frame []byte) string {
 	return fmt.Sprintf("%d bytes %x...", len(frame), frame[:min(len(frame), 40)])
 }
 
-// A replica of today takes in the frames of the earlier release, answers each fragment with its bytes, and takes in the
-// answers.
+// The current code accepts the frames of the earlier release and sends the same acknowledgements.
 func TestGoldenFramesAreTakenIn(t *testing.T) {
 	var sent goldenSent
 	receiver := goldenReplica(&sent)
--- a/coordination/replica/golden_group_test.go
+++ b/coordination/replica/golden_group_test.go
@@ -13,9 +13,9 @@
 	"raventrestle/coordination/wal"
 )
 
-// testdata/golden/group has the data directories of the four members of a group, as an earlier release left them when
-// all of them were killed at once: segments, a snapshot, identities, and what the voters had promised and accepted. They
-// are never regenerated to make a test pass.
+// testdata/golden/group contains the data directories of a group of four members, as an earlier release left them when all
+// members were killed at once: segments, a snapshot, identities, and the promises and accepted proposals of the voters.
+// Never regenerate them to make a test pass.
 
 const goldenMembers = 4
 
@@ -32,7 +32,7 @@
 	return string(text)
 }
 
-// storedState describes the state in a data directory.
+// storedState returns a description of the state in a data directory.
 func storedState(t *testing.T, directory string) string {
 	t.Helper()
 	fs, err := wal.OpenDirectory(directory)
@@ -91,13 +91,13 @@
 	return fmt.Sprintf("%d %s", v.Epoch, strings.Join(members, " "))
 }
 
-// goldenNetwork is a group of members on real directories.
+// goldenNetwork is a group whose members use real directories.
 type goldenNetwork struct {
 	*group
 	directories string
 }
 
-// copyGolden copies the data directories of the earlier release.
+// copyGolden copies the data directories of the earlier release to a temporary directory.
 func copyGolden(t *testing.T) *goldenNetwork {
 	t.Helper()
 	g := &goldenNetwork{group: newGroup(t, 0), directories: t.TempDir()}
@@ -132,7 +132,7 @@
 	return member
 }
 
-// stop kills a member and leaves its directory.
+// stop kills a member and keeps its directory.
 func (g *goldenNetwork) stop(number int) {
 	g.net.lock.Lock()
 	member := g.net.members[address(number)]
@@ -143,7 +143,7 @@
 	}
 }
 
-// Each data directory of the earlier release has what that release found in it.
+// The state recovered from each data directory is the one that the earlier release recovered from it.
 func TestGoldenDirectoriesAreRecovered(t *testing.T) {
 	g := copyGolden(t)
 	for number := range goldenMembers {
@@ -154,8 +154,8 @@
 	}
 }
 
-// A group of today's code starts on the data directories of the earlier release with the same members, has every
-// acknowledged command, takes further ones, and has all of them after a restart.
+// A group that runs the current code starts on the data directories of the earlier release. Its members keep their
+// identities, have every acknowledged command, and accept further ones, which survive a restart.
 func TestGoldenDirectoriesAreCarriedOn(t *testing.T) {
 	g := copyGolden(t)
 	want := strings.TrimSpace(goldenText(t, "words.txt"))
@@ -168,7 +168,7 @@
 			}
 		}
 		for number := range goldenMembers {
-			g.expect(number, want)
+			g.expectState(number, want)
 		}
 		for number := range goldenMembers {
 			command := fmt.Sprintf("later-%d-%d", restart, number)
@@ -176,7 +176,7 @@
 			want += " " + command
 		}
 		for number := range goldenMembers {
-			g.expect(number, want)
+			g.expectState(number, want)
 		}
 		for number := range goldenMembers {
 			g.stop(number)
--- a/coordination/replica/inbox.go
+++ b/coordination/replica/inbox.go
@@ -2,25 +2,27 @@
 
 import "sync"
 
-// maxInboxBytes bounds the messages that wait for the loop; further ones are dropped, as a network drops them.
+// maxInboxBytes bounds the total size of the queued messages. Further messages are dropped, which the protocol treats like
+// a loss in the network.
 const maxInboxBytes = 64 << 20
 
-// inboxItem is one item for the loop: a message, a call, its cancellation (a call ID alone), or a request to leave.
+// inboxItem is one item for the loop: a frame from a peer (address and message), a call (callID, command and call), the
+// cancellation of a call (callID alone), or a request to leave the group.
 type inboxItem struct {
 	address string
 	message []byte
 	callID  uint64
-	command []byte // of the call; nil for a barrier
+	command []byte // nil for a barrier
 	call    *pendingCall
 	leave   bool
 }
 
-// inbox passes items to the loop without ever blocking the sender.
+// inbox is the loop's queue. Adding an item never waits for the loop.
 type inbox struct {
 	lock  *sync.Mutex
 	items []inboxItem
-	bytes int           // of the messages among the items
-	ready chan struct{} // of capacity 1; has an element while there may be items
+	bytes int           // total size of the queued messages
+	ready chan struct{} // has capacity 1; signals that items may be queued
 }
 
 func newInbox() inbox {
--- a/coordination/replica/loop.go
+++ b/coordination/replica/loop.go
@@ -31,11 +31,11 @@
 	}
 }
 
-// step passes the items to the engine and carries out its output.
+// step passes the items to the engine, then sends the messages and completes the calls of its output.
 func (r *Replica) step(items []inboxItem) {
 	inputs := make([]engine.Input, 0, len(items))
 	for _, item := range items {
-		if input, ok := r.input(item); ok {
+		if input, ok := r.convertItem(item); ok {
 			inputs = append(inputs, input)
 		}
 	}
@@ -54,13 +54,13 @@
 	r.recordDiskError(r.engine.Maintain(now))
 }
 
-// checkLeave lets Stop go on if the member may leave, and otherwise keeps why it may not.
+// checkLeave unblocks Stop if the member may leave, and otherwise stores the reason why it may not.
 func (r *Replica) checkLeave() {
 	blocker := r.engine.LeaveBlocker()
 	r.leaveBlocker.Store(blocker)
 	if blocker == "" {
 		r.leaving = false
-		close(r.mayLeave)
+		close(r.leaveAllowed)
 	}
 }
 
@@ -70,14 +70,14 @@
 	}
 }
 
-// input turns an item into one for the engine. It reports false when there is nothing to pass on: a part of a message,
-// or a call that was cancelled before it was started.
-func (r *Replica) input(item inboxItem) (engine.Input, bool) {
+// convertItem converts an item to an input of the engine. It reports false when the item results in no input: a frame that
+// completes no message, or a call that was cancelled before it was started.
+func (r *Replica) convertItem(item inboxItem) (engine.Input, bool) {
 	switch {
 	case item.message != nil:
 		return r.receive(item.address, item.message)
 	case item.call != nil:
-		if !item.call.start() {
+		if !item.call.setStarted() {
 			return engine.Input{}, false
 		}
 		r.pendingCalls[item.callID] = item.call
@@ -89,7 +89,7 @@
 	return engine.Input{CallID: item.callID, Cancel: true}, true
 }
 
-// receive takes in a frame. It reports true with the message that the frame completes.
+// receive processes a frame from a peer. It returns true and an input with the message if the frame completes one.
 func (r *Replica) receive(address string, frame []byte) (engine.Input, bool) {
 	if len(frame) > 0 && frame[0] == frameAck {
 		if number, index, ok := decodeAck(frame); ok {
@@ -102,7 +102,7 @@
 		r.config.Transport.Send(address, encodeAck(frame))
 	}
 	if err == nil && body == nil {
-		return engine.Input{}, false // further fragments are to come
+		return engine.Input{}, false // fragments are still missing, or the frame is a duplicate
 	}
 	var message chain.Message
 	if err == nil {
@@ -115,7 +115,7 @@
 	return engine.Input{Message: &message, Address: address}, true
 }
 
-// send encodes a message and passes it to the outbox.
+// send encodes the message and sends it through the outbox.
 func (r *Replica) send(envelope chain.Envelope) {
 	var frame bytes.Buffer
 	frame.WriteByte(frameComplete)
@@ -123,11 +123,11 @@
 		r.config.RecordEvent("message_not_encodable", "peer", envelope.Address, "error", err.Error())
 		return
 	}
-	r.lastMessage++
-	r.outbox.send(r.now(), envelope.Address, r.lastMessage, frame.Bytes())
+	r.lastMessageNumber++
+	r.outbox.send(r.now(), envelope.Address, r.lastMessageNumber, frame.Bytes())
 }
 
-// completeCalls ends the calls whose outcome is known, and those that were cancelled.
+// completeCalls completes the calls that have a result or were cancelled.
 func (r *Replica) completeCalls(output engine.Output) {
 	for _, result := range output.Results {
 		r.completeCall(result.CallID, outcome{value: result.Value, index: result.Index, err: result.Err})
@@ -148,7 +148,7 @@
 	}
 }
 
-// shutDown ends the calls that are open, and closes the log.
+// shutDown completes the pending calls with ErrOutcomeUnknown and closes the log.
 func (r *Replica) shutDown() {
 	for _, id := range slices.Sorted(maps.Keys(r.pendingCalls)) {
 		r.pendingCalls[id].complete(outcome{err: fmt.Errorf("%w: %w", ErrOutcomeUnknown, ErrStopped)})
--- a/coordination/replica/outbox.go
+++ b/coordination/replica/outbox.go
@@ -3,29 +3,29 @@
 import "time"
 
 const (
-	// maxInFlightFragments is how many fragments to one address are sent and not acknowledged at once, so that what is
-	// sent after them, pings above all, waits for no more than these.
+	// maxInFlightFragments is how many fragments to one address may be unacknowledged at once. It bounds how long later
+	// messages, above all pings, wait behind them on the connection.
 	maxInFlightFragments = 2
-	// maxQueuedMessages is how many fragmented messages for one address are queued; further ones are dropped.
+	// maxQueuedMessages is how many fragmented messages for one address may be queued; further ones are dropped.
 	maxQueuedMessages = 4
-	// fragmentAckTimeout is after which time without an acknowledgement a fragmented message is dropped, like one that
-	// the transport has lost; a peer that lacks its content asks for it again.
+	// fragmentAckTimeout is the time without an acknowledgement after which a fragmented message is dropped. To the peer
+	// it is a lost message: if it needs the content, it requests it again.
 	fragmentAckTimeout = time.Second
 )
 
-// outbox sends messages, and keeps those in fragments until they are acknowledged. It is owned by the loop and has no
-// effects but calls of transmit.
+// outbox sends messages, and queues fragmented ones until their fragments are acknowledged. It is owned by the loop, and
+// its only side effect is to call transmit.
 type outbox struct {
-	queues   map[string][]*outboundMessage // by address; the first one is being sent
+	queues   map[string][]*outboundMessage // by address; the first message of a queue is being sent
 	transmit func(address string, frame []byte)
 }
 
-// outboundMessage is a message in fragments.
+// outboundMessage is a fragmented message.
 type outboundMessage struct {
 	number         uint64
 	fragments      [][]byte
-	sent           int // how many fragments were sent
-	acknowledged   int // one more than the highest index that was acknowledged
+	sent           int // number of fragments sent
+	acknowledged   int // highest acknowledged index plus one
 	lastProgressAt time.Duration
 }
 
@@ -33,7 +33,7 @@
 	return &outbox{queues: map[string][]*outboundMessage{}, transmit: transmit}
 }
 
-// send sends a message, given as a complete frame, or queues its fragments.
+// send sends a message, given as a complete frame. If it must be fragmented, its fragments are queued.
 func (o *outbox) send(now time.Duration, address string, number uint64, frame []byte) {
 	o.dropExpired(now)
 	fragments := fragment(number, frame)
@@ -48,7 +48,7 @@
 	o.advance(now, address)
 }
 
-// advance sends as many fragments of the first queued message as may be in flight.
+// advance sends the next fragments of the first queued message, up to the limit of fragments in flight.
 func (o *outbox) advance(now time.Duration, address string) {
 	queue := o.queues[address]
 	if len(queue) == 0 {
@@ -65,7 +65,7 @@
 	}
 }
 
-// acknowledge takes in the acknowledgement of a fragment. One that is late or duplicated is ignored.
+// acknowledge processes the acknowledgement of a fragment. Late and duplicate acknowledgements are ignored.
 func (o *outbox) acknowledge(now time.Duration, address string, number uint64, index int) {
 	queue := o.queues[address]
 	if len(queue) == 0 || queue[0].number != number || index >= queue[0].sent {
@@ -79,7 +79,7 @@
 	o.advance(now, address)
 }
 
-// dropExpired drops messages whose fragments are not acknowledged in time.
+// dropExpired drops the messages being sent that had no acknowledgement within fragmentAckTimeout.
 func (o *outbox) dropExpired(now time.Duration) {
 	for address, queue := range o.queues {
 		if now-queue[0].lastProgressAt > fragmentAckTimeout {
--- a/coordination/replica/outbox_test.go
+++ b/coordination/replica/outbox_test.go
@@ -11,8 +11,8 @@
 
 func (s *transmitted) transmit(_ string, frame []byte) { s.frames = append(s.frames, frame) }
 
-// deliver has the frames arrive in order, each acknowledged to the outbox, and returns the messages and how many frames
-// were in flight at most.
+// deliver delivers the frames in order and acknowledges each fragment to the outbox. It returns the reassembled messages
+// and the maximum number of frames in flight.
 func (s *transmitted) deliver(t *testing.T, o *outbox, now time.Duration) (messages [][]byte, maxInFlight int) {
 	t.Helper()
 	var r reassembler
@@ -40,7 +40,7 @@
 	return messages, maxInFlight
 }
 
-// completeFrame returns a complete frame of a message of that size.
+// completeFrame returns a complete frame with a message of this many bytes.
 func completeFrame(size int, fill byte) []byte {
 	return append([]byte{frameComplete}, bytes.Repeat([]byte{fill}, size)...)
 }
--- a/coordination/replica/reassembly.go
+++ b/coordination/replica/reassembly.go
@@ -2,23 +2,23 @@
 
 import "encoding/binary"
 
-// maxReassemblies is how many messages of one sender are put together at once. When there are more, the oldest is
-// dropped: a sender that was restarted never completes it.
-const maxReassemblies = 4
+// maxReassembliesPerSender is how many incomplete messages of one sender are kept. When there are more, the oldest is
+// dropped, because a sender that was restarted never completes it.
+const maxReassembliesPerSender = 4
 
-// reassembler puts fragmented messages together. A message of which a fragment is lost is lost.
+// reassembler reassembles messages from their fragments. If one fragment is lost, the message is lost.
 type reassembler struct {
 	bySender map[string][]*reassembly // oldest first
 }
 
-// reassembly is a message of which fragments are missing.
+// reassembly is a partially received message.
 type reassembly struct {
 	number    uint64
 	fragments [][]byte // by index; nil where one is missing
 	missing   int
 }
 
-// add takes in a complete frame or a fragment. It returns the message that the frame completes, else nil.
+// add processes a complete frame or a fragment. It returns the message if the frame completes one, else nil.
 func (r *reassembler) add(address string, frame []byte) ([]byte, error) {
 	if len(frame) == 0 {
 		return nil, errMalformedFrame
@@ -34,7 +34,7 @@
 	if index >= count {
 		return nil, errMalformedFrame
 	}
-	partial := r.reassembly(address, number, count)
+	partial := r.findOrCreate(address, number, count)
 	if len(partial.fragments) != count || partial.fragments[index] != nil {
 		return nil, nil
 	}
@@ -46,7 +46,7 @@
 	return partial.join(), nil
 }
 
-// join returns the complete message; it is not nil, even if it is empty.
+// join returns the complete message, which is never nil, even if it is empty.
 func (p *reassembly) join() []byte {
 	length := 0
 	for _, fragment := range p.fragments {
@@ -59,8 +59,8 @@
 	return message
 }
 
-// reassembly returns the one of that number, or begins it.
-func (r *reassembler) reassembly(address string, number uint64, count int) *reassembly {
+// findOrCreate returns the reassembly of the message with this number, and creates it if there is none.
+func (r *reassembler) findOrCreate(address string, number uint64, count int) *reassembly {
 	for _, partial := range r.bySender[address] {
 		if partial.number == number {
 			return partial
@@ -68,7 +68,7 @@
 	}
 	partial := &reassembly{number: number, fragments: make([][]byte, count), missing: count}
 	partials := append(r.bySender[address], partial)
-	if len(partials) > maxReassemblies {
+	if len(partials) > maxReassembliesPerSender {
 		partials = partials[1:]
 	}
 	if r.bySender == nil {
@@ -78,7 +78,7 @@
 	return partial
 }
 
-// remove forgets a message that is complete.
+// remove deletes the reassembly of a complete message.
 func (r *reassembler) remove(address string, number uint64) {
 	var others []*reassembly
 	for _, partial := range r.bySender[address] {
--- a/coordination/replica/reassembly_test.go
+++ b/coordination/replica/reassembly_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// A message of any size is put together from its fragments, in any order and with a duplicate.
-func TestMessageIsPutTogetherFromItsFragments(t *testing.T) {
+// Messages of several sizes are reassembled from fragments that arrive in random order, one of them twice.
+func TestMessageIsReassembledFromFragments(t *testing.T) {
 	sizes := []int{0, 1, maxFragmentBytes, maxFragmentBytes + 1, 3*maxFragmentBytes - 1, 3 * maxFragmentBytes}
 	for seed, size := range sizes {
 		t.Run(fmt.Sprintf("%d bytes", size), func(t *testing.T) {
@@ -58,7 +58,7 @@
 			t.Fatalf("first fragment of message %d: %v, want nil", number, err)
 		}
 	}
-	if got := len(r.bySender["peer"]); got > maxReassemblies {
-		t.Errorf("%d messages are being put together, want at most %d", got, maxReassemblies)
+	if got := len(r.bySender["peer"]); got > maxReassembliesPerSender {
+		t.Errorf("%d messages are being put together, want at most %d", got, maxReassembliesPerSender)
 	}
 }
--- a/coordination/replica/replica.go
+++ b/coordination/replica/replica.go
@@ -12,48 +12,48 @@
 // Replica is a running member.
 type Replica struct {
 	config    Config
-	clockBase time.Time // the moment at which the engine's clock showed clockStart
+	clockBase time.Time // time of Config.Clock at which the engine's clock read clockStart
 	inbox     inbox
 	published
 	nextCallID atomic.Uint64
 
 	// Owned by the loop:
-	engine       *engine.Engine
-	pendingCalls map[uint64]*pendingCall // by call ID
-	reassembler  reassembler
-	outbox       *outbox
-	lastMessage  uint64 // number of the newest message that was sent
-	leaving      bool
+	engine            *engine.Engine
+	pendingCalls      map[uint64]*pendingCall // by call ID
+	reassembler       reassembler
+	outbox            *outbox
+	lastMessageNumber uint64 // number of the most recently sent message
+	leaving           bool
 
-	// The end of the replica:
+	// Shutdown:
 	stopping     atomic.Bool   // Stop or Kill was called
-	mayLeave     chan struct{} // closed when the member may end after Stop
-	leaveBlocker atomic.Value  // string: why it may not end yet
-	quit         chan struct{} // closed to end the loop
+	leaveAllowed chan struct{} // closed by the loop when the member may leave and Stop may return
+	leaveBlocker atomic.Value  // string: why the member may not leave yet
+	quit         chan struct{} // closed by Stop or Kill to end the loop
 	done         chan struct{} // closed when the loop has ended
 }
 
 var _ Interface = (*Replica)(nil)
 
-// clockStart keeps the engine's times above zero, which means never.
+// clockStart is the engine's time at the start. It is above zero because the engine uses zero for never.
 const clockStart = time.Second
 
-// Open recovers the member from its disk, or begins a new one on an empty disk, and starts it. The caller ends it by Stop
-// or Kill.
+// Open recovers the member from its disk, or creates a new one if the disk is empty, and starts it. The caller must end it
+// with Stop or Kill.
 func Open(config Config) (*Replica, error) {
 	config, err := config.withDefaults()
 	if err != nil {
 		return nil, err
 	}
 	r := &Replica{
-		config:       config,
-		clockBase:    config.Clock(),
-		inbox:        newInbox(),
-		pendingCalls: map[uint64]*pendingCall{},
-		mayLeave:     make(chan struct{}),
-		quit:         make(chan struct{}),
-		done:         make(chan struct{}),
-		lastMessage:  config.RandomSeed, // numbers must differ from those of the incarnation before
+		config:            config,
+		clockBase:         config.Clock(),
+		inbox:             newInbox(),
+		pendingCalls:      map[uint64]*pendingCall{},
+		leaveAllowed:      make(chan struct{}),
+		quit:              make(chan struct{}),
+		done:              make(chan struct{}),
+		lastMessageNumber: config.RandomSeed, // message numbers must differ from those of the previous incarnation
 	}
 	r.engine, err = engine.Open(r.now(), engine.Config{
 		Self: config.Self, Seeds: config.Seeds, Bootstrap: config.Bootstrap, FaultTolerance: config.FaultTolerance,
@@ -70,10 +70,10 @@
 	return r, nil
 }
 
-// now is the time on the engine's clock.
+// now returns the time on the engine's clock.
 func (r *Replica) now() time.Duration { return r.config.Clock().Sub(r.clockBase) + clockStart }
 
-// clockTime turns a time on the engine's clock into one of Config.Clock; zero stays zero.
+// clockTime converts a time of the engine's clock to one of Config.Clock; zero is converted to the zero time.
 func (r *Replica) clockTime(at time.Duration) time.Time {
 	if at == 0 {
 		return time.Time{}
@@ -95,7 +95,7 @@
 	r.inbox.put(inboxItem{leave: true})
 	var err error
 	select {
-	case <-r.mayLeave:
+	case <-r.leaveAllowed:
 	case <-ctx.Done():
 		blocker, _ := r.leaveBlocker.Load().(string)
 		err = &OperationError{
@@ -107,7 +107,8 @@
 	return err
 }
 
-// Kill ends the replica at once, as the end of its process would, and waits for the end of its goroutine.
+// Kill ends the replica at once without leaving the group, as a crash of the process would, and waits until the loop has
+// ended.
 func (r *Replica) Kill() {
 	if r.stopping.CompareAndSwap(false, true) {
 		close(r.quit)
--- a/coordination/replica/replica_test.go
+++ b/coordination/replica/replica_test.go
@@ -17,7 +17,7 @@
 // waitTimeout bounds each wait of a test.
 const waitTimeout = 20 * time.Second
 
-// group is some members in one process, on modelled disks.
+// group is a group of members in one process, on simulated disks.
 type group struct {
 	t        *testing.T
 	net      *network
@@ -26,7 +26,7 @@
 	machines map[string]*commandList
 }
 
-// newGroup starts that many members, of which the first three found the group.
+// newGroup starts count members; the first three are the seeds that found the group.
 func newGroup(t *testing.T, count int) *group {
 	t.Helper()
 	g := &group{
@@ -55,29 +55,29 @@
 	return g.net.members[address(number)]
 }
 
-// start starts a member on its disk, or on an empty one.
+// start starts a member on its disk, which is empty at the first start.
 func (g *group) start(number int, bootstrap bool) *replica.Replica {
 	g.t.Helper()
-	at := address(number)
-	if g.disks[at] == nil {
-		g.disks[at] = modeldisk.New()
+	memberAddress := address(number)
+	if g.disks[memberAddress] == nil {
+		g.disks[memberAddress] = modeldisk.New()
 	}
-	g.machines[at] = &commandList{}
+	g.machines[memberAddress] = &commandList{}
 	member, err := replica.Open(replica.Config{
-		Self:  replica.Member{Address: at, Zone: fmt.Sprint("zone", number), Tag: fmt.Sprint("tag", number)},
-		Seeds: g.seeds, Bootstrap: bootstrap, FaultTolerance: 1, FS: g.disks[at],
-		Transport: transport{network: g.net, address: at}, StateMachine: g.machines[at],
+		Self:  replica.Member{Address: memberAddress, Zone: fmt.Sprint("zone", number), Tag: fmt.Sprint("tag", number)},
+		Seeds: g.seeds, Bootstrap: bootstrap, FaultTolerance: 1, FS: g.disks[memberAddress],
+		Transport: transport{network: g.net, address: memberAddress}, StateMachine: g.machines[memberAddress],
 	})
 	if err != nil {
 		g.t.Fatalf("open member %d: %v, want nil", number, err)
 	}
 	g.net.lock.Lock()
-	g.net.members[at] = member
+	g.net.members[memberAddress] = member
 	g.net.lock.Unlock()
 	return member
 }
 
-// kill ends a member as the end of its process would.
+// kill ends a member as a crash of its process would, and keeps its disk.
 func (g *group) kill(number int) {
 	member := g.member(number)
 	if member == nil {
@@ -90,24 +90,24 @@
 	g.disks[address(number)] = g.disks[address(number)].AfterKill()
 }
 
-// waitUntil waits until the condition on the member's status is met.
-func (g *group) waitUntil(member *replica.Replica, what string, met func(replica.Status) bool) {
+// waitUntil waits until the member's status meets the condition.
+func (g *group) waitUntil(member *replica.Replica, description string, condition func(replica.Status) bool) {
 	g.t.Helper()
 	timeout := time.After(waitTimeout)
 	for {
 		changed := member.Changed()
-		if met(member.Status()) {
+		if condition(member.Status()) {
 			return
 		}
 		select {
 		case <-changed:
 		case <-timeout:
-			g.t.Fatalf("%s: not within %v; status %+v", what, waitTimeout, member.Status())
+			g.t.Fatalf("%s: not within %v; status %+v", description, waitTimeout, member.Status())
 		}
 	}
 }
 
-// testContext returns a context that bounds one call.
+// testContext returns a context with waitTimeout as its timeout.
 func testContext(t *testing.T) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
@@ -122,8 +122,8 @@
 	}
 }
 
-// expect checks the state of a member after a barrier.
-func (g *group) expect(number int, want string) {
+// expectState performs a barrier at a member and then checks its state.
+func (g *group) expectState(number int, want string) {
 	g.t.Helper()
 	if _, err := g.member(number).Barrier(testContext(g.t)); err != nil {
 		g.t.Fatalf("barrier at member %d: %v, want nil", number, err)
@@ -141,7 +141,7 @@
 		want += fmt.Sprint("w", i, " ")
 	}
 	for i := range 4 {
-		g.expect(i, want[:len(want)-1])
+		g.expectState(i, want[:len(want)-1])
 	}
 	g.waitUntil(g.member(0), "the head is the leader", func(s replica.Status) bool { return s.IsLeader })
 	g.waitUntil(g.member(3), "all are known", func(s replica.Status) bool {
@@ -160,7 +160,7 @@
 	g.propose(2, "during")
 	g.start(0, false)
 	g.propose(0, "after")
-	g.expect(0, "before during after")
+	g.expectState(0, "before during after")
 	g.waitUntil(g.member(0), "the member is in the chain again", func(s replica.Status) bool {
 		return s.View.ChainIndex(s.Self.Identity) >= 0 && len(s.View.Chain) == 3
 	})
@@ -175,13 +175,14 @@
 	}
 	g.waitUntil(g.member(1), "the next member is the leader", func(s replica.Status) bool { return s.IsLeader })
 	g.propose(2, "two")
-	g.expect(1, "one two")
+	g.expectState(1, "one two")
 	if _, err := g.member(0).Propose(testContext(t), []byte("three")); !errors.Is(err, replica.ErrStopped) {
 		t.Errorf("propose at a stopped replica: %v, want %v", err, replica.ErrStopped)
 	}
 }
 
-// With one of three down, a second one is still needed: it stops all the same and says why it should not have.
+// With one of three members down, the group still needs the other two: Stop ends the member anyway and returns the reason
+// why it was still needed.
 func TestStopOfANeededMemberSaysWhy(t *testing.T) {
 	g := newGroup(t, 3)
 	g.propose(0, "one")
@@ -197,7 +198,7 @@
 	}
 }
 
-// A wiped member restarts with a new identity and receives entries of several MiB in a snapshot.
+// A wiped member restarts with a new identity and receives a snapshot of several MiB.
 func TestWipedMemberReceivesLargeEntries(t *testing.T) {
 	g := newGroup(t, 3)
 	large := string(bytes.Repeat([]byte("x"), 5<<20))
@@ -211,7 +212,7 @@
 	g.kill(2)
 	g.disks[address(2)] = nil
 	g.start(2, false)
-	g.expect(2, want)
+	g.expectState(2, want)
 	g.waitUntil(g.member(2), "the new identity votes", func(s replica.Status) bool {
 		return s.View.IsVoter(s.Self.Identity) && !s.View.IsVoter(before) && s.Self.Identity != before
 	})
@@ -227,7 +228,7 @@
 		g.start(i, false)
 	}
 	g.propose(2, "more")
-	g.expect(1, "kept more")
+	g.expectState(1, "kept more")
 }
 
 func TestCallsWithoutAGroupFail(t *testing.T) {
@@ -246,9 +247,9 @@
 	if _, err := g.member(2).Barrier(ctx); !errors.Is(err, replica.ErrUnavailable) {
 		t.Errorf("barrier with the others down: %v, want %v", err, replica.ErrUnavailable)
 	}
-	learner := g.start(5, false) // has no view yet
+	learner := g.start(5, false) // it has no view yet
 	g.net.lock.Lock()
-	delete(g.net.members, address(2)) // is no longer reached
+	delete(g.net.members, address(2)) // the network no longer delivers to it
 	g.net.lock.Unlock()
 	_, err = learner.Propose(ctx, []byte("three"))
 	if !errors.Is(err, replica.ErrUnavailable) && !errors.Is(err, replica.ErrOutcomeUnknown) {
@@ -262,16 +263,16 @@
 	g.propose(0, "one")
 	g.disks[address(1)].SetFull(true)
 	g.propose(0, "two")
-	g.expect(1, "one two")
+	g.expectState(1, "one two")
 	g.disks[address(1)].SetFull(false)
 	g.waitUntil(g.member(0), "the member is in the chain again", func(s replica.Status) bool {
 		return len(s.View.Chain) == 3 && s.View.Epoch > 2
 	})
 	g.propose(1, "three")
-	g.expect(1, "one two three")
+	g.expectState(1, "one two three")
 }
 
-// Every acknowledged command of concurrent callers is applied once, in the same order on every member.
+// Commands of concurrent callers are applied once each, in the same order on every member.
 func TestConcurrentCommandsAreAppliedOnceInOneOrder(t *testing.T) {
 	g := newGroup(t, 4)
 	var running sync.WaitGroup
@@ -300,7 +301,7 @@
 	}
 }
 
-// Every member's majority contact is renewed without any other change of its status.
+// Every member's majority contact is renewed while the group is idle.
 func TestMajorityContactIsRenewedOnEveryMember(t *testing.T) {
 	g := newGroup(t, 4)
 	for i := range 4 {
--- a/coordination/replica/status.go
+++ b/coordination/replica/status.go
@@ -8,13 +8,13 @@
 	"raventrestle/coordination/chain"
 )
 
-// published is what callers read without asking the loop, which writes it.
+// published is the state that the loop publishes and that callers read without waiting for the loop.
 type published struct {
 	status  atomic.Pointer[Status]
 	changed atomic.Pointer[changeSignal]
 }
 
-// changeSignal is a channel that is closed once, at the next change of the status.
+// changeSignal contains a channel that is closed once, at the next change of the status.
 type changeSignal struct{ closed chan struct{} }
 
 func newChangeSignal() *changeSignal { return &changeSignal{closed: make(chan struct{})} }
@@ -23,7 +23,7 @@
 func (r *Replica) Status() Status {
 	status := *r.status.Load()
 	if status.IsLeader && !r.config.Clock().Before(status.LeaseExpiry) {
-		status.IsLeader = false // the lease has ended since the loop published the status
+		status.IsLeader = false // the lease has expired since the loop published the status
 	}
 	return status
 }
@@ -33,18 +33,18 @@
 
 func (r *Replica) headAddress() string { return r.status.Load().View.Head().Address }
 
-// publish stores the newest status, and wakes those who wait for a change.
+// publish stores the newest status. If it has changed, publish logs the change and closes the channel of Changed.
 func (r *Replica) publish(now time.Duration) {
 	next := r.convertStatus(r.engine.Status(now))
-	before := r.status.Swap(&next)
-	if before == nil || !isChange(*before, next) {
+	previous := r.status.Swap(&next)
+	if previous == nil || !isStatusChange(*previous, next) {
 		return
 	}
-	if before.View.Epoch != next.View.Epoch {
+	if previous.View.Epoch != next.View.Epoch {
 		r.config.RecordEvent("view_changed", "epoch", next.View.Epoch, "head", next.View.Head().Address,
 			"chain", len(next.View.Chain), "voters", len(next.View.Voters))
 	}
-	if before.IsLeader != next.IsLeader {
+	if previous.IsLeader != next.IsLeader {
 		r.config.RecordEvent("leadership_changed", "epoch", next.View.Epoch, "leader", next.IsLeader)
 	}
 	close(r.changed.Swap(newChangeSignal()).closed)
@@ -64,8 +64,9 @@
 	}
 }
 
-// isChange reports whether two statuses differ in what Changed signals. A newer majority contact alone is no change.
-func isChange(a, b Status) bool {
+// isStatusChange reports whether two statuses differ in a property that Changed signals. A newer majority contact alone is
+// not a change.
+func isStatusChange(a, b Status) bool {
 	return a.View.Epoch != b.View.Epoch || a.CommitIndex != b.CommitIndex || a.IsLeader != b.IsLeader ||
 		!slices.Equal(a.LiveMembers, b.LiveMembers) || !slices.Equal(a.View.Chain, b.View.Chain)
 }
