--- a/coordination/wal/directory.go
+++ b/coordination/wal/directory.go
@@ -9,52 +9,52 @@
 	"golang.org/x/sys/unix"
 )
 
-// FS is one directory of files. Package modeldisk implements it in memory.
+// FS is the directory of a log. Package modeldisk implements it in memory.
 type FS interface {
-	// List returns the names in the directory in any order.
+	// List returns the names of the files in the directory, in any order.
 	List() ([]string, error)
 	// Read returns the complete content of a file.
 	Read(name string) ([]byte, error)
-	// Create creates an empty file and replaces one of that name.
+	// Create creates an empty file. It replaces an existing file of that name.
 	Create(name string) (File, error)
-	// Rename gives a file another name and replaces one of that name.
+	// Rename renames a file. It replaces an existing file of the new name.
 	Rename(from, to string) error
 	// Remove removes a file.
 	Remove(name string) error
-	// SyncDirectory makes the directory's entries durable: created, renamed and removed names.
+	// SyncDirectory makes all previous creations, renames and removals of files durable.
 	SyncDirectory() error
 }
 
-// File is a file that is written from its start to its end.
+// File is an append-only file.
 type File interface {
-	// Write appends the bytes. They are durable after the next Sync.
+	// Write appends the bytes. They are durable once the next Sync has succeeded.
 	Write(body []byte) (int, error)
-	// Sync makes everything written so far durable.
+	// Sync makes everything durable that was written so far.
 	Sync() error
 	// Close releases the file without syncing it.
 	Close() error
 }
 
-// ErrCorrupt is the cause of errors about data that was synced and can't be read back.
+// ErrCorrupt is wrapped by errors that report that synced data can't be read back.
 var ErrCorrupt = errors.New("wal: corrupt")
 
-// DiskError names the step and the file at which the disk failed.
+// DiskError describes a failed disk operation.
 type DiskError struct {
-	Step string // such as "write" or "sync"
-	File string // name in the directory
-	Err  error  // of the disk
+	Step string // the operation, such as "write" or "sync"
+	File string // name of the file in the directory
+	Err  error  // error of the FS
 }
 
 // Error implements error.
 func (e *DiskError) Error() string { return fmt.Sprintf("wal: %s %s: %v", e.Step, e.File, e.Err) }
 
-// Unwrap returns the disk's own error.
+// Unwrap returns Err.
 func (e *DiskError) Unwrap() error { return e.Err }
 
-// directory implements FS with the files of the operating system.
+// directory implements FS on the operating system's file system.
 type directory struct{ path string }
 
-// OpenDirectory returns the directory at the path as an FS and creates it if it is missing.
+// OpenDirectory returns an FS for the directory at the path, which it creates if it is missing.
 func OpenDirectory(path string) (FS, error) {
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return nil, fmt.Errorf("wal: creating the directory: %w", err)
@@ -103,11 +103,11 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = handle.Close() }() // nothing was written through it
+	defer func() { _ = handle.Close() }() // the directory was only opened to sync it
 	return handle.Sync()
 }
 
-// osFile implements File. It syncs with fdatasync, which writes the length of a file that has grown but not its times.
+// osFile implements File. It syncs with fdatasync, which also makes a changed file length durable but not the timestamps.
 type osFile struct{ file *os.File }
 
 // Write implements File.
--- a/coordination/wal/frame.go
+++ b/coordination/wal/frame.go
@@ -6,27 +6,27 @@
 	"hash/crc32"
 )
 
-// A frame is the unit of checksumming: magic, kind, length of the body, CRC-32C over kind, length and body, then the
-// body. Integers are big-endian. This layout is stored on the disks in service and must not change.
+// A frame consists of magic, kind (1 byte), length of the body (4 bytes), CRC-32C of kind, length and body (4 bytes), and
+// the body. Integers are big-endian. Production disks contain frames of this format, so it must not change.
 const (
 	frameMagic        = "RTw1"
 	frameHeaderLength = len(frameMagic) + 1 + 4 + 4
 )
 
-// frameKind says what the body of a frame contains. The numbers are stored.
+// frameKind is the type of a frame's body. The values are stored on disk and must not change.
 type frameKind byte
 
 const (
-	kindSegment    frameKind = iota + 1 // header and first records of a segment that continues another one
-	kindCheckpoint                      // header and first records of a segment that replaces all before it
+	kindSegment    frameKind = iota + 1 // header and first records of a segment that continues the previous one
+	kindCheckpoint                      // header and first records of a segment that replaces all earlier ones
 	kindRecords                         // further records
 	kindSnapshot                        // the only frame of a snapshot file
 )
 
-// maxJoinedFrame is up to which size, in bytes, a frame is joined in memory so that it takes a single write.
-const maxJoinedFrame = 64 << 10
+// maxJoinedFrameBytes is the largest size at which a frame is copied into one buffer, to be written with a single write.
+const maxJoinedFrameBytes = 64 << 10
 
-// buffers is a body in several slices, so that large records need not be copied.
+// buffers is a sequence of bytes in several slices, so that large records need not be copied.
 type buffers [][]byte
 
 func (b buffers) length() int {
@@ -37,7 +37,7 @@
 	return length
 }
 
-// encodeFrameHeader returns the header of a frame with that body.
+// encodeFrameHeader returns the header, magic to checksum, of a frame with the given body.
 func encodeFrameHeader(kind frameKind, body buffers) []byte {
 	header := make([]byte, 0, frameHeaderLength)
 	header = append(header, frameMagic...)
@@ -47,7 +47,7 @@
 	return binary.BigEndian.AppendUint32(header, sum)
 }
 
-// checksum covers kind and length, which are the covered part of the header, and the body.
+// checksum returns the CRC-32C of the covered part of the header, which is kind and length, and of the body.
 func checksum(covered []byte, body buffers) uint32 {
 	table := crc32.MakeTable(crc32.Castagnoli)
 	sum := crc32.Update(0, table, covered)
@@ -57,7 +57,8 @@
 	return sum
 }
 
-// decodeFrame decodes the frame at the beginning of data. It reports false when there is no complete, intact frame.
+// decodeFrame decodes the frame at the beginning of data and also returns the data after it. It reports false when there
+// is no complete, intact frame.
 func decodeFrame(data []byte) (kind frameKind, body, rest []byte, ok bool) {
 	if len(data) < frameHeaderLength || string(data[:len(frameMagic)]) != frameMagic {
 		return 0, nil, nil, false
@@ -74,7 +75,7 @@
 	return frameKind(covered[0]), body, data[frameHeaderLength+length:], true
 }
 
-// containsLaterFrame reports whether a complete frame begins anywhere in data after its first byte.
+// containsLaterFrame reports whether a complete frame begins at any offset in data other than 0.
 func containsLaterFrame(data []byte) bool {
 	for offset := 1; offset+frameHeaderLength <= len(data); offset++ {
 		if string(data[offset:offset+len(frameMagic)]) != frameMagic {
@@ -91,7 +92,7 @@
 func writeFrame(file File, name string, kind frameKind, body buffers) (int, error) {
 	frame := append(buffers{encodeFrameHeader(kind, body)}, body...)
 	length := frame.length()
-	if length <= maxJoinedFrame {
+	if length <= maxJoinedFrameBytes {
 		frame = buffers{bytes.Join(frame, nil)}
 	}
 	for _, buffer := range frame {
@@ -105,7 +106,7 @@
 	return length, nil
 }
 
-// encodeRecords puts the length before each record.
+// encodeRecords returns the records, each preceded by its length.
 func encodeRecords(records [][]byte) buffers {
 	body := make(buffers, 0, 2*len(records))
 	for _, record := range records {
--- a/coordination/wal/golden_test.go
+++ b/coordination/wal/golden_test.go
@@ -15,13 +15,14 @@
 	"raventrestle/coordination/wal"
 )
 
-// The files below testdata/golden were written by an earlier release, on the operating system's files. What is on the
-// disks in service is like them: they are never regenerated to make a test pass.
+// The files below testdata/golden were written by an earlier release through OpenDirectory. Production disks contain files
+// of the same format, so never regenerate these to make a test pass.
 
-// goldenStages are the states of one directory, in the order in which the golden script passes through them.
+// goldenStages are the stages of the script of writeGolden, in order. Each has a copy of the directory in testdata/golden.
 var goldenStages = []string{"appended", "reopened", "checkpointed", "rolled-over", "checkpointed-again"}
 
-// writeGolden plays a fixed script in an empty directory and calls keep after each stage.
+// writeGolden runs a fixed script of appends, restarts and checkpoints in an empty directory, and calls keep after each
+// stage.
 func writeGolden(t *testing.T, directory string, keep func(stage string)) {
 	t.Helper()
 	fs, err := wal.OpenDirectory(directory)
@@ -110,7 +111,7 @@
 	return filepath.Join(append([]string{"testdata", "golden"}, parts...)...)
 }
 
-// Today's code writes the bytes and names that the earlier release wrote.
+// The current code writes the same bytes and file names as the earlier release.
 func TestGoldenFilesAreWrittenAgain(t *testing.T) {
 	directory := t.TempDir()
 	var stages []string
@@ -123,7 +124,7 @@
 	}
 }
 
-// A frame above the size up to which frames are put together in memory has the same layout.
+// A frame larger than maxJoinedFrameBytes, which is written with several writes, has the same format.
 func TestGoldenLargeFrame(t *testing.T) {
 	directory := t.TempDir()
 	sum := largeFrameSum(t, directory)
@@ -161,7 +162,7 @@
 	return ""
 }
 
-// goldenContent lists what a log has recovered.
+// goldenContent formats recovered content as in the files testdata/golden/STAGE.txt.
 func goldenContent(recovered wal.Recovered) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "snapshot %q\ntorn %v\n", recovered.Snapshot, recovered.TornTail)
@@ -171,8 +172,8 @@
 	return out.String()
 }
 
-// Today's code recovers from the earlier release's files what that release recovered, goes on there and finds it again.
-// One of the directories ends in a torn frame.
+// The current code recovers from the earlier release's files what that release recovered, appends to them, and recovers
+// the result. One of the directories ends in a torn frame.
 func TestGoldenFilesAreRecovered(t *testing.T) {
 	for _, stage := range append(slices.Clone(goldenStages), "torn") {
 		t.Run(stage, func(t *testing.T) {
--- a/coordination/wal/log.go
+++ b/coordination/wal/log.go
@@ -1,30 +1,30 @@
 package wal
 
-// DefaultSegmentBytes is the size at which a new segment is begun.
+// DefaultSegmentBytes is the segment size at which a new segment is begun, where Config sets none.
 const DefaultSegmentBytes = 4 << 20
 
-// Log is an open log. It is used by one goroutine at a time.
+// Log is an open log. It must be used by one goroutine at a time.
 type Log struct {
 	fs           FS
 	segmentBytes int64
 
 	file       File   // the open segment; nil when the next Append begins a new one
 	fileNumber uint64 // of the open segment
-	fileLength uint64 // of its synced frames, in bytes
+	fileLength uint64 // total size of its synced frames in bytes
 
-	// The newest durable segment, which the header of the next segment names.
-	segment      uint64 // its number; 0 when there is none
-	segmentValid uint64 // how many of its bytes are valid: all up to its last successful sync
-	snapshot     uint64 // number of the newest snapshot that a checkpoint names; 0 when there is none
+	// The newest durable segment, to which the header of the next segment refers.
+	durableSegment      uint64 // its number; 0 when there is none
+	durableSegmentBytes uint64 // how many of its bytes are valid: those before its last successful sync
+	snapshotNumber      uint64 // number of the snapshot that the newest checkpoint refers to; 0 when there is none
 
-	lastSegmentNumber    uint64            // highest number of a segment that may be on the disk
-	lastSnapshotNumber   uint64            // highest number of a snapshot that may be on the disk
+	lastSegmentNumber    uint64            // highest number of any segment that may be on the disk
+	lastSnapshotNumber   uint64            // highest number of any snapshot that may be on the disk
 	unconfirmed          *unconfirmedFrame // must be written again before anything is appended; nil when there is none
 	bytesSinceCheckpoint int64
 }
 
-// Append writes the records and syncs them. Records of one call survive together or not at all. After an error none of
-// them is valid, and the next call begins a new segment; the error is a *DiskError.
+// Append writes the records and syncs them. After a crash, recovery returns either all records of a call or none of them.
+// After an error none of them is valid, and the next call begins a new segment; the error is a *DiskError.
 func (l *Log) Append(records [][]byte) error {
 	if len(records) == 0 {
 		return nil
@@ -37,18 +37,18 @@
 	}
 	body := encodeRecords(records)
 	if l.file == nil {
-		return l.beginSegment(kindSegment, segmentHeader{previous: l.segment, previousBytes: l.segmentValid}, body)
+		return l.beginSegment(kindSegment, segmentHeader{previous: l.durableSegment, previousBytes: l.durableSegmentBytes}, body)
 	}
 	if err := l.write(kindRecords, body); err != nil {
 		l.abandonSegment()
 		return err
 	}
-	l.segmentValid = l.fileLength
+	l.durableSegmentBytes = l.fileLength
 	return nil
 }
 
-// beginSegment creates a new segment with its first frame. The frame and then the directory entry are synced before the
-// segment is valid.
+// beginSegment creates a new segment and writes its first frame. It syncs the frame and then the directory entry before it
+// makes the segment the newest durable one.
 func (l *Log) beginSegment(kind frameKind, header segmentHeader, body buffers) error {
 	l.lastSegmentNumber++
 	name := segmentName(l.lastSegmentNumber)
@@ -65,11 +65,11 @@
 		l.abandonSegment()
 		return &DiskError{Step: "sync the directory for", File: name, Err: err}
 	}
-	l.segment, l.segmentValid = l.fileNumber, l.fileLength
+	l.durableSegment, l.durableSegmentBytes = l.fileNumber, l.fileLength
 	return nil
 }
 
-// write adds one synced frame to the open segment.
+// write appends a frame to the open segment and syncs it.
 func (l *Log) write(kind frameKind, body buffers) error {
 	written, err := writeFrame(l.file, segmentName(l.fileNumber), kind, body)
 	if err != nil {
@@ -80,11 +80,11 @@
 	return nil
 }
 
-// Checkpoint writes the snapshot and begins a segment with records that, together with the snapshot, replace everything
-// before. Then it removes what is no longer needed. A nil snapshot keeps the newest one. After an error the state before
-// the call stays valid; the error is a *DiskError.
+// Checkpoint replaces the content of the log with the snapshot and the records: it writes the snapshot, begins a new
+// segment with the records, and then removes the files that are no longer needed. If the snapshot is nil, the previous
+// one is kept. After an error the previous content is still valid; the error is a *DiskError.
 func (l *Log) Checkpoint(snapshot []byte, records [][]byte) error {
-	number := l.snapshot
+	number := l.snapshotNumber
 	if snapshot != nil {
 		l.lastSnapshotNumber++
 		number = l.lastSnapshotNumber
@@ -95,35 +95,35 @@
 	before := l.bytesSinceCheckpoint
 	l.abandonSegment()
 	l.bytesSinceCheckpoint = 0
-	header := segmentHeader{previous: l.segment, previousBytes: l.segmentValid, snapshot: number}
+	header := segmentHeader{previous: l.durableSegment, previousBytes: l.durableSegmentBytes, snapshotNumber: number}
 	if err := l.beginSegment(kindCheckpoint, header, encodeRecords(records)); err != nil {
 		l.bytesSinceCheckpoint += before
 		return err
 	}
-	l.snapshot, l.unconfirmed = number, nil
+	l.snapshotNumber, l.unconfirmed = number, nil
 	l.removeReplaced()
 	return nil
 }
 
-// removeReplaced removes the segments and snapshots that the newest checkpoint replaces. Recovery ignores what can't be
-// removed, and the next checkpoint repeats the removal.
+// removeReplaced removes the segments and snapshots that the newest checkpoint replaces. Errors are ignored: recovery
+// ignores files that were not removed, and the next checkpoint tries again.
 func (l *Log) removeReplaced() {
 	names, err := l.fs.List()
 	if err != nil {
 		return
 	}
-	found := classify(names)
+	found := classifyFiles(names)
 	for _, number := range found.segments {
 		if number < l.fileNumber {
 			_ = l.fs.Remove(segmentName(number))
 		}
 	}
 	for _, number := range found.snapshots {
-		if number != l.snapshot {
+		if number != l.snapshotNumber {
 			_ = l.fs.Remove(snapshotName(number))
 		}
 	}
-	if found.temporary {
+	if found.hasTemporary {
 		_ = l.fs.Remove(temporaryName)
 	}
 }
@@ -131,13 +131,13 @@
 // writableCheckBytes is how many bytes CheckWritable writes.
 const writableCheckBytes = 4 << 10
 
-// CheckWritable reports whether the disk takes a write and a sync now: nil if it does, else a *DiskError.
+// CheckWritable writes and syncs a temporary file. It returns nil if that succeeds, else a *DiskError.
 func (l *Log) CheckWritable() error {
 	file, err := l.fs.Create(temporaryName)
 	if err != nil {
 		return &DiskError{Step: "create", File: temporaryName, Err: err}
 	}
-	defer func() { _ = file.Close() }() // what was written is of no use
+	defer func() { _ = file.Close() }() // the content of the file is not needed
 	if _, err := file.Write(make([]byte, writableCheckBytes)); err != nil {
 		return &DiskError{Step: "write", File: temporaryName, Err: err}
 	}
@@ -147,19 +147,19 @@
 	return nil
 }
 
-// Snapshot reads the newest snapshot that a checkpoint names; nil when there is none.
+// Snapshot reads the snapshot of the newest checkpoint. It returns nil when there is none.
 func (l *Log) Snapshot() ([]byte, error) {
-	if l.snapshot == 0 {
+	if l.snapshotNumber == 0 {
 		return nil, nil
 	}
-	return readSnapshot(l.fs, l.snapshot)
+	return readSnapshot(l.fs, l.snapshotNumber)
 }
 
-// BytesSinceCheckpoint is how many bytes were written since the newest checkpoint, that one included.
+// BytesSinceCheckpoint returns how many bytes were written since the newest checkpoint, including the checkpoint itself.
 func (l *Log) BytesSinceCheckpoint() int64 { return l.bytesSinceCheckpoint }
 
-// abandonSegment closes the open segment; the next append begins a new one. An error of the close is ignored: what
-// is valid is synced already, and nothing more is written to the file.
+// abandonSegment closes the open segment, so that the next append begins a new one. An error on closing is ignored,
+// because all valid frames are already synced and nothing more is written to the file.
 func (l *Log) abandonSegment() {
 	if l.file != nil {
 		_ = l.file.Close()
@@ -167,8 +167,8 @@
 	}
 }
 
-// Close closes the open segment. Everything that was acknowledged is on the disk already, so an error, a *DiskError,
-// loses nothing but may point to a failing disk.
+// Close closes the open segment. Its error is a *DiskError. Nothing is lost then, because everything acknowledged is
+// already on the disk, but the error may indicate a failing disk.
 func (l *Log) Close() error {
 	if l.file == nil {
 		return nil
--- a/coordination/wal/modeldisk/disk.go
+++ b/coordination/wal/modeldisk/disk.go
@@ -1,7 +1,7 @@
-// Package modeldisk is a model of a disk: it implements wal.FS in memory and can lose power, fail writes and syncs, and
-// be corrupted. After a power loss each write that was not synced is there, missing or torn, and each directory entry
-// that was not synced is there or not, independently of each other, as drawn from the caller's random numbers. What was
-// synced is always there.
+// Package modeldisk simulates a disk for tests: it implements wal.FS in memory and simulates power losses, failed writes
+// and syncs, and corruption. After a power loss, everything that was synced is present. Each write that was not synced is
+// present, missing or torn, and each directory entry that was not synced is present or missing; these outcomes are drawn
+// from the caller's random numbers.
 package modeldisk
 
 import (
@@ -14,43 +14,44 @@
 	"raventrestle/coordination/wal"
 )
 
-// ErrNoSpace is the error of every operation that writes while FailWrites or SetFull is in force, and of the syncs that
-// FailSyncs makes fail.
+// ErrNoSpace is returned by operations that write while FailWrites or SetFull is set, and by the syncs that FailSyncs
+// makes fail.
 var ErrNoSpace = errors.New("modeldisk: no space left on device")
 
-// PowerLoss is the value that the disk panics with at the operation at which the power is set to fail.
+// PowerLoss is the value with which the disk panics at the operation that PowerLossAt selects.
 type PowerLoss struct{}
 
-// Disk is one directory. It is used by one goroutine at a time, except for SetFull.
+// Disk is a disk with one directory. All methods except SetFull must be called by one goroutine at a time.
 type Disk struct {
-	entries        map[string]*file // the directory as a running process sees it
-	durableEntries map[string]*file // the directory as of its last sync
+	entries        map[string]*file // the directory as a running process sees it, by name
+	durableEntries map[string]*file // the directory at its last sync, by name
 
 	// FailWrites makes every write, sync, creation and rename fail.
 	FailWrites bool
-	// FailSyncs makes that many of the next syncs fail although the bytes may be on the disk.
+	// FailSyncs is how many of the next syncs fail. The bytes that they should have synced may be on the disk all the same.
 	FailSyncs int
-	// NoSync is an injected fault: syncs report success and do nothing.
+	// NoSync is an injected fault: syncs return nil but make nothing durable.
 	NoSync bool
-	// PowerLossAt makes the power fail at this operation, before that takes effect; 0 means never.
+	// PowerLossAt is the number of the operation, counted by Operations, at which power is lost before the operation takes
+	// effect; 0 means never.
 	PowerLossAt int
 
-	Operations   int   // that change the disk, so far
-	Syncs        int   // so far, failed ones included
-	BytesWritten int64 // so far
+	Operations   int   // number of operations that change the disk, so far
+	Syncs        int   // number of syncs so far, including failed ones
+	BytesWritten int64 // number of bytes written so far
 
 	full atomic.Bool
 }
 
-// file is the content under a name.
+// file is the content of a file.
 type file struct {
 	body       []byte
 	synced     []byte
 	unsynced   []span // writes since the last sync
-	syncFailed bool   // a sync failed: what was written before it is never durable
+	syncFailed bool   // a sync failed; later syncs of the file make nothing durable
 }
 
-// span is a range of bytes in a file.
+// span is a range of bytes in a file; to is excluded.
 type span struct{ from, to int }
 
 // New returns an empty disk.
@@ -58,12 +59,13 @@
 	return &Disk{entries: map[string]*file{}, durableEntries: map[string]*file{}}
 }
 
-// SetFull makes the disk full, as FailWrites does, or ends that. Unlike all else it may be called from any goroutine.
+// SetFull sets whether writing operations fail because the disk is full. Unlike the other methods it may be called from
+// any goroutine.
 func (d *Disk) SetFull(full bool) { d.full.Store(full) }
 
-// change registers an operation that changes the disk. It panics with PowerLoss if the power is to fail at it, and returns
-// the error with which it fails.
-func (d *Disk) change() error {
+// beginChange counts an operation that changes the disk. It panics with PowerLoss if PowerLossAt selects this operation,
+// and otherwise returns the error with which the operation fails, if any.
+func (d *Disk) beginChange() error {
 	d.Operations++
 	if d.PowerLossAt > 0 && d.Operations == d.PowerLossAt {
 		panic(PowerLoss{})
@@ -74,9 +76,9 @@
 	return nil
 }
 
-// sync registers a sync of a file or of the directory, and returns the error with which it fails.
-func (d *Disk) sync() error {
-	if err := d.change(); err != nil {
+// beginSync counts a sync of a file or of the directory, and returns the error with which it fails, if any.
+func (d *Disk) beginSync() error {
+	if err := d.beginChange(); err != nil {
 		return err
 	}
 	d.Syncs++
@@ -101,7 +103,7 @@
 
 // Create implements wal.FS.
 func (d *Disk) Create(name string) (wal.File, error) {
-	if err := d.change(); err != nil {
+	if err := d.beginChange(); err != nil {
 		return nil, err
 	}
 	f := &file{}
@@ -111,7 +113,7 @@
 
 // Rename implements wal.FS.
 func (d *Disk) Rename(from, to string) error {
-	if err := d.change(); err != nil {
+	if err := d.beginChange(); err != nil {
 		return err
 	}
 	f, ok := d.entries[from]
@@ -123,13 +125,13 @@
 	return nil
 }
 
-// Remove implements wal.FS. It works while FailWrites is set, because removing a file needs no space.
+// Remove implements wal.FS. It succeeds also while FailWrites is set, because removing a file needs no space.
 func (d *Disk) Remove(name string) error {
 	if d.FailWrites {
 		d.FailWrites = false
 		defer func() { d.FailWrites = true }()
 	}
-	if err := d.change(); err != nil {
+	if err := d.beginChange(); err != nil {
 		return err
 	}
 	if _, ok := d.entries[name]; !ok {
@@ -141,7 +143,7 @@
 
 // SyncDirectory implements wal.FS.
 func (d *Disk) SyncDirectory() error {
-	if err := d.sync(); err != nil || d.NoSync {
+	if err := d.beginSync(); err != nil || d.NoSync {
 		return err
 	}
 	d.durableEntries = maps.Clone(d.entries)
@@ -156,7 +158,7 @@
 
 // Write implements wal.File.
 func (h *handle) Write(body []byte) (int, error) {
-	if err := h.disk.change(); err != nil {
+	if err := h.disk.beginChange(); err != nil {
 		return 0, err
 	}
 	from := len(h.file.body)
@@ -169,7 +171,7 @@
 // Sync implements wal.File.
 func (h *handle) Sync() error {
 	failing := h.disk.FailSyncs > 0
-	if err := h.disk.sync(); err != nil {
+	if err := h.disk.beginSync(); err != nil {
 		h.file.syncFailed = h.file.syncFailed || failing
 		return err
 	}
@@ -196,7 +198,7 @@
 	d.entries[name] = &file{body: body, synced: body}
 }
 
-// Copy returns an independent copy, which fails no writes or syncs.
+// Copy returns an independent copy without the injected faults other than NoSync.
 func (d *Disk) Copy() *Disk {
 	after := New()
 	copies := map[*file]*file{}
--- a/coordination/wal/modeldisk/loss.go
+++ b/coordination/wal/modeldisk/loss.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// AfterKill returns the disk as the next process finds it when only the process ended: with everything that was written,
-// synced or not.
+// AfterKill returns the disk as it is after the process was killed without a power loss: everything that was written is
+// present, synced or not.
 func (d *Disk) AfterKill() *Disk {
 	return &Disk{
 		entries: d.entries, durableEntries: d.durableEntries, FailWrites: d.FailWrites, NoSync: d.NoSync,
 	}
 }
 
-// AfterPowerLoss returns the disk as it may be found after a power loss.
+// AfterPowerLoss returns the disk as it may be after a power loss, with random outcomes for what was not synced.
 func (d *Disk) AfterPowerLoss(random *rand.Rand) *Disk {
 	after := New()
 	after.NoSync, after.FailWrites = d.NoSync, d.FailWrites
@@ -36,7 +36,8 @@
 	return after
 }
 
-// survivingEntry picks the file that the name stands for after a power loss; nil when it stands for none.
+// survivingEntry draws which file has the name after a power loss: the one at the last sync of the directory or the
+// current one. It returns nil when there is no file of that name.
 func (d *Disk) survivingEntry(name string, onlySynced bool, random *rand.Rand) *file {
 	durable, current := d.durableEntries[name], d.entries[name]
 	if durable == current || (!onlySynced && random.IntN(2) == 0) {
@@ -45,7 +46,7 @@
 	return durable
 }
 
-// afterPowerLoss returns what a power loss leaves of the file.
+// afterPowerLoss draws the content of the file after a power loss.
 func (f *file) afterPowerLoss(onlySynced bool, random *rand.Rand) *file {
 	body := slices.Clone(f.synced)
 	keepAll := !onlySynced && random.IntN(4) == 0
--- a/coordination/wal/recover.go
+++ b/coordination/wal/recover.go
@@ -2,31 +2,31 @@
 
 import "slices"
 
-// Config sets up a log. The zero value is valid.
+// Config configures a log. The zero value is valid.
 type Config struct {
-	SegmentBytes int64 // size at which a new segment is begun; 0 means DefaultSegmentBytes
+	SegmentBytes int64 // segment size at which a new segment is begun; 0 means DefaultSegmentBytes
 }
 
-// Recovered is what Open has found in the directory.
+// Recovered is the content of the log as Open has found it in the directory.
 type Recovered struct {
-	Empty    bool     // no log was ever begun here
+	Empty    bool     // the directory contains no log
 	Snapshot []byte   // nil when there is none
-	Records  [][]byte // since the newest checkpoint, oldest first, the checkpoint's own included
-	TornTail bool     // a torn write at the end, which was never acknowledged, was discarded
-	// WriteError is set when the disk can be read but not written. Nothing that must survive may then be based on what
-	// was recovered until an Append or a Checkpoint succeeds.
+	Records  [][]byte // those of the newest checkpoint and those after it, oldest first
+	TornTail bool     // a torn write at the end of the log was discarded
+	// WriteError is set when the disk can be read but not written. The newest records may then not be durable, so the caller
+	// must not rely on the recovered content to survive a power loss until an Append or a Checkpoint succeeds.
 	WriteError error
 }
 
-// Open recovers the log from the directory and makes it ready for Append. The newest frame may have been written but
-// not synced, or its sync may have failed, so Open writes it again and syncs it. Errors are a *DiskError when the
-// directory can't be read, or match ErrCorrupt.
+// Open recovers the log from the directory and prepares it for Append. The newest frame may have been written but not
+// synced, or its sync may have failed, so Open writes it again and syncs it. The error is a *DiskError when the directory
+// can't be read, or wraps ErrCorrupt.
 func Open(fs FS, config Config) (*Log, Recovered, error) {
 	names, err := fs.List()
 	if err != nil {
 		return nil, Recovered{}, &DiskError{Step: "list", File: "the directory", Err: err}
 	}
-	found := classify(names)
+	found := classifyFiles(names)
 	log := &Log{fs: fs, segmentBytes: config.SegmentBytes}
 	if log.segmentBytes <= 0 {
 		log.segmentBytes = DefaultSegmentBytes
@@ -45,8 +45,8 @@
 	return log, recovered, nil
 }
 
-// recover finds the newest valid segment and collects the records back to the newest checkpoint.
-func (l *Log) recover(found listing) (Recovered, error) {
+// recover finds the newest valid segment and returns the snapshot and the records since the newest checkpoint.
+func (l *Log) recover(found directoryContents) (Recovered, error) {
 	newest, err := l.newestSegment(found.segments)
 	if err != nil || newest == nil {
 		return Recovered{Empty: newest == nil}, err
@@ -66,25 +66,26 @@
 		recovered.Records = append(recovered.Records, s.records...)
 		l.bytesSinceCheckpoint += int64(s.length)
 	}
-	if l.snapshot = segments[0].header.snapshot; l.snapshot != 0 {
-		recovered.Snapshot, err = readSnapshot(l.fs, l.snapshot)
+	if l.snapshotNumber = segments[0].header.snapshotNumber; l.snapshotNumber != 0 {
+		recovered.Snapshot, err = readSnapshot(l.fs, l.snapshotNumber)
 	}
 	return recovered, err
 }
 
-// unconfirmedFrame is the newest frame that recovery found, which is not known to be synced.
+// unconfirmedFrame is the newest frame that recovery found. It may not have been synced, so it must be written again.
 type unconfirmedFrame struct {
 	kind    frameKind
 	header  segmentHeader
 	records [][]byte
 }
 
-// newestFrame returns the newest frame of a segment in the form of the first one of a new segment.
+// newestFrame returns the newest frame of the segment, converted to the first frame of a new segment that follows the
+// frames before it.
 func (s *segment) newestFrame() *unconfirmedFrame {
-	if s.lastFrame > 0 {
+	if s.lastFrameOffset > 0 {
 		return &unconfirmedFrame{
 			kind:    kindSegment,
-			header:  segmentHeader{previous: s.number, previousBytes: s.lastFrame},
+			header:  segmentHeader{previous: s.number, previousBytes: s.lastFrameOffset},
 			records: s.lastFrameRecords,
 		}
 	}
@@ -95,7 +96,8 @@
 	return &unconfirmedFrame{kind: kind, header: s.header, records: s.lastFrameRecords}
 }
 
-// rewriteUnconfirmed writes the unconfirmed frame, followed by the records, as the first frame of a new segment.
+// rewriteUnconfirmed begins a new segment whose first frame contains the records of the unconfirmed frame and then the
+// given ones. It does nothing when there is no unconfirmed frame.
 func (l *Log) rewriteUnconfirmed(records [][]byte) error {
 	if l.unconfirmed == nil {
 		return nil
--- a/coordination/wal/segment.go
+++ b/coordination/wal/segment.go
@@ -5,11 +5,12 @@
 	"fmt"
 )
 
-// segmentHeader is what the first frame of a segment contains before its records. Its layout is stored.
+// segmentHeader is at the beginning of the body of a segment's first frame, before the records. Its encoding is stored on
+// disk and must not change.
 type segmentHeader struct {
-	previous      uint64 // number of the segment before; 0 when there is none
-	previousBytes uint64 // how many bytes of that segment are valid
-	snapshot      uint64 // number of the snapshot that a checkpoint builds on; 0 when there is none
+	previous       uint64 // number of the previous segment; 0 when there is none
+	previousBytes  uint64 // how many bytes of that segment are valid
+	snapshotNumber uint64 // number of the snapshot that belongs to a checkpoint; 0 when there is none
 }
 
 const segmentHeaderLength = 3 * 8
@@ -18,7 +19,7 @@
 	body := make([]byte, 0, segmentHeaderLength)
 	body = binary.BigEndian.AppendUint64(body, h.previous)
 	body = binary.BigEndian.AppendUint64(body, h.previousBytes)
-	return binary.BigEndian.AppendUint64(body, h.snapshot)
+	return binary.BigEndian.AppendUint64(body, h.snapshotNumber)
 }
 
 func decodeSegmentHeader(body []byte) (header segmentHeader, rest []byte, ok bool) {
@@ -26,27 +27,27 @@
 		return segmentHeader{}, nil, false
 	}
 	return segmentHeader{
-		previous:      binary.BigEndian.Uint64(body),
-		previousBytes: binary.BigEndian.Uint64(body[8:]),
-		snapshot:      binary.BigEndian.Uint64(body[16:]),
+		previous:       binary.BigEndian.Uint64(body),
+		previousBytes:  binary.BigEndian.Uint64(body[8:]),
+		snapshotNumber: binary.BigEndian.Uint64(body[16:]),
 	}, body[segmentHeaderLength:], true
 }
 
-// segment is a segment as it was read from the disk.
+// segment is the decoded content of a segment file.
 type segment struct {
 	number     uint64
 	header     segmentHeader
 	checkpoint bool
 	records    [][]byte
-	length     uint64 // of its complete frames, in bytes
-	tornTail   bool   // it ends in an incomplete frame
+	length     uint64 // total size of its complete frames in bytes
+	tornTail   bool   // an incomplete frame follows the last complete one
 
-	lastFrame        uint64   // offset of its newest complete frame
+	lastFrameOffset  uint64   // offset of its newest complete frame
 	lastFrameRecords [][]byte // the records of that frame
 }
 
-// decodeSegment decodes frames as far as they are complete. It reports false when not even the first one is, or it
-// isn't a segment's header.
+// decodeSegment decodes the complete frames at the beginning of data and also returns the data after them. It reports
+// false when the first frame is incomplete or has no segment header, or when the records of a frame can't be decoded.
 func decodeSegment(number uint64, data []byte) (s *segment, rest []byte, ok bool) {
 	kind, body, rest, ok := decodeFrame(data)
 	if !ok || (kind != kindSegment && kind != kindCheckpoint) {
@@ -63,7 +64,7 @@
 			return nil, data, false
 		}
 		s.records = append(s.records, records...)
-		s.lastFrame, s.lastFrameRecords = s.length, records
+		s.lastFrameOffset, s.lastFrameRecords = s.length, records
 		s.length = uint64(len(data) - len(rest))
 		var next []byte
 		kind, body, next, ok = decodeFrame(rest)
@@ -74,8 +75,8 @@
 	}
 }
 
-// newestSegment reads the newest segment whose header is complete. Newer ones were never acknowledged. It returns nil
-// when there is none.
+// newestSegment reads the newest segment whose first frame is complete. Segments after it were never acknowledged. It
+// returns nil when there is none.
 func (l *Log) newestSegment(numbers []uint64) (*segment, error) {
 	for i := len(numbers) - 1; i >= 0; i-- {
 		data, err := l.readSegmentFile(numbers[i])
@@ -98,7 +99,7 @@
 	return nil, nil
 }
 
-// previousSegment reads the segment that the given one follows, up to the end of its valid bytes.
+// previousSegment reads the valid bytes of the segment before the given one.
 func (l *Log) previousSegment(of *segment) (*segment, error) {
 	number, length := of.header.previous, of.header.previousBytes
 	name := segmentName(number)
--- a/coordination/wal/snapshot.go
+++ b/coordination/wal/snapshot.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// writeSnapshot makes the snapshot durable under a temporary name before it takes its own.
+// writeSnapshot writes and syncs the snapshot to a temporary file, and then renames the file and syncs the directory.
 func (l *Log) writeSnapshot(name string, snapshot []byte) error {
 	file, err := l.fs.Create(temporaryName)
 	if err != nil {
--- a/coordination/wal/wal_test.go
+++ b/coordination/wal/wal_test.go
@@ -14,7 +14,7 @@
 	"raventrestle/coordination/wal/modeldisk"
 )
 
-// smallSegments begins a new segment after a few records.
+// smallSegments configures segments that are full after a few records.
 var smallSegments = wal.Config{SegmentBytes: 200}
 
 func open(t *testing.T, disk *modeldisk.Disk) (*wal.Log, wal.Recovered) {
@@ -42,8 +42,8 @@
 	return out
 }
 
-// appended returns a disk after that many appends, in several segments, and the records of all of them.
-func appended(t *testing.T, appends int) (*modeldisk.Disk, []string) {
+// newDiskWithRecords returns a disk with a log after the given number of appends, and the appended records.
+func newDiskWithRecords(t *testing.T, appends int) (*modeldisk.Disk, []string) {
 	t.Helper()
 	disk := modeldisk.New()
 	log, _ := open(t, disk)
@@ -65,9 +65,9 @@
 	return names[len(names)-1]
 }
 
-// A file that ends at any byte is recovered up to its last complete frame.
+// The newest segment is truncated at every byte: recovery returns the records up to its last complete frame.
 func TestRecoveryDiscardsATornWriteAtEveryByte(t *testing.T) {
-	disk, all := appended(t, 21)
+	disk, all := newDiskWithRecords(t, 21)
 	name := newestSegment(t, disk)
 	body, _ := disk.Read(name)
 	seen := map[int]bool{}
@@ -86,9 +86,10 @@
 	}
 }
 
-// A changed byte in a frame that others follow is reported, and never recovered as a shorter log.
+// One bit is flipped in each byte of the log in turn. Except in the last frame, recovery must report this and not return a
+// shorter log.
 func TestCorruptionBeforeTheLastFrameIsReported(t *testing.T) {
-	disk, all := appended(t, 21)
+	disk, all := newDiskWithRecords(t, 21)
 	names, _ := disk.List()
 	slices.Sort(names)
 	for _, name := range names {
@@ -112,8 +113,8 @@
 	}
 }
 
-// appendUntilPowerLoss appends and checkpoints until the disk loses power. It returns what was acknowledged and what was
-// in flight.
+// appendUntilPowerLoss appends and checkpoints until the disk loses power. It returns the acknowledged records and
+// snapshot, and those that the log would contain if the last call, which was in flight, had succeeded.
 func appendUntilPowerLoss(disk *modeldisk.Disk) (acknowledged, inFlight []string, snapshot, nextSnapshot string) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -143,8 +144,8 @@
 	}
 }
 
-// Power fails at every operation of the disk: what was acknowledged is recovered, and what was in flight is recovered as
-// one or not at all. Further power losses during recovery change nothing.
+// Power is lost at every operation of the disk: what was acknowledged is recovered, and the call that was in flight is
+// recovered completely or not at all, also after further power losses during recovery.
 func TestAcknowledgedRecordsSurviveAPowerLossAtEveryOperation(t *testing.T) {
 	for operation := 1; operation <= 120; operation++ {
 		for seed := uint64(0); seed < 12; seed++ {
@@ -177,10 +178,10 @@
 	}
 }
 
-// What a killed process left unsynced is synced before the next process acts on it.
+// Records that a killed process had not synced, but recovery returned, are durable once Open has returned.
 func TestRecoveredRecordsSurviveAPowerLoss(t *testing.T) {
 	for seed := uint64(0); seed < 50; seed++ {
-		disk, all := appended(t, 5)
+		disk, all := newDiskWithRecords(t, 5)
 		log, _ := open(t, disk)
 		disk.FailSyncs = 1
 		if err := log.Append(records("unconfirmed")); err == nil {
@@ -200,9 +201,9 @@
 	}
 }
 
-// While the disk fails writes the log is readable; it is usable once the disk takes writes again.
+// A log can be opened and read while writes fail, and can be written once writes succeed again.
 func TestLogIsUsableAgainAfterFailedWrites(t *testing.T) {
-	disk, all := appended(t, 5)
+	disk, all := newDiskWithRecords(t, 5)
 	disk.FailWrites = true
 	log, recovered := open(t, disk)
 	if recovered.WriteError == nil || !slices.Equal(texts(recovered.Records), all) {
@@ -225,13 +226,13 @@
 	}
 }
 
-// model is the reference model of a log: what it must recover whatever faults its disk has.
+// model is the reference model of a log: what it must recover after any faults of its disk.
 type model struct {
 	disk      *modeldisk.Disk
 	log       *wal.Log
 	records   []string
 	snapshot  string
-	uncertain [][]string // contents after appends that failed since the last success: a restart may recover any of them
+	uncertain [][]string // contents with a failed append since the last success; a restart may recover any
 	number    int
 }
 
@@ -269,7 +270,8 @@
 	}
 }
 
-// Appends, checkpoints, kills, power losses, failed writes and failed syncs in any order agree with the reference model.
+// Runs appends, checkpoints, kills, power losses, failed writes and failed syncs in random order, and compares what is
+// recovered with the reference model.
 func TestLogAgreesWithTheModelInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{disk: modeldisk.New()}
@@ -279,7 +281,7 @@
 			"append more": m.append, // twice as often as the others
 			"checkpoint": func(t *rapid.T) {
 				if m.disk.FailWrites || m.disk.FailSyncs > 0 {
-					return // TestAcknowledgedRecordsSurviveAPowerLossAtEveryOperation covers checkpoints that fail halfway
+					return // TestAcknowledgedRecordsSurviveAPowerLossAtEveryOperation covers interrupted checkpoints
 				}
 				text := m.newText()
 				if err := m.log.Checkpoint([]byte("snapshot of "+text), records(text)); err != nil {
