--- a/internal/net/courier/deadletters.go
+++ b/internal/net/courier/deadletters.go
@@ -11,11 +11,11 @@
 )
 
 // UseDeadLetters makes the courier keep undeliverable messages as dead letters. Call it before Run.
-func (c *Courier) UseDeadLetters(k *deadletter.Keeper) { c.deadLetters = k }
+func (c *Courier) UseDeadLetters(k *deadletter.Manager) { c.deadLetters = k }
 
 // Resend accepts a dead letter for another delivery. The journal already has it. Resend does not block; it returns false
 // if the mailbox is full.
-func (c *Courier) Resend(a deadletter.Again) bool {
+func (c *Courier) Resend(a deadletter.ResendRequest) bool {
 	c.mu.Lock()
 	c.resendIDs[a.ID] = true
 	c.mu.Unlock()
@@ -29,16 +29,16 @@
 }
 
 // attemptStarted notes an attempt in the message's progress, which its dead letter will contain.
-func (c *Courier) attemptStarted(m *message, t journal.Try) {
+func (c *Courier) attemptStarted(m *message, t journal.Attempt) {
 	c.moveToPast(m, "")
-	m.Out = &t
+	m.InFlight = &t
 }
 
 // attemptEnded notes how the attempt in flight ended, for the dead-letter keeper's view of the destination and for the
 // message's own dead letter.
 func (c *Courier) attemptEnded(m *message, o raventrestle.Outcome, statusName string) {
 	if o.Status != raventrestle.NotSent && o.Status != raventrestle.Canceled {
-		c.endedCalls = append(c.endedCalls, deadletter.Seen{Dest: destOf(m, c.peers[o.Target]), Delivered: o.Status == raventrestle.OK})
+		c.endedCalls = append(c.endedCalls, deadletter.CallEnd{Dest: destOf(m, c.peers[o.Target]), Delivered: o.Status == raventrestle.OK})
 	}
 	if m != nil {
 		c.moveToPast(m, statusName)
@@ -61,17 +61,17 @@
 // moveToPast moves the attempt in flight to the ended ones. The first attempt that may have run is kept in m.Ran, also
 // when the list is full.
 func (c *Courier) moveToPast(m *message, outcome string) {
-	if m.Out == nil {
+	if m.InFlight == nil {
 		return
 	}
-	t := deadletter.Try{Outcome: outcome}
-	if m.Ran == nil && t.MayHaveRun() {
-		m.Ran = m.Out
+	t := deadletter.Attempt{Outcome: outcome}
+	if m.FirstRun == nil && t.MayHaveRun() {
+		m.FirstRun = m.InFlight
 	}
-	if len(m.Past) < maxPastAttempts {
-		m.Past = append(m.Past, journal.Tried{Try: *m.Out, Outcome: outcome})
+	if len(m.Completed) < maxPastAttempts {
+		m.Completed = append(m.Completed, journal.CompletedAttempt{Attempt: *m.InFlight, Outcome: outcome})
 	}
-	m.Out = nil
+	m.InFlight = nil
 }
 
 // giveUp writes the dead letter of an undeliverable message, then its end, and then notifies the platform, in that order.
@@ -82,9 +82,9 @@
 	if i, known := c.conf.Names.Classes[m.Class]; known {
 		class = c.conf.Settings.Classes[i]
 	}
-	l := deadletter.Of(journal.Kept{Message: m.Message, Progress: m.Progress}, class, c.giveUpReason(m, class, t), time.Unix(0, int64(t)))
+	l := deadletter.NewMessage(journal.MessageState{Message: m.Message, Progress: m.Progress}, class, c.giveUpReason(m, class, t), time.Unix(0, int64(t)))
 	it := notify.Notification{ID: m.ID}
-	c.deadLetters.Keep(l, end.Deferred, func(err error) { // the keeper has counted and logged a failed write
+	c.deadLetters.Add(l, end.Deferred, func(err error) { // the keeper has counted and logged a failed write
 		if err != nil {
 			it.End = end
 		}
@@ -108,13 +108,13 @@
 func (c *Courier) giveUpReason(m *message, class raventrestle.Class, t time.Duration) string {
 	maxAttempts := c.conf.Settings.MaxAttempts
 	switch {
-	case m.Ran != nil && class.Idempotency == raventrestle.NonIdempotent:
+	case m.FirstRun != nil && class.Idempotency == raventrestle.NonIdempotent:
 		return "may have run"
-	case maxAttempts > 0 && m.Tries >= maxAttempts:
+	case maxAttempts > 0 && m.AttemptCount >= maxAttempts:
 		return "all tries used"
-	case m.Tries == 0 && c.countPeers(m.Dest) == 0:
+	case m.AttemptCount == 0 && c.countPeers(m.Dest) == 0:
 		return "no endpoint listed"
-	case int64(t) >= m.Until-int64(time.Second):
+	case int64(t) >= m.ExpiresAt-int64(time.Second):
 		return "out of time"
 	}
 	return "given up"
@@ -131,25 +131,25 @@
 
 // startResend passes a dead letter to the policy as a message of this process. If fresh messages would have to wait for
 // it, it is returned to the dead letters unsent.
-func (c *Courier) startResend(a deadletter.Again, t time.Duration) raventrestle.Event {
+func (c *Courier) startResend(a deadletter.ResendRequest, t time.Duration) raventrestle.Event {
 	m := &message{Message: a.Message}
-	if a.MayRun {
-		m.Prior, m.Ran = &a.Ran, &a.Ran
+	if a.MayHaveRun {
+		m.PriorRun, m.FirstRun = &a.FirstRun, &a.FirstRun
 	}
 	c.msgs[raventrestle.MessageID(m.ID)] = m
 	c.activeResends++
 	load := c.load()
-	if c.closing || c.deadLetters == nil || load.Held > load.MostHeld*3/4 || c.waitingByDest()[m.Dest] > 0 {
+	if c.closing || c.deadLetters == nil || load.Held > load.MaxHeld*3/4 || c.waitingByDest()[m.Dest] > 0 {
 		c.finishResend(m, "yielded")
 		return nil
 	}
 	e := c.arrivalEvent(arrival{Message: a.Message}, t)
-	if !a.MayRun {
+	if !a.MayHaveRun {
 		return e
 	}
 	return raventrestle.Restored{
-		Arrival: e, MayHaveRun: true, RunTarget: raventrestle.TargetID(a.Ran.Peer),
-		RunZone: c.zoneIndex(a.Ran.Zone), RunAt: time.Duration(a.Ran.At),
+		Arrival: e, MayHaveRun: true, RunTarget: raventrestle.TargetID(a.FirstRun.Peer),
+		RunZone: c.zoneIndex(a.FirstRun.Zone), RunAt: time.Duration(a.FirstRun.At),
 	}
 }
 
@@ -169,7 +169,7 @@
 		return
 	}
 	id := m.ID
-	c.deadLetters.Finish(deadletter.Result{ID: id, Dest: m.Dest, What: result, List: deadletter.Tries(m.Progress)}, func(err error) {
+	c.deadLetters.Finish(deadletter.ResendResult{ID: id, Dest: m.Dest, Result: result, Attempts: deadletter.AttemptsFrom(m.Progress)}, func(err error) {
 		if err != nil {
 			return
 		}
@@ -193,9 +193,9 @@
 			load.Held++
 		}
 	}
-	excess := rule.Limits{}.Crowded(load)
+	excess := rule.Limits{}.ResendsToYield(load)
 	for id, m := range c.msgs {
-		if m.Resend == 0 || m.inFlight || !freshDests[m.Dest] && excess <= 0 {
+		if m.ResendNumber == 0 || m.inFlight || !freshDests[m.Dest] && excess <= 0 {
 			continue
 		}
 		excess--
@@ -207,7 +207,7 @@
 
 func (c *Courier) load() rule.Load {
 	return rule.Load{
-		Slots: c.conf.Settings.CallSlots, Out: c.inFlight, MostHeld: c.conf.Settings.MaxMessages,
+		Slots: c.conf.Settings.CallSlots, InFlight: c.inFlight, MaxHeld: c.conf.Settings.MaxMessages,
 		Held: len(c.msgs), Resends: c.activeResends,
 	}
 }
@@ -216,7 +216,7 @@
 func (c *Courier) waitingByDest() map[int64]int {
 	n := map[int64]int{}
 	for _, m := range c.msgs {
-		if m.Resend == 0 && !m.inFlight {
+		if m.ResendNumber == 0 && !m.inFlight {
 			n[m.Dest]++
 		}
 	}
@@ -231,15 +231,15 @@
 	if c.deadLetters == nil {
 		return
 	}
-	c.deadLetters.Saw(c.endedCalls)
+	c.deadLetters.RecordCalls(c.endedCalls)
 	c.endedCalls = nil
 	if time.Since(c.viewSentAt) < viewInterval {
 		return
 	}
 	c.viewSentAt = time.Now()
-	v := &deadletter.View{Load: c.load(), Waiting: c.waitingByDest(), Places: map[int64][]rule.Place{}}
+	v := &deadletter.CourierState{Load: c.load(), Waiting: c.waitingByDest(), Endpoints: map[int64][]rule.Endpoint{}}
 	if c.closing { // no resend may start any more
-		v.Slots, v.MostHeld = 0, 0
+		v.Slots, v.MaxHeld = 0, 0
 	}
 	for _, r := range c.peers {
 		if r.entry.State != raventrestle.Ready {
@@ -249,7 +249,7 @@
 		if z := r.entry.Zone; z >= 0 {
 			zone = c.conf.Settings.Zones[z].Name
 		}
-		v.Places[int64(r.entry.Dest)] = append(v.Places[int64(r.entry.Dest)], rule.Place{Peer: string(r.entry.Target), Floor: zone})
+		v.Endpoints[int64(r.entry.Dest)] = append(v.Endpoints[int64(r.entry.Dest)], rule.Endpoint{Peer: string(r.entry.Target), Zone: zone})
 	}
-	c.deadLetters.Tell(v)
+	c.deadLetters.SetCourierState(v)
 }
--- a/internal/net/submission/submission.go
+++ b/internal/net/submission/submission.go
@@ -164,7 +164,7 @@
 	if pending.conn != nil {
 		pending.conn.RequestRead()
 	}
-	if h.draining.Load() || m.Until <= time.Now().UnixNano() {
+	if h.draining.Load() || m.ExpiresAt <= time.Now().UnixNano() {
 		return h.reject(r, m), nil
 	}
 	switch err := h.courier.Take(m); {
@@ -246,7 +246,7 @@
 	class, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	m := &journal.Message{
 		ID: r.Header.Get("X-Txn"), Key: r.Header.Get("Idempotency-Key"), Class: class,
-		Tenant: r.Header.Get("X-Org"), Since: pending.receivedAt.UnixNano(),
+		Tenant: r.Header.Get("X-Org"), AcceptedAt: pending.receivedAt.UnixNano(),
 	}
 	names := h.names.Load()
 	if _, ok := names.Classes[class]; !ok {
@@ -258,7 +258,7 @@
 	if m.Key != "" && !validToken(m.Key) {
 		return badRequest("Idempotency-Key is malformed")
 	}
-	m.Terms = names.Terms[class]
+	m.ClassTerms = names.Terms[class]
 	if m.Key == "" && names.Keyed[class] {
 		return badRequest("Idempotency-Key is missing")
 	}
@@ -269,7 +269,7 @@
 	if err != nil || math.IsNaN(remaining) || math.Abs(remaining) > 1e6 {
 		return badRequest("X-Remaining is missing or malformed")
 	}
-	m.Until = pending.receivedAt.Add(time.Duration(remaining * float64(time.Second))).UnixNano()
+	m.ExpiresAt = pending.receivedAt.Add(time.Duration(remaining * float64(time.Second))).UnixNano()
 	dest, ok := listField(r.Header.Get("X-Consignee"), "dest")
 	if m.Dest, err = strconv.ParseInt(dest, 10, 64); !ok || err != nil {
 		return badRequest("X-Consignee names no dest")
