--- a/cmd/raventrestle-settings/main.go
+++ b/cmd/raventrestle-settings/main.go
@@ -20,7 +20,7 @@
 		&cobra.Command{
 			Use: "export FILE", Short: "Check a file and print it as JSON, defaults filled in",
 			Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
-				out, err := schema.File(args[0])
+				out, err := schema.CompileFile(args[0])
 				if err == nil {
 					_, err = fmt.Fprintf(c.OutOrStdout(), "%s\n", out)
 				}
@@ -30,7 +30,7 @@
 		&cobra.Command{
 			Use: "schema", Short: "Print the schema", Args: cobra.NoArgs,
 			RunE: func(c *cobra.Command, _ []string) error {
-				_, err := fmt.Fprint(c.OutOrStdout(), schema.Text)
+				_, err := fmt.Fprint(c.OutOrStdout(), schema.Source)
 				return err
 			},
 		})
--- a/cmd/raventrestle/commands_test.go
+++ b/cmd/raventrestle/commands_test.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		return err
 	}
-	out, err := exec.Command("go", "build", "-o", filepath.Join(filepath.Dir(exe), settings.Helper), "raventrestle/cmd/raventrestle-settings").CombinedOutput()
+	out, err := exec.Command("go", "build", "-o", filepath.Join(filepath.Dir(exe), settings.HelperProgram), "raventrestle/cmd/raventrestle-settings").CombinedOutput()
 	if err != nil {
 		return fmt.Errorf("%w: %s", err, out)
 	}
@@ -80,8 +80,8 @@
 		{[]string{"settings", "schema"}, 0, "#Settings", ""},
 		{[]string{"settings", "check"}, 2, "", "accepts 1 arg"},
 		{[]string{"run", "--settings", bad}, 2, "", "log.levle"},
-		{[]string{"run"}, 1, "", "EDGE_CONFIG names no file"},
-		{nil, 1, "", "EDGE_CONFIG names no file"},
+		{[]string{"run"}, 1, "", "EDGE_CONFIG is not set"},
+		{nil, 1, "", "EDGE_CONFIG is not set"},
 		{[]string{"nonsense"}, 2, "", "unknown command"},
 		{[]string{"completion", "bash"}, 0, "bash completion", ""},
 		{[]string{"undeliverable", "list"}, 1, "", "no folder is named"},
--- a/cmd/raventrestle/main.go
+++ b/cmd/raventrestle/main.go
@@ -37,7 +37,7 @@
 		return 0
 	}
 	fmt.Fprintln(os.Stderr, "raventrestle:", err)
-	var invalid *settings.Invalid
+	var invalid *settings.InvalidFileError
 	var failed failure
 	if errors.As(err, &invalid) || !errors.As(err, &failed) {
 		return exitUsage
--- a/cmd/raventrestle/serve.go
+++ b/cmd/raventrestle/serve.go
@@ -75,7 +75,7 @@
 		}
 	}
 	d := &daemon{level: &slog.LevelVar{}, file: file, figures: &figures.Book{}}
-	d.log = settings.Logger(set.Log, d.level)
+	d.log = settings.NewLogger(set.Log, d.level)
 	d.life = instance.New(d.log, func(drains bool) {
 		if d.front != nil && !d.handing.Load() {
 			d.front.Drain(drains)
@@ -91,7 +91,7 @@
 		return err
 	}
 	d.held = d.conf
-	for _, what := range d.conf.Aside {
+	for _, what := range d.conf.Warnings {
 		d.log.Warn("raventrestle: set aside", "file", os.Getenv("EDGE_CONFIG"), "what", what)
 	}
 	runtime.GOMAXPROCS(max(1, int(d.conf.Limits.Cores)))
@@ -121,18 +121,18 @@
 	disk := min(int64(d.conf.Limits.DiskMB*1e6), memory/4)
 	var life *upgrade.Life
 	if listener != nil {
-		if life, err = upgrade.Claim(d.conf.State, d.log); err != nil {
+		if life, err = upgrade.Claim(d.conf.StateDir, d.log); err != nil {
 			return err
 		}
 		debug.SetMemoryLimit(memory * 3 / 10)
 		descriptors = descriptors * 3 / 4
 	} else {
-		owner, err := own(ctx, d.conf.State, d.log)
+		owner, err := own(ctx, d.conf.StateDir, d.log)
 		if err != nil {
 			return err
 		}
 		defer owner()
-		if life, err = upgrade.Alone(d.conf.State, d.log); errors.Is(err, upgrade.ErrRuns) {
+		if life, err = upgrade.Alone(d.conf.StateDir, d.log); errors.Is(err, upgrade.ErrRuns) {
 			return fmt.Errorf("%w: %w", errOwned, err)
 		} else if err != nil {
 			return err
@@ -413,9 +413,9 @@
 	u := set.Undeliverable
 	names, classes := d.conf.Names, d.conf.Settings.Classes
 	return deadletter.Config{
-		Folder: deadLetterFolder(set, d.conf.State), Limits: limits(u, d.conf.Settings.Forwarders, d.conf.Settings.WarmupDuration), MaxAge: u.MaxAge.Duration(),
-		Settled: u.SettledAge.Duration(), Log: d.log, Seed: d.conf.Seed, Append: d.store.Append,
-		Options: deadletter.Options{MaxBytes: u.MaxBytes, MaxLetters: u.MaxLetters, Sync: u.Sync},
+		Folder: deadLetterFolder(set, d.conf.StateDir), Limits: limits(u, d.conf.Settings.Forwarders, d.conf.Settings.WarmupDuration), MaxAge: u.MaxAge.Duration(),
+		Settled: u.ResolvedMaxAge.Duration(), Log: d.log, Seed: d.conf.Seed, Append: d.store.Append,
+		Options: deadletter.Options{MaxBytes: u.MaxBytes, MaxLetters: u.MaxDeadLetters, Sync: u.Sync},
 		Begin:   func(a deadletter.Again) bool { return d.courier.Again(a) },
 		Class: func(name string) (raventrestle.Class, bool) {
 			i, ok := names.Classes[name]
--- a/cmd/raventrestle/settings.go
+++ b/cmd/raventrestle/settings.go
@@ -38,7 +38,7 @@
 	show := &cobra.Command{
 		Use: "show FILE", Short: "Print a file's settings as JSON, all defaults filled in",
 		Args: cobra.ExactArgs(1), RunE: works(func(c *cobra.Command, args []string) error {
-			text, err := settings.Run(c.Context(), "export", args[0])
+			text, err := settings.RunHelper(c.Context(), "export", args[0])
 			if err != nil {
 				return err
 			}
@@ -53,7 +53,7 @@
 	schema := &cobra.Command{
 		Use: "schema", Short: "Print the schema: every field, its range, default and meaning",
 		Args: cobra.NoArgs, RunE: works(func(c *cobra.Command, _ []string) error {
-			text, err := settings.Run(c.Context(), "schema")
+			text, err := settings.RunHelper(c.Context(), "schema")
 			if err == nil {
 				_, err = c.OutOrStdout().Write(text)
 			}
--- a/cmd/raventrestle/undeliverable.go
+++ b/cmd/raventrestle/undeliverable.go
@@ -42,10 +42,10 @@
 			return nil, none, err
 		}
 	}
-	socket, folder := cmp.Or(w.socket, set.Admin.Socket), cmp.Or(w.folder, set.Undeliverable.Folder)
+	socket, folder := cmp.Or(w.socket, set.Admin.Socket), cmp.Or(w.folder, set.Undeliverable.Dir)
 	if folder == "" {
 		if conf, err := config.Load(os.Getenv); err == nil {
-			folder = deadLetterFolder(set, conf.State)
+			folder = deadLetterFolder(set, conf.StateDir)
 		}
 	}
 	if socket != "" && !w.offline && w.folder == "" {
@@ -61,7 +61,7 @@
 	}
 	u := set.Undeliverable
 	store, err := deadletter.Open(folder, deadletter.Options{
-		MaxBytes: u.MaxBytes, MaxLetters: u.MaxLetters, Sync: true,
+		MaxBytes: u.MaxBytes, MaxLetters: u.MaxDeadLetters, Sync: true,
 		ReadOnly: !w.offline,
 	}, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	if err != nil {
@@ -72,22 +72,22 @@
 
 // deadLetterFolder is where a courier with these settings has its dead letters.
 func deadLetterFolder(set *settings.Settings, state string) string {
-	return cmp.Or(set.Undeliverable.Folder, filepath.Join(state, "undeliverable"))
+	return cmp.Or(set.Undeliverable.Dir, filepath.Join(state, "undeliverable"))
 }
 
 // defaults are for commands at a folder without a settings file: they cap nothing.
-var defaults = settings.Undeliverable{MaxBytes: 1 << 50, MaxLetters: 1 << 40, Resend: settings.Resend{
+var defaults = settings.Undeliverable{MaxBytes: 1 << 50, MaxDeadLetters: 1 << 40, Resend: settings.Resend{
 	Automatic:  true,
-	MaxResends: 1 << 30, LastDate: 1e9, FirstRate: 1, MaxRate: 1,
+	MaxResends: 1 << 30, MaxAge: 1e9, InitialRate: 1, MaxRate: 1,
 }}
 
 // limits are the settings in the rule's terms, for one of so many couriers.
 func limits(u settings.Undeliverable, couriers int, cold time.Duration) rule.Limits {
 	r, n := u.Resend, float64(max(couriers, 1))
 	return rule.Limits{
-		Automatic: r.Automatic, MaxResends: r.MaxResends, LastDate: r.LastDate.Duration(),
-		FirstRate: r.FirstRate / n, MaxRate: r.MaxRate / n, Cold: cold, Growth: r.Growth, Backoff: r.Backoff.Duration(),
-		MaxBackoff: r.MaxBackoff.Duration(), Jitter: r.Jitter, SlotsShare: r.SlotsShare, HeldShare: r.HeldShare,
+		Automatic: r.Automatic, MaxResends: r.MaxResends, LastDate: r.MaxAge.Duration(),
+		FirstRate: r.InitialRate / n, MaxRate: r.MaxRate / n, Cold: cold, Growth: r.Growth, Backoff: r.Backoff.Duration(),
+		MaxBackoff: r.MaxBackoff.Duration(), Jitter: r.Jitter, SlotsShare: r.MaxSlotShare, HeldShare: r.MaxPendingShare,
 		Lag: resendLag,
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -11,7 +11,7 @@
 	"raventrestle"
 )
 
-// Limits are those of the machine that a courier runs on.
+// Limits are the resource limits of the machine that a courier process runs on.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
@@ -19,28 +19,30 @@
 	DiskMB   float64 `json:"disk_mb"`
 }
 
-// Config is all that a courier is told at its start.
+// Config is the configuration with which a courier process starts.
 type Config struct {
 	Name, Listen, Discovery string
-	Admin                   string // the second address, "" for none
-	State                   string // the folder that lasts
+	Admin                   string // address of the admin listener; "" for none
+	StateDir                string // directory whose files survive a restart
 	Seed                    uint64
 	Limits                  Limits
-	Known                   []byte // the list as it was last held, in discovery's form
+	InitialEndpoints        []byte // last known endpoint list, as JSON in discovery's format
 	Settings                raventrestle.Settings
 	Names                   *Names
-	Aside                   []string // what could not be used, and what is used in its place
+	Warnings                []string // values that could not be used, and what replaces each
 
-	text []byte // of the file
+	text []byte // content of the file
 }
 
-// Load reads the file named by EDGE_CONFIG; the other EDGE_ variables go before it.
+// Load reads the file named by EDGE_CONFIG. The other EDGE_ variables override the values in the file.
 func Load(getenv func(string) string) (*Config, error) { return load(getenv, true) }
 
-func load(getenv func(string) string, first bool) (*Config, error) {
+// load reads the file. At startup, environment variables override the file; at a reload, they only fill in values that
+// the file leaves out.
+func load(getenv func(string) string, startup bool) (*Config, error) {
 	path := getenv("EDGE_CONFIG")
 	if path == "" {
-		return nil, fmt.Errorf("EDGE_CONFIG names no file")
+		return nil, fmt.Errorf("EDGE_CONFIG is not set")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -61,58 +63,58 @@
 		return nil, fmt.Errorf("config: %w", err)
 	}
 	c := &Config{
-		text: text, Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, Admin: raw.Admin, State: raw.State,
-		Limits: raw.Limits, Known: raw.Known,
+		text: text, Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, Admin: raw.Admin, StateDir: raw.State,
+		Limits: raw.Limits, InitialEndpoints: raw.Known,
 	}
 	for name, field := range map[string]*string{
 		"EDGE_NAME": &c.Name, "EDGE_LISTEN": &c.Listen,
-		"EDGE_DISCOVERY": &c.Discovery, "EDGE_ADMIN": &c.Admin, "EDGE_STATE": &c.State,
+		"EDGE_DISCOVERY": &c.Discovery, "EDGE_ADMIN": &c.Admin, "EDGE_STATE": &c.StateDir,
 	} {
-		if v := getenv(name); v != "" && (first || *field == "") {
+		if v := getenv(name); v != "" && (startup || *field == "") {
 			*field = v
 		}
 	}
-	if c.Listen == "" || c.Discovery == "" || c.State == "" {
-		return nil, fmt.Errorf("config: listen, discovery and state are needed")
+	if c.Listen == "" || c.Discovery == "" || c.StateDir == "" {
+		return nil, fmt.Errorf("config: listen, discovery and state are required")
 	}
 	if c.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
 		c.Seed = rand.Uint64()
-		c.Aside = append(c.Aside, fmt.Sprintf("seed %q is no number of 64 bits in hex: drawn instead", raw.Seed))
+		c.Warnings = append(c.Warnings, fmt.Sprintf("seed %q is not a 64-bit hexadecimal number: using a random seed", raw.Seed))
 	}
-	for _, x := range []struct {
-		name  string
-		value *float64
-		least float64
-	}{{"cores", &c.Limits.Cores, leastCores}, {"memory_mb", &c.Limits.MemoryMB, leastMemoryMB}, {"disk_mb", &c.Limits.DiskMB, leastDiskMB}} {
-		if *x.value <= 0 {
-			*x.value = x.least
-			c.Aside = append(c.Aside, fmt.Sprintf("limits.%s is missing: %g taken instead", x.name, x.least))
+	for _, limit := range []struct {
+		name     string
+		value    *float64
+		fallback float64
+	}{{"cores", &c.Limits.Cores, defaultCores}, {"memory_mb", &c.Limits.MemoryMB, defaultMemoryMB}, {"disk_mb", &c.Limits.DiskMB, defaultDiskMB}} {
+		if *limit.value <= 0 {
+			*limit.value = limit.fallback
+			c.Warnings = append(c.Warnings, fmt.Sprintf("limits.%s is missing: using %g", limit.name, limit.fallback))
 		}
 	}
 	if c.Limits.Sockets <= 0 {
-		c.Limits.Sockets = leastSockets
-		c.Aside = append(c.Aside, fmt.Sprintf("limits.sockets is missing: %d taken instead", leastSockets))
+		c.Limits.Sockets = defaultSockets
+		c.Warnings = append(c.Warnings, fmt.Sprintf("limits.sockets is missing: using %d", defaultSockets))
 	}
-	if c.Settings, c.Names, err = Settings(raw.Settings); err != nil {
+	if c.Settings, c.Names, err = ParseSettings(raw.Settings); err != nil {
 		return nil, err
 	}
-	c.Aside = append(c.Aside, c.Names.Aside...)
-	for name, x := range map[string]*int{
+	c.Warnings = append(c.Warnings, c.Names.Warnings...)
+	for name, count := range map[string]*int{
 		"balancers": &c.Settings.Forwarders, "limits.most_held": &c.Settings.MaxMessages,
 		"specifics.call_slots": &c.Settings.CallSlots,
 	} {
-		if *x < 1 {
-			*x = 1
-			c.Aside = append(c.Aside, "settings."+name+" is missing: 1 taken instead")
+		if *count < 1 {
+			*count = 1
+			c.Warnings = append(c.Warnings, "settings."+name+" is missing: using 1")
 		}
 	}
 	return c, nil
 }
 
-// The least that a deployment gives, where the file does not say.
+// Defaults for limits that the file leaves out: the smallest values that any deployment uses.
 const (
-	leastCores    = 0.25
-	leastMemoryMB = 32
-	leastDiskMB   = 1
-	leastSockets  = 256
+	defaultCores    = 0.25
+	defaultMemoryMB = 32
+	defaultDiskMB   = 1
+	defaultSockets  = 256
 )
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -12,36 +12,36 @@
 	"raventrestle"
 )
 
-// Reload reads the file anew for a courier that holds a configuration. It was replaced after the variables
-// were set, so it goes before them. While a start makes do with what it finds, a file that comes in service
-// is taken whole or not at all, since there is one in use: the error names the field.
-func Reload(getenv func(string) string, held *Config) (*Config, error) {
+// Reload reads the file again for a running courier. The file was replaced after the environment variables were set, so
+// its values override them. Startup replaces invalid values by defaults, but a reload accepts the file completely or not
+// at all, because the current configuration can stay in use. The error names the invalid field.
+func Reload(getenv func(string) string, current *Config) (*Config, error) {
 	c, err := load(getenv, false)
 	if err != nil {
 		return nil, err
 	}
-	if len(c.Aside) > 0 {
-		return nil, fmt.Errorf("config: %s", strings.Join(c.Aside, "; "))
+	if len(c.Warnings) > 0 {
+		return nil, fmt.Errorf("config: %s", strings.Join(c.Warnings, "; "))
 	}
-	was, err := tree(held.text)
+	oldTree, err := parseJSON(current.text)
 	if err != nil {
-		return nil, fmt.Errorf("config: the one in use: %w", err)
+		return nil, fmt.Errorf("config: current configuration: %w", err)
 	}
-	is, err := tree(c.text)
+	newTree, err := parseJSON(c.text)
 	if err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	if err := complete("", was, is, held.Names); err != nil {
+	if err := checkKeys("", oldTree, newTree, current.Names); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	if err := sound(&c.Settings); err != nil {
+	if err := validate(&c.Settings); err != nil {
 		return nil, fmt.Errorf("config: settings.%w", err)
 	}
 	return c, nil
 }
 
-// tree is the file as it stands, numbers as they are written.
-func tree(text []byte) (any, error) {
+// parseJSON returns the file as generic JSON values, numbers as json.Number.
+func parseJSON(text []byte) (any, error) {
 	var v any
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
@@ -49,66 +49,67 @@
 	return v, err
 }
 
-// complete says which key of the file in use has gone, or has a value of another type. The keys of a list's
-// members are those that all of its members have in the file in use. Names of classes, tenants, kinds and
-// zones may come and go.
-func complete(at string, was, is any, names *Names) error {
-	switch was := was.(type) {
+// checkKeys returns an error if the new value lacks a key of the old one, or has a value of another type there. In a
+// list of objects, each new element needs the keys that all old elements have. Names of classes, tenants, kinds and
+// zones may be added and removed.
+func checkKeys(path string, oldValue, newValue any, names *Names) error {
+	switch oldValue := oldValue.(type) {
 	case map[string]any:
-		is, ok := is.(map[string]any)
+		newValue, ok := newValue.(map[string]any)
 		if !ok {
-			return fmt.Errorf("%s is no object", at)
+			return fmt.Errorf("%s is not an object", path)
 		}
-		for _, key := range slices.Sorted(maps.Keys(was)) {
-			path := strings.TrimPrefix(at+"."+key, ".")
-			if names.have(key) {
+		for _, key := range slices.Sorted(maps.Keys(oldValue)) {
+			keyPath := strings.TrimPrefix(path+"."+key, ".")
+			if names.contains(key) {
 				continue
 			}
-			v, ok := is[key]
+			v, ok := newValue[key]
 			if !ok {
-				return fmt.Errorf("%s is missing", path)
+				return fmt.Errorf("%s is missing", keyPath)
 			}
-			if path == "known" { // a list, which is for a start
+			if keyPath == "known" { // the endpoint list, which is used at startup only
 				continue
 			}
-			if err := complete(path, was[key], v, names); err != nil {
+			if err := checkKeys(keyPath, oldValue[key], v, names); err != nil {
 				return err
 			}
 		}
 	case []any:
-		is, ok := is.([]any)
+		newValue, ok := newValue.([]any)
 		if !ok {
-			return fmt.Errorf("%s is no list", at)
+			return fmt.Errorf("%s is not a list", path)
 		}
-		common := shared(was)
-		for i, v := range is {
-			if common != nil {
-				if err := complete(fmt.Sprintf("%s[%d]", at, i), common, v, names); err != nil {
+		sharedKeys := commonKeys(oldValue)
+		for i, v := range newValue {
+			if sharedKeys != nil {
+				if err := checkKeys(fmt.Sprintf("%s[%d]", path, i), sharedKeys, v, names); err != nil {
 					return err
 				}
-			} else if len(was) > 0 {
-				if err := complete(fmt.Sprintf("%s[%d]", at, i), was[0], v, names); err != nil {
+			} else if len(oldValue) > 0 {
+				if err := checkKeys(fmt.Sprintf("%s[%d]", path, i), oldValue[0], v, names); err != nil {
 					return err
 				}
 			}
 		}
 	case json.Number:
-		if _, ok := is.(json.Number); !ok {
-			return fmt.Errorf("%s is no number", at)
+		if _, ok := newValue.(json.Number); !ok {
+			return fmt.Errorf("%s is not a number", path)
 		}
 	case string:
-		if _, ok := is.(string); !ok {
-			return fmt.Errorf("%s is no text", at)
+		if _, ok := newValue.(string); !ok {
+			return fmt.Errorf("%s is not a string", path)
 		}
 	case bool:
-		if _, ok := is.(bool); !ok {
-			return fmt.Errorf("%s is neither true nor false", at)
+		if _, ok := newValue.(bool); !ok {
+			return fmt.Errorf("%s is not a boolean", path)
 		}
 	}
 	return nil
 }
 
-func (n *Names) have(key string) bool {
+// contains reports whether the key is the name of a class, tenant, kind or zone.
+func (n *Names) contains(key string) bool {
 	for _, m := range []map[string]int{n.Classes, n.Tenants, n.Kinds, n.Zones} {
 		if _, ok := m[key]; ok {
 			return true
@@ -117,9 +118,9 @@
 	return false
 }
 
-// shared is an object of the keys that all objects of the list have, nil for a list of other things. A value
-// that differs in type among them is left open.
-func shared(list []any) map[string]any {
+// commonKeys returns an object with the keys that all objects of the list have, or nil if the list has other elements.
+// The value of a key is nil, which any type matches, if its type differs between the objects.
+func commonKeys(list []any) map[string]any {
 	var common map[string]any
 	for _, v := range list {
 		o, ok := v.(map[string]any)
@@ -139,11 +140,11 @@
 	return common
 }
 
-// longest is more than any class waits: beyond it lies a slip of the pen, or an overflow.
-const longest = 24 * time.Hour
+// maxDeadline is longer than the deadline of any class. A larger value is a typing error or an overflow.
+const maxDeadline = 24 * time.Hour
 
-// sound checks what the courier cannot do without.
-func sound(s *raventrestle.Settings) error {
+// validate checks the settings that the courier can't work without.
+func validate(s *raventrestle.Settings) error {
 	if len(s.Classes) == 0 {
 		return fmt.Errorf("classes is empty")
 	}
@@ -152,13 +153,13 @@
 		field := func(name string) string { return fmt.Sprintf("classes[%d].%s (%q)", i, name, c.Name) }
 		switch {
 		case c.Name == "" || seen[c.Name]:
-			return fmt.Errorf("%s is empty or stands twice", field("name"))
-		case c.Deadline <= 0 || c.Deadline > longest:
-			return fmt.Errorf("%s is no positive time within %v", field("deadline_us"), longest)
+			return fmt.Errorf("%s is empty or a duplicate", field("name"))
+		case c.Deadline <= 0 || c.Deadline > maxDeadline:
+			return fmt.Errorf("%s is not positive and at most %v", field("deadline_us"), maxDeadline)
 		case c.SoftDeadline <= 0 || c.SoftDeadline > c.Deadline:
-			return fmt.Errorf("%s is no positive time within the deadline", field("aim_us"))
-		case c.DedupWindow < 0 || c.DedupWindow > longest:
-			return fmt.Errorf("%s is no time within %v", field("window_us"), longest)
+			return fmt.Errorf("%s is not positive and at most the deadline", field("aim_us"))
+		case c.DedupWindow < 0 || c.DedupWindow > maxDeadline:
+			return fmt.Errorf("%s is not between 0 and %v", field("window_us"), maxDeadline)
 		}
 		seen[c.Name] = true
 	}
@@ -167,67 +168,70 @@
 		value int
 	}{{"limits.send_cap", s.MaxAttempts}, {"limits.most_held", s.MaxMessages}, {"specifics.call_slots", s.CallSlots}, {"balancers", s.Forwarders}} {
 		if x.value < 1 || x.value > 1<<20 {
-			return fmt.Errorf("%s: %d is no positive number within %d", x.name, x.value, 1<<20)
+			return fmt.Errorf("%s: %d is not between 1 and %d", x.name, x.value, 1<<20)
 		}
 	}
 	return nil
 }
 
-// Follow gives all that has a name the index that it has in the held configuration; what is new stands behind.
-// A class with other terms is a new one under the same name: messages under way keep theirs.
-func (c *Config) Follow(held *Config) {
+// KeepIndices renumbers classes, tenants, kinds and zones so that each name keeps its index from the current
+// configuration; new ones are appended. A class whose terms changed is appended as a new class under the same name,
+// so that messages in flight keep the terms under which they were accepted.
+func (c *Config) KeepIndices(current *Config) {
 	s, n := &c.Settings, c.Names
-	classes := slices.Clone(held.Settings.Classes)
+	classes := slices.Clone(current.Settings.Classes)
 	for name, i := range n.Classes {
-		at, known := held.Names.Classes[name]
-		if !known || held.Names.Terms[name] != n.Terms[name] {
-			at = slices.IndexFunc(classes, func(x raventrestle.Class) bool { return x == s.Classes[i] })
+		index, known := current.Names.Classes[name]
+		if !known || current.Names.Terms[name] != n.Terms[name] {
+			index = slices.IndexFunc(classes, func(x raventrestle.Class) bool { return x == s.Classes[i] })
 		}
-		if at < 0 {
-			at, classes = len(classes), append(classes, s.Classes[i])
+		if index < 0 {
+			index, classes = len(classes), append(classes, s.Classes[i])
 		}
-		n.Classes[name] = at
+		n.Classes[name] = index
 	}
 	s.Classes = classes
-	s.Tenants = union(held.Settings.Tenants, s.Tenants, held.Names.Tenants, n.Tenants)
-	s.Kinds = union(held.Settings.Kinds, s.Kinds, held.Names.Kinds, n.Kinds)
-	home := ""
+	s.Tenants = mergeByName(current.Settings.Tenants, s.Tenants, current.Names.Tenants, n.Tenants)
+	s.Kinds = mergeByName(current.Settings.Kinds, s.Kinds, current.Names.Kinds, n.Kinds)
+	zoneName := ""
 	for name, i := range n.Zones {
 		if i == s.Zone {
-			home = name
+			zoneName = name
 		}
 	}
-	s.Zones = union(held.Settings.Zones, s.Zones, held.Names.Zones, n.Zones)
-	s.Zone = Index(n.Zones, home)
+	s.Zones = mergeByName(current.Settings.Zones, s.Zones, current.Names.Zones, n.Zones)
+	s.Zone = Index(n.Zones, zoneName)
 }
 
-// union is the list with the indices of the one before it; what that has beyond stays.
-func union[T any](was, is []T, wasNames, isNames map[string]int) []T {
-	all := slices.Clone(was)
-	for _, name := range slices.Sorted(maps.Keys(isNames)) {
-		v := is[isNames[name]]
-		if i, ok := wasNames[name]; ok {
-			all[i], isNames[name] = v, i
+// mergeByName returns the new items at the indices that their names have in the old list; new names are appended. Old
+// items that are not in the new list stay. It updates newIndex accordingly.
+func mergeByName[T any](oldItems, newItems []T, oldIndex, newIndex map[string]int) []T {
+	merged := slices.Clone(oldItems)
+	for _, name := range slices.Sorted(maps.Keys(newIndex)) {
+		v := newItems[newIndex[name]]
+		if i, ok := oldIndex[name]; ok {
+			merged[i], newIndex[name] = v, i
 			continue
 		}
-		isNames[name], all = len(all), append(all, v)
+		newIndex[name], merged = len(merged), append(merged, v)
 	}
-	for name, i := range wasNames {
-		if _, ok := isNames[name]; !ok {
-			isNames[name] = i
+	for name, i := range oldIndex {
+		if _, ok := newIndex[name]; !ok {
+			newIndex[name] = i
 		}
 	}
-	return all
+	return merged
 }
 
-// Terms words what a class's messages are owed, so that they keep it across settings and lives.
-func Terms(c raventrestle.Class) string {
+// EncodeTerms encodes the terms of a class, such as its deadlines and value. They are stored with each message, so that
+// a message keeps them across a reload and a restart.
+func EncodeTerms(c raventrestle.Class) string {
 	return fmt.Sprint(int64(c.SoftDeadline), c.EstimateFactor, int64(c.Deadline), c.Value, c.LateValueShare, uint8(c.Idempotency), uint8(c.DedupScope), int64(c.DedupWindow))
 }
 
-// OfTerms is the class of the name with those terms. Terms that can't be read are an error, and the class is
-// then one that must not take effect twice.
-func OfTerms(name, terms string) (raventrestle.Class, error) {
+// ParseTerms returns the class with that name and the encoded terms. If they can't be parsed, it returns an error and a
+// non-idempotent class, whose messages must not take effect twice.
+func ParseTerms(name, terms string) (raventrestle.Class, error) {
 	c := raventrestle.Class{Name: name}
 	if _, err := fmt.Sscan(terms, &c.SoftDeadline, &c.EstimateFactor, &c.Deadline, &c.Value, &c.LateValueShare, &c.Idempotency, &c.DedupScope, &c.DedupWindow); err != nil || c.SoftDeadline <= 0 || c.Deadline < c.SoftDeadline {
 		return raventrestle.Class{Name: name, Idempotency: raventrestle.NonIdempotent, SoftDeadline: time.Second, Deadline: time.Second}, fmt.Errorf("terms %q: %w", terms, err)
--- a/internal/cuefile/cuefile.go
+++ b/internal/cuefile/cuefile.go
@@ -1,5 +1,5 @@
-// Package cuefile checks files of records written as CUE against a schema, fills the defaults in and
-// words what is wrong. Only programs that may carry the CUE evaluator link it.
+// Package cuefile validates CUE files against a schema, fills in the defaults and turns CUE's errors into one sentence.
+// Only programs that may include the CUE evaluator link it.
 package cuefile
 
 import (
@@ -13,26 +13,26 @@
 	cueerrors "cuelang.org/go/cue/errors"
 )
 
-// mostBytes of a file; a longer one is no file of records.
-const mostBytes = 1 << 20
+// maxFileBytes is the size above which a file is rejected without reading it.
+const maxFileBytes = 1 << 20
 
-// Kind is one kind of file.
+// Kind is a kind of file and describes how it is validated.
 type Kind struct {
-	Name       string // in errors, such as "settings"
+	Name       string // prefix of error messages, such as "settings"
 	Schema     string // CUE text
-	Definition string // in it, such as "#Settings"
-	// Check holds what ranges of single fields can't say; nil for nothing.
+	Definition string // the definition in Schema that a file must match, such as "#Settings"
+	// Check validates what the schema can't express, such as relations between fields; nil for no such check.
 	Check func(name string, v cue.Value) error
 }
 
-// File is Compile of a file's text.
-func (k Kind) File(path string) ([]byte, error) {
+// CompileFile reads the file and passes its text to Compile.
+func (k Kind) CompileFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", k.Name, err)
 	}
-	if !info.Mode().IsRegular() || info.Size() > mostBytes {
-		return nil, fmt.Errorf("%s: %s is no regular file of at most %d bytes", k.Name, path, mostBytes)
+	if !info.Mode().IsRegular() || info.Size() > maxFileBytes {
+		return nil, fmt.Errorf("%s: %s is not a regular file of at most %d bytes", k.Name, path, maxFileBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -41,82 +41,82 @@
 	return k.Compile(path, text)
 }
 
-// Compile checks the text and returns its records as JSON, all defaults filled in. The error is one
-// sentence that names the file, the line and the field of the first fault.
+// Compile validates the text and returns its value as JSON with all defaults filled in. The error is one sentence that
+// names the file, the line and the field of the first mistake.
 func (k Kind) Compile(name string, text []byte) ([]byte, error) {
 	ctx := cuecontext.New()
-	whole := ctx.CompileString(k.Schema, cue.Filename("schema.cue")).LookupPath(cue.ParsePath(k.Definition))
-	if err := whole.Err(); err != nil {
+	schema := ctx.CompileString(k.Schema, cue.Filename("schema.cue")).LookupPath(cue.ParsePath(k.Definition))
+	if err := schema.Err(); err != nil {
 		return nil, fmt.Errorf("%s: schema: %w", k.Name, err)
 	}
-	given := ctx.CompileBytes(text, cue.Filename(name))
-	if err := given.Err(); err != nil {
-		return nil, k.fault(name, whole, given, err)
+	input := ctx.CompileBytes(text, cue.Filename(name))
+	if err := input.Err(); err != nil {
+		return nil, k.describeError(name, schema, input, err)
 	}
-	all := whole.Unify(given)
-	if err := all.Validate(cue.Concrete(true), cue.All()); err != nil {
-		return nil, k.fault(name, whole, given, err)
+	value := schema.Unify(input)
+	if err := value.Validate(cue.Concrete(true), cue.All()); err != nil {
+		return nil, k.describeError(name, schema, input, err)
 	}
 	if k.Check != nil {
-		if err := k.Check(name, all); err != nil {
+		if err := k.Check(name, value); err != nil {
 			return nil, fmt.Errorf("%s: %w", k.Name, err)
 		}
 	}
-	out, err := all.MarshalJSON()
+	out, err := value.MarshalJSON()
 	if err != nil {
-		return nil, k.fault(name, whole, given, err)
+		return nil, k.describeError(name, schema, input, err)
 	}
 	return out, nil
 }
 
-// fault is the first of CUE's errors in one sentence. Of its positions, that in the operators' file
-// is named, not that in the schema; of a value outside its range, what would be inside.
-func (k Kind) fault(name string, schema, given cue.Value, err error) error {
+// describeError returns the first of CUE's errors as one sentence. It gives the position in the validated file, not the
+// one in the schema, and for a value that the schema does not allow, the constraint from the schema.
+func (k Kind) describeError(name string, schema, input cue.Value, err error) error {
 	list := cueerrors.Errors(err)
 	if len(list) == 0 {
 		return fmt.Errorf(k.Name+": %s: %w", name, err)
 	}
-	first := list[0]
-	where := name
-	for _, p := range cueerrors.Positions(first) {
+	firstError := list[0]
+	position := name
+	for _, p := range cueerrors.Positions(firstError) {
 		if p.Filename() == name {
-			where = fmt.Sprintf("%s:%d:%d", name, p.Line(), p.Column())
+			position = fmt.Sprintf("%s:%d:%d", name, p.Line(), p.Column())
 			break
 		}
 	}
-	field := strings.TrimPrefix(strings.Join(first.Path(), "."), k.Definition+".")
-	format, args := first.Msg()
-	why, _, _ := strings.Cut(fmt.Sprintf(format, args...), "\n")
-	var steps []cue.Selector
+	field := strings.TrimPrefix(strings.Join(firstError.Path(), "."), k.Definition+".")
+	format, args := firstError.Msg()
+	reason, _, _ := strings.Cut(fmt.Sprintf(format, args...), "\n")
+	var selectors []cue.Selector
 	for _, step := range strings.Split(field, ".") {
 		if i, err := strconv.Atoi(step); err == nil {
-			steps = append(steps, cue.Index(i))
+			selectors = append(selectors, cue.Index(i))
 		} else {
-			steps = append(steps, cue.Str(step))
+			selectors = append(selectors, cue.Str(step))
 		}
 	}
-	path := cue.MakePath(steps...)
-	switch got := given.LookupPath(path); {
-	case strings.Contains(why, "not allowed"):
-		why = "no such field"
-	case field != "" && got.Exists():
-		if p := got.Pos(); p.Filename() == name {
-			where = fmt.Sprintf("%s:%d:%d", name, p.Line(), p.Column())
+	path := cue.MakePath(selectors...)
+	switch inputValue := input.LookupPath(path); {
+	case strings.Contains(reason, "not allowed"):
+		reason = "no such field"
+	case field != "" && inputValue.Exists():
+		if p := inputValue.Pos(); p.Filename() == name {
+			position = fmt.Sprintf("%s:%d:%d", name, p.Line(), p.Column())
 		}
-		if wanted := schema.LookupPath(path); wanted.Exists() {
-			why = fmt.Sprintf("%s is not in %s", line(got), line(wanted))
+		if constraint := schema.LookupPath(path); constraint.Exists() {
+			reason = fmt.Sprintf("%s is not in %s", oneLine(inputValue), oneLine(constraint))
 		} else {
-			why = fmt.Sprintf("%s: %s", line(got), strings.Join(strings.Fields(why), " "))
+			reason = fmt.Sprintf("%s: %s", oneLine(inputValue), strings.Join(strings.Fields(reason), " "))
 		}
 	}
 	if field == "" {
-		return fmt.Errorf(k.Name+": %s: %s", where, why)
+		return fmt.Errorf(k.Name+": %s: %s", position, reason)
 	}
-	return fmt.Errorf(k.Name+": %s: field %s: %s", where, field, why)
+	return fmt.Errorf(k.Name+": %s: field %s: %s", position, field, reason)
 }
 
-// line is a value on one line, cut where it is long.
-func line(v cue.Value) string {
+// oneLine formats a value on one line and cuts it off after 160 bytes.
+func oneLine(v cue.Value) string {
 	text := strings.Join(strings.Fields(fmt.Sprint(v)), " ")
 	if len(text) > 160 {
 		text = text[:160] + "..."
--- a/internal/fleet/host.go
+++ b/internal/fleet/host.go
@@ -101,15 +101,15 @@
 		h.limits.Origins = 2 * s.MaxMembers
 	}
 	h.memberConfig = members.Config{
-		Name: cfg.Name, Site: s.Site, MaxMembers: s.MaxMembers, MaxBytes: int(h.limits.Bytes), MaxDatagram: s.MaxDatagram,
+		Name: cfg.Name, Site: s.Site, MaxMembers: s.MaxMembers, MaxBytes: int(h.limits.Bytes), MaxDatagram: s.MaxDatagramBytes,
 		GossipInterval: s.GossipInterval.Duration(), ProbeInterval: s.ProbeInterval.Duration(), SeedsInterval: s.SeedsInterval.Duration(),
 	}
 	var err error
-	if h.memberConfig.Bind, err = netip.ParseAddrPort(s.Bind); err != nil {
+	if h.memberConfig.Bind, err = netip.ParseAddrPort(s.BindAddress); err != nil {
 		return nil, fmt.Errorf("fleet.bind: %w: want IP:port", err)
 	}
-	if s.Advertise != "" {
-		if h.memberConfig.Advertise, err = netip.ParseAddrPort(s.Advertise); err != nil {
+	if s.AdvertiseAddress != "" {
+		if h.memberConfig.Advertise, err = netip.ParseAddrPort(s.AdvertiseAddress); err != nil {
 			return nil, fmt.Errorf("fleet.advertise: %w: want IP:port", err)
 		}
 	}
--- a/internal/fleet/host_test.go
+++ b/internal/fleet/host_test.go
@@ -37,7 +37,7 @@
 	start := time.Now()
 	return Config{
 		Settings: settings.Fleet{
-			Bind: "127.0.0.1:0", Seeds: seeds, Site: "here", MaxMembers: 16, MaxFacts: 512, MaxBytes: 1 << 16,
+			BindAddress: "127.0.0.1:0", Seeds: seeds, Site: "here", MaxMembers: 16, MaxFacts: 512, MaxBytes: 1 << 16,
 			GossipInterval: 0.02, ProbeInterval: 0.1, SeedsInterval: 0.2,
 		}, Name: name, StateDir: dir, SnapshotSpace: SnapshotSpace(3e6), FactTTL: 12 * time.Second,
 		Clock: func() time.Duration { return time.Since(start) }, WallClock: time.Now, Rand: rand.New(rand.NewPCG(hostCount.Add(1), 7)),
@@ -278,14 +278,14 @@
 	}
 	occupant := startHost(t, testConfig(t, "a", ""))
 	c := testConfig(t, "b", "")
-	c.Settings.Bind = occupant.addr(t)
+	c.Settings.BindAddress = occupant.addr(t)
 	b := startHost(t, c)
 	waitFor(t, "the failure to open the occupied address", func() bool { g := b.group.Load(); return g != nil && g.Counters.OpenFailed.Load() > 0 })
 	b.Learn(destination, facts.Wait, waitValue)
 	waitFor(t, "its own observation", b.reads(destination, facts.Wait, false))
 	for field, corrupt := range map[string]func(*settings.Fleet){
-		"bind": func(s *settings.Fleet) { s.Bind = "here" }, "seeds": func(s *settings.Fleet) { s.Seeds = []string{"there:1"} },
-		"key_file": func(s *settings.Fleet) { s.KeyFile = "/nowhere/at/all" }, "advertise": func(s *settings.Fleet) { s.Advertise = "x" },
+		"bind": func(s *settings.Fleet) { s.BindAddress = "here" }, "seeds": func(s *settings.Fleet) { s.Seeds = []string{"there:1"} },
+		"key_file": func(s *settings.Fleet) { s.KeyFile = "/nowhere/at/all" }, "advertise": func(s *settings.Fleet) { s.AdvertiseAddress = "x" },
 	} {
 		c := testConfig(t, "c", "")
 		if corrupt(&c.Settings); true {
--- a/internal/lab/double.go
+++ b/internal/lab/double.go
@@ -53,7 +53,7 @@
 			Group   int64  `json:"group"`
 		} `json:"endpoints"`
 	}
-	if err := json.Unmarshal(conf.Known, &list); err != nil {
+	if err := json.Unmarshal(conf.InitialEndpoints, &list); err != nil {
 		return err
 	}
 	first := map[string]string{}
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -312,7 +312,7 @@
 	if err != nil {
 		return raventrestle.Settings{}, nil, err
 	}
-	set, names, err := config.Settings(text)
+	set, names, err := config.ParseSettings(text)
 	set.MaxSendJitter = lag
 	return set, names, err
 }
--- a/internal/net/courier/courier.go
+++ b/internal/net/courier/courier.go
@@ -123,7 +123,7 @@
 	}
 	c.bound(set)
 	c.notices = notice.New(conf.Discovery, room, log, c.heard)
-	c.group = upstream.New(conf.Discovery, conf.Known, &conf.Settings, conf.Names, log, func(u upstream.Update) { c.mail <- u })
+	c.group = upstream.New(conf.Discovery, conf.InitialEndpoints, &conf.Settings, conf.Names, log, func(u upstream.Update) { c.mail <- u })
 	for _, k := range kept {
 		if k.Resend > 0 {
 			c.resends[k.ID] = true
--- a/internal/net/courier/courier_test.go
+++ b/internal/net/courier/courier_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	c, err := New(&config.Config{
-		Discovery: "127.0.0.1:1", Known: []byte(known),
+		Discovery: "127.0.0.1:1", InitialEndpoints: []byte(known),
 		Names: &config.Names{Classes: map[string]int{"c": 0}, Kinds: map[string]int{"k": 0}},
 		Settings: raventrestle.Settings{
 			Forwarders: 1, CallSlots: 4, MaxMessages: 3, Kinds: []raventrestle.DestinationKind{{MaxBatch: 4}},
--- a/internal/net/courier/deadletters_test.go
+++ b/internal/net/courier/deadletters_test.go
@@ -147,7 +147,7 @@
 func (s *site) life(w *stopper) (done bool) {
 	t := s.t
 	conf := &config.Config{
-		Discovery: s.notices.Addr(), Known: []byte(fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[`+
+		Discovery: s.notices.Addr(), InitialEndpoints: []byte(fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[`+
 			`{"name":"s-0","address":%q,"zone":"a","type":"k","group":7,"status":"SERVING"},`+
 			`{"name":"s-1","address":%q,"zone":"b","type":"k","group":7,"status":"SERVING"}]}`, s.peers[0].Addr(), s.peers[1].Addr())),
 		Names: &config.Names{
@@ -329,7 +329,7 @@
 		t.Fatal(err)
 	}
 	conf := &config.Config{
-		Discovery: s.notices.Addr(), Known: []byte(fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[`+
+		Discovery: s.notices.Addr(), InitialEndpoints: []byte(fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[`+
 			`{"name":"s-0","address":%q,"zone":"a","type":"k","group":7,"status":"SERVING"}]}`, s.peers[0].Addr())),
 		Names: &config.Names{Classes: map[string]int{"single": 0}, Kinds: map[string]int{"k": 0}, Zones: map[string]int{"a": 0}},
 		Settings: raventrestle.Settings{
@@ -413,7 +413,7 @@
 		t.Fatal(err)
 	}
 	conf := &config.Config{
-		Discovery: discovery.Addr(), Known: []byte(fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[`+
+		Discovery: discovery.Addr(), InitialEndpoints: []byte(fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[`+
 			`{"name":"s-0","address":%q,"zone":"a","type":"k","group":7,"status":"SERVING"}]}`, end.Addr())),
 		Names: &config.Names{Classes: map[string]int{"free": 0}, Kinds: map[string]int{"k": 0}, Zones: map[string]int{"a": 0}},
 		Settings: raventrestle.Settings{
--- a/internal/net/courier/retune.go
+++ b/internal/net/courier/retune.go
@@ -39,7 +39,7 @@
 }
 
 func (c *Courier) retune(ctx context.Context, conf *config.Config) error {
-	conf.Follow(c.conf)
+	conf.KeepIndices(c.conf)
 	was, set := c.conf.Settings, &conf.Settings
 	set.MaxSendJitter = lag
 	if err := c.policy.Reconfigure(*set); err != nil {
--- a/internal/net/courier/step.go
+++ b/internal/net/courier/step.go
@@ -133,7 +133,7 @@
 	if m.Terms == "" || i >= 0 && c.conf.Names.Terms[m.Class] == m.Terms {
 		return i
 	}
-	class, err := config.OfTerms(m.Class, m.Terms)
+	class, err := config.ParseTerms(m.Class, m.Terms)
 	if err != nil {
 		c.log.Error("courier: a class can't be read", "id", m.ID, "err", err)
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -133,7 +133,7 @@
 	if name == "boot" {
 		it.Op, it.Seed = Boot, uint64(r.integer(2))
 		if len(r.vals) > 3 && r.err == nil {
-			it.Settings, d.names[it.Instance], r.err = config.Settings(r.vals[3])
+			it.Settings, d.names[it.Instance], r.err = config.ParseSettings(r.vals[3])
 		}
 		return it
 	}
