--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter hosts instances of the decision module on the bench's wire. The
-// instances share nothing, and it decides nothing.
+// Command adapter runs instances of the decision module for the bench, which it serves through the wire protocol on
+// standard input and output. The instances share no state.
 package main
 
 import (
@@ -21,11 +21,11 @@
 
 func run(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
-	dec, hosted := wire.NewDecoder(), map[int]*raventrestle.Policy{}
+	decoder, instances := wire.NewDecoder(), map[int]*raventrestle.Policy{}
 	for {
 		line, err := r.ReadBytes('\n')
 		if len(line) > 0 {
-			if err := step(dec, hosted, line, w); err != nil {
+			if err := processLine(decoder, instances, line, w); err != nil {
 				return err
 			}
 		}
@@ -38,10 +38,10 @@
 	}
 }
 
-// step answers one line. Each instance gets its events of the batch at once; a
-// boot within the batch starts it afresh.
-func step(dec *wire.Decoder, hosted map[int]*raventrestle.Policy, line []byte, w *bufio.Writer) error {
-	batch, err := dec.Decode(line)
+// processLine processes one line, which is a batch of events, and writes the reply. Each instance gets its events of the
+// batch in one step. A boot in the batch replaces the instance by a new one.
+func processLine(decoder *wire.Decoder, instances map[int]*raventrestle.Policy, line []byte, w *bufio.Writer) error {
+	batch, err := decoder.Decode(line)
 	if err != nil {
 		return err
 	}
@@ -55,23 +55,23 @@
 		}
 		switch it.Op {
 		case wire.Boot:
-			delete(hosted, it.Instance)
+			delete(instances, it.Instance)
 			events[it.Instance] = []raventrestle.Event{}
 			p, err := raventrestle.New(it.Settings, it.Seed)
 			if err != nil {
 				reply.AddError(it.Instance, err)
 				continue
 			}
-			hosted[it.Instance] = p
+			instances[it.Instance] = p
 		case wire.Kill:
-			delete(hosted, it.Instance)
+			delete(instances, it.Instance)
 			events[it.Instance] = []raventrestle.Event{}
 		case wire.Event:
 			events[it.Instance] = append(events[it.Instance], it.Event)
 		}
 	}
 	for _, i := range order {
-		if p := hosted[i]; p != nil {
+		if p := instances[i]; p != nil {
 			for _, a := range p.Step(batch.Clock, events[i]) {
 				reply.Add(i, a)
 			}
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// Settings that the module can't work with are told on the wire.
+// Settings that the decision module rejects are reported in the reply.
 func TestBadSettings(t *testing.T) {
 	var out strings.Builder
 	in := `{"clock_us":1,"arrivals":[["boot",0,1,{"balancers":1}]]}`
--- a/cmd/raventrestle-settings/main.go
+++ b/cmd/raventrestle-settings/main.go
@@ -1,5 +1,5 @@
-// Command raventrestle-settings checks the operators' settings files and hands the daemon their
-// JSON. It is a program of its own so that the daemon does not carry the CUE evaluator.
+// Command raventrestle-settings validates the operators' settings files and exports them as JSON for the daemon. It is a
+// separate program so that the daemon does not include the CUE evaluator.
 package main
 
 import (
@@ -18,7 +18,7 @@
 	}
 	root.AddCommand(
 		&cobra.Command{
-			Use: "export FILE", Short: "Check a file and print it as JSON, defaults filled in",
+			Use: "export FILE", Short: "Check a file and print it as JSON with all defaults filled in",
 			Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 				out, err := schema.CompileFile(args[0])
 				if err == nil {
--- a/cmd/raventrestle/commands_test.go
+++ b/cmd/raventrestle/commands_test.go
@@ -20,8 +20,8 @@
 	"raventrestle/internal/settings"
 )
 
-// helper builds the settings helper beside this test's program, where the commands look for it.
-var helper = sync.OnceValue(func() error {
+// buildHelper builds the settings helper into the directory of the test program, where the commands look for it.
+var buildHelper = sync.OnceValue(func() error {
 	exe, err := os.Executable()
 	if err != nil {
 		return err
@@ -33,10 +33,10 @@
 	return nil
 })
 
-// command runs the program with those arguments.
-func command(t *testing.T, env []string, args ...string) (out, complaint string, code int) {
+// runCommand runs the program with the arguments and returns its output, its error message and its exit code.
+func runCommand(t *testing.T, env []string, args ...string) (out, complaint string, code int) {
 	t.Helper()
-	if err := helper(); err != nil {
+	if err := buildHelper(); err != nil {
 		t.Fatal(err)
 	}
 	exe, err := os.Executable()
@@ -54,7 +54,7 @@
 	return o.String(), e.String(), c.ProcessState.ExitCode()
 }
 
-// Exit codes tell failed from wrongly used, and complaints are one sentence on standard error.
+// The exit codes of failures and of wrong usage differ, and an error message is one line on standard error.
 func TestExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -84,62 +84,62 @@
 		{nil, 1, "", "EDGE_CONFIG is not set"},
 		{[]string{"nonsense"}, 2, "", "unknown command"},
 		{[]string{"completion", "bash"}, 0, "bash completion", ""},
-		{[]string{"undeliverable", "list"}, 1, "", "no folder is named"},
-		{[]string{"undeliverable", "list", "--state", "lost"}, 2, "", "is no state"},
-		{[]string{"undeliverable", "list", "--reason", "because"}, 2, "", "is no reason"},
+		{[]string{"undeliverable", "list"}, 1, "", "no directory is given"},
+		{[]string{"undeliverable", "list", "--state", "lost"}, 2, "", "unknown state"},
+		{[]string{"undeliverable", "list", "--reason", "because"}, 2, "", "unknown reason"},
 		{[]string{"undeliverable", "list", "--folder", dir}, 1, "", "no such file"},
 		{[]string{"undeliverable", "discard", "--folder", dir, "--offline"}, 2, "", "--all"},
 		{[]string{"undeliverable", "discard", "--folder", dir, "--all"}, 1, "", "--offline"},
 	} {
 		t.Run(strings.Join(c.args, " "), func(t *testing.T) {
-			out, complaint, code := command(t, nil, c.args...)
+			out, complaint, code := runCommand(t, nil, c.args...)
 			if code != c.code || !strings.Contains(out, c.out) || !strings.Contains(complaint, c.complaint) {
 				t.Fatalf("code %d\nout: %s\ncomplaint: %s", code, out, complaint)
 			}
 			if code != 0 && strings.Count(complaint, "\n") != 1 {
-				t.Fatalf("no sentence: %q", complaint)
+				t.Fatalf("not one line: %q", complaint)
 			}
 		})
 	}
 }
 
-// lines collects what a courier logs.
-type lines struct {
+// logBuffer collects a courier's log.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *lines) await(t *testing.T, word string) {
+func (l *logBuffer) await(t *testing.T, want string) {
 	t.Helper()
 	for began := time.Now(); ; time.Sleep(5 * time.Millisecond) {
 		l.mu.Lock()
 		text := l.text.String()
 		l.mu.Unlock()
-		if strings.Contains(text, word) {
+		if strings.Contains(text, want) {
 			return
 		}
 		if time.Since(began) > nettest.Patience {
-			t.Fatalf("no %q in the log:\n%s", word, text)
+			t.Fatalf("no %q in the log:\n%s", want, text)
 		}
 	}
 }
 
-// An operator's day: a payment whose answer was lost is kept, shown as never to be sent again and
-// refused by resend; a rate change that never ran is sent again when its channel is back. A
-// half-written settings file changes nothing. A stopped courier's folder can be read, and changed
-// only with --offline; two couriers do not share one.
-func TestOperatorsDay(t *testing.T) {
-	if err := helper(); err != nil {
+// Covers the dead letter commands. A payment whose answer was lost is stored, listed as never to be sent again, and
+// rejected by resend. A rate change that was not executed is sent again when its channel works again. A truncated
+// settings file changes nothing. The directory of a stopped courier can be read, and changed only with --offline. Two
+// couriers can't use one store.
+func TestDeadLetterCommands(t *testing.T) {
+	if err := buildHelper(); err != nil {
 		t.Fatal(err)
 	}
 	var mu sync.Mutex
-	well := false
+	healthy := false
 	calls := map[string]int{}
 	end := nettest.NewPeer(t, func(c net.Conn, call nettest.Call) bool {
 		mu.Lock()
@@ -147,10 +147,10 @@
 		id := call.Header.Get("X-Txn")
 		calls[id]++
 		if id == "pay" {
-			return false // after its last byte
+			return false // reset after the last byte of the request
 		}
 		code := 503
-		if well {
+		if healthy {
 			code = 200
 		}
 		return nettest.Answer(nettest.Plain(code, "", ""))(c, call)
@@ -166,7 +166,7 @@
 	good := fmt.Sprintf("log: format: \"json\"\nadmin: socket: %q\nundeliverable: {keep: true, resend: {backoff_s: 0.1, max_backoff_s: 0.1}}\n", socket)
 	write(good)
 	t.Setenv("RAVENTRESTLE_SETTINGS", file)
-	log := &lines{}
+	log := &logBuffer{}
 	d.log = log
 	d.start()
 	for _, m := range []struct {
@@ -183,7 +183,7 @@
 	var items []deadletter.Item
 	list := func(args ...string) {
 		t.Helper()
-		out, complaint, code := command(t, []string{"RAVENTRESTLE_SETTINGS=" + file, "EDGE_CONFIG=" + d.config}, append([]string{"undeliverable", "list", "--json"}, args...)...)
+		out, complaint, code := runCommand(t, []string{"RAVENTRESTLE_SETTINGS=" + file, "EDGE_CONFIG=" + d.config}, append([]string{"undeliverable", "list", "--json"}, args...)...)
 		items = nil
 		if err := json.Unmarshal([]byte(out), &items); err != nil || code != 0 {
 			t.Fatalf("%v %d %s %s", err, code, out, complaint)
@@ -197,75 +197,75 @@
 		t.Fatal(info, err)
 	}
 	env := []string{"RAVENTRESTLE_SETTINGS=" + file}
-	out, _, code := command(t, env, "undeliverable", "resend", "pay")
+	out, _, code := runCommand(t, env, "undeliverable", "resend", "pay")
 	if code != 0 || !strings.Contains(out, "must never be sent again") || !strings.Contains(out, "0 of 1 dead letters") {
 		t.Fatal(code, out)
 	}
-	out, _, code = command(t, env, "undeliverable", "show", "pay")
+	out, _, code = runCommand(t, env, "undeliverable", "show", "pay")
 	if code != 0 || !strings.Contains(out, "may have run") || !strings.Contains(out, `"body of pay"`) {
 		t.Fatal(code, out)
 	}
-	if _, complaint, code := command(t, env, "undeliverable", "show", "none"); code != 1 || !strings.Contains(complaint, "no such dead letter") {
+	if _, complaint, code := runCommand(t, env, "undeliverable", "show", "none"); code != 1 || !strings.Contains(complaint, "no such dead letter") {
 		t.Fatal(code, complaint)
 	}
 
-	// Settings: half a file, then an unknown field, then a good one.
-	for _, c := range []struct{ text, word string }{
-		{good[:len(good)/2], "the old ones stay"},
+	// Reload the settings: a truncated file, then an unknown field, then a valid file.
+	for _, c := range []struct{ text, logged string }{
+		{good[:len(good)/2], "settings: not reloaded, the old ones stay in use"},
 		{good + "undeliverable: max_age_ms: 5\n", "max_age_ms: no such field"},
-		{good + "log: level: \"debug\"\n", "settings: read anew"},
+		{good + "log: level: \"debug\"\n", "settings: reloaded"},
 	} {
 		write(c.text)
 		if err := d.process.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		log.await(t, c.word)
+		log.await(t, c.logged)
 	}
 	list()
 	n := len(items)
 
-	// Two couriers at one folder: the second takes messages and keeps no dead letters.
+	// Two couriers with one store: the second accepts messages and stores no dead letters.
 	second := deploy(t, end)
 	other := filepath.Join(t.TempDir(), "second.cue")
 	if err := os.WriteFile(other, []byte(fmt.Sprintf("undeliverable: {keep: true, folder: %q}\n", filepath.Join(d.state, "undeliverable"))), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	t.Setenv("RAVENTRESTLE_SETTINGS", other)
-	second.log = &lines{}
+	second.log = &logBuffer{}
 	second.start()
-	second.log.(*lines).await(t, "another process has the store open")
+	second.log.(*logBuffer).await(t, "another process has the store open")
 	if code := second.submit("free", "x", 1); code != 202 {
 		t.Fatal(code)
 	}
 	second.kill()
 
-	// Stopped: the folder can be read; it changes only with --offline.
+	// The courier is stopped: its directory can be read, and changed only with --offline.
 	d.kill()
 	list()
 	if len(items) != n {
 		t.Fatalf("%d dead letters, and %d before", len(items), n)
 	}
-	if _, complaint, code := command(t, env, "undeliverable", "discard", "pay", "--settings", file); code != 1 ||
+	if _, complaint, code := runCommand(t, env, "undeliverable", "discard", "pay", "--settings", file); code != 1 ||
 		!strings.Contains(complaint, "--offline") && !strings.Contains(complaint, "no courier answers") {
 		t.Fatal(code, complaint)
 	}
-	folder := filepath.Join(d.state, "undeliverable")
-	if out, complaint, code := command(t, env, "undeliverable", "discard", "pay", "--offline", "--folder", folder); code != 0 || !strings.Contains(out, "1 of 1") {
+	dir := filepath.Join(d.state, "undeliverable")
+	if out, complaint, code := runCommand(t, env, "undeliverable", "discard", "pay", "--offline", "--folder", dir); code != 0 || !strings.Contains(out, "1 of 1") {
 		t.Fatal(code, out, complaint)
 	}
-	if out, complaint, code := command(t, env, "undeliverable", "check", "--folder", folder); code != 0 {
+	if out, complaint, code := runCommand(t, env, "undeliverable", "check", "--folder", dir); code != 0 {
 		t.Fatal(code, out, complaint)
 	}
 	mu.Lock()
-	well = true
+	healthy = true
 	before := calls["rate"]
 	mu.Unlock()
-	if out, complaint, code := command(t, env, "undeliverable", "resend", "rate", "--offline", "--folder", folder); code != 0 || n == 2 && !strings.Contains(out, "1 of 1") {
+	if out, complaint, code := runCommand(t, env, "undeliverable", "resend", "rate", "--offline", "--folder", dir); code != 0 || n == 2 && !strings.Contains(out, "1 of 1") {
 		t.Fatal(code, out, complaint)
 	}
 	t.Setenv("RAVENTRESTLE_SETTINGS", file)
 	d.start()
-	if n == 2 { // the rate change was given up too, not deferred
+	if n == 2 { // the rate change is a dead letter too, and was not deferred
 		for began := time.Now(); ; time.Sleep(20 * time.Millisecond) {
 			list("--state", "delivered")
 			if len(items) == 1 && items[0].ID == "rate" {
@@ -287,14 +287,15 @@
 		t.Fatal(calls)
 	}
 	if len(d.notices) > 0 {
-		t.Fatal("an end was told twice: ", <-d.notices)
+		t.Fatal("an outcome was reported twice: ", <-d.notices)
 	}
 }
 
-// A payment that timed out, was reset after its last byte, or was out at SIGKILL: kept, shown as never
-// to be sent again, refused by resend, and left alone by the automatic path when its channel delivers.
-func TestPaymentsThatMayHaveRun(t *testing.T) {
-	if err := helper(); err != nil {
+// A payment that timed out, was reset after its last byte, or was in flight at a SIGKILL is stored as a dead letter and
+// listed as never to be sent again. The resend command rejects it, and it is not resent automatically when its channel
+// delivers other messages.
+func TestNonIdempotentDeadLettersAreNotResent(t *testing.T) {
+	if err := buildHelper(); err != nil {
 		t.Fatal(err)
 	}
 	var mu sync.Mutex
@@ -350,7 +351,7 @@
 	submit("free", "well", 10) // the channel delivers
 	time.Sleep(400 * time.Millisecond)
 	env := []string{"RAVENTRESTLE_SETTINGS=" + file}
-	out, complaint, code := command(t, env, "undeliverable", "list", "--json")
+	out, complaint, code := runCommand(t, env, "undeliverable", "list", "--json")
 	var items []deadletter.Item
 	if err := json.Unmarshal([]byte(out), &items); err != nil || code != 0 {
 		t.Fatal(err, complaint)
@@ -364,12 +365,12 @@
 		delete(want, it.ID)
 	}
 	if len(want) > 0 {
-		t.Errorf("no dead letter of %v", want)
+		t.Errorf("no dead letters of %v", want)
 	}
-	if out, _, code := command(t, env, "undeliverable", "resend", "--all"); code != 0 || !strings.Contains(out, "0 of 3 dead letters") {
+	if out, _, code := runCommand(t, env, "undeliverable", "resend", "--all"); code != 0 || !strings.Contains(out, "0 of 3 dead letters") {
 		t.Error(out)
 	}
-	time.Sleep(400 * time.Millisecond) // room for what must not come
+	time.Sleep(400 * time.Millisecond) // time in which a wrong resend would arrive
 	mu.Lock()
 	defer mu.Unlock()
 	for _, id := range []string{"reset", "timeout", "killed"} {
--- a/cmd/raventrestle/fleet.go
+++ b/cmd/raventrestle/fleet.go
@@ -9,26 +9,26 @@
 	"raventrestle/internal/settings"
 )
 
-// fellows is this process's part in the couriers that share what they learn; nil where the settings name none, or where
-// they are wrong, which stops no courier.
-type fellows struct {
+// fleetMember is this process as a member of the fleet of couriers that share what they learn. It is nil if the settings
+// have no fleet or if joining failed, in which case the courier runs without it.
+type fleetMember struct {
 	*fleet.Host
-	leave context.CancelFunc
-	done  chan struct{}
-	drawn chan uint64 // this life's epoch
+	stop   context.CancelFunc
+	done   chan struct{}
+	epochs chan uint64 // gets the epoch of this process once it is chosen
 }
 
-// meet makes the courier part of its fleet. Of the folder's bytes it takes no more than the room.
-func (d *daemon) meet(ctx context.Context, set *settings.Settings, folder string, room int64) *fellows {
+// joinFleet makes the courier a member of its fleet. Its snapshot in the directory uses at most snapshotBytes.
+func (d *daemon) joinFleet(ctx context.Context, set *settings.Settings, dir string, snapshotBytes int64) *fleetMember {
 	if set.Fleet == nil {
 		return nil
 	}
-	began, drawn := time.Now(), make(chan uint64, 1)
+	start, epochs := time.Now(), make(chan uint64, 1)
 	host, err := fleet.New(fleet.Config{
-		Settings: *set.Fleet, Name: d.conf.Name, StateDir: folder, SnapshotSpace: room, FactTTL: d.conf.Settings.WarmupDuration,
-		Clock: func() time.Duration { return time.Since(began) }, WallClock: time.Now,
+		Settings: *set.Fleet, Name: d.conf.Name, StateDir: dir, SnapshotSpace: snapshotBytes, FactTTL: d.conf.Settings.WarmupDuration,
+		Clock: func() time.Duration { return time.Since(start) }, WallClock: time.Now,
 		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), Log: d.log,
-		EpochChosen: func(epoch uint64) { drawn <- epoch },
+		EpochChosen: func(epoch uint64) { epochs <- epoch },
 	})
 	if err != nil {
 		d.log.Error("fleet_not_up", "name", d.conf.Name, "error", err.Error())
@@ -36,7 +36,7 @@
 	}
 	d.courier.Share(host)
 	ctx, leave := context.WithCancel(ctx)
-	f := &fellows{host, leave, make(chan struct{}), drawn}
+	f := &fleetMember{host, leave, make(chan struct{}), epochs}
 	go func() {
 		defer close(f.done)
 		host.Run(ctx)
@@ -44,25 +44,25 @@
 	return f
 }
 
-// part saves what is known and tells the others that this courier goes, while its last messages end.
-func (f *fellows) part() {
+// leave starts saving the shared facts and announcing to the other couriers that this one leaves. It does not wait.
+func (f *fleetMember) leave() {
 	if f != nil {
-		f.leave()
+		f.stop()
 	}
 }
 
-// parted waits until then for it.
-func (f *fellows) parted(until time.Time) {
+// awaitLeft waits until the member has left, at most until the deadline.
+func (f *fleetMember) awaitLeft(deadline time.Time) {
 	if f == nil {
 		return
 	}
 	select {
 	case <-f.done:
-	case <-time.After(time.Until(until)):
+	case <-time.After(time.Until(deadline)):
 	}
 }
 
-func (f *fellows) status() *fleet.Status {
+func (f *fleetMember) status() *fleet.Status {
 	if f == nil {
 		return nil
 	}
--- a/cmd/raventrestle/fleet_figures_test.go
+++ b/cmd/raventrestle/fleet_measure_test.go
@@ -16,15 +16,15 @@
 	"raventrestle/internal/net/nettest"
 )
 
-// rss is a process's resident memory in KB, and what of it is not of files.
-func rss(t *testing.T, f *fellow) (all, own int) {
+// rss returns a process's resident memory in KB, and the part of it that is anonymous, that is, not from files.
+func rss(t *testing.T, f *fleetCourier) (all, anonymous int) {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", f.process.Process.Pid))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for line := range strings.Lines(string(text)) {
-		for name, kb := range map[string]*int{"VmRSS:": &all, "RssAnon:": &own} {
+		for name, kb := range map[string]*int{"VmRSS:": &all, "RssAnon:": &anonymous} {
 			if rest, ok := strings.CutPrefix(line, name); ok {
 				if *kb, err = strconv.Atoi(strings.Fields(rest)[0]); err != nil {
 					t.Fatal(err)
@@ -32,40 +32,41 @@
 			}
 		}
 	}
-	return all, own
+	return all, anonymous
 }
 
-// TestFleetFigures measures a fleet of real processes with the settings' own times: how long it takes until a wait that
-// one was told is kept by all others, and what a member costs. It takes a minute and most of a machine:
+// TestFleetFigures measures a fleet of real processes with the default intervals: how long it takes until all couriers
+// observe a wait that an endpoint requested from one of them, and the memory and traffic of a member. It takes a minute
+// and most of a machine:
 //
 //	RAVENTRESTLE_FLEET_FIGURES=32 go test -v -run TestFleetFigures ./cmd/raventrestle
 func TestFleetFigures(t *testing.T) {
 	n, err := strconv.Atoi(os.Getenv("RAVENTRESTLE_FLEET_FIGURES"))
 	if err != nil || n < 2 || testing.Short() {
-		t.Skip("RAVENTRESTLE_FLEET_FIGURES names no number of couriers")
+		t.Skip("RAVENTRESTLE_FLEET_FIGURES is not set to a number of couriers")
 	}
-	const facts, quiet, apart = 20, 20 * time.Second, 20 * time.Millisecond
-	told := make(chan time.Time, facts)
+	const facts, idlePeriod, pollInterval = 20, 20 * time.Second, 20 * time.Millisecond
+	rejected := make(chan time.Time, facts)
 	end := nettest.NewPeer(t, func(c net.Conn, call nettest.Call) bool {
 		ok := nettest.Answer(nettest.Plain(429, "X-Come-Back-Ms: 300000\r\n", ""))(c, call)
-		told <- time.Now()
+		rejected <- time.Now()
 		return ok
 	})
-	var entries []string // one endpoint for each fact, in a channel of its own
+	var entries []string // one endpoint per fact, each in a channel of its own
 	for i := range facts {
 		entries = append(entries, fmt.Sprintf(`{"name":"s-%d","address":%q,"zone":"a","type":"k","group":%d,`+
 			`"status":"SERVING","weight":1,"since_ms":0}`, i, end.Addr(), 100+i))
 	}
-	var fleet []*fellow
+	var fleet []*fleetCourier
 	var seeds []string
-	start := func(name string) *fellow {
-		f := newFellow(t, name, "")
-		f.log = &lines{}
+	start := func(name string) *fleetCourier {
+		f := newFleetCourier(t, name, "")
+		f.log = &logBuffer{}
 		conf, err := os.ReadFile(f.config)
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.write(strings.Replace(string(conf), list(nil), fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[%s]}`, strings.Join(entries, ",")), 1))
+		f.write(strings.Replace(string(conf), endpointList(nil), fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[%s]}`, strings.Join(entries, ",")), 1))
 		return f
 	}
 	for i := range n {
@@ -76,21 +77,21 @@
 		}
 	}
 	off := start("off")
-	off.begin()
+	off.startWithSettings()
 	began := time.Now()
 	for _, f := range fleet {
-		f.settings("seeds: [" + strings.Join(seeds, ", ") + "]")
-		f.begin()
+		f.writeSettings("seeds: [" + strings.Join(seeds, ", ") + "]")
+		f.startWithSettings()
 	}
 	started := time.Now()
 	for _, f := range fleet {
-		f.up(n)
+		f.awaitMembers(n)
 	}
-	t.Logf("%d couriers started in %v, each lists all %v later", n, started.Sub(began).Round(time.Millisecond), time.Since(started).Round(time.Millisecond))
+	t.Logf("%d couriers started in %v, all list all others %v later", n, started.Sub(began).Round(time.Millisecond), time.Since(started).Round(time.Millisecond))
 
 	traffic := func() (in, out uint64, at time.Time) {
 		for _, f := range fleet {
-			s := f.up(n).Fleet
+			s := f.awaitMembers(n).Fleet
 			in, out = in+s.BytesIn, out+s.BytesOut
 		}
 		return in, out, time.Now()
@@ -107,12 +108,12 @@
 			sum, sumOwn = sum+all, sumOwn+own
 		}
 		all, own := rss(t, off)
-		t.Logf("%s: resident %d KB a member, %d of them its own; the same courier with no fleet record %d and %d", what, sum/n, sumOwn/n, all, own)
+		t.Logf("%s: resident %d KB per member, %d of them anonymous; a courier without a fleet %d and %d", what, sum/n, sumOwn/n, all, own)
 	}
 	in, out, at := traffic()
-	<-time.After(quiet) // what a quiet fleet costs is a rate over time
-	memory("quiet")
-	rate("quiet", in, out, at)
+	<-time.After(idlePeriod) // the traffic of an idle fleet is measured as a rate over this time
+	memory("idle")
+	rate("idle", in, out, at)
 
 	in, out, at = traffic()
 	var each, all []time.Duration
@@ -133,10 +134,10 @@
 			t.Fatal(res, err)
 		}
 		res.Body.Close()
-		t0 := nettest.Wait(t, "call", told)
+		t0 := nettest.Wait(t, "call", rejected)
 		took := make([]time.Duration, n)
 		var wait sync.WaitGroup
-		for range 20 { // asked about as often as the others
+		for range 20 { // queried about as often as the others, so that memory is comparable
 			if _, err := off.client.Status(t.Context()); err != nil {
 				t.Fatal(err)
 			}
@@ -146,7 +147,7 @@
 				continue
 			}
 			wait.Go(func() {
-				ticks := time.NewTicker(apart)
+				ticks := time.NewTicker(pollInterval)
 				defer ticks.Stop()
 				for range ticks.C {
 					s, err := f.client.Status(t.Context())
@@ -169,12 +170,12 @@
 	p := func(of []time.Duration, q float64) time.Duration {
 		return of[min(int(q*float64(len(of))), len(of)-1)].Round(time.Millisecond)
 	}
-	t.Logf("a wait told to one is kept by another after: p50 %v, p99 %v, most %v", p(each, 0.5), p(each, 0.99), p(each, 1))
-	t.Logf("and by all others, over %d facts: p50 %v, p99 %v", facts, p(all, 0.5), p(all, 0.99))
+	t.Logf("another courier observes a wait after: p50 %v, p99 %v, maximum %v", p(each, 0.5), p(each, 0.99), p(each, 1))
+	t.Logf("all other couriers observe it, over %d facts, after: p50 %v, p99 %v", facts, p(all, 0.5), p(all, 0.99))
 	memory("with facts")
-	status := fleet[0].up(n).Fleet
+	status := fleet[0].awaitMembers(n).Fleet
 	t.Logf("%d facts in %d bytes", status.Facts, status.FactBytes)
 	if p(each, 1) > nettest.Patience {
-		t.Error("a fact did not come")
+		t.Error("a fact did not reach another courier in time")
 	}
 }
--- a/cmd/raventrestle/fleet_test.go
+++ b/cmd/raventrestle/fleet_test.go
@@ -16,18 +16,18 @@
 	"raventrestle/internal/net/nettest"
 )
 
-// fellow is a courier of a fleet.
-type fellow struct {
+// fleetCourier is a courier that is a member of a fleet.
+type fleetCourier struct {
 	*deployment
-	name, bind, file string
-	client           admin.Client
+	name, bind, settingsFile string
+	client                   admin.Client
 }
 
-// quick are the settings' times for a story; the defaults are for a day.
-const quick = "gossip_interval_s: 0.05, probe_interval_s: 0.2, seeds_interval_s: 0.2, "
+// fastIntervals are settings with short intervals, so that tests take less time.
+const fastIntervals = "gossip_interval_s: 0.05, probe_interval_s: 0.2, seeds_interval_s: 0.2, "
 
-// apart is a free address that no client connection of a test is given.
-func apart(t *testing.T) string {
+// freeFleetAddress returns a free address on 127.0.0.2, which no client connection of a test gets as its local address.
+func freeFleetAddress(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.2:0")
 	if err != nil {
 		t.Fatal(err)
@@ -36,47 +36,47 @@
 	return l.Addr().String()
 }
 
-// newFellow deploys a courier with a fleet record; it does not start it.
-func newFellow(t *testing.T, name, record string, peers ...*nettest.Peer) *fellow {
+// newFleetCourier deploys a courier with the fleet settings but does not start it.
+func newFleetCourier(t *testing.T, name, record string, peers ...*nettest.Peer) *fleetCourier {
 	t.Helper()
-	if err := helper(); err != nil {
+	if err := buildHelper(); err != nil {
 		t.Fatal(err)
 	}
-	dir, err := os.MkdirTemp("", "fleet") // a socket's path is short
+	dir, err := os.MkdirTemp("", "fleet") // the length of a Unix socket's path is limited
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { os.RemoveAll(dir) })
-	f := &fellow{deployment: deploy(t, peers...), name: name, bind: apart(t), file: filepath.Join(dir, "settings.cue")}
+	f := &fleetCourier{deployment: deploy(t, peers...), name: name, bind: freeFleetAddress(t), settingsFile: filepath.Join(dir, "settings.cue")}
 	f.client.Path = filepath.Join(dir, "admin")
 	conf, err := os.ReadFile(f.config)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.write(strings.Replace(string(conf), `"name":"n0"`, fmt.Sprintf(`"name":%q`, name), 1))
-	f.settings(record)
+	f.writeSettings(record)
 	return f
 }
 
-func (f *fellow) settings(record string) {
+func (f *fleetCourier) writeSettings(record string) {
 	f.t.Helper()
 	text := fmt.Appendf(nil, "admin: socket: %q\n", f.client.Path)
 	if record != "" {
 		text = fmt.Appendf(text, "fleet: {bind: %q, site: \"here\", %s}\n", f.bind, record)
 	}
-	if err := os.WriteFile(f.file, text, 0o600); err != nil {
+	if err := os.WriteFile(f.settingsFile, text, 0o600); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-func (f *fellow) begin() {
+func (f *fleetCourier) startWithSettings() {
 	f.t.Helper()
-	f.t.Setenv("RAVENTRESTLE_SETTINGS", f.file)
+	f.t.Setenv("RAVENTRESTLE_SETTINGS", f.settingsFile)
 	f.start()
 }
 
-// until waits for a status, which has no event.
-func (f *fellow) until(what string, ok func(admin.Status) bool) admin.Status {
+// awaitStatus polls the status until ok returns true.
+func (f *fleetCourier) awaitStatus(what string, ok func(admin.Status) bool) admin.Status {
 	f.t.Helper()
 	ctx, stop := context.WithTimeout(f.t.Context(), nettest.Patience)
 	defer stop()
@@ -92,16 +92,16 @@
 	}
 }
 
-func (f *fellow) up(n int) admin.Status {
+func (f *fleetCourier) awaitMembers(n int) admin.Status {
 	f.t.Helper()
-	return f.until(fmt.Sprint(n, " members"), func(s admin.Status) bool { return s.Fleet != nil && len(s.Fleet.Members) == n })
+	return f.awaitStatus(fmt.Sprint(n, " members"), func(s admin.Status) bool { return s.Fleet != nil && len(s.Fleet.Members) == n })
 }
 
-// heeds waits until the only endpoint is waited for so long.
-func (f *fellow) heeds(least time.Duration) {
+// awaitWait waits until the courier delays calls to its only endpoint by more than minWait.
+func (f *fleetCourier) awaitWait(minWait time.Duration) {
 	f.t.Helper()
-	f.until("waiting", func(s admin.Status) bool {
-		return len(s.Courier.Channels) > 0 && len(s.Courier.Channels[0].Targets) > 0 && s.Courier.Channels[0].Targets[0].WaitRemaining > least
+	f.awaitStatus("waiting", func(s admin.Status) bool {
+		return len(s.Courier.Channels) > 0 && len(s.Courier.Channels[0].Targets) > 0 && s.Courier.Channels[0].Targets[0].WaitRemaining > minWait
 	})
 }
 
@@ -113,9 +113,9 @@
 	return path
 }
 
-// Three couriers of a fleet, and what one of them is told: the others keep the wait without having called. One that is
-// killed begins a larger epoch, and what its earlier life told is dead to whoever comes after. One with another key, and
-// one whose seeds are not there, serve alone.
+// Three couriers form a fleet. When an endpoint requests a wait from one, the others observe it without having called the
+// endpoint. A courier that was killed restarts with a larger epoch, and couriers that join later ignore the facts of its
+// earlier epoch. A courier with another key and one with unreachable seeds run alone.
 func TestFleet(t *testing.T) {
 	const short, long = 2500 * time.Millisecond, time.Minute
 	end := nettest.NewPeer(t, func(c net.Conn, call nettest.Call) bool {
@@ -138,38 +138,38 @@
 			}
 		}
 	}
-	submit := func(f *fellow, id string) {
+	submit := func(f *fleetCourier, id string) {
 		t.Helper()
 		if code := f.submit("free", id, 15); code != 202 {
 			t.Fatalf("%s answered %d", id, code)
 		}
 	}
 	key := keyFile(t, "0123456789abcdef")
-	record := fmt.Sprintf(quick+"key_file: %q, seeds: [", key)
-	var fleet []*fellow
+	record := fmt.Sprintf(fastIntervals+"key_file: %q, seeds: [", key)
+	var fleet []*fleetCourier
 	seeds := ""
 	for _, name := range []string{"a", "b", "c"} {
-		f := newFellow(t, name, "", end)
+		f := newFleetCourier(t, name, "", end)
 		fleet = append(fleet, f)
 		seeds += fmt.Sprintf("%q, ", f.bind)
 	}
 	for _, f := range fleet {
-		f.settings(record + seeds + "]")
-		f.begin()
+		f.writeSettings(record + seeds + "]")
+		f.startWithSettings()
 	}
 	a, b, c := fleet[0], fleet[1], fleet[2]
-	wrong := newFellow(t, "d", fmt.Sprintf(quick+"key_file: %q, seeds: [%s]", keyFile(t, "fedcba9876543210"), seeds), end)
-	wrong.begin()
-	alone := newFellow(t, "e", fmt.Sprintf(quick+"seeds: [%q]", free(t)), end)
-	alone.begin()
+	wrong := newFleetCourier(t, "d", fmt.Sprintf(fastIntervals+"key_file: %q, seeds: [%s]", keyFile(t, "fedcba9876543210"), seeds), end)
+	wrong.startWithSettings()
+	alone := newFleetCourier(t, "e", fmt.Sprintf(fastIntervals+"seeds: [%q]", freeAddress(t)), end)
+	alone.startWithSettings()
 	for _, f := range fleet {
-		f.up(3)
+		f.awaitMembers(3)
 	}
 
 	submit(a, "short")
 	first := called("short")
-	b.heeds(0)
-	c.heeds(0)
+	b.awaitWait(0)
+	c.awaitWait(0)
 	submit(b, "of-b")
 	submit(c, "of-c")
 	submit(wrong, "of-d")
@@ -180,52 +180,52 @@
 		id := call.Header.Get("X-Txn")
 		switch at := call.At.Sub(first.At); {
 		case late[id] && at < short:
-			t.Errorf("%s is called %v after a wait of %v was told", id, at, short)
+			t.Errorf("%s is called %v after a wait of %v was requested", id, at, short)
 		case !late[id] && at < short:
 			early++
 		}
 		delete(late, id)
 	}
 	if early != 2 {
-		t.Errorf("%d of the two that no one told were called at once", early)
+		t.Errorf("%d of the two calls of couriers outside the fleet came at once", early)
 	}
-	wrong.up(1)
-	alone.up(1)
+	wrong.awaitMembers(1)
+	alone.awaitMembers(1)
 
 	submit(a, "long")
 	called("long")
-	b.heeds(long / 2)
-	c.heeds(long / 2)
-	old := a.up(3).Fleet.Epoch
+	b.awaitWait(long / 2)
+	c.awaitWait(long / 2)
+	old := a.awaitMembers(3).Fleet.Epoch
 	a.kill()
-	a.begin()
-	epoch := a.up(3).Fleet.Epoch
+	a.startWithSettings()
+	epoch := a.awaitMembers(3).Fleet.Epoch
 	if epoch <= old {
 		t.Errorf("epoch %d after %d", epoch, old)
 	}
 	for _, f := range fleet {
-		f.until("aware of the new life", func(s admin.Status) bool { return len(s.Fleet.Members) == 3 && s.Fleet.Members[0].Epoch == epoch })
+		f.awaitStatus("aware of the new epoch", func(s admin.Status) bool { return len(s.Fleet.Members) == 3 && s.Fleet.Members[0].Epoch == epoch })
 	}
-	f := newFellow(t, "f", record+seeds+"]", end)
-	f.begin()
-	f.up(4)
+	f := newFleetCourier(t, "f", record+seeds+"]", end)
+	f.startWithSettings()
+	f.awaitMembers(4)
 	submit(f, "of-f")
 	called("of-f")
-	b.heeds(long / 2) // what it had heeded it keeps
+	b.awaitWait(long / 2) // it still observes the wait that it already knew
 
 	began := time.Now()
 	if err := c.process.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	if err := nettest.Wait(t, "end", c.ended); err != nil || time.Since(began) > 3*time.Second {
-		t.Errorf("the end took %v: %v", time.Since(began), err)
+		t.Errorf("the shutdown took %v: %v", time.Since(began), err)
 	}
 	c.process = nil
-	b.up(3)
+	b.awaitMembers(3)
 	if _, err := os.Stat(filepath.Join(c.state, "facts.snapshot")); err != nil {
 		t.Error(err)
 	}
-	if out, complaint, code := command(t, nil, "status", "--socket", b.client.Path); code != 0 || !strings.Contains(out, "3 up: a (here, life ") {
+	if out, complaint, code := runCommand(t, nil, "status", "--socket", b.client.Path); code != 0 || !strings.Contains(out, "3 up: a (here, life ") {
 		t.Error(code, complaint, out)
 	}
 }
--- a/cmd/raventrestle/history_test.go
+++ b/cmd/raventrestle/history_test.go
@@ -19,11 +19,11 @@
 	"raventrestle/internal/net/nettest"
 )
 
-// serverSide is what the endpoint did and the platform was told.
+// serverSide records which messages took effect at the endpoint and which outcomes were reported to the platform.
 type serverSide struct {
-	mu      sync.Mutex
-	effects []check.Effect
-	told    []check.Told
+	mu       sync.Mutex
+	effects  []check.Effect
+	outcomes []check.Told
 }
 
 func (s *serverSide) Effects() []check.Effect {
@@ -31,17 +31,18 @@
 	defer s.mu.Unlock()
 	return slices.Clone(s.effects)
 }
-func (s *serverSide) Told() []check.Told { return s.told }
+func (s *serverSide) Told() []check.Told { return s.outcomes }
 
-func (s *serverSide) effect(id string, most int) {
+func (s *serverSide) effect(id string, maxEffects int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.effects = append(s.effects, check.Effect{At: history.Now(), Message: id, Subject: "s-0", Most: most})
+	s.effects = append(s.effects, check.Effect{At: history.Now(), Message: id, Subject: "s-0", Most: maxEffects})
 }
 
-// Three couriers of a fleet, one of them killed in the midst, write what the checkers find right; one record that is
-// changed they catch. What the killed life may lack is its end and what it did last, which is no violation.
-func TestHistories(t *testing.T) {
+// Three couriers of a fleet write histories, and one of them is killed in between. The checkers accept the histories and
+// detect a single changed record. The killed process may lack its Ended record and its last records, which is not a
+// violation.
+func TestHistoriesPassCheckers(t *testing.T) {
 	const wait = 1500 * time.Millisecond
 	var ledger serverSide
 	killed := make(chan struct{})
@@ -50,7 +51,7 @@
 		switch {
 		case id == "wait" && call.N == 1:
 			return nettest.Answer(nettest.Plain(429, fmt.Sprintf("X-Come-Back-Ms: %d\r\nX-Pressure: {\"x0\":3,\"x1\":50}\r\n", wait.Milliseconds()), ""))(c, call)
-		case id == "single": // it takes effect, and nobody hears of it
+		case id == "single": // it takes effect and gets no answer
 			ledger.effect(id, 1)
 			return true
 		case id == "free":
@@ -70,44 +71,44 @@
 			ids = slices.DeleteFunc(ids, func(s string) bool { return s == id })
 		}
 	}
-	submit := func(f *fellow, class, id string) {
+	submit := func(f *fleetCourier, class, id string) {
 		t.Helper()
 		if code := f.submit(class, id, 10); code != 202 {
 			t.Fatalf("%s answered %d", id, code)
 		}
 	}
-	var fleet []*fellow
+	var fleet []*fleetCourier
 	var files []string
 	seeds := ""
 	for _, name := range []string{"a", "b", "c"} {
-		f := newFellow(t, name, "", end)
+		f := newFleetCourier(t, name, "", end)
 		fleet, files = append(fleet, f), append(files, filepath.Join(t.TempDir(), "history"))
 		seeds += fmt.Sprintf("%q, ", f.bind)
 	}
 	for i, f := range fleet {
-		f.settings(quick + "seeds: [" + seeds + "]")
-		text, err := os.ReadFile(f.file)
+		f.writeSettings(fastIntervals + "seeds: [" + seeds + "]")
+		text, err := os.ReadFile(f.settingsFile)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(f.file, fmt.Appendf(text, "history: file: %q\n", files[i]), 0o600); err != nil {
+		if err := os.WriteFile(f.settingsFile, fmt.Appendf(text, "history: file: %q\n", files[i]), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if text, err = os.ReadFile(f.config); err != nil {
 			t.Fatal(err)
 		}
-		f.write(strings.Replace(string(text), `"rules":{`, `"rules":{"cold_us":11000000,`, 1)) // what limits and outages count for
-		f.begin()
+		f.write(strings.Replace(string(text), `"rules":{`, `"rules":{"cold_us":11000000,`, 1)) // how long limits and outages are remembered
+		f.startWithSettings()
 	}
 	a, b, c := fleet[0], fleet[1], fleet[2]
 	for _, f := range fleet {
-		f.up(3)
+		f.awaitMembers(3)
 	}
 
 	submit(a, "free", "wait")
 	called("wait")
-	b.heeds(0)
-	c.heeds(0)
+	b.awaitWait(0)
+	c.awaitWait(0)
 	submit(b, "free", "of-b")
 	submit(c, "free", "of-c")
 	called("wait", "of-b", "of-c")
@@ -116,16 +117,16 @@
 	called("free", "single")
 	a.kill()
 	close(killed)
-	a.begin()
-	a.up(3)
+	a.startWithSettings()
+	a.awaitMembers(3)
 	var notice struct{ ID, Status string }
 	if err := json.Unmarshal([]byte(nettest.Wait(t, "notice", a.notices)), &notice); err != nil || notice.ID != "single" {
 		t.Fatalf("%+v %v", notice, err)
 	}
-	ledger.told = append(ledger.told, check.Told{At: history.Now(), Message: notice.ID, Courier: "a", How: notice.Status})
+	ledger.outcomes = append(ledger.outcomes, check.Told{At: history.Now(), Message: notice.ID, Courier: "a", How: notice.Status})
 	called("free")
 	for _, f := range fleet {
-		f.until("done", func(s admin.Status) bool { return s.Courier.Owed == 0 })
+		f.awaitStatus("done", func(s admin.Status) bool { return s.Courier.Owed == 0 })
 		if err := f.process.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
 		}
@@ -136,7 +137,7 @@
 	}
 
 	bounds := check.Usual()
-	bounds.Slack = 500 * time.Millisecond // an age leaves out the time on the way, and the machine may be busy
+	bounds.Slack = 500 * time.Millisecond // ages don't include the transmission time, and the machine may be busy
 	read := func(paths ...string) []check.Record {
 		t.Helper()
 		h, err := check.Read(paths, nil)
@@ -168,12 +169,12 @@
 		{"a", "free", check.Delivered},
 		{"a", "single", check.Undeliverable},
 	} {
-		find(all, "taking on of "+x.id, is(check.TakenOn, x.courier, x.id, ""))
-		find(all, "try of "+x.id, is(check.TryBegun, x.courier, x.id, ""))
-		find(all, "end of "+x.id, is(check.MessageEnded, x.courier, x.id, x.how))
+		find(all, "acceptance of "+x.id, is(check.TakenOn, x.courier, x.id, ""))
+		find(all, "attempt of "+x.id, is(check.TryBegun, x.courier, x.id, ""))
+		find(all, "outcome of "+x.id, is(check.MessageEnded, x.courier, x.id, x.how))
 	}
-	for _, me := range []string{"b", "c"} { // what a was told they take, decide on and heed
-		rests := func(k string) {
+	for _, me := range []string{"b", "c"} { // b and c accept the facts of a, decide on them and observe the wait
+		checkFact := func(k string) {
 			t.Helper()
 			i := find(all, k+" taken by "+me, func(r check.Record) bool {
 				return r.Kind == check.FactTaken && r.Courier == me && r.Peer == "a" && r.PeerEpoch == first && r.What == k
@@ -183,29 +184,29 @@
 					slices.ContainsFunc(r.Evidence, func(x check.Rest) bool { return x.ID == all[i].ID && (x.MaxAge > 0) == (k == "limit") })
 			})
 		}
-		rests("wait")
-		rests("limit")
+		checkFact("wait")
+		checkFact("limit")
 		find(all, "wait", func(r check.Record) bool { return r.Kind == check.WaitHeard && r.Courier == me && r.Until > r.At })
 	}
 	if slices.ContainsFunc(all, func(r check.Record) bool { return r.Kind == check.Ended && r.Courier == "a" && r.Epoch == first }) {
-		t.Error("a life that was killed has an end")
+		t.Error("the killed process has an Ended record")
 	}
 
-	// However much of the killed life's last records is lost, nothing is taken for a violation.
-	mine := func(r check.Record) bool { return r.Courier == "a" && r.Epoch == first }
-	for cut := all; ; {
+	// No number of lost last records of the killed process is reported as a violation.
+	fromKilled := func(r check.Record) bool { return r.Courier == "a" && r.Epoch == first }
+	for truncated := all; ; {
 		last := -1
-		for i, r := range cut {
-			if mine(r) && r.Kind != check.Begun {
+		for i, r := range truncated {
+			if fromKilled(r) && r.Kind != check.Begun {
 				last = i
 			}
 		}
 		if last < 0 {
 			break
 		}
-		cut = slices.Delete(slices.Clone(cut), last, last+1)
-		if f := check.Check(check.Merge(cut, &ledger), bounds); len(f.Violations) > 0 {
-			t.Fatalf("with %d of %d records: %v", len(cut), len(all), f.Violations)
+		truncated = slices.Delete(slices.Clone(truncated), last, last+1)
+		if f := check.Check(check.Merge(truncated, &ledger), bounds); len(f.Violations) > 0 {
+			t.Fatalf("with %d of %d records: %v", len(truncated), len(all), f.Violations)
 		}
 	}
 
@@ -222,7 +223,7 @@
 			rs[find(rs, "end", is(check.MessageEnded, "c", "of-c", check.Delivered))].ID = "of-b"
 		}},
 		"epochs": {0, func(rs []check.Record) {
-			rs[find(rs, "second life", func(r check.Record) bool { return r.Kind == check.Begun && r.Epoch > first })].Epoch = first - 1
+			rs[find(rs, "begin of the second process", func(r check.Record) bool { return r.Kind == check.Begun && r.Epoch > first })].Epoch = first - 1
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -246,11 +247,11 @@
 			}
 			found := check.Check(h, bounds).Violations
 			if len(found) == 0 {
-				t.Fatal("it passes")
+				t.Fatal("no violation found")
 			}
 			for _, v := range found {
 				if v.Checker != name {
-					t.Errorf("caught as %v", v)
+					t.Errorf("violation of another checker: %v", v)
 				}
 			}
 		})
--- a/cmd/raventrestle/main_test.go
+++ b/cmd/raventrestle/main_test.go
@@ -17,7 +17,7 @@
 	"raventrestle/internal/net/nettest"
 )
 
-// The tests start this test's own program again as the courier.
+// The tests run the test program itself as the courier, in a new process.
 func TestMain(m *testing.M) {
 	if os.Getenv("RAVENTRESTLE_TEST_COURIER") != "" {
 		main()
@@ -26,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-const platform = `{"az":"a","failure_domains":["a","b"],"models":["k"],"balancers":1,"granularity_us":5000,` +
+const platformSettings = `{"az":"a","failure_domains":["a","b"],"models":["k"],"balancers":1,"granularity_us":5000,` +
 	`"membership_mode":"on_request","classes":[` +
 	`{"name":"free","aim_us":2000000,"deadline_us":20000000,"effect":"free","group":"all","credit":1},` +
 	`{"name":"guarded","aim_us":2000000,"deadline_us":20000000,"effect":"guarded","group":"zone","window_us":15000000,"credit":1},` +
@@ -34,7 +34,7 @@
 	`"limits":{"most_held":50,"send_cap":8,"connect_timeout_us":1000000,"idle_close_us":5000000},` +
 	`"rules":{"answer_slack_us":20000,"ask_within_us":10000000},"specifics":{"call_slots":12,"bundle_max":[1]}}`
 
-// deployment is a courier's surroundings; its processes come and go.
+// deployment is the environment of a courier and its current process.
 type deployment struct {
 	t           *testing.T
 	addr, admin string
@@ -49,18 +49,18 @@
 
 func deploy(t *testing.T, peers ...*nettest.Peer) *deployment {
 	d := &deployment{t: t, state: t.TempDir(), notices: make(chan string, 64), log: os.Stderr}
-	d.discovery = discover(t, d.notices, "")
-	d.addr, d.admin = free(t), free(t)
+	d.discovery = startDiscovery(t, d.notices, "")
+	d.addr, d.admin = freeAddress(t), freeAddress(t)
 	d.config = filepath.Join(t.TempDir(), "config.json")
 	d.write(fmt.Sprintf(`{"name":"n0","listen":%q,"admin":%q,"discovery":%q,"seed":"8c1f30d27a5be964","state":%q,`+
 		`"limits":{"cores":1.0,"memory_mb":192,"sockets":256,"disk_mb":3},"known":%s,"settings":%s}`,
-		d.addr, d.admin, d.discovery.Addr(), d.state, list(peers), platform))
+		d.addr, d.admin, d.discovery.Addr(), d.state, endpointList(peers), platformSettings))
 	t.Cleanup(d.kill)
 	return d
 }
 
-// free is an address that nobody listens at.
-func free(t *testing.T) string {
+// freeAddress returns an address at which nobody listens.
+func freeAddress(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -69,8 +69,9 @@
 	return l.Addr().String()
 }
 
-// discover is a discovery service with that list, or with no news, which hands on the notices.
-func discover(t *testing.T, notices chan string, list string) *nettest.Peer {
+// startDiscovery starts a discovery service that answers a poll with the list, unless it is empty, never answers a watch,
+// and passes on the notices.
+func startDiscovery(t *testing.T, notices chan string, list string) *nettest.Peer {
 	return nettest.NewPeer(t, func(c net.Conn, call nettest.Call) bool {
 		switch {
 		case call.Path == "/v1/outcomes":
@@ -85,7 +86,7 @@
 	})
 }
 
-func list(peers []*nettest.Peer) string {
+func endpointList(peers []*nettest.Peer) string {
 	var entries []string
 	for i, p := range peers { // zones a, b, a, ...
 		entries = append(entries, fmt.Sprintf(`{"name":"s-%d","address":%q,"zone":%q,"type":"k","group":7,"status":"SERVING",`+
@@ -118,7 +119,7 @@
 	d.ended = ended
 	go func() {
 		ended <- p.Wait()
-		close(ended) // the clean-up may wait for an end that the test has heard of already
+		close(ended) // the cleanup may wait for an exit that the test has already received
 	}()
 	for began := time.Now(); ; time.Sleep(5 * time.Millisecond) { // until it is ready
 		if res, err := http.Get("http://" + d.addr + "/healthz"); err == nil {
@@ -126,7 +127,7 @@
 			return
 		}
 		if time.Since(began) > nettest.Patience {
-			d.t.Fatal("the courier does not get ready")
+			d.t.Fatal("the courier does not become ready")
 		}
 	}
 }
@@ -139,14 +140,14 @@
 	}
 }
 
-func (d *deployment) submit(class, id string, left float64) int {
+func (d *deployment) submit(class, id string, remaining float64) int {
 	d.t.Helper()
 	req, err := http.NewRequest("POST", "http://"+d.addr+"/"+class, strings.NewReader("body of "+id))
 	if err != nil {
 		d.t.Fatal(err)
 	}
 	for k, v := range map[string]string{
-		"X-Txn": id, "X-Consignee": "dest=7", "X-Remaining": fmt.Sprint(left),
+		"X-Txn": id, "X-Consignee": "dest=7", "X-Remaining": fmt.Sprint(remaining),
 		"Idempotency-Key": "key-" + id,
 	} {
 		req.Header.Set(k, v)
@@ -159,25 +160,25 @@
 	return res.StatusCode
 }
 
-// A courier that is killed with calls out owes all that it took on. What may have run: a single
-// shot is not sent again, a guarded message goes to the same zone only, a free one to any; one
-// whose time went by meanwhile gets its notice. None is forgotten and none is ended twice.
+// A courier is killed with calls in flight and restarted. Of the messages that may have been executed, a single shot is not
+// sent again, a guarded message only to the same zone and a free one to any zone. A message whose deadline has passed gets
+// its notice. No message is lost and none has two outcomes.
 func TestKillAndRestart(t *testing.T) {
-	first := map[string]string{} // id to the peer of its first call
+	first := map[string]string{} // the peer of the first call, by message ID
 	again := make(chan string, 64)
 	killed := make(chan struct{})
-	scripted := func(name string) *nettest.Peer {
+	newPeer := func(name string) *nettest.Peer {
 		return nettest.NewPeer(t, func(c net.Conn, call nettest.Call) bool {
 			select {
 			case <-killed:
 				again <- call.Header.Get("X-Txn") + " " + name
 				return nettest.Answer(nettest.Plain(200, "", ""))(c, call)
 			default:
-				return true // no answer in this life
+				return true // no answer to the first process
 			}
 		})
 	}
-	a, b := scripted("s-0"), scripted("s-1")
+	a, b := newPeer("s-0"), newPeer("s-1")
 	d := deploy(t, a, b)
 	d.start()
 	for _, m := range []struct {
@@ -198,7 +199,7 @@
 	}
 	d.kill()
 	close(killed)
-	time.Sleep(800 * time.Millisecond) // the short one's time goes by
+	time.Sleep(800 * time.Millisecond) // past the deadline of the message short
 	d.start()
 	notices := map[string]bool{nettest.Wait(t, "notice", d.notices): true, nettest.Wait(t, "notice", d.notices): true}
 	if !notices[`{"id":"s","status":"undeliverable"}`] || !notices[`{"id":"short","status":"deferred"}`] {
@@ -212,30 +213,30 @@
 	if sent["g"] != first["g"] || sent["f"] == "" {
 		t.Fatalf("first sent %v, then %v", first, sent)
 	}
-	time.Sleep(50 * time.Millisecond) // room for what must not come
+	time.Sleep(50 * time.Millisecond) // time in which a wrong call would arrive
 	d.kill()
 	d.start()
 	if len(again)+len(d.notices) > 0 {
-		t.Fatal("what was over came back in the third life")
+		t.Fatal("the third process sent a message that had its outcome")
 	}
 }
 
-// SIGHUP: a file that can't be read changes nothing; another discovery gets the notices and has its
-// list asked for and watched. What is out stays out, and the process lives on: when the calls end after the
-// move, the single shot's notice goes to the new discovery and the free message to the new peer.
+// After SIGHUP, an unreadable file changes nothing. If the file has another discovery address, the list is requested and
+// watched there, and notices go there. Calls in flight continue in the same process: when they fail after the change, the
+// single shot's notice goes to the new discovery and the free message to the new peer.
 func TestReload(t *testing.T) {
-	cut := make(chan struct{})
-	silent := nettest.NewPeer(t, func(net.Conn, nettest.Call) bool { <-cut; return false })
+	release := make(chan struct{})
+	unresponsive := nettest.NewPeer(t, func(net.Conn, nettest.Call) bool { <-release; return false })
 	end := nettest.NewPeer(t, nettest.Answer(nettest.Plain(200, "", "")))
-	d := deploy(t, silent)
+	d := deploy(t, unresponsive)
 	d.start()
 	out := func(class, id string) {
 		t.Helper()
 		if code := d.submit(class, id, 10); code != 202 {
 			t.Fatalf("%s answered %d", id, code)
 		}
-		if call := nettest.Wait(t, "call", silent.Calls); call.Header.Get("X-Txn") != id {
-			t.Fatalf("%s is sent in place of %s", call.Header.Get("X-Txn"), id)
+		if call := nettest.Wait(t, "call", unresponsive.Calls); call.Header.Get("X-Txn") != id {
+			t.Fatalf("%s is sent instead of %s", call.Header.Get("X-Txn"), id)
 		}
 	}
 	out("single", "owed")
@@ -246,20 +247,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	hangUp := func(config string) {
+	reload := func(config string) {
 		d.write(config)
 		if err := d.process.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
 	}
-	hangUp(`{"discovery":`)
+	reload(`{"discovery":`)
 	out("free", "more")
 	fresh := make(chan string, 64)
-	moved := discover(t, fresh, strings.Replace(list([]*nettest.Peer{end}), "s-0", "s-9", 1))
-	hangUp(strings.ReplaceAll(string(good), d.discovery.Addr(), moved.Addr()))
+	moved := startDiscovery(t, fresh, strings.Replace(endpointList([]*nettest.Peer{end}), "s-0", "s-9", 1))
+	reload(strings.ReplaceAll(string(good), d.discovery.Addr(), moved.Addr()))
 	d.discovery.Close()
 	for _, want := range []string{"", "index=1&"} {
-		if call := nettest.Wait(t, "look at the list", moved.Calls); !strings.HasPrefix(call.Query, want) {
+		if call := nettest.Wait(t, "request for the list", moved.Calls); !strings.HasPrefix(call.Query, want) {
 			t.Fatalf("asked for %q, want %q", call.Query, want)
 		}
 	}
@@ -267,9 +268,9 @@
 		t.Fatalf("answered %d", code)
 	}
 	if id := nettest.Wait(t, "call to the new peer", end.Calls).Header.Get("X-Txn"); id != "new" {
-		t.Fatalf("%s is sent to the new peer while its call is out", id)
+		t.Fatalf("%s is sent to the new peer while its call is in flight", id)
 	}
-	close(cut)
+	close(release)
 	if got := nettest.Wait(t, "notice", fresh); got != `{"id":"owed","status":"undeliverable"}` {
 		t.Fatal(got)
 	}
@@ -281,8 +282,8 @@
 	}
 }
 
-// SIGTERM: requests from then on are refused in words, the call out gets its answer, and the
-// program ends with 0 in time. What it held is sent in its next life.
+// After SIGTERM, new submissions are rejected with an answer, the call in flight gets its answer, and the program exits
+// with 0 within 3 s. The next process does not send the answered message again.
 func TestTerminate(t *testing.T) {
 	answer := make(chan struct{})
 	end := nettest.NewPeer(t, func(c net.Conn, call nettest.Call) bool {
@@ -295,7 +296,7 @@
 		t.Fatalf("answered %d", code)
 	}
 	nettest.Wait(t, "call", end.Calls)
-	conn, err := net.Dial("tcp", d.addr) // between requests
+	conn, err := net.Dial("tcp", d.addr) // stays idle after one request
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -321,12 +322,12 @@
 		t.Fatal(err)
 	}
 	if took := time.Since(began); took > 3*time.Second {
-		t.Fatalf("the end took %v", took)
+		t.Fatalf("the shutdown took %v", took)
 	}
 	d.process = nil
 	d.start()
-	time.Sleep(50 * time.Millisecond) // room for what must not come
+	time.Sleep(50 * time.Millisecond) // time in which a wrong call would arrive
 	if len(d.notices)+len(end.Calls) > 0 {
-		t.Fatal("the answered message came back")
+		t.Fatal("the answered message was sent or reported again")
 	}
 }
--- a/cmd/raventrestle/untried_test.go
+++ b/cmd/raventrestle/restart_test.go
@@ -10,11 +10,11 @@
 	"raventrestle/internal/net/nettest"
 )
 
-// What a life was killed with before any try is still tried by the next one: of 40 messages behind calls that hang, those
-// that the endpoints never saw each get their call, and none is told to have ended before it.
-func TestWhatIsUntriedOutlivesAKill(t *testing.T) {
-	killed, tried := make(chan struct{}), make(chan string, 256)
-	scripted := func() *nettest.Peer {
+// Messages that a process had not yet sent when it was killed are sent by the next one. Of 40 messages queued behind calls
+// without an answer, each that no endpoint has seen gets a call, and none is reported as failed before it.
+func TestUntriedMessagesSurviveKill(t *testing.T) {
+	killed, attempted := make(chan struct{}), make(chan string, 256)
+	newPeer := func() *nettest.Peer {
 		return nettest.NewPeer(t, func(c net.Conn, call nettest.Call) bool {
 			ids := []string{call.Header.Get("X-Txn")}
 			answer := ""
@@ -28,17 +28,17 @@
 				}
 			}
 			for _, id := range ids {
-				tried <- id
+				attempted <- id
 			}
 			select {
 			case <-killed:
 				return nettest.Answer(nettest.Plain(200, "", answer))(c, call)
 			default:
-				return true // no answer in this life
+				return true // no answer from the first process's calls
 			}
 		})
 	}
-	d := deploy(t, scripted(), scripted())
+	d := deploy(t, newPeer(), newPeer())
 	d.start()
 	untried := map[string]bool{}
 	for i := range 40 {
@@ -49,27 +49,27 @@
 		untried[id] = true
 	}
 	d.kill()
-	for len(tried) > 0 {
-		delete(untried, <-tried)
+	for len(attempted) > 0 {
+		delete(untried, <-attempted)
 	}
 	if len(untried) < 20 {
-		t.Fatalf("%d untried: the story does not reach its point", len(untried))
+		t.Fatalf("only %d messages without an attempt at the kill", len(untried))
 	}
 	close(killed)
 	d.start()
 	n, late := len(untried), time.After(nettest.Patience)
 	for len(untried) > 0 {
 		select {
-		case id := <-tried:
+		case id := <-attempted:
 			delete(untried, id)
 		case end := <-d.notices:
 			for id := range untried {
 				if strings.Contains(end, fmt.Sprintf("%q", id)) {
-					t.Fatalf("given up with no call: %s", end)
+					t.Fatalf("reported without a call: %s", end)
 				}
 			}
 		case <-late:
-			t.Fatalf("%d of %d have neither a call nor an end", len(untried), n)
+			t.Fatalf("%d of %d have neither a call nor an outcome", len(untried), n)
 		}
 	}
 }
--- a/cmd/raventrestle/serve.go
+++ b/cmd/raventrestle/serve.go
@@ -37,157 +37,157 @@
 )
 
 const (
-	lastWord      = 2500 * time.Millisecond // from SIGTERM to the end, at most
-	lastGuest     = 700 * time.Millisecond  // new client connections still come for so long
-	lookAtClients = 25 * time.Millisecond
-	lastHanding   = 3 * time.Second         // the same where another process follows
-	lastPatience  = 1200 * time.Millisecond // of it, for client connections that say nothing
-	ownWithin     = 500 * time.Millisecond  // for the lock on the folder: one that was killed may still be going
+	shutdownTimeout    = 2500 * time.Millisecond // maximum time from SIGTERM to the exit
+	acceptPeriod       = 700 * time.Millisecond  // how long after SIGTERM new client connections are still accepted
+	clientPollInterval = 25 * time.Millisecond
+	handoverTimeout    = 3 * time.Second         // maximum time from SIGTERM to the exit if a successor takes over
+	idleClientTimeout  = 1200 * time.Millisecond // after this part of handoverTimeout, idle client connections are closed
+	lockTimeout        = 500 * time.Millisecond  // for the lock on the state directory: a killed process may not have exited yet
 )
 
-// daemon is what a running courier consists of.
+// daemon is a running courier process with its parts.
 type daemon struct {
-	log         *slog.Logger
-	level       *slog.LevelVar
-	conf        *config.Config // as this process started
-	held        *config.Config // as it was last read
-	file        string         // operators' settings, "" for none
-	life        *instance.Instance
-	store       *journal.Store
-	deadLetters *deadletter.Keeper // nil where none are kept
-	courier     *courier.Courier
-	front       *front.Front
-	figures     *stats.Stats
-	handing     atomic.Bool // to the process that follows
-	clients     *gate.Gate
-	fleet       *fellows // nil where nothing is shared
+	log          *slog.Logger
+	level        *slog.LevelVar
+	conf         *config.Config // as read at startup
+	currentConf  *config.Config // as last read
+	settingsFile string         // file of the operators' settings, "" for none
+	instance     *instance.Instance
+	store        *journal.Store
+	deadLetters  *deadletter.Keeper // nil if none are stored
+	courier      *courier.Courier
+	front        *front.Front
+	stats        *stats.Stats
+	handingOver  atomic.Bool // whether a handover to a successor has begun
+	clients      *gate.Gate
+	fleet        *fleetMember // nil if nothing is shared with other couriers
 }
 
-// serve runs the courier until SIGTERM. File names the operators' settings, "" for none.
+// serve runs the courier until SIGTERM or SIGINT. The argument file is the operators' settings file, "" for none.
 func serve(ctx context.Context, file string) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
-	set := &settings.Settings{}
+	operatorSettings := &settings.Settings{}
 	if file != "" {
 		var err error
-		if set, err = settings.Load(ctx, file); err != nil {
+		if operatorSettings, err = settings.Load(ctx, file); err != nil {
 			return err
 		}
 	}
-	d := &daemon{level: &slog.LevelVar{}, file: file, figures: &stats.Stats{}}
-	d.log = settings.NewLogger(set.Log, d.level)
-	d.life = instance.New(d.log, func(drains bool) {
-		if d.front != nil && !d.handing.Load() {
+	d := &daemon{level: &slog.LevelVar{}, settingsFile: file, stats: &stats.Stats{}}
+	d.log = settings.NewLogger(operatorSettings.Log, d.level)
+	d.instance = instance.New(d.log, func(drains bool) {
+		if d.front != nil && !d.handingOver.Load() {
 			d.front.Drain(drains)
 		}
 	})
 	if name := os.Getenv("RAVENTRESTLE_LOG"); name != "" {
 		if err := d.level.UnmarshalText([]byte(name)); err != nil {
-			d.log.Warn("raventrestle: RAVENTRESTLE_LOG names no level", "level", name)
+			d.log.Warn("raventrestle: RAVENTRESTLE_LOG is not a log level", "level", name)
 		}
 	}
 	var err error
 	if d.conf, err = config.Load(os.Getenv); err != nil {
 		return err
 	}
-	d.held = d.conf
+	d.currentConf = d.conf
 	for _, what := range d.conf.Warnings {
-		d.log.Warn("raventrestle: set aside", "file", os.Getenv("EDGE_CONFIG"), "what", what)
+		d.log.Warn("raventrestle: invalid configuration value replaced or ignored", "file", os.Getenv("EDGE_CONFIG"), "what", what)
 	}
 	runtime.GOMAXPROCS(max(1, int(d.conf.Limits.Cores)))
 	memory := int64(d.conf.Limits.MemoryMB * 1e6)
-	debug.SetMemoryLimit(memory * 6 / 10) // the journal's files count as well
+	debug.SetMemoryLimit(memory * 6 / 10) // the page cache of the journal's files counts against the limit as well
 
 	for name := range d.conf.Names.Classes {
-		d.figures.Class(name) // shown from the start on
+		d.stats.Class(name) // the class appears in the metrics from the start
 	}
-	descriptors := d.conf.Limits.Sockets / 2 // of client connections
+	descriptors := d.conf.Limits.Sockets / 2 // limit of client connections
 	if d.conf.Admin != "" {
-		m, err := monitor.Serve(d.conf.Admin, d.life.Report, d.figures, d.log)
-		if err != nil { // clients are served on without
-			d.log.Error("monitor: no second address", "admin", d.conf.Admin, "err", err)
+		m, err := monitor.Serve(d.conf.Admin, d.instance.Report, d.stats, d.log)
+		if err != nil { // the courier runs without the admin address
+			d.log.Error("monitor: can't listen on the admin address", "admin", d.conf.Admin, "err", err)
 		} else {
 			defer m.Close()
 			descriptors -= monitor.MostCallers + 1
 		}
 	}
 
-	// Where the platform holds the clients' socket, a next process may start beside this one, and each life
-	// has a folder of its own: of disk and memory it takes its part alone.
+	// If the platform owns the clients' socket, a successor may start while this process runs. Each process then has a
+	// directory of its own and uses only part of the disk space and memory.
 	listener, err := upgrade.Inherited(os.Getenv)
 	if err != nil {
 		return err
 	}
 	disk := min(int64(d.conf.Limits.DiskMB*1e6), memory/4)
-	var life *upgrade.Life
+	var process *upgrade.Life
 	if listener != nil {
-		if life, err = upgrade.Claim(d.conf.StateDir, d.log); err != nil {
+		if process, err = upgrade.Claim(d.conf.StateDir, d.log); err != nil {
 			return err
 		}
 		debug.SetMemoryLimit(memory * 3 / 10)
 		descriptors = descriptors * 3 / 4
 	} else {
-		owner, err := own(ctx, d.conf.StateDir, d.log)
+		unlock, err := lockStateDir(ctx, d.conf.StateDir, d.log)
 		if err != nil {
 			return err
 		}
-		defer owner()
-		if life, err = upgrade.Alone(d.conf.StateDir, d.log); errors.Is(err, upgrade.ErrRuns) {
-			return fmt.Errorf("%w: %w", errOwned, err)
+		defer unlock()
+		if process, err = upgrade.Alone(d.conf.StateDir, d.log); errors.Is(err, upgrade.ErrRuns) {
+			return fmt.Errorf("%w: %w", errStateDirLocked, err)
 		} else if err != nil {
 			return err
 		}
 	}
-	remembers := listener == nil && disk > 4*learned.MaxDiskBytes // where a next process follows, it is handed them
-	if remembers {
+	keepsLearned := listener == nil && disk > 4*learned.MaxDiskBytes // with an inherited socket, the successor gets this data in the handover
+	if keepsLearned {
 		disk -= learned.MaxDiskBytes
 	}
-	shared := int64(0) // of the folder, for what the couriers of a fleet share
-	if remembers && set.Fleet != nil {
-		shared = fleet.SnapshotSpace(disk)
-		disk -= shared
+	fleetBytes := int64(0) // disk space for the snapshot of the fleet's facts
+	if keepsLearned && operatorSettings.Fleet != nil {
+		fleetBytes = fleet.SnapshotSpace(disk)
+		disk -= fleetBytes
 	}
 	var kept []journal.Kept
-	d.store, kept, err = journal.Open(life.Folder, journal.Options{Limit: disk, Shared: listener != nil, Tries: set.Undeliverable.Keep}, d.log)
+	d.store, kept, err = journal.Open(process.Folder, journal.Options{Limit: disk, Shared: listener != nil, Tries: operatorSettings.Undeliverable.Keep}, d.log)
 	if err != nil {
 		return err
 	}
-	d.tell(lifecycle.StepDone{Step: lifecycle.Journal})
-	if listener != nil && set.Undeliverable.Keep {
-		d.log.Warn("undeliverable: no dead letters are kept where the clients' socket is inherited: two processes would write one store")
-		set.Undeliverable.Keep = false
+	d.applyEvent(lifecycle.StepDone{Step: lifecycle.Journal})
+	if listener != nil && operatorSettings.Undeliverable.Keep {
+		d.log.Warn("undeliverable: dead letters are not stored because the clients' socket is inherited: two processes would write one store")
+		operatorSettings.Undeliverable.Keep = false
 	}
-	kept = d.openDeadLetters(set, kept)
-	if d.courier, err = courier.New(d.conf, d.store, kept, d.figures, d.log); err != nil {
+	kept = d.openDeadLetters(operatorSettings, kept)
+	if d.courier, err = courier.New(d.conf, d.store, kept, d.stats, d.log); err != nil {
 		return err
 	}
-	d.courier.Tell, d.courier.Successors = d.tell, listener != nil
-	if remembers {
-		keeper := learned.NewWriter(life.Folder, d.log)
-		defer keeper.Close()
-		d.courier.Recall(d.before(life.Folder), keeper)
+	d.courier.Tell, d.courier.Successors = d.applyEvent, listener != nil
+	if keepsLearned {
+		learnedWriter := learned.NewWriter(process.Folder, d.log)
+		defer learnedWriter.Close()
+		d.courier.Recall(d.loadLearned(process.Folder), learnedWriter)
 	}
-	d.front = front.New(d.courier, d.conf.Names, d.figures, d.log)
+	d.front = front.New(d.courier, d.conf.Names, d.stats, d.log)
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	if d.deadLetters != nil {
 		d.courier.Keep(d.deadLetters)
 		go d.deadLetters.Run(ctx)
 	}
-	d.fleet = d.meet(ctx, set, life.Folder, shared)
-	defer d.record(set, listener != nil)()
+	d.fleet = d.joinFleet(ctx, operatorSettings, process.Folder, fleetBytes)
+	defer d.startHistory(operatorSettings, listener != nil)()
 	go d.courier.Run(ctx)
-	d.tell(lifecycle.StepDone{Step: lifecycle.Notices})
-	if set.Admin.Socket != "" {
-		l, err := admin.Listen(set.Admin.Socket)
-		if err != nil { // the courier serves on without
-			d.log.Error("admin: no listener", "err", err)
+	d.applyEvent(lifecycle.StepDone{Step: lifecycle.Notices})
+	if operatorSettings.Admin.Socket != "" {
+		l, err := admin.Listen(operatorSettings.Admin.Socket)
+		if err != nil { // the courier runs without the admin socket
+			d.log.Error("admin: can't listen on the admin socket", "err", err)
 		} else {
-			var desk deadletter.Desk
+			var deadLetters deadletter.Desk
 			if d.deadLetters != nil {
-				desk = d.deadLetters
+				deadLetters = d.deadLetters
 			}
-			defer admin.Serve(l, desk, d, d.log).Close()
+			defer admin.Serve(l, deadLetters, d, d.log).Close()
 		}
 	}
 
@@ -206,8 +206,8 @@
 		ErrorLog: slog.NewLogLogger(d.log.Handler(), slog.LevelWarn),
 	}
 	failed := make(chan error, 1)
-	go life.Run(ctx, d.courier, func() { go func() { failed <- server.Serve(clients) }() }, func() {
-		d.tell(lifecycle.StepDone{Step: lifecycle.Listening})
+	go process.Run(ctx, d.courier, func() { go func() { failed <- server.Serve(clients) }() }, func() {
+		d.applyEvent(lifecycle.StepDone{Step: lifecycle.Listening})
 		d.log.Info("raventrestle: ready", "name", d.conf.Name, "listen", d.conf.Listen, "inherited", inherited,
 			"discovery", d.conf.Discovery, "restored", len(kept), "letters", d.deadLetters != nil)
 	})
@@ -219,160 +219,160 @@
 		case s := <-signals:
 			switch s {
 			case syscall.SIGUSR1:
-				d.count()
+				d.logCounters()
 				continue
 			case syscall.SIGHUP:
 				d.reload(ctx)
 				continue
 			}
-			began := time.Now()
-			d.fleet.part()
-			if inherited && life.Followed() {
-				d.handOver(began, clients)
+			start := time.Now()
+			d.fleet.leave()
+			if inherited && process.Followed() {
+				d.handOver(start, clients)
 			} else {
-				d.tell(lifecycle.Terminate{})
-				d.end(began, clients)
+				d.applyEvent(lifecycle.Terminate{})
+				d.shutDown(start, clients)
 			}
-			closing, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
+			closeCtx, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
 			defer cancel()
-			if err := clients.End(closing); err != nil && !errors.Is(err, net.ErrClosed) { // closed where another follows
+			if err := clients.End(closeCtx); err != nil && !errors.Is(err, net.ErrClosed) { // closed already if a successor took over
 				d.log.Warn("raventrestle: client connections", "err", err)
 			}
 			stop()
 			if d.deadLetters != nil {
-				d.deadLetters.Wait() // what it was given is written
+				d.deadLetters.Wait() // until all dead letters are written
 			}
 			if err := d.store.Close(); err != nil {
 				d.log.Warn("raventrestle: journal", "err", err)
 			}
-			if err := life.Release(); err != nil {
-				d.log.Warn("raventrestle: the life's folder", "err", err)
+			if err := process.Release(); err != nil {
+				d.log.Warn("raventrestle: can't release the process's directory", "err", err)
 			}
-			d.fleet.parted(began.Add(lastWord))
-			d.count()
-			d.tell(lifecycle.Exited{})
-			d.log.Info("raventrestle: done", "took", time.Since(began))
+			d.fleet.awaitLeft(start.Add(shutdownTimeout))
+			d.logCounters()
+			d.applyEvent(lifecycle.Exited{})
+			d.log.Info("raventrestle: done", "took", time.Since(start))
 			return nil
 		}
 	}
 }
 
-// end waits until nothing is owed and no client's connection is left, or its time is up. From now on each answer
-// closes its connection. Those between requests go at once, but none with a request to be read; new ones, which still
-// come for a while, are given the time in which a client sends.
-func (d *daemon) end(began time.Time, clients *gate.Gate) {
-	quiet := d.courier.Close(began.Add(lastWord))
-	look := time.NewTicker(lookAtClients)
-	defer look.Stop()
-	for left := clients.Dismiss(front.Room.Busy); ; left = clients.Dismiss(front.Room.Busy) {
-		at := time.Since(began)
-		if at > lastWord || left == 0 && quiet == nil && at > lastGuest {
+// shutDown waits until every message has its outcome and no client connection is open, or until shutdownTimeout. From now
+// on each answer closes its connection. Idle connections are closed at once, except those with an unread request. New
+// connections are accepted for acceptPeriod and get the time that a client needs to send a request.
+func (d *daemon) shutDown(start time.Time, clients *gate.Gate) {
+	done := d.courier.Close(start.Add(shutdownTimeout))
+	ticker := time.NewTicker(clientPollInterval)
+	defer ticker.Stop()
+	for open := clients.Dismiss(front.Room.Busy); ; open = clients.Dismiss(front.Room.Busy) {
+		elapsed := time.Since(start)
+		if elapsed > shutdownTimeout || open == 0 && done == nil && elapsed > acceptPeriod {
 			return
 		}
 		select {
-		case <-quiet:
-			quiet = nil
-		case <-look.C:
+		case <-done:
+			done = nil
+		case <-ticker.C:
 		}
 	}
 }
 
-// handOver leaves the clients' socket and all that is held to the process that follows. Connections that are
-// still open are closed behind their next answer; those that stay silent for long, between requests.
-func (d *daemon) handOver(began time.Time, clients *gate.Gate) {
-	d.handing.Store(true)
+// handOver passes the clients' socket and all messages to the successor. Open client connections are closed after their
+// next answer, and idle ones after idleClientTimeout.
+func (d *daemon) handOver(start time.Time, clients *gate.Gate) {
+	d.handingOver.Store(true)
 	if err := clients.Close(); err != nil {
 		d.log.Warn("raventrestle: client connections", "err", err)
 	}
 	d.front.Leave()
-	quiet := d.courier.Pass()
-	d.tell(lifecycle.Terminate{})
-	look := time.NewTicker(20 * time.Millisecond)
-	defer look.Stop()
-	for left := 1; left > 0 || quiet != nil; {
+	done := d.courier.Pass()
+	d.applyEvent(lifecycle.Terminate{})
+	ticker := time.NewTicker(20 * time.Millisecond)
+	defer ticker.Stop()
+	for open := 1; open > 0 || done != nil; {
 		select {
-		case <-quiet:
-			quiet = nil
-		case <-look.C:
-			if at := time.Since(began); at > lastHanding {
-				d.log.Warn("raventrestle: not all is handed over", "client connections", left, "owed", quiet != nil)
+		case <-done:
+			done = nil
+		case <-ticker.C:
+			if elapsed := time.Since(start); elapsed > handoverTimeout {
+				d.log.Warn("raventrestle: handover incomplete", "client connections", open, "owed", done != nil)
 				return
-			} else if at > lastPatience {
-				left = clients.Dismiss(0)
+			} else if elapsed > idleClientTimeout {
+				open = clients.Dismiss(0)
 			}
 		}
 	}
 }
 
-// tell tells the life of an event; what the machine refuses is logged there.
-func (d *daemon) tell(e lifecycle.Event) { d.life.On(e) }
+// applyEvent passes an event to the instance, which logs an event that is invalid in its state.
+func (d *daemon) applyEvent(e lifecycle.Event) { d.instance.On(e) }
 
-// Report is the instance's life in words.
-func (d *daemon) Report() instance.Report { return d.life.Report() }
+// Report returns the state of the instance and its reasons.
+func (d *daemon) Report() instance.Report { return d.instance.Report() }
 
-// Drain makes the courier take nothing new, or take it on again.
+// Drain makes the courier reject new messages or, if on is false, accept them again.
 func (d *daemon) Drain(on bool) error {
 	if on {
-		return d.life.On(lifecycle.Drain{})
+		return d.instance.On(lifecycle.Drain{})
 	}
-	return d.life.On(lifecycle.Undrain{})
+	return d.instance.On(lifecycle.Undrain{})
 }
 
-// Status is all that operators see of a running courier.
+// Status returns all that operators see of a running courier.
 func (d *daemon) Status(ctx context.Context) (admin.Status, error) {
 	s, err := d.courier.Status(ctx)
 	return admin.Status{
-		Name: d.conf.Name, Listen: d.conf.Listen, PID: os.Getpid(), Report: d.life.Report(), Courier: s, JournalBytes: d.store.Size(),
-		Settings: d.file, Fleet: d.fleet.status(),
+		Name: d.conf.Name, Listen: d.conf.Listen, PID: os.Getpid(), Report: d.instance.Report(), Courier: s, JournalBytes: d.store.Size(),
+		Settings: d.settingsFile, Fleet: d.fleet.status(),
 	}, err
 }
 
-// before is what the life before had learned, as far as it still counts; nil for nothing.
-func (d *daemon) before(folder string) *raventrestle.Learned {
-	saved, err := learned.Load(folder)
+// loadLearned returns what the previous process had learned, or nil if there is nothing recent enough.
+func (d *daemon) loadLearned(dir string) *raventrestle.Learned {
+	saved, err := learned.Load(dir)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
 	} else if err != nil {
-		d.log.Warn("raventrestle: what the life before had learned is set aside", "folder", folder, "err", err)
+		d.log.Warn("raventrestle: can't use what the previous process learned", "folder", dir, "err", err)
 		return nil
 	}
 	now := time.Duration(time.Now().UnixNano())
-	b, ok := learned.Fresh(saved, now, d.conf.Settings.WarmupDuration)
-	if d.log.Info("raventrestle: what the life before had learned", "age", now-saved.SavedAt, "counts", ok); !ok {
+	fresh, ok := learned.Fresh(saved, now, d.conf.Settings.WarmupDuration)
+	if d.log.Info("raventrestle: loaded what the previous process learned", "age", now-saved.SavedAt, "counts", ok); !ok {
 		return nil
 	}
-	return &b
+	return &fresh
 }
 
-// errOwned says that another courier has the folder.
-var errOwned = errors.New("the folder belongs to another courier")
+// errStateDirLocked means that another courier uses the state directory.
+var errStateDirLocked = errors.New("the state directory is in use by another courier")
 
-// own takes the folder that lasts for this process alone, until the returned function is called or the
-// process ends, however it does. A file system without locks stops nothing.
-func own(ctx context.Context, folder string, log *slog.Logger) (func(), error) {
-	lock := flock.New(filepath.Join(folder, "owner"))
-	wait, stop := context.WithTimeout(ctx, ownWithin)
+// lockStateDir locks the state directory for this process until the returned function is called or the process exits in
+// any way. If the file system has no locks, the courier runs without one.
+func lockStateDir(ctx context.Context, dir string, log *slog.Logger) (func(), error) {
+	lock := flock.New(filepath.Join(dir, "owner"))
+	lockCtx, stop := context.WithTimeout(ctx, lockTimeout)
 	defer stop()
-	ok, err := lock.TryLockContext(wait, 20*time.Millisecond)
+	ok, err := lock.TryLockContext(lockCtx, 20*time.Millisecond)
 	switch {
 	case ok:
 		return func() {
 			if err := lock.Unlock(); err != nil {
-				log.Warn("raventrestle: the folder's lock", "err", err)
+				log.Warn("raventrestle: can't unlock the state directory", "err", err)
 			}
 		}, nil
 	case errors.Is(err, context.DeadlineExceeded):
-		return nil, fmt.Errorf("%s: %w (it holds the lock on %s)", folder, errOwned, lock.Path())
+		return nil, fmt.Errorf("%s: %w (which has locked %s)", dir, errStateDirLocked, lock.Path())
 	case ctx.Err() != nil:
 		return nil, ctx.Err()
 	}
-	log.Warn("raventrestle: no lock on the folder", "folder", folder, "err", err)
+	log.Warn("raventrestle: can't lock the state directory", "folder", dir, "err", err)
 	return func() {}, nil
 }
 
-// openDeadLetters opens the store of dead letters, if the settings want one, and returns what of the journal
-// the courier takes up. A store that can't be opened stops nothing: the courier serves on without,
-// and resends that the journal holds stay there untouched until a life that has the store.
+// openDeadLetters opens the store of dead letters, if the settings enable it, and returns the messages in the journal
+// that the courier restores. If the store can't be opened, the courier runs without it. Resends in the journal then stay
+// there until a process opens the store.
 func (d *daemon) openDeadLetters(set *settings.Settings, kept []journal.Kept) []journal.Kept {
 	var fresh, resends []journal.Kept
 	for _, k := range kept {
@@ -384,36 +384,36 @@
 	}
 	if !set.Undeliverable.Keep {
 		if len(resends) > 0 {
-			d.log.Warn("undeliverable: resends wait in the journal, since no dead letters are kept", "n", len(resends))
+			d.log.Warn("undeliverable: resends stay in the journal because dead letters are not stored", "n", len(resends))
 		}
 		return fresh
 	}
-	c := d.keeping(set)
+	c := d.deadLetterConfig(set)
 	var live []journal.Kept
 	var stale []string
 	var err error
 	if d.deadLetters, live, stale, err = deadletter.Start(c, kept, d.store.Sound()); err != nil {
 		d.deadLetters = nil
-		d.tell(lifecycle.FaultBegan{Fault: lifecycle.DeadLettersUnwritable})
-		d.log.Error("undeliverable: no store, serving on without", "folder", c.Folder, "err", err)
+		d.applyEvent(lifecycle.FaultBegan{Fault: lifecycle.DeadLettersUnwritable})
+		d.log.Error("undeliverable: can't open the store, running without it", "folder", c.Folder, "err", err)
 		return fresh
 	}
-	var over []journal.Record
+	var endRecords []journal.Record
 	for _, id := range stale {
-		over = append(over, journal.Over(id))
+		endRecords = append(endRecords, journal.Over(id))
 	}
-	if err := d.store.Append(over, nil); err != nil {
+	if err := d.store.Append(endRecords, nil); err != nil {
 		d.log.Error("undeliverable: journal", "err", err)
 	}
 	return append(fresh, live...)
 }
 
-// keeping are the settings in the keeper's terms.
-func (d *daemon) keeping(set *settings.Settings) deadletter.Config {
+// deadLetterConfig returns the configuration of the dead letter store for the operators' settings.
+func (d *daemon) deadLetterConfig(set *settings.Settings) deadletter.Config {
 	u := set.Undeliverable
 	names, classes := d.conf.Names, d.conf.Settings.Classes
 	return deadletter.Config{
-		Folder: deadLetterFolder(set, d.conf.StateDir), Limits: limits(u, d.conf.Settings.Forwarders, d.conf.Settings.WarmupDuration), MaxAge: u.MaxAge.Duration(),
+		Folder: deadLetterDir(set, d.conf.StateDir), Limits: resendLimits(u, d.conf.Settings.Forwarders, d.conf.Settings.WarmupDuration), MaxAge: u.MaxAge.Duration(),
 		Settled: u.ResolvedMaxAge.Duration(), Log: d.log, Seed: d.conf.Seed, Append: d.store.Append,
 		Options: deadletter.Options{MaxBytes: u.MaxBytes, MaxLetters: u.MaxDeadLetters, Sync: u.Sync},
 		Begin:   func(a deadletter.Again) bool { return d.courier.Again(a) },
@@ -427,38 +427,38 @@
 	}
 }
 
-// reload reads both files anew, each whole or not at all. Of the configuration it moves to the
-// discovery that it names; of the operators' settings it takes the log's level and what bounds and
-// paces the dead letters. The rest holds from the next start on.
+// reload reads the configuration and the operators' settings again; each file is applied completely or not at all. From
+// the operators' settings it applies the log level and the limits and rates of dead letters. The other settings take
+// effect at the next start.
 func (d *daemon) reload(ctx context.Context) {
-	if err := d.retune(ctx); err != nil {
-		d.figures.ConfigReloadFails.Add(1)
-		d.log.Error("raventrestle: the old settings stay", "file", os.Getenv("EDGE_CONFIG"), "err", err)
+	if err := d.reloadConfig(ctx); err != nil {
+		d.stats.ConfigReloadFails.Add(1)
+		d.log.Error("raventrestle: configuration not reloaded, the old one stays in use", "file", os.Getenv("EDGE_CONFIG"), "err", err)
 	} else {
-		d.figures.ConfigReloads.Add(1)
-		d.log.Info("raventrestle: settings read anew", "discovery", d.held.Discovery, "classes", len(d.held.Names.Classes))
+		d.stats.ConfigReloads.Add(1)
+		d.log.Info("raventrestle: configuration reloaded", "discovery", d.currentConf.Discovery, "classes", len(d.currentConf.Names.Classes))
 	}
-	if d.file == "" {
+	if d.settingsFile == "" {
 		return
 	}
-	go func() { // the helper may take its time, and signals wait
-		set, err := settings.Load(ctx, d.file)
+	go func() { // in the background, because the helper may be slow and would delay signals
+		set, err := settings.Load(ctx, d.settingsFile)
 		if err != nil {
-			d.log.Error("settings: the old ones stay", "file", d.file, "err", err)
+			d.log.Error("settings: not reloaded, the old ones stay in use", "file", d.settingsFile, "err", err)
 			return
 		}
 		d.level.Set(set.Log.Level)
 		if d.deadLetters != nil {
-			d.deadLetters.Set(d.keeping(set))
+			d.deadLetters.Set(d.deadLetterConfig(set))
 		}
-		d.log.Info("settings: read anew", "file", d.file)
+		d.log.Info("settings: reloaded", "file", d.settingsFile)
 	}()
 }
 
-// retune takes the platform's file whole or not at all. The module has the new classes before a client can
-// hand one in.
-func (d *daemon) retune(ctx context.Context) error {
-	next, err := config.Reload(os.Getenv, d.held)
+// reloadConfig applies the platform's configuration file completely or not at all, including a new discovery address. The
+// decision module gets new classes before clients can submit messages of them.
+func (d *daemon) reloadConfig(ctx context.Context) error {
+	next, err := config.Reload(os.Getenv, d.currentConf)
 	if err != nil {
 		return err
 	}
@@ -466,32 +466,32 @@
 		return err
 	}
 	for name := range next.Names.Classes {
-		d.figures.Class(name)
+		d.stats.Class(name)
 	}
 	d.front.Serve(next.Names)
-	if next.Discovery != d.held.Discovery {
+	if next.Discovery != d.currentConf.Discovery {
 		d.courier.Move(next.Discovery)
 	}
-	d.held = next
+	d.currentConf = next
 	return nil
 }
 
-// count prints what was taken in, sent and answered.
-func (d *daemon) count() {
-	in, out, net := &d.front.Counts, &d.courier.Counts, &d.courier.Counts.Peers
-	d.log.Info("counters: client connections", "requests", in.Requests.Load(), "taken", in.Taken.Load(),
-		"refused", in.Refused.Load(), "bad_form", in.BadForm.Load(), "too_large", in.TooLarge.Load(),
-		"left", in.Left.Load(), "closed_unanswered", d.clients.Unanswered.Load())
-	d.log.Info("counters: messages", "taken", out.Taken.Load(), "restored", out.Restored.Load(), "full", out.Full.Load(),
-		"withdrawn", out.Withdrawn.Load(), "delivered", out.Delivered.Load(), "void", out.Void.Load(),
-		"deferred", out.Deferred.Load(), "undeliverable", out.Undeliverable.Load())
+// logCounters logs the counters of client requests, messages, attempts and decisions.
+func (d *daemon) logCounters() {
+	clients, messages, peers := &d.front.Counts, &d.courier.Counts, &d.courier.Counts.Peers
+	d.log.Info("counters: client connections", "requests", clients.Requests.Load(), "taken", clients.Taken.Load(),
+		"refused", clients.Refused.Load(), "bad_form", clients.BadForm.Load(), "too_large", clients.TooLarge.Load(),
+		"left", clients.Left.Load(), "closed_unanswered", d.clients.Unanswered.Load())
+	d.log.Info("counters: messages", "taken", messages.Taken.Load(), "restored", messages.Restored.Load(), "full", messages.Full.Load(),
+		"withdrawn", messages.Withdrawn.Load(), "delivered", messages.Delivered.Load(), "void", messages.Void.Load(),
+		"deferred", messages.Deferred.Load(), "undeliverable", messages.Undeliverable.Load())
 	names := []string{"ok", "error", "full", "timed_out", "connect_failed", "reset", "cancelled", "moot"}
-	tries := []any{"dials", net.Dials.Load(), "calls", net.Calls.Load(), "bulk", net.Bulks.Load(), "tries", net.Tries.Load()}
+	attempts := []any{"dials", peers.Dials.Load(), "calls", peers.Calls.Load(), "bulk", peers.Bulks.Load(), "tries", peers.Tries.Load()}
 	for i, name := range names {
-		tries = append(tries, name, out.ByStatus[i].Load())
+		attempts = append(attempts, name, messages.ByStatus[i].Load())
 	}
-	d.log.Info("counters: tries", tries...)
-	d.log.Info("counters: decisions", "steps", out.Steps.Load(), "late", out.LateSteps.Load(), "panics", out.Panics.Load())
+	d.log.Info("counters: tries", attempts...)
+	d.log.Info("counters: decisions", "steps", messages.Steps.Load(), "late", messages.LateSteps.Load(), "panics", messages.Panics.Load())
 	if d.fleet != nil {
 		d.fleet.LogCounters(d.log)
 	}
--- a/cmd/raventrestle/settings.go
+++ b/cmd/raventrestle/settings.go
@@ -10,20 +10,21 @@
 	"raventrestle/internal/settings"
 )
 
-// settingsCommands check and show settings files by way of the helper, which has the CUE evaluator.
+// settingsCommands returns the commands that check and show settings files, by running the helper, which includes the CUE
+// evaluator.
 func settingsCommands() *cobra.Command {
 	root := &cobra.Command{Use: "settings", Short: "Check and show the operators' settings"}
 	var asJSON bool
 	check := &cobra.Command{
-		Use: "check FILE", Short: "Check a file; the first fault is told by line and field",
-		Args: cobra.ExactArgs(1), RunE: works(func(c *cobra.Command, args []string) error {
+		Use: "check FILE", Short: "Check a file; print the line and field of the first mistake",
+		Args: cobra.ExactArgs(1), RunE: withFailure(func(c *cobra.Command, args []string) error {
 			_, err := settings.Load(c.Context(), args[0])
 			if asJSON {
 				v := map[string]any{"file": args[0], "valid": err == nil}
 				if err != nil {
 					v["error"] = err.Error()
 				}
-				if e := print(c, v); e != nil {
+				if e := printJSON(c, v); e != nil {
 					return e
 				}
 				return err
@@ -37,7 +38,7 @@
 	check.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	show := &cobra.Command{
 		Use: "show FILE", Short: "Print a file's settings as JSON, all defaults filled in",
-		Args: cobra.ExactArgs(1), RunE: works(func(c *cobra.Command, args []string) error {
+		Args: cobra.ExactArgs(1), RunE: withFailure(func(c *cobra.Command, args []string) error {
 			text, err := settings.RunHelper(c.Context(), "export", args[0])
 			if err != nil {
 				return err
@@ -52,7 +53,7 @@
 	}
 	schema := &cobra.Command{
 		Use: "schema", Short: "Print the schema: every field, its range, default and meaning",
-		Args: cobra.NoArgs, RunE: works(func(c *cobra.Command, _ []string) error {
+		Args: cobra.NoArgs, RunE: withFailure(func(c *cobra.Command, _ []string) error {
 			text, err := settings.RunHelper(c.Context(), "schema")
 			if err == nil {
 				_, err = c.OutOrStdout().Write(text)
--- a/cmd/raventrestle/status.go
+++ b/cmd/raventrestle/status.go
@@ -16,8 +16,8 @@
 	"raventrestle/internal/settings"
 )
 
-// reach is the running courier, by the socket that is named or that the settings name.
-func reach(ctx context.Context, file, socket string) (*admin.Client, error) {
+// connect returns a client of the running courier, through the given socket or the one in the settings file.
+func connect(ctx context.Context, file, socket string) (*admin.Client, error) {
 	if socket == "" && file != "" {
 		set, err := settings.Load(ctx, file)
 		if err != nil {
@@ -26,7 +26,7 @@
 		socket = set.Admin.Socket
 	}
 	if socket == "" {
-		return nil, errors.New("no socket is named: give --socket, or --settings with admin.socket in it")
+		return nil, errors.New("no socket is given: use --socket, or --settings with a file that sets admin.socket")
 	}
 	c := &admin.Client{Path: socket}
 	if !c.Reaches() {
@@ -39,9 +39,9 @@
 	var socket string
 	var asJSON bool
 	c := &cobra.Command{
-		Use: "status", Short: "Show what a running courier is at, by channel; exit 1 if none answers", Args: cobra.NoArgs,
-		RunE: works(func(c *cobra.Command, _ []string) error {
-			client, err := reach(c.Context(), *file, socket)
+		Use: "status", Short: "Show the state of a running courier, by channel; exit 1 if none answers", Args: cobra.NoArgs,
+		RunE: withFailure(func(c *cobra.Command, _ []string) error {
+			client, err := connect(c.Context(), *file, socket)
 			if err != nil {
 				return err
 			}
@@ -50,9 +50,9 @@
 				return err
 			}
 			if asJSON {
-				return print(c, s)
+				return printJSON(c, s)
 			}
-			return tell(c.OutOrStdout(), s, time.Now())
+			return writeStatus(c.OutOrStdout(), s, time.Now())
 		}),
 	}
 	f := c.Flags()
@@ -62,8 +62,8 @@
 	return c
 }
 
-// tell writes the status for people.
-func tell(out io.Writer, s admin.Status, now time.Time) error {
+// writeStatus writes the status as text.
+func writeStatus(out io.Writer, s admin.Status, now time.Time) error {
 	ago := func(t time.Time) string {
 		if t.IsZero() {
 			return "never"
@@ -128,12 +128,12 @@
 func drainCommand(file *string, on bool) *cobra.Command {
 	var socket string
 	var wait time.Duration
-	use, short := "drain", "Make a running courier take nothing new; what it holds goes on"
+	use, short := "drain", "Make a running courier reject new messages; it still delivers those it has"
 	if !on {
-		use, short = "undrain", "Make a drained courier take messages again"
+		use, short = "undrain", "Make a drained courier accept messages again"
 	}
-	c := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: works(func(c *cobra.Command, _ []string) error {
-		client, err := reach(c.Context(), *file, socket)
+	c := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: withFailure(func(c *cobra.Command, _ []string) error {
+		client, err := connect(c.Context(), *file, socket)
 		if err != nil {
 			return err
 		}
@@ -169,7 +169,7 @@
 	f.StringVar(&socket, "socket", "", "the courier's admin socket (default: the settings')")
 	f.StringVar(file, "settings", *file, "operators' settings (CUE)")
 	if on {
-		f.DurationVar(&wait, "wait", 0, "wait so long for it to owe nothing; exit 1 if it still does")
+		f.DurationVar(&wait, "wait", 0, "wait this long until every message has its outcome; exit 1 if one has none")
 	}
 	return c
 }
--- a/cmd/raventrestle/term_test.go
+++ b/cmd/raventrestle/terminate_test.go
@@ -16,17 +16,17 @@
 	"raventrestle/internal/net/nettest"
 )
 
-// After SIGTERM clients send on every connection that stays open, and new ones still come for 0.4 s. Each request on a
-// new connection gets its answer; one that crosses the close of a connection between requests meets a close with nothing
-// on it, and gets its answer on a new one.
-func TestTerminateAnswersAllThatCame(t *testing.T) {
+// After SIGTERM, clients keep sending on every open connection and open new ones for 0.4 s. Each request on a new
+// connection gets an answer. A request that is sent while the courier closes an idle connection sees a close without an
+// answer, and the client can repeat it on a new connection.
+func TestTerminateAnswersEveryRequest(t *testing.T) {
 	end := nettest.NewPeer(t, nettest.Answer(nettest.Plain(200, "", "")))
 	d := deploy(t, end)
 	d.start()
-	var bare, answered, refused, crossed atomic.Int64
+	var unanswered, answered, rejected, crossed atomic.Int64
 	ids := atomic.Int64{}
-	// once sends one request; fresh says that the connection is new.
-	once := func(c net.Conn, r *bufio.Reader, fresh bool) (goesOn bool, err error) {
+	// sendRequest sends one request and reads the answer. The argument newConn says whether the connection is new.
+	sendRequest := func(c net.Conn, r *bufio.Reader, newConn bool) (reusable bool, err error) {
 		id := fmt.Sprintf("t-%d", ids.Add(1))
 		c.SetDeadline(time.Now().Add(nettest.Patience))
 		if _, err := fmt.Fprintf(c, "POST /free HTTP/1.1\r\nHost: x\r\nX-Txn: %s\r\nX-Remaining: 10\r\nX-Consignee: dest=7\r\nContent-Length: 2\r\n\r\nhi", id); err != nil {
@@ -34,8 +34,8 @@
 		}
 		res, err := http.ReadResponse(r, nil)
 		if err != nil {
-			if fresh {
-				bare.Add(1)
+			if newConn {
+				unanswered.Add(1)
 				t.Errorf("%s on a new connection: %v", id, err)
 			} else {
 				crossed.Add(1)
@@ -44,13 +44,13 @@
 		}
 		io.Copy(io.Discard, res.Body)
 		if answered.Add(1); res.StatusCode != http.StatusAccepted {
-			refused.Add(1)
+			rejected.Add(1)
 		}
 		return !res.Close, nil
 	}
 	var clients, warm sync.WaitGroup
 	warm.Add(40)
-	var until atomic.Int64 // new connections are opened so long
+	var until atomic.Int64 // until this time, clients open new connections
 	until.Store(time.Now().Add(time.Hour).UnixNano())
 	for range 40 {
 		clients.Go(func() {
@@ -64,7 +64,7 @@
 				}
 				r := bufio.NewReader(c)
 				for fresh, goesOn := true, true; goesOn; fresh = false {
-					if goesOn, err = once(c, r, fresh); err != nil && fresh {
+					if goesOn, err = sendRequest(c, r, fresh); err != nil && fresh {
 						return
 					}
 					warmed()
@@ -84,14 +84,14 @@
 		t.Fatal(err)
 	}
 	if took := time.Since(began); took > 3*time.Second {
-		t.Errorf("the end took %v", took)
+		t.Errorf("the shutdown took %v", took)
 	}
 	d.process = nil
-	if refused.Load() == 0 || answered.Load() < 80 {
-		t.Errorf("%d answered, %d of them refused: the story did not reach the end", answered.Load(), refused.Load())
+	if rejected.Load() == 0 || answered.Load() < 80 {
+		t.Errorf("%d answered, %d of them rejected: want at least 80, and at least one rejected during the shutdown", answered.Load(), rejected.Load())
 	}
-	t.Logf("%d answered, %d refused, %d crossed a close", answered.Load(), refused.Load(), crossed.Load())
+	t.Logf("%d answered, %d rejected, %d on a connection that was being closed", answered.Load(), rejected.Load(), crossed.Load())
 	if _, err := net.Dial("tcp", d.addr); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("after the end: %v", err)
+		t.Errorf("after the exit: %v", err)
 	}
 }
--- a/cmd/raventrestle/undeliverable.go
+++ b/cmd/raventrestle/undeliverable.go
@@ -23,173 +23,174 @@
 	"raventrestle/internal/settings"
 )
 
-// where says how a command reaches the dead letters.
-type where struct {
-	file           *string // settings
-	socket, folder string
-	offline        bool
-	asJSON         bool
+// deadLetterSource is where a command finds the dead letters: a running courier or a directory.
+type deadLetterSource struct {
+	settingsFile *string // operators' settings, "" for none
+	socket, dir  string
+	offline      bool
+	asJSON       bool
 }
 
-// desk is the running courier's, by its socket, or else its folder's, which only --offline may change.
-// The store's own lock keeps a courier and a command from writing at once.
-func (w *where) desk(ctx context.Context, writes bool) (deadletter.Desk, func() error, error) {
-	none := func() error { return nil }
-	set := &settings.Settings{Undeliverable: defaults}
-	if *w.file != "" {
+// open returns the dead letters of the running courier, through its socket, or else those in the directory, which can be
+// changed only with --offline. The store's lock prevents a courier and a command from writing at the same time.
+func (w *deadLetterSource) open(ctx context.Context, writes bool) (deadletter.Desk, func() error, error) {
+	noClose := func() error { return nil }
+	set := &settings.Settings{Undeliverable: offlineDefaults}
+	if *w.settingsFile != "" {
 		var err error
-		if set, err = settings.Load(ctx, *w.file); err != nil {
-			return nil, none, err
+		if set, err = settings.Load(ctx, *w.settingsFile); err != nil {
+			return nil, noClose, err
 		}
 	}
-	socket, folder := cmp.Or(w.socket, set.Admin.Socket), cmp.Or(w.folder, set.Undeliverable.Dir)
-	if folder == "" {
+	socket, dir := cmp.Or(w.socket, set.Admin.Socket), cmp.Or(w.dir, set.Undeliverable.Dir)
+	if dir == "" {
 		if conf, err := config.Load(os.Getenv); err == nil {
-			folder = deadLetterFolder(set, conf.StateDir)
+			dir = deadLetterDir(set, conf.StateDir)
 		}
 	}
-	if socket != "" && !w.offline && w.folder == "" {
+	if socket != "" && !w.offline && w.dir == "" {
 		if c := (&admin.Client{Path: socket}); c.Reaches() {
-			return c, none, nil
+			return c, noClose, nil
 		}
 	}
-	if folder == "" {
-		return nil, none, errors.New("no courier answers, and no folder is named: give --settings, --socket or --folder")
+	if dir == "" {
+		return nil, noClose, errors.New("no courier answers, and no directory is given: use --settings, --socket or --folder")
 	}
 	if writes && !w.offline {
-		return nil, none, fmt.Errorf("no courier answers: give --offline to change the dead letters in %s while it is stopped", folder)
+		return nil, noClose, fmt.Errorf("no courier answers: use --offline to change the dead letters in %s of a stopped courier", dir)
 	}
 	u := set.Undeliverable
-	store, err := deadletter.Open(folder, deadletter.Options{
+	store, err := deadletter.Open(dir, deadletter.Options{
 		MaxBytes: u.MaxBytes, MaxLetters: u.MaxDeadLetters, Sync: true,
 		ReadOnly: !w.offline,
 	}, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	if err != nil {
-		return nil, none, err
+		return nil, noClose, err
 	}
-	return &deadletter.Offline{Store: store, Limits: limits(u, 1, 0)}, store.Close, nil
+	return &deadletter.Offline{Store: store, Limits: resendLimits(u, 1, 0)}, store.Close, nil
 }
 
-// deadLetterFolder is where a courier with these settings has its dead letters.
-func deadLetterFolder(set *settings.Settings, state string) string {
+// deadLetterDir returns the directory of the dead letters for the settings.
+func deadLetterDir(set *settings.Settings, state string) string {
 	return cmp.Or(set.Undeliverable.Dir, filepath.Join(state, "undeliverable"))
 }
 
-// defaults are for commands at a folder without a settings file: they cap nothing.
-var defaults = settings.Undeliverable{MaxBytes: 1 << 50, MaxDeadLetters: 1 << 40, Resend: settings.Resend{
+// offlineDefaults are the settings for commands on a directory without a settings file. Their limits are practically
+// unlimited.
+var offlineDefaults = settings.Undeliverable{MaxBytes: 1 << 50, MaxDeadLetters: 1 << 40, Resend: settings.Resend{
 	Automatic:  true,
 	MaxResends: 1 << 30, MaxAge: 1e9, InitialRate: 1, MaxRate: 1,
 }}
 
-// limits are the settings in the rule's terms, for one of so many couriers.
-func limits(u settings.Undeliverable, couriers int, cold time.Duration) rule.Limits {
-	r, n := u.Resend, float64(max(couriers, 1))
+// resendLimits returns the limits of one courier for the settings, which apply to all couriers together.
+func resendLimits(s settings.Undeliverable, couriers int, warmup time.Duration) rule.Limits {
+	r, n := s.Resend, float64(max(couriers, 1))
 	return rule.Limits{
 		Automatic: r.Automatic, MaxResends: r.MaxResends, LastDate: r.MaxAge.Duration(),
-		FirstRate: r.InitialRate / n, MaxRate: r.MaxRate / n, Cold: cold, Growth: r.Growth, Backoff: r.Backoff.Duration(),
+		FirstRate: r.InitialRate / n, MaxRate: r.MaxRate / n, Cold: warmup, Growth: r.Growth, Backoff: r.Backoff.Duration(),
 		MaxBackoff: r.MaxBackoff.Duration(), Jitter: r.Jitter, SlotsShare: r.MaxSlotShare, HeldShare: r.MaxPendingShare,
 		Lag: resendLag,
 	}
 }
 
-// resendLag is what a repeat may take longer on its way than the first try did; the module reckons
-// with as much.
+// resendLag is how much longer a repeated attempt may take to arrive than the first one. The decision module assumes the
+// same value.
 const resendLag = 250 * time.Millisecond
 
 func undeliverableCommands(file *string) *cobra.Command {
-	w := &where{file: file}
+	source := &deadLetterSource{settingsFile: file}
 	root := &cobra.Command{
-		Use: "undeliverable", Short: "Look at the messages that were given up, and send them again",
-		Long: "Look at the messages that the courier gave up as failed, and send them again.\n" +
-			"The commands speak to the running courier by its admin socket. Where none answers they read the\n" +
-			"stopped courier's folder; they change it only with --offline.",
+		Use: "undeliverable", Short: "Show dead letters, and send them again",
+		Long: "Show dead letters, which are messages whose delivery failed for good, and send them again.\n" +
+			"The commands connect to the running courier through its admin socket. If none answers, they read the\n" +
+			"directory of the stopped courier. They change it only with --offline.",
 	}
 	p := root.PersistentFlags()
-	p.StringVar(file, "settings", *file, "operators' settings; name socket and folder")
-	p.StringVar(&w.socket, "socket", "", "admin socket of the courier")
-	p.StringVar(&w.folder, "folder", "", "folder of a stopped courier's dead letters")
-	p.BoolVar(&w.offline, "offline", false, "open a stopped courier's folder for writing")
-	p.BoolVar(&w.asJSON, "json", false, "print JSON")
+	p.StringVar(file, "settings", *file, "operators' settings file (CUE), with the admin socket and the directory")
+	p.StringVar(&source.socket, "socket", "", "admin socket of the courier")
+	p.StringVar(&source.dir, "folder", "", "directory of a stopped courier's dead letters")
+	p.BoolVar(&source.offline, "offline", false, "open a stopped courier's directory for writing")
+	p.BoolVar(&source.asJSON, "json", false, "print JSON")
 
 	var f deadletter.Filter
 	var channel string
 	var reason string
-	var all, dry bool
+	var all, dryRun bool
 	filters := func(c *cobra.Command) *cobra.Command {
 		fl := c.Flags()
 		fl.StringVar(&f.Class, "class", "", "only of this class")
 		fl.StringVar(&f.Hotel, "hotel", "", "only of this hotel")
 		fl.StringVar(&channel, "channel", "", "only for this channel (a number)")
-		fl.StringVar(&f.State, "state", "", "only held, out, delivered, void or discarded")
+		fl.StringVar(&f.State, "state", "", "only in this state: held, out, delivered, void or discarded")
 		fl.StringVar(&reason, "reason", "", "only with this reason, such as may_have_run")
-		fl.DurationVar(&f.OlderThan, "older", 0, "only failed longer ago than this")
-		fl.DurationVar(&f.NewerThan, "newer", 0, "only failed since then")
+		fl.DurationVar(&f.OlderThan, "older", 0, "only those that failed longer ago than this duration")
+		fl.DurationVar(&f.NewerThan, "newer", 0, "only those that failed within this duration")
 		return c
 	}
-	// with runs a command at the desk, the filter filled in.
-	with := func(writes bool, do func(*cobra.Command, deadletter.Desk, []string) error) func(*cobra.Command, []string) error {
+	// forFilter returns a function that fills in the filter from the flags, opens the dead letters and calls do.
+	forFilter := func(writes bool, do func(*cobra.Command, deadletter.Desk, []string) error) func(*cobra.Command, []string) error {
 		return func(c *cobra.Command, args []string) error {
 			if channel != "" {
 				n, err := strconv.ParseInt(channel, 10, 64)
 				if err != nil {
-					return fmt.Errorf("--channel: %q is no number", channel)
+					return fmt.Errorf("--channel: %q is not a number", channel)
 				}
 				f.Channel = &n
 			}
-			if f.State != "" && !known(f.State) {
-				return fmt.Errorf("--state: %q is no state", f.State)
+			if f.State != "" && !isState(f.State) {
+				return fmt.Errorf("--state: unknown state %q", f.State)
 			}
 			f.Reason = rule.Reason(reason)
 			if _, ok := rule.Reasons()[f.Reason]; !ok && reason != "" {
-				return fmt.Errorf("--reason: %q is no reason", reason)
+				return fmt.Errorf("--reason: unknown reason %q", reason)
 			}
 			f.IDs = args
 			if writes && len(args) == 0 && !all && f.Class+f.Hotel+channel+f.State+reason == "" && f.OlderThan+f.NewerThan == 0 {
-				return errors.New("name dead letters, give a filter, or --all")
+				return errors.New("give IDs of dead letters, a filter or --all")
 			}
-			return works(func(c *cobra.Command, args []string) error {
-				desk, done, err := w.desk(c.Context(), writes && !dry)
+			return withFailure(func(c *cobra.Command, args []string) error {
+				deadLetters, closeStore, err := source.open(c.Context(), writes && !dryRun)
 				if err != nil {
 					return err
 				}
-				return errors.Join(do(c, desk, args), done())
+				return errors.Join(do(c, deadLetters, args), closeStore())
 			})(c, args)
 		}
 	}
 	list := filters(&cobra.Command{
-		Use: "list [ID...]", Short: "List dead letters, with why each may or may not be sent again",
-		RunE: with(false, func(c *cobra.Command, d deadletter.Desk, _ []string) error {
+		Use: "list [ID...]", Short: "List dead letters, with the reason why each may or may not be sent again",
+		RunE: forFilter(false, func(c *cobra.Command, d deadletter.Desk, _ []string) error {
 			items, err := d.List(c.Context(), f)
 			if err != nil {
 				return err
 			}
-			if w.asJSON {
-				return print(c, items)
+			if source.asJSON {
+				return printJSON(c, items)
 			}
-			return table(c.OutOrStdout(), items)
+			return writeTable(c.OutOrStdout(), items)
 		}),
 	})
-	list.Flags().IntVar(&f.Limit, "limit", 0, "at most so many")
+	list.Flags().IntVar(&f.Limit, "limit", 0, "maximum number of dead letters; 0 for no limit")
 	show := &cobra.Command{
-		Use: "show ID", Short: "Print all that is known of a dead letter", Args: cobra.ExactArgs(1),
-		RunE: with(false, func(c *cobra.Command, d deadletter.Desk, args []string) error {
+		Use: "show ID", Short: "Print all details of a dead letter", Args: cobra.ExactArgs(1),
+		RunE: forFilter(false, func(c *cobra.Command, d deadletter.Desk, args []string) error {
 			it, err := d.Show(c.Context(), args[0])
 			if err != nil {
 				return err
 			}
-			if w.asJSON {
-				return print(c, it)
+			if source.asJSON {
+				return printJSON(c, it)
 			}
-			return story(c.OutOrStdout(), it)
+			return writeDetails(c.OutOrStdout(), it)
 		}),
 	}
 	change := func(use, short string, do func(deadletter.Desk, context.Context) ([]deadletter.Answer, error)) *cobra.Command {
 		c := filters(&cobra.Command{
 			Use: use, Short: short,
-			RunE: with(true, func(c *cobra.Command, d deadletter.Desk, _ []string) error {
+			RunE: forFilter(true, func(c *cobra.Command, d deadletter.Desk, _ []string) error {
 				answers, err := do(d, c.Context())
-				if w.asJSON && err == nil {
-					return print(c, answers)
+				if source.asJSON && err == nil {
+					return printJSON(c, answers)
 				}
 				done := 0
 				for _, a := range answers {
@@ -199,52 +200,52 @@
 					fmt.Fprintf(c.OutOrStdout(), "%s\t%s\t%s\n", a.ID, map[bool]string{true: "yes", false: "no"}[a.Done], a.Sentence)
 				}
 				if err == nil {
-					fmt.Fprintf(c.OutOrStdout(), "%d of %d dead letters%s\n", done, len(answers), map[bool]string{true: " (dry run: nothing changed)"}[dry])
+					fmt.Fprintf(c.OutOrStdout(), "%d of %d dead letters%s\n", done, len(answers), map[bool]string{true: " (dry run: nothing changed)"}[dryRun])
 				}
 				return err
 			}),
 		})
 		c.Flags().BoolVar(&all, "all", false, "all dead letters")
-		c.Flags().BoolVar(&dry, "dry-run", false, "say what would happen and change nothing")
+		c.Flags().BoolVar(&dryRun, "dry-run", false, "print what would happen and change nothing")
 		return c
 	}
-	resend := change("resend [ID...]", "Have dead letters sent again, as far as their class allows it",
+	resend := change("resend [ID...]", "Send dead letters again, as far as their class allows it",
 		func(d deadletter.Desk, ctx context.Context) ([]deadletter.Answer, error) {
-			return d.Resend(ctx, f, dry)
+			return d.Resend(ctx, f, dryRun)
 		})
-	discard := change("discard [ID...]", "End dead letters: they are not sent again and are forgotten in time",
+	discard := change("discard [ID...]", "Discard dead letters: they are not sent again and are removed later",
 		func(d deadletter.Desk, ctx context.Context) ([]deadletter.Answer, error) {
-			return d.Discard(ctx, f, dry)
+			return d.Discard(ctx, f, dryRun)
 		})
 	stats := &cobra.Command{
 		Use: "stats", Short: "Count the dead letters by state, class and reason", Args: cobra.NoArgs,
-		RunE: with(false, func(c *cobra.Command, d deadletter.Desk, _ []string) error {
+		RunE: forFilter(false, func(c *cobra.Command, d deadletter.Desk, _ []string) error {
 			st, err := d.Stats(c.Context())
 			if err != nil {
 				return err
 			}
-			if w.asJSON {
-				return print(c, st)
+			if source.asJSON {
+				return printJSON(c, st)
 			}
-			return deadLetterFigures(c.OutOrStdout(), st)
+			return writeDeadLetterStats(c.OutOrStdout(), st)
 		}),
 	}
 	check := &cobra.Command{
-		Use: "check", Short: "Read a stopped courier's whole store and say what is wrong with it", Args: cobra.NoArgs,
-		RunE: works(func(c *cobra.Command, _ []string) error {
-			d, done, err := w.desk(c.Context(), false)
+		Use: "check", Short: "Check a stopped courier's store and print the faults", Args: cobra.NoArgs,
+		RunE: withFailure(func(c *cobra.Command, _ []string) error {
+			d, closeStore, err := source.open(c.Context(), false)
 			if err != nil {
 				return err
 			}
 			o, ok := d.(*deadletter.Offline)
 			if !ok {
-				return errors.New("the courier runs: stop it, or check a copy of its folder with --folder")
+				return errors.New("the courier is running: stop it, or check a copy of its directory with --folder")
 			}
 			faults, err := o.Store.Check()
 			for _, f := range faults {
 				fmt.Fprintln(c.OutOrStdout(), f)
 			}
-			if err = errors.Join(err, done()); err == nil && len(faults) > 0 {
+			if err = errors.Join(err, closeStore()); err == nil && len(faults) > 0 {
 				err = fmt.Errorf("%d faults", len(faults))
 			}
 			return err
@@ -254,7 +255,7 @@
 	return root
 }
 
-func known(state string) bool {
+func isState(state string) bool {
 	for s := rule.Held; s <= rule.Discarded; s++ {
 		if s.String() == state {
 			return true
@@ -263,24 +264,24 @@
 	return false
 }
 
-func when(ns int64) string {
+func formatTime(ns int64) string {
 	if ns == 0 {
 		return "-"
 	}
 	return time.Unix(0, ns).UTC().Format("2006-01-02 15:04:05.000")
 }
 
-func table(out io.Writer, items []deadletter.Item) error {
+func writeTable(out io.Writer, items []deadletter.Item) error {
 	t := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "ID\tCLASS\tHOTEL\tCHANNEL\tFAILED (UTC)\tTRIES\tRESENDS\tSTATE\tREASON")
 	for _, it := range items {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%d\t%d\t%s\t%s\n", it.ID, it.Class, cmp.Or(it.Tenant, "-"), it.Dest, when(it.Failed),
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%d\t%d\t%s\t%s\n", it.ID, it.Class, cmp.Or(it.Tenant, "-"), it.Dest, formatTime(it.Failed),
 			len(it.Tries), len(it.Resends), it.StateWord, it.Reason)
 	}
 	return t.Flush()
 }
 
-func story(out io.Writer, it *deadletter.Item) error {
+func writeDetails(out io.Writer, it *deadletter.Item) error {
 	t := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	row := func(name string, v any) { fmt.Fprintf(t, "%s\t%v\n", name, v) }
 	row("id", it.ID)
@@ -288,31 +289,31 @@
 	row("class", it.Class)
 	row("hotel", cmp.Or(it.Tenant, "-"))
 	row("channel", it.Dest)
-	row("taken on", when(it.Taken))
-	row("time up", when(it.Until))
-	row("failed", when(it.Failed)+" ("+it.Why+")")
+	row("taken on", formatTime(it.Taken))
+	row("time up", formatTime(it.Until))
+	row("failed", formatTime(it.Failed)+" ("+it.Why+")")
 	row("state", it.StateWord)
 	row("resend", string(it.Reason)+": it "+it.Sentence)
-	row("body", fmt.Sprintf("%d bytes: %q", it.BodySize, clip(it.Content)))
-	tries := func(list []deadletter.Try) {
+	row("body", fmt.Sprintf("%d bytes: %q", it.BodySize, truncate(it.Content)))
+	writeAttempts := func(list []deadletter.Try) {
 		for i, y := range list {
 			row(fmt.Sprintf("  try %d", i+1), strings.Join([]string{
-				when(y.At), cmp.Or(y.Peer, "?"), "floor " + cmp.Or(y.Floor, "?"),
-				cmp.Or(y.Outcome, "no word: the courier ended"), map[bool]string{true: "may have run", false: "never ran"}[y.MayHaveRun()],
+				formatTime(y.At), cmp.Or(y.Peer, "?"), "floor " + cmp.Or(y.Floor, "?"),
+				cmp.Or(y.Outcome, "no result: the courier process ended"), map[bool]string{true: "may have run", false: "never ran"}[y.MayHaveRun()],
 			}, ", "))
 		}
 	}
-	tries(it.Tries)
+	writeAttempts(it.Tries)
 	for i, r := range it.Resends {
-		row(fmt.Sprintf("resend %d", i+1), when(r.Began)+" to "+when(r.Ended)+": "+cmp.Or(r.Result, "out"))
-		tries(r.Tries)
+		row(fmt.Sprintf("resend %d", i+1), formatTime(r.Began)+" to "+formatTime(r.Ended)+": "+cmp.Or(r.Result, "out"))
+		writeAttempts(r.Tries)
 	}
 	return t.Flush()
 }
 
-func clip(b []byte) []byte { return b[:min(len(b), 200)] }
+func truncate(b []byte) []byte { return b[:min(len(b), 200)] }
 
-func deadLetterFigures(out io.Writer, st *deadletter.Stats) error {
+func writeDeadLetterStats(out io.Writer, st *deadletter.Stats) error {
 	t := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	row := func(name string, v any) { fmt.Fprintf(t, "%s\t%v\n", name, v) }
 	row("dead letters", st.Letters)
--- a/cmd/raventrestle/upgrade_test.go
+++ b/cmd/raventrestle/upgrade_test.go
@@ -20,19 +20,19 @@
 	"raventrestle/internal/net/nettest"
 )
 
-// service is one courier whose clients' socket the platform holds, its endpoint's ledger and its clients.
+// service is one courier whose clients' socket the platform owns, with its clients and the record of its endpoint.
 type service struct {
 	*deployment
-	t       *testing.T
-	socket  *os.File
-	mu      sync.Mutex
-	effects map[string]int // by id: calls whose last byte came
-	doubled []string
-	handed  map[string]bool // ids whose client heard 202
-	broken  atomic.Int64    // submissions that met a refused, reset or unread connection
-	refused atomic.Int64
-	stop    chan struct{}
-	clients sync.WaitGroup
+	t          *testing.T
+	socket     *os.File
+	mu         sync.Mutex
+	effects    map[string]int // number of completely received calls, by message ID
+	duplicated []string
+	accepted   map[string]bool // IDs of messages that were answered with 202
+	broken     atomic.Int64    // submissions on a connection that was refused, reset or closed without an answer
+	refused    atomic.Int64
+	stop       chan struct{}
+	clients    sync.WaitGroup
 }
 
 // process is one of the courier's processes.
@@ -44,7 +44,7 @@
 }
 
 func serviceUnderLoad(t *testing.T, seed uint64, clients int) *service {
-	s := &service{t: t, effects: map[string]int{}, handed: map[string]bool{}, stop: make(chan struct{})}
+	s := &service{t: t, effects: map[string]int{}, accepted: map[string]bool{}, stop: make(chan struct{})}
 	var drawing sync.Mutex
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	draw := func() float64 { drawing.Lock(); defer drawing.Unlock(); return rnd.Float64() }
@@ -53,7 +53,7 @@
 		s.mu.Lock()
 		s.effects[id]++
 		if s.effects[id] > 1 && strings.HasPrefix(id, "single") {
-			s.doubled = append(s.doubled, id)
+			s.duplicated = append(s.duplicated, id)
 		}
 		s.mu.Unlock()
 		time.Sleep(time.Duration(draw()*200) * time.Millisecond)
@@ -80,7 +80,7 @@
 	return s
 }
 
-// client submits one message after the other, over a connection that it keeps while it may.
+// client submits one message after another, over a connection that it keeps open while the courier does.
 func (s *service) client(i int, rnd *rand.Rand) {
 	client := &http.Client{Timeout: 400 * time.Millisecond, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
@@ -96,7 +96,7 @@
 		if err != nil {
 			panic(err)
 		}
-		req.GetBody = nil // what meets a connection that closes is counted, not sent again
+		req.GetBody = nil // a submission on a closing connection is counted and not repeated
 		for k, v := range map[string]string{"X-Txn": id, "X-Consignee": "dest=7", "X-Remaining": "15", "Idempotency-Key": "key-" + id} {
 			req.Header.Set(k, v)
 		}
@@ -112,19 +112,19 @@
 			continue
 		}
 		s.mu.Lock()
-		s.handed[id] = true
+		s.accepted[id] = true
 		s.mu.Unlock()
 	}
 }
 
-// launch starts a process of the courier; it does not wait for its yes.
+// launch starts a process of the courier; it does not wait until the process is ready.
 func (s *service) launch() *process {
 	s.t.Helper()
 	exe, err := os.Executable()
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	p := &process{Cmd: exec.Command(exe), admin: free(s.t), ended: make(chan error, 1), log: &bytes.Buffer{}}
+	p := &process{Cmd: exec.Command(exe), admin: freeAddress(s.t), ended: make(chan error, 1), log: &bytes.Buffer{}}
 	p.Env = append(os.Environ(), "RAVENTRESTLE_TEST_COURIER=1", "EDGE_CONFIG="+s.config, "EDGE_ADMIN="+p.admin, "EDGE_SOCKET_FD=4")
 	p.ExtraFiles = []*os.File{s.socket, s.socket} // 3 and 4
 	p.Stderr = p.log
@@ -136,7 +136,7 @@
 	return p
 }
 
-func (p *process) ready() bool {
+func (p *process) isReady() bool {
 	res, err := http.Get("http://" + p.admin + "/ready")
 	if err != nil {
 		return false
@@ -145,17 +145,18 @@
 	return res.StatusCode == 200
 }
 
-func (s *service) awaitYes(p *process) {
+func (s *service) awaitReady(p *process) {
 	s.t.Helper()
-	for began := time.Now(); !p.ready(); time.Sleep(5 * time.Millisecond) {
+	for began := time.Now(); !p.isReady(); time.Sleep(5 * time.Millisecond) {
 		if time.Since(began) > 6*time.Second {
-			s.t.Fatalf("no yes within 6 s\n%s", p.log)
+			s.t.Fatalf("not ready within 6 s\n%s", p.log)
 		}
 	}
 }
 
-// settle ends the clients and checks the ledger: what was taken has one end, none was lost, none doubled.
-func (s *service) settle(last *process, mayFail bool) {
+// finishAndCheck stops the clients and checks that each accepted message has one outcome, that none was lost and that no
+// single shot took effect twice.
+func (s *service) finishAndCheck(last *process, mayFail bool) {
 	s.t.Helper()
 	close(s.stop)
 	s.clients.Wait()
@@ -169,25 +170,25 @@
 			failed++
 		}
 		s.admin = last.admin
-		if f := s.figures(); f["app.pending"] == "0" {
+		if f := s.metrics(); f["app.pending"] == "0" {
 			break
 		}
 		if time.Since(began) > nettest.Patience {
-			s.t.Fatalf("%v\n%s", s.figures(), last.log)
+			s.t.Fatalf("%v\n%s", s.metrics(), last.log)
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id := range s.handed {
+	for id := range s.accepted {
 		if s.effects[id] == 0 && ended[id] == 0 {
 			s.t.Errorf("%s is lost", id)
 		}
 		if ended[id] > 1 {
-			s.t.Errorf("%s has %d ends", id, ended[id])
+			s.t.Errorf("%s has %d notices", id, ended[id])
 		}
 	}
-	if len(s.doubled) > 0 {
-		s.t.Errorf("took effect twice: %v", s.doubled)
+	if len(s.duplicated) > 0 {
+		s.t.Errorf("took effect twice: %v", s.duplicated)
 	}
 	if !mayFail {
 		for id, n := range s.effects {
@@ -199,21 +200,21 @@
 			s.t.Errorf("%d notices: %v", failed, ended)
 		}
 	}
-	if len(s.handed) < 20 {
-		s.t.Errorf("only %d submitted", len(s.handed))
+	if len(s.accepted) < 20 {
+		s.t.Errorf("only %d submitted", len(s.accepted))
 	}
 }
 
-// Two upgrades in a row under load: no submission meets a refused, reset or unread connection, none is refused,
-// every message has one effect and no notice, and the old process is gone before its SIGKILL would come.
+// In two consecutive upgrades under load, no submission is rejected or meets a refused, reset or closed connection. Every
+// message takes effect once and gets no notice. The old process exits before the platform would send SIGKILL.
 func TestUpgrade(t *testing.T) {
 	s := serviceUnderLoad(t, 1, 8)
 	old := s.launch()
-	s.awaitYes(old)
+	s.awaitReady(old)
 	for range 2 {
 		time.Sleep(400 * time.Millisecond)
 		next := s.launch()
-		s.awaitYes(next)
+		s.awaitReady(next)
 		began := time.Now()
 		old.Process.Signal(syscall.SIGTERM)
 		if err := nettest.Wait(t, "end of the old process", old.ended); err != nil {
@@ -225,16 +226,16 @@
 		old = next
 	}
 	time.Sleep(200 * time.Millisecond)
-	s.settle(old, false)
+	s.finishAndCheck(old, false)
 	if b, r := s.broken.Load(), s.refused.Load(); b+r > 0 {
-		t.Errorf("%d submissions met a connection that was closed, %d were refused", b, r)
+		t.Errorf("%d submissions met a closed connection, %d were rejected", b, r)
 	}
 }
 
-// One of the two processes dies by SIGKILL at a moment drawn from the seed: the old one before its SIGTERM, in
-// the middle of handing over or at its end, or the new one before or just after its yes, upon which another
-// is started. What was taken has its end all the same, a single shot takes effect once at most, and no
-// submission but those that the dead process had read meets a closed connection.
+// One of the two processes is killed with SIGKILL at a random time: the old one before its SIGTERM, during the handover
+// or at its end; or the new one before or just after it becomes ready, and then another is started. Accepted messages
+// still get their outcome, a single shot takes effect at most once, and only submissions that the killed process had
+// read meet a closed connection.
 func TestUpgradeKilled(t *testing.T) {
 	seeds := uint64(8)
 	if n, err := strconv.ParseUint(os.Getenv("RAVENTRESTLE_UPGRADE_SEEDS"), 10, 32); err == nil {
@@ -246,17 +247,17 @@
 			rnd := rand.New(rand.NewPCG(seed, 0))
 			s := serviceUnderLoad(t, seed, 8)
 			old := s.launch()
-			s.awaitYes(old)
+			s.awaitReady(old)
 			time.Sleep(300 * time.Millisecond)
 			next := s.launch()
-			if seed%4 == 0 { // the new one dies, before its yes or after it
+			if seed%4 == 0 { // the new process is killed, before or after it becomes ready
 				time.Sleep(time.Duration(rnd.Float64() * 100 * float64(time.Millisecond)))
 				next.Process.Kill()
 				<-next.ended
 				next = s.launch()
 			}
-			s.awaitYes(next)
-			if seed%4 == 1 { // the old one before it hears of anything
+			s.awaitReady(next)
+			if seed%4 == 1 { // the old process is killed before its SIGTERM
 				old.Process.Kill()
 			} else {
 				old.Process.Signal(syscall.SIGTERM)
@@ -271,10 +272,10 @@
 			select {
 			case <-old.ended:
 			case <-time.After(3700 * time.Millisecond):
-				t.Errorf("the old process outlives its time; it wrote:\n%s", old.log)
+				t.Errorf("the old process did not exit in time; its log:\n%s", old.log)
 			}
 			time.Sleep(500 * time.Millisecond)
-			s.settle(next, true)
+			s.finishAndCheck(next, true)
 			if b := s.broken.Load(); b > 8 { // a client has one connection
 				t.Errorf("%d submissions met a closed connection", b)
 			}
--- a/internal/polling/polling.go
+++ b/internal/polling/polling.go
@@ -2,7 +2,7 @@
 // call that waits for changes (a long poll), and when a call without an answer has timed out. It does no I/O, and its
 // random numbers are arguments.
 //
-// The platform assumes that the courier has received an update [InformedAfterSilence] after the start of a call that got
+// The platform assumes that the courier has received an update [InformedAfterTimeout] after the start of a call that got
 // no answer, or [InformedAfterWait] after the end of a watch's wait. Each invariant is checked by the test of that name:
 //   - TestTimedOutCallIsRepeatedInTime: a call that times out is followed immediately, without a backoff, by another one
 //     whose answer can arrive before the platform makes that assumption.
@@ -25,7 +25,7 @@
 	// has time for its answer.
 	watchGrace = 1500 * time.Millisecond
 	// pollTimeout limits a call without a wait. Discovery processes calls one by one and rejects them after about 2 s. Two
-	// polls fit into InformedAfterSilence.
+	// polls fit into InformedAfterTimeout.
 	pollTimeout = 2500 * time.Millisecond
 	// ConnectTimeout limits how long a connection may take to open. It is part of each call's timeout.
 	ConnectTimeout = time.Second
