--- a/cmd/raventrestle/commands_test.go
+++ b/cmd/raventrestle/commands_test.go
@@ -124,7 +124,7 @@
 		if strings.Contains(text, want) {
 			return
 		}
-		if time.Since(began) > nettest.Patience {
+		if time.Since(began) > nettest.Timeout {
 			t.Fatalf("no %q in the log:\n%s", want, text)
 		}
 	}
@@ -271,7 +271,7 @@
 			if len(items) == 1 && items[0].ID == "rate" {
 				break
 			}
-			if time.Since(began) > nettest.Patience {
+			if time.Since(began) > nettest.Timeout {
 				list()
 				t.Fatalf("%+v", items)
 			}
@@ -339,7 +339,7 @@
 		if n > 0 {
 			break
 		}
-		if time.Since(began) > nettest.Patience {
+		if time.Since(began) > nettest.Timeout {
 			t.Fatal("not sent")
 		}
 	}
--- a/cmd/raventrestle/fleet.go
+++ b/cmd/raventrestle/fleet.go
@@ -34,7 +34,7 @@
 		d.log.Error("fleet_not_up", "name", d.conf.Name, "error", err.Error())
 		return nil
 	}
-	d.courier.Share(host)
+	d.courier.UseFleet(host)
 	ctx, leave := context.WithCancel(ctx)
 	f := &fleetMember{host, leave, make(chan struct{}), epochs}
 	go func() {
--- a/cmd/raventrestle/history_test.go
+++ b/cmd/raventrestle/history_test.go
@@ -126,7 +126,7 @@
 	ledger.outcomes = append(ledger.outcomes, check.Told{At: history.Now(), Message: notice.ID, Courier: "a", How: notice.Status})
 	called("free")
 	for _, f := range fleet {
-		f.awaitStatus("done", func(s admin.Status) bool { return s.Courier.Owed == 0 })
+		f.awaitStatus("done", func(s admin.Status) bool { return s.Courier.Pending == 0 })
 		if err := f.process.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/raventrestle/serve.go
+++ b/cmd/raventrestle/serve.go
@@ -26,11 +26,11 @@
 	"raventrestle/internal/learned"
 	"raventrestle/internal/lifecycle"
 	"raventrestle/internal/net/admin"
+	"raventrestle/internal/net/connlimit"
 	"raventrestle/internal/net/courier"
-	"raventrestle/internal/net/front"
-	"raventrestle/internal/net/gate"
 	"raventrestle/internal/net/instance"
 	"raventrestle/internal/net/monitor"
+	"raventrestle/internal/net/submission"
 	"raventrestle/internal/net/upgrade"
 	"raventrestle/internal/settings"
 	"raventrestle/internal/stats"
@@ -56,10 +56,10 @@
 	store        *journal.Store
 	deadLetters  *deadletter.Keeper // nil if none are stored
 	courier      *courier.Courier
-	front        *front.Front
+	front        *submission.Handler
 	stats        *stats.Stats
 	handingOver  atomic.Bool // whether a handover to a successor has begun
-	clients      *gate.Gate
+	clients      *connlimit.Limiter
 	fleet        *fleetMember // nil if nothing is shared with other couriers
 }
 
@@ -108,18 +108,18 @@
 			d.log.Error("monitor: can't listen on the admin address", "admin", d.conf.Admin, "err", err)
 		} else {
 			defer m.Close()
-			descriptors -= monitor.MostCallers + 1
+			descriptors -= monitor.MaxCallers + 1
 		}
 	}
 
 	// If the platform owns the clients' socket, a successor may start while this process runs. Each process then has a
 	// directory of its own and uses only part of the disk space and memory.
-	listener, err := upgrade.Inherited(os.Getenv)
+	listener, err := upgrade.InheritedListener(os.Getenv)
 	if err != nil {
 		return err
 	}
 	disk := min(int64(d.conf.Limits.DiskMB*1e6), memory/4)
-	var process *upgrade.Life
+	var process *upgrade.ProcessDir
 	if listener != nil {
 		if process, err = upgrade.Claim(d.conf.StateDir, d.log); err != nil {
 			return err
@@ -132,7 +132,7 @@
 			return err
 		}
 		defer unlock()
-		if process, err = upgrade.Alone(d.conf.StateDir, d.log); errors.Is(err, upgrade.ErrRuns) {
+		if process, err = upgrade.ClaimExclusive(d.conf.StateDir, d.log); errors.Is(err, upgrade.ErrRunning) {
 			return fmt.Errorf("%w: %w", errStateDirLocked, err)
 		} else if err != nil {
 			return err
@@ -148,7 +148,7 @@
 		disk -= fleetBytes
 	}
 	var kept []journal.Kept
-	d.store, kept, err = journal.Open(process.Folder, journal.Options{Limit: disk, Shared: listener != nil, Tries: operatorSettings.Undeliverable.Keep}, d.log)
+	d.store, kept, err = journal.Open(process.Path, journal.Options{Limit: disk, Shared: listener != nil, Tries: operatorSettings.Undeliverable.Keep}, d.log)
 	if err != nil {
 		return err
 	}
@@ -161,20 +161,20 @@
 	if d.courier, err = courier.New(d.conf, d.store, kept, d.stats, d.log); err != nil {
 		return err
 	}
-	d.courier.Tell, d.courier.Successors = d.applyEvent, listener != nil
+	d.courier.OnLifecycleEvent, d.courier.KeepForSuccessor = d.applyEvent, listener != nil
 	if keepsLearned {
-		learnedWriter := learned.NewWriter(process.Folder, d.log)
+		learnedWriter := learned.NewWriter(process.Path, d.log)
 		defer learnedWriter.Close()
-		d.courier.Recall(d.loadLearned(process.Folder), learnedWriter)
+		d.courier.UseLearned(d.loadLearned(process.Path), learnedWriter)
 	}
-	d.front = front.New(d.courier, d.conf.Names, d.stats, d.log)
+	d.front = submission.New(d.courier, d.conf.Names, d.stats, d.log)
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	if d.deadLetters != nil {
-		d.courier.Keep(d.deadLetters)
+		d.courier.UseDeadLetters(d.deadLetters)
 		go d.deadLetters.Run(ctx)
 	}
-	d.fleet = d.joinFleet(ctx, operatorSettings, process.Folder, fleetBytes)
+	d.fleet = d.joinFleet(ctx, operatorSettings, process.Path, fleetBytes)
 	defer d.startHistory(operatorSettings, listener != nil)()
 	go d.courier.Run(ctx)
 	d.applyEvent(lifecycle.StepDone{Step: lifecycle.Notices})
@@ -197,12 +197,12 @@
 			return err
 		}
 	}
-	clients := gate.New(listener, descriptors, front.Room)
+	clients := connlimit.New(listener, descriptors, submission.ConnTimeouts)
 	d.clients = clients
 	server := &http.Server{
 		Handler: d.front, ReadHeaderTimeout: 2 * time.Second, ReadTimeout: 2500 * time.Millisecond,
 		WriteTimeout: 15 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10,
-		ConnContext: gate.ConnContext, ConnState: clients.SetState,
+		ConnContext: connlimit.ConnContext, ConnState: clients.SetState,
 		ErrorLog: slog.NewLogLogger(d.log.Handler(), slog.LevelWarn),
 	}
 	failed := make(chan error, 1)
@@ -227,7 +227,7 @@
 			}
 			start := time.Now()
 			d.fleet.leave()
-			if inherited && process.Followed() {
+			if inherited && process.HasSuccessor() {
 				d.handOver(start, clients)
 			} else {
 				d.applyEvent(lifecycle.Terminate{})
@@ -235,7 +235,7 @@
 			}
 			closeCtx, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
 			defer cancel()
-			if err := clients.End(closeCtx); err != nil && !errors.Is(err, net.ErrClosed) { // closed already if a successor took over
+			if err := clients.Shutdown(closeCtx); err != nil && !errors.Is(err, net.ErrClosed) { // closed already if a successor took over
 				d.log.Warn("raventrestle: client connections", "err", err)
 			}
 			stop()
@@ -260,11 +260,11 @@
 // shutDown waits until every message has its outcome and no client connection is open, or until shutdownTimeout. From now
 // on each answer closes its connection. Idle connections are closed at once, except those with an unread request. New
 // connections are accepted for acceptPeriod and get the time that a client needs to send a request.
-func (d *daemon) shutDown(start time.Time, clients *gate.Gate) {
+func (d *daemon) shutDown(start time.Time, clients *connlimit.Limiter) {
 	done := d.courier.Close(start.Add(shutdownTimeout))
 	ticker := time.NewTicker(clientPollInterval)
 	defer ticker.Stop()
-	for open := clients.Dismiss(front.Room.Busy); ; open = clients.Dismiss(front.Room.Busy) {
+	for open := clients.CloseIdle(submission.ConnTimeouts.Request); ; open = clients.CloseIdle(submission.ConnTimeouts.Request) {
 		elapsed := time.Since(start)
 		if elapsed > shutdownTimeout || open == 0 && done == nil && elapsed > acceptPeriod {
 			return
@@ -279,13 +279,13 @@
 
 // handOver passes the clients' socket and all messages to the successor. Open client connections are closed after their
 // next answer, and idle ones after idleClientTimeout.
-func (d *daemon) handOver(start time.Time, clients *gate.Gate) {
+func (d *daemon) handOver(start time.Time, clients *connlimit.Limiter) {
 	d.handingOver.Store(true)
 	if err := clients.Close(); err != nil {
 		d.log.Warn("raventrestle: client connections", "err", err)
 	}
-	d.front.Leave()
-	done := d.courier.Pass()
+	d.front.CloseConnections()
+	done := d.courier.HandOver()
 	d.applyEvent(lifecycle.Terminate{})
 	ticker := time.NewTicker(20 * time.Millisecond)
 	defer ticker.Stop()
@@ -298,14 +298,14 @@
 				d.log.Warn("raventrestle: handover incomplete", "client connections", open, "owed", done != nil)
 				return
 			} else if elapsed > idleClientTimeout {
-				open = clients.Dismiss(0)
+				open = clients.CloseIdle(0)
 			}
 		}
 	}
 }
 
 // applyEvent passes an event to the instance, which logs an event that is invalid in its state.
-func (d *daemon) applyEvent(e lifecycle.Event) { d.instance.On(e) }
+func (d *daemon) applyEvent(e lifecycle.Event) { d.instance.Handle(e) }
 
 // Report returns the state of the instance and its reasons.
 func (d *daemon) Report() instance.Report { return d.instance.Report() }
@@ -313,9 +313,9 @@
 // Drain makes the courier reject new messages or, if on is false, accept them again.
 func (d *daemon) Drain(on bool) error {
 	if on {
-		return d.instance.On(lifecycle.Drain{})
+		return d.instance.Handle(lifecycle.Drain{})
 	}
-	return d.instance.On(lifecycle.Undrain{})
+	return d.instance.Handle(lifecycle.Undrain{})
 }
 
 // Status returns all that operators see of a running courier.
@@ -416,7 +416,7 @@
 		Folder: deadLetterDir(set, d.conf.StateDir), Limits: resendLimits(u, d.conf.Settings.Forwarders, d.conf.Settings.WarmupDuration), MaxAge: u.MaxAge.Duration(),
 		Settled: u.ResolvedMaxAge.Duration(), Log: d.log, Seed: d.conf.Seed, Append: d.store.Append,
 		Options: deadletter.Options{MaxBytes: u.MaxBytes, MaxLetters: u.MaxDeadLetters, Sync: u.Sync},
-		Begin:   func(a deadletter.Again) bool { return d.courier.Again(a) },
+		Begin:   func(a deadletter.Again) bool { return d.courier.Resend(a) },
 		Class: func(name string) (raventrestle.Class, bool) {
 			i, ok := names.Classes[name]
 			if !ok {
@@ -462,15 +462,15 @@
 	if err != nil {
 		return err
 	}
-	if err := d.courier.Retune(ctx, next); err != nil {
+	if err := d.courier.Reconfigure(ctx, next); err != nil {
 		return err
 	}
 	for name := range next.Names.Classes {
 		d.stats.Class(name)
 	}
-	d.front.Serve(next.Names)
+	d.front.SetNames(next.Names)
 	if next.Discovery != d.currentConf.Discovery {
-		d.courier.Move(next.Discovery)
+		d.courier.SetDiscovery(next.Discovery)
 	}
 	d.currentConf = next
 	return nil
@@ -479,14 +479,14 @@
 // logCounters logs the counters of client requests, messages, attempts and decisions.
 func (d *daemon) logCounters() {
 	clients, messages, peers := &d.front.Counts, &d.courier.Counts, &d.courier.Counts.Peers
-	d.log.Info("counters: client connections", "requests", clients.Requests.Load(), "taken", clients.Taken.Load(),
-		"refused", clients.Refused.Load(), "bad_form", clients.BadForm.Load(), "too_large", clients.TooLarge.Load(),
-		"left", clients.Left.Load(), "closed_unanswered", d.clients.Unanswered.Load())
-	d.log.Info("counters: messages", "taken", messages.Taken.Load(), "restored", messages.Restored.Load(), "full", messages.Full.Load(),
+	d.log.Info("counters: client connections", "requests", clients.Requests.Load(), "taken", clients.Accepted.Load(),
+		"refused", clients.Rejected.Load(), "bad_form", clients.Malformed.Load(), "too_large", clients.TooLarge.Load(),
+		"left", clients.ClientLeft.Load(), "closed_unanswered", d.clients.Unanswered.Load())
+	d.log.Info("counters: messages", "taken", messages.Accepted.Load(), "restored", messages.Restored.Load(), "full", messages.Full.Load(),
 		"withdrawn", messages.Withdrawn.Load(), "delivered", messages.Delivered.Load(), "void", messages.Void.Load(),
 		"deferred", messages.Deferred.Load(), "undeliverable", messages.Undeliverable.Load())
 	names := []string{"ok", "error", "full", "timed_out", "connect_failed", "reset", "cancelled", "moot"}
-	attempts := []any{"dials", peers.Dials.Load(), "calls", peers.Calls.Load(), "bulk", peers.Bulks.Load(), "tries", peers.Tries.Load()}
+	attempts := []any{"dials", peers.Dials.Load(), "calls", peers.Calls.Load(), "bulk", peers.BatchCalls.Load(), "tries", peers.Attempts.Load()}
 	for i, name := range names {
 		attempts = append(attempts, name, messages.ByStatus[i].Load())
 	}
--- a/cmd/raventrestle/upgrade_test.go
+++ b/cmd/raventrestle/upgrade_test.go
@@ -173,7 +173,7 @@
 		if f := s.metrics(); f["app.pending"] == "0" {
 			break
 		}
-		if time.Since(began) > nettest.Patience {
+		if time.Since(began) > nettest.Timeout {
 			s.t.Fatalf("%v\n%s", s.metrics(), last.log)
 		}
 	}
