--- a/internal/net/courier/courier.go
+++ b/internal/net/courier/courier.go
@@ -14,12 +14,12 @@
 	"raventrestle"
 	"raventrestle/internal/config"
 	"raventrestle/internal/deadletter"
-	"raventrestle/internal/figures"
 	"raventrestle/internal/journal"
 	"raventrestle/internal/lifecycle"
 	"raventrestle/internal/net/discovery"
 	"raventrestle/internal/net/notify"
 	"raventrestle/internal/net/peer"
+	"raventrestle/internal/stats"
 )
 
 // ErrFull is returned by Take when the courier has as many pending messages as its settings allow.
@@ -73,7 +73,7 @@
 	listedAt      time.Time            // when discovery last answered
 	listIndex     int64                // index of discovery's last answer
 
-	Metrics *figures.Book // counters and gauges for monitoring
+	Metrics *stats.Stats // counters and gauges for monitoring
 	// KeepForSuccessor says that another process may take over while this one runs, so the journal also has to record
 	// what that process needs to know, such as Retry-After waits.
 	KeepForSuccessor bool
@@ -112,7 +112,7 @@
 const maxSendJitter = 250 * time.Millisecond
 
 // New returns a courier that is not running yet. Kept is the content of the journal at the start.
-func New(conf *config.Config, store *journal.Store, kept []journal.MessageState, metrics *figures.Book, log *slog.Logger) (*Courier, error) {
+func New(conf *config.Config, store *journal.Store, kept []journal.MessageState, metrics *stats.Stats, log *slog.Logger) (*Courier, error) {
 	conf.Settings.MaxSendJitter = maxSendJitter
 	policy, err := raventrestle.New(conf.Settings, conf.Seed)
 	if err != nil {
@@ -127,7 +127,7 @@
 	}
 	c.applyLimits(settings)
 	c.notifier = notify.New(conf.Discovery, mailboxSize, log, c.notificationsDelivered)
-	c.watcher = discovery.New(conf.Discovery, conf.Known, &conf.Settings, conf.Names, log, func(u discovery.Update) { c.mailbox <- u })
+	c.watcher = discovery.New(conf.Discovery, conf.InitialEndpoints, &conf.Settings, conf.Names, log, func(u discovery.Update) { c.mailbox <- u })
 	for _, k := range kept {
 		if k.ResendNumber > 0 {
 			c.resendIDs[k.ID] = true
@@ -242,9 +242,9 @@
 	switch {
 	case errors.Is(err, journal.ErrFull), errors.Is(err, journal.ErrClosed), c.journalFailing.Swap(failing) == failing:
 	case failing:
-		c.OnLifecycleEvent(lifecycle.Began{Trouble: lifecycle.JournalFails})
+		c.OnLifecycleEvent(lifecycle.FaultBegan{Fault: lifecycle.JournalUnwritable})
 	default:
-		c.OnLifecycleEvent(lifecycle.Ended{Trouble: lifecycle.JournalFails})
+		c.OnLifecycleEvent(lifecycle.FaultEnded{Fault: lifecycle.JournalUnwritable})
 	}
 }
 
--- a/internal/net/courier/step.go
+++ b/internal/net/courier/step.go
@@ -133,7 +133,7 @@
 	if m.ClassTerms == "" || i >= 0 && c.conf.Names.Terms[m.Class] == m.ClassTerms {
 		return i
 	}
-	class, err := config.OfTerms(m.Class, m.ClassTerms)
+	class, err := config.ParseTerms(m.Class, m.ClassTerms)
 	if err != nil {
 		c.log.Error("courier: a stored class can't be read", "id", m.ID, "err", err)
 	}
--- a/internal/net/discovery/timeout_test.go
+++ b/internal/net/discovery/timeout_test.go
@@ -97,7 +97,7 @@
 							break
 						}
 					}
-					deadline := max(polling.Told, wait+polling.ToldAfterWait)
+					deadline := max(polling.InformedAfterTimeout, wait+polling.InformedAfterWait)
 					if took := time.Since(start); took > deadline {
 						t.Errorf("a call with a wait of %v stalled: the update came after %v, deadline %v", wait, took, deadline)
 					}
--- a/internal/net/monitor/monitor.go
+++ b/internal/net/monitor/monitor.go
@@ -11,9 +11,9 @@
 	"strings"
 	"time"
 
-	"raventrestle/internal/figures"
 	"raventrestle/internal/net/connlimit"
 	"raventrestle/internal/net/instance"
+	"raventrestle/internal/stats"
 )
 
 // MaxCallers is the maximum number of open connections. They are taken from the courier's file descriptors.
@@ -29,7 +29,7 @@
 var connTimeouts = connlimit.Timeouts{Idle: 20 * time.Millisecond, Request: 20 * time.Millisecond}
 
 // Serve answers at the address until the server is closed. It calls report for each readiness request.
-func Serve(addr string, report func() instance.Report, metrics *figures.Book, log *slog.Logger) (*http.Server, error) {
+func Serve(addr string, report func() instance.Report, metrics *stats.Stats, log *slog.Logger) (*http.Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
@@ -48,7 +48,7 @@
 	return s, nil
 }
 
-func handler(report func() instance.Report, metrics *figures.Book) http.Handler {
+func handler(report func() instance.Report, metrics *stats.Stats) http.Handler {
 	mux := http.NewServeMux()
 	handle := func(path string, answer func(w *bytes.Buffer) int) {
 		mux.HandleFunc("GET "+path, func(w http.ResponseWriter, r *http.Request) {
--- a/internal/net/monitor/monitor_test.go
+++ b/internal/net/monitor/monitor_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"raventrestle/internal/figures"
 	"raventrestle/internal/net/instance"
 	"raventrestle/internal/net/nettest"
+	"raventrestle/internal/stats"
 )
 
 func startServer(t *testing.T, report func() instance.Report) string {
@@ -23,7 +23,7 @@
 	}
 	addr := l.Addr().String()
 	l.Close()
-	metrics := &figures.Book{}
+	metrics := &stats.Stats{}
 	metrics.Class("c").Completed.Store(812)
 	s, err := Serve(addr, report, metrics, nettest.Log)
 	if err != nil {
--- a/internal/net/submission/submission.go
+++ b/internal/net/submission/submission.go
@@ -17,10 +17,10 @@
 	"time"
 
 	"raventrestle/internal/config"
-	"raventrestle/internal/figures"
 	"raventrestle/internal/journal"
 	"raventrestle/internal/net/connlimit"
 	"raventrestle/internal/net/sock"
+	"raventrestle/internal/stats"
 )
 
 // Errors of Courier.Take: the message was accepted before, or the endpoint list does not name its destination.
@@ -53,7 +53,7 @@
 	log      *slog.Logger
 	draining atomic.Bool
 	closing  atomic.Bool
-	metrics  *figures.Book
+	metrics  *stats.Stats
 }
 
 const (
@@ -65,7 +65,7 @@
 )
 
 // New returns a handler that passes messages to the courier.
-func New(c Courier, names *config.Names, metrics *figures.Book, log *slog.Logger) *Handler {
+func New(c Courier, names *config.Names, metrics *stats.Stats, log *slog.Logger) *Handler {
 	h := &Handler{courier: c, log: log, metrics: metrics}
 	h.SetNames(names)
 	h.proxy = &httputil.ReverseProxy{
--- a/internal/net/submission/submission_test.go
+++ b/internal/net/submission/submission_test.go
@@ -16,10 +16,10 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 
 	"raventrestle/internal/config"
-	"raventrestle/internal/figures"
 	"raventrestle/internal/journal"
 	"raventrestle/internal/net/connlimit"
 	"raventrestle/internal/net/nettest"
+	"raventrestle/internal/stats"
 )
 
 // fakeCourier accepts messages as the take function says.
@@ -44,7 +44,7 @@
 	h := New(courier, &config.Names{
 		Classes: map[string]int{"notice": 0, "free": 1}, Tenants: map[string]int{"acme": 0},
 		Keyed: map[string]bool{"notice": true},
-	}, &figures.Book{}, nettest.Log)
+	}, &stats.Stats{}, nettest.Log)
 	s := httptest.NewUnstartedServer(h)
 	s.Config.ErrorLog, s.Config.ConnContext = h.proxy.ErrorLog, connlimit.ConnContext
 	limiter := connlimit.New(s.Listener, 4, ConnTimeouts)
--- a/internal/net/upgrade/processdir.go
+++ b/internal/net/upgrade/processdir.go
@@ -47,7 +47,7 @@
 	path     string
 	lock     *flock.Flock
 	journal  *journal.Follower
-	takeover *handover.Heir
+	takeover *handover.Successor
 	closing  bool
 	handled  bool // everything in its journal so far has been applied
 }
@@ -206,27 +206,27 @@
 		if p.takeover == nil {
 			p.takeover = handover.New(adopted)
 		}
-		plan := p.takeover.Look(legacy, ended)
-		if plan.Begin && !p.closing {
+		plan := p.takeover.Update(legacy, ended)
+		if plan.MayStart && !p.closing {
 			p.closing = true
 			c.Inherit(legacy.HandoverData)
-			d.log.Info("upgrade: taking over", "from", p.path, "gone", ended, "adopted", len(plan.Adopt), "out there", plan.Calls)
+			d.log.Info("upgrade: taking over", "from", p.path, "gone", ended, "adopted", len(plan.Adopt), "out there", plan.CallsInFlight)
 		}
-		if plan.Begin {
+		if plan.MayStart {
 			c.ApplyRetryAfter(legacy.PeerWaits)
 		}
 		if len(plan.Adopt) > 0 {
 			n, err := c.Adopt(plan.Adopt)
-			if p.takeover.Adopted(plan.Adopt[:n]); err != nil {
-				return plan.Begin, err
+			if p.takeover.SetAdopted(plan.Adopt[:n]); err != nil {
+				return plan.MayStart, err
 			}
 		}
-		if plan.Begin {
-			c.SetOtherProcess(plan.Busy, plan.Calls)
+		if plan.MayStart {
+			c.SetOtherProcess(plan.InFlight, plan.CallsInFlight)
 		}
 		if p.handled = true; !ended {
 			d.predecessors = d.predecessors[i:]
-			return plan.Begin, nil
+			return plan.MayStart, nil
 		}
 		for id := range legacy.Adopted {
 			adopted[id] = true
