--- a/internal/lab/historycheck/historycheck_test.go
+++ b/internal/lab/historycheck/historycheck_test.go
@@ -79,12 +79,12 @@
 		case 3:
 			from := max(now, freeAt[c])
 			freeAt[c] = from + rng.Int64N(30*ms)
-			add(c, now, Record{Kind: InUse, ID: id, Subject: "limit e1", N: 100 / int64(couriers), From: from, Until: freeAt[c], Whole: 100})
+			add(c, now, Record{Kind: InUse, ID: id, Subject: "limit e1", N: 100 / int64(couriers), From: from, Until: freeAt[c], Total: 100})
 		case 4:
 			window := uint64(now / (20 * ms))
 			if amount := rng.Int64N(4); charged[window]+amount <= 10 {
 				charged[window] += amount
-				add(c, now, Record{Kind: Charged, ID: "r1", Subject: "a", Window: window, N: amount, Whole: 10})
+				add(c, now, Record{Kind: Charged, ID: "r1", Subject: "a", Window: window, N: amount, Total: 10})
 			}
 		case 5:
 			endpoint := fmt.Sprint("e", rng.IntN(3))
@@ -100,7 +100,7 @@
 			add(c, now, fact)
 			fact.Age = end - now - 1
 			add(d, end, fact)
-			add(d, end+ms, Record{Kind: Decided, How: "send", Rests: []Rest{{ID: id, Age: end - now + ms, Bound: 200 * ms}}})
+			add(d, end+ms, Record{Kind: Decided, How: "send", Evidence: []Rest{{ID: id, Age: end - now + ms, MaxAge: 200 * ms}}})
 		case 7:
 			if rng.IntN(8) > 0 {
 				break
@@ -200,17 +200,17 @@
 			return appendEdited(rs, indexOf(rs, InForce, nil), func(r *Record) { r.At, r.Version, r.How = r.At+1, 0, "old" })
 		}},
 		"fact beyond its hard bound": {"stale", "hard bound", func(rs []Record, _ *serverLedger) []Record {
-			rs[indexOf(rs, Decided, nil)].Rests[0].Bound = 1
+			rs[indexOf(rs, Decided, nil)].Evidence[0].MaxAge = 1
 			return rs
 		}},
 		"fact older than stated": {"stale", "but its true age is", func(rs []Record, _ *serverLedger) []Record { rs[indexOf(rs, FactTaken, nil)].At -= 300 * ms; return rs }},
 		"fact never received": {"stale", "never received", func(rs []Record, _ *serverLedger) []Record {
-			rs[indexOf(rs, Decided, nil)].Rests[0].ID = "none"
+			rs[indexOf(rs, Decided, nil)].Evidence[0].ID = "none"
 			return rs
 		}},
 		"fact of an ended epoch": {"stale", "has ended", func(rs []Record, _ *serverLedger) []Record {
 			decision := rs[indexOf(rs, Decided, nil)]
-			i := indexOf(rs, FactTaken, func(r Record) bool { return r.ID == decision.Rests[0].ID })
+			i := indexOf(rs, FactTaken, func(r Record) bool { return r.ID == decision.Evidence[0].ID })
 			return append(rs, Record{Kind: FactTaken, At: decision.At - 1, Courier: decision.Courier, Epoch: decision.Epoch, ID: "newer", Peer: rs[i].Peer, PeerEpoch: rs[i].PeerEpoch + 1})
 		}},
 		"allowance exceeded": {"allowance", "were charged", func(rs []Record, _ *serverLedger) []Record {
--- a/internal/lab/historycheck/scan_checks.go
+++ b/internal/lab/historycheck/scan_checks.go
@@ -23,7 +23,7 @@
 		total, current := int64(0), map[use]*Record{}
 		ends := map[*Record]int64{}
 		for _, r := range groups[subject] {
-			total = max(total, r.Whole)
+			total = max(total, r.Total)
 			key := use{incarnation{r.Courier, r.Epoch}, r.ID}
 			if previous := current[key]; previous != nil {
 				ends[previous] = min(previous.Until, max(r.From, previous.From))
@@ -108,10 +108,10 @@
 		if r.Kind != Decided {
 			continue
 		}
-		for _, basis := range r.Rests {
-			if basis.Bound > 0 && basis.Age > basis.Bound {
+		for _, basis := range r.Evidence {
+			if basis.MaxAge > 0 && basis.Age > basis.MaxAge {
 				f.add("stale", []Record{*r}, "%s decided by %s, %v old, beyond its hard bound of %v", r.Courier, basis.ID,
-					time.Duration(basis.Age), time.Duration(basis.Bound))
+					time.Duration(basis.Age), time.Duration(basis.MaxAge))
 				continue
 			}
 			receipt := received[receivedFact{self, basis.ID}]
@@ -155,7 +155,7 @@
 	for k, records := range groups {
 		sum, allowed := int64(0), int64(0)
 		for _, r := range records {
-			sum, allowed = sum+r.N, max(allowed, r.Whole)
+			sum, allowed = sum+r.N, max(allowed, r.Total)
 		}
 		if configured, known := b.Allowances[k.id]; known {
 			allowed = configured
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -315,7 +315,7 @@
 	if err != nil {
 		return raventrestle.Settings{}, nil, err
 	}
-	set, names, err := config.Settings(text)
+	set, names, err := config.ParseSettings(text)
 	set.MaxSendJitter = maxSendJitter
 	return set, names, err
 }
--- a/internal/net/courier/courier_test.go
+++ b/internal/net/courier/courier_test.go
@@ -13,12 +13,12 @@
 
 	"raventrestle"
 	"raventrestle/internal/config"
-	"raventrestle/internal/figures"
 	"raventrestle/internal/journal"
 	"raventrestle/internal/lifecycle"
 	"raventrestle/internal/net/discovery"
 	"raventrestle/internal/net/nettest"
 	"raventrestle/internal/net/submission"
+	"raventrestle/internal/stats"
 )
 
 func newTestCourier(t *testing.T, knownList string) *Courier {
@@ -33,14 +33,14 @@
 		t.Fatal(err)
 	}
 	c, err := New(&config.Config{
-		Discovery: "127.0.0.1:1", Known: []byte(knownList),
+		Discovery: "127.0.0.1:1", InitialEndpoints: []byte(knownList),
 		Names: &config.Names{Classes: map[string]int{"c": 0}, Kinds: map[string]int{"k": 0}},
 		Settings: raventrestle.Settings{
 			Forwarders: 1, CallSlots: 4, MaxMessages: 3, Kinds: []raventrestle.DestinationKind{{MaxBatch: 4}},
 			Classes:        []raventrestle.Class{{Name: "c", SoftDeadline: time.Second, Deadline: 9 * time.Second, Value: 1}},
 			ConnectTimeout: time.Second, IdleTimeout: 5 * time.Second,
 		},
-	}, store, nil, &figures.Book{}, nettest.Log)
+	}, store, nil, &stats.Stats{}, nettest.Log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,11 +142,11 @@
 	if err := c.Take(m); err == nil {
 		t.Fatal("message accepted although the journal fails")
 	}
-	if e := nettest.Wait(t, "start of the trouble", events); e != (lifecycle.Began{Trouble: lifecycle.JournalFails}) {
+	if e := nettest.Wait(t, "start of the trouble", events); e != (lifecycle.FaultBegan{Fault: lifecycle.JournalUnwritable}) {
 		t.Fatalf("%#v", e)
 	}
 	failing.Store(false)
-	if e := nettest.Wait(t, "end of the trouble", events); e != (lifecycle.Ended{Trouble: lifecycle.JournalFails}) {
+	if e := nettest.Wait(t, "end of the trouble", events); e != (lifecycle.FaultEnded{Fault: lifecycle.JournalUnwritable}) {
 		t.Fatalf("%#v", e)
 	}
 	if err := c.Take(m); err != nil {
--- a/internal/net/courier/deadletters_test.go
+++ b/internal/net/courier/deadletters_test.go
@@ -18,9 +18,9 @@
 	"raventrestle/internal/config"
 	"raventrestle/internal/deadletter"
 	"raventrestle/internal/deadletter/rule"
-	"raventrestle/internal/figures"
 	"raventrestle/internal/journal"
 	"raventrestle/internal/net/nettest"
+	"raventrestle/internal/stats"
 )
 
 // writeStopper blocks a process at its nth write to the journal or the dead letters. That write and all later ones fail, as
@@ -147,7 +147,7 @@
 func (s *resendSite) runProcess(stopper *writeStopper) (done bool) {
 	t := s.t
 	conf := &config.Config{
-		Discovery: s.platform.Addr(), Known: []byte(fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[`+
+		Discovery: s.platform.Addr(), InitialEndpoints: []byte(fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[`+
 			`{"name":"s-0","address":%q,"zone":"a","type":"k","group":7,"status":"SERVING"},`+
 			`{"name":"s-1","address":%q,"zone":"b","type":"k","group":7,"status":"SERVING"}]}`, s.peers[0].Addr(), s.peers[1].Addr())),
 		Names: &config.Names{
@@ -186,7 +186,7 @@
 			t.Fatal(err)
 		}
 	}
-	if c, err = New(conf, store, live, &figures.Book{}, nettest.Log); err != nil {
+	if c, err = New(conf, store, live, &stats.Stats{}, nettest.Log); err != nil {
 		t.Fatal(err)
 	}
 	c.UseDeadLetters(k)
@@ -329,7 +329,7 @@
 		t.Fatal(err)
 	}
 	conf := &config.Config{
-		Discovery: s.platform.Addr(), Known: []byte(fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[`+
+		Discovery: s.platform.Addr(), InitialEndpoints: []byte(fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[`+
 			`{"name":"s-0","address":%q,"zone":"a","type":"k","group":7,"status":"SERVING"}]}`, s.peers[0].Addr())),
 		Names: &config.Names{Classes: map[string]int{"single": 0}, Kinds: map[string]int{"k": 0}, Zones: map[string]int{"a": 0}},
 		Settings: raventrestle.Settings{
@@ -352,7 +352,7 @@
 		t.Fatal(err)
 	}
 	nettest.Wait(t, "creation of the store", order)
-	if c, err = New(conf, store, nil, &figures.Book{}, nettest.Log); err != nil {
+	if c, err = New(conf, store, nil, &stats.Stats{}, nettest.Log); err != nil {
 		t.Fatal(err)
 	}
 	c.UseDeadLetters(k)
@@ -413,7 +413,7 @@
 		t.Fatal(err)
 	}
 	conf := &config.Config{
-		Discovery: discovery.Addr(), Known: []byte(fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[`+
+		Discovery: discovery.Addr(), InitialEndpoints: []byte(fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[`+
 			`{"name":"s-0","address":%q,"zone":"a","type":"k","group":7,"status":"SERVING"}]}`, endpoint.Addr())),
 		Names: &config.Names{Classes: map[string]int{"free": 0}, Kinds: map[string]int{"k": 0}, Zones: map[string]int{"a": 0}},
 		Settings: raventrestle.Settings{
@@ -432,7 +432,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c, err = New(conf, store, nil, &figures.Book{}, nettest.Log); err != nil {
+	if c, err = New(conf, store, nil, &stats.Stats{}, nettest.Log); err != nil {
 		t.Fatal(err)
 	}
 	c.UseDeadLetters(k)
--- a/internal/net/courier/history.go
+++ b/internal/net/courier/history.go
@@ -32,13 +32,13 @@
 
 func (c *Courier) recordAccepted(m *journal.Message) {
 	if c.history != nil {
-		c.history.Write(history.Record{Kind: history.TakenOn, ID: m.ID})
+		c.history.Write(history.Record{Kind: history.MessageAccepted, ID: m.ID})
 	}
 }
 
 func (c *Courier) recordAttempt(id string, target raventrestle.TargetID) {
 	if c.history != nil {
-		c.history.Write(history.Record{Kind: history.TryBegun, ID: id, Subject: string(target)})
+		c.history.Write(history.Record{Kind: history.AttemptBegun, ID: id, Subject: string(target)})
 	}
 }
 
@@ -53,7 +53,7 @@
 // an earlier one or to another courier.
 func (c *Courier) recordWait(endpoint raventrestle.TargetID, until time.Time) {
 	if c.history != nil { // time.Until runs after history.Now, so the recorded end is not later than the real one
-		c.history.Write(history.Record{Kind: history.WaitHeard, Subject: string(endpoint), Until: history.Now() + int64(time.Until(until))})
+		c.history.Write(history.Record{Kind: history.WaitReceived, Subject: string(endpoint), Until: history.Now() + int64(time.Until(until))})
 	}
 }
 
@@ -99,7 +99,7 @@
 // has already ended.
 func (c *Courier) deadLetterEnded(id, result string) {
 	if c.history != nil && result == "delivered" {
-		c.history.Write(history.Record{Kind: history.MessageEnded, ID: id, How: history.LetterDelivered})
+		c.history.Write(history.Record{Kind: history.MessageEnded, ID: id, How: history.DeadLetterDelivered})
 	}
 }
 
@@ -122,7 +122,7 @@
 	}
 	if c.evidence[key] = e; c.evidenceChanged(key) {
 		c.history.Write(history.Record{
-			Kind: history.FactTaken, ID: factID(e), What: k.String(), Subject: subjectName(s), Peer: e.Origin, PeerEpoch: e.Epoch,
+			Kind: history.FactAccepted, ID: factID(e), What: k.String(), Subject: subjectName(s), Peer: e.Origin, PeerEpoch: e.Epoch,
 			Age: int64(e.Age),
 		})
 	}
@@ -151,10 +151,10 @@
 	if c.history == nil {
 		return
 	}
-	var sources []history.Rest
+	var sources []history.Evidence
 	addSource := func(s facts.Subject, k facts.Kind, bound time.Duration) {
 		if e, ok := c.evidence[facts.Key{Subject: s, Kind: k}]; ok {
-			sources = append(sources, history.Rest{ID: factID(e), Age: int64(e.Age), Bound: int64(bound)})
+			sources = append(sources, history.Evidence{ID: factID(e), Age: int64(e.Age), MaxAge: int64(bound)})
 		}
 	}
 	bound := c.conf.Settings.WarmupDuration
@@ -176,6 +176,6 @@
 		}
 	}
 	if len(sources) > 0 {
-		c.history.Write(history.Record{Kind: history.Decided, How: "advise", Rests: sources})
+		c.history.Write(history.Record{Kind: history.Decided, How: "advise", Evidence: sources})
 	}
 }
--- a/internal/net/courier/learned.go
+++ b/internal/net/courier/learned.go
@@ -12,7 +12,7 @@
 // folder. A process that is killed has no chance to hand it over.
 type learnedState struct {
 	previousLearned *raventrestle.Learned // what the previous process learned; nil once it has been applied
-	learnedStore    *learned.Keeper       // nil if nothing is saved
+	learnedStore    *learned.Writer       // nil if nothing is saved
 	learnedSavedAt  time.Duration         // when the last save was made
 }
 
@@ -21,7 +21,7 @@
 
 // UseLearned makes the courier start with what the previous process learned (nil for nothing) and save its own learned
 // state to the store. Call it before Run.
-func (c *Courier) UseLearned(previous *raventrestle.Learned, store *learned.Keeper) {
+func (c *Courier) UseLearned(previous *raventrestle.Learned, store *learned.Writer) {
 	c.previousLearned, c.learnedStore = previous, store
 }
 
@@ -59,5 +59,5 @@
 		return
 	}
 	c.learnedSavedAt = t
-	c.learnedStore.Save(learned.Saved{At: t, Learned: c.policy.Learned()})
+	c.learnedStore.Save(learned.Snapshot{SavedAt: t, Learned: c.policy.Learned()})
 }
--- a/internal/net/courier/list.go
+++ b/internal/net/courier/list.go
@@ -19,9 +19,9 @@
 	l := raventrestle.ListUpdate{Kind: u.Kind}
 	if stale := u.Kind == raventrestle.ListFailed; u.Kind != raventrestle.ListCached {
 		if stale && !c.listStale {
-			c.OnLifecycleEvent(lifecycle.Began{Trouble: lifecycle.ListStale})
+			c.OnLifecycleEvent(lifecycle.FaultBegan{Fault: lifecycle.ListStale})
 		} else if !stale && c.listStale {
-			c.OnLifecycleEvent(lifecycle.Ended{Trouble: lifecycle.ListStale})
+			c.OnLifecycleEvent(lifecycle.FaultEnded{Fault: lifecycle.ListStale})
 		}
 		if c.listStale = stale; !stale {
 			c.listedAt, c.listIndex = time.Now(), u.Index
@@ -77,7 +77,7 @@
 	}
 	if !c.listKnown && len(c.destsLastListed) > 0 {
 		c.listKnown = true
-		defer c.OnLifecycleEvent(lifecycle.Done{Step: lifecycle.List})
+		defer c.OnLifecycleEvent(lifecycle.StepDone{Step: lifecycle.List})
 	}
 	maps.DeleteFunc(c.destsLastListed, func(_ int64, last time.Time) bool { return t.Sub(last) > c.maxDeadline })
 }
--- a/internal/net/courier/reconfigure.go
+++ b/internal/net/courier/reconfigure.go
@@ -39,7 +39,7 @@
 }
 
 func (c *Courier) reconfigure(ctx context.Context, conf *config.Config) error {
-	conf.Follow(c.conf)
+	conf.KeepIndices(c.conf)
 	previous, settings := c.conf.Settings, &conf.Settings
 	settings.MaxSendJitter = maxSendJitter
 	if err := c.policy.Reconfigure(*settings); err != nil {
--- a/internal/net/discovery/watcher.go
+++ b/internal/net/discovery/watcher.go
@@ -39,7 +39,7 @@
 type Watcher struct {
 	url        string
 	config     atomic.Pointer[listConfig]
-	plan       polling.Plan
+	plan       polling.Planner
 	client     *http.Client
 	log        *slog.Logger
 	onUpdate   func(Update)
@@ -64,7 +64,7 @@
 		requested: make(chan struct{}, 1), newAddress: make(chan string, 1),
 		client: &http.Client{Transport: &http.Transport{
 			MaxConnsPerHost: 2, MaxIdleConns: 1, IdleConnTimeout: time.Minute,
-			DialContext: (&net.Dialer{Timeout: polling.Connect}).DialContext,
+			DialContext: (&net.Dialer{Timeout: polling.ConnectTimeout}).DialContext,
 		}},
 	}
 	w.SetConfig(settings, names)
@@ -110,20 +110,20 @@
 // Run fetches the list as the plan says. Where the plan waits, Subscribe or SetAddress starts the next call.
 func (w *Watcher) Run(ctx context.Context) {
 	defer w.client.CloseIdleConnections()
-	next := w.nextCall(polling.None)
+	next := w.nextCall(polling.NoCall)
 	for {
 		var due <-chan time.Time
-		if !next.Asked {
-			due = time.After(next.After)
+		if !next.OnRequest {
+			due = time.After(next.Delay)
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-w.requested:
-			next.After = 0
+			next.Delay = 0
 		case discovery := <-w.newAddress:
 			w.switchTo(discovery)
-			next = w.nextCall(polling.None)
+			next = w.nextCall(polling.NoCall)
 		case <-due:
 		}
 		r := w.runCall(ctx, next)
@@ -131,20 +131,20 @@
 			return
 		}
 		next = w.nextCall(r)
-		if next.Asked && r != polling.None {
+		if next.OnRequest && r != polling.NoCall {
 			select { // requests that came during the call were for that call
 			case <-w.requested:
 			default:
 			}
 			w.onUpdate(Update{Kind: raventrestle.ListFailed})
-		} else if r == polling.None { // the address changed: call at once
-			next.Asked = false
+		} else if r == polling.NoCall { // the address changed: call at once
+			next.OnRequest = false
 		}
 	}
 }
 
 func (w *Watcher) nextCall(r polling.Result) polling.Call {
-	return w.plan.Next(polling.Settings{Pushed: w.config.Load().pushed, Known: w.index >= 0}, r, rand.Float64())
+	return w.plan.Next(polling.Settings{Pushed: w.config.Load().pushed, ListKnown: w.index >= 0}, r, rand.Float64())
 }
 
 // switchTo sets another address, whose list versions are unrelated to the old one's.
@@ -156,7 +156,7 @@
 // runCall makes a call and passes its list to onUpdate. It returns None if the call was cut short by a new address or the
 // end of the context.
 func (w *Watcher) runCall(ctx context.Context, c polling.Call) polling.Result {
-	callCtx, stop := context.WithTimeout(ctx, c.Limit)
+	callCtx, stop := context.WithTimeout(ctx, c.Timeout)
 	defer stop()
 	type result struct {
 		Update
@@ -174,20 +174,20 @@
 		stop()
 		<-done
 		w.switchTo(discovery)
-		return polling.None
+		return polling.NoCall
 	}
 	var netErr net.Error
 	switch {
 	case ctx.Err() != nil:
-		return polling.None
+		return polling.NoCall
 	case r.error == nil:
 		w.index = r.Index
 		w.onUpdate(r.Update)
 		return polling.Answered
 	case errors.As(r.error, &netErr) && netErr.Timeout(): // of the call or of its connection
-		w.log.Warn("discovery: call timed out", "wait", c.Wait, "limit", c.Limit, "err", r.error)
+		w.log.Warn("discovery: call timed out", "wait", c.Wait, "limit", c.Timeout, "err", r.error)
 		w.client.CloseIdleConnections()
-		return polling.Silent
+		return polling.TimedOut
 	}
 	w.log.Warn("discovery: call failed", "wait", c.Wait, "err", r.error)
 	return polling.Failed
--- a/internal/net/instance/instance.go
+++ b/internal/net/instance/instance.go
@@ -16,7 +16,7 @@
 	onDrainChange func(bool) // called when draining starts or ends
 
 	mu      sync.Mutex
-	state   lifecycle.Life
+	state   lifecycle.Instance
 	started time.Time
 	since   time.Time // start of the present state
 }
@@ -43,7 +43,7 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	before := i.state
-	after, err := before.On(e)
+	after, err := before.Apply(e)
 	if err != nil {
 		i.log.Warn("instance: invalid event", "event", slog.AnyValue(e), "err", err)
 		return err
@@ -52,7 +52,7 @@
 	if after.State() != before.State() {
 		i.since = time.Now()
 		_, why := after.Ready()
-		i.log.Info("instance: state", "state", after.State().String(), "was", before.State().String(), "why", why, "troubles", after.Troubles())
+		i.log.Info("instance: state", "state", after.State().String(), "was", before.State().String(), "why", why, "troubles", after.Faults())
 	}
 	if drains := after.State() == lifecycle.Draining; drains != (before.State() == lifecycle.Draining) {
 		i.onDrainChange(drains)
@@ -61,7 +61,7 @@
 }
 
 // State returns the present lifecycle state.
-func (i *Instance) State() lifecycle.Life {
+func (i *Instance) State() lifecycle.Instance {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.state
@@ -72,5 +72,5 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	ready, why := i.state.Ready()
-	return Report{State: i.state.State().String(), Live: i.state.Live(), Ready: ready, Reasons: why, Troubles: i.state.Troubles(), Since: i.since, Started: i.started}
+	return Report{State: i.state.State().String(), Live: i.state.Alive(), Ready: ready, Reasons: why, Troubles: i.state.Faults(), Since: i.since, Started: i.started}
 }
