--- a/internal/history/record.go
+++ b/internal/history/record.go
@@ -1,12 +1,12 @@
 // Package history writes a file of records of what a courier did. It is off unless the operators' settings name a file.
-// internal/lab/history reads the files of all couriers and checks them together.
+// internal/lab/historycheck reads the files of all couriers and checks them together.
 //
 // Times are nanoseconds of CLOCK_MONOTONIC. All processes of a machine share this clock and nobody can set it, so that
 // times of several processes can be compared. Times of different machines, or from before a reboot, can't.
 //
-// Invariants, checked by tests in internal/lab/history, which has the reader: the writer never blocks its callers, keeps
+// Invariants, checked by tests in internal/lab/historycheck, which has the reader: the writer never blocks its callers, keeps
 // the file within its maximum size and records how many records are missing (TestWriterIsBounded); the file of a process
-// that was killed can be read up to its last complete record, and the next process appends to it (TestFileAcrossLives).
+// that was killed can be read up to its last complete record, and the next process appends to it (TestFileAcrossRestarts).
 package history
 
 import (
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -22,8 +22,8 @@
 	"raventrestle/internal/emulator"
 	"raventrestle/internal/emulator/link"
 	"raventrestle/internal/lab/scenario"
-	"raventrestle/internal/lab/verdict"
-	"raventrestle/internal/lab/virtual"
+	"raventrestle/internal/lab/scoring"
+	"raventrestle/internal/lab/simulation"
 	"raventrestle/lab/scenarios"
 )
 
@@ -71,7 +71,7 @@
 	Seed       uint64                  `json:"seed"`
 	Virtual    bool                    `json:"virtual,omitempty"` // against the module alone
 	Rate       float64                 `json:"rate_per_s"`
-	Service    verdict.Service         `json:"service"`
+	Service    scoring.ServiceScore    `json:"service"`
 	Latency    map[string]Latency      `json:"latency_by_class"`
 	Counts     emulator.Counts         `json:"counts"`
 	Asked      int                     `json:"asked"`
@@ -88,7 +88,7 @@
 // Faulted is what a day with faults of links or processes has beside the others.
 type Faulted struct {
 	Plan     link.Plan        `json:"plan"`
-	Recovery verdict.Recovery `json:"recovery"`      // from the first fault on
+	Recovery scoring.Recovery `json:"recovery"`      // from the first fault on
 	Refused  int              `json:"worst_refused"` // calls refused in the worst second
 	Lists    int              `json:"worst_lists"`   // calls of discovery in its worst second
 	Links    link.Counts      `json:"links"`         // of all relays together
@@ -117,7 +117,7 @@
 	if !o.Keep {
 		defer os.RemoveAll(dir)
 	}
-	spec, err := s.Draw(seed)
+	spec, err := s.Generate(seed)
 	if err != nil {
 		return nil, err
 	}
@@ -140,14 +140,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s, seed %d: %w", s.Name, seed, err)
 	}
-	var all []verdict.Message
+	var all []scoring.Message
 	day, all = judge(s, seed, spec, played{w.Recorder, w.Start(), time.Now(), w.Planned, w.LateCount()})
 	day.faulted(w, all, series)
 	return day, keep(out, day, series, spec.Couriers)
 }
 
 // faulted adds the figures of a day that had faults.
-func (d *Day) faulted(w *emulator.Emulation, all []verdict.Message, series []second) {
+func (d *Day) faulted(w *emulator.Emulation, all []scoring.Message, series []second) {
 	first, any := w.FaultPlan.Begin()
 	if !any {
 		return
@@ -156,27 +156,27 @@
 	for _, s := range series {
 		refused, lists = append(refused, s.counts.CallsRefused), append(lists, s.counts.Lists)
 	}
-	f := &Faulted{Plan: w.FaultPlan, Recovery: verdict.Recover(all, first, w.Traffic), Links: w.Mesh.TotalCounts(), Unknown: w.Mesh.UnknownSources()}
-	f.Refused, _ = verdict.Peak(refused)
-	f.Lists, _ = verdict.Peak(lists)
+	f := &Faulted{Plan: w.FaultPlan, Recovery: scoring.MeasureRecovery(all, first, w.Traffic), Links: w.Mesh.TotalCounts(), Unknown: w.Mesh.UnknownSources()}
+	f.Refused, _ = scoring.MaxIncrease(refused)
+	f.Lists, _ = scoring.MaxIncrease(lists)
 	d.Faulted = f
 }
 
 // PlayVirtual plays the same day against the decision module alone, in virtual time. A nil maker is the
 // module as it stands.
-func PlayVirtual(s *scenario.Scenario, seed uint64, out string, maker virtual.Maker) (*Day, error) {
-	spec, err := s.Draw(seed)
+func PlayVirtual(s *scenario.Scenario, seed uint64, out string, maker simulation.DeciderFactory) (*Day, error) {
+	spec, err := s.Generate(seed)
 	if err != nil {
 		return nil, err
 	}
-	r, err := virtual.Play(spec, virtual.Usual, maker)
+	r, err := simulation.Play(spec, simulation.DefaultDelays, maker)
 	if err != nil {
 		return nil, fmt.Errorf("%s, seed %d, virtual: %w", s.Name, seed, err)
 	}
-	day, _ := judge(s, seed, spec, played{r.Ledger, r.Start, r.End, r.Asked, 0})
+	day, _ := judge(s, seed, spec, played{r.Ledger, r.Start, r.End, r.Submitted, 0})
 	day.Virtual = true
 	var series []second
-	for i, c := range r.Series {
+	for i, c := range r.CountsPerSecond {
 		series = append(series, second{at: i, counts: c})
 	}
 	return day, keep(out, day, series, 0)
@@ -279,7 +279,7 @@
 }
 
 // judge reads the day off the ledger, and returns what became of each message beside it.
-func judge(s *scenario.Scenario, seed uint64, spec emulator.Spec, w played) (*Day, []verdict.Message) {
+func judge(s *scenario.Scenario, seed uint64, spec emulator.Spec, w played) (*Day, []scoring.Message) {
 	d := &Day{
 		Version: resultVersion, Scenario: s.Name, Seed: seed, Rate: spec.Rate, Latency: map[string]Latency{}, Counts: w.ledger.Counts(),
 		Asked: w.asked, RigLate: w.late, Violations: []string{}, Failed: []string{}, Troubles: spec.ChannelFaults, Restarts: spec.Restarts, Fleet: spec.Fleet,
@@ -289,14 +289,14 @@
 	for _, c := range spec.Classes {
 		classes[c.Name], times[c.Name] = c, hdrhistogram.New(1, 600_000, 3)
 	}
-	var all []verdict.Message
+	var all []scoring.Message
 	w.ledger.Messages(func(m emulator.Message) {
 		c := classes[m.Class]
-		v := verdict.Message{Class: m.Class, Hotel: m.Tenant, Born: m.CreatedAt.Sub(w.start), Took: -1, Worth: m.Value, Aim: c.TargetLatency, Deadline: c.Deadline, Late: c.LateValueShare}
+		v := scoring.Message{Class: m.Class, Tenant: m.Tenant, SubmittedAt: m.CreatedAt.Sub(w.start), DeliveryTime: -1, Value: m.Value, LatencyTarget: c.TargetLatency, Deadline: c.Deadline, MinLateShare: c.LateValueShare}
 		if !m.DeliveredAt.IsZero() {
-			v.Took = m.DeliveredAt.Sub(m.CreatedAt)
+			v.DeliveryTime = m.DeliveredAt.Sub(m.CreatedAt)
 			// Over ten minutes is the last bucket: no class waits so long.
-			if err := times[m.Class].RecordValue(min(max(v.Took.Milliseconds(), 1), 600_000)); err != nil {
+			if err := times[m.Class].RecordValue(min(max(v.DeliveryTime.Milliseconds(), 1), 600_000)); err != nil {
 				d.Failed = append(d.Failed, err.Error())
 			}
 		}
@@ -306,21 +306,21 @@
 	for i, h := range spec.Tenants {
 		share[h] = spec.TenantShares[i]
 	}
-	d.Service = verdict.Of(all, spec.Traffic, share)
+	d.Service = scoring.ScoreService(all, spec.Traffic, share)
 	for name, h := range times {
 		d.Latency[name] = Latency{h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(90), h.ValueAtQuantile(99), h.Max()}
 	}
 	for _, v := range w.ledger.Check(w.end) {
 		d.Violations = append(d.Violations, v.String())
 	}
-	if late := float64(d.RigLate) / float64(max(d.Asked, 1)); late > s.Holds.RigLateShare {
+	if late := float64(d.RigLate) / float64(max(d.Asked, 1)); late > s.PassCriteria.MaxRigLateShare {
 		d.Void = fmt.Sprintf("the rig itself submitted %.1f%% of the messages more than 50 ms late", 100*late)
 	}
-	if len(d.Violations) > s.Holds.Violations {
-		d.Failed = append(d.Failed, fmt.Sprintf("%d violations, at most %d may be", len(d.Violations), s.Holds.Violations))
+	if len(d.Violations) > s.PassCriteria.MaxViolations {
+		d.Failed = append(d.Failed, fmt.Sprintf("%d violations, at most %d may be", len(d.Violations), s.PassCriteria.MaxViolations))
 	}
-	if d.Service.Figure < s.Holds.Service {
-		d.Failed = append(d.Failed, fmt.Sprintf("service %.3f, under %.3f", d.Service.Figure, s.Holds.Service))
+	if d.Service.Score < s.PassCriteria.MinService {
+		d.Failed = append(d.Failed, fmt.Sprintf("service %.3f, under %.3f", d.Service.Score, s.PassCriteria.MinService))
 	}
 	return d, all
 }
@@ -357,12 +357,12 @@
 		}
 		if f := d.Faulted; f != nil {
 			worst = fmt.Sprintf("%d, %d", f.Refused, f.Lists)
-			if full = "not in the run"; f.Recovery.After >= 0 {
-				full = fmt.Sprintf("%.0f s", f.Recovery.After.Seconds())
+			if full = "not in the run"; f.Recovery.RecoveryTime >= 0 {
+				full = fmt.Sprintf("%.0f s", f.Recovery.RecoveryTime.Seconds())
 			}
 		}
-		fmt.Fprintf(t, "| %s\t%d\t%d\t%.3f\t%.3f\t%.3f at %.0f s\t%.3f %s\t%.3f %s\t%s\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t\n", d.Scenario, d.Seed, d.Asked, s.Figure, s.Whole, s.Worst,
-			s.WorstAt.Seconds(), s.ByClass[s.WorstClass], s.WorstClass, s.ByHotel[s.WorstHotel], s.WorstHotel, strings.Join(p, " "), d.Counts.Undeliverable,
+		fmt.Fprintf(t, "| %s\t%d\t%d\t%.3f\t%.3f\t%.3f at %.0f s\t%.3f %s\t%.3f %s\t%s\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t\n", d.Scenario, d.Seed, d.Asked, s.Score, s.Overall, s.WorstWindow,
+			s.WorstWindowStart.Seconds(), s.ByClass[s.WorstClass], s.WorstClass, s.ByTenant[s.WorstTenant], s.WorstTenant, strings.Join(p, " "), d.Counts.Undeliverable,
 			d.Counts.Deferred, d.Counts.CallsRefused, d.Counts.Lists, len(d.Violations), d.Void, fleet, full, worst)
 	}
 	return t.Flush()
--- a/internal/lab/small.go
+++ b/internal/lab/small.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"raventrestle/internal/emulator"
+	"raventrestle/internal/lab/reduction"
 	"raventrestle/internal/lab/scenario"
-	"raventrestle/internal/lab/shrink"
-	"raventrestle/internal/lab/virtual"
+	"raventrestle/internal/lab/simulation"
 )
 
 // smallVersion goes into a small day's file.
@@ -21,13 +21,13 @@
 
 // Small is a drawn day that breaks a rule, made small, with what it takes to play it again.
 type Small struct {
-	Version  int           `json:"version"`
-	Scenario string        `json:"scenario"`
-	Seed     uint64        `json:"seed"`
-	Rule     string        `json:"rule"`
-	Virtual  bool          `json:"virtual"`
-	Steps    []shrink.Step `json:"steps"`
-	Day      emulator.Spec `json:"day"`
+	Version  int              `json:"version"`
+	Scenario string           `json:"scenario"`
+	Seed     uint64           `json:"seed"`
+	Rule     string           `json:"rule"`
+	Virtual  bool             `json:"virtual"`
+	Steps    []reduction.Step `json:"steps"`
+	Day      emulator.Spec    `json:"day"`
 }
 
 // ErrNotBroken says that a day that was to be shrunk keeps the rule when it is played again.
@@ -35,10 +35,10 @@
 
 // ShrinkOptions say how a day is made small.
 type ShrinkOptions struct {
-	Rule     string        // by name; the first that the day broke where it is ""
-	Plays    int           // at most
-	Tries    int           // of each smaller day with real processes, which break a rule only sometimes
-	Maker    virtual.Maker // nil for the module as it stands
+	Rule     string                    // by name; the first that the day broke where it is ""
+	Plays    int                       // at most
+	Tries    int                       // of each smaller day with real processes, which break a rule only sometimes
+	Maker    simulation.DeciderFactory // nil for the module as it stands
 	Progress io.Writer
 }
 
@@ -47,7 +47,7 @@
 	if len(d.Violations) == 0 {
 		return nil, fmt.Errorf("%s, seed %d, broke no rule", d.Scenario, d.Seed)
 	}
-	spec, err := s.Draw(d.Seed)
+	spec, err := s.Generate(d.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -73,7 +73,7 @@
 		return nil, fmt.Errorf("%s, seed %d, %q: %w", d.Scenario, d.Seed, small.Rule, ErrNotBroken)
 	}
 	n := len(spec.Plan())
-	small.Day, small.Steps, err = shrink.Minimize(spec, func(day emulator.Spec) (bool, error) {
+	small.Day, small.Steps, err = reduction.Minimize(spec, func(day emulator.Spec) (bool, error) {
 		still, err := breaks(day)
 		if still {
 			fmt.Fprintf(o.Progress, "%d of %d messages, %d troubles, %d restarts, %v\n", len(day.Plan()), n, len(day.ChannelFaults), len(day.Restarts), day.Traffic)
@@ -84,14 +84,14 @@
 }
 
 // Play plays the small day once and returns how it broke its rule.
-func (s *Small) Play(ctx context.Context, maker virtual.Maker, run Options) ([]emulator.Violation, error) {
+func (s *Small) Play(ctx context.Context, maker simulation.DeciderFactory, run Options) ([]emulator.Violation, error) {
 	return s.play(ctx, s.Day, maker, run)
 }
 
-func (s *Small) play(ctx context.Context, day emulator.Spec, maker virtual.Maker, run Options) (broken []emulator.Violation, err error) {
+func (s *Small) play(ctx context.Context, day emulator.Spec, maker simulation.DeciderFactory, run Options) (broken []emulator.Violation, err error) {
 	var all []emulator.Violation
 	if s.Virtual {
-		r, err := virtual.Play(day, virtual.Usual, maker)
+		r, err := simulation.Play(day, simulation.DefaultDelays, maker)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/net/courier/history.go
+++ b/internal/net/courier/history.go
@@ -11,7 +11,7 @@
 	"raventrestle/internal/net/notify"
 )
 
-// History receives what the courier does, for checks after a test run (internal/lab/history). Write does not block and is
+// History receives what the courier does, for checks after a test run (internal/lab/historycheck). Write does not block and is
 // safe for concurrent use.
 type History interface{ Write(history.Record) }
 
